--- /dev/null
+++ b/affinity/tests/compatibility.rs
@@ -0,0 +1,68 @@
+//! Messages and choices of session affinity, compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-affinity --test compatibility`): nodes of both builds have to place each
+//! session alike.
+
+use pipitlever_affinity::choose::{choose, Worker};
+use pipitlever_affinity::homes::{Homes, ASKED};
+use pipitlever_affinity::message::Message;
+use pipitlever_affinity::mix;
+use pipitlever_affinity::placement::Placement;
+use pipitlever_affinity::stamp::Birth;
+
+const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
+/// Sessions whose placement is compared.
+const SESSIONS: u64 = 64;
+
+fn placement() -> Placement {
+    Placement { worker: 70_000, birth: Birth { seconds: 1_700_000_000, by: 515 }, moves: 3, version: 260 }
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let session = 0x0102_0304_0506_0708;
+    let entries = vec![(session, placement(), 90_000)];
+    vec![
+        ("ask", Message::Ask { time: 100_001, ticket: 200, session }),
+        ("answer", Message::Answer { time: 100_002, ticket: 201, session, placement: Some(placement()) }),
+        ("answer-unknown", Message::Answer { time: 100_003, ticket: 202, session, placement: None }),
+        ("tell", Message::Tell { time: 100_004, entries, owed: true }),
+        ("have", Message::Have { sessions: vec![session, 9] }),
+        ("fill", Message::Fill { token: 0x1112_1314_1516_1718 }),
+        ("filled", Message::Filled { token: 0x2122_2324_2526_2728 }),
+    ]
+}
+
+/// The worker of each session, as bytes.
+fn chosen() -> Vec<u8> {
+    let weights = [1.0, 0.5, 2.0, 4.0, 1.0];
+    let worker = |(i, weight): (usize, &f64)| Worker {
+        id: 100 + i as u32,
+        weight: *weight,
+        takes: i != 4,
+        keeps: i != 3,
+    };
+    let workers: Vec<Worker> = weights.iter().enumerate().map(worker).collect();
+    let choice = |session| choose(mix(session, 1), &workers, |id| id == 101).unwrap() as u8;
+    (0..SESSIONS).map(choice).collect()
+}
+
+/// The nodes that remember each session, as text.
+fn remembered() -> Vec<u8> {
+    let names = ["n1", "n2", "n3", "n4", "n5", "n6"];
+    let homes = Homes::new(names.into_iter());
+    let of = |session| homes.first(mix(session, 2), ASKED).concat();
+    (0..SESSIONS).map(of).collect::<Vec<_>>().join(" ").into_bytes()
+}
+
+#[test]
+fn messages_and_choices_are_those_of_the_earlier_build() {
+    let mut samples = Vec::new();
+    for (name, message) in messages() {
+        let bytes = message.write();
+        assert_eq!(Message::read(&bytes), Some(message), "{name}");
+        samples.push((name, bytes));
+    }
+    samples.push(("mix", mix(1, 2).to_be_bytes().to_vec()));
+    samples.push(("chosen-workers", chosen()));
+    samples.push(("replica-nodes", remembered()));
+    pipitlever_test_fixtures::assert_bytes(FIXTURES, &samples);
+}
--- /dev/null
+++ b/capture/tests/compatibility.rs
@@ -0,0 +1,248 @@
+//! Records and checkpoints of captures, compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`): either build reads the other's segments,
+//! and goes on from its checkpoints.
+
+use pipitlever::*;
+use pipitlever_capture::record::{decode, digest, encode, By, End, Entry, Lost, Name, Opening, Record, Told};
+use pipitlever_capture::segment::{restored, state, Reader, Writer};
+use std::path::PathBuf;
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
+}
+
+fn request(id: RequestId, class: usize) -> Request {
+    Request {
+        id,
+        class,
+        tenant: Some(1),
+        has_key: true,
+        patience: Some(2_000_000),
+        cost: Some(1.5),
+        memory_kb: 20.0,
+        rank: 0.25,
+        retry: true,
+        write: false,
+        queued: 300,
+        same_as: None,
+    }
+}
+
+fn events() -> Vec<Event> {
+    let outcomes = [
+        Outcome::Done,
+        Outcome::Error,
+        Outcome::Busy,
+        Outcome::TimedOut,
+        Outcome::Unreachable,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::Moot,
+    ];
+    let mut events = vec![
+        Event::Arrived(request(300, 2)),
+        Event::Arrived(Request { same_as: Some(300), write: true, retry: false, ..request(301, 1) }),
+        Event::Leaving(70_000),
+        Event::Gone(302),
+        Event::NeedsCall(303),
+        Event::Timer {
+            tag: 9,
+            core_use: Some(0.5),
+            on_cores: Some(2.5),
+            memory_use: Some(0.25),
+            connections: Some(12.0),
+        },
+    ];
+    for (i, outcome) in outcomes.into_iter().enumerate() {
+        events.push(Event::Finished { id: 400 + i as RequestId, took: 80_000, outcome });
+        events.push(Event::CallEnded { id: 500 + i as RequestId, took: 90_000, outcome });
+    }
+    events
+}
+
+fn actions() -> Vec<Action> {
+    vec![
+        Action::Run(600),
+        Action::Reuse(601),
+        Action::Refuse { id: 602, backoff: 200_000, no_retry: true },
+        Action::Fail(603),
+        Action::Keep(604, 300_000),
+        Action::Forget(605),
+        Action::Call(606, 400_000),
+        Action::SkipCall(607),
+        Action::Halt(608),
+        Action::Level(0.75),
+        Action::Health(true),
+        Action::CloseIdle(500_000),
+        Action::Timer(20_000, 3),
+    ]
+}
+
+fn records() -> Vec<Record> {
+    let named = Name { id: 300, reference: 0x0102_0304_0506_0708, sender: Some(4), key: Some(digest("k")) };
+    let answers = [
+        (Told::Served(1_000), By::Module),
+        (Told::Refused { cooldown: 250_000, nowhere: true }, By::Run),
+        (Told::Failed { expired: true }, By::Repeat),
+        (Told::Failed { expired: false }, By::Rejected),
+        (Told::Served(1), By::NotUp),
+        (Told::Served(2), By::Full),
+        (Told::Served(3), By::KeysFull),
+        (Told::Served(4), By::NoKey),
+        (Told::Served(5), By::Overdue),
+        (Told::Served(6), By::Store),
+        (Told::Served(7), By::StoreFull),
+        (Told::Served(8), By::Elsewhere),
+        (Told::Served(9), By::Floor),
+    ];
+    let step = Entry::Step { after: 1_234, events: events().into(), actions: actions().into() };
+    let answer = |(told, by)| Entry::Answer { after: 56, reference: 78, class: 2, told, by };
+    [Entry::Named(named), step].into_iter().chain(answers.into_iter().map(answer)).collect()
+}
+
+fn settings() -> Settings {
+    let class = |idempotency, worth: f64| Class {
+        aim: 1_000_000,
+        deadline: 4_000_000,
+        idempotency,
+        window: 5_000_000,
+        worth,
+        late_worth: 0.125,
+        aim_stretch: 2.0,
+        calls: true,
+        skip_worth: 0.0,
+    };
+    Settings {
+        classes: vec![
+            class(Idempotency::Free, 1.0),
+            class(Idempotency::Keyed, 2.0),
+            class(Idempotency::Unsafe, 4.0),
+        ],
+        tenants: vec![Tenant { quota_rps: 30.0 }, Tenant { quota_rps: 40.0 }],
+        replicas: 3.0,
+        callers: 5.0,
+        cores: 2.0,
+        memory_kb: 20_000.0,
+        run_factor: 8.0,
+        key_kb: 20.0,
+        cold: true,
+        below: Below::Shared,
+        call_share: 5.0,
+        call_span: 5_000_000,
+        linger: 200_000,
+        fresh: 50_000,
+        halt: HaltMode::Abort,
+        level: LevelKind::Threshold,
+        keepalive_max: 30_000_000,
+        max_backoff: 1_000_000,
+        over_share_worth: 0.5,
+        worth_by_work: true,
+        safety: Safety { cold_for: 3_000_000, cold_from: 0.25, ..Safety::default() },
+    }
+}
+
+/// A controller in the middle of a run: queued, running and calling requests, retained keys, a shutdown notice.
+fn controller() -> Controller {
+    let mut controller = Controller::new(settings(), 7);
+    let (mut running, mut calling) = (Vec::new(), Vec::new());
+    let mut step = |now: Micros, events: &[Event]| {
+        let mut actions = Vec::new();
+        controller.step(now, events, &mut actions);
+        actions
+    };
+    for id in 0..40 {
+        let now = 10_000 * id as Micros;
+        let mut events = vec![Event::Arrived(Request { retry: id % 5 == 0, ..request(id, id as usize % 3) })];
+        match (id % 4, running.pop(), calling.pop()) {
+            (1, Some(run), _) => events.push(Event::NeedsCall(run)),
+            (2, Some(run), _) => {
+                events.push(Event::Finished { id: run, took: 25_000, outcome: Outcome::Done })
+            }
+            (3, run, Some(call)) => {
+                events.push(Event::CallEnded { id: call, took: 5_000, outcome: Outcome::Done });
+                running.extend(run);
+                running.push(call);
+            }
+            (_, run, call) => {
+                running.extend(run);
+                calling.extend(call);
+            }
+        }
+        events.push(Event::Timer {
+            tag: 0,
+            core_use: Some(0.75),
+            on_cores: Some(3.0),
+            memory_use: Some(0.5),
+            connections: Some(9.0),
+        });
+        for action in step(now, &events) {
+            match action {
+                Action::Run(id) => running.push(id),
+                Action::Call(id, _) => calling.push(id),
+                _ => {}
+            }
+        }
+    }
+    step(405_000, &[Event::Leaving(900_000), Event::Gone(39)]);
+    controller
+}
+
+fn opening() -> Opening {
+    Opening {
+        build: "build-1".into(),
+        node: "n1".into(),
+        run: 1_700_000_000_123,
+        segment: 3,
+        steps: 900,
+        first: false,
+        now: 1_700_000_000_123_456,
+        classes: vec!["view".into(), "swap".into(), "post".into()],
+        settings: settings(),
+        seed: 7,
+        names: vec![Name { id: 17, reference: 18, sender: None, key: Some(19) }],
+        lost: Some(Lost { records: 20, queue: 21, disk: Some("full".into()) }),
+    }
+}
+
+/// A whole segment: opening, checkpoint, records and end.
+fn segment() -> Vec<u8> {
+    let mut bytes = Vec::new();
+    let mut writer = Writer::open(&opening(), &controller(), &mut bytes);
+    let mut payload = Vec::new();
+    records().iter().for_each(|record| encode(record, &mut payload));
+    writer.records(&payload, &mut bytes);
+    writer.end(End::Last(5), &mut bytes);
+    bytes
+}
+
+#[test]
+fn records_are_those_of_the_earlier_build() {
+    let mut samples = Vec::new();
+    for record in records() {
+        let mut bytes = Vec::new();
+        encode(&record, &mut bytes);
+        assert_eq!(decode(&bytes), Ok((record, &[][..])));
+        samples.push(("record", bytes));
+    }
+    samples.push(("key-digest", digest("k").to_be_bytes().to_vec()));
+    pipitlever_test_fixtures::assert_bytes(fixture("records.txt"), &samples);
+}
+
+#[test]
+fn a_segment_with_a_checkpoint_in_mid_run_is_that_of_the_earlier_build() {
+    let path = fixture("segment.plc");
+    if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
+        std::fs::write(&path, segment()).unwrap();
+    }
+    let expected = std::fs::read(path).unwrap();
+    let mut reader = Reader::open(&expected).unwrap();
+    assert_eq!(reader.opening(), Some(&opening()));
+    let read = restored(reader.state()).expect("this build takes over the earlier build's state");
+    assert!(state(&read) == reader.state(), "the state is written as it was read");
+    let mut found = Vec::new();
+    while let Some((_, record)) = reader.next_record().unwrap() {
+        found.push(record);
+    }
+    assert_eq!(found, records());
+    assert!(segment() == expected, "the same events give the same segment");
+}
--- /dev/null
+++ b/lab/tests/compatibility.rs
@@ -0,0 +1,65 @@
+//! The JSON of `replay`, `explain` and `stats` on the committed captures, compared with fixtures written by the build of commit
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-lab --test compatibility`).
+
+use serde_json::Value;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+/// Captures whose requests end in every way there is.
+const CAPTURES: [&str; 4] =
+    ["one-swap", "key-repeated-while-it-runs", "burst-into-discard", "drain-with-held"];
+
+fn folder(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests").join(name)
+}
+
+/// Standard output of one command, a line for each JSON value.
+fn json(arguments: &[&str]) -> String {
+    let output = Command::new(env!("CARGO_BIN_EXE_pipitlever-lab")).args(arguments).output().unwrap();
+    let text = String::from_utf8(output.stdout).unwrap();
+    let mut lines = String::new();
+    for value in serde_json::Deserializer::from_str(&text).into_iter::<Value>() {
+        let mut value = value.unwrap_or_else(|error| panic!("{arguments:?}: {error}: {text}"));
+        without_measurements(&mut value);
+        lines.push_str(&format!("{value}\n"));
+    }
+    lines
+}
+
+/// Blanks times and paths, which differ from run to run and from checkout to checkout.
+fn without_measurements(value: &mut Value) {
+    match value {
+        Value::Object(members) => {
+            for (key, member) in members {
+                match key.as_str() {
+                    "seconds" | "steps_per_second" | "path" | "file" => *member = Value::Null,
+                    _ => without_measurements(member),
+                }
+            }
+        }
+        Value::Array(members) => members.iter_mut().for_each(without_measurements),
+        _ => {}
+    }
+}
+
+#[test]
+fn json_outputs_have_the_keys_and_values_of_the_earlier_build() {
+    let mut text = String::new();
+    for name in CAPTURES {
+        let path = folder("captures").join(format!("{name}.plc"));
+        let path = path.to_str().unwrap();
+        let commands: [&[&str]; 5] = [
+            &["replay", path, "--json"],
+            &["replay", "--diff", path, "--json"],
+            &["stats", path, "--json"],
+            &["explain", path, "--refused", "--most", "3", "--json"],
+            &["explain", path, "--sender", "1", "--most", "3", "--json"],
+        ];
+        for command in commands {
+            let verb: Vec<&str> = command.iter().copied().filter(|word| *word != path).collect();
+            text.push_str(&format!("# {name}: {}\n{}", verb.join(" "), json(command)));
+        }
+    }
+    text.push_str(&json(&["digest", "k", "--json"]));
+    pipitlever_test_fixtures::assert_text(folder("fixtures/json.txt"), &text);
+}
--- /dev/null
+++ b/node/tests/compatibility.rs
@@ -0,0 +1,168 @@
+//! What operators and their scripts read: the control endpoint's JSON and figures, the `--json` outputs and the counters line,
+//! compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-node --test compatibility`). Values that differ from run to run are
+//! replaced by their type.
+
+mod common;
+
+use common::{configuration, packet, work, Node, Processor, Scratch, Worker, PROGRAM};
+use pipitlever_rig::processes::{call, Cluster, Spec};
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::Command;
+
+/// Texts that are part of the format: they are compared as they are.
+const COMPARED_TEXTS: [&str; 4] = ["state", "standing", "outcome", "class"];
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
+}
+
+/// A JSON value with each number, truth value and free text replaced by its type, and each list by its first element.
+fn shape(key: &str, value: &Value) -> Value {
+    match value {
+        Value::Object(members) => members.iter().map(|(k, v)| (k.clone(), shape(k, v))).collect(),
+        Value::Array(members) => members.iter().take(1).map(|v| shape("", v)).collect(),
+        Value::String(_) if COMPARED_TEXTS.contains(&key) => value.clone(),
+        Value::String(_) => json!("text"),
+        Value::Number(_) => json!("number"),
+        Value::Bool(_) => json!("truth"),
+        Value::Null => Value::Null,
+    }
+}
+
+/// One line of statsd text without its value.
+fn figure_name(line: &str) -> String {
+    let (name, value) = line.split_once(':').expect("a figure has a value");
+    let (_, kind) = value.split_once('|').expect("a figure has a kind");
+    format!("{name}|{kind}\n")
+}
+
+/// The keys of a line of `key=value` pairs.
+fn keys_of(line: &str) -> String {
+    line.split(' ')
+        .map(|word| word.split_once('=').map_or(word, |(key, _)| key))
+        .collect::<Vec<_>>()
+        .join(" ")
+}
+
+fn operator(worker: SocketAddr) -> String {
+    format!(
+        "[fleet.versions]\nfolder = \"FOLDER/versions\"\nelectors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n\
+         [uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 4000\n\
+         [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\npool = \"desks\"\n\
+         [[pool]]\nname = \"desks\"\nshare = true\n[pool.affinity]\nsession = \"HTTP_X_TERMINAL\"\n\
+         [[pool.member]]\naddress = \"{worker}\"\nname = \"w0\"\n"
+    )
+}
+
+/// Standard output of `pipitlever` with these arguments.
+fn program(arguments: &[&str]) -> String {
+    let output = Command::new(PROGRAM).args(arguments).output().unwrap();
+    assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
+    String::from_utf8(output.stdout).unwrap()
+}
+
+fn parsed(text: &str) -> Value {
+    serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
+}
+
+#[test]
+fn a_fleet_is_shown_as_by_the_earlier_build() {
+    let folder = Scratch::new("compatibility-fleet");
+    std::fs::create_dir_all(&folder.0).unwrap();
+    let worker = Worker::new();
+    let more = operator(worker.address());
+    let spec = Spec::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more);
+    let cluster = Cluster::settled(spec, 3);
+    let complete = |view: Value| {
+        let share = view["share"][0]["workers"][0]["most_runs"].is_number();
+        let serving = view["members"].as_array().unwrap().iter().all(|m| m["standing"] == "serving");
+        serving && view["versions"]["may_act"] == true && view["sessions"]["filled"] == true && share
+    };
+    cluster.wait("leases, sessions and shares", |c| (0..3).all(|i| c.view(i).is_some_and(complete)));
+    let endpoint = cluster.nodes[0].process.as_ref().unwrap().door;
+    let at = endpoint.to_string();
+    let mut text = String::new();
+    let view = cluster.view(0).unwrap();
+    text.push_str(&format!("GET /fleet {}\n", shape("", &view)));
+    let status = program(&["fleet", "status", "--at", &at, "--json"]);
+    text.push_str(&format!("fleet status --json {}\n", shape("", &parsed(&status))));
+    let sessions = program(&["fleet", "sessions", "--at", &at, "--json"]);
+    text.push_str(&format!("fleet sessions --json {}\n", shape("", &parsed(&sessions))));
+    let (_, figures) = call(endpoint, "GET /status/metrics").unwrap();
+    figures.lines().for_each(|line| text.push_str(&figure_name(line)));
+    pipitlever_test_fixtures::assert_text(fixture("fleet.txt"), &text);
+}
+
+#[test]
+fn calls_figures_and_counters_are_those_of_the_earlier_build() {
+    let mut processor = Processor::new();
+    let parties = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
+    let node = Node::start(parties, None);
+    let endpoint = node.door();
+    let mut text = String::new();
+    let mut called = |line: &str| {
+        let (code, answer) = endpoint.call(line);
+        let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
+        text.push_str(&format!("{line}: {code} {}\n", body.trim_end().replace('\n', "; ")));
+    };
+    called("GET /status");
+    processor.up();
+    let mut gateway = node.ready();
+    for line in ["GET /status", "GET /status/metrics", "POST /standby", "GET /status", "POST /active"] {
+        called(line);
+    }
+    for line in ["GET /nowhere", "GET /standby", "GET /fleet", "POST /fleet/publish", "POST /fleet/close/1"] {
+        called(line);
+    }
+    gateway.send("rota-view", work(5000, None, b"body"));
+    let (words, _) = processor.command();
+    processor.complete(&words[1], "fine", b"result");
+    gateway.receive();
+    node.signal("-USR1");
+    for line in [node.line("counters: "), node.line("now: ")] {
+        text.push_str(&format!("{}\n", keys_of(&line)));
+    }
+    pipitlever_test_fixtures::assert_text(fixture("control.txt"), &text);
+}
+
+#[test]
+fn a_store_is_listed_as_by_the_earlier_build() {
+    let scratch = Scratch::new("compatibility-store");
+    let folder = scratch.0.to_str().unwrap();
+    let section = format!("[store]\nfolder = {folder:?}\nmax_mb = 4\n");
+    let mut processor = Processor::new();
+    let parties = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(parties, Some(&section));
+    processor.up();
+    let mut gateway = node.ready();
+    for (key, end) in [("served", "fine"), ("failed", "fault")] {
+        gateway.send("swap-confirm", work(5000, Some(key), b"body"));
+        let (id, _) = processor.begin();
+        processor.complete(&id, end, b"result");
+        gateway.receive();
+    }
+    node.signal("-TERM");
+    assert!(node.wait().success());
+    let mut text = String::new();
+    for task in ["check", "list", "compact"] {
+        for line in program(&["store", task, folder, "--json"]).lines() {
+            text.push_str(&format!("store {task} --json {}\n", shape("", &parsed(line))));
+        }
+        let line = program(&["store", task, folder]);
+        text.push_str(&format!("store {task} {}\n", keys_of(line.lines().next().unwrap_or_default())));
+    }
+    pipitlever_test_fixtures::assert_text(fixture("store.txt"), &text);
+}
+
+#[test]
+fn a_uwsgi_response_is_that_of_the_earlier_build() {
+    let (processor, worker) = (Processor::new(), Worker::new());
+    let parties = json!({"processor": processor.address().to_string()});
+    let node = Node::start(parties, Some(&common::uwsgi_file(Some(worker.address()), "workers")));
+    let (code, response) = node.uwsgi(&packet("/nowhere", &[], b""));
+    let text = format!("{code}\n{}", response.replace('\r', ""));
+    pipitlever_test_fixtures::assert_text(fixture("uwsgi.txt"), &text);
+}
--- /dev/null
+++ b/share/tests/compatibility.rs
@@ -0,0 +1,39 @@
+//! Load reports and assignments of shared pools, compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-share --test compatibility`): nodes of both builds have to choose alike.
+
+use pipitlever_share::hash;
+use pipitlever_share::subset::{assign, Peer, Worker};
+use pipitlever_share::told::{short, Told};
+
+const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/choices.txt");
+
+/// The workers of each node, by position, as text.
+fn assigned() -> Vec<u8> {
+    let zones = ["east", "west", ""];
+    let nodes: Vec<String> = (0..6).map(|i| format!("n{i}")).collect();
+    let names: Vec<String> = (0..9).map(|i| format!("w{i}")).collect();
+    let peers: Vec<Peer> = nodes
+        .iter()
+        .enumerate()
+        .map(|(i, name)| Peer { name, zone: zones[i % 3], pairs: 2 + i % 2 })
+        .collect();
+    let workers: Vec<Worker> = names
+        .iter()
+        .enumerate()
+        .map(|(i, name)| Worker { name, zone: zones[i % 2], weight: 1.0 + (i % 3) as f64 })
+        .collect();
+    format!("{:?}", assign(&peers, &workers)).into_bytes()
+}
+
+#[test]
+fn reports_and_assignments_are_those_of_the_earlier_build() {
+    let told = Told { loads: vec![(300, 7), (40_000, 60)], out: vec![258, 65_000] };
+    assert_eq!(Told::read(&told.write()), Some(told.clone()));
+    let samples = [
+        ("load-report", told.write()),
+        ("short-name", short(&["pool", "worker"]).to_be_bytes().to_vec()),
+        ("hash", hash(&["node", "worker"]).to_be_bytes().to_vec()),
+        ("assignment", assigned()),
+    ];
+    pipitlever_test_fixtures::assert_bytes(FIXTURES, &samples);
+}
--- /dev/null
+++ b/store/tests/compatibility.rs
@@ -0,0 +1,120 @@
+//! Records and segments of the idempotency store, compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-store --test compatibility`): either build reads the other's folder.
+
+mod common;
+
+use common::Folder;
+use pipitlever_store::log::{Batch, Files, Limits, Log};
+use pipitlever_store::record::{decode, encode, opening, Clocks, Intent, Kept, Opening, Record, Salt};
+use pipitlever_store::recovery::Recovered;
+use std::path::PathBuf;
+
+const SECOND: i64 = 1_000_000;
+const WINDOW: i64 = 20 * SECOND;
+const LIMITS: Limits = Limits { most: 64 << 10, segment: 1 << 10 };
+
+fn fixture(name: &str) -> PathBuf {
+    PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
+}
+
+fn intent(id: u64, over: i64) -> Intent {
+    Intent {
+        id,
+        reference: 0x0102_0304_0506_0708,
+        key: format!("key {id}"),
+        class: "swap-confirm".into(),
+        payload: 0x1112_1314_1516_1718,
+        arrived: 1_700_000_000_123_456,
+        window: WINDOW,
+        over,
+        linger: 8 * SECOND,
+    }
+}
+
+fn records() -> Vec<(&'static str, Record)> {
+    let served = Kept::Served(b"result".to_vec());
+    vec![
+        ("intent", Record::Intent(intent(7, 500))),
+        ("outcome-served", Record::Outcome { id: 8, over: 501, kept: served }),
+        ("outcome-failed", Record::Outcome { id: 9, over: 502, kept: Kept::Failed }),
+        ("void", Record::Void { id: 10, over: 503 }),
+    ]
+}
+
+#[test]
+fn records_and_digests_are_those_of_the_earlier_build() {
+    let mut samples = Vec::new();
+    for (name, record) in records() {
+        let mut bytes = Vec::new();
+        encode(&record, &mut bytes);
+        assert_eq!(decode(&bytes), Ok(vec![record]), "{name}");
+        samples.push((name, bytes));
+    }
+    let clocks = Clocks { wall: 1_700_000_000_000_000, up: 600, boot: "boot-1".into() };
+    let first = Opening { number: 4, oldest: 2, before: Some(900), clocks, salt: Salt([11, 12]) };
+    let mut bytes = Vec::new();
+    encode(&first, &mut bytes);
+    assert_eq!(opening(&bytes), Ok(first));
+    samples.push(("opening", bytes));
+    let digest = Salt([11, 12]).digest("swap-confirm", b"body");
+    samples.push(("body-digest", digest.to_be_bytes().to_vec()));
+    pipitlever_test_fixtures::assert_bytes(fixture("records.txt"), &samples);
+}
+
+/// What the earlier build finds in the folder of `store.txt`, a line for each key.
+fn recovered(folder: &Folder) -> String {
+    let (_, found) =
+        Log::open(folder.clone(), LIMITS, WINDOW).expect("the earlier build's folder can be read");
+    assert_eq!(found.damage, []);
+    let line = |key: &Recovered| match &key.kept {
+        None => format!("{} may-have-run\n", key.intent.key),
+        Some(Kept::Failed) => format!("{} failed\n", key.intent.key),
+        Some(Kept::Served(result)) => format!("{} served {result:?}\n", key.intent.key),
+    };
+    found.keys.iter().map(line).collect()
+}
+
+/// Writes a folder with a live key, one served, one failed, one void and many that were compacted away.
+fn write_folder() -> Folder {
+    let folder = Folder::default();
+    (folder.0.borrow_mut().wall, folder.0.borrow_mut().up) = (1_000_000 * SECOND, 500 * SECOND);
+    let (mut log, _) = Log::open(folder.clone(), LIMITS, WINDOW).unwrap();
+    let over = 500 * SECOND + WINDOW;
+    for id in 0..12 {
+        let mut batch = Batch::default();
+        batch.push(&Record::Intent(intent(id, over)));
+        match id % 4 {
+            0 => {}
+            1 => batch.push(&Record::Outcome { id, over, kept: Kept::Served(vec![id as u8; 200]) }),
+            2 => batch.push(&Record::Outcome { id, over, kept: Kept::Failed }),
+            _ => batch.push(&Record::Void { id, over }),
+        }
+        log.write(&batch).unwrap();
+    }
+    log.compact().unwrap();
+    folder
+}
+
+#[test]
+fn a_folder_of_the_earlier_build_is_recovered() {
+    let text = std::fs::read_to_string(fixture("store.txt")).unwrap_or_default();
+    if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
+        let mut folder = write_folder();
+        let names = folder.list().unwrap();
+        let files: Vec<_> = names.iter().map(|n| (n.as_str(), folder.read(n).unwrap())).collect();
+        pipitlever_test_fixtures::assert_bytes(fixture("store.txt"), &files);
+        pipitlever_test_fixtures::assert_text(fixture("recovered.txt"), &recovered(&folder));
+        return;
+    }
+    let mut folder = Folder::default();
+    (folder.0.borrow_mut().wall, folder.0.borrow_mut().up) = (1_000_001 * SECOND, 501 * SECOND);
+    for line in text.lines() {
+        let (name, hex) = line.split_once(' ').unwrap();
+        let byte = |i: usize| u8::from_str_radix(&hex[2 * i..2 * i + 2], 16).unwrap();
+        let bytes: Vec<u8> = (0..hex.len() / 2).map(byte).collect();
+        folder.create(name).unwrap();
+        folder.append(&bytes).unwrap();
+        folder.sync().unwrap();
+    }
+    pipitlever_test_fixtures::assert_text(fixture("recovered.txt"), &recovered(&folder));
+}
