--- a/tests/known_red.rs
+++ b/crates/admission/tests/known_red.rs
@@ -34,7 +34,7 @@
         if let Some(list) = list {
             fs::write(&file, list).unwrap();
         }
-        let script = concat!(env!("CARGO_MANIFEST_DIR"), "/.ci/known-red");
+        let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/known-red");
         let mut command = Command::new("bash");
         command.arg(script).arg(file).env("CARGO", &cargo).env("REST", if rest_fails { "101" } else { "0" });
         let output = command.output().unwrap();
--- a/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -179,12 +179,12 @@
 
 #[test]
 fn the_module_stays_short() {
-    let deploy = include_str!("../deploy/balancer.toml");
+    let deploy = include_str!("../../../deploy/balancer.toml");
     let (mut lines, mut files) = (0, 0);
     for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/rules")).unwrap() {
         let path = file.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap().to_string();
-        assert!(deploy.contains(&format!("\"src/rules/{name}\"")), "{name} is not named under policy");
+        assert!(deploy.contains(&format!("\"crates/admission/src/rules/{name}\"")), "{name} is not named under policy");
         let text = std::fs::read_to_string(&path).unwrap();
         lines += text.lines().filter(|l| !l.trim().is_empty()).count();
         files += 1;
--- a/versions/mutants.sh
+++ b/crates/config-versions/mutants.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Breaks one rule of versions at a time, as fleet/mutants.sh does. usage: versions/mutants.sh [WORDS]
-source "$(dirname "$0")/../rig/mutants.sh"
+# Breaks one rule of versions at a time, as crates/membership/mutants.sh does. usage: crates/config-versions/mutants.sh [WORDS]
+source "$(dirname "$0")/../cluster-testing/mutants.sh"
 register='-p pipitlever-versions --test register'
 lease='-p pipitlever-versions --test lease'
 disks='-p pipitlever-versions --test disks'
 nodes='-p pipitlever-versions --test nodes'
 unit='-p pipitlever-versions --lib'
-src=versions/src
+src=crates/config-versions/src
 mutant 'a publisher prefers its own version' $src/publisher.rs 'latest.or(self.own.clone())' 'self.own.clone().or(latest)' $register
 mutant 'an elector heeds every attempt' $src/elector.rs '} else if has(version)' '} else if false { } if has(version)' $register
 mutant 'a promise is forgotten' $src/elector.rs 'self.kept.promised = ballot.clone();
--- a/node/src/life/operator.rs
+++ b/crates/node/src/life/operator.rs
@@ -414,7 +414,7 @@
     #[test]
     fn the_file_under_deploy_is_read() {
         let classes = ["rota-view", "cover-check", "swap-confirm"].map(str::to_owned);
-        let file = Operator::read(include_str!("../../../deploy/operator.toml"), &classes).unwrap();
+        let file = Operator::read(include_str!("../../../../deploy/operator.toml"), &classes).unwrap();
         assert_eq!(file.uwsgi.route("/rota/swap/7").unwrap().class, "swap-confirm");
         assert!(file.uwsgi.route("/rota/swapped").is_none());
         assert_eq!(file.capture.map(|c| (c.segment, c.keep)), Some((16 << 20, 512 << 20)));
--- a/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -1,6 +1,6 @@
 //! Many at once: what a crowd of requests, a slow peer or a flood does to the others.
 
-#[path = "../../bench/tests/standin/mod.rs"]
+#[path = "../../benchmarks/tests/standin/mod.rs"]
 mod standin;
 
 mod common;
--- a/node/tests/packages.rs
+++ b/crates/node/tests/packages.rs
@@ -7,7 +7,7 @@
 fn reaches(name: &str) -> BTreeSet<String> {
     let cargo = std::env::var("CARGO").unwrap_or("cargo".into());
     let words = ["tree", "--locked", "--offline", "--edges", "normal", "--prefix", "none", "--package", name];
-    let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/../Cargo.toml");
+    let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml");
     let output = Command::new(cargo).args(words).args(["--manifest-path", manifest]).output().unwrap();
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).unwrap();
--- a/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo test --release -p pipitlever-node --test store_cost -- --ignored --nocapture`
 
-#[path = "../../bench/tests/standin/mod.rs"]
+#[path = "../../benchmarks/tests/standin/mod.rs"]
 mod standin;
 
 mod common;
--- a/affinity/mutants.sh
+++ b/crates/session-affinity/mutants.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Breaks one rule of sessions at a time, as fleet/mutants.sh does. usage: affinity/mutants.sh [WORDS]
-source "$(dirname "$0")/../rig/mutants.sh"
+# Breaks one rule of sessions at a time, as crates/membership/mutants.sh does. usage: crates/session-affinity/mutants.sh [WORDS]
+source "$(dirname "$0")/../cluster-testing/mutants.sh"
 unit='-p pipitlever-affinity --lib'
 fleet='-p pipitlever-rig --test sessions'
 processes='-p pipitlever-node --test sessions'
-src=affinity/src
+src=crates/session-affinity/src
 mutant 'the newer placement holds' $src/placement.rs 'key(self) < key(other)' 'key(self) > key(other)' $unit
 mutant 'a move holds over nothing' $src/placement.rs 'u8::MAX - p.moves, u16' '0, u16' $unit
 mutant 'a newcomer places sessions' $src/node/mod.rs 'if !self.fill.ready() {' 'if false {' $unit
--- a/share/mutants.sh
+++ b/crates/subsetting/mutants.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Breaks one rule of dividing pools at a time, as fleet/mutants.sh does. usage: share/mutants.sh [WORDS]
-source "$(dirname "$0")/../rig/mutants.sh"
+# Breaks one rule of dividing pools at a time, as crates/membership/mutants.sh does. usage: crates/subsetting/mutants.sh [WORDS]
+source "$(dirname "$0")/../cluster-testing/mutants.sh"
 unit='-p pipitlever-share --lib'
 model='-p pipitlever-share --test model'
 processes='-p pipitlever-node --test share'
-src=share/src
+src=crates/subsetting/src
 mutant 'more holds at once' $src/grant.rs 'if self.held.len() == 1 {' 'if true {' $model
 mutant 'who was there before is forgotten' $src/grant.rs 'for (levels, _) in &self.held {' 'for (levels, _) in self.held.iter().rev().take(1) {' $unit
 mutant 'its own load counts as it is now' $src/grant.rs 'f64::MAX, f64::min' '0.0, f64::max' $model
@@ -21,6 +21,6 @@
 mutant 'who died found it well' $src/turn.rs '!now.contains(&name) && here(name)' '!now.contains(&name)' $unit
 mutant 'two things are told at once' $src/node.rs 'let may = now > self.told_at' 'let may = true || now > self.told_at' $unit
 mutant 'a word costs nothing' $src/demand.rs 'self.tokens -= 1.0;' '' $unit
-mutant 'a process that stood still goes on' node/src/net/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
-mutant 'nobody waits for its turn' node/src/net/share.rs 'node.turn(i, worker) == Turn::Behind' 'false' $processes subsets
+mutant 'a process that stood still goes on' crates/node/src/net/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
+mutant 'nobody waits for its turn' crates/node/src/net/share.rs 'node.turn(i, worker) == Turn::Behind' 'false' $processes subsets
 exit "$missed"
