--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,7 +4,7 @@
 //! starts no thread and shares nothing: the same events give the same actions.
 //!
 //! ```
-//! use pipitlever::*;
+//! use pipitlever_admission::*;
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { aim: 500_000, deadline: 2_000_000, ..Class::default() }],
--- a/crates/admission/tests/calls.rs
+++ b/crates/admission/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 fn at_call(s: Settings) -> Controller {
     let mut c = Controller::new(s, 1);
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small host for the tests: it plays events, keeps its own books of the four rules and reports breaches.
 #![allow(dead_code)]
 
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_capture::segment::{restored, state};
 use std::collections::BTreeMap;
 
--- a/crates/admission/tests/drain.rs
+++ b/crates/admission/tests/drain.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 fn leaving() -> Controller {
     let mut c = Controller::new(settings(), 1);
--- a/crates/admission/tests/fleets.rs
+++ b/crates/admission/tests/fleets.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 fn small() -> Settings {
     Settings { cores: 2.0, memory_kb: 1e6, call_share: 0.3, ..settings() }
--- a/crates/admission/tests/incidents.rs
+++ b/crates/admission/tests/incidents.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 use std::collections::VecDeque;
 
 /// i44e1ba: weak servers left requests unread for seconds while their line to start read low, so callers
--- a/crates/admission/tests/keys.rs
+++ b/crates/admission/tests/keys.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 #[test]
 fn a_keyed_request_is_kept_before_it_runs_and_for_its_window() {
--- a/crates/admission/tests/modes.rs
+++ b/crates/admission/tests/modes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 /// Four cores are taken up; then requests of low rank come one by one until the mode changes.
 fn full() -> (Controller, RequestId) {
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 
 struct Dice(u64);
 
@@ -184,7 +184,10 @@
     for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/rules")).unwrap() {
         let path = file.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap().to_string();
-        assert!(deploy.contains(&format!("\"crates/admission/src/rules/{name}\"")), "{name} is not named under policy");
+        assert!(
+            deploy.contains(&format!("\"crates/admission/src/rules/{name}\"")),
+            "{name} is not named under policy"
+        );
         let text = std::fs::read_to_string(&path).unwrap();
         lines += text.lines().filter(|l| !l.trim().is_empty()).count();
         files += 1;
--- a/crates/admission/tests/settings.rs
+++ b/crates/admission/tests/settings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_settings::any::settings as any_settings;
 use pipitlever_settings::Config;
 use proptest::strategy::{Strategy, ValueTree};
--- a/crates/benchmarks/tests/cost.rs
+++ b/crates/benchmarks/tests/cost.rs
@@ -1,7 +1,7 @@
 //! What a request costs the node in allocations and copies, held against `bench/baseline.toml`. Counts, not times: one request
 //! after the other, each counted by itself until nothing more comes of it, and the least, or the median, of many.
 //!
-//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-bench` records a new baseline; the commit says why.
+//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline; the commit says why.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
--- a/crates/benchmarks/tests/speed.rs
+++ b/crates/benchmarks/tests/speed.rs
@@ -1,6 +1,6 @@
 //! How fast the node is: run by hand, in a release build, with the cores to itself.
 //!
-//! `cargo test --release -p pipitlever-bench --test speed -- --ignored --nocapture`
+//! `cargo test --release -p pipitlever-benchmarks --test speed -- --ignored --nocapture`
 //!
 //! `PIPITLEVER_PROGRAM=FILE[,FILE...]` names the builds that are measured, in turn, so that what the machine does
 //! meanwhile befalls all of them; `target/release/pipitlever` is the present one. Latency counts from the moment that a request was to be sent, and a
--- a/crates/benchmarks/tests/syscalls.rs
+++ b/crates/benchmarks/tests/syscalls.rs
@@ -3,7 +3,7 @@
 //! Requests come one at a time or so many in one write, and everything that follows is waited for; what each name
 //! is called at the least, of many times, is what the request needs: a timer in between only adds.
 //!
-//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-bench` records a new baseline; the commit says why. With
+//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline; the commit says why. With
 //! `PIPITLEVER_PROGRAM=FILE` another build is counted, and nothing is held against anything.
 #![cfg(target_os = "linux")]
 
--- a/crates/capture-tools/examples/formats.rs
+++ b/crates/capture-tools/examples/formats.rs
@@ -1,13 +1,13 @@
 //! The forms that a capture could have, by bytes and CPU for each request. `docs/capture.md` has what came of it.
 //!
-//! `cargo run --release -p pipitlever-lab --example formats -- FILE...`
+//! `cargo run --release -p pipitlever-capture-tools --example formats -- FILE...`
 
 use arrow_array::builder::{Float64Builder, Int64Builder, UInt8Builder};
 use arrow_array::{ArrayRef, RecordBatch};
 use parquet::arrow::ArrowWriter;
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
-use pipitlever::{Action, Event};
+use pipitlever_admission::{Action, Event};
 use pipitlever_capture::record::Record;
 use pipitlever_capture::segment::Reader;
 use std::sync::Arc;
--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -8,17 +8,17 @@
 use std::path::PathBuf;
 
 const HELP: &str = "\
-pipitlever-lab: tools for what a node has captured
+pipitlever-capture: tools for what a node has captured
 
-  pipitlever-lab replay PATH            feed a capture to this build's module; is every action the same?
-  pipitlever-lab replay --diff PATH     go on past differences: what would this build have done otherwise?
-  pipitlever-lab explain PATH WHICH...  the story of requests: --ref REF, --key KEY, --key-digest DIGEST,
+  pipitlever-capture replay PATH            feed a capture to this build's module; is every action the same?
+  pipitlever-capture replay --diff PATH     go on past differences: what would this build have done otherwise?
+  pipitlever-capture explain PATH WHICH...  the story of requests: --ref REF, --key KEY, --key-digest DIGEST,
                                         --sender N, --refused, --failed; --most N of them (20)
-  pipitlever-lab stats PATH             outcomes and times by class and second
-  pipitlever-lab export PATH --parquet FILE
+  pipitlever-capture stats PATH             outcomes and times by class and second
+  pipitlever-capture export PATH --parquet FILE
                                         a row a request into FILE, a row a step into FILE's name with -steps
-  pipitlever-lab digest KEY             what captures call a key
-  pipitlever-lab version, help          as they say
+  pipitlever-capture digest KEY             what captures call a key
+  pipitlever-capture version, help          as they say
 
 PATH is a capture's file, or a folder with the segments of any number of nodes. --json prints JSON.
 
@@ -85,7 +85,7 @@
             return 0;
         }
         ("version", []) => {
-            println!("pipitlever-lab {}", env!("CARGO_PKG_VERSION"));
+            println!("pipitlever-capture {}", env!("CARGO_PKG_VERSION"));
             return 0;
         }
         ("digest", [key]) => {
@@ -112,7 +112,7 @@
         Ok(true) => 0,
         Ok(false) => 1,
         Err(trouble) => {
-            eprintln!("pipitlever-lab: {trouble}");
+            eprintln!("pipitlever-capture: {trouble}");
             if matches!(trouble, Trouble::Output(..)) {
                 3
             } else {
@@ -123,6 +123,6 @@
 }
 
 fn wrong(what: &str) -> u8 {
-    eprintln!("pipitlever-lab: {what}; see 'pipitlever-lab help'");
+    eprintln!("pipitlever-capture: {what}; see 'pipitlever-capture help'");
     3
 }
--- a/crates/capture-tools/src/diff.rs
+++ b/crates/capture-tools/src/diff.rs
@@ -10,7 +10,7 @@
 use crate::verdict::{print_summary, summary};
 use crate::walk::{walk, Seen, Until, Visitor};
 use hdrhistogram::Histogram;
-use pipitlever::{Action, Controller, Event, Micros, Outcome, Request, RequestId, Stage};
+use pipitlever_admission::{Action, Controller, Event, Micros, Outcome, Request, RequestId, Stage};
 use pipitlever_capture::record::{Opening, Record};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/capture-tools/src/export.rs
+++ b/crates/capture-tools/src/export.rs
@@ -11,7 +11,7 @@
 use parquet::arrow::ArrowWriter;
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
-use pipitlever::Controller;
+use pipitlever_admission::Controller;
 use pipitlever_capture::record::{Opening, Record, Told};
 use std::cell::RefCell;
 use std::fs::File;
--- a/crates/capture-tools/src/rows.rs
+++ b/crates/capture-tools/src/rows.rs
@@ -1,7 +1,7 @@
 //! One row a request: what it was, what was decided, how it ended. Explanations, figures and exports come of it.
 
 use crate::walk::{Seen, Visitor};
-use pipitlever::{Action, Cause, Controller, Event, Micros, Mode, Outcome, RequestId, View};
+use pipitlever_admission::{Action, Cause, Controller, Event, Micros, Mode, Outcome, RequestId, View};
 use pipitlever_capture::record::{By, Name, Opening, Record, Told};
 use std::collections::{BTreeMap, HashMap};
 
--- a/crates/capture-tools/src/stats.rs
+++ b/crates/capture-tools/src/stats.rs
@@ -6,7 +6,7 @@
 use crate::walk::{walk, Until};
 use crate::words;
 use hdrhistogram::Histogram;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::path::Path;
--- a/crates/capture-tools/src/verdict.rs
+++ b/crates/capture-tools/src/verdict.rs
@@ -3,7 +3,7 @@
 use crate::source::Trouble;
 use crate::walk::{walk, Otherwise, Seen, Until, Visitor, Walk};
 use crate::words;
-use pipitlever::Controller;
+use pipitlever_admission::Controller;
 use pipitlever_capture::record::{Opening, Record};
 use pipitlever_capture::replay::Difference;
 use serde_json::{json, Value};
--- a/crates/capture-tools/src/walk.rs
+++ b/crates/capture-tools/src/walk.rs
@@ -2,7 +2,7 @@
 
 use crate::source::{self, Run, Trouble};
 use indicatif::{ProgressBar, ProgressStyle};
-use pipitlever::{Controller, Event, View};
+use pipitlever_admission::{Controller, Event, View};
 use pipitlever_capture::record::{End, Lost, Opening, Record};
 use pipitlever_capture::replay::{from_start, Difference, Replay};
 use pipitlever_capture::segment::{Reader, Tail};
--- a/crates/capture-tools/src/words.rs
+++ b/crates/capture-tools/src/words.rs
@@ -1,6 +1,6 @@
 //! What a controller is told, says and goes by, in plain words.
 
-use pipitlever::{Action, Cause, Event, Micros, Mode, Outcome, Stage, View};
+use pipitlever_admission::{Action, Cause, Event, Micros, Mode, Outcome, Stage, View};
 use pipitlever_capture::record::{By, Told};
 
 /// A span in milliseconds.
@@ -101,7 +101,7 @@
 /// What the controller went by.
 pub fn view(view: &View) -> String {
     let [start, calls] = &view.lines;
-    let line = |l: &pipitlever::LineView| {
+    let line = |l: &pipitlever_admission::LineView| {
         let [low, high, most] = l.thresholds;
         let count = l.count;
         format!("{} with {count:.0} (L {low:.0} H {high:.0} R {most:.0}, cut {:.3})", mode(l.mode), l.cut)
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -1,7 +1,7 @@
 //! Captures of past failures and hard cases, each replayed by the program itself: another process than the node
 //! that made them, and every time.
 
-use pipitlever::{Action, Controller};
+use pipitlever_admission::{Action, Controller};
 use pipitlever_capture::record::{encode, Opening, Record};
 use pipitlever_capture::segment::{Reader, Writer};
 use serde_json::Value;
@@ -18,7 +18,7 @@
 
 fn lab(args: &[&str]) -> (i32, String, String) {
     let Output { status, stdout, stderr } =
-        Command::new(env!("CARGO_BIN_EXE_pipitlever-lab")).args(args).output().unwrap();
+        Command::new(env!("CARGO_BIN_EXE_pipitlever-capture")).args(args).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (status.code().expect("no signal"), text(stdout), text(stderr))
 }
@@ -31,7 +31,7 @@
 
 /// A file of this test's own.
 fn temporary(name: &str, bytes: &[u8]) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("pipitlever-lab-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("pipitlever-capture-{}-{name}", std::process::id()));
     std::fs::write(&path, bytes).unwrap();
     path
 }
@@ -245,9 +245,9 @@
 fn requests_and_steps_are_exported_as_tables() {
     use parquet::file::reader::{FileReader, SerializedFileReader};
     let path = capture("burst-into-discard");
-    let to = std::env::temp_dir().join(format!("pipitlever-lab-{}-burst.parquet", std::process::id()));
+    let to = std::env::temp_dir().join(format!("pipitlever-capture-{}-burst.parquet", std::process::id()));
     let told = json(&["export", path.to_str().unwrap(), "--parquet", to.to_str().unwrap()]);
-    let steps = to.with_file_name(format!("pipitlever-lab-{}-burst-steps.parquet", std::process::id()));
+    let steps = to.with_file_name(format!("pipitlever-capture-{}-burst-steps.parquet", std::process::id()));
     let stats = json(&["stats", path.to_str().unwrap()]);
     let refused = stats["classes"]["rota-view"]["outcomes"]["refused"].as_u64().unwrap();
     let requests = SerializedFileReader::new(std::fs::File::open(&to).unwrap()).unwrap();
@@ -268,8 +268,8 @@
     let key = "9c9cc252d58b4571";
     // What was typed, the code, and what stands in the output and in the errors.
     let cases: [(&[&str], i32, &str, &str); 13] = [
-        (&[], 0, "pipitlever-lab replay PATH", ""),
-        (&["version"], 0, concat!("pipitlever-lab ", env!("CARGO_PKG_VERSION")), ""),
+        (&[], 0, "pipitlever-capture replay PATH", ""),
+        (&["version"], 0, concat!("pipitlever-capture ", env!("CARGO_PKG_VERSION")), ""),
         (&["digest", "k"], 0, key, ""),
         (&["replay"], 3, "", "replay: one PATH"),
         (&["replay", "/no/such/file"], 2, "", "/no/such/file: "),
--- a/crates/capture-tools/tests/compatibility.rs
+++ b/crates/capture-tools/tests/compatibility.rs
@@ -1,5 +1,5 @@
 //! The JSON of `replay`, `explain` and `stats` on the committed captures, compared with fixtures written by the build of commit
-//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-lab --test compatibility`).
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture-tools --test compatibility`).
 
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 
 /// Standard output of one command, a line for each JSON value.
 fn json(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_pipitlever-lab")).args(arguments).output().unwrap();
+    let output = Command::new(env!("CARGO_BIN_EXE_pipitlever-capture")).args(arguments).output().unwrap();
     let text = String::from_utf8(output.stdout).unwrap();
     let mut lines = String::new();
     for value in serde_json::Deserializer::from_str(&text).into_iter::<Value>() {
--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::keeper::{Folder, Keeper, Note};
 use crate::tap::Spool;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
--- a/crates/capture/src/keeper.rs
+++ b/crates/capture/src/keeper.rs
@@ -7,7 +7,7 @@
 use crate::record::{End, Lost, Opening};
 use crate::segment::Writer;
 use crate::tap::{Checkpoint, Message, Spool};
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use std::collections::VecDeque;
 use std::fmt;
 use std::io;
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -4,7 +4,7 @@
 //! MessagePack with names, since another build may read them whose state has a field more; there is one a
 //! segment.
 
-use pipitlever::{Action, Event, Micros, RequestId, Settings};
+use pipitlever_admission::{Action, Event, Micros, RequestId, Settings};
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 use std::borrow::Cow;
@@ -182,7 +182,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use pipitlever::{Outcome, Request};
+    use pipitlever_admission::{Outcome, Request};
 
     #[test]
     fn records_come_back_as_they_were() {
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{Opening, Record};
 use crate::segment;
-use pipitlever::{Action, Cause, Controller, Event, Micros, RequestId, View};
+use pipitlever_admission::{Action, Cause, Controller, Event, Micros, RequestId, View};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// The first place where this build decides otherwise.
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{self, Frames, Unreadable, Wrong, FORMAT};
 use crate::record::{decode, End, Opening, Record};
-use pipitlever::Controller;
+use pipitlever_admission::Controller;
 
 const OPENING: u8 = 0;
 const RECORDS: u8 = 1;
@@ -173,7 +173,7 @@
         let class = match record {
             Record::Named(_) => return Ok(()),
             Record::Step { events, .. } => events.iter().find_map(|e| match e {
-                pipitlever::Event::Arrived(r) if r.class >= classes => Some(r.class),
+                pipitlever_admission::Event::Arrived(r) if r.class >= classes => Some(r.class),
                 _ => None,
             }),
             Record::Answer { class, .. } => Some(*class as usize).filter(|c| *c >= classes),
--- a/crates/capture/src/tap.rs
+++ b/crates/capture/src/tap.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{encode, By, Entry, Lost, Name, Opening, Told};
 use crossbeam_queue::ArrayQueue;
-use pipitlever::{Action, Controller, Event, Micros, Settings};
+use pipitlever_admission::{Action, Controller, Event, Micros, Settings};
 use rtrb::{Consumer, Producer, RingBuffer};
 use std::borrow::Cow;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 #![allow(clippy::manual_is_multiple_of)]
 
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_capture::keeper::{Folder, Keeper, Limits};
 use pipitlever_capture::record::{End, Name};
 use pipitlever_capture::replay::{from_start, Replay};
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -2,7 +2,7 @@
 //! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`): either build reads the other's segments,
 //! and goes on from its checkpoints.
 
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_capture::record::{decode, digest, encode, By, End, Entry, Lost, Name, Opening, Record, Told};
 use pipitlever_capture::segment::{restored, state, Reader, Writer};
 use std::path::PathBuf;
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pipitlever::{Action, Event, Stage};
+use pipitlever_admission::{Action, Event, Stage};
 use pipitlever_capture::frame::Unreadable;
 use pipitlever_capture::keeper::Limits;
 use pipitlever_capture::record::{decode, End, Record};
--- a/crates/cluster-testing/examples/elsewhere.rs
+++ b/crates/cluster-testing/examples/elsewhere.rs
@@ -1,6 +1,6 @@
-//! What it is worth to know of the others when refusing: `cargo run --release -p pipitlever-rig --example elsewhere -- SEEDS`.
+//! What it is worth to know of the others when refusing: `cargo run --release -p pipitlever-cluster-testing --example elsewhere -- SEEDS`.
 
-use pipitlever_rig::demand::{play, Case};
+use pipitlever_cluster_testing::demand::{play, Case};
 
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|w| w.parse().ok()).unwrap_or(5);
@@ -19,7 +19,7 @@
         for advice in [false, true] {
             let all: Vec<_> =
                 (0..seeds).map(|seed| play(Case { demand, die, advice, levels, ..usual }, seed)).collect();
-            let mean = |of: fn(&pipitlever_rig::demand::Result) -> f64| {
+            let mean = |of: fn(&pipitlever_cluster_testing::demand::Result) -> f64| {
                 all.iter().map(of).sum::<f64>() / seeds as f64
             };
             let least = all.iter().map(|r| r.served / r.asked).fold(1.0, f64::min);
--- a/crates/cluster-testing/examples/fleet.rs
+++ b/crates/cluster-testing/examples/fleet.rs
@@ -1,10 +1,10 @@
-//! Measures the fleet in the simulation: `cargo run --release -p pipitlever-rig --example fleet -- CASE SIZE SEEDS`.
+//! Measures the fleet in the simulation: `cargo run --release -p pipitlever-cluster-testing --example fleet -- CASE SIZE SEEDS`.
 
-use pipitlever_fleet::event::Event;
-use pipitlever_fleet::record::State;
-use pipitlever_fleet::rules::Rules;
-use pipitlever_rig::parties::memory_mb;
-use pipitlever_rig::sim::World;
+use pipitlever_cluster_testing::parties::memory_mb;
+use pipitlever_cluster_testing::sim::World;
+use pipitlever_membership::event::Event;
+use pipitlever_membership::record::State;
+use pipitlever_membership::rules::Rules;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -124,7 +124,7 @@
                 world.run(10 * S);
                 let before: Vec<_> = (0..size).map(|i| world.sent(i)).collect();
                 world.run(60 * S);
-                let rate = |of: fn(pipitlever_rig::sim::Sent) -> u64| {
+                let rate = |of: fn(pipitlever_cluster_testing::sim::Sent) -> u64| {
                     let all: Vec<u64> = (0..size).map(|i| of(world.sent(i)) - of(before[i])).collect();
                     (
                         all.iter().sum::<u64>() as f64 / size as f64 / 60.0,
--- a/crates/cluster-testing/examples/sessions.rs
+++ b/crates/cluster-testing/examples/sessions.rs
@@ -1,7 +1,7 @@
 //! Many sessions through many versions that keep their worker, with a tenth of the messages lost and nodes that restart: who moved
-//! without a cause. `cargo run --release -p pipitlever-rig --example sessions -- NODES SESSIONS VERSIONS SEED`
+//! without a cause. `cargo run --release -p pipitlever-cluster-testing --example sessions -- NODES SESSIONS VERSIONS SEED`
 
-use pipitlever_rig::sessions::{pool, Came, Ways, World};
+use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
 use std::time::Instant;
 
 const S: i64 = 1_000_000;
--- a/crates/cluster-testing/src/crowd.rs
+++ b/crates/cluster-testing/src/crowd.rs
@@ -1,8 +1,8 @@
 //! A simulated fleet around one real process, in real time: what a thousand members cost it.
 
 use crate::sim::World;
-use pipitlever_fleet::rules::Rules;
-use pipitlever_fleet::sync::Session;
+use pipitlever_membership::rules::Rules;
+use pipitlever_membership::sync::Session;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -76,7 +76,7 @@
         for (i, socket) in sockets.iter().enumerate().filter(|(i, _)| ready[*i]) {
             while let Ok((length, _)) = socket.recv_from(&mut bytes) {
                 // Where it says that it is: through no relay, as none is asked to hurt it.
-                if let Ok(packet) = pipitlever_fleet::message::Packet::read("rig", &bytes[..length]) {
+                if let Ok(packet) = pipitlever_membership::message::Packet::read("rig", &bytes[..length]) {
                     real = Some(packet.from.record.details.address);
                     world.bridge(address, 0, packet.from.record.details.address);
                 }
--- a/crates/cluster-testing/src/demand.rs
+++ b/crates/cluster-testing/src/demand.rs
@@ -3,12 +3,12 @@
 
 use crate::sim::World;
 use fastrand::Rng;
-use pipitlever::{
+use pipitlever_admission::{
     Action, Class, Controller, Event, Idempotency, LevelKind, Micros, Outcome, Request, Settings,
 };
-use pipitlever_fleet::elsewhere::Elsewhere;
-use pipitlever_fleet::record::Standing;
-use pipitlever_fleet::rules::Rules;
+use pipitlever_membership::elsewhere::Elsewhere;
+use pipitlever_membership::record::Standing;
+use pipitlever_membership::rules::Rules;
 use std::collections::BTreeMap;
 
 /// One step of the emulation.
--- a/crates/cluster-testing/src/sessions.rs
+++ b/crates/cluster-testing/src/sessions.rs
@@ -2,8 +2,8 @@
 //! go, halves that don't hear each other, and versions that each node takes at its own time. The same seed gives the same.
 
 use fastrand::Rng;
-use pipitlever_affinity::message::Message;
-use pipitlever_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
--- a/crates/cluster-testing/src/sim.rs
+++ b/crates/cluster-testing/src/sim.rs
@@ -1,12 +1,12 @@
 //! Nodes of the fleet on a simulated network under a virtual clock. What a seed and a script make of it is the same each time.
 
 use fastrand::Rng;
-use pipitlever_fleet::event::Event;
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::record::{Standing, State};
-use pipitlever_fleet::rules::Rules;
-use pipitlever_fleet::sync::Session;
-use pipitlever_fleet::{Fleet, Micros};
+use pipitlever_membership::event::Event;
+use pipitlever_membership::own::Own;
+use pipitlever_membership::record::{Standing, State};
+use pipitlever_membership::rules::Rules;
+use pipitlever_membership::sync::Session;
+use pipitlever_membership::{Fleet, Micros};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
--- a/crates/cluster-testing/tests/sessions.rs
+++ b/crates/cluster-testing/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions that stay, at several sizes, with messages lost, late and doubled, and nodes that come and go.
 
-use pipitlever_rig::sessions::{pool, Came, Ways, World};
+use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
 use std::collections::BTreeMap;
 
 const S: i64 = 1_000_000;
--- a/crates/cluster-testing/tests/sim.rs
+++ b/crates/cluster-testing/tests/sim.rs
@@ -1,11 +1,11 @@
 //! What the fleet is to bear, in the simulation: each test causes one thing that goes wrong, over several seeds.
 
-use pipitlever_fleet::event::Event;
-use pipitlever_fleet::message::{Body, Packet, Update};
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::record::{Record, State};
-use pipitlever_fleet::rules::Rules;
-use pipitlever_rig::sim::{address, World};
+use pipitlever_cluster_testing::sim::{address, World};
+use pipitlever_membership::event::Event;
+use pipitlever_membership::message::{Body, Packet, Update};
+use pipitlever_membership::own::Own;
+use pipitlever_membership::record::{Record, State};
+use pipitlever_membership::rules::Rules;
 
 const S: i64 = 1_000_000;
 
--- a/crates/config-versions/mutants.sh
+++ b/crates/config-versions/mutants.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
 # Breaks one rule of versions at a time, as crates/membership/mutants.sh does. usage: crates/config-versions/mutants.sh [WORDS]
 source "$(dirname "$0")/../cluster-testing/mutants.sh"
-register='-p pipitlever-versions --test register'
-lease='-p pipitlever-versions --test lease'
-disks='-p pipitlever-versions --test disks'
-nodes='-p pipitlever-versions --test nodes'
-unit='-p pipitlever-versions --lib'
+register='-p pipitlever-config-versions --test register'
+lease='-p pipitlever-config-versions --test lease'
+disks='-p pipitlever-config-versions --test disks'
+nodes='-p pipitlever-config-versions --test nodes'
+unit='-p pipitlever-config-versions --lib'
 src=crates/config-versions/src
 mutant 'a publisher prefers its own version' $src/publisher.rs 'latest.or(self.own.clone())' 'self.own.clone().or(latest)' $register
 mutant 'an elector heeds every attempt' $src/elector.rs '} else if has(version)' '} else if false { } if has(version)' $register
--- a/crates/config-versions/src/saved.rs
+++ b/crates/config-versions/src/saved.rs
@@ -1,7 +1,7 @@
 //! What is on a disk: a file of one frame, written anew as a whole and put in place by a rename. The content of the version in force
 //! lies in a file of its own.
 
-use pipitlever_frames::{frame, Format, Frames, Unreadable, Wrong};
+use pipitlever_framing::{frame, Format, Frames, Unreadable, Wrong};
 use serde::{Deserialize, Serialize};
 
 /// Such a file.
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -1,13 +1,13 @@
 //! Messages and files of the config version protocol, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-versions --test compatibility`): nodes of both builds form one fleet,
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-config-versions --test compatibility`): nodes of both builds form one fleet,
 //! and either build reads the other's files.
 
-use pipitlever_versions::elector::Kept;
-use pipitlever_versions::floor::Saved;
-use pipitlever_versions::message::{Ballot, Beat, Hint, Message, Seal};
-use pipitlever_versions::saved;
-use pipitlever_versions::version::{Digest, Version};
-use pipitlever_versions::word::Word;
+use pipitlever_config_versions::elector::Kept;
+use pipitlever_config_versions::floor::Saved;
+use pipitlever_config_versions::message::{Ballot, Beat, Hint, Message, Seal};
+use pipitlever_config_versions::saved;
+use pipitlever_config_versions::version::{Digest, Version};
+use pipitlever_config_versions::word::Word;
 use std::collections::BTreeMap;
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
--- a/crates/config-versions/tests/disks.rs
+++ b/crates/config-versions/tests/disks.rs
@@ -1,12 +1,12 @@
 //! What rests on a disk: votes wait for their write, and an elector whose disk is not the one that others remember does not vote.
 
-use pipitlever_versions::closer::{Closer, Stage};
-use pipitlever_versions::elector::{Elector, Kept, Said, Voting};
-use pipitlever_versions::lease::Rates;
-use pipitlever_versions::message::{Ballot, Message};
-use pipitlever_versions::publisher::{Outcome, Publisher};
-use pipitlever_versions::saved;
-use pipitlever_versions::version::{may_follow, Digest, Version};
+use pipitlever_config_versions::closer::{Closer, Stage};
+use pipitlever_config_versions::elector::{Elector, Kept, Said, Voting};
+use pipitlever_config_versions::lease::Rates;
+use pipitlever_config_versions::message::{Ballot, Message};
+use pipitlever_config_versions::publisher::{Outcome, Publisher};
+use pipitlever_config_versions::saved;
+use pipitlever_config_versions::version::{may_follow, Digest, Version};
 use std::collections::{BTreeMap, VecDeque};
 
 fn names(all: &str) -> Vec<String> {
--- a/crates/config-versions/tests/floor.rs
+++ b/crates/config-versions/tests/floor.rs
@@ -1,7 +1,7 @@
 //! No process of a node acts on a version below the one that any process of its name has acted on: all orders in a small world of three
 //! electors, a node that crashes, is replaced, and has its disk put back or lost, and answers that are late.
 
-use pipitlever_versions::floor::Floor;
+use pipitlever_config_versions::floor::Floor;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
--- a/crates/config-versions/tests/lease.rs
+++ b/crates/config-versions/tests/lease.rs
@@ -1,9 +1,9 @@
 //! Nobody acts on a version after it was said to be closed: all orders in a small world, and clocks that run at different rates.
 
-use pipitlever_versions::closer::{Closer, Stage};
-use pipitlever_versions::lease::{Leases, Rates};
-use pipitlever_versions::message::{Beat, Message, Seal};
-use pipitlever_versions::version::Version;
+use pipitlever_config_versions::closer::{Closer, Stage};
+use pipitlever_config_versions::lease::{Leases, Rates};
+use pipitlever_config_versions::message::{Beat, Message, Seal};
+use pipitlever_config_versions::version::Version;
 use proptest::prelude::*;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
--- a/crates/config-versions/tests/nodes.rs
+++ b/crates/config-versions/tests/nodes.rs
@@ -1,12 +1,12 @@
 //! Whole nodes among each other: what is published is acted on by all, and what is closed by none.
 
 use fastrand::Rng;
-use pipitlever_versions::elector::Kept;
-use pipitlever_versions::floor::Unknown;
-use pipitlever_versions::message::{Ballot, Hint, Message, Seal};
-use pipitlever_versions::node::{Draft, Event, May, Node, Settings, Unpublished, Without};
-use pipitlever_versions::publisher::Outcome;
-use pipitlever_versions::version::{Digest, Version};
+use pipitlever_config_versions::elector::Kept;
+use pipitlever_config_versions::floor::Unknown;
+use pipitlever_config_versions::message::{Ballot, Hint, Message, Seal};
+use pipitlever_config_versions::node::{Draft, Event, May, Node, Settings, Unpublished, Without};
+use pipitlever_config_versions::publisher::Outcome;
+use pipitlever_config_versions::version::{Digest, Version};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/config-versions/tests/register.rs
+++ b/crates/config-versions/tests/register.rs
@@ -1,9 +1,9 @@
 //! All orders of what electors and publishers do at small size: one content for a number, whatever is late, lost, repeated or dies.
 
-use pipitlever_versions::elector::{Elector, Kept, Said};
-use pipitlever_versions::message::{Ballot, Message, Seal};
-use pipitlever_versions::publisher::{Outcome, Publisher};
-use pipitlever_versions::version::{Digest, Version};
+use pipitlever_config_versions::elector::{Elector, Kept, Said};
+use pipitlever_config_versions::message::{Ballot, Message, Seal};
+use pipitlever_config_versions::publisher::{Outcome, Publisher};
+use pipitlever_config_versions::version::{Digest, Version};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -1,12 +1,12 @@
 //! Keyed runs that a store remembers: what the core makes of what the store's gate says. The decisions are
-//! [`Gate`]'s and [`pipitlever_store::recovery`]'s.
+//! [`Gate`]'s and [`pipitlever_idempotency_store::recovery`]'s.
 
 use super::keys::Kept;
 use super::*;
-use pipitlever_store::gate::{self, Gate};
-use pipitlever_store::log::Batch;
-use pipitlever_store::record::{self, Intent};
-use pipitlever_store::recovery::Recovered;
+use pipitlever_idempotency_store::gate::{self, Gate};
+use pipitlever_idempotency_store::log::Batch;
+use pipitlever_idempotency_store::record::{self, Intent};
+use pipitlever_idempotency_store::recovery::Recovered;
 
 /// An entry outlasts its window by so much: whoever looked at it last has answered by then.
 const SPARE: Micros = 1_000_000;
--- a/crates/core/src/handed.rs
+++ b/crates/core/src/handed.rs
@@ -2,9 +2,9 @@
 
 use super::keys::Kept;
 use super::{Answer, Bounds, Core};
-use pipitlever::{Micros, Settings};
-use pipitlever_handover::message::{Key, Message, State, MOST_RESULT};
-use pipitlever_handover::trust::{Trust, Verdict};
+use pipitlever_admission::{Micros, Settings};
+use pipitlever_hot_restart::message::{Key, Message, State, MOST_RESULT};
+use pipitlever_hot_restart::trust::{Trust, Verdict};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/crates/core/src/interleavings.rs
+++ b/crates/core/src/interleavings.rs
@@ -4,9 +4,9 @@
 
 use super::tests::{busy, core, incoming};
 use super::*;
-use pipitlever_handover::message::Message;
-use pipitlever_handover::predecessor::{self, Predecessor};
-use pipitlever_handover::successor::{self, Lost, Successor};
+use pipitlever_hot_restart::message::Message;
+use pipitlever_hot_restart::predecessor::{self, Predecessor};
+use pipitlever_hot_restart::successor::{self, Lost, Successor};
 
 const SECOND: Micros = 1_000_000;
 /// Tries of the key, one after the other; the first has no mark.
@@ -102,7 +102,7 @@
         let (mut predecessor, mut successor) = (Predecessor::default(), Successor::greeting());
         assert!(predecessor.met());
         let welcome =
-            pipitlever_handover::message::Welcome { name: "n".into(), listening: vec![], salt: [0; 2] };
+            pipitlever_hot_restart::message::Welcome { name: "n".into(), listening: vec![], salt: [0; 2] };
         successor.heard(Message::Welcome(welcome));
         World {
             now: SECOND,
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,6 +1,6 @@
 //! The table of keys: who holds a key, who waits for the outcome, and the outcome once there is one.
 
-use pipitlever::{Micros, RequestId};
+use pipitlever_admission::{Micros, RequestId};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -25,7 +25,7 @@
 use durable::Durable;
 use handed::Handed;
 use keys::{Kept, Keys};
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_capture::record::{digest, By, Name, Told};
 use pipitlever_capture::tap::Tap;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -230,9 +230,9 @@
 
 mod store {
     use super::*;
-    use pipitlever_store::gate::{Gate, Rules, PATIENCE};
-    use pipitlever_store::record::{self, Intent};
-    use pipitlever_store::recovery::Recovered;
+    use pipitlever_idempotency_store::gate::{Gate, Rules, PATIENCE};
+    use pipitlever_idempotency_store::record::{self, Intent};
+    use pipitlever_idempotency_store::recovery::Recovered;
 
     /// A core with a store, and keys that it has brought over a restart.
     fn stored(wait: bool, suspect: Option<Micros>, found: Vec<Recovered>) -> Core {
--- a/crates/hot-restart/tests/compatibility.rs
+++ b/crates/hot-restart/tests/compatibility.rs
@@ -1,8 +1,8 @@
 //! Messages of a hot restart, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-handover --test compatibility`): a process of either build replaces one
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-hot-restart --test compatibility`): a process of either build replaces one
 //! of the other.
 
-use pipitlever_handover::message::{greeting, write, Key, Listening, Message, Reader, State, Welcome};
+use pipitlever_hot_restart::message::{greeting, write, Key, Listening, Message, Reader, State, Welcome};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
--- a/crates/hot-restart/tests/protocol.rs
+++ b/crates/hot-restart/tests/protocol.rs
@@ -1,8 +1,8 @@
 //! Messages in pieces, spoilt and foreign; the steps in every order.
 
-use pipitlever_handover::message::*;
-use pipitlever_handover::predecessor::{self, Predecessor};
-use pipitlever_handover::successor::{self, Lost, Successor};
+use pipitlever_hot_restart::message::*;
+use pipitlever_hot_restart::predecessor::{self, Predecessor};
+use pipitlever_hot_restart::successor::{self, Lost, Successor};
 use proptest::prelude::*;
 
 fn all() -> Vec<Message> {
--- a/crates/idempotency-store/examples/engines.rs
+++ b/crates/idempotency-store/examples/engines.rs
@@ -1,11 +1,11 @@
-//! What a key costs in the log and in redb: `cargo run --release -p pipitlever-store --example engines [FOLDER]`.
+//! What a key costs in the log and in redb: `cargo run --release -p pipitlever-idempotency-store --example engines [FOLDER]`.
 //!
 //! Each key is an intent that is synced and an outcome with a result of 400 bytes that is. `group` has 16 of them wait for
 //! each sync, `each` one.
 
-use pipitlever_store::disk::Disk;
-use pipitlever_store::log::{Batch, Limits, Log};
-use pipitlever_store::record::{encode, Intent, Kept, Record};
+use pipitlever_idempotency_store::disk::Disk;
+use pipitlever_idempotency_store::log::{Batch, Limits, Log};
+use pipitlever_idempotency_store::record::{encode, Intent, Kept, Record};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
--- a/crates/idempotency-store/src/log.rs
+++ b/crates/idempotency-store/src/log.rs
@@ -13,7 +13,7 @@
 use crate::record::{decode, encode, opening, Clocks, Opening, Record, Salt, FORMAT};
 use crate::recovery::{left, Recovered, Table};
 use crate::Micros;
-use pipitlever_frames::{frame, Frames, Unreadable, Wrong};
+use pipitlever_framing::{frame, Frames, Unreadable, Wrong};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::io;
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -1,7 +1,7 @@
 //! What is written, and its bytes.
 
 use crate::Micros;
-use pipitlever_frames::Format;
+use pipitlever_framing::Format;
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
--- a/crates/idempotency-store/tests/common/mod.rs
+++ b/crates/idempotency-store/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A folder that fails in all the ways that folders fail, and loses on a power cut what was not synced.
 #![allow(dead_code)]
 
-use pipitlever_store::log::Files;
-use pipitlever_store::record::Clocks;
+use pipitlever_idempotency_store::log::Files;
+use pipitlever_idempotency_store::record::Clocks;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/idempotency-store/tests/compatibility.rs
+++ b/crates/idempotency-store/tests/compatibility.rs
@@ -1,12 +1,14 @@
 //! Records and segments of the idempotency store, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-store --test compatibility`): either build reads the other's folder.
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-idempotency-store --test compatibility`): either build reads the other's folder.
 
 mod common;
 
 use common::Folder;
-use pipitlever_store::log::{Batch, Files, Limits, Log};
-use pipitlever_store::record::{decode, encode, opening, Clocks, Intent, Kept, Opening, Record, Salt};
-use pipitlever_store::recovery::Recovered;
+use pipitlever_idempotency_store::log::{Batch, Files, Limits, Log};
+use pipitlever_idempotency_store::record::{
+    decode, encode, opening, Clocks, Intent, Kept, Opening, Record, Salt,
+};
+use pipitlever_idempotency_store::recovery::Recovered;
 use std::path::PathBuf;
 
 const SECOND: i64 = 1_000_000;
--- a/crates/idempotency-store/tests/histories.rs
+++ b/crates/idempotency-store/tests/histories.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::{Faults, Folder};
-use pipitlever_store::gate::{Event, Gate, Rules, PATIENCE};
-use pipitlever_store::log::{Batch, Limits, Log};
-use pipitlever_store::record::{Intent, Kept};
+use pipitlever_idempotency_store::gate::{Event, Gate, Rules, PATIENCE};
+use pipitlever_idempotency_store::log::{Batch, Limits, Log};
+use pipitlever_idempotency_store::record::{Intent, Kept};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
--- a/crates/idempotency-store/tests/log.rs
+++ b/crates/idempotency-store/tests/log.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Faults, Folder};
-use pipitlever_store::log::{Batch, Contents, Files, Found, Limits, Log, Unusable};
-use pipitlever_store::record::{Intent, Kept, Record};
+use pipitlever_idempotency_store::log::{Batch, Contents, Files, Found, Limits, Log, Unusable};
+use pipitlever_idempotency_store::record::{Intent, Kept, Record};
 
 const SECOND: i64 = 1_000_000;
 const WINDOW: i64 = 20 * SECOND;
@@ -163,7 +163,8 @@
     let name = folder.names()[0].clone();
     // Version 2, with the checksum of its head.
     folder.change(&name, |bytes| {
-        let format = pipitlever_frames::Format { version: 2, ..pipitlever_store::record::FORMAT };
+        let format =
+            pipitlever_framing::Format { version: 2, ..pipitlever_idempotency_store::record::FORMAT };
         let mut head = Vec::new();
         format.head(&mut head);
         bytes[..head.len()].copy_from_slice(&head);
--- a/crates/load-balancing/examples/balance.rs
+++ b/crates/load-balancing/examples/balance.rs
@@ -1,11 +1,11 @@
-//! Ways of balancing in one simulated fleet: `cargo run --release -p pipitlever-pools --example balance`.
+//! Ways of balancing in one simulated fleet: `cargo run --release -p pipitlever-load-balancing --example balance`.
 //!
 //! Each is played with the same arrivals, speeds and failures. The ideal knows at each moment who serves, how fast, and how
 //! many runs each has. Last, nanoseconds a decision of the pool.
 
-use pipitlever_pools::pool::{Ask, End, Member, Place, Pool, Rules};
-use pipitlever_pools::ring::mix;
-use pipitlever_pools::{Micros, SECOND};
+use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
+use pipitlever_load_balancing::ring::mix;
+use pipitlever_load_balancing::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Instant;
--- a/crates/load-balancing/tests/compatibility.rs
+++ b/crates/load-balancing/tests/compatibility.rs
@@ -1,7 +1,7 @@
 //! Consistent hashing of sticky keys, compared with a fixture written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-pools --test compatibility`): nodes of both builds choose the same worker.
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-load-balancing --test compatibility`): nodes of both builds choose the same worker.
 
-use pipitlever_pools::ring::{mix, Ring};
+use pipitlever_load_balancing::ring::{mix, Ring};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/ring.txt");
 
--- a/crates/load-balancing/tests/fleets.rs
+++ b/crates/load-balancing/tests/fleets.rs
@@ -1,10 +1,10 @@
 //! Pools in simulated time: members that hang, fail, answer garbage, are slow or come back cold, storms of repeats, fleets of a
 //! thousand. Seeded; no socket and no clock.
 
-use pipitlever_pools::pool::{Ask, End, Member, Place, Pool, Rules, Use};
-use pipitlever_pools::retry::{Further, Tried};
-use pipitlever_pools::ring::mix;
-use pipitlever_pools::{Micros, SECOND};
+use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules, Use};
+use pipitlever_load_balancing::retry::{Further, Tried};
+use pipitlever_load_balancing::ring::mix;
+use pipitlever_load_balancing::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/crates/load-balancing/tests/ramp.rs
+++ b/crates/load-balancing/tests/ramp.rs
@@ -1,9 +1,9 @@
 //! A member that has just been added warms up under the sum of what all processes send to it, however many there are: no process
 //! knows of the others. Seeded; no socket and no clock.
 
-use pipitlever_pools::health::Rules as Health;
-use pipitlever_pools::pool::{Ask, End, Member, Place, Pool, Rules};
-use pipitlever_pools::{Micros, SECOND};
+use pipitlever_load_balancing::health::Rules as Health;
+use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
+use pipitlever_load_balancing::{Micros, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
--- a/crates/membership/mutants.sh
+++ b/crates/membership/mutants.sh
@@ -3,10 +3,10 @@
 # was not. By hand: some minutes.
 # usage: crates/membership/mutants.sh [WORDS]: those whose description has these words
 source "$(dirname "$0")/../cluster-testing/mutants.sh"
-join='-p pipitlever-fleet --test join'
-unit='-p pipitlever-fleet --lib'
-model='-p pipitlever-fleet --test model'
-sim='-p pipitlever-rig --test sim'
+join='-p pipitlever-membership --test join'
+unit='-p pipitlever-membership --lib'
+model='-p pipitlever-membership --test model'
+sim='-p pipitlever-cluster-testing --test sim'
 mutant 'the better state wins' crates/membership/src/record.rs 'other.state > self.state' 'other.state < self.state' $join
 mutant 'processes of one number are not told apart' crates/membership/src/record.rs '(other.incarnation, other.token).cmp(&(self.incarnation, self.token))' 'other.incarnation.cmp(&self.incarnation)' $join
 mutant 'a refutation keeps its number' crates/membership/src/own.rs 'self.record.incarnation = incarnation + 1;
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,9 +1,9 @@
 //! Encodings and hashes of the membership protocol, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-fleet --test compatibility`): nodes of both builds form one fleet.
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-membership --test compatibility`): nodes of both builds form one fleet.
 
-use pipitlever_fleet::message::{frame, Body, Frame, Frames, Packet, Update};
-use pipitlever_fleet::own::Passed;
-use pipitlever_fleet::record::{digest, Details, Record, Rival, Standing, State};
+use pipitlever_membership::message::{frame, Body, Frame, Frames, Packet, Update};
+use pipitlever_membership::own::Passed;
+use pipitlever_membership::record::{digest, Details, Record, Rival, Standing, State};
 
 const FLEET: &str = "fleet-one";
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
--- a/crates/membership/tests/join.rs
+++ b/crates/membership/tests/join.rs
@@ -1,8 +1,8 @@
 //! Records of one name are a join semilattice, and what is read from others is bounded.
 
-use pipitlever_fleet::message::{frame, Body, Broken, Frame, Frames, Packet, Update};
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::record::{Details, Record, Rival, Standing, State};
+use pipitlever_membership::message::{frame, Body, Broken, Frame, Frames, Packet, Update};
+use pipitlever_membership::own::Own;
+use pipitlever_membership::record::{Details, Record, Rival, Standing, State};
 use proptest::prelude::*;
 
 fn details() -> impl Strategy<Value = Details> {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,9 +1,9 @@
 //! All orders of a small fleet: joins, crashes, restarts, a partition, false suspicions, two processes of one name, and messages that are late,
 //! lost or come again. From every state that can be reached, once faults stop, all views become equal and right.
 
-use pipitlever_fleet::news::{weigh, Weighed};
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::record::{Record, State};
+use pipitlever_membership::news::{weigh, Weighed};
+use pipitlever_membership::own::Own;
+use pipitlever_membership::record::{Record, State};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
--- a/crates/node/src/life/explain.rs
+++ b/crates/node/src/life/explain.rs
@@ -1,7 +1,7 @@
 //! `pipitlever pools`: what each pool would do, said from the file alone.
 
 use crate::net::routes::{Backend, Named, Uwsgi};
-use pipitlever_pools::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, Use};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/node/src/life/import.rs
+++ b/crates/node/src/life/import.rs
@@ -2,7 +2,7 @@
 //! names with file and line what it can't carry over.
 
 use crate::net::routes::Uwsgi;
-use pipitlever_pools::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, Use};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/life/pools.rs
@@ -2,9 +2,9 @@
 
 use super::text::{line, within};
 use crate::net::routes::{Label, Named, Sessions, Shared};
-use pipitlever_affinity::table::MOST_IDLE;
-use pipitlever_fleet::record::MOST_NAME;
-use pipitlever_pools::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, Use};
+use pipitlever_membership::record::MOST_NAME;
+use pipitlever_session_affinity::table::MOST_IDLE;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
--- a/crates/node/src/life/serve.rs
+++ b/crates/node/src/life/serve.rs
@@ -13,8 +13,8 @@
 use crate::net::{ahead, by, callers, calls, control, fleet, ledger, membership, processor, timers, workers};
 use async_executor::LocalExecutor;
 use futures_lite::future;
+use pipitlever_idempotency_store::record::Salt;
 use pipitlever_reactor::{block_on, Async, Timer};
-use pipitlever_store::record::Salt;
 use std::cell::RefCell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -100,8 +100,9 @@
     let mut reload = Reload::new(read, &config);
     let Config { tuning, seed, store, .. } = config;
     // A repeat that came within a window may be read as late as its caller waits.
-    let longest =
-        |of: fn(&pipitlever::Class) -> i64| tuning.settings.classes.iter().map(of).max().unwrap_or(0);
+    let longest = |of: fn(&pipitlever_admission::Class) -> i64| {
+        tuning.settings.classes.iter().map(of).max().unwrap_or(0)
+    };
     let window = longest(|c| c.window) + longest(|c| c.deadline);
     let opened = store.map(|store| super::store::open(store, window)).transpose()?;
     let salt = Salt::random().map_err(|e| format!("random numbers: {e}"))?;
--- a/crates/node/src/life/store.rs
+++ b/crates/node/src/life/store.rs
@@ -5,12 +5,12 @@
 use crate::net::hub::Shared;
 use crate::net::store;
 use async_executor::LocalExecutor;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use pipitlever_core::durable::Durable;
-use pipitlever_store::disk::{Disk, Thread};
-use pipitlever_store::gate::{Gate, Rules};
-use pipitlever_store::log::{Found, Limits, Log};
-use pipitlever_store::record::Salt;
+use pipitlever_idempotency_store::disk::{Disk, Thread};
+use pipitlever_idempotency_store::gate::{Gate, Rules};
+use pipitlever_idempotency_store::log::{Found, Limits, Log};
+use pipitlever_idempotency_store::record::Salt;
 use std::rc::Rc;
 use std::time::Instant;
 
--- a/crates/node/src/life/stored.rs
+++ b/crates/node/src/life/stored.rs
@@ -1,8 +1,8 @@
 //! `pipitlever store`: looks at a store while nobody uses it.
 
-use pipitlever_store::disk::Disk;
-use pipitlever_store::log::{Contents, Files, Limits, Log};
-use pipitlever_store::record::Kept;
+use pipitlever_idempotency_store::disk::Disk;
+use pipitlever_idempotency_store::log::{Contents, Files, Limits, Log};
+use pipitlever_idempotency_store::record::Kept;
 use serde_json::json;
 use std::path::Path;
 
--- a/crates/node/src/net/calls.rs
+++ b/crates/node/src/net/calls.rs
@@ -1,7 +1,7 @@
 //! The calls to the ledger, as far as they are kept in memory.
 
 use super::nudge::Nudge;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use pipitlever_core::Reference;
 use pipitlever_reactor::Async;
 use std::collections::{HashMap, VecDeque};
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,6 +1,6 @@
 //! The node's clock: monotonic microseconds that start at the Unix time of the process's start.
 
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Reads time from the standard library alone.
--- a/crates/node/src/net/fleet/door.rs
+++ b/crates/node/src/net/fleet/door.rs
@@ -1,7 +1,7 @@
 //! What the door tells of the fleet.
 
 use super::*;
-use pipitlever_fleet::record::State;
+use pipitlever_membership::record::State;
 use serde_json::json;
 
 /// The view, as the door tells it.
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/fleet/mod.rs
@@ -11,16 +11,16 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::own::Passed;
-use pipitlever_fleet::record::Standing;
-use pipitlever_fleet::rules::Rules;
-use pipitlever_fleet::standing::Steady;
-use pipitlever_fleet::sync::Session;
-use pipitlever_fleet::{Fleet, Heard};
+use pipitlever_config_versions::floor::Saved;
+use pipitlever_membership::own::Own;
+use pipitlever_membership::own::Passed;
+use pipitlever_membership::record::Standing;
+use pipitlever_membership::rules::Rules;
+use pipitlever_membership::standing::Steady;
+use pipitlever_membership::sync::Session;
+use pipitlever_membership::{Fleet, Heard};
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_share::node::Times;
-use pipitlever_versions::floor::Saved;
+use pipitlever_subsetting::node::Times;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -333,7 +333,7 @@
         self.woken.give();
     }
 
-    fn misunderstood(&self, what: &str, why: &pipitlever_fleet::message::Broken) {
+    fn misunderstood(&self, what: &str, why: &pipitlever_membership::message::Broken) {
         self.count(|c| c.malformed += 1);
         let now = Instant::now();
         if self.named.get().is_none_or(|at| at + NAMED <= now) {
--- a/crates/node/src/net/handover/predecessor.rs
+++ b/crates/node/src/net/handover/predecessor.rs
@@ -1,7 +1,7 @@
 //! The side of the process that is replaced: it offers its place, passes on what it has, and yields.
 
 use super::*;
-use pipitlever_handover::predecessor::{Act, Stage as Step};
+use pipitlever_hot_restart::predecessor::{Act, Stage as Step};
 
 /// The place where a successor finds this process.
 pub struct Offer {
--- a/crates/node/src/net/handover/successor.rs
+++ b/crates/node/src/net/handover/successor.rs
@@ -1,7 +1,7 @@
 //! The side of the process that takes over: it meets the one before it, follows it, and serves in its place.
 
 use super::*;
-use pipitlever_handover::successor::{Act, Lost, Stage, Successor};
+use pipitlever_hot_restart::successor::{Act, Lost, Stage, Successor};
 
 /// A predecessor that has passed its sockets on.
 pub struct Met {
--- a/crates/node/src/net/hub/tuning.rs
+++ b/crates/node/src/net/hub/tuning.rs
@@ -82,7 +82,7 @@
 pub(super) fn classes(tuning: &Tuning) -> Vec<Class> {
     let Tuning { settings, classes: names, uwsgi, .. } = tuning;
     let all = &settings.classes;
-    let class = |(name, class): (&String, &pipitlever::Class)| {
+    let class = |(name, class): (&String, &pipitlever_admission::Class)| {
         // Classes have equal bands of rank, in ascending order of worth.
         let below = all.iter().filter(|c| c.worth < class.worth).count() as f64;
         let route = uwsgi.routes.iter().find(|r| r.class == *name && r.backend == Backend::Workers);
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -6,7 +6,7 @@
 use super::{ahead, by};
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use pipitlever::Outcome;
+use pipitlever_admission::Outcome;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::ledger::{post, CallEnd, Replies};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/node/src/net/places.rs
+++ b/crates/node/src/net/places.rs
@@ -3,7 +3,7 @@
 
 use super::closing::Rest;
 use super::nudge::Nudge;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use pipitlever_core::{Origin, Reference};
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/node/src/net/pools.rs
+++ b/crates/node/src/net/pools.rs
@@ -3,12 +3,12 @@
 use super::nudge::Nudge;
 use super::routes::{Label, Named};
 use crate::log::log;
-use pipitlever::Micros;
+use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::Reference;
-use pipitlever_pools::pool::{self, Ask, End, Member, Place, Pool, Rules, Run};
-use pipitlever_pools::retry::{Further, Tried};
-use pipitlever_share::plan::Use;
+use pipitlever_load_balancing::pool::{self, Ask, End, Member, Place, Pool, Rules, Run};
+use pipitlever_load_balancing::retry::{Further, Tried};
+use pipitlever_subsetting::plan::Use;
 use pipitlever_wire::uwsgi::variable;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/node/src/net/routes.rs
+++ b/crates/node/src/net/routes.rs
@@ -1,6 +1,6 @@
 //! Which path is which class, who does its work, and the limits of the uwsgi front.
 
-use pipitlever_pools::pool::Member;
+use pipitlever_load_balancing::pool::Member;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/node/src/net/sessions.rs
+++ b/crates/node/src/net/sessions.rs
@@ -5,11 +5,11 @@
 use super::routes::Named;
 use crate::log::log;
 use async_channel::Sender;
-use pipitlever_affinity::message::Message;
-use pipitlever_affinity::node::{Found, Moves, Node, Peer, Pool, Server, Settings, What};
-use pipitlever_affinity::WorkerId;
-use pipitlever_fleet::Fleet;
-use pipitlever_pools::pool::Use;
+use pipitlever_load_balancing::pool::Use;
+use pipitlever_membership::Fleet;
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::node::{Found, Moves, Node, Peer, Pool, Server, Settings, What};
+use pipitlever_session_affinity::WorkerId;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -312,7 +312,7 @@
     let there =
         fleet.members().iter().filter(|(name, m)| m.record.state.takes_part() && *name != fleet.name());
     let flags = |payload: &[u8]| payload.get(8).copied().unwrap_or(0);
-    let peer = |(name, m): (&str, &pipitlever_fleet::members::Member)| {
+    let peer = |(name, m): (&str, &pipitlever_membership::members::Member)| {
         let flags = flags(&m.record.details.payload);
         (flags & TAKES_PART != 0).then(|| Peer { name: name.to_owned(), filled: flags & FILLED != 0 })
     };
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/share.rs
@@ -5,12 +5,12 @@
 use super::pools::{divided, Parts};
 use super::routes::Named;
 use crate::log::log;
-use pipitlever_fleet::record::State;
-use pipitlever_fleet::Fleet;
-use pipitlever_share::node::{Member, Node, Pool, Times};
-use pipitlever_share::plan::{Use, Worker};
-use pipitlever_share::told::Told;
-use pipitlever_share::turn::Turn;
+use pipitlever_membership::record::State;
+use pipitlever_membership::Fleet;
+use pipitlever_subsetting::node::{Member, Node, Pool, Times};
+use pipitlever_subsetting::plan::{Use, Worker};
+use pipitlever_subsetting::told::Told;
+use pipitlever_subsetting::turn::Turn;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -50,13 +50,14 @@
 fn shared(file: &Named) -> Option<Pool> {
     let subset = file.shared?.subset;
     let of = file.members.iter().zip(&file.labels).filter(|(m, _)| divided(m));
-    let worker = |(m, label): (&pipitlever_pools::pool::Member<SocketAddr>, &super::routes::Label)| Worker {
-        name: label.name.clone(),
-        zone: label.zone.clone(),
-        weight: m.weight,
-        tier: m.tier,
-        most_runs: m.most_runs,
-    };
+    let worker =
+        |(m, label): (&pipitlever_load_balancing::pool::Member<SocketAddr>, &super::routes::Label)| Worker {
+            name: label.name.clone(),
+            zone: label.zone.clone(),
+            weight: m.weight,
+            tier: m.tier,
+            most_runs: m.most_runs,
+        };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
     Some(Pool { name, subset, workers: of.map(worker).collect() })
@@ -181,7 +182,7 @@
 /// The members, by name. Who has left has no part; who is down has, for a while.
 fn members(fleet: &Fleet) -> Vec<Member> {
     let there = fleet.members().iter().filter(|(_, m)| !m.fading && m.record.state != State::Left);
-    let member = |(name, m): (&str, &pipitlever_fleet::members::Member)| Member {
+    let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
         told: told(&m.record.details.payload),
--- a/crates/node/src/net/store.rs
+++ b/crates/node/src/net/store.rs
@@ -2,7 +2,7 @@
 
 use super::hub::Shared;
 use async_channel::Receiver;
-use pipitlever_store::disk::Thread;
+use pipitlever_idempotency_store::disk::Thread;
 
 /// For as long as the node runs.
 pub async fn batches(hub: Shared, writer: Thread, done: Receiver<Result<u64, String>>) {
--- a/crates/node/src/net/versions/disk.rs
+++ b/crates/node/src/net/versions/disk.rs
@@ -3,9 +3,9 @@
 //! disk may take its time and no request may wait for that.
 
 use async_channel::{Receiver, Sender};
-use pipitlever_versions::elector::Kept;
-use pipitlever_versions::floor::Saved;
-use pipitlever_versions::saved::{read, write};
+use pipitlever_config_versions::elector::Kept;
+use pipitlever_config_versions::floor::Saved;
+use pipitlever_config_versions::saved::{read, write};
 use std::fs::{self, File};
 use std::io::{ErrorKind, Write};
 use std::path::{Path, PathBuf};
--- a/crates/node/src/net/workers.rs
+++ b/crates/node/src/net/workers.rs
@@ -8,7 +8,7 @@
 use async_executor::LocalExecutor;
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::End;
-use pipitlever_pools::pool;
+use pipitlever_load_balancing::pool;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::uwsgi::{variable, Response};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::*;
-use pipitlever::{Action, Cause, Event, Mode, Outcome};
+use pipitlever_admission::{Action, Cause, Event, Mode, Outcome};
 use pipitlever_capture::record::{digest, By, Name, Record, Told};
 use pipitlever_capture::replay::{from_start, Replay};
 use pipitlever_capture::segment::{Reader, Tail};
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{configuration, packet, work, Node, Processor, Scratch, Worker, PROGRAM};
-use pipitlever_rig::processes::{call, Cluster, Spec};
+use pipitlever_cluster_testing::processes::{call, Cluster, Spec};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{configuration, Scratch, PROGRAM};
-use pipitlever_rig::crowd::Crowd;
-use pipitlever_rig::parties::{check, cpu_ms, memory_mb, open_loop, Asked, Caller, Processor};
-use pipitlever_rig::processes::{call, Cluster, Line, Spec};
-use pipitlever_rig::relay::Link;
+use pipitlever_cluster_testing::crowd::Crowd;
+use pipitlever_cluster_testing::parties::{check, cpu_ms, memory_mb, open_loop, Asked, Caller, Processor};
+use pipitlever_cluster_testing::processes::{call, Cluster, Line, Spec};
+use pipitlever_cluster_testing::relay::Link;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pipitlever_handover::message::{self, Listening, Message, Reader, Welcome};
+use pipitlever_hot_restart::message::{self, Listening, Message, Reader, Welcome};
 use rustix::fd::AsFd;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde_json::{json, Value};
--- a/crates/node/tests/packages.rs
+++ b/crates/node/tests/packages.rs
@@ -20,17 +20,17 @@
     let sockets =
         ["mio", "polling", "async-io", "socket2", "tokio", "smol", "pipitlever-reactor", "pipitlever-node"];
     let decides = [
-        "",
+        "-admission",
         "-core",
         "-wire",
-        "-fleet",
-        "-versions",
-        "-share",
-        "-affinity",
-        "-pools",
-        "-handover",
+        "-membership",
+        "-config-versions",
+        "-subsetting",
+        "-session-affinity",
+        "-load-balancing",
+        "-hot-restart",
         "-settings",
-        "-store",
+        "-idempotency-store",
     ];
     for name in decides.map(|d| format!("pipitlever{d}")) {
         let reached = reaches(&name);
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{configuration, packet, Scratch, Worker, PROGRAM};
-use pipitlever_rig::processes::{Cluster, Spec};
-use pipitlever_rig::relay::Link;
+use pipitlever_cluster_testing::processes::{Cluster, Spec};
+use pipitlever_cluster_testing::relay::Link;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -404,7 +404,7 @@
         }
     }
     let door = site.cluster.nodes[0].process.as_ref().unwrap().door;
-    let figures = pipitlever_rig::processes::call(door, "GET /status/metrics").unwrap().1;
+    let figures = pipitlever_cluster_testing::processes::call(door, "GET /status/metrics").unwrap().1;
     assert!(figures.contains("edge.sessions.remembered:"), "{figures}");
     let output = Command::new(PROGRAM)
         .args(["fleet", "sessions", "--worker", "w2", "--at", &door.to_string()])
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{configuration, work, Scratch, Worker, PROGRAM};
-use pipitlever_rig::processes::{Cluster, Spec};
+use pipitlever_cluster_testing::processes::{Cluster, Spec};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -148,7 +148,7 @@
 /// news takes, and that says so: on a machine that is busy with other things.
 fn within(cluster: &Cluster, desks: &[Desk], most: usize, stopped: &[usize], behind: &mut usize) -> bool {
     let seen = peaks(desks);
-    let late = |l: &pipitlever_rig::processes::Line| {
+    let late = |l: &pipitlever_cluster_testing::processes::Line| {
         l.text.contains("this node was not there") && !stopped.contains(&l.node)
     };
     let lines = cluster.history.lines();
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use pipitlever_store::disk::Disk;
-use pipitlever_store::log::{Contents, Files};
-use pipitlever_store::record::Kept;
-use pipitlever_store::recovery::Recovered;
+use pipitlever_idempotency_store::disk::Disk;
+use pipitlever_idempotency_store::log::{Contents, Files};
+use pipitlever_idempotency_store::record::Kept;
+use pipitlever_idempotency_store::recovery::Recovered;
 use serde_json::json;
 
 /// The store of a test.
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -91,9 +91,9 @@
 #[test]
 #[ignore = "a measurement, not a check of every build"]
 fn a_hundred_thousand_keys() {
-    use pipitlever_store::disk::Disk;
-    use pipitlever_store::log::{Batch, Limits, Log};
-    use pipitlever_store::record::{Intent, Kept, Record};
+    use pipitlever_idempotency_store::disk::Disk;
+    use pipitlever_idempotency_store::log::{Batch, Limits, Log};
+    use pipitlever_idempotency_store::record::{Intent, Kept, Record};
     let folder = std::env::temp_dir().join(format!("pipitlever-store-many-{}", std::process::id()));
     let disk = Disk::open(&folder).unwrap();
     let (mut log, _) = Log::open(disk, Limits::within(512 << 20), 20_000_000).unwrap();
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{configuration, work, Scratch, PROGRAM};
-use pipitlever_rig::processes::{call, Cluster, Spec};
+use pipitlever_cluster_testing::processes::{call, Cluster, Spec};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
--- a/crates/session-affinity/examples/cost.rs
+++ b/crates/session-affinity/examples/cost.rs
@@ -1,7 +1,7 @@
 //! What a session costs a request: finding one that is known here, placing a new one alone, and what a home and a newcomer do, with so
-//! many sessions remembered. `cargo run --release -p pipitlever-affinity --example cost`
+//! many sessions remembered. `cargo run --release -p pipitlever-session-affinity --example cost`
 
-use pipitlever_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
+use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 use std::time::Instant;
 
 fn pool(workers: usize) -> Pool {
--- a/crates/session-affinity/mutants.sh
+++ b/crates/session-affinity/mutants.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Breaks one rule of sessions at a time, as crates/membership/mutants.sh does. usage: crates/session-affinity/mutants.sh [WORDS]
 source "$(dirname "$0")/../cluster-testing/mutants.sh"
-unit='-p pipitlever-affinity --lib'
-fleet='-p pipitlever-rig --test sessions'
+unit='-p pipitlever-session-affinity --lib'
+fleet='-p pipitlever-cluster-testing --test sessions'
 processes='-p pipitlever-node --test sessions'
 src=crates/session-affinity/src
 mutant 'the newer placement holds' $src/placement.rs 'key(self) < key(other)' 'key(self) > key(other)' $unit
--- a/crates/session-affinity/src/homes.rs
+++ b/crates/session-affinity/src/homes.rs
@@ -2,7 +2,7 @@
 //! (rendezvous hashing). Who comes takes a place among the first of few sessions, and those who had them are the next in that order.
 
 use crate::{mix, Session};
-use pipitlever_fleet::record::digest;
+use pipitlever_membership::record::digest;
 
 /// So many nodes remember a session.
 pub const COPIES: usize = 2;
--- a/crates/session-affinity/src/node/mod.rs
+++ b/crates/session-affinity/src/node/mod.rs
@@ -11,7 +11,7 @@
 use crate::{mix, Micros, Session, WorkerId};
 use fill::Fill;
 use pieces::Job;
-use pipitlever_fleet::record::digest;
+use pipitlever_membership::record::digest;
 use std::collections::{BTreeMap, VecDeque};
 
 mod fill;
--- a/crates/session-affinity/src/node/pools.rs
+++ b/crates/session-affinity/src/node/pools.rs
@@ -2,7 +2,7 @@
 
 use crate::choose::Worker;
 use crate::{mix, Micros, WorkerId};
-use pipitlever_fleet::record::digest;
+use pipitlever_membership::record::digest;
 use std::collections::BTreeMap;
 
 /// A worker, as the file has it.
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -1,13 +1,13 @@
 //! Messages and choices of session affinity, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-affinity --test compatibility`): nodes of both builds have to place each
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test compatibility`): nodes of both builds have to place each
 //! session alike.
 
-use pipitlever_affinity::choose::{choose, Worker};
-use pipitlever_affinity::homes::{Homes, ASKED};
-use pipitlever_affinity::message::Message;
-use pipitlever_affinity::mix;
-use pipitlever_affinity::placement::Placement;
-use pipitlever_affinity::stamp::Birth;
+use pipitlever_session_affinity::choose::{choose, Worker};
+use pipitlever_session_affinity::homes::{Homes, ASKED};
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::mix;
+use pipitlever_session_affinity::placement::Placement;
+use pipitlever_session_affinity::stamp::Birth;
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 /// Sessions whose placement is compared.
--- a/crates/session-affinity/tests/model.rs
+++ b/crates/session-affinity/tests/model.rs
@@ -2,9 +2,9 @@
 //! worker away and reaches each at its own time, and messages that come in any order or not at all. From each state that is
 //! reached, once faults stop, all nodes say the same; and a session whose worker stays has moved nowhere.
 
-use pipitlever_affinity::message::Message;
-use pipitlever_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
-use pipitlever_affinity::WorkerId;
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
+use pipitlever_session_affinity::WorkerId;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -4,7 +4,7 @@
 #[cfg(feature = "any")]
 pub mod any;
 
-use pipitlever::*;
+use pipitlever_admission::*;
 use serde::Deserialize;
 
 /// The most classes of a configuration.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,7 +2,7 @@
 
 mod wire;
 
-use pipitlever::{Action, Controller, Event, RequestId};
+use pipitlever_admission::{Action, Controller, Event, RequestId};
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's messages, and their translation to and from the library's terms.
 
-use pipitlever::*;
+use pipitlever_admission::*;
 use pipitlever_settings::Config;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
--- a/crates/subsetting/examples/compare.rs
+++ b/crates/subsetting/examples/compare.rs
@@ -1,10 +1,10 @@
 //! Ways to choose which workers each node uses, at four sizes: how even, how much moves when a node or a worker comes, how fair with
-//! loads that differ by ten times, and what choosing costs. `cargo run --release -p pipitlever-share --example compare`
+//! loads that differ by ten times, and what choosing costs. `cargo run --release -p pipitlever-subsetting --example compare`
 
-use pipitlever_share::demand::level;
-use pipitlever_share::flow::{bear, fairness};
-use pipitlever_share::hash;
-use pipitlever_share::plan::{divide, Peer, Worker};
+use pipitlever_subsetting::demand::level;
+use pipitlever_subsetting::flow::{bear, fairness};
+use pipitlever_subsetting::hash;
+use pipitlever_subsetting::plan::{divide, Peer, Worker};
 use std::time::Instant;
 
 type Uses = Vec<Vec<usize>>;
--- a/crates/subsetting/mutants.sh
+++ b/crates/subsetting/mutants.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Breaks one rule of dividing pools at a time, as crates/membership/mutants.sh does. usage: crates/subsetting/mutants.sh [WORDS]
 source "$(dirname "$0")/../cluster-testing/mutants.sh"
-unit='-p pipitlever-share --lib'
-model='-p pipitlever-share --test model'
+unit='-p pipitlever-subsetting --lib'
+model='-p pipitlever-subsetting --test model'
 processes='-p pipitlever-node --test share'
 src=crates/subsetting/src
 mutant 'more holds at once' $src/grant.rs 'if self.held.len() == 1 {' 'if true {' $model
--- a/crates/subsetting/tests/compatibility.rs
+++ b/crates/subsetting/tests/compatibility.rs
@@ -1,9 +1,9 @@
 //! Load reports and assignments of shared pools, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-share --test compatibility`): nodes of both builds have to choose alike.
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-subsetting --test compatibility`): nodes of both builds have to choose alike.
 
-use pipitlever_share::hash;
-use pipitlever_share::subset::{assign, Peer, Worker};
-use pipitlever_share::told::{short, Told};
+use pipitlever_subsetting::hash;
+use pipitlever_subsetting::subset::{assign, Peer, Worker};
+use pipitlever_subsetting::told::{short, Told};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/choices.txt");
 
--- a/crates/subsetting/tests/model.rs
+++ b/crates/subsetting/tests/model.rs
@@ -1,7 +1,7 @@
 //! Parts of a bound never add up to more than it, in all orders of a small world: three nodes whose loads change, and news that takes up to
 //! as long as is reckoned with. And where news takes longer, by how much.
 
-use pipitlever_share::grant::{Levels, Seen};
+use pipitlever_subsetting::grant::{Levels, Seen};
 use stateright::{Checker, Model, Property};
 use std::time::{Duration, Instant};
 
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -3,12 +3,12 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_fleet::message::{frame, Frame, Frames, Packet};
-use pipitlever_fleet::own::Own;
-use pipitlever_fleet::record::Standing;
-use pipitlever_fleet::rules::Rules;
-use pipitlever_fleet::sync::Session;
-use pipitlever_fleet::Fleet;
+use pipitlever_membership::message::{frame, Frame, Frames, Packet};
+use pipitlever_membership::own::Own;
+use pipitlever_membership::record::Standing;
+use pipitlever_membership::rules::Rules;
+use pipitlever_membership::sync::Session;
+use pipitlever_membership::Fleet;
 
 const MOST: usize = 8;
 
--- a/fuzz/fuzz_targets/sessions.rs
+++ b/fuzz/fuzz_targets/sessions.rs
@@ -3,8 +3,8 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_affinity::message::Message;
-use pipitlever_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 
 const MOST: usize = 8;
 
--- a/fuzz/fuzz_targets/store.rs
+++ b/fuzz/fuzz_targets/store.rs
@@ -4,9 +4,9 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_frames::frame;
-use pipitlever_store::log::{Contents, Files, Limits, Log};
-use pipitlever_store::record::{encode, Clocks, Opening, Salt, FORMAT};
+use pipitlever_framing::frame;
+use pipitlever_idempotency_store::log::{Contents, Files, Limits, Log};
+use pipitlever_idempotency_store::record::{encode, Clocks, Opening, Salt, FORMAT};
 use std::io;
 
 struct Folder(Vec<(String, Vec<u8>)>);
--- a/fuzz/fuzz_targets/words.rs
+++ b/fuzz/fuzz_targets/words.rs
@@ -2,12 +2,12 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_share::told::{Told, MOST};
-use pipitlever_versions::elector::Kept;
-use pipitlever_versions::floor::Saved;
-use pipitlever_versions::message::{Hint, Message};
-use pipitlever_versions::saved;
-use pipitlever_versions::word::Word;
+use pipitlever_subsetting::told::{Told, MOST};
+use pipitlever_config_versions::elector::Kept;
+use pipitlever_config_versions::floor::Saved;
+use pipitlever_config_versions::message::{Hint, Message};
+use pipitlever_config_versions::saved;
+use pipitlever_config_versions::word::Word;
 
 fuzz_target!(|data: &[u8]| {
     if let Some(told) = Told::read(data) {
