--- a/crates/capture/src/keeper.rs
+++ b/crates/capture/src/keeper.rs
@@ -1,8 +1,8 @@
 //! What the writer does with records: segments within bounds on a folder that may fail at any time.
 //!
-//! The folder is a trait, so that every decision here is tested with disks that are full, slow, or gone. It
-//! never holds more than is asked for; the oldest segment goes first; what could not be written is counted, and
-//! the next segment names it.
+//! The folder is a trait, so that every decision here is tested with disks that are full, slow, or
+//! gone. It never holds more than is asked for; the oldest segment goes first; what could not be
+//! written is counted, and the next segment names it.
 
 use crate::record::{End, Lost, Opening};
 use crate::segment::Writer;
@@ -14,7 +14,8 @@
 
 /// A frame is written once it has so many bytes of records, or at the end of a turn.
 const FRAME: usize = 64 << 10;
-/// After a failure the folder is tried again so much later, twice as late each time, up to the last.
+/// After a failure the folder is tried again so much later, twice as late each time, up to the
+/// last.
 const FIRST_PAUSE: Micros = 1_000_000;
 const LAST_PAUSE: Micros = 30_000_000;
 /// A file that was taken away under the writer is noticed within this time.
@@ -54,7 +55,8 @@
     Writing(String),
     /// Nothing is written: why.
     Stopped(String),
-    /// So many records were lost: the segment that begins now names them, or the end of the last one.
+    /// So many records were lost: the segment that begins now names them, or the end of the last
+    /// one.
     Gap(u64),
 }
 
@@ -83,7 +85,13 @@
 
 /// A node's name as far as it can be part of a file's.
 pub fn safe(node: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '_' || c == '.' { c } else { '_' };
+    let plain = |c: char| {
+        if c.is_ascii_alphanumeric() || c == '_' || c == '.' {
+            c
+        } else {
+            '_'
+        }
+    };
     let name: String = node.chars().take(48).map(plain).collect();
     if name.trim_matches('.').is_empty() {
         return "node".into();
@@ -156,8 +164,12 @@
     pub fn turn(&mut self, now: Micros, spool: &mut Spool) -> Vec<Note> {
         if now - self.looked >= LOOK {
             self.looked = now;
-            // A file that is gone takes what is written to it without an error, and nobody will ever read it.
-            let gone = self.open.as_ref().is_some_and(|o| !self.folder.holds(&o.name));
+            // A file that is gone takes what is written to it without an error, and nobody will
+            // ever read it.
+            let gone = self
+                .open
+                .as_ref()
+                .is_some_and(|o| !self.folder.holds(&o.name));
             if gone {
                 self.failed(now, &io::Error::other("the segment was taken away"));
             }
@@ -204,12 +216,15 @@
     }
 
     fn flush(&mut self, now: Micros) {
-        let Some(open) = self.open.as_mut().filter(|_| !self.pending.is_empty()) else { return };
+        let Some(open) = self.open.as_mut().filter(|_| !self.pending.is_empty()) else {
+            return;
+        };
         let mut bytes = Vec::with_capacity(self.pending.len() + 32);
         open.writer.records(&self.pending, &mut bytes);
         match self.make_room(bytes.len() as u64) {
             Ok(true) => {}
-            // This segment alone has grown to the bound, so the loop is slow to make its checkpoint.
+            // This segment alone has grown to the bound, so the loop is slow to make its
+            // checkpoint.
             Ok(false) => {
                 self.lose_pending();
                 return self.end(now, End::Next);
@@ -227,11 +242,13 @@
         }
     }
 
-    /// Takes away the oldest segments until so much more has room; whether it has. One that can't be removed is
-    /// a failure: the bytes of those that stay must not grow with every segment.
+    /// Takes away the oldest segments until so much more has room; whether it has. One that can't
+    /// be removed is a failure: the bytes of those that stay must not grow with every segment.
     fn make_room(&mut self, more: u64) -> io::Result<bool> {
         while self.total() + more > self.limits.keep {
-            let Some((name, _)) = self.closed.front() else { return Ok(false) };
+            let Some((name, _)) = self.closed.front() else {
+                return Ok(false);
+            };
             match self.folder.remove(name) {
                 Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
                 _ => self.closed.pop_front(),
@@ -252,7 +269,11 @@
             return;
         }
         (self.retry, self.pause) = (None, FIRST_PAUSE);
-        let name = self.open.as_ref().map(|o| o.name.clone()).unwrap_or_default();
+        let name = self
+            .open
+            .as_ref()
+            .map(|o| o.name.clone())
+            .unwrap_or_default();
         if self.told != Some(true) {
             self.told = Some(true);
             self.notes.push(Note::Writing(name));
@@ -260,14 +281,21 @@
     }
 
     fn try_begin(&mut self, checkpoint: Checkpoint) -> io::Result<()> {
-        let Checkpoint { opening, controller } = checkpoint;
+        let Checkpoint {
+            opening,
+            controller,
+        } = checkpoint;
         let mut lost = opening.lost.clone().unwrap_or_default();
         lost.records += self.lost.records;
         lost.disk = self.lost.disk.take().or(lost.disk);
         self.lost = lost.clone();
         let run = opening.run;
         let missing = (lost != Lost::default()).then(|| lost.clone());
-        let opening = Opening { segment: self.segment + 1, lost: missing, ..opening };
+        let opening = Opening {
+            segment: self.segment + 1,
+            lost: missing,
+            ..opening
+        };
         let mut bytes = Vec::new();
         let writer = Writer::open(&opening, &controller, &mut bytes);
         let mut mine: Vec<(String, u64)> = self.folder.list()?;
@@ -277,7 +305,10 @@
         // Room for the whole segment, so that not every frame takes one away.
         let wanted = self.limits.segment.max(bytes.len() as u64);
         if !self.make_room(wanted)? && !self.make_room(bytes.len() as u64)? {
-            return Err(io::Error::other(format!("a state of {} bytes is over keep_mb", bytes.len())));
+            return Err(io::Error::other(format!(
+                "a state of {} bytes is over keep_mb",
+                bytes.len()
+            )));
         }
         // A number that was tried once is not tried again: what it left may still be there.
         self.segment += 1;
@@ -289,7 +320,11 @@
             let _ = self.folder.remove(&name);
             return Err(error);
         }
-        self.open = Some(Open { name, writer, written: bytes.len() as u64 });
+        self.open = Some(Open {
+            name,
+            writer,
+            written: bytes.len() as u64,
+        });
         if lost.records > 0 {
             self.notes.push(Note::Gap(lost.records));
         }
@@ -299,7 +334,9 @@
 
     fn end(&mut self, now: Micros, end: End) {
         self.flush(now);
-        let Some(mut open) = self.open.take() else { return };
+        let Some(mut open) = self.open.take() else {
+            return;
+        };
         let mut bytes = Vec::new();
         open.writer.end(end, &mut bytes);
         // Without its end a segment reads as cut off there, and loses nothing.
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,7 +1,9 @@
-//! Keeps what a [`Controller`](pipitlever_admission::Controller) was told and what it said, and plays it again.
+//! Keeps what a [`Controller`](pipitlever_admission::Controller) was told and what it said, and
+//! plays it again.
 //!
-//! A capture is a run of segments. Each begins with the controller's whole state, so each can be played without
-//! those before it. `docs/capture.md` has the format and the options that it was chosen from.
+//! A capture is a run of segments. Each begins with the controller's whole state, so each can be
+//! played without those before it. `docs/capture.md` has the format and the options that it was
+//! chosen from.
 //!
 //! | module | what | I/O |
 //! | --- | --- | --- |
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,8 +1,8 @@
 //! What a capture says, and its bytes.
 //!
-//! Records are in postcard: no names, small figures, so that writing one costs a node little. Openings are in
-//! MessagePack with names, since another build may read them whose state has a field more; there is one a
-//! segment.
+//! Records are in postcard: no names, small figures, so that writing one costs a node little.
+//! Openings are in MessagePack with names, since another build may read them whose state has a
+//! field more; there is one a segment.
 
 use pipitlever_admission::{Action, Event, Micros, RequestId, Settings};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,8 @@
     pub key: Option<u64>,
 }
 
-/// A key's digest: the same on all nodes and builds, so that its tries can be found in all their captures.
+/// A key's digest: the same on all nodes and builds, so that its tries can be found in all their
+/// captures.
 pub fn digest(key: &str) -> u64 {
     digest_bytes(key.as_bytes())
 }
@@ -86,7 +87,8 @@
     Floor,
 }
 
-/// One thing that a capture says. The loop borrows what it writes; whoever reads owns it, as a [`Record`].
+/// One thing that a capture says. The loop borrows what it writes; whoever reads owns it, as a
+/// [`Record`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry<'a> {
     /// A request's outside name. It stands before the step of its arrival.
@@ -186,18 +188,42 @@
 
     #[test]
     fn records_come_back_as_they_were() {
-        let request = Request { id: 7, patience: Some(-5), cost: Some(f64::INFINITY), ..Request::default() };
+        let request = Request {
+            id: 7,
+            patience: Some(-5),
+            cost: Some(f64::INFINITY),
+            ..Request::default()
+        };
         let events = vec![
             Event::Arrived(request),
-            Event::Finished { id: 3, took: i64::MIN, outcome: Outcome::Moot },
-            Event::Timer { tag: 0, core_use: None, on_cores: Some(2.5), memory_use: None, connections: None },
+            Event::Finished {
+                id: 3,
+                took: i64::MIN,
+                outcome: Outcome::Moot,
+            },
+            Event::Timer {
+                tag: 0,
+                core_use: None,
+                on_cores: Some(2.5),
+                memory_use: None,
+                connections: None,
+            },
         ];
         let actions = vec![
             Action::Run(7),
-            Action::Refuse { id: 8, backoff: 200_000, no_retry: true },
+            Action::Refuse {
+                id: 8,
+                backoff: 200_000,
+                no_retry: true,
+            },
             Action::Level(f64::MIN_POSITIVE),
         ];
-        let name = Name { id: 7, reference: u64::MAX, sender: Some(4), key: Some(digest("k")) };
+        let name = Name {
+            id: 7,
+            reference: u64::MAX,
+            sender: Some(4),
+            key: Some(digest("k")),
+        };
         let answer = Record::Answer {
             after: 3,
             reference: 1,
@@ -205,7 +231,11 @@
             told: Told::Failed { expired: true },
             by: By::Overdue,
         };
-        let step = Record::Step { after: -1_000_000, events: events.into(), actions: actions.into() };
+        let step = Record::Step {
+            after: -1_000_000,
+            events: events.into(),
+            actions: actions.into(),
+        };
         let records = [Record::Named(name), step, answer];
         let mut bytes = Vec::new();
         records.iter().for_each(|r| encode(r, &mut bytes));
@@ -221,7 +251,10 @@
         // Cut off anywhere it yields those that are whole, and no others.
         for length in 0..bytes.len() {
             let (read, rest) = whole(&bytes[..length]);
-            assert!(read.len() < records.len() && read[..] == records[..read.len()], "{length}");
+            assert!(
+                read.len() < records.len() && read[..] == records[..read.len()],
+                "{length}"
+            );
             let mut again = Vec::new();
             read.iter().for_each(|r| encode(r, &mut again));
             assert_eq!(again.len() + rest, length);
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -27,7 +27,12 @@
 impl Difference {
     /// The first pair of actions that differ; nothing where a list has ended.
     pub fn first(&self) -> (Option<&Action>, Option<&Action>) {
-        let same = self.recorded.iter().zip(&self.replayed).take_while(|(a, b)| a == b).count();
+        let same = self
+            .recorded
+            .iter()
+            .zip(&self.replayed)
+            .take_while(|(a, b)| a == b)
+            .count();
         (self.recorded.get(same), self.replayed.get(same))
     }
 }
@@ -53,7 +58,12 @@
 impl Replay {
     /// Goes on from a segment's state.
     pub fn new(controller: Controller, opening: &Opening) -> Replay {
-        Replay { controller, now: opening.now, step: opening.steps, actions: Vec::new() }
+        Replay {
+            controller,
+            now: opening.now,
+            step: opening.steps,
+            actions: Vec::new(),
+        }
     }
 
     /// The controller.
@@ -76,8 +86,8 @@
         self.step
     }
 
-    /// Takes in a record; a step is played. The error says that the controller can't take the step, which only
-    /// a capture can bring about that no node wrote.
+    /// Takes in a record; a step is played. The error says that the controller can't take the step,
+    /// which only a capture can bring about that no node wrote.
     pub fn feed(&mut self, record: &Record) -> Result<Option<Played>, String> {
         let (after, events, recorded) = match record {
             Record::Named(_) => return Ok(None),
@@ -85,24 +95,46 @@
                 self.now = self.now.wrapping_add(*after);
                 return Ok(None);
             }
-            Record::Step { after, events, actions } => (after, events, actions),
+            Record::Step {
+                after,
+                events,
+                actions,
+            } => (after, events, actions),
         };
         let before = self.controller.view();
         self.now = self.now.wrapping_add(*after);
         self.step += 1;
         self.actions.clear();
         let (now, actions, controller) = (self.now, &mut self.actions, &mut self.controller);
-        catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions))).map_err(|panic| {
-            let text = panic.downcast_ref::<String>().map(String::as_str);
-            let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("a panic");
-            format!("step {} is none that this build's controller can take: {text}", self.step)
-        })?;
-        Ok(Some(Played { before, same: **recorded == *self.actions }))
+        catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions))).map_err(
+            |panic| {
+                let text = panic.downcast_ref::<String>().map(String::as_str);
+                let text = text
+                    .or(panic.downcast_ref::<&str>().copied())
+                    .unwrap_or("a panic");
+                format!(
+                    "step {} is none that this build's controller can take: {text}",
+                    self.step
+                )
+            },
+        )?;
+        Ok(Some(Played {
+            before,
+            same: **recorded == *self.actions,
+        }))
     }
 
     /// How the step that was just played differs; nothing if it doesn't, or the record is no step.
     pub fn difference(&self, record: &Record, played: Option<&Played>) -> Option<Difference> {
-        let (Record::Step { events, actions, .. }, Some(Played { before, same: false })) = (record, played)
+        let (
+            Record::Step {
+                events, actions, ..
+            },
+            Some(Played {
+                before,
+                same: false,
+            }),
+        ) = (record, played)
         else {
             return None;
         };
@@ -123,8 +155,8 @@
         Ok(self.difference(record, played.as_ref()))
     }
 
-    /// Goes on into the next segment. Whether its state, if this build can read it, is the one that the replay
-    /// has come to.
+    /// Goes on into the next segment. Whether its state, if this build can read it, is the one that
+    /// the replay has come to.
     pub fn go_on(&mut self, opening: &Opening, recorded: Option<&Controller>) -> bool {
         (self.now, self.step) = (opening.now, opening.steps);
         // Both as this build writes them: an older one may not have had every field.
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -17,7 +17,9 @@
 
 fn put(value: &impl serde::Serialize, out: &mut Vec<u8>) {
     let mut serializer = rmp_serde::Serializer::new(out).with_struct_map();
-    value.serialize(&mut serializer).expect("a vector takes all, and all of it has a form");
+    value
+        .serialize(&mut serializer)
+        .expect("a vector takes all, and all of it has a form");
 }
 
 /// The controller that was in this state. A build whose state has other fields can't take it over.
@@ -97,9 +99,19 @@
         let mut frames = Frames::open(FORMAT, bytes)?;
         let Some((at, payload)) = frames.next_frame()? else {
             let tail = Some(Tail::Cut(frames.offset()));
-            return Ok(Reader { frames, rest: &[], at: 0, tail, opening: None, state: &[] });
+            return Ok(Reader {
+                frames,
+                rest: &[],
+                at: 0,
+                tail,
+                opening: None,
+                state: &[],
+            });
+        };
+        let content = |what: String| Unreadable {
+            at,
+            why: Wrong::Content(what),
         };
-        let content = |what: String| Unreadable { at, why: Wrong::Content(what) };
         let Some((&OPENING, rest)) = payload.split_first() else {
             return Err(content("no opening at the start".into()));
         };
@@ -107,9 +119,16 @@
             rest.split_at_checked(u32::from_le_bytes(length.try_into().ok()?) as usize)
         });
         let (words, state) = split.ok_or_else(|| content("an opening that is too short".into()))?;
-        let opening: Opening =
-            rmp_serde::from_slice(words).map_err(|e| content(format!("the opening can't be read: {e}")))?;
-        Ok(Reader { frames, rest: &[], at, tail: None, opening: Some(opening), state })
+        let opening: Opening = rmp_serde::from_slice(words)
+            .map_err(|e| content(format!("the opening can't be read: {e}")))?;
+        Ok(Reader {
+            frames,
+            rest: &[],
+            at,
+            tail: None,
+            opening: Some(opening),
+            state,
+        })
     }
 
     /// How it begins; nothing if it was cut off before that was whole.
@@ -133,7 +152,10 @@
             if self.tail.is_some() {
                 return Ok(None);
             }
-            let content = |at, what| Unreadable { at, why: Wrong::Content(what) };
+            let content = |at, what| Unreadable {
+                at,
+                why: Wrong::Content(what),
+            };
             if !self.rest.is_empty() {
                 let (record, rest) = decode(self.rest).map_err(|e| content(self.at, e))?;
                 self.rest = rest;
@@ -169,7 +191,10 @@
 
     /// What a controller could not even look up is damage, whatever the checksum says.
     fn check(&self, record: &Record) -> Result<(), String> {
-        let classes = self.opening.as_ref().map_or(0, |o| o.settings.classes.len());
+        let classes = self
+            .opening
+            .as_ref()
+            .map_or(0, |o| o.settings.classes.len());
         let class = match record {
             Record::Named(_) => return Ok(()),
             Record::Step { events, .. } => events.iter().find_map(|e| match e {
--- a/crates/capture/src/tap.rs
+++ b/crates/capture/src/tap.rs
@@ -1,7 +1,7 @@
 //! The loop's side of a capture: it writes records into a bounded queue and waits for nobody.
 //!
-//! A record that finds no room is counted and not written, and so are those behind it: a controller can't be
-//! played past a step that is missing. The next record to be written then is a checkpoint.
+//! A record that finds no room is counted and not written, and so are those behind it: a controller
+//! can't be played past a step that is missing. The next record to be written then is a checkpoint.
 
 use crate::record::{encode, By, Entry, Lost, Name, Opening, Told};
 use crossbeam_queue::ArrayQueue;
@@ -14,8 +14,8 @@
 
 /// Bytes of the queue that a node uses: at 5,000 requests a second, the records of a second.
 pub const QUEUE: usize = 1 << 20;
-/// After a gap the next checkpoint waits for so long: a state is copied for each, and a disk that keeps failing
-/// would have the loop copy all the time.
+/// After a gap the next checkpoint waits for so long: a state is copied for each, and a disk that
+/// keeps failing would have the loop copy all the time.
 const PAUSE: Micros = 250_000;
 
 /// What the writer's buffer keeps of its memory after a burst.
@@ -24,7 +24,8 @@
 const RECORD: u8 = 0;
 const CHECKPOINT: u8 = 1;
 
-/// A controller's state between two steps, and how a segment that begins with it opens. The writer numbers it.
+/// A controller's state between two steps, and how a segment that begins with it opens. The writer
+/// numbers it.
 #[derive(Debug)]
 pub struct Checkpoint {
     /// How the segment opens.
@@ -39,7 +40,8 @@
     wanted: AtomicBool,
     /// It beside the queue, whose bytes only say where it belongs.
     checkpoints: ArrayQueue<Box<Checkpoint>>,
-    /// Records lost since the last checkpoint: what is left when the loop goes in the middle of a gap.
+    /// Records lost since the last checkpoint: what is left when the loop goes in the middle of a
+    /// gap.
     lost: AtomicU64,
     /// Whom to wake when the queue fills.
     writer: OnceLock<Thread>,
@@ -116,13 +118,21 @@
         lost: Lost::default(),
         not_before: Micros::MIN,
     };
-    (tap, Spool { queue: consumer, buffer: Vec::new(), shared })
+    (
+        tap,
+        Spool {
+            queue: consumer,
+            buffer: Vec::new(),
+            shared,
+        },
+    )
 }
 
 impl Tap {
     /// Whether a checkpoint is to be made now, between two steps.
     pub fn wants_checkpoint(&self, now: Micros) -> bool {
-        // A gap ends as soon as the writer has caught up; without one it says when the next segment is due.
+        // A gap ends as soon as the writer has caught up; without one it says when the next segment
+        // is due.
         let wanted = if self.lost.records > 0 {
             self.queue.slots() >= self.queue.buffer().capacity() / 2
         } else {
@@ -131,8 +141,8 @@
         wanted && now >= self.not_before && !self.shared.checkpoints.is_full()
     }
 
-    /// A checkpoint: the state that the next step will find, what it was told at its start, and the names of
-    /// the requests in it.
+    /// A checkpoint: the state that the next step will find, what it was told at its start, and the
+    /// names of the requests in it.
     pub fn checkpoint(
         &mut self,
         now: Micros,
@@ -140,7 +150,14 @@
         settings: &Settings,
         names: Vec<Name>,
     ) {
-        let About { build, node, run, classes, seed, fresh } = self.about.clone();
+        let About {
+            build,
+            node,
+            run,
+            classes,
+            seed,
+            fresh,
+        } = self.about.clone();
         let settings = settings.clone();
         let lost = (self.lost.records > 0).then(|| self.lost.clone());
         let opening = Opening {
@@ -157,13 +174,18 @@
             names,
             lost,
         };
-        let checkpoint = Box::new(Checkpoint { opening, controller: controller.clone() });
+        let checkpoint = Box::new(Checkpoint {
+            opening,
+            controller: controller.clone(),
+        });
         if self.queue.slots() == 0 || self.shared.checkpoints.push(checkpoint).is_err() {
             return;
         }
         self.shared.wanted.store(false, Relaxed);
         self.shared.lost.store(0, Relaxed);
-        self.queue.push(CHECKPOINT).expect("there is a slot, and nobody else takes it");
+        self.queue
+            .push(CHECKPOINT)
+            .expect("there is a slot, and nobody else takes it");
         (self.last, self.gap, self.lost) = (now, false, Lost::default());
         self.not_before = now + PAUSE;
     }
@@ -177,12 +199,22 @@
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &[Action]) {
         self.steps += 1;
         let (events, actions) = (Cow::Borrowed(events), Cow::Borrowed(actions));
-        self.put(now, |after| Entry::Step { after, events, actions });
+        self.put(now, |after| Entry::Step {
+            after,
+            events,
+            actions,
+        });
     }
 
     /// A final answer.
     pub fn answer(&mut self, now: Micros, reference: u64, class: u32, told: Told, by: By) {
-        self.put(now, |after| Entry::Answer { after, reference, class, told, by });
+        self.put(now, |after| Entry::Answer {
+            after,
+            reference,
+            class,
+            told,
+            by,
+        });
     }
 
     fn put<'a>(&mut self, now: Micros, entry: impl FnOnce(Micros) -> Entry<'a>) {
@@ -204,7 +236,8 @@
             return self.lose();
         }
         self.last = now;
-        // Once, as the queue gets half full: the writer looks by itself, but may be late for a burst.
+        // Once, as the queue gets half full: the writer looks by itself, but may be late for a
+        // burst.
         let half = self.queue.buffer().capacity() / 2;
         if before >= half && before - self.scratch.len() < half {
             self.shared.writer.get().inspect(|w| w.unpark());
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A world that a controller lives in: whatever it is told is something that a host may say, in any order that
-//! hosts may say it, chosen by numbers that a test hands in.
+//! A world that a controller lives in: whatever it is told is something that a host may say, in any
+//! order that hosts may say it, chosen by numbers that a test hands in.
 #![allow(dead_code)]
 #![allow(clippy::manual_is_multiple_of)]
 
@@ -36,15 +36,27 @@
         run_factor: 8.0,
         key_kb: 20.0,
         cold: kind & 1 == 1,
-        below: if kind & 2 == 0 { Below::Tier } else { Below::Shared },
+        below: if kind & 2 == 0 {
+            Below::Tier
+        } else {
+            Below::Shared
+        },
         call_share: 4.0,
         call_span: 2_000_000,
         linger: 100_000,
         fresh: if kind & 8 == 0 { 0 } else { 200_000 },
-        halt: if kind & 4 == 0 { HaltMode::Never } else { HaltMode::Abort },
+        halt: if kind & 4 == 0 {
+            HaltMode::Never
+        } else {
+            HaltMode::Abort
+        },
         level: LevelKind::Threshold,
         max_backoff: 1_000_000,
-        safety: Safety { cold_for: 3_000_000, cold_from: 0.2, ..Safety::default() },
+        safety: Safety {
+            cold_for: 3_000_000,
+            cold_from: 0.2,
+            ..Safety::default()
+        },
         ..Settings::default()
     }
 }
@@ -71,11 +83,24 @@
 impl World {
     pub fn new(kind: u8, seed: u64) -> World {
         let controller = Controller::new(settings(kind), seed);
-        World { controller, now: 0, at: BTreeMap::new(), kept: Vec::new(), next: 1, leaving: false, kind }
+        World {
+            controller,
+            now: 0,
+            at: BTreeMap::new(),
+            kept: Vec::new(),
+            next: 1,
+            leaving: false,
+            kind,
+        }
     }
 
     fn pick(&self, which: u32, wanted: &[Where]) -> Option<RequestId> {
-        let all: Vec<_> = self.at.iter().filter(|(_, w)| wanted.contains(&w.0)).map(|(&id, _)| id).collect();
+        let all: Vec<_> = self
+            .at
+            .iter()
+            .filter(|(_, w)| wanted.contains(&w.0))
+            .map(|(&id, _)| id)
+            .collect();
         (!all.is_empty()).then(|| all[which as usize % all.len()])
     }
 
@@ -101,7 +126,8 @@
                 self.next += 1;
                 let repeat = class == 1 && which % 8 == 1 && !self.kept.is_empty();
                 let same_as = repeat.then(|| self.kept[which as usize % self.kept.len()]);
-                self.at.insert(id, (if repeat { Reusing } else { Held }, self.now));
+                self.at
+                    .insert(id, (if repeat { Reusing } else { Held }, self.now));
                 Event::Arrived(Request {
                     id,
                     class,
@@ -120,7 +146,11 @@
             7..=9 => match self.pick(which, &[Running, Reusing]) {
                 Some(id) => {
                     let took = self.now - self.at.remove(&id).expect("picked").1;
-                    let outcome = if which % 31 == 0 { Outcome::Moot } else { outcome };
+                    let outcome = if which % 31 == 0 {
+                        Outcome::Moot
+                    } else {
+                        outcome
+                    };
                     Event::Finished { id, took, outcome }
                 }
                 None => tick,
@@ -136,21 +166,31 @@
                 Some(id) => {
                     let done = outcome == Outcome::Done;
                     self.at.get_mut(&id).expect("picked").0 = if done { Running } else { Parked };
-                    let outcome = if which % 7 == 0 && !done { Outcome::Busy } else { outcome };
-                    Event::CallEnded { id, took: i64::from(which % 300) * 1000, outcome }
+                    let outcome = if which % 7 == 0 && !done {
+                        Outcome::Busy
+                    } else {
+                        outcome
+                    };
+                    Event::CallEnded {
+                        id,
+                        took: i64::from(which % 300) * 1000,
+                        outcome,
+                    }
                 }
                 None => tick,
             },
-            14 if which % 3 != 0 => match self.pick(which, &[Held, Running, Parked, Calling, Reusing]) {
-                Some(id) => {
-                    if matches!(self.at[&id].0, Held | Reusing) {
-                        self.at.remove(&id);
+            14 if which % 3 != 0 => {
+                match self.pick(which, &[Held, Running, Parked, Calling, Reusing]) {
+                    Some(id) => {
+                        if matches!(self.at[&id].0, Held | Reusing) {
+                            self.at.remove(&id);
+                        }
+                        Event::Gone(id)
                     }
-                    Event::Gone(id)
+                    // A notice that comes after its request has finished.
+                    None => Event::Gone(self.next.saturating_sub(1)),
                 }
-                // A notice that comes after its request has finished.
-                None => Event::Gone(self.next.saturating_sub(1)),
-            },
+            }
             15 if which % 400 == 0 && !self.leaving => {
                 self.leaving = true;
                 Event::Leaving(2_000_000)
@@ -162,7 +202,10 @@
     /// One step with some events, at a clock that may also stand still or go back.
     pub fn step(&mut self, after: i32, said: &[(u8, u32)], tap: Option<&mut Tap>) -> Vec<Action> {
         self.now += i64::from(after);
-        let events: Vec<Event> = said.iter().map(|&(what, which)| self.event(what, which)).collect();
+        let events: Vec<Event> = said
+            .iter()
+            .map(|&(what, which)| self.event(what, which))
+            .collect();
         let mut actions = Vec::new();
         if let Some(tap) = tap {
             if tap.wants_checkpoint(self.now) {
@@ -170,7 +213,12 @@
             }
             for event in &events {
                 if let Event::Arrived(r) = event {
-                    tap.named(Name { id: r.id, reference: !r.id, sender: Some(r.id % 7), key: None });
+                    tap.named(Name {
+                        id: r.id,
+                        reference: !r.id,
+                        sender: Some(r.id % 7),
+                        key: None,
+                    });
                 }
             }
             self.controller.step(self.now, &events, &mut actions);
@@ -197,7 +245,11 @@
             Action::Keep(id, _) => self.kept.push(*id),
             Action::Forget(id) => self.kept.retain(|k| k != id),
             Action::Call(id, _) | Action::SkipCall(id) => {
-                let to = if matches!(action, Action::Call(..)) { Where::Calling } else { Where::Running };
+                let to = if matches!(action, Action::Call(..)) {
+                    Where::Calling
+                } else {
+                    Where::Running
+                };
                 if let Some(at) = self.at.get_mut(id) {
                     at.0 = to;
                 }
@@ -212,7 +264,9 @@
         build: "test".into(),
         node: "n1".into(),
         run: 1_764_576_000_123,
-        classes: ["rota-view", "swap-confirm", "cover-check"].map(String::from).to_vec(),
+        classes: ["rota-view", "swap-confirm", "cover-check"]
+            .map(String::from)
+            .to_vec(),
         seed,
         fresh: true,
     }
@@ -245,19 +299,28 @@
 impl Folder for Shelf {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         self.works()?;
-        Ok(self.files.iter().map(|(name, bytes)| (name.clone(), bytes.len() as u64)).collect())
+        Ok(self
+            .files
+            .iter()
+            .map(|(name, bytes)| (name.clone(), bytes.len() as u64))
+            .collect())
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.works()?;
-        assert!(self.files.insert(name.into(), Vec::new()).is_none(), "{name} twice");
+        assert!(
+            self.files.insert(name.into(), Vec::new()).is_none(),
+            "{name} twice"
+        );
         self.writing = Some(name.into());
         Ok(())
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.works()?;
-        let room = self.room.map_or(usize::MAX, |room| room.saturating_sub(self.total()) as usize);
+        let room = self.room.map_or(usize::MAX, |room| {
+            room.saturating_sub(self.total()) as usize
+        });
         // A full disk takes what it has room for, as a file system does.
         let part = &bytes[..bytes.len().min(room)];
         let name = self.writing.as_ref().expect("a segment");
@@ -280,7 +343,10 @@
         if self.sticky {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
-        self.files.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.files
+            .remove(name)
+            .map(|_| ())
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn holds(&mut self, name: &str) -> bool {
@@ -291,7 +357,11 @@
 /// Puts a capture where the laboratory's tests look for it, when they are to be made anew.
 pub fn keep(name: &str, segment: &[u8]) {
     if let Some(folder) = std::env::var_os("PIPITLEVER_RECORD") {
-        std::fs::write(std::path::Path::new(&folder).join(format!("{name}.plc")), segment).unwrap();
+        std::fs::write(
+            std::path::Path::new(&folder).join(format!("{name}.plc")),
+            segment,
+        )
+        .unwrap();
     }
 }
 
@@ -311,7 +381,14 @@
     pub fn new(kind: u8, seed: u64, bytes: usize, limits: Limits) -> Rig {
         let (tap, spool) = queue(about(seed), bytes);
         let keeper = Keeper::new(Shelf::default(), limits, "n1");
-        Rig { world: World::new(kind, seed), tap: Some(tap), spool, keeper, clock: 0, told: 0 }
+        Rig {
+            world: World::new(kind, seed),
+            tap: Some(tap),
+            spool,
+            keeper,
+            clock: 0,
+            told: 0,
+        }
     }
 
     pub fn step(&mut self, after: i32, said: &[(u8, u32)]) -> Vec<Action> {
@@ -325,14 +402,20 @@
     /// The writer has its turn; its notes as the log has them.
     pub fn turn(&mut self, after: Micros) -> Vec<String> {
         self.clock += after;
-        self.keeper.turn(self.clock, &mut self.spool).iter().map(|n| n.to_string()).collect()
+        self.keeper
+            .turn(self.clock, &mut self.spool)
+            .iter()
+            .map(|n| n.to_string())
+            .collect()
     }
 
     /// The node ends. All segments, the oldest first.
     pub fn end(mut self) -> Vec<Vec<u8>> {
         drop(self.tap.take());
         self.keeper.finish(self.clock, &mut self.spool);
-        std::mem::take(&mut self.keeper.folder().files).into_values().collect()
+        std::mem::take(&mut self.keeper.folder().files)
+            .into_values()
+            .collect()
     }
 }
 
@@ -363,13 +446,21 @@
             _ => Replay::new(own.clone(), &opening),
         };
         assert_eq!(on.steps(), opening.steps);
-        assert!(on.go_on(&opening, Some(&own)), "segment {}: another state", opening.segment);
+        assert!(
+            on.go_on(&opening, Some(&own)),
+            "segment {}: another state",
+            opening.segment
+        );
         verdict.lost += opening.lost.map_or(0, |l| l.records);
         let mut fresh = Replay::new(own, reader.opening().expect("seen above"));
         while let Some((_, record)) = reader.next_record().expect("whole") {
             verdict.records += 1;
             let difference = on.compare(&record).unwrap();
-            assert!(difference.is_none(), "segment {}: {difference:#?}", reader.opening().unwrap().segment);
+            assert!(
+                difference.is_none(),
+                "segment {}: {difference:#?}",
+                reader.opening().unwrap().segment
+            );
             assert!(fresh.compare(&record).unwrap().is_none());
         }
         verdict.steps = on.steps();
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,9 +1,11 @@
-//! Records and checkpoints of captures, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`): either build reads the other's segments,
-//! and goes on from its checkpoints.
+//! Records and checkpoints of captures, compared with fixtures written by the build of commit
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`):
+//! either build reads the other's segments, and goes on from its checkpoints.
 
 use pipitlever_admission::*;
-use pipitlever_capture::record::{decode, digest, encode, By, End, Entry, Lost, Name, Opening, Record, Told};
+use pipitlever_capture::record::{
+    decode, digest, encode, By, End, Entry, Lost, Name, Opening, Record, Told,
+};
 use pipitlever_capture::segment::{restored, state, Reader, Writer};
 use std::path::PathBuf;
 
@@ -41,7 +43,12 @@
     ];
     let mut events = vec![
         Event::Arrived(request(300, 2)),
-        Event::Arrived(Request { same_as: Some(300), write: true, retry: false, ..request(301, 1) }),
+        Event::Arrived(Request {
+            same_as: Some(300),
+            write: true,
+            retry: false,
+            ..request(301, 1)
+        }),
         Event::Leaving(70_000),
         Event::Gone(302),
         Event::NeedsCall(303),
@@ -54,8 +61,16 @@
         },
     ];
     for (i, outcome) in outcomes.into_iter().enumerate() {
-        events.push(Event::Finished { id: 400 + i as RequestId, took: 80_000, outcome });
-        events.push(Event::CallEnded { id: 500 + i as RequestId, took: 90_000, outcome });
+        events.push(Event::Finished {
+            id: 400 + i as RequestId,
+            took: 80_000,
+            outcome,
+        });
+        events.push(Event::CallEnded {
+            id: 500 + i as RequestId,
+            took: 90_000,
+            outcome,
+        });
     }
     events
 }
@@ -64,7 +79,11 @@
     vec![
         Action::Run(600),
         Action::Reuse(601),
-        Action::Refuse { id: 602, backoff: 200_000, no_retry: true },
+        Action::Refuse {
+            id: 602,
+            backoff: 200_000,
+            no_retry: true,
+        },
         Action::Fail(603),
         Action::Keep(604, 300_000),
         Action::Forget(605),
@@ -79,10 +98,21 @@
 }
 
 fn records() -> Vec<Record> {
-    let named = Name { id: 300, reference: 0x0102_0304_0506_0708, sender: Some(4), key: Some(digest("k")) };
+    let named = Name {
+        id: 300,
+        reference: 0x0102_0304_0506_0708,
+        sender: Some(4),
+        key: Some(digest("k")),
+    };
     let answers = [
         (Told::Served(1_000), By::Module),
-        (Told::Refused { cooldown: 250_000, nowhere: true }, By::Run),
+        (
+            Told::Refused {
+                cooldown: 250_000,
+                nowhere: true,
+            },
+            By::Run,
+        ),
         (Told::Failed { expired: true }, By::Repeat),
         (Told::Failed { expired: false }, By::Rejected),
         (Told::Served(1), By::NotUp),
@@ -95,9 +125,22 @@
         (Told::Served(8), By::Elsewhere),
         (Told::Served(9), By::Floor),
     ];
-    let step = Entry::Step { after: 1_234, events: events().into(), actions: actions().into() };
-    let answer = |(told, by)| Entry::Answer { after: 56, reference: 78, class: 2, told, by };
-    [Entry::Named(named), step].into_iter().chain(answers.into_iter().map(answer)).collect()
+    let step = Entry::Step {
+        after: 1_234,
+        events: events().into(),
+        actions: actions().into(),
+    };
+    let answer = |(told, by)| Entry::Answer {
+        after: 56,
+        reference: 78,
+        class: 2,
+        told,
+        by,
+    };
+    [Entry::Named(named), step]
+        .into_iter()
+        .chain(answers.into_iter().map(answer))
+        .collect()
 }
 
 fn settings() -> Settings {
@@ -137,11 +180,16 @@
         max_backoff: 1_000_000,
         over_share_worth: 0.5,
         worth_by_work: true,
-        safety: Safety { cold_for: 3_000_000, cold_from: 0.25, ..Safety::default() },
+        safety: Safety {
+            cold_for: 3_000_000,
+            cold_from: 0.25,
+            ..Safety::default()
+        },
     }
 }
 
-/// A controller in the middle of a run: queued, running and calling requests, retained keys, a shutdown notice.
+/// A controller in the middle of a run: queued, running and calling requests, retained keys, a
+/// shutdown notice.
 fn controller() -> Controller {
     let mut controller = Controller::new(settings(), 7);
     let (mut running, mut calling) = (Vec::new(), Vec::new());
@@ -152,14 +200,23 @@
     };
     for id in 0..40 {
         let now = 10_000 * id as Micros;
-        let mut events = vec![Event::Arrived(Request { retry: id % 5 == 0, ..request(id, id as usize % 3) })];
+        let mut events = vec![Event::Arrived(Request {
+            retry: id % 5 == 0,
+            ..request(id, id as usize % 3)
+        })];
         match (id % 4, running.pop(), calling.pop()) {
             (1, Some(run), _) => events.push(Event::NeedsCall(run)),
-            (2, Some(run), _) => {
-                events.push(Event::Finished { id: run, took: 25_000, outcome: Outcome::Done })
-            }
+            (2, Some(run), _) => events.push(Event::Finished {
+                id: run,
+                took: 25_000,
+                outcome: Outcome::Done,
+            }),
             (3, run, Some(call)) => {
-                events.push(Event::CallEnded { id: call, took: 5_000, outcome: Outcome::Done });
+                events.push(Event::CallEnded {
+                    id: call,
+                    took: 5_000,
+                    outcome: Outcome::Done,
+                });
                 running.extend(run);
                 running.push(call);
             }
@@ -199,8 +256,17 @@
         classes: vec!["view".into(), "swap".into(), "post".into()],
         settings: settings(),
         seed: 7,
-        names: vec![Name { id: 17, reference: 18, sender: None, key: Some(19) }],
-        lost: Some(Lost { records: 20, queue: 21, disk: Some("full".into()) }),
+        names: vec![Name {
+            id: 17,
+            reference: 18,
+            sender: None,
+            key: Some(19),
+        }],
+        lost: Some(Lost {
+            records: 20,
+            queue: 21,
+            disk: Some("full".into()),
+        }),
     }
 }
 
@@ -209,7 +275,9 @@
     let mut bytes = Vec::new();
     let mut writer = Writer::open(&opening(), &controller(), &mut bytes);
     let mut payload = Vec::new();
-    records().iter().for_each(|record| encode(record, &mut payload));
+    records()
+        .iter()
+        .for_each(|record| encode(record, &mut payload));
     writer.records(&payload, &mut bytes);
     writer.end(End::Last(5), &mut bytes);
     bytes
@@ -238,11 +306,17 @@
     let mut reader = Reader::open(&expected).unwrap();
     assert_eq!(reader.opening(), Some(&opening()));
     let read = restored(reader.state()).expect("this build takes over the earlier build's state");
-    assert!(state(&read) == reader.state(), "the state is written as it was read");
+    assert!(
+        state(&read) == reader.state(),
+        "the state is written as it was read"
+    );
     let mut found = Vec::new();
     while let Some((_, record)) = reader.next_record().unwrap() {
         found.push(record);
     }
     assert_eq!(found, records());
-    assert!(segment() == expected, "the same events give the same segment");
+    assert!(
+        segment() == expected,
+        "the same events give the same segment"
+    );
 }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -11,7 +11,10 @@
 use pipitlever_capture::segment::{Reader, Tail};
 use proptest::prelude::*;
 
-const WIDE: Limits = Limits { segment: 1 << 30, keep: 1 << 31 };
+const WIDE: Limits = Limits {
+    segment: 1 << 30,
+    keep: 1 << 31,
+};
 
 type Step = (i32, Vec<(u8, u32)>);
 
@@ -68,7 +71,8 @@
                 rig.turn(300_000);
             }
         }
-        // All that there is plays, with gaps or without; and what is not there is counted, wherever the gap lies.
+        // All that there is plays, with gaps or without; and what is not there is counted, wherever
+        // the gap lies.
         let told = rig.told;
         let verdict = replay(&rig.end());
         prop_assert_eq!(verdict.records + verdict.lost, told, "{:?}", verdict);
@@ -93,10 +97,15 @@
     let segments = rig.end();
     let named = |bytes: &Vec<u8>| Reader::open(bytes).unwrap().opening().unwrap().lost.clone();
     let first = named(&segments[1]).expect("a gap in the middle");
-    assert!(first.records > 100 && first.queue == first.records && first.disk.is_none(), "{first:?}");
+    assert!(
+        first.records > 100 && first.queue == first.records && first.disk.is_none(),
+        "{first:?}"
+    );
     let mut last = Reader::open(segments.last().unwrap()).unwrap();
     while last.next_record().unwrap().is_some() {}
-    let Some(Tail::Whole(End::Last(behind))) = last.tail() else { panic!("{:?}", last.tail()) };
+    let Some(Tail::Whole(End::Last(behind))) = last.tail() else {
+        panic!("{:?}", last.tail())
+    };
     assert!(behind > 100, "{behind}");
     let verdict = replay(&segments);
     assert_eq!(verdict.records + verdict.lost, told);
@@ -105,8 +114,9 @@
 fn busy(limits: Limits) -> Rig {
     let mut rig = Rig::new(2, 11, 1 << 20, limits);
     for i in 0..600u32 {
-        let said: Vec<(u8, u32)> =
-            (0..1 + i % 3).map(|k| ((i * 7 + k * 5) as u8, i * 2_654_435 + k)).collect();
+        let said: Vec<(u8, u32)> = (0..1 + i % 3)
+            .map(|k| ((i * 7 + k * 5) as u8, i * 2_654_435 + k))
+            .collect();
         rig.step(3_000, &said);
         if i % 10 == 0 {
             rig.turn(30_000);
@@ -117,25 +127,48 @@
 
 #[test]
 fn a_checkpoint_between_a_runs_start_and_its_end_holds_the_run() {
-    let mut rig = Rig::new(0, 1, 1 << 20, Limits { segment: 1, keep: 1 << 30 });
+    let mut rig = Rig::new(
+        0,
+        1,
+        1 << 20,
+        Limits {
+            segment: 1,
+            keep: 1 << 30,
+        },
+    );
     let ran = rig.step(0, &[(0, 9)]);
-    let Some(Action::Run(id)) = ran.iter().find(|a| matches!(a, Action::Run(_))) else { panic!("{ran:?}") };
+    let Some(Action::Run(id)) = ran.iter().find(|a| matches!(a, Action::Run(_))) else {
+        panic!("{ran:?}")
+    };
     rig.turn(30_000);
     rig.step(300_000, &[(14, 1), (14, 3)]);
     rig.turn(30_000);
-    assert!(rig.world.controller.standing(*id).is_some_and(|s| s.stage == Stage::Running));
+    assert!(rig
+        .world
+        .controller
+        .standing(*id)
+        .is_some_and(|s| s.stage == Stage::Running));
     rig.step(300_000, &[(7, 1)]);
     let segments = rig.end();
     assert_eq!(segments.len(), 3);
     let reader = Reader::open(&segments[1]).unwrap();
     let held = reader.controller().unwrap().standing(*id);
     assert!(held.is_some_and(|s| s.stage == Stage::Running), "{held:?}");
-    assert!(matches!(replay(&segments), Verdict { steps: 3, lost: 0, cuts: 0, .. }));
+    assert!(matches!(
+        replay(&segments),
+        Verdict {
+            steps: 3,
+            lost: 0,
+            cuts: 0,
+            ..
+        }
+    ));
 }
 
 #[test]
 fn the_order_of_events_in_a_step_matters_and_is_kept() {
-    // A place is free for one: whoever stands first in the step gets it, and a replay says the same.
+    // A place is free for one: whoever stands first in the step gets it, and a replay says the
+    // same.
     let both = |said: [(u8, u32); 2]| {
         let mut rig = Rig::new(0, 1, 1 << 20, WIDE);
         for _ in 0..2 {
@@ -143,7 +176,15 @@
         }
         let actions = rig.step(1_000, &said);
         rig.turn(30_000);
-        assert!(matches!(replay(&rig.end()), Verdict { steps: 3, lost: 0, cuts: 0, .. }));
+        assert!(matches!(
+            replay(&rig.end()),
+            Verdict {
+                steps: 3,
+                lost: 0,
+                cuts: 0,
+                ..
+            }
+        ));
         actions
     };
     assert_ne!(both([(0, 30), (0, 45)]), both([(0, 45), (0, 30)]));
@@ -164,11 +205,24 @@
     let mut reader = Reader::open(&segments[0]).unwrap();
     let mut gone = 0;
     while let Some((_, record)) = reader.next_record().unwrap() {
-        let Record::Step { events, .. } = record else { continue };
-        gone += events.iter().filter(|e| matches!(e, Event::Gone(1))).count();
+        let Record::Step { events, .. } = record else {
+            continue;
+        };
+        gone += events
+            .iter()
+            .filter(|e| matches!(e, Event::Gone(1)))
+            .count();
     }
     assert_eq!(gone, 1);
-    assert!(matches!(replay(&segments), Verdict { steps: 4, lost: 0, cuts: 0, .. }));
+    assert!(matches!(
+        replay(&segments),
+        Verdict {
+            steps: 4,
+            lost: 0,
+            cuts: 0,
+            ..
+        }
+    ));
     keep("gone-after-the-end", &segments[0]);
 }
 
@@ -179,12 +233,17 @@
     let mut replay = Replay::new(reader.controller().unwrap(), reader.opening().unwrap());
     let mut steps = 0;
     while let Some((_, mut record)) = reader.next_record().unwrap() {
-        let Record::Step { actions, .. } = &mut record else { continue };
+        let Record::Step { actions, .. } = &mut record else {
+            continue;
+        };
         steps += 1;
         if steps == 300 {
             actions.to_mut().push(Action::Run(999_999));
             let difference = replay.compare(&record).unwrap().expect("seen");
-            assert_eq!((difference.step, difference.first()), (300, (Some(&Action::Run(999_999)), None)));
+            assert_eq!(
+                (difference.step, difference.first()),
+                (300, (Some(&Action::Run(999_999)), None))
+            );
             return;
         }
         assert!(replay.compare(&record).unwrap().is_none());
@@ -195,7 +254,9 @@
 /// Reads and plays all of it; how far it came, and how it ended.
 fn play(bytes: &[u8]) -> Result<(u64, Option<Tail>), Unreadable> {
     let mut reader = Reader::open(bytes)?;
-    let Some(opening) = reader.opening().cloned() else { return Ok((0, reader.tail())) };
+    let Some(opening) = reader.opening().cloned() else {
+        return Ok((0, reader.tail()));
+    };
     let mut replay = Replay::new(reader.controller().expect("this build's"), &opening);
     while let Some((_, record)) = reader.next_record()? {
         assert!(replay.compare(&record).expect("a step").is_none());
@@ -207,11 +268,16 @@
 fn a_segment_cut_anywhere_plays_to_its_last_whole_frame() {
     let bytes = busy(WIDE).end().remove(0);
     let (all, tail) = play(&bytes).unwrap();
-    assert!(all == 600 && matches!(tail, Some(Tail::Whole(_))), "{all} {tail:?}");
+    assert!(
+        all == 600 && matches!(tail, Some(Tail::Whole(_))),
+        "{all} {tail:?}"
+    );
     let mut last = 0;
     for length in (0..bytes.len()).step_by(97) {
         let (steps, tail) = play(&bytes[..length]).unwrap_or_else(|e| panic!("{length}: {e}"));
-        let Some(Tail::Cut(at)) = tail else { panic!("{length}: {tail:?}") };
+        let Some(Tail::Cut(at)) = tail else {
+            panic!("{length}: {tail:?}")
+        };
         assert!(at as usize <= length && steps >= last && steps <= all);
         last = steps;
     }
@@ -233,7 +299,9 @@
     let mut at = 16;
     while at + 16 <= bytes.len() {
         let length = u32::from_le_bytes(bytes[at + 4..at + 8].try_into().unwrap()) as usize;
-        let Some(end) = Some(at + 16 + length).filter(|&end| end <= bytes.len()) else { return };
+        let Some(end) = Some(at + 16 + length).filter(|&end| end <= bytes.len()) else {
+            return;
+        };
         let sum = crc(&bytes[at + 16..end]);
         bytes[at + 12..at + 16].copy_from_slice(&sum.to_le_bytes());
         at = end;
@@ -243,7 +311,13 @@
 fn crc(bytes: &[u8]) -> u32 {
     // Bit by bit, after IEEE 802.3: a second opinion on the library's.
     !bytes.iter().fold(!0u32, |sum, &byte| {
-        (0..8).fold(sum ^ u32::from(byte), |s, _| if s & 1 == 1 { s >> 1 ^ 0xedb8_8320 } else { s >> 1 })
+        (0..8).fold(sum ^ u32::from(byte), |s, _| {
+            if s & 1 == 1 {
+                s >> 1 ^ 0xedb8_8320
+            } else {
+                s >> 1
+            }
+        })
     })
 }
 
--- a/crates/cluster-testing/examples/elsewhere.rs
+++ b/crates/cluster-testing/examples/elsewhere.rs
@@ -1,9 +1,13 @@
-//! What it is worth to know of the others when refusing: `cargo run --release -p pipitlever-cluster-testing --example elsewhere -- SEEDS`.
+//! What it is worth to know of the others when refusing: `cargo run --release -p
+//! pipitlever-cluster-testing --example elsewhere -- SEEDS`.
 
 use pipitlever_cluster_testing::demand::{play, Case};
 
 fn main() {
-    let seeds = std::env::args().nth(1).and_then(|w| w.parse().ok()).unwrap_or(5);
+    let seeds = std::env::args()
+        .nth(1)
+        .and_then(|w| w.parse().ok())
+        .unwrap_or(5);
     let usual = Case {
         nodes: 30,
         demand: 1.1,
@@ -13,12 +17,27 @@
         heed: 0.9,
         levels: true,
     };
-    for (demand, die, levels) in
-        [(1.1, 1.0 / 3.0, true), (1.1, 0.0, true), (0.8, 1.0 / 3.0, true), (1.1, 1.0 / 3.0, false)]
-    {
+    for (demand, die, levels) in [
+        (1.1, 1.0 / 3.0, true),
+        (1.1, 0.0, true),
+        (0.8, 1.0 / 3.0, true),
+        (1.1, 1.0 / 3.0, false),
+    ] {
         for advice in [false, true] {
-            let all: Vec<_> =
-                (0..seeds).map(|seed| play(Case { demand, die, advice, levels, ..usual }, seed)).collect();
+            let all: Vec<_> = (0..seeds)
+                .map(|seed| {
+                    play(
+                        Case {
+                            demand,
+                            die,
+                            advice,
+                            levels,
+                            ..usual
+                        },
+                        seed,
+                    )
+                })
+                .collect();
             let mean = |of: fn(&pipitlever_cluster_testing::demand::Result) -> f64| {
                 all.iter().map(of).sum::<f64>() / seeds as f64
             };
--- a/crates/cluster-testing/examples/fleet.rs
+++ b/crates/cluster-testing/examples/fleet.rs
@@ -1,4 +1,5 @@
-//! Measures the fleet in the simulation: `cargo run --release -p pipitlever-cluster-testing --example fleet -- CASE SIZE SEEDS`.
+//! Measures the fleet in the simulation: `cargo run --release -p pipitlever-cluster-testing
+//! --example fleet -- CASE SIZE SEEDS`.
 
 use pipitlever_cluster_testing::parties::memory_mb;
 use pipitlever_cluster_testing::sim::World;
@@ -19,13 +20,19 @@
         world.run(2_000);
     }
     let took = world.wait(120 * S, World::settled);
-    assert!(took.is_some(), "the fleet does not settle at the start: size={size} seed={seed}");
+    assert!(
+        took.is_some(),
+        "the fleet does not settle at the start: size={size} seed={seed}"
+    );
     world
 }
 
 /// What each seed comes to, on several threads.
 fn each<T: Send>(seeds: u64, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
-    let threads = std::thread::available_parallelism().map_or(2, |n| n.get()).clamp(2, 5) - 1;
+    let threads = std::thread::available_parallelism()
+        .map_or(2, |n| n.get())
+        .clamp(2, 5)
+        - 1;
     let (next, done) = (AtomicU64::new(0), Mutex::new(BTreeMap::new()));
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -39,7 +46,10 @@
             });
         }
     });
-    done.into_inner().expect("no holder panics").into_values().collect()
+    done.into_inner()
+        .expect("no holder panics")
+        .into_values()
+        .collect()
 }
 
 fn percent(all: &mut [i64], p: f64) -> f64 {
@@ -50,7 +60,10 @@
 
 fn line(what: &str, size: usize, all: &mut [i64]) {
     let (p50, p99, most) = (percent(all, 0.5), percent(all, 0.99), percent(all, 1.0));
-    println!("{what} size={size} n={} p50={p50:.2} p99={p99:.2} most={most:.2}", all.len());
+    println!(
+        "{what} size={size} n={} p50={p50:.2} p99={p99:.2} most={most:.2}",
+        all.len()
+    );
 }
 
 fn main() {
@@ -64,7 +77,11 @@
     let (size, seeds): (usize, u64) = (size.parse().unwrap(), seeds.parse().unwrap());
     let mut rules = Rules::default();
     // Lifeguard's ideas, one of which may be left out.
-    let without = more.iter().skip_while(|w| *w != "without").nth(1).map(String::as_str);
+    let without = more
+        .iter()
+        .skip_while(|w| *w != "without")
+        .nth(1)
+        .map(String::as_str);
     match without {
         None => {}
         Some("health") => rules.lifeguard.health = false,
@@ -96,12 +113,27 @@
                 world.crash(victim);
                 let knows = |w: &World, i: usize| w.held(i, &name) == Some(State::Down);
                 let others: Vec<usize> = world.running();
-                let one = world.wait(60 * S, |w| others.iter().any(|i| knows(w, *i))).unwrap_or(999 * S);
-                let rest = world.wait(60 * S, |w| others.iter().all(|i| knows(w, *i))).unwrap_or(999 * S);
-                [one, one + rest, one + rest + world.wait(60 * S, World::settled).unwrap_or(999 * S)]
+                let one = world
+                    .wait(60 * S, |w| others.iter().any(|i| knows(w, *i)))
+                    .unwrap_or(999 * S);
+                let rest = world
+                    .wait(60 * S, |w| others.iter().all(|i| knows(w, *i)))
+                    .unwrap_or(999 * S);
+                [
+                    one,
+                    one + rest,
+                    one + rest + world.wait(60 * S, World::settled).unwrap_or(999 * S),
+                ]
             });
-            for (i, what) in ["crash-first", "crash-all-know", "crash-all-equal"].into_iter().enumerate() {
-                line(what, size, &mut all.iter().map(|t| t[i]).collect::<Vec<_>>());
+            for (i, what) in ["crash-first", "crash-all-know", "crash-all-equal"]
+                .into_iter()
+                .enumerate()
+            {
+                line(
+                    what,
+                    size,
+                    &mut all.iter().map(|t| t[i]).collect::<Vec<_>>(),
+                );
             }
         }
         "heal" => {
@@ -109,8 +141,15 @@
                 let mut world = started(&rules, size, seed);
                 world.split(|i| i % 2);
                 world.run(60 * S);
-                let half = |i| world.fleet(i).is_some_and(|f| f.members().taking_part() <= size.div_ceil(2));
-                assert!((0..size).all(half), "the halves hold each other dead: {seed}");
+                let half = |i| {
+                    world
+                        .fleet(i)
+                        .is_some_and(|f| f.members().taking_part() <= size.div_ceil(2))
+                };
+                assert!(
+                    (0..size).all(half),
+                    "the halves hold each other dead: {seed}"
+                );
                 world.heal();
                 world.wait(120 * S, World::settled).unwrap_or(999 * S)
             });
@@ -125,7 +164,9 @@
                 let before: Vec<_> = (0..size).map(|i| world.sent(i)).collect();
                 world.run(60 * S);
                 let rate = |of: fn(pipitlever_cluster_testing::sim::Sent) -> u64| {
-                    let all: Vec<u64> = (0..size).map(|i| of(world.sent(i)) - of(before[i])).collect();
+                    let all: Vec<u64> = (0..size)
+                        .map(|i| of(world.sent(i)) - of(before[i]))
+                        .collect();
                     (
                         all.iter().sum::<u64>() as f64 / size as f64 / 60.0,
                         *all.iter().max().unwrap() as f64 / 60.0,
@@ -169,8 +210,13 @@
                     world.run(60 * S);
                     for (_, _, event) in world.history.drain(..) {
                         match event {
-                            Event::Changed { state: State::Down, .. } => down += 1,
-                            Event::Changed { state: State::Suspect, .. } => suspect += 1,
+                            Event::Changed {
+                                state: State::Down, ..
+                            } => down += 1,
+                            Event::Changed {
+                                state: State::Suspect,
+                                ..
+                            } => suspect += 1,
                             _ => {}
                         }
                     }
--- a/crates/cluster-testing/examples/sessions.rs
+++ b/crates/cluster-testing/examples/sessions.rs
@@ -1,5 +1,6 @@
-//! Many sessions through many versions that keep their worker, with a tenth of the messages lost and nodes that restart: who moved
-//! without a cause. `cargo run --release -p pipitlever-cluster-testing --example sessions -- NODES SESSIONS VERSIONS SEED`
+//! Many sessions through many versions that keep their worker, with a tenth of the messages lost
+//! and nodes that restart: who moved without a cause. `cargo run --release -p
+//! pipitlever-cluster-testing --example sessions -- NODES SESSIONS VERSIONS SEED`
 
 use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
 use std::time::Instant;
@@ -7,19 +8,31 @@
 const S: i64 = 1_000_000;
 
 fn main() {
-    let words: Vec<u64> = std::env::args().skip(1).filter_map(|w| w.parse().ok()).collect();
+    let words: Vec<u64> = std::env::args()
+        .skip(1)
+        .filter_map(|w| w.parse().ok())
+        .collect();
     let [nodes, sessions, versions, seed] = words[..] else {
         return eprintln!("usage: sessions NODES SESSIONS VERSIONS SEED");
     };
     let started = Instant::now();
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut workers: Vec<(u32, f64, bool)> = (0..12).map(|w| (w, 1.0, true)).collect();
-    let ways = Ways { loss: 10.0, twice: 2.0, delay: 4_000, late: 0.0, news: 500_000 };
+    let ways = Ways {
+        loss: 10.0,
+        twice: 2.0,
+        delay: 4_000,
+        late: 0.0,
+        news: 500_000,
+    };
     let mut world = World::new(nodes as usize, pool(&workers, 5 * S), ways, seed);
     while !world.filled() {
         world.run_until(world.now + S);
     }
-    println!("{nodes} nodes had what they are to remember {} s after they all started", world.now / S);
+    println!(
+        "{nodes} nodes had what they are to remember {} s after they all started",
+        world.now / S
+    );
     let mut places: Vec<u32> = Vec::new();
     let (mut asked, mut waited, mut longest, mut nowhere) = (0u64, 0i64, 0i64, 0u64);
     let mut ask = |world: &mut World, rng: &mut fastrand::Rng, key: u64| loop {
@@ -42,7 +55,8 @@
     let (mut without_cause, mut with_cause, mut wanted) = (0u64, 0u64, 0u64);
     let mut next = 12;
     for version in 0..versions {
-        // Each tenth one takes a worker away; the others add one, and change the weights and the order.
+        // Each tenth one takes a worker away; the others add one, and change the weights and the
+        // order.
         let gone = (version % 10 == 9).then(|| workers.remove(rng.usize(0..workers.len())).0);
         if gone.is_none() {
             workers.push((next, 1.0, true));
--- a/crates/cluster-testing/src/crowd.rs
+++ b/crates/cluster-testing/src/crowd.rs
@@ -15,7 +15,12 @@
 static PORT: AtomicU16 = AtomicU16::new(0);
 
 fn address(place: usize) -> SocketAddr {
-    let ip = [127, 80, (place >> 8) as u8, place as u8 + u8::from(place == 0)];
+    let ip = [
+        127,
+        80,
+        (place >> 8) as u8,
+        place as u8 + u8::from(place == 0),
+    ];
     (ip, PORT.load(Ordering::Relaxed) + u16::from(place == 0)).into()
 }
 
@@ -29,14 +34,20 @@
     /// So many members, of which the real process is one.
     pub fn start(members: usize) -> Crowd {
         let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
-        PORT.store(listener.local_addr().expect("an address").port(), Ordering::Relaxed);
+        PORT.store(
+            listener.local_addr().expect("an address").port(),
+            Ordering::Relaxed,
+        );
         let stop = Arc::new(AtomicBool::new(false));
         let told = stop.clone();
         let (ready, up) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
-            let sockets: Vec<UdpSocket> =
-                (1..members).map(|i| UdpSocket::bind(address(i)).expect("its address")).collect();
-            sockets.iter().for_each(|s| s.set_nonblocking(true).expect("no blocking"));
+            let sockets: Vec<UdpSocket> = (1..members)
+                .map(|i| UdpSocket::bind(address(i)).expect("its address"))
+                .collect();
+            sockets
+                .iter()
+                .for_each(|s| s.set_nonblocking(true).expect("no blocking"));
             listener.set_nonblocking(true).expect("no blocking");
             let mut world = World::new(Rules::default(), members, 1);
             world.record = false;
@@ -48,7 +59,10 @@
             carry(&mut world, &sockets, &listener, &told);
         });
         up.recv().expect("the crowd is up");
-        Crowd { stop, thread: Some(thread) }
+        Crowd {
+            stop,
+            thread: Some(thread),
+        }
     }
 
     /// Where the real process meets it.
@@ -69,14 +83,22 @@
     let mut bytes = vec![0; 64 << 10];
     let mut real: Option<SocketAddr> = None;
     while !stop.load(Ordering::Relaxed) {
-        let mut fds: Vec<PollFd> = sockets.iter().map(|s| PollFd::new(s, PollFlags::IN)).collect();
-        let wait = Timespec { tv_sec: 0, tv_nsec: 1_000_000 };
+        let mut fds: Vec<PollFd> = sockets
+            .iter()
+            .map(|s| PollFd::new(s, PollFlags::IN))
+            .collect();
+        let wait = Timespec {
+            tv_sec: 0,
+            tv_nsec: 1_000_000,
+        };
         let _ = poll(&mut fds, Some(&wait));
         let ready: Vec<bool> = fds.iter().map(|fd| !fd.revents().is_empty()).collect();
         for (i, socket) in sockets.iter().enumerate().filter(|(i, _)| ready[*i]) {
             while let Ok((length, _)) = socket.recv_from(&mut bytes) {
                 // Where it says that it is: through no relay, as none is asked to hurt it.
-                if let Ok(packet) = pipitlever_membership::message::Packet::read("rig", &bytes[..length]) {
+                if let Ok(packet) =
+                    pipitlever_membership::message::Packet::read("rig", &bytes[..length])
+                {
                     real = Some(packet.from.record.details.address);
                     world.bridge(address, 0, packet.from.record.details.address);
                 }
@@ -85,7 +107,9 @@
         }
         if let Ok((stream, _)) = listener.accept() {
             let place = stream.local_addr().map_or(1, |at| match at.ip() {
-                std::net::IpAddr::V4(ip) => usize::from(ip.octets()[2]) << 8 | usize::from(ip.octets()[3]),
+                std::net::IpAddr::V4(ip) => {
+                    usize::from(ip.octets()[2]) << 8 | usize::from(ip.octets()[3])
+                }
                 std::net::IpAddr::V6(_) => 1,
             });
             let _ = settle(world, place, stream);
@@ -102,12 +126,16 @@
 /// One member makes its view and the real process's equal.
 fn settle(world: &mut World, place: usize, mut stream: TcpStream) -> Option<()> {
     stream.set_nonblocking(false).ok()?;
-    stream.set_read_timeout(Some(Duration::from_millis(200))).ok()?;
+    stream
+        .set_read_timeout(Some(Duration::from_millis(200)))
+        .ok()?;
     let mut session = Session::answer();
     let mut bytes = [0; 4096];
     while !session.over() {
         let read = stream.read(&mut bytes).ok().filter(|n| *n > 0)?;
-        world.tell(place, |fleet, now| session.feed(fleet, now, &bytes[..read]).ok())??;
+        world.tell(place, |fleet, now| {
+            session.feed(fleet, now, &bytes[..read]).ok()
+        })??;
         while let Some(piece) = world.tell(place, |fleet, now| session.piece(fleet, now))? {
             stream.write_all(&piece).ok()?;
         }
--- a/crates/cluster-testing/src/demand.rs
+++ b/crates/cluster-testing/src/demand.rs
@@ -1,5 +1,6 @@
-//! Callers that try again, on nodes with the decision module in them, beside the simulated fleet: what it is worth that a node
-//! knows of the others when it refuses. Work is emulated: cores that are shared by all that is read and run.
+//! Callers that try again, on nodes with the decision module in them, beside the simulated fleet:
+//! what it is worth that a node knows of the others when it refuses. Work is emulated: cores that
+//! are shared by all that is read and run.
 
 use crate::sim::World;
 use fastrand::Rng;
@@ -55,7 +56,8 @@
     pub asked_short: f64,
     /// As above.
     pub served_short: f64,
-    /// Refusals, and those that said that there is nowhere to go: by the module, and by the view alone.
+    /// Refusals, and those that said that there is nowhere to go: by the module, and by the view
+    /// alone.
     pub refused: u64,
     /// As above.
     pub told: u64,
@@ -134,7 +136,9 @@
         elsewhere: Elsewhere::default(),
         up: true,
     };
-    let mut servers: Vec<Server> = (0..case.nodes).map(|i| server(seed * 1000 + i as u64)).collect();
+    let mut servers: Vec<Server> = (0..case.nodes)
+        .map(|i| server(seed * 1000 + i as u64))
+        .collect();
     let mut asks: Vec<Ask> = Vec::new();
     let mut due: BTreeMap<(Micros, u64), usize> = BTreeMap::new();
     let (mut away, mut levels) = (vec![0; case.nodes], vec![0.0; case.nodes]);
@@ -185,7 +189,16 @@
             let worth = [1.0, 2.0, 5.0][class];
             let rank = (class as f64 + rng.f64()) / 3.0;
             let work = WORK * (0.7 + 0.6 * rng.f64());
-            asks.push(Ask { class, rank, worth, work, born: now, heeds, tried: Vec::new(), over: false });
+            asks.push(Ask {
+                class,
+                rank,
+                worth,
+                work,
+                born: now,
+                heeds,
+                tried: Vec::new(),
+                over: false,
+            });
             result.requests += 1;
             result.asked += worth;
             if (third..two).contains(&now) {
@@ -195,7 +208,8 @@
             due.insert((now + rng.i64(0..STEP), count), asks.len() - 1);
             expected -= 1.0;
         }
-        // Tries that are due go to a node that is on the list, not tried yet, and not to be kept away from.
+        // Tries that are due go to a node that is on the list, not tried yet, and not to be kept
+        // away from.
         while let Some(entry) = due.first_entry().filter(|e| e.key().0 <= now) {
             let at = entry.remove();
             let ask = &mut asks[at];
@@ -222,9 +236,16 @@
             result.tries += 1;
             next_id += 1;
             let left = WORK * READING;
-            servers[node]
-                .tries
-                .insert(next_id, Try { request: at, left, running: false, on_cores: true, started: 0 });
+            servers[node].tries.insert(
+                next_id,
+                Try {
+                    request: at,
+                    left,
+                    running: false,
+                    on_cores: true,
+                    started: 0,
+                },
+            );
         }
         for i in 0..case.nodes {
             if !servers[i].up {
@@ -234,8 +255,11 @@
             step_cores(&mut servers[i], CORES, now, &asks, &mut events);
             let ticks: Vec<u64> = {
                 let s = &mut servers[i];
-                let ready: Vec<(Micros, u64)> =
-                    s.timers.range(..=(now, u64::MAX)).map(|(k, ())| *k).collect();
+                let ready: Vec<(Micros, u64)> = s
+                    .timers
+                    .range(..=(now, u64::MAX))
+                    .map(|(k, ())| *k)
+                    .collect();
                 s.timers.retain(|k, ()| !ready.contains(k));
                 ready.into_iter().map(|(_, tag)| tag).collect()
             };
@@ -253,8 +277,12 @@
             let mut actions = Vec::new();
             servers[i].module.step(now, &events, &mut actions);
             for event in &events {
-                let Event::Finished { id, .. } = event else { continue };
-                let Some(done) = servers[i].tries.remove(id) else { continue };
+                let Event::Finished { id, .. } = event else {
+                    continue;
+                };
+                let Some(done) = servers[i].tries.remove(id) else {
+                    continue;
+                };
                 let ask = &mut asks[done.request];
                 let aim = [2_700_000, 2_200_000, 2_200_000][ask.class];
                 if !ask.over && now - ask.born <= aim {
@@ -274,8 +302,14 @@
                                 (asks[t.request].work, true, true, now);
                         }
                     }
-                    Action::Refuse { id, backoff, no_retry } => {
-                        let Some(t) = servers[i].tries.remove(&id) else { continue };
+                    Action::Refuse {
+                        id,
+                        backoff,
+                        no_retry,
+                    } => {
+                        let Some(t) = servers[i].tries.remove(&id) else {
+                            continue;
+                        };
                         let ask = &mut asks[t.request];
                         levels[i] = servers[i].level;
                         if backoff > 0 {
@@ -322,12 +356,15 @@
         world.tell(i, |fleet, now| {
             fleet.say(Standing::Serving, b"");
             fleet.load(now, cut);
-            server.elsewhere.see(now, fleet.name(), fleet.members(), fleet.cut_off());
+            server
+                .elsewhere
+                .see(now, fleet.name(), fleet.members(), fleet.cut_off());
         });
     }
 }
 
-/// All that is on the cores gets on; what was read arrives at the module, and what has run has ended.
+/// All that is on the cores gets on; what was read arrives at the module, and what has run has
+/// ended.
 fn step_cores(server: &mut Server, cores: f64, now: Micros, asks: &[Ask], events: &mut Vec<Event>) {
     let on = server.tries.values().filter(|t| t.on_cores).count() as f64;
     server.used += 0.1 * ((on / cores).min(1.0) - server.used);
@@ -339,7 +376,11 @@
         }
         t.on_cores = false;
         if t.running {
-            events.push(Event::Finished { id: *id, took: now - t.started, outcome: Outcome::Done });
+            events.push(Event::Finished {
+                id: *id,
+                took: now - t.started,
+                outcome: Outcome::Done,
+            });
         } else {
             let ask = &asks[t.request];
             events.push(Event::Arrived(Request {
--- a/crates/cluster-testing/src/parties.rs
+++ b/crates/cluster-testing/src/parties.rs
@@ -1,5 +1,5 @@
-//! Those that a node talks to beside the fleet, as small as their pages allow, and the rules that hold between what was asked,
-//! run and answered.
+//! Those that a node talks to beside the fleet, as small as their pages allow, and the rules that
+//! hold between what was asked, run and answered.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -54,15 +54,23 @@
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         match words[..] {
             ["hello", _] => stream.write_all(b"hi running 60000\r\n").ok()?,
-            ["usage", tag] => stream.write_all(format!("used {tag} 0.5 1 0.1 2\r\n").as_bytes()).ok()?,
+            ["usage", tag] => stream
+                .write_all(format!("used {tag} 0.5 1 0.1 2\r\n").as_bytes())
+                .ok()?,
             ["begin", id, _, length] => {
                 let mut body = vec![0; length.parse::<usize>().ok()? + 2];
                 lines.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
-                *runs.lock().expect("no holder panics").entry(body.clone()).or_default() += 1;
+                *runs
+                    .lock()
+                    .expect("no holder panics")
+                    .entry(body.clone())
+                    .or_default() += 1;
                 notices += 1;
                 let head = format!("complete {notices} {id} fine 3.5 {}\r\n", body.len());
-                stream.write_all(&[head.as_bytes(), &body, b"\r\n"].concat()).ok()?;
+                stream
+                    .write_all(&[head.as_bytes(), &body, b"\r\n"].concat())
+                    .ok()?;
             }
             _ => return None,
         }
@@ -100,7 +108,8 @@
 }
 
 impl Caller {
-    /// Asks the node that is there at the time, one request after another, every second one with a key.
+    /// Asks the node that is there at the time, one request after another, every second one with a
+    /// key.
     pub fn start(name: usize, at: impl Fn() -> Option<SocketAddr> + Send + 'static) -> Caller {
         let stop = Arc::new(AtomicBool::new(false));
         let told = stop.clone();
@@ -125,8 +134,16 @@
     }
 }
 
-fn call(name: usize, stream: TcpStream, asked: &mut Asked, count: &mut u64, stop: &AtomicBool) -> Option<()> {
-    stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
+fn call(
+    name: usize,
+    stream: TcpStream,
+    asked: &mut Asked,
+    count: &mut u64,
+    stop: &AtomicBool,
+) -> Option<()> {
+    stream
+        .set_read_timeout(Some(Duration::from_secs(10)))
+        .ok()?;
     let mut lines = BufReader::new(stream.try_clone().ok()?);
     let mut stream = stream;
     for id in 1.. {
@@ -135,7 +152,10 @@
         }
         *count += 1;
         let body = format!("caller {name} request {count}").into_bytes();
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).ok()?.as_millis() as u64;
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .ok()?
+            .as_millis() as u64;
         let keyed = count.is_multiple_of(2);
         let mut params = json!({"ref": format!("{:08x}{count:08x}", name + 1), "since": since, "sender": name,
             "allow": 4000, "effort": 12.5, "room": 24.5, "class_rank": 0.625, "doc": STANDARD.encode(&body)});
@@ -173,17 +193,24 @@
         if said["id"] != id {
             return Some(Heard::Wrong);
         }
-        return Some(match (&said["result"]["doc"], said["error"]["code"].as_i64()) {
-            (Value::String(doc), None) if STANDARD.decode(doc).is_ok_and(|d| d == body) => Heard::Served,
-            (Value::Null, Some(-32000)) => Heard::Refused,
-            (Value::Null, Some(_)) => Heard::Failed,
-            _ => Heard::Wrong,
-        });
+        return Some(
+            match (&said["result"]["doc"], said["error"]["code"].as_i64()) {
+                (Value::String(doc), None) if STANDARD.decode(doc).is_ok_and(|d| d == body) => {
+                    Heard::Served
+                }
+                (Value::Null, Some(-32000)) => Heard::Refused,
+                (Value::Null, Some(_)) => Heard::Failed,
+                _ => Heard::Wrong,
+            },
+        );
     }
 }
 
 /// Holds what callers heard against what processors ran; what is wrong, if anything is.
-pub fn check(asked: &[Asked], runs: &[&Processor]) -> Result<BTreeMap<&'static str, usize>, String> {
+pub fn check(
+    asked: &[Asked],
+    runs: &[&Processor],
+) -> Result<BTreeMap<&'static str, usize>, String> {
     let mut ran: BTreeMap<Vec<u8>, usize> = BTreeMap::new();
     for processor in runs {
         for (body, times) in processor.runs.lock().expect("no holder panics").iter() {
@@ -214,9 +241,15 @@
 /// The processor time that a process has used, in milliseconds.
 pub fn cpu_ms(process: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    let fields: Vec<f64> =
-        text.rsplit(") ").next().unwrap_or_default().split(' ').filter_map(|w| w.parse().ok()).collect();
-    // Of the fields behind the name the first is a letter; user and system time come eleven and twelve later, in hundredths.
+    let fields: Vec<f64> = text
+        .rsplit(") ")
+        .next()
+        .unwrap_or_default()
+        .split(' ')
+        .filter_map(|w| w.parse().ok())
+        .collect();
+    // Of the fields behind the name the first is a letter; user and system time come eleven and
+    // twelve later, in hundredths.
     fields.get(10..12).map_or(0.0, |t| 10.0 * (t[0] + t[1]))
 }
 
@@ -224,14 +257,15 @@
 pub fn memory_mb(process: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse::<f64>().ok()).map_or(0.0, |kb| kb / 1024.0)
+    line.and_then(|l| l.split_whitespace().next()?.parse::<f64>().ok())
+        .map_or(0.0, |kb| kb / 1024.0)
 }
 
 /// Connections that an open loop spreads its requests over: each has some open at most.
 const WAYS: u64 = 8;
 
-/// Plain reads at a fixed rate a second, whatever becomes of those before: their latencies from the time that each was due, and
-/// what `cpu` grew by.
+/// Plain reads at a fixed rate a second, whatever becomes of those before: their latencies from the
+/// time that each was due, and what `cpu` grew by.
 pub fn open_loop(at: SocketAddr, rate: u64, time: Duration, cpu: impl Fn() -> f64) -> String {
     let (count, start, before) = (rate * time.as_secs(), Instant::now(), cpu());
     let due = move |number: u64| start + Duration::from_micros(number * 1_000_000 / rate);
@@ -249,8 +283,12 @@
                 if lines.read_line(&mut line).unwrap_or(0) == 0 {
                     break;
                 }
-                let Ok(said) = serde_json::from_str::<Value>(&line) else { break };
-                let Some(id) = said["id"].as_u64() else { continue };
+                let Ok(said) = serde_json::from_str::<Value>(&line) else {
+                    break;
+                };
+                let Some(id) = said["id"].as_u64() else {
+                    continue;
+                };
                 served += u64::from(said["result"].is_object());
                 took.push(due((id - 1) * WAYS + way).elapsed());
             }
@@ -259,11 +297,12 @@
     }
     for number in 0..count {
         std::thread::sleep(due(number).saturating_duration_since(Instant::now()));
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        let since = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64);
         let params = json!({"ref": format!("{number:016x}"), "since": since, "sender": 1, "allow": 4000,
             "effort": 12.5, "room": 24.5, "class_rank": 0.625, "doc": STANDARD.encode(b"a plain view")});
-        let message =
-            json!({"jsonrpc": "2.0", "id": number / WAYS + 1, "method": "rota-view", "params": params});
+        let message = json!({"jsonrpc": "2.0", "id": number / WAYS + 1, "method": "rota-view", "params": params});
         let _ = ways[(number % WAYS) as usize].write_all(format!("{message}\n").as_bytes());
     }
     let (mut took, mut served) = (Vec::new(), 0);
@@ -273,7 +312,15 @@
         served += count;
     }
     took.sort();
-    let at = |p: f64| took.get((took.len() as f64 * p) as usize).copied().unwrap_or_default();
+    let at = |p: f64| {
+        took.get((took.len() as f64 * p) as usize)
+            .copied()
+            .unwrap_or_default()
+    };
     let cpu = (cpu() - before) / start.elapsed().as_secs_f64();
-    format!("{rate}/s served={served} of {count} p50={:?} p99={:?} cpu={cpu:.1} ms/s", at(0.5), at(0.99))
+    format!(
+        "{rate}/s served={served} of {count} p50={:?} p99={:?} cpu={cpu:.1} ms/s",
+        at(0.5),
+        at(0.99)
+    )
 }
--- a/crates/cluster-testing/src/processes.rs
+++ b/crates/cluster-testing/src/processes.rs
@@ -1,5 +1,6 @@
-//! Several processes of the built program, each with a processor of its own and a relay before its fleet's address. What each
-//! says is kept, with the time. They end with the thread that started them.
+//! Several processes of the built program, each with a processor of its own and a relay before its
+//! fleet's address. What each says is kept, with the time. They end with the thread that started
+//! them.
 
 use crate::parties::{Caller, Processor};
 use crate::relay::{bind_address, Links, Relay};
@@ -25,7 +26,8 @@
     pub folder: PathBuf,
     /// Time between probes, in milliseconds.
     pub probe_ms: u64,
-    /// Others that it is to meet, in the place of the first two nodes and without a relay; and whether the nodes are in a fleet at all.
+    /// Others that it is to meet, in the place of the first two nodes and without a relay; and
+    /// whether the nodes are in a fleet at all.
     pub seeds: Vec<SocketAddr>,
     /// As above.
     pub fleet: bool,
@@ -34,10 +36,19 @@
 }
 
 impl Spec {
-    /// Nodes of this program with these settings in a fleet that probes five times a second; `more` for the operator's file.
+    /// Nodes of this program with these settings in a fleet that probes five times a second; `more`
+    /// for the operator's file.
     pub fn new(program: &str, config: Value, folder: PathBuf, more: String) -> Spec {
         let program = program.into();
-        Spec { program, config, folder, probe_ms: 200, seeds: Vec::new(), fleet: true, more }
+        Spec {
+            program,
+            config,
+            folder,
+            probe_ms: 200,
+            seeds: Vec::new(),
+            fleet: true,
+            more,
+        }
     }
 }
 
@@ -86,7 +97,11 @@
             if left.is_zero() {
                 return None;
             }
-            lines = self.more.wait_timeout(lines, left).expect("no holder panics").0;
+            lines = self
+                .more
+                .wait_timeout(lines, left)
+                .expect("no holder panics")
+                .0;
         }
     }
 }
@@ -97,7 +112,9 @@
 impl Guarded {
     /// Sends a signal.
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.0.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([name, &self.0.id().to_string()])
+            .status();
         assert!(sent.is_ok_and(|s| s.success()), "kill {name}");
     }
 }
@@ -179,7 +196,9 @@
 pub fn call(door: SocketAddr, line: &str) -> Option<(bool, String)> {
     let mut stream = TcpStream::connect_timeout(&door, Duration::from_secs(2)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
-    stream.write_all(format!("{line} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).ok()?;
+    stream
+        .write_all(format!("{line} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes())
+        .ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     let (head, body) = text.split_once("\r\n\r\n")?;
@@ -204,7 +223,14 @@
         };
         let nodes = (0..count).map(node).collect();
         let (history, started) = (Arc::new(History::default()), Instant::now());
-        Cluster { nodes, links, history, spec, started, processes: 0 }
+        Cluster {
+            nodes,
+            links,
+            history,
+            spec,
+            started,
+            processes: 0,
+        }
     }
 
     /// So many nodes that all know each other.
@@ -216,7 +242,12 @@
     }
 
     fn note(&self, node: usize, text: String) {
-        let line = Line { at: self.started.elapsed(), node, process: 0, text };
+        let line = Line {
+            at: self.started.elapsed(),
+            node,
+            process: 0,
+            text,
+        };
         self.history.add(line);
     }
 
@@ -227,7 +258,8 @@
         self.nodes[node].process = Some(process);
     }
 
-    /// Starts a process at a node's place: under a name, and at an address if one is given. It is ready when this returns.
+    /// Starts a process at a node's place: under a name, and at an address if one is given. It is
+    /// ready when this returns.
     pub fn process(&mut self, node: usize, name: &str, listen: Option<SocketAddr>) -> Process {
         let launched = self.launch(node, name, listen);
         self.ready(launched)
@@ -249,44 +281,96 @@
             [] => format!("advertise = \"{}\"\n", n.relay.at),
             _ => String::new(),
         };
-        let first = self.nodes.iter().take(2).map(|n| n.relay.at).filter(|_| !advertise.is_empty());
-        let seeds: Vec<String> = first.chain(self.spec.seeds.clone()).map(|at| format!("\"{at}\"")).collect();
+        let first = self
+            .nodes
+            .iter()
+            .take(2)
+            .map(|n| n.relay.at)
+            .filter(|_| !advertise.is_empty());
+        let seeds: Vec<String> = first
+            .chain(self.spec.seeds.clone())
+            .map(|at| format!("\"{at}\""))
+            .collect();
         let mut operator = format!(
             "[fleet]\nname = \"rig\"\nbind = \"{}:0\"\n{advertise}seeds = [{}]\nprobe_ms = {}\n",
             bind_address(node),
             seeds.join(", "),
             self.spec.probe_ms
         );
-        operator += &self.spec.more.replace("FOLDER", &n.folder.display().to_string());
-        let files = [n.folder.join(format!("{number}.json")), n.folder.join(format!("{number}.toml"))];
+        operator += &self
+            .spec
+            .more
+            .replace("FOLDER", &n.folder.display().to_string());
+        let files = [
+            n.folder.join(format!("{number}.json")),
+            n.folder.join(format!("{number}.toml")),
+        ];
         std::fs::write(&files[0], config.to_string()).expect("a file");
-        std::fs::write(&files[1], if self.spec.fleet { operator } else { String::new() }).expect("a file");
+        std::fs::write(
+            &files[1],
+            if self.spec.fleet {
+                operator
+            } else {
+                String::new()
+            },
+        )
+        .expect("a file");
         // Ended by the system when the thread that starts it ends, whatever ends that.
         let mut command = Command::new("setpriv");
-        command.args(["--pdeathsig", "KILL", "--"]).arg(&self.spec.program).arg("serve");
-        command.arg("--config").arg(&files[0]).arg("--operator").arg(&files[1]).env("TMPDIR", &n.folder);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .args(["--pdeathsig", "KILL", "--"])
+            .arg(&self.spec.program)
+            .arg("serve");
+        command
+            .arg("--config")
+            .arg(&files[0])
+            .arg("--operator")
+            .arg(&files[1])
+            .env("TMPDIR", &n.folder);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let behind = self.history.lines().len();
         let mut child = command.spawn().expect("setpriv and the program start");
         let log = BufReader::new(child.stderr.take().expect("a pipe"));
         let (history, started) = (self.history.clone(), self.started);
         std::thread::spawn(move || {
             for text in log.lines().map_while(Result::ok) {
-                history.add(Line { at: started.elapsed(), node, process: number, text });
+                history.add(Line {
+                    at: started.elapsed(),
+                    node,
+                    process: number,
+                    text,
+                });
             }
         });
-        Launched { child: Guarded(child), number, node, behind }
+        Launched {
+            child: Guarded(child),
+            number,
+            node,
+            behind,
+        }
     }
 
     /// Waits until a process is ready.
     pub fn ready(&self, launched: Launched) -> Process {
-        let Launched { child, number, node, behind } = launched;
+        let Launched {
+            child,
+            number,
+            node,
+            behind,
+        } = launched;
         let said = |part: &str, field: &str| -> SocketAddr {
-            let line = self.history.wait(behind, |l| l.process == number && l.text.contains(part));
-            let line =
-                line.unwrap_or_else(|| panic!("n{node} does not say {part}: {:#?}", self.tail(node))).text;
+            let line = self
+                .history
+                .wait(behind, |l| l.process == number && l.text.contains(part));
+            let line = line
+                .unwrap_or_else(|| panic!("n{node} does not say {part}: {:#?}", self.tail(node)))
+                .text;
             let word = line.split(' ').find_map(|w| w.strip_prefix(field));
-            word.and_then(|w| w.parse().ok()).unwrap_or_else(|| panic!("no {field} in {line}"))
+            word.and_then(|w| w.parse().ok())
+                .unwrap_or_else(|| panic!("no {field} in {line}"))
         };
         let gateways = said("protocol=json-rpc", "listen=");
         let door = said("protocol=control", "address=");
@@ -294,7 +378,12 @@
             self.nodes[node].relay.aim(said("fleet: serving", "bind="));
         }
         *self.nodes[node].gateways.lock().expect("no holder panics") = Some(gateways);
-        Process { child, number, gateways, door }
+        Process {
+            child,
+            number,
+            gateways,
+            door,
+        }
     }
 
     /// Replaces text in a node's operator's file, and says so to its process.
@@ -311,8 +400,11 @@
     /// The last lines of a node.
     pub fn tail(&self, node: usize) -> Vec<String> {
         let lines = self.history.lines();
-        let mut of: Vec<String> =
-            lines.iter().filter(|l| l.node == node).map(|l| format!("{:?} {}", l.at, l.text)).collect();
+        let mut of: Vec<String> = lines
+            .iter()
+            .filter(|l| l.node == node)
+            .map(|l| format!("{:?} {}", l.at, l.text))
+            .collect();
         of.drain(..of.len().saturating_sub(25));
         of
     }
@@ -320,7 +412,11 @@
     /// Sends a signal to a node's process.
     pub fn signal(&self, node: usize, name: &str) {
         self.note(node, format!("rig: {name}"));
-        self.nodes[node].process.as_ref().expect("it runs").signal(name);
+        self.nodes[node]
+            .process
+            .as_ref()
+            .expect("it runs")
+            .signal(name);
     }
 
     /// Kills a node's process.
@@ -340,12 +436,18 @@
     /// What one node holds another one to be.
     pub fn held(&self, at: usize, of: &str) -> Option<Value> {
         let view = self.view(at)?;
-        view["members"].as_array()?.iter().find(|m| m["name"] == of).cloned()
+        view["members"]
+            .as_array()?
+            .iter()
+            .find(|m| m["name"] == of)
+            .cloned()
     }
 
     /// The nodes with a process.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|i| self.nodes[*i].process.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|i| self.nodes[*i].process.is_some())
+            .collect()
     }
 
     /// Waits until something is so, as the doors have it.
@@ -367,10 +469,19 @@
     pub fn agree(&self, nodes: &[usize]) -> bool {
         let mut digests = Vec::new();
         for i in nodes {
-            let Some(view) = self.view(*i) else { return false };
+            let Some(view) = self.view(*i) else {
+                return false;
+            };
             let alive = |m: &&Value| m["state"] == "alive";
-            let alive: Vec<_> = view["members"].as_array().into_iter().flatten().filter(alive).collect();
-            let all = nodes.iter().all(|n| alive.iter().any(|m| m["name"] == self.nodes[*n].name));
+            let alive: Vec<_> = view["members"]
+                .as_array()
+                .into_iter()
+                .flatten()
+                .filter(alive)
+                .collect();
+            let all = nodes
+                .iter()
+                .all(|n| alive.iter().any(|m| m["name"] == self.nodes[*n].name));
             if view["settled"] != true || !all || alive.len() != nodes.len() {
                 return false;
             }
@@ -393,6 +504,10 @@
 
     /// Lines of all nodes that hold this, with the node.
     pub fn said(&self, part: &str) -> Vec<Line> {
-        self.history.lines().into_iter().filter(|l| l.text.contains(part)).collect()
+        self.history
+            .lines()
+            .into_iter()
+            .filter(|l| l.text.contains(part))
+            .collect()
     }
 }
--- a/crates/cluster-testing/src/relay.rs
+++ b/crates/cluster-testing/src/relay.rs
@@ -1,6 +1,6 @@
-//! What stands between every two processes of a fleet. Each node tells the others an address of the relay as its own; the
-//! relay knows the sender by its source address, and so each directed link can be hurt by itself, for datagrams and
-//! connections, with nothing of it in the product.
+//! What stands between every two processes of a fleet. Each node tells the others an address of the
+//! relay as its own; the relay knows the sender by its source address, and so each directed link
+//! can be hurt by itself, for datagrams and connections, with nothing of it in the product.
 
 use fastrand::Rng;
 use std::collections::{BTreeMap, HashMap};
@@ -40,12 +40,20 @@
 impl Links {
     /// How one is.
     pub fn get(&self, from: usize, to: usize) -> Link {
-        self.all.lock().expect("no holder panics").get(&(from, to)).copied().unwrap_or_default()
+        self.all
+            .lock()
+            .expect("no holder panics")
+            .get(&(from, to))
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Changes one.
     pub fn set(&self, from: usize, to: usize, link: Link) {
-        self.all.lock().expect("no holder panics").insert((from, to), link);
+        self.all
+            .lock()
+            .expect("no holder panics")
+            .insert((from, to), link);
     }
 
     /// Cuts those between different groups, and no other.
@@ -53,7 +61,13 @@
         let mut all = self.all.lock().expect("no holder panics");
         for from in 0..count {
             for to in 0..count {
-                all.insert((from, to), Link { cut: group(from) != group(to), ..Link::default() });
+                all.insert(
+                    (from, to),
+                    Link {
+                        cut: group(from) != group(to),
+                        ..Link::default()
+                    },
+                );
             }
         }
     }
@@ -77,7 +91,8 @@
     match at.ip() {
         IpAddr::V4(ip) => {
             let [a, b, high, low] = ip.octets();
-            (a == 127 && b == 77 && low > 0).then(|| (usize::from(high) << 8) + usize::from(low) - 1)
+            (a == 127 && b == 77 && low > 0)
+                .then(|| (usize::from(high) << 8) + usize::from(low) - 1)
         }
         IpAddr::V6(_) => None,
     }
@@ -110,7 +125,11 @@
         std::thread::spawn(move || datagrams(node, &udp, &t, &l));
         let (t, l) = (target.clone(), links.clone());
         std::thread::spawn(move || connections(node, &tcp, &t, &l));
-        Relay { at, target, links: links.clone() }
+        Relay {
+            at,
+            target,
+            links: links.clone(),
+        }
     }
 
     /// Where the node is.
@@ -146,7 +165,9 @@
             .map_or(LOOK, |((at, _), _)| *at - now)
             .clamp(Duration::from_millis(1), LOOK);
         let _ = socket.set_read_timeout(Some(next));
-        let Ok((length, from)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((length, from)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         let Some(from) = sender(from) else { continue };
         let link = links.get(from, node);
         if link.cut || rng.f64() < link.loss {
@@ -169,13 +190,18 @@
             std::thread::sleep(LOOK);
             continue;
         };
-        let (Some(from), Some(to)) = (sender(from), *target.lock().expect("no holder panics")) else {
+        let (Some(from), Some(to)) = (sender(from), *target.lock().expect("no holder panics"))
+        else {
             continue;
         };
         // The node is told who connects by the address that the others see.
-        let Ok(onward) = TcpStream::connect(to) else { continue };
+        let Ok(onward) = TcpStream::connect(to) else {
+            continue;
+        };
         let pair = (stream.try_clone(), onward.try_clone());
-        let (Ok(back), Ok(forth)) = pair else { continue };
+        let (Ok(back), Ok(forth)) = pair else {
+            continue;
+        };
         let (l, r) = (links.clone(), links.clone());
         std::thread::spawn(move || pump(stream, onward, (from, node), &l));
         std::thread::spawn(move || pump(forth, back, (node, from), &r));
--- a/crates/cluster-testing/src/sessions.rs
+++ b/crates/cluster-testing/src/sessions.rs
@@ -1,5 +1,6 @@
-//! Many nodes' parts in sessions that stay, under a virtual clock: with messages that are lost, late or come twice, nodes that come and
-//! go, halves that don't hear each other, and versions that each node takes at its own time. The same seed gives the same.
+//! Many nodes' parts in sessions that stay, under a virtual clock: with messages that are lost,
+//! late or come twice, nodes that come and go, halves that don't hear each other, and versions that
+//! each node takes at its own time. The same seed gives the same.
 
 use fastrand::Rng;
 use pipitlever_session_affinity::message::Message;
@@ -79,7 +80,14 @@
         drains: !takes,
     };
     let workers = workers.iter().map(server).collect();
-    Pool { name: "p".into(), was: Vec::new(), workers, idle: 36 * 3600, patience, linger: 36 * 3600 * S }
+    Pool {
+        name: "p".into(),
+        was: Vec::new(),
+        workers,
+        idle: 36 * 3600,
+        patience,
+        linger: 36 * 3600 * S,
+    }
 }
 
 impl World {
@@ -116,9 +124,19 @@
     pub fn start(&mut self, i: usize) {
         self.started += 1;
         let version = self.versions.len() as u64 - 1;
-        let settings = Settings { wait: 60_000, most: 4_000_000 };
+        let settings = Settings {
+            wait: 60_000,
+            most: 4_000_000,
+        };
         let pools = vec![self.versions[version as usize].clone()];
-        let mut node = Node::new(&format!("n{i}"), settings, Vec::new(), 1_000, self.started, self.now);
+        let mut node = Node::new(
+            &format!("n{i}"),
+            settings,
+            Vec::new(),
+            1_000,
+            self.started,
+            self.now,
+        );
         node.set_pools(self.now, version, pools);
         self.nodes[i] = Some(node);
         self.filled[i] = false;
@@ -188,7 +206,13 @@
         let nodes = self.nodes.iter_mut().enumerate().filter(|(i, _)| at(*i));
         for node in nodes.filter_map(|(_, n)| n.as_mut()) {
             let state = &node.pools()[0];
-            let at = |w: &u32| state.pool.workers.iter().position(|s| s.name == format!("w{w}"));
+            let at = |w: &u32| {
+                state
+                    .pool
+                    .workers
+                    .iter()
+                    .position(|s| s.name == format!("w{w}"))
+            };
             let out: Vec<u32> = workers.iter().filter_map(|w| state.id(at(w)?)).collect();
             node.left_out(now, 0, &out);
         }
@@ -207,7 +231,9 @@
     /// What each node holds of a session, for whoever looks for a fault.
     pub fn held(&self, key: u64) -> Vec<String> {
         let held = |(i, n): (usize, &Option<Node>)| {
-            let placement = n.as_ref().and_then(|n| n.placement(self.now, 0, What::Session(key)));
+            let placement = n
+                .as_ref()
+                .and_then(|n| n.placement(self.now, 0, What::Session(key)));
             placement.map(|p| format!("n{i}: {p:?}"))
         };
         self.nodes.iter().enumerate().filter_map(held).collect()
@@ -221,16 +247,24 @@
     /// The most that a node remembers, and what all of them take.
     pub fn memory(&self) -> (usize, usize) {
         let tables = || self.nodes.iter().flatten().map(Node::table);
-        (tables().map(|t| t.len()).max().unwrap_or_default(), tables().map(|t| t.bytes()).sum())
+        (
+            tables().map(|t| t.len()).max().unwrap_or_default(),
+            tables().map(|t| t.bytes()).sum(),
+        )
     }
 
     /// Does all that is due by then.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(Reverse((time, sequence))) =
-            self.events.peek().copied().filter(|Reverse((t, _))| *t <= until)
+        while let Some(Reverse((time, sequence))) = self
+            .events
+            .peek()
+            .copied()
+            .filter(|Reverse((t, _))| *t <= until)
         {
             self.events.pop();
-            let Some(event) = self.held.remove(&sequence) else { continue };
+            let Some(event) = self.held.remove(&sequence) else {
+                continue;
+            };
             self.now = self.now.max(time);
             self.happen(event);
         }
@@ -243,7 +277,9 @@
             Event::Said(from, to, bytes) => {
                 // Those who have been parted since don't hear it.
                 if self.groups[from] == self.groups[to] {
-                    if let (Some(node), Some(message)) = (&mut self.nodes[to], Message::read(&bytes)) {
+                    if let (Some(node), Some(message)) =
+                        (&mut self.nodes[to], Message::read(&bytes))
+                    {
                         node.heard(now, &format!("n{from}"), &message);
                     }
                 }
@@ -262,9 +298,15 @@
             Event::View(i) => {
                 let here = |j: &usize| *j != i && self.groups[*j] == self.groups[i];
                 let peer = |j: usize| {
-                    self.nodes[j].as_ref().map(|_| Peer { name: format!("n{j}"), filled: self.filled[j] })
+                    self.nodes[j].as_ref().map(|_| Peer {
+                        name: format!("n{j}"),
+                        filled: self.filled[j],
+                    })
                 };
-                let peers: Vec<Peer> = (0..self.nodes.len()).filter(here).filter_map(peer).collect();
+                let peers: Vec<Peer> = (0..self.nodes.len())
+                    .filter(here)
+                    .filter_map(peer)
+                    .collect();
                 if let Some(node) = &mut self.nodes[i] {
                     node.view(now, peers, true);
                 }
@@ -285,7 +327,9 @@
 
     /// Carries what a node has to say, and wakes it in time.
     fn carry(&mut self, i: usize) {
-        let Some(node) = &mut self.nodes[i] else { return };
+        let Some(node) = &mut self.nodes[i] else {
+            return;
+        };
         let out = node.take_out();
         let due = node.due().max(self.now + 1);
         let news = std::mem::replace(&mut self.filled[i], node.filled()) != node.filled();
@@ -319,9 +363,15 @@
 
     /// A keyed request whose session lives with this worker comes to a node: where it goes.
     pub fn ask_key(&mut self, i: usize, key: u64, worker: u32) -> Came {
-        let Some(node) = &self.nodes[i] else { return Came::Nowhere };
+        let Some(node) = &self.nodes[i] else {
+            return Came::Nowhere;
+        };
         let state = &node.pools()[0];
-        let at = state.pool.workers.iter().position(|s| s.name == format!("w{worker}"));
+        let at = state
+            .pool
+            .workers
+            .iter()
+            .position(|s| s.name == format!("w{worker}"));
         let worker = at.and_then(|at| state.id(at)).expect("it is in the file");
         self.look_for(i, What::Key(key, worker))
     }
@@ -329,25 +379,36 @@
     fn look_for(&mut self, i: usize, what: What) -> Came {
         self.next_request += 1;
         let (start, request) = (self.now, self.next_request);
-        let Some(node) = &mut self.nodes[i] else { return Came::Nowhere };
+        let Some(node) = &mut self.nodes[i] else {
+            return Came::Nowhere;
+        };
         let mut found = node.want(start, 0, what, request);
         while found == Found::Asked {
             self.carry(i);
-            let next = self.events.peek().map_or(self.now + S, |Reverse((t, _))| *t);
+            let next = self
+                .events
+                .peek()
+                .map_or(self.now + S, |Reverse((t, _))| *t);
             self.run_until(next);
-            let Some(node) = &mut self.nodes[i] else { return Came::Nowhere };
+            let Some(node) = &mut self.nodes[i] else {
+                return Came::Nowhere;
+            };
             // Others that wait would be told by the same; here there is one at a time.
             if let Some((_, said)) = node.take_found().into_iter().find(|(r, _)| *r == request) {
                 found = said;
             }
         }
         self.carry(i);
-        let Some(node) = &self.nodes[i] else { return Came::Nowhere };
+        let Some(node) = &self.nodes[i] else {
+            return Came::Nowhere;
+        };
         match found {
             Found::At(worker) => {
                 let state = &node.pools()[0];
                 let at = state.position(worker).expect("it is in the file");
-                let number = state.pool.workers[at].name[1..].parse().expect("a worker's number");
+                let number = state.pool.workers[at].name[1..]
+                    .parse()
+                    .expect("a worker's number");
                 Came::To(number, self.now - start)
             }
             Found::Asked | Found::Nowhere => Came::Nowhere,
--- a/crates/cluster-testing/src/sim.rs
+++ b/crates/cluster-testing/src/sim.rs
@@ -1,4 +1,5 @@
-//! Nodes of the fleet on a simulated network under a virtual clock. What a seed and a script make of it is the same each time.
+//! Nodes of the fleet on a simulated network under a virtual clock. What a seed and a script make
+//! of it is the same each time.
 
 use fastrand::Rng;
 use pipitlever_membership::event::Event;
@@ -29,7 +30,12 @@
 
 impl Default for Net {
     fn default() -> Self {
-        Net { delay: 200, jitter: 1800, loss: 0.0, twice: 0.0 }
+        Net {
+            delay: 200,
+            jitter: 1800,
+            loss: 0.0,
+            twice: 0.0,
+        }
     }
 }
 
@@ -47,9 +53,18 @@
 }
 
 enum What {
-    Datagram { to: usize, bytes: Vec<u8> },
-    Wake { node: usize },
-    Stream { id: u64, answers: bool, bytes: Vec<u8> },
+    Datagram {
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Wake {
+        node: usize,
+    },
+    Stream {
+        id: u64,
+        answers: bool,
+        bytes: Vec<u8>,
+    },
 }
 
 struct Node {
@@ -193,7 +208,8 @@
     pub fn crash(&mut self, node: usize) {
         let n = &mut self.nodes[node];
         (n.fleet, n.paused, n.wake) = (None, false, None);
-        self.streams.retain(|_, s| s.ends.iter().all(|e| e.0 != node));
+        self.streams
+            .retain(|_, s| s.ends.iter().all(|e| e.0 != node));
     }
 
     /// Has it say that it leaves, and ends it a moment later.
@@ -254,7 +270,11 @@
     }
 
     /// Has a node say something of itself.
-    pub fn tell<T>(&mut self, node: usize, tell: impl FnOnce(&mut Fleet, Micros) -> T) -> Option<T> {
+    pub fn tell<T>(
+        &mut self,
+        node: usize,
+        tell: impl FnOnce(&mut Fleet, Micros) -> T,
+    ) -> Option<T> {
         let now = self.local(node);
         let told = tell(self.nodes[node].fleet.as_mut()?, now);
         self.settle(node);
@@ -263,7 +283,9 @@
 
     /// Those that run.
     pub fn running(&self) -> Vec<usize> {
-        (0..self.nodes.len()).filter(|i| self.nodes[*i].fleet.is_some()).collect()
+        (0..self.nodes.len())
+            .filter(|i| self.nodes[*i].fleet.is_some())
+            .collect()
     }
 
     /// What a node has sent.
@@ -273,19 +295,33 @@
 
     /// What one node holds another one to be.
     pub fn held(&self, at: usize, of: &str) -> Option<State> {
-        self.fleet(at)?.members().get(of).filter(|m| !m.fading).map(|m| m.record.state)
+        self.fleet(at)?
+            .members()
+            .get(of)
+            .filter(|m| !m.fading)
+            .map(|m| m.record.state)
     }
 
-    /// Whether all that run have equal views, in which those that run are alive and the others are not.
+    /// Whether all that run have equal views, in which those that run are alive and the others are
+    /// not.
     pub fn settled(&self) -> bool {
         let running = self.running();
-        let Some(first) = running.first().and_then(|i| self.fleet(*i)) else { return true };
-        let alive =
-            first.members().iter().filter(|(_, m)| m.record.state == State::Alive && !m.fading).count();
-        let right = running.iter().all(|i| self.held(*i, &self.nodes[*i].name) == Some(State::Alive));
+        let Some(first) = running.first().and_then(|i| self.fleet(*i)) else {
+            return true;
+        };
+        let alive = first
+            .members()
+            .iter()
+            .filter(|(_, m)| m.record.state == State::Alive && !m.fading)
+            .count();
+        let right = running
+            .iter()
+            .all(|i| self.held(*i, &self.nodes[*i].name) == Some(State::Alive));
         right
             && alive == running.len()
-            && running.iter().all(|i| self.fleet(*i).is_some_and(|f| f.digest() == first.digest()))
+            && running
+                .iter()
+                .all(|i| self.fleet(*i).is_some_and(|f| f.digest() == first.digest()))
     }
 
     /// Runs until this time, if it is still to come.
@@ -348,8 +384,8 @@
         (((local - n.offset) as f64 / n.rate).ceil() as Micros).max(self.now)
     }
 
-    /// Whether a node that is slow has its turn now; else what happens to it is put off to its next one. In a turn it does
-    /// all that has come by then.
+    /// Whether a node that is slow has its turn now; else what happens to it is put off to its next
+    /// one. In a turn it does all that has come by then.
     fn late(&mut self, node: usize, what: What) -> Option<What> {
         let n = &mut self.nodes[node];
         if n.lag == 0 || n.turn == self.now {
@@ -378,7 +414,9 @@
                     }
                     return;
                 }
-                let Some(What::Datagram { bytes, .. }) = self.late(to, What::Datagram { to, bytes }) else {
+                let Some(What::Datagram { bytes, .. }) =
+                    self.late(to, What::Datagram { to, bytes })
+                else {
                     return;
                 };
                 let now = self.local(to);
@@ -393,7 +431,9 @@
                 if n.fleet.is_none() || n.paused || n.wake.is_none_or(|at| at > self.now) {
                     return;
                 }
-                let Some(_) = self.late(node, What::Wake { node }) else { return };
+                let Some(_) = self.late(node, What::Wake { node }) else {
+                    return;
+                };
                 self.nodes[node].wake = None;
                 let now = self.local(node);
                 if let Some(fleet) = &mut self.nodes[node].fleet {
@@ -407,19 +447,24 @@
 
     /// Carries out what a node wants after something has happened to it.
     fn settle(&mut self, node: usize) {
-        let Some(fleet) = &mut self.nodes[node].fleet else { return };
+        let Some(fleet) = &mut self.nodes[node].fleet else {
+            return;
+        };
         let (out, sync) = (fleet.take_out(), fleet.take_sync());
         let (events, _) = fleet.take_events();
         let next = fleet.next_wake();
         if self.record {
             let now = self.now;
-            self.history.extend(events.into_iter().map(|e| (now, node, e)));
+            self.history
+                .extend(events.into_iter().map(|e| (now, node, e)));
         }
         for (to, bytes) in out {
             let sent = &mut self.nodes[node].sent;
             sent.datagrams += 1;
             sent.bytes += bytes.len() as u64 + 28;
-            let Some(to) = self.places.get(&to).copied() else { continue };
+            let Some(to) = self.places.get(&to).copied() else {
+                continue;
+            };
             if self.outside == Some(to) {
                 self.sent_out.push((node, bytes));
                 continue;
@@ -430,7 +475,13 @@
             let copies = 1 + u64::from(self.rng.f64() < self.net.twice);
             for _ in 0..copies {
                 let at = self.now + self.net.delay + self.rng.i64(0..=self.net.jitter);
-                self.push(at, What::Datagram { to, bytes: bytes.clone() });
+                self.push(
+                    at,
+                    What::Datagram {
+                        to,
+                        bytes: bytes.clone(),
+                    },
+                );
             }
         }
         if let Some(to) = sync.and_then(|to| self.places.get(&to).copied()) {
@@ -450,7 +501,9 @@
         if !reached || self.cut[from][to] || self.cut[to][from] {
             return;
         }
-        let Some(fleet) = &self.nodes[from].fleet else { return };
+        let Some(fleet) = &self.nodes[from].fleet else {
+            return;
+        };
         let sessions = [Session::dial(fleet), Session::answer()];
         let ends = [(from, self.nodes[from].life), (to, self.nodes[to].life)];
         self.last += 1;
@@ -462,7 +515,9 @@
 
     /// Sends what one end of a connection has to say.
     fn say(&mut self, id: u64, end: usize, more: Micros) {
-        let Some(mut stream) = self.streams.remove(&id) else { return };
+        let Some(mut stream) = self.streams.remove(&id) else {
+            return;
+        };
         let (node, other) = (stream.ends[end].0, stream.ends[1 - end].0);
         let now = self.local(node);
         let mut said = Vec::new();
@@ -485,20 +540,31 @@
             while self.rng.f64() < self.net.loss {
                 at += 200_000;
             }
-            self.push(at, What::Stream { id, answers: end == 0, bytes: said });
+            self.push(
+                at,
+                What::Stream {
+                    id,
+                    answers: end == 0,
+                    bytes: said,
+                },
+            );
         }
     }
 
     fn streamed(&mut self, id: u64, answers: bool, bytes: &[u8]) {
         let end = usize::from(answers);
-        let Some(mut stream) = self.streams.remove(&id) else { return };
+        let Some(mut stream) = self.streams.remove(&id) else {
+            return;
+        };
         let (node, life) = stream.ends[end];
         let n = &self.nodes[node];
         if n.fleet.is_none() || n.life != life || n.paused {
             return;
         }
         let now = self.local(node);
-        let Some(fleet) = &mut self.nodes[node].fleet else { return };
+        let Some(fleet) = &mut self.nodes[node].fleet else {
+            return;
+        };
         if stream.sessions[end].feed(fleet, now, bytes).is_err() {
             return;
         }
--- a/crates/cluster-testing/tests/sessions.rs
+++ b/crates/cluster-testing/tests/sessions.rs
@@ -1,10 +1,17 @@
-//! Sessions that stay, at several sizes, with messages lost, late and doubled, and nodes that come and go.
+//! Sessions that stay, at several sizes, with messages lost, late and doubled, and nodes that come
+//! and go.
 
 use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
 use std::collections::BTreeMap;
 
 const S: i64 = 1_000_000;
-const ROUGH: Ways = Ways { loss: 10.0, twice: 5.0, delay: 5_000, late: 0.0, news: 400_000 };
+const ROUGH: Ways = Ways {
+    loss: 10.0,
+    twice: 5.0,
+    delay: 5_000,
+    late: 0.0,
+    news: 400_000,
+};
 
 /// Sessions, by key, and the worker of each.
 type Places = BTreeMap<u64, u32>;
@@ -44,8 +51,10 @@
 fn moved(world: &mut World, places: &Places, rng: &mut fastrand::Rng) -> Vec<(u64, u32, u32)> {
     let mut moved = Vec::new();
     for (key, worker) in places {
-        let there: Vec<usize> =
-            (0..1_000).take_while(|i| *i < world.nodes()).filter(|i| world.there(*i)).collect();
+        let there: Vec<usize> = (0..1_000)
+            .take_while(|i| *i < world.nodes())
+            .filter(|i| world.there(*i))
+            .collect();
         match world.ask(there[rng.usize(0..there.len())], *key) {
             Came::To(now, _) if now == *worker => {}
             Came::To(now, _) => moved.push((*key, *worker, now)),
@@ -75,7 +84,10 @@
                 world.run_until(world.now + S);
                 world.start(i);
                 let seen = moved(&mut world, &places, &mut rng);
-                assert!(seen.is_empty(), "seed {seed} round {round}, n{i} back: {seen:?}");
+                assert!(
+                    seen.is_empty(),
+                    "seed {seed} round {round}, n{i} back: {seen:?}"
+                );
                 world.run_until(world.now + 2 * S);
                 assert!(world.filled());
             }
@@ -92,11 +104,19 @@
     world.publish(pool(&left, 5 * S));
     world.run_until(world.now + S);
     let seen = moved(&mut world, &places, &mut rng);
-    assert!(seen.iter().all(|(_, from, to)| *from == 2 && *to != 2) && seen.len() == of(2), "{}", seen.len());
+    assert!(
+        seen.iter().all(|(_, from, to)| *from == 2 && *to != 2) && seen.len() == of(2),
+        "{}",
+        seen.len()
+    );
     // Spread over all that are left.
     for worker in [0, 1, 3, 4, 5] {
         let got = seen.iter().filter(|s| s.2 == worker).count();
-        assert!((of(2) / 10..of(2) / 2).contains(&got), "{worker}: {got} of {}", of(2));
+        assert!(
+            (of(2) / 10..of(2) / 2).contains(&got),
+            "{worker}: {got} of {}",
+            of(2)
+        );
     }
     // When it comes back nobody moves again, whichever node is asked.
     let mut now = places.clone();
@@ -122,7 +142,11 @@
     moved(&mut world, &places, &mut rng);
     world.run_until(world.now + 2 * S);
     let mut now = places.clone();
-    now.extend(moved(&mut world, &places, &mut rng).iter().map(|(key, _, to)| (*key, *to)));
+    now.extend(
+        moved(&mut world, &places, &mut rng)
+            .iter()
+            .map(|(key, _, to)| (*key, *to)),
+    );
     for _ in 0..3 {
         assert_eq!(moved(&mut world, &now, &mut rng), []);
     }
@@ -135,15 +159,28 @@
     world.split(|i| i % 2);
     world.run_until(world.now + S);
     let seen = moved(&mut world, &places, &mut rng);
-    assert!(seen.is_empty(), "{} of {}: {:?}", seen.len(), places.len(), &seen[..seen.len().min(5)]);
-    // New ones come to the one half, and later their clients to the other, which knows nothing of them.
-    let first: Places = (1_000..1_300).map(|key| (key, worker(world.ask(2, key)))).collect();
+    assert!(
+        seen.is_empty(),
+        "{} of {}: {:?}",
+        seen.len(),
+        places.len(),
+        &seen[..seen.len().min(5)]
+    );
+    // New ones come to the one half, and later their clients to the other, which knows nothing of
+    // them.
+    let first: Places = (1_000..1_300)
+        .map(|key| (key, worker(world.ask(2, key))))
+        .collect();
     world.run_until(world.now + 2 * S);
     let mut heavy = even(0..6);
-    heavy.iter_mut().for_each(|w| w.1 = if w.0 < 3 { 9.0 } else { 1.0 });
+    heavy
+        .iter_mut()
+        .for_each(|w| w.1 = if w.0 < 3 { 9.0 } else { 1.0 });
     world.publish_to(pool(&heavy, 5 * S), |i| i % 2 == 1);
     world.run_until(world.now + S);
-    let second: Places = (1_000..1_300).map(|key| (key, worker(world.ask(3, key)))).collect();
+    let second: Places = (1_000..1_300)
+        .map(|key| (key, worker(world.ask(3, key))))
+        .collect();
     let differ = first.iter().filter(|(key, w)| second[*key] != **w).count();
     assert!(differ > 30, "{differ} were placed otherwise");
     world.split(|_| 0);
@@ -154,7 +191,13 @@
     world.run_until(world.now + 2 * S);
     for _ in 0..3 {
         let seen = moved(&mut world, &places, &mut rng);
-        assert!(seen.is_empty(), "{} of {}: {:?}", seen.len(), places.len(), &seen[..seen.len().min(5)]);
+        assert!(
+            seen.is_empty(),
+            "{} of {}: {:?}",
+            seen.len(),
+            places.len(),
+            &seen[..seen.len().min(5)]
+        );
     }
 }
 
@@ -188,12 +231,21 @@
     now.extend(seen.iter().map(|(key, _, to)| (*key, *to)));
     world.fail(&[]);
     world.run_until(world.now + 2 * S);
-    assert_eq!(moved(&mut world, &now, &mut rng), [], "it is back, and nobody goes back");
+    assert_eq!(
+        moved(&mut world, &now, &mut rng),
+        [],
+        "it is back, and nobody goes back"
+    );
 }
 
 #[test]
 fn a_fifth_lost_and_a_twentieth_two_seconds_late_move_nobody() {
-    let ways = Ways { loss: 20.0, twice: 10.0, late: 5.0, ..ROUGH };
+    let ways = Ways {
+        loss: 20.0,
+        twice: 10.0,
+        late: 5.0,
+        ..ROUGH
+    };
     let (mut world, places, mut rng) = world_of(ways, 10, 6, 400, 31);
     let mut workers = even(0..6);
     for round in 0..6 {
@@ -208,12 +260,17 @@
 fn a_client_whose_node_dies_finds_its_worker_at_another_one_at_once() {
     let (mut world, places, mut rng) = world(10, 6, 400, 37);
     // Where a new session would go is another matter by now.
-    let heavy: Vec<_> = (0..6).map(|w| (w, if w == 0 { 9.0 } else { 0.5 }, true)).collect();
+    let heavy: Vec<_> = (0..6)
+        .map(|w| (w, if w == 0 { 9.0 } else { 0.5 }, true))
+        .collect();
     world.publish(pool(&heavy, 5 * S));
     world.run_until(world.now + S);
     for dead in 0..10 {
-        let mine: Places =
-            places.iter().filter(|(key, _)| **key % 10 == dead as u64).map(|(k, w)| (*k, *w)).collect();
+        let mine: Places = places
+            .iter()
+            .filter(|(key, _)| **key % 10 == dead as u64)
+            .map(|(k, w)| (*k, *w))
+            .collect();
         for (key, at) in &mine {
             assert_eq!(worker(world.ask(dead, *key)), *at);
         }
@@ -296,7 +353,11 @@
         let (mut world, places, mut rng) = world(8, 5, 200, seed);
         world.kill(3);
         world.run_until(world.now + S);
-        (places, moved(&mut world, &BTreeMap::new(), &mut rng), world.sent)
+        (
+            places,
+            moved(&mut world, &BTreeMap::new(), &mut rng),
+            world.sent,
+        )
     };
     assert_eq!(course(23), course(23));
     assert_ne!(course(23).2, course(24).2);
--- a/crates/cluster-testing/tests/sim.rs
+++ b/crates/cluster-testing/tests/sim.rs
@@ -1,4 +1,5 @@
-//! What the fleet is to bear, in the simulation: each test causes one thing that goes wrong, over several seeds.
+//! What the fleet is to bear, in the simulation: each test causes one thing that goes wrong, over
+//! several seeds.
 
 use pipitlever_cluster_testing::sim::{address, World};
 use pipitlever_membership::event::Event;
@@ -27,24 +28,34 @@
         let mut all = String::new();
         for i in w.running() {
             let Some(fleet) = w.fleet(i) else { continue };
-            let members = fleet
-                .members()
-                .iter()
-                .map(|(name, m)| format!("{name}:{}@{}", m.record.state.word(), m.record.incarnation));
+            let members = fleet.members().iter().map(|(name, m)| {
+                format!("{name}:{}@{}", m.record.state.word(), m.record.incarnation)
+            });
             all += &format!("n{i}: {}\n", members.collect::<Vec<_>>().join(" "));
         }
         all
     };
     let took = world.wait(seconds * S, World::settled);
-    assert!(took.is_some(), "{what}: not settled after {seconds} s:\n{}", views(world));
+    assert!(
+        took.is_some(),
+        "{what}: not settled after {seconds} s:\n{}",
+        views(world)
+    );
 }
 
 /// Nodes that were held down anywhere since the history was cleared.
 fn ever_down(world: &World) -> Vec<String> {
-    let down = world.history.iter().filter_map(|(_, _, event)| match event {
-        Event::Changed { name, state: State::Down, .. } => Some(name.clone()),
-        _ => None,
-    });
+    let down = world
+        .history
+        .iter()
+        .filter_map(|(_, _, event)| match event {
+            Event::Changed {
+                name,
+                state: State::Down,
+                ..
+            } => Some(name.clone()),
+            _ => None,
+        });
     let mut down: Vec<String> = down.collect();
     down.sort();
     down.dedup();
@@ -75,10 +86,18 @@
     for seed in 0..5 {
         let mut world = settled(10, 10, seed);
         world.crash(4);
-        let all = |w: &World, name: &str, state| w.running().iter().all(|i| w.held(*i, name) == Some(state));
-        assert!(world.wait(6 * S, |w| all(w, "n4", State::Down)).is_some(), "{seed}");
+        let all = |w: &World, name: &str, state| {
+            w.running().iter().all(|i| w.held(*i, name) == Some(state))
+        };
+        assert!(
+            world.wait(6 * S, |w| all(w, "n4", State::Down)).is_some(),
+            "{seed}"
+        );
         world.leave(5);
-        assert!(world.wait(2 * S, |w| all(w, "n5", State::Left)).is_some(), "{seed}");
+        assert!(
+            world.wait(2 * S, |w| all(w, "n5", State::Left)).is_some(),
+            "{seed}"
+        );
         world.run(5 * S);
         assert_eq!(ever_down(&world), ["n4"], "{seed}");
     }
@@ -101,9 +120,25 @@
         wait(&mut world, 15, "after SIGCONT");
         world.run(5 * S);
         let refuted = |e: &Event| matches!(e, Event::Refuted { .. });
-        assert!(world.history.iter().any(|(_, node, e)| *node == 2 && refuted(e)), "{seed}");
-        assert!(world.history.iter().any(|(_, node, e)| *node == 2 && matches!(e, Event::Late(_))), "{seed}");
-        assert_eq!(ever_down(&world), [""; 0], "{seed}: nobody else is blamed for its sleep");
+        assert!(
+            world
+                .history
+                .iter()
+                .any(|(_, node, e)| *node == 2 && refuted(e)),
+            "{seed}"
+        );
+        assert!(
+            world
+                .history
+                .iter()
+                .any(|(_, node, e)| *node == 2 && matches!(e, Event::Late(_))),
+            "{seed}"
+        );
+        assert_eq!(
+            ever_down(&world),
+            [""; 0],
+            "{seed}: nobody else is blamed for its sleep"
+        );
     }
 }
 
@@ -173,7 +208,12 @@
         let mut world = settled(10, 14, seed);
         world.split(|i| i % 2);
         world.run(20 * S);
-        let cut_off = |w: &World| w.running().iter().filter(|i| w.fleet(**i).unwrap().cut_off()).count();
+        let cut_off = |w: &World| {
+            w.running()
+                .iter()
+                .filter(|i| w.fleet(**i).unwrap().cut_off())
+                .count()
+        };
         assert_eq!(cut_off(&world), 10, "{seed}: neither half is a majority");
         world.crash(2);
         world.crash(3);
@@ -191,10 +231,18 @@
         wait(&mut world, 10, "after the heal");
         // Each side has held the other one down: nobody comes to hold his own side down for that.
         let down = |e: &Event| match e {
-            Event::Changed { name, state: State::Down, .. } => Some(name[1..].parse::<usize>().unwrap()),
+            Event::Changed {
+                name,
+                state: State::Down,
+                ..
+            } => Some(name[1..].parse::<usize>().unwrap()),
             _ => None,
         };
-        let fallen: Vec<_> = world.history.iter().filter_map(|(_, at, e)| Some((*at, down(e)?))).collect();
+        let fallen: Vec<_> = world
+            .history
+            .iter()
+            .filter_map(|(_, at, e)| Some((*at, down(e)?)))
+            .collect();
         let wrong = |(at, of): &&(usize, usize)| at % 2 == of % 2 && world.running().contains(of);
         assert_eq!(fallen.iter().find(wrong), None, "{seed}");
         for i in world.running() {
@@ -233,7 +281,10 @@
         world.start(8, &[0, 1]);
         world.run(20 * S);
         assert_eq!(world.fleet(8).unwrap().members().len(), 1);
-        assert!(!world.fleet(8).unwrap().settled(), "{seed}: it has met nobody");
+        assert!(
+            !world.fleet(8).unwrap().settled(),
+            "{seed}: it has met nobody"
+        );
         world.start(1, &[2]);
         wait(&mut world, 15, "a seed is up again");
     }
@@ -282,16 +333,31 @@
         let mut world = settled(6, 8, seed);
         world.start_as(6, "n2", &[0]);
         world.run(30 * S);
-        let held = |w: &World, i: usize| w.fleet(i).unwrap().members().get("n2").unwrap().record.clone();
+        let held = |w: &World, i: usize| {
+            w.fleet(i)
+                .unwrap()
+                .members()
+                .get("n2")
+                .unwrap()
+                .record
+                .clone()
+        };
         let first = held(&world, 0);
         assert_eq!(first.details.rivals.len(), 1, "{seed}");
         let mut both = vec![first.details.address, first.details.rivals[0].address];
         both.sort();
         assert_eq!(both, [address(2), address(6)], "{seed}");
-        assert!(world.running().iter().all(|i| held(&world, *i) == first), "{seed}");
+        assert!(
+            world.running().iter().all(|i| held(&world, *i) == first),
+            "{seed}"
+        );
         // It stays so, with no number that rises and rises.
         world.run(120 * S);
-        assert!(held(&world, 0).incarnation <= first.incarnation + 2, "{seed}: {:?}", held(&world, 0));
+        assert!(
+            held(&world, 0).incarnation <= first.incarnation + 2,
+            "{seed}: {:?}",
+            held(&world, 0)
+        );
         // One of them goes: the name is one process's again, everywhere.
         world.crash(6);
         world.run(60 * S);
@@ -309,26 +375,50 @@
 }
 
 fn liar(name: &str, incarnation: u64) -> Update {
-    let record = Record { incarnation, ..Own::new(7, ([10, 9, 9, 9], 9).into(), "").record };
-    Update { name: name.into(), record, by: None, age_s: 0 }
+    let record = Record {
+        incarnation,
+        ..Own::new(7, ([10, 9, 9, 9], 9).into(), "").record
+    };
+    Update {
+        name: name.into(),
+        record,
+        by: None,
+        age_s: 0,
+    }
 }
 
 #[test]
 fn a_liars_thousands_of_names_push_nobody_out() {
-    let rules = Rules { most_members: 50, ..Rules::default() };
+    let rules = Rules {
+        most_members: 50,
+        ..Rules::default()
+    };
     let mut world = World::new(rules, 11, 3);
     (0..10).for_each(|i| world.start(i, &[0, 1]));
     wait(&mut world, 30, "the start");
     for i in 0..2000 {
-        let news = (0..10).map(|k| liar(&format!("x{}", i * 10 + k), 5)).collect();
-        let packet = Packet { from: liar("liar", 5), digest: 0, body: Body::News, news, hint: Vec::new() };
+        let news = (0..10)
+            .map(|k| liar(&format!("x{}", i * 10 + k), 5))
+            .collect();
+        let packet = Packet {
+            from: liar("liar", 5),
+            digest: 0,
+            body: Body::News,
+            news,
+            hint: Vec::new(),
+        };
         world.inject(i % 10, packet.write("sim"));
         world.run(2_000);
     }
     for i in 0..10 {
         let members = world.fleet(i).unwrap().members();
         assert!(members.len() <= 50);
-        assert!((0..10).all(|k| world.held(i, &format!("n{k}")).is_some_and(State::takes_part)), "{i}");
+        assert!(
+            (0..10).all(|k| world
+                .held(i, &format!("n{k}"))
+                .is_some_and(State::takes_part)),
+            "{i}"
+        );
     }
     // One that is real finds a place.
     world.start(10, &[0]);
@@ -340,10 +430,27 @@
 fn an_old_datagram_that_comes_again_changes_nothing() {
     let mut world = settled(5, 5, 1);
     let record = world.fleet(3).unwrap().own_record().clone();
-    let from = Update { name: "n3".into(), record: record.clone(), by: None, age_s: 0 };
-    let down = Update { record: Record { state: State::Down, ..record }, ..from.clone() };
-    let old = Packet { from, digest: 1, body: Body::Ack { seq: 77 }, news: vec![down], hint: Vec::new() }
-        .write("sim");
+    let from = Update {
+        name: "n3".into(),
+        record: record.clone(),
+        by: None,
+        age_s: 0,
+    };
+    let down = Update {
+        record: Record {
+            state: State::Down,
+            ..record
+        },
+        ..from.clone()
+    };
+    let old = Packet {
+        from,
+        digest: 1,
+        body: Body::Ack { seq: 77 },
+        news: vec![down],
+        hint: Vec::new(),
+    }
+    .write("sim");
     world.crash(3);
     world.run(10 * S);
     world.start(3, &[0]);
@@ -357,26 +464,61 @@
 
 #[test]
 fn who_is_down_is_forgotten_in_the_end_and_does_not_come_back_by_hearsay() {
-    let rules = Rules { forget: 30 * S, ..Rules::default() };
+    let rules = Rules {
+        forget: 30 * S,
+        ..Rules::default()
+    };
     let mut world = World::new(rules, 6, 4);
     (0..6).for_each(|i| world.start(i, &[0, 1]));
     wait(&mut world, 30, "the start");
     world.crash(5);
     world.run(20 * S);
     assert_eq!(world.held(0, "n5"), Some(State::Down));
-    let record = world.fleet(0).unwrap().members().get("n5").unwrap().record.clone();
-    let old = Update { name: "n5".into(), record, by: None, age_s: 0 };
+    let record = world
+        .fleet(0)
+        .unwrap()
+        .members()
+        .get("n5")
+        .unwrap()
+        .record
+        .clone();
+    let old = Update {
+        name: "n5".into(),
+        record,
+        by: None,
+        age_s: 0,
+    };
     world.run(20 * S);
     assert!((0..5).all(|i| world.held(i, "n5").is_none()));
     // What somebody said of it long ago comes again.
     let record = world.fleet(3).unwrap().own_record().clone();
-    let from = Update { name: "n3".into(), record, by: None, age_s: 0 };
-    let packet = Packet { from, digest: 1, body: Body::News, news: vec![old], hint: Vec::new() }.write("sim");
-    (0..5).filter(|i| *i != 3).for_each(|i| world.inject(i, packet.clone()));
+    let from = Update {
+        name: "n3".into(),
+        record,
+        by: None,
+        age_s: 0,
+    };
+    let packet = Packet {
+        from,
+        digest: 1,
+        body: Body::News,
+        news: vec![old],
+        hint: Vec::new(),
+    }
+    .write("sim");
+    (0..5)
+        .filter(|i| *i != 3)
+        .for_each(|i| world.inject(i, packet.clone()));
     world.run(100_000);
-    assert!((0..5).all(|i| world.held(i, "n5").is_none()), "it is known to be old");
+    assert!(
+        (0..5).all(|i| world.held(i, "n5").is_none()),
+        "it is known to be old"
+    );
     wait(&mut world, 10, "one is forgotten");
     world.run(60 * S);
-    assert!((0..5).all(|i| world.fleet(i).unwrap().members().get("n5").is_none()), "the entry is gone, too");
+    assert!(
+        (0..5).all(|i| world.fleet(i).unwrap().members().get("n5").is_none()),
+        "the entry is gone, too"
+    );
     assert!(world.settled());
 }
--- a/crates/config-versions/src/closer.rs
+++ b/crates/config-versions/src/closer.rs
@@ -1,4 +1,5 @@
-//! Closing: a majority of electors closes versions, and once every lease on them has run out, nobody acts on them.
+//! Closing: a majority of electors closes versions, and once every lease on them has run out,
+//! nobody acts on them.
 
 use crate::lease::Rates;
 use crate::message::Message;
@@ -34,7 +35,13 @@
 impl Closer {
     /// Begins to close all versions below this one, which is the newest or before it.
     pub fn new(floor: u64, newest: Version, now: Micros) -> Closer {
-        Closer { floor, newest, pending: None, stage: Stage::Asking(BTreeSet::new()), again: now }
+        Closer {
+            floor,
+            newest,
+            pending: None,
+            stage: Stage::Asking(BTreeSet::new()),
+            again: now,
+        }
     }
 
     /// All versions below this one.
@@ -51,7 +58,11 @@
     pub fn decided(&mut self, version: &Version) {
         if version.number > self.newest.number {
             self.newest = version.clone();
-            if self.pending.as_ref().is_some_and(|p| p.number <= version.number) {
+            if self
+                .pending
+                .as_ref()
+                .is_some_and(|p| p.number <= version.number)
+            {
                 self.pending = None;
             }
         }
@@ -77,8 +88,16 @@
                 self.again = now + AGAIN;
                 let more = self.pending.iter().flat_map(|p| &p.electors);
                 let more = more.filter(|e| !self.newest.electors.contains(e));
-                let silent = self.newest.electors.iter().chain(more).filter(|e| !heard.contains(*e));
-                let message = Message::Close { floor: self.floor, newest: self.newest.clone() };
+                let silent = self
+                    .newest
+                    .electors
+                    .iter()
+                    .chain(more)
+                    .filter(|e| !heard.contains(*e));
+                let message = Message::Close {
+                    floor: self.floor,
+                    newest: self.newest.clone(),
+                };
                 out.extend(silent.map(|e| (e.clone(), message.clone())));
             }
             _ => {}
@@ -87,20 +106,37 @@
     }
 
     /// An elector has closed them.
-    pub fn hear(&mut self, now: Micros, from: &str, message: &Message, lease: Micros, rates: Rates) {
-        let Message::Closed { floor, pending, .. } = message else { return };
-        let Stage::Asking(heard) = &mut self.stage else { return };
+    pub fn hear(
+        &mut self,
+        now: Micros,
+        from: &str,
+        message: &Message,
+        lease: Micros,
+        rates: Rates,
+    ) {
+        let Message::Closed { floor, pending, .. } = message else {
+            return;
+        };
+        let Stage::Asking(heard) = &mut self.stage else {
+            return;
+        };
         if *floor < self.floor {
             return;
         }
-        if let Some(version) = pending.as_ref().filter(|p| p.number == self.newest.number + 1) {
+        if let Some(version) = pending
+            .as_ref()
+            .filter(|p| p.number == self.newest.number + 1)
+        {
             // It may have been decided already, and its electors may renew leases.
             self.pending = Some(version.clone());
         }
         heard.insert(from.to_owned());
         let closed = |electors: &[String]| majority(electors, |e| heard.contains(e));
-        if closed(&self.newest.electors) && self.pending.as_ref().is_none_or(|p| closed(&p.electors)) {
-            // Every lease that a majority renews from now on leaves them out; the others began before now.
+        if closed(&self.newest.electors)
+            && self.pending.as_ref().is_none_or(|p| closed(&p.electors))
+        {
+            // Every lease that a majority renews from now on leaves them out; the others began
+            // before now.
             self.stage = Stage::Waiting(now + rates.longest(lease));
         }
     }
--- a/crates/config-versions/src/elector.rs
+++ b/crates/config-versions/src/elector.rs
@@ -1,5 +1,5 @@
-//! An elector: what it has promised and accepted, and what it answers. What it says rests on what is on its disk, so each answer names
-//! the write that it waits for.
+//! An elector: what it has promised and accepted, and what it answers. What it says rests on what
+//! is on its disk, so each answer names the write that it waits for.
 
 use crate::message::{Ballot, Beat, Message, Seal};
 use crate::version::{majority, Version};
@@ -59,8 +59,9 @@
 }
 
 impl Elector {
-    /// Starts with what is on the disk. If that is nothing, these are the electors, and this random number tells the disk from others.
-    /// The first write is due at once: it has the number of this start.
+    /// Starts with what is on the disk. If that is nothing, these are the electors, and this random
+    /// number tells the disk from others. The first write is due at once: it has the number of this
+    /// start.
     pub fn start(name: &str, kept: Option<Kept>, electors: &[String], token: u64) -> Elector {
         let mut kept = kept.unwrap_or_else(|| Kept {
             seal: Seal { token, count: 0 },
@@ -72,7 +73,12 @@
             others: BTreeMap::new(),
         });
         kept.start += 1;
-        Elector { name: name.to_owned(), kept, voting: Voting::Asks(BTreeSet::new()), write: 1 }
+        Elector {
+            name: name.to_owned(),
+            kept,
+            voting: Voting::Asks(BTreeSet::new()),
+            write: 1,
+        }
     }
 
     /// What is to be on the disk, and the number of that write.
@@ -87,23 +93,52 @@
 
     /// What it asks the others as long as it doesn't know whether its disk is right.
     pub fn asks(&self) -> Vec<Said> {
-        let Voting::Asks(heard) = &self.voting else { return Vec::new() };
-        let others = self.kept.newest.electors.iter().filter(|e| **e != self.name && !heard.contains(*e));
-        others.map(|to| self.say(to, Message::Known { seal: self.kept.seal })).collect()
+        let Voting::Asks(heard) = &self.voting else {
+            return Vec::new();
+        };
+        let others = self
+            .kept
+            .newest
+            .electors
+            .iter()
+            .filter(|e| **e != self.name && !heard.contains(*e));
+        others
+            .map(|to| {
+                self.say(
+                    to,
+                    Message::Known {
+                        seal: self.kept.seal,
+                    },
+                )
+            })
+            .collect()
     }
 
-    /// That it lives; nothing while it doesn't vote, as what it has closed may be lost. To be sent after the write that is named.
+    /// That it lives; nothing while it doesn't vote, as what it has closed may be lost. To be sent
+    /// after the write that is named.
     pub fn beat(&self, at: Micros) -> Option<(Beat, u64)> {
-        let config = self.pending().map_or(self.kept.newest.electors_since, |v| v.electors_since);
+        let config = self
+            .pending()
+            .map_or(self.kept.newest.electors_since, |v| v.electors_since);
         let Kept { start, floor, .. } = self.kept;
-        let beat = Beat { by: self.name.clone(), start, at, floor, config };
+        let beat = Beat {
+            by: self.name.clone(),
+            start,
+            at,
+            floor,
+            config,
+        };
         (self.voting == Voting::Yes).then_some((beat, self.write))
     }
 
-    /// An attempt that nobody has made before: above all that this process has heeded, and no other start of it has the same. This
-    /// start is on the disk once the first write is.
+    /// An attempt that nobody has made before: above all that this process has heeded, and no other
+    /// start of it has the same. This start is on the disk once the first write is.
     pub fn ballot(&self) -> Ballot {
-        Ballot { round: self.kept.promised.round + 1, by: self.name.clone(), start: self.kept.start }
+        Ballot {
+            round: self.kept.promised.round + 1,
+            by: self.name.clone(),
+            start: self.kept.start,
+        }
     }
 
     /// What it has accepted and nobody has said to be decided.
@@ -112,14 +147,23 @@
     }
 
     fn say(&self, to: &str, message: Message) -> Said {
-        Said { to: to.to_owned(), message, after: self.write }
+        Said {
+            to: to.to_owned(),
+            message,
+            after: self.write,
+        }
     }
 
     /// A vote was cast: it is written, and the other electors are to remember that.
     fn vote(&mut self, said: &mut Vec<Said>) {
         self.kept.seal.count += 1;
         self.write += 1;
-        let others = self.kept.newest.electors.iter().filter(|e| **e != self.name);
+        let others = self
+            .kept
+            .newest
+            .electors
+            .iter()
+            .filter(|e| **e != self.name);
         said.extend(others.map(|to| self.say(to, Message::Sealed(self.kept.seal))));
     }
 
@@ -127,7 +171,12 @@
     pub fn decided(&mut self, version: &Version) {
         if version.number > self.kept.newest.number {
             self.kept.newest = version.clone();
-            if self.kept.accepted.as_ref().is_some_and(|(_, v)| v.number <= version.number) {
+            if self
+                .kept
+                .accepted
+                .as_ref()
+                .is_some_and(|(_, v)| v.number <= version.number)
+            {
                 self.kept.accepted = None;
             }
             // Not synced for its own sake: it is told again.
@@ -137,7 +186,8 @@
 
     fn remember(&mut self, from: &str, seal: Seal) {
         let before = self.kept.others.get(from).copied().unwrap_or_default();
-        // What was decided without it would not matter, so a disk that is new counts as soon as its elector votes.
+        // What was decided without it would not matter, so a disk that is new counts as soon as its
+        // elector votes.
         if seal != before && (seal.token != before.token || seal.count > before.count) {
             self.kept.others.insert(from.to_owned(), seal);
             self.write += 1;
@@ -154,8 +204,14 @@
         true
     }
 
-    /// Something was said to it. `has` tells whether a content is here: none is accepted that can't be handed on.
-    pub fn hear(&mut self, from: &str, message: &Message, has: impl Fn(&Version) -> bool) -> Vec<Said> {
+    /// Something was said to it. `has` tells whether a content is here: none is accepted that can't
+    /// be handed on.
+    pub fn hear(
+        &mut self,
+        from: &str,
+        message: &Message,
+        has: impl Fn(&Version) -> bool,
+    ) -> Vec<Said> {
         let mut said = Vec::new();
         match message {
             Message::Prepare { ballot, base } => {
@@ -167,18 +223,31 @@
                             self.kept.promised = ballot.clone();
                             self.vote(&mut said);
                         }
-                        let Kept { accepted, floor, seal, .. } = &self.kept;
+                        let Kept {
+                            accepted,
+                            floor,
+                            seal,
+                            ..
+                        } = &self.kept;
                         let (accepted, floor, seal) = (accepted.clone(), *floor, *seal);
-                        said.push(
-                            self.say(
-                                from,
-                                Message::Promise { ballot: ballot.clone(), accepted, floor, seal },
-                            ),
-                        );
+                        said.push(self.say(
+                            from,
+                            Message::Promise {
+                                ballot: ballot.clone(),
+                                accepted,
+                                floor,
+                                seal,
+                            },
+                        ));
                     }
                 }
             }
-            Message::Accept { ballot, base, version, floor } => {
+            Message::Accept {
+                ballot,
+                base,
+                version,
+                floor,
+            } => {
                 if self.voting == Voting::Yes && self.same_base(from, base, &mut said) {
                     if *ballot < self.kept.promised {
                         said.push(self.refuse(from, ballot));
@@ -191,7 +260,14 @@
                             self.vote(&mut said);
                         }
                         let Kept { floor, seal, .. } = self.kept;
-                        said.push(self.say(from, Message::Accepted { ballot: ballot.clone(), floor, seal }));
+                        said.push(self.say(
+                            from,
+                            Message::Accepted {
+                                ballot: ballot.clone(),
+                                floor,
+                                seal,
+                            },
+                        ));
                     }
                 }
             }
@@ -203,7 +279,14 @@
                         self.vote(&mut said);
                     }
                     let (pending, seal) = (self.pending().cloned(), self.kept.seal);
-                    said.push(self.say(from, Message::Closed { floor: self.kept.floor, pending, seal }));
+                    said.push(self.say(
+                        from,
+                        Message::Closed {
+                            floor: self.kept.floor,
+                            pending,
+                            seal,
+                        },
+                    ));
                 }
             }
             Message::Known { seal } => {
@@ -211,12 +294,20 @@
                 if of == Seal::default() {
                     self.remember(from, *seal);
                 }
-                said.push(self.say(from, Message::Remembered { of, newest: self.kept.newest.clone() }));
+                said.push(self.say(
+                    from,
+                    Message::Remembered {
+                        of,
+                        newest: self.kept.newest.clone(),
+                    },
+                ));
             }
             Message::Remembered { of, newest } => {
                 self.decided(newest);
                 let ours = self.kept.seal;
-                let Voting::Asks(heard) = &mut self.voting else { return said };
+                let Voting::Asks(heard) = &mut self.voting else {
+                    return said;
+                };
                 if *of != Seal::default() && (of.token != ours.token || of.count > ours.count) {
                     self.voting = Voting::Never(*of);
                     return said;
@@ -243,6 +334,12 @@
     }
 
     fn refuse(&self, to: &str, ballot: &Ballot) -> Said {
-        self.say(to, Message::Refused { ballot: ballot.clone(), promised: self.kept.promised.clone() })
+        self.say(
+            to,
+            Message::Refused {
+                ballot: ballot.clone(),
+                promised: self.kept.promised.clone(),
+            },
+        )
     }
 }
--- a/crates/config-versions/src/floor.rs
+++ b/crates/config-versions/src/floor.rs
@@ -1,10 +1,13 @@
-//! The floor: the highest version that a process of this node's name has acted on. Nothing is done under a version below it.
+//! The floor: the highest version that a process of this node's name has acted on. Nothing is done
+//! under a version below it.
 //!
-//! A process can't know from its own disk that this is the latest one: a file may be yesterday's, and a whole disk put back. So no process acts
-//! before it has heard from a majority of the electors which version each of them knows as decided, or has accepted. Whatever any process ever acted
-//! on had been decided, which a majority had accepted and written: any majority that answers has one of these in it, so the highest that is told
-//! lies no lower than the node's floor. An answer repeats a number that the question drew at random, so that nobody answers who was
-//! not asked, and an elector whose own disk is in doubt does not answer.
+//! A process can't know from its own disk that this is the latest one: a file may be yesterday's,
+//! and a whole disk put back. So no process acts before it has heard from a majority of the
+//! electors which version each of them knows as decided, or has accepted. Whatever any process ever
+//! acted on had been decided, which a majority had accepted and written: any majority that answers
+//! has one of these in it, so the highest that is told lies no lower than the node's floor. An
+//! answer repeats a number that the question drew at random, so that nobody answers who was not
+//! asked, and an elector whose own disk is in doubt does not answer.
 
 use crate::version::{majority, Version};
 use serde::{Deserialize, Serialize};
@@ -13,10 +16,12 @@
 /// What a node does that can't hear enough electors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub enum Unknown {
-    /// It refuses as never run, until it hears them or an operator names the floor: stale routes are never applied.
+    /// It refuses as never run, until it hears them or an operator names the floor: stale routes
+    /// are never applied.
     #[default]
     Wait,
-    /// It acts on what its disk holds and says so: it serves, and may do so under a version that it had left.
+    /// It acts on what its disk holds and says so: it serves, and may do so under a version that it
+    /// had left.
     Serve,
 }
 
@@ -42,9 +47,15 @@
 }
 
 impl Floor {
-    /// A process that has just started; the floor is what its disk says, the number is drawn at random.
+    /// A process that has just started; the floor is what its disk says, the number is drawn at
+    /// random.
     pub fn new(floor: u64, nonce: u64) -> Floor {
-        Floor { floor, nonce, heard: BTreeMap::new(), open: false }
+        Floor {
+            floor,
+            nonce,
+            heard: BTreeMap::new(),
+            open: false,
+        }
     }
 
     /// No version below this one is acted on.
@@ -69,7 +80,9 @@
 
     /// Whom to ask, of these electors.
     pub fn asks<'a>(&'a self, electors: &'a [String]) -> impl Iterator<Item = &'a String> {
-        electors.iter().filter(|e| !self.open && !self.heard.contains_key(*e))
+        electors
+            .iter()
+            .filter(|e| !self.open && !self.heard.contains_key(*e))
     }
 
     /// An elector has answered. Whether enough of them have by now.
@@ -97,13 +110,15 @@
         self.floor = self.floor.max(number);
     }
 
-    /// The process before this one in the same node has handed over its version, which it was acting on until now.
+    /// The process before this one in the same node has handed over its version, which it was
+    /// acting on until now.
     pub fn handed(&mut self, number: u64) {
         self.raise(number);
         self.open = true;
     }
 
-    /// An operator says what the floor is: for a register that is lost, or one that a liar has driven up.
+    /// An operator says what the floor is: for a register that is lost, or one that a liar has
+    /// driven up.
     pub fn accept(&mut self, number: u64) {
         (self.floor, self.open) = (number, true);
     }
@@ -123,7 +138,10 @@
         for two in [["a", "b"], ["a", "c"], ["b", "c"]] {
             // Version 5 was decided: b and c have accepted it, and a knows of 4.
             let mut floor = Floor::new(3, 7);
-            assert!(!floor.allows(3) && !floor.allows(9), "nothing is acted on before enough are heard");
+            assert!(
+                !floor.allows(3) && !floor.allows(9),
+                "nothing is acted on before enough are heard"
+            );
             for from in two {
                 let highest = if from == "a" { 4 } else { 5 };
                 floor.heard(from, 7, highest, &three);
@@ -137,7 +155,8 @@
     fn answers_count_once_and_only_of_electors_that_were_asked() {
         let three = electors(&["a", "b", "c"]);
         let mut floor = Floor::new(0, 7);
-        // Out of the blue, of a process before this one, of nobody who decides; and twice of the same.
+        // Out of the blue, of a process before this one, of nobody who decides; and twice of the
+        // same.
         for (from, nonce) in [("a", 0), ("b", 6), ("z", 7), ("a", 7), ("a", 7)] {
             assert!(!floor.heard(from, nonce, 1 << 63, &three) && !floor.open());
         }
--- a/crates/config-versions/src/lease.rs
+++ b/crates/config-versions/src/lease.rs
@@ -1,9 +1,11 @@
-//! Leases: how long a node may act on its version, by what electors say that travels through all members.
+//! Leases: how long a node may act on its version, by what electors say that travels through all
+//! members.
 //!
-//! An elector's beat says "at T of my clock I lived, and no version below F is to be acted on". A node asks the elector's clock now and then: its
-//! reading came after the node had asked, so every later reading is bounded from below on the node's own clock, by the two clocks' rates
-//! alone. No two clocks need to agree, and a beat that was late on its way, or that waited in the socket of a stopped process,
-//! is worth no more than its age allows.
+//! An elector's beat says "at T of my clock I lived, and no version below F is to be acted on". A
+//! node asks the elector's clock now and then: its reading came after the node had asked, so every
+//! later reading is bounded from below on the node's own clock, by the two clocks' rates alone. No
+//! two clocks need to agree, and a beat that was late on its way, or that waited in the socket of a
+//! stopped process, is worth no more than its age allows.
 
 use crate::message::Beat;
 use crate::version::{majority, Version};
@@ -57,12 +59,16 @@
 impl Leases {
     /// The last words of these electors, as they are handed on.
     pub fn beats(&self, electors: &[String]) -> Vec<Beat> {
-        electors.iter().filter_map(|e| self.beats.get(e).cloned()).collect()
+        electors
+            .iter()
+            .filter_map(|e| self.beats.get(e).cloned())
+            .collect()
     }
 
     /// Hears an elector's beat, by way of whomever. Whether it is new.
     pub fn beat(&mut self, beat: &Beat, electors: &[String]) -> bool {
-        let new = electors.contains(&beat.by) && self.beats.get(&beat.by).is_none_or(|b| beat.follows(b));
+        let new =
+            electors.contains(&beat.by) && self.beats.get(&beat.by).is_none_or(|b| beat.follows(b));
         if new {
             self.beats.retain(|by, _| electors.contains(by));
             self.beats.insert(beat.by.clone(), beat.clone());
@@ -71,23 +77,44 @@
     }
 
     /// An elector's clock had this reading after it was asked then.
-    pub fn told(&mut self, elector: &str, start: u64, theirs: Micros, asked: Micros, electors: &[String]) {
+    pub fn told(
+        &mut self,
+        elector: &str,
+        start: u64,
+        theirs: Micros,
+        asked: Micros,
+        electors: &[String],
+    ) {
         let newer = |t: &Told| start > t.start || (start == t.start && asked > t.ours);
         if electors.iter().any(|e| e == elector) && self.told.get(elector).is_none_or(newer) {
             self.told.retain(|by, _| electors.contains(by));
-            self.told.insert(elector.to_owned(), Told { start, theirs, ours: asked });
+            self.told.insert(
+                elector.to_owned(),
+                Told {
+                    start,
+                    theirs,
+                    ours: asked,
+                },
+            );
         }
     }
 
-    /// Whether an elector's clock should be asked: it isn't known, or so long ago that beats are worth too little.
+    /// Whether an elector's clock should be asked: it isn't known, or so long ago that beats are
+    /// worth too little.
     pub fn asks(&self, elector: &str, now: Micros, lease: Micros, rates: Rates) -> bool {
-        let Some(told) = self.told.get(elector) else { return true };
-        let restarted = self.beats.get(elector).is_some_and(|b| b.start > told.start);
+        let Some(told) = self.told.get(elector) else {
+            return true;
+        };
+        let restarted = self
+            .beats
+            .get(elector)
+            .is_some_and(|b| b.start > told.start);
         let age = now - told.ours;
         restarted || age - rates.least(age) > lease / 8
     }
 
-    /// The latest time of the node's own clock before which the elector's last beat can't have been sent.
+    /// The latest time of the node's own clock before which the elector's last beat can't have been
+    /// sent.
     fn since(&self, elector: &str, rates: Rates) -> Option<(Micros, &Beat)> {
         let (beat, told) = (self.beats.get(elector)?, self.told.get(elector)?);
         if beat.start != told.start {
@@ -101,9 +128,16 @@
         Some((bound, beat))
     }
 
-    /// Until when a node may act on a version, by the electors of the newest version that it knows: a majority of them has said since
-    /// then that it hasn't closed it. An elector that knows of others that may decide by now doesn't count.
-    pub fn until(&self, acting: u64, newest: &Version, lease: Micros, rates: Rates) -> Option<Micros> {
+    /// Until when a node may act on a version, by the electors of the newest version that it knows:
+    /// a majority of them has said since then that it hasn't closed it. An elector that knows of
+    /// others that may decide by now doesn't count.
+    pub fn until(
+        &self,
+        acting: u64,
+        newest: &Version,
+        lease: Micros,
+        rates: Rates,
+    ) -> Option<Micros> {
         let word = |e: &String| {
             let (since, beat) = self.since(e, rates)?;
             (beat.floor <= acting && beat.config <= newest.electors_since).then_some(since)
@@ -115,7 +149,9 @@
 
     /// Whether a majority has closed a version: no lease on it can be had any more.
     pub fn closed(&self, acting: u64, electors: &[String]) -> bool {
-        majority(electors, |e| self.beats.get(e).is_some_and(|b| b.floor > acting))
+        majority(electors, |e| {
+            self.beats.get(e).is_some_and(|b| b.floor > acting)
+        })
     }
 }
 
@@ -130,14 +166,21 @@
     }
 
     fn beat(by: &str, at: Micros, floor: u64) -> Beat {
-        Beat { by: by.into(), start: 1, at, floor, config: 0 }
+        Beat {
+            by: by.into(),
+            start: 1,
+            at,
+            floor,
+            config: 0,
+        }
     }
 
     #[test]
     fn a_span_is_bounded_by_the_rates_from_both_sides() {
         for span in [0, 1, 1000, 10_000_000, 3_600_000_000] {
             for (fast, slow) in [(1.01, 0.99), (0.99, 1.01), (1.0, 1.0)] {
-                // On a clock of the one rate this passes while the span passes on that of the other.
+                // On a clock of the one rate this passes while the span passes on that of the
+                // other.
                 let passes = span as f64 * fast / slow;
                 assert!(RATES.least(span) as f64 <= passes + 1.0, "{span} {fast}");
                 assert!(RATES.longest(span) as f64 + 1.0 >= passes, "{span} {fast}");
@@ -166,12 +209,21 @@
         assert!(!leases.beat(&beat("z", 5_000_500_000, 0), &electors));
         leases.beat(&beat("b", 5_001_000_000, 0), &electors);
         let until = leases.until(1, &newest, lease, RATES).unwrap();
-        assert!((100 + 980_000 + lease..=100 + 1_000_000 + lease).contains(&until), "{until}");
+        assert!(
+            (100 + 980_000 + lease..=100 + 1_000_000 + lease).contains(&until),
+            "{until}"
+        );
         // A majority has closed the version, or knows of electors that this node doesn't.
         leases.beat(&beat("b", 5_002_000_000, 2), &electors);
         assert_eq!(leases.until(1, &newest, lease, RATES), None);
         assert!(leases.until(2, &newest, lease, RATES).is_some());
-        leases.beat(&Beat { config: 3, ..beat("b", 5_003_000_000, 0) }, &electors);
+        leases.beat(
+            &Beat {
+                config: 3,
+                ..beat("b", 5_003_000_000, 0)
+            },
+            &electors,
+        );
         assert_eq!(leases.until(1, &newest, lease, RATES), None);
     }
 
@@ -185,14 +237,24 @@
             assert!(!leases.asks(by, 0, lease, RATES));
         }
         assert!(leases.asks("c", 0, lease, RATES));
-        // Its clock begins anew on another machine: its words must not be taken for old ones, nor old ones for its words.
-        assert!(leases.beat(&Beat { start: 2, ..beat("a", 5, 0) }, &electors));
+        // Its clock begins anew on another machine: its words must not be taken for old ones, nor
+        // old ones for its words.
+        assert!(leases.beat(
+            &Beat {
+                start: 2,
+                ..beat("a", 5, 0)
+            },
+            &electors
+        ));
         assert_eq!(leases.until(1, &newest, lease, RATES), None);
         assert!(leases.asks("a", 0, lease, RATES));
         leases.told("a", 2, 5, 50, &electors);
         assert_eq!(leases.until(1, &newest, lease, RATES), Some(lease));
         assert!(!leases.beat(&beat("a", 9000, 0), &electors));
         // What was told is worth less as time goes by.
-        assert!(!leases.asks("a", 60_000_000, lease, RATES) && leases.asks("a", 3_600_000_000, lease, RATES));
+        assert!(
+            !leases.asks("a", 60_000_000, lease, RATES)
+                && leases.asks("a", 3_600_000_000, lease, RATES)
+        );
     }
 }
--- a/crates/config-versions/src/message.rs
+++ b/crates/config-versions/src/message.rs
@@ -1,5 +1,5 @@
-//! What nodes say to each other about versions, in postcard, inside the fleet's own messages: these have the checksum, the
-//! version and the fleet's name.
+//! What nodes say to each other about versions, in postcard, inside the fleet's own messages: these
+//! have the checksum, the version and the fleet's name.
 
 use crate::version::{Version, MOST_NAME};
 use crate::Micros;
@@ -12,13 +12,16 @@
     pub round: u64,
     /// The elector whose attempt it is.
     pub by: String,
-    /// Which start of its process this is: one that has died may have begun this round with another version, and may not know it.
+    /// Which start of its process this is: one that has died may have begun this round with another
+    /// version, and may not know it.
     pub start: u64,
 }
 
-/// What an elector's disk is, and how often it was written. Others remember it, so that an elector whose disk was lost or put
-/// back finds out.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+/// What an elector's disk is, and how often it was written. Others remember it, so that an elector
+/// whose disk was lost or put back finds out.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Seal {
     /// Drawn when the disk was empty.
     pub token: u64,
@@ -195,19 +198,29 @@
         let ballot = |b: &Ballot| b.by.len() <= MOST_NAME;
         let sane = match &message {
             Message::Prepare { ballot: b, base } => ballot(b) && base.sane(),
-            Message::Promise { ballot: b, accepted, .. } => {
-                ballot(b) && accepted.as_ref().is_none_or(|(b, v)| ballot(b) && v.sane())
-            }
-            Message::Accept { ballot: b, base, version, .. } => {
-                ballot(b) && base.sane() && version.sane() && version.number == base.number + 1
-            }
+            Message::Promise {
+                ballot: b,
+                accepted,
+                ..
+            } => ballot(b) && accepted.as_ref().is_none_or(|(b, v)| ballot(b) && v.sane()),
+            Message::Accept {
+                ballot: b,
+                base,
+                version,
+                ..
+            } => ballot(b) && base.sane() && version.sane() && version.number == base.number + 1,
             Message::Accepted { ballot: b, .. } => ballot(b),
-            Message::Refused { ballot: b, promised } => ballot(b) && ballot(promised),
+            Message::Refused {
+                ballot: b,
+                promised,
+            } => ballot(b) && ballot(promised),
             Message::Decided(v)
             | Message::Close { newest: v, .. }
             | Message::Remembered { newest: v, .. } => v.sane(),
             Message::Closed { pending, .. } => pending.as_ref().is_none_or(Version::sane),
-            Message::Which | Message::Known { .. } | Message::Sealed(_) | Message::Clock { .. } => true,
+            Message::Which | Message::Known { .. } | Message::Sealed(_) | Message::Clock { .. } => {
+                true
+            }
             Message::ClockIs { .. } | Message::Floor { .. } => true,
             Message::FloorIs { newest, .. } => newest.sane(),
         };
--- a/crates/config-versions/src/node/act.rs
+++ b/crates/config-versions/src/node/act.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Node {
-    /// The version that is to be acted on now, with its content: the newest, once that is here. To be told of with `acted`.
+    /// The version that is to be acted on now, with its content: the newest, once that is here. To
+    /// be told of with `acted`.
     pub fn offer(&self) -> Option<(Version, Rc<[u8]>)> {
         let number = self.newest.number;
         if number <= self.acting || self.unfit.as_ref().is_some_and(|(n, _)| *n == number) {
@@ -31,10 +32,12 @@
 
     /// Until when it may act on its version under its lease.
     pub fn leased_until(&self) -> Option<Micros> {
-        self.leases.until(self.acting, &self.newest, self.settings.lease, self.rates)
+        self.leases
+            .until(self.acting, &self.newest, self.settings.lease, self.rates)
     }
 
-    /// Whether it may act now. To be asked before each act: what was true a while ago is not known to be.
+    /// Whether it may act now. To be asked before each act: what was true a while ago is not known
+    /// to be.
     pub fn may_act(&self, now: Micros) -> May {
         match self.settings.unknown {
             Unknown::Serve if !self.floor.open() && self.acting >= self.floor.floor() => {}
--- a/crates/config-versions/src/node/contents.rs
+++ b/crates/config-versions/src/node/contents.rs
@@ -6,7 +6,10 @@
     // Contents.
 
     pub(super) fn content(&self, digest: Digest) -> Option<Rc<[u8]>> {
-        self.contents.iter().find(|(d, _)| *d == digest).map(|(_, c)| c.clone())
+        self.contents
+            .iter()
+            .find(|(d, _)| *d == digest)
+            .map(|(_, c)| c.clone())
     }
 
     pub(super) fn keep(&mut self, digest: Digest, content: Rc<[u8]>) {
@@ -19,11 +22,17 @@
     }
 
     pub(super) fn want(&mut self, now: Micros, digest: Digest, from: &str) {
-        if self.content(digest).is_some() || self.fetch.as_ref().is_some_and(|f| f.digest == digest) {
+        if self.content(digest).is_some() || self.fetch.as_ref().is_some_and(|f| f.digest == digest)
+        {
             return;
         }
         let from = (from != self.name).then(|| from.to_owned());
-        self.fetch = Some(Fetch { digest, bytes: Vec::new(), from, again: now });
+        self.fetch = Some(Fetch {
+            digest,
+            bytes: Vec::new(),
+            from,
+            again: now,
+        });
     }
 
     /// Whether a content is wanted.
@@ -31,12 +40,16 @@
         self.fetch.is_some()
     }
 
-    /// The next piece that is wanted: of which content, from which byte on, and of which of these members. It is wanted again a while later:
-    /// of whom it was heard of or came last, and of anybody where that one is not there any more.
+    /// The next piece that is wanted: of which content, from which byte on, and of which of these
+    /// members. It is wanted again a while later: of whom it was heard of or came last, and of
+    /// anybody where that one is not there any more.
     pub fn take_fetch(&mut self, now: Micros, members: &[&str]) -> Option<(Digest, usize, String)> {
         let fetch = self.fetch.as_mut().filter(|f| now >= f.again)?;
         fetch.again = now + FETCH_AGAIN;
-        let best = fetch.from.clone().filter(|from| members.contains(&from.as_str()));
+        let best = fetch
+            .from
+            .clone()
+            .filter(|from| members.contains(&from.as_str()));
         let of = best.or_else(|| self.rng.choice(members).map(|m| (*m).to_owned()))?;
         Some((fetch.digest, fetch.bytes.len(), of))
     }
@@ -57,7 +70,11 @@
         at: usize,
         piece: Option<(&[u8], usize)>,
     ) -> bool {
-        let Some(fetch) = self.fetch.as_mut().filter(|f| f.digest == digest && f.bytes.len() == at) else {
+        let Some(fetch) = self
+            .fetch
+            .as_mut()
+            .filter(|f| f.digest == digest && f.bytes.len() == at)
+        else {
             return false;
         };
         // An empty piece would be asked for again and again, at once.
--- a/crates/config-versions/src/node/due.rs
+++ b/crates/config-versions/src/node/due.rs
@@ -12,7 +12,10 @@
         let closer = self.closer.as_ref().and_then(Closer::due);
         let fetch = self.fetch.as_ref().map(|f| f.again);
         let lease = self.leased_until().filter(|_| self.leased);
-        [asks, publisher, closer, fetch, lease].into_iter().flatten().fold(self.next_ask, Micros::min)
+        [asks, publisher, closer, fetch, lease]
+            .into_iter()
+            .flatten()
+            .fold(self.next_ask, Micros::min)
     }
 
     /// It is time for something. Whether there is a new word of its own to be spread.
@@ -46,7 +49,9 @@
     }
 
     pub(super) fn beats(&mut self, now: Micros) -> bool {
-        let Some(elector) = &self.elector else { return false };
+        let Some(elector) = &self.elector else {
+            return false;
+        };
         let electors = &self.newest.electors;
         match elector.beat(now) {
             Some((beat, write)) if write <= self.synced => {
@@ -66,11 +71,21 @@
         }
         let asked: Vec<String> = self.floor.asks(&self.newest.electors).cloned().collect();
         for to in asked {
-            self.out.push((to, Message::Floor { nonce: self.floor.nonce() }));
+            self.out.push((
+                to,
+                Message::Floor {
+                    nonce: self.floor.nonce(),
+                },
+            ));
         }
         for elector in &self.newest.electors {
-            if *elector != self.name && self.leases.asks(elector, now, self.settings.lease, self.rates) {
-                self.out.push((elector.clone(), Message::Clock { asked: now }));
+            if *elector != self.name
+                && self
+                    .leases
+                    .asks(elector, now, self.settings.lease, self.rates)
+            {
+                self.out
+                    .push((elector.clone(), Message::Clock { asked: now }));
             }
         }
         let pending = self.elector.as_ref().is_some_and(|e| e.pending().is_some());
--- a/crates/config-versions/src/node/heard.rs
+++ b/crates/config-versions/src/node/heard.rs
@@ -7,7 +7,10 @@
 
     /// What travels with each message of the fleet.
     pub fn hint(&self) -> Hint {
-        Hint { newest: self.newest.number, beats: self.leases.beats(&self.newest.electors) }
+        Hint {
+            newest: self.newest.number,
+            beats: self.leases.beats(&self.newest.electors),
+        }
     }
 
     /// Hears another's. Whether it said anything new.
@@ -20,13 +23,18 @@
         new
     }
 
-    /// Somebody says that there is a newer version. Whoever may say anything is no witness of that: the electors are asked, all of them,
-    /// and now and then, however often it is said.
+    /// Somebody says that there is a newer version. Whoever may say anything is no witness of that:
+    /// the electors are asked, all of them, and now and then, however often it is said.
     pub(super) fn ask_which(&mut self, now: Micros, number: u64) {
         if number > self.newest.number && now >= self.next_which {
             self.next_which = now + AGAIN;
             let electors = self.newest.electors.clone();
-            self.out.extend(electors.into_iter().filter(|e| *e != self.name).map(|e| (e, Message::Which)));
+            self.out.extend(
+                electors
+                    .into_iter()
+                    .filter(|e| *e != self.name)
+                    .map(|e| (e, Message::Which)),
+            );
         }
     }
 
@@ -58,29 +66,52 @@
             return;
         }
         match message {
-            Message::Which => self.out.push((from.to_owned(), Message::Decided(self.newest.clone()))),
+            Message::Which => self
+                .out
+                .push((from.to_owned(), Message::Decided(self.newest.clone()))),
             Message::Clock { asked } => {
                 let beat = self.elector.as_ref().and_then(|e| e.beat(now));
                 if let Some((beat, _)) = beat.filter(|(_, write)| *write <= self.synced) {
-                    let message = Message::ClockIs { asked: *asked, start: beat.start, at: beat.at };
+                    let message = Message::ClockIs {
+                        asked: *asked,
+                        start: beat.start,
+                        at: beat.at,
+                    };
                     self.out.push((from.to_owned(), message));
                 }
             }
-            // An answer from before this process, or one that nobody gave, must not bring a lease from the future.
+            // An answer from before this process, or one that nobody gave, must not bring a lease
+            // from the future.
             Message::ClockIs { asked, start, at } if *asked <= now => {
-                self.leases.told(from, *start, *at, *asked, &self.newest.electors);
+                self.leases
+                    .told(from, *start, *at, *asked, &self.newest.electors);
             }
             Message::Decided(version) => self.learn(now, from, version),
             Message::Floor { nonce } => {
-                if let Some(elector) = self.elector.as_ref().filter(|e| *e.voting() == Voting::Yes) {
+                if let Some(elector) = self.elector.as_ref().filter(|e| *e.voting() == Voting::Yes)
+                {
                     let (kept, after) = elector.kept();
                     let newest = kept.newest.clone();
-                    let highest = elector.pending().map_or(newest.number, |v| v.number.max(newest.number));
-                    let message = Message::FloorIs { nonce: *nonce, newest, highest };
-                    self.say(Said { to: from.to_owned(), message, after });
+                    let highest = elector
+                        .pending()
+                        .map_or(newest.number, |v| v.number.max(newest.number));
+                    let message = Message::FloorIs {
+                        nonce: *nonce,
+                        newest,
+                        highest,
+                    };
+                    self.say(Said {
+                        to: from.to_owned(),
+                        message,
+                        after,
+                    });
                 }
             }
-            Message::FloorIs { nonce, newest, highest } if *nonce == self.floor.nonce() => {
+            Message::FloorIs {
+                nonce,
+                newest,
+                highest,
+            } if *nonce == self.floor.nonce() => {
                 // What it says of electors first: who is asked may have left them since.
                 self.learn(now, from, newest);
                 let electors = self.newest.electors.clone();
@@ -94,7 +125,9 @@
         if let Some(elector) = self.elector.as_mut().filter(|_| !decided) {
             let was = matches!(elector.voting(), Voting::Never(_));
             let contents = &self.contents;
-            let said = elector.hear(from, message, |v| contents.iter().any(|(d, _)| *d == v.digest));
+            let said = elector.hear(from, message, |v| {
+                contents.iter().any(|(d, _)| *d == v.digest)
+            });
             let lost = !was && matches!(elector.voting(), Voting::Never(_));
             let learned = elector.kept().0.newest.clone();
             said.into_iter().for_each(|s| self.say(s));
@@ -103,14 +136,18 @@
             }
             let name = self.name.clone();
             self.learn(now, &name, &learned);
-            // Nothing is accepted whose content isn't here: it is fetched, and accepted when it is asked for again.
+            // Nothing is accepted whose content isn't here: it is fetched, and accepted when it is
+            // asked for again.
             if let Message::Accept { version, .. } = message {
                 self.want(now, version.digest, from);
             }
         }
         let jitter = self.rng.f64();
         let mut out = Vec::new();
-        let outcome = self.publisher.as_mut().and_then(|p| p.hear(now, from, message, jitter, &mut out));
+        let outcome = self
+            .publisher
+            .as_mut()
+            .and_then(|p| p.hear(now, from, message, jitter, &mut out));
         self.out.append(&mut out);
         if let Some(outcome) = outcome {
             self.published(now, outcome);
@@ -129,8 +166,9 @@
         self.event(Event::Published(outcome));
     }
 
-    /// A version was decided, as somebody says. This node's own elector and publisher know; of others a majority of the electors has to
-    /// say so, or one bad datagram with a number of 2^63 would shut the node out for ever.
+    /// A version was decided, as somebody says. This node's own elector and publisher know; of
+    /// others a majority of the electors has to say so, or one bad datagram with a number of 2^63
+    /// would shut the node out for ever.
     pub(super) fn learn(&mut self, now: Micros, from: &str, version: &Version) {
         if version.number <= self.newest.number {
             return;
@@ -143,14 +181,28 @@
         }
         self.claims.insert(from.to_owned(), version.clone());
         let claims = &self.claims;
-        // What its own elector has accepted bears out the number. Not the version: another one may have been decided under it.
-        let own = self.elector.as_ref().and_then(Elector::pending).map(|v| v.number);
+        // What its own elector has accepted bears out the number. Not the version: another one may
+        // have been decided under it.
+        let own = self
+            .elector
+            .as_ref()
+            .and_then(Elector::pending)
+            .map(|v| v.number);
         let said = |e: &str, number: u64| {
             let own = own.filter(|_| e == self.name);
-            claims.get(e).map(|v| v.number).max(own).is_some_and(|known| known >= number)
+            claims
+                .get(e)
+                .map(|v| v.number)
+                .max(own)
+                .is_some_and(|known| known >= number)
         };
-        let sure = claims.values().filter(|v| majority(&self.newest.electors, |e| said(e, v.number)));
-        let best = sure.max_by_key(|v| v.number).filter(|v| v.number > self.newest.number).cloned();
+        let sure = claims
+            .values()
+            .filter(|v| majority(&self.newest.electors, |e| said(e, v.number)));
+        let best = sure
+            .max_by_key(|v| v.number)
+            .filter(|v| v.number > self.newest.number)
+            .cloned();
         if let Some(version) = best {
             self.adopt(now, from, &version);
         }
@@ -160,7 +212,8 @@
         if version.number <= self.newest.number {
             return;
         }
-        self.claims.retain(|e, v| v.number > version.number && version.electors.contains(e));
+        self.claims
+            .retain(|e, v| v.number > version.number && version.electors.contains(e));
         self.newest = version.clone();
         self.event(Event::Heard(version.number, from.to_owned()));
         if let Some(elector) = &mut self.elector {
--- a/crates/config-versions/src/node/mod.rs
+++ b/crates/config-versions/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! All that one node does about versions: it hears of them, comes to them, acts on one while it may, and as an elector votes.
+//! All that one node does about versions: it hears of them, comes to them, acts on one while it
+//! may, and as an elector votes.
 
 use crate::closer::{Closer, Stage};
 use crate::elector::{Elector, Kept, Said, Voting};
@@ -26,7 +27,8 @@
 const BEATS: Micros = 5;
 /// What has no answer is asked again after so long.
 const AGAIN: Micros = 300_000;
-/// A piece that has not come is asked for again after so long: they are small, and a lost one holds up the rest.
+/// A piece that has not come is asked for again after so long: they are small, and a lost one holds
+/// up the rest.
 const FETCH_AGAIN: Micros = 100_000;
 /// The longest piece of a content, in bytes: a datagram holds it.
 pub const PIECE: usize = 900;
@@ -86,8 +88,9 @@
 }
 
 impl Node {
-    /// Starts. `kept` is what an elector's disk holds, `Some(None)` an empty one; a node without a folder for it is no elector.
-    /// `acting` is the version that was written down last and its content, `floor` the floor that was.
+    /// Starts. `kept` is what an elector's disk holds, `Some(None)` an empty one; a node without a
+    /// folder for it is no elector. `acting` is the version that was written down last and its
+    /// content, `floor` the floor that was.
     pub fn new(
         name: &str,
         settings: Settings,
@@ -175,11 +178,13 @@
         self.event(Event::Floor(number));
     }
 
-    /// Another process of this node was the member for a while, and is gone. What it has voted and acted on is on the disk: this one goes
-    /// on from there, as after a start, and under the version that it has itself acted on all the while.
+    /// Another process of this node was the member for a while, and is gone. What it has voted and
+    /// acted on is on the disk: this one goes on from there, as after a start, and under the
+    /// version that it has itself acted on all the while.
     pub fn resume(&mut self, now: Micros, kept: Option<Option<Kept>>, floor: u64) {
         let token = self.rng.u64(1..);
-        self.elector = kept.map(|kept| Elector::start(&self.name, kept, &self.settings.electors, token));
+        self.elector =
+            kept.map(|kept| Elector::start(&self.name, kept, &self.settings.electors, token));
         (self.synced, self.writing) = (0, 0);
         (self.publisher, self.closer, self.stale) = (None, None, None);
         self.held.clear();
--- a/crates/config-versions/src/node/publish.rs
+++ b/crates/config-versions/src/node/publish.rs
@@ -12,14 +12,19 @@
             // Its start is to be on the disk: its attempts name it.
             Some(Voting::Yes) if self.newest.electors.contains(&self.name) && self.synced > 0 => {}
             Some(Voting::Never(_)) => {
-                return Err(Unpublished::NoElector("its disk is not the one that others remember".into()))
+                return Err(Unpublished::NoElector(
+                    "its disk is not the one that others remember".into(),
+                ))
             }
             Some(_) if self.newest.electors.contains(&self.name) => {
                 let why = "it hasn't written its start or heard from a majority yet";
                 return Err(Unpublished::NoElector(why.into()));
             }
             _ => {
-                return Err(Unpublished::NoElector(format!("electors: {}", self.newest.electors.join(", "))))
+                return Err(Unpublished::NoElector(format!(
+                    "electors: {}",
+                    self.newest.electors.join(", ")
+                )))
             }
         }
         if draft.base != self.newest.number {
@@ -29,12 +34,17 @@
             return Err(Unpublished::Busy);
         }
         if draft.content.len() > MOST_CONTENT {
-            return Err(Unpublished::Unfit(format!("{} bytes, at most {MOST_CONTENT}", draft.content.len())));
+            return Err(Unpublished::Unfit(format!(
+                "{} bytes, at most {MOST_CONTENT}",
+                draft.content.len()
+            )));
         }
         if draft.why.is_empty() || draft.why.len() > MOST_WHY {
             return Err(Unpublished::Unfit(format!("why: 1 to {MOST_WHY} bytes")));
         }
-        let electors = draft.electors.unwrap_or_else(|| self.newest.electors.clone());
+        let electors = draft
+            .electors
+            .unwrap_or_else(|| self.newest.electors.clone());
         may_follow(&self.newest.electors, &electors)
             .map_err(|e| Unpublished::Unfit(format!("electors: {e}")))?;
         let number = self.newest.number + 1;
@@ -43,7 +53,11 @@
             number,
             digest: Digest::of(&draft.content),
             length: draft.content.len() as u32,
-            electors_since: if same { self.newest.electors_since } else { number },
+            electors_since: if same {
+                self.newest.electors_since
+            } else {
+                number
+            },
             electors,
             withdraws: draft.withdraws,
             nonce: self.rng.u64(..),
@@ -72,7 +86,10 @@
             ));
         }
         if self.elector.is_none() || !self.newest.electors.contains(&self.name) {
-            return Err(format!("this node is no elector; these are: {}", self.newest.electors.join(", ")));
+            return Err(format!(
+                "this node is no elector; these are: {}",
+                self.newest.electors.join(", ")
+            ));
         }
         match &self.closer {
             Some(closer) if closer.floor() > floor => {
--- a/crates/config-versions/src/node/terms.rs
+++ b/crates/config-versions/src/node/terms.rs
@@ -59,7 +59,8 @@
     Closed,
     /// Its lease has run out, and it is to refuse then.
     NoLease,
-    /// Too few electors were heard since its start to know which versions it may not go back behind.
+    /// Too few electors were heard since its start to know which versions it may not go back
+    /// behind.
     Unknown,
     /// Its version lies below its floor: it waits for a newer one.
     Below,
