--- a/crates/config-versions/src/publisher.rs
+++ b/crates/config-versions/src/publisher.rs
@@ -1,4 +1,5 @@
-//! Publishing: one attempt after the other to have a number decided, until it is, by this version or another one.
+//! Publishing: one attempt after the other to have a number decided, until it is, by this version
+//! or another one.
 
 use crate::message::{Ballot, Message};
 use crate::version::{majority, Version};
@@ -7,7 +8,8 @@
 
 /// Requests are sent again after so long.
 const AGAIN: Micros = 200_000;
-/// After a refusal the next attempt begins so late, and up to as much later again, times the attempts so far.
+/// After a refusal the next attempt begins so late, and up to as much later again, times the
+/// attempts so far.
 const BACK_OFF: Micros = 100_000;
 /// The longest that this grows to.
 const BACK_OFF_MOST: Micros = 2_000_000;
@@ -19,8 +21,8 @@
     Decided(Version),
     /// Another one was.
     Another(Version),
-    /// A majority could not be heard in time. The number may still end up with this version or another one, or with none; these
-    /// electors had accepted.
+    /// A majority could not be heard in time. The number may still end up with this version or
+    /// another one, or with none; these electors had accepted.
     Open(Vec<String>),
 }
 
@@ -53,7 +55,13 @@
 
 impl Publisher {
     /// Begins with this attempt, which nobody has made before.
-    pub fn new(base: Version, own: Option<Version>, ballot: Ballot, now: Micros, until: Micros) -> Publisher {
+    pub fn new(
+        base: Version,
+        own: Option<Version>,
+        ballot: Ballot,
+        now: Micros,
+        until: Micros,
+    ) -> Publisher {
         Publisher {
             base,
             own,
@@ -118,14 +126,26 @@
         match &self.stage {
             Stage::Preparing(heard) => {
                 let message = Message::Prepare { ballot, base };
-                let silent = self.base.electors.iter().filter(|e| !heard.contains_key(*e));
+                let silent = self
+                    .base
+                    .electors
+                    .iter()
+                    .filter(|e| !heard.contains_key(*e));
                 out.extend(silent.map(|e| (e.clone(), message.clone())));
             }
             Stage::Accepting(version, heard) => {
                 let floor = self.floor;
-                let message = Message::Accept { ballot, base, version: version.clone(), floor };
+                let message = Message::Accept {
+                    ballot,
+                    base,
+                    version: version.clone(),
+                    floor,
+                };
                 // Those of the next version too: a majority of both has it before it counts.
-                let new = version.electors.iter().filter(|e| !self.base.electors.contains(e));
+                let new = version
+                    .electors
+                    .iter()
+                    .filter(|e| !self.base.electors.contains(e));
                 let all = self.base.electors.iter().chain(new);
                 let silent = all.filter(|e| heard.get(*e).is_none_or(|had| *had < floor));
                 out.extend(silent.map(|e| (e.clone(), message.clone())));
@@ -144,15 +164,27 @@
         out: &mut Out,
     ) -> Option<Outcome> {
         match message {
-            Message::Promise { ballot, accepted, floor, .. } if *ballot == self.ballot => {
-                let Stage::Preparing(heard) = &mut self.stage else { return None };
+            Message::Promise {
+                ballot,
+                accepted,
+                floor,
+                ..
+            } if *ballot == self.ballot => {
+                let Stage::Preparing(heard) = &mut self.stage else {
+                    return None;
+                };
                 heard.insert(from.to_owned(), accepted.clone());
                 self.floor = self.floor.max(*floor);
                 if !majority(&self.base.electors, |e| heard.contains_key(e)) {
                     return None;
                 }
-                // What was accepted in the latest attempt may have been decided: nothing else can be.
-                let latest = heard.values().flatten().max_by(|a, b| a.0.cmp(&b.0)).map(|(_, v)| v.clone());
+                // What was accepted in the latest attempt may have been decided: nothing else can
+                // be.
+                let latest = heard
+                    .values()
+                    .flatten()
+                    .max_by(|a, b| a.0.cmp(&b.0))
+                    .map(|(_, v)| v.clone());
                 let Some(version) = latest.or(self.own.clone()) else {
                     return Some(Outcome::Another(self.base.clone()));
                 };
@@ -162,7 +194,9 @@
                 None
             }
             Message::Accepted { ballot, floor, .. } if *ballot == self.ballot => {
-                let Stage::Accepting(version, heard) = &mut self.stage else { return None };
+                let Stage::Accepting(version, heard) = &mut self.stage else {
+                    return None;
+                };
                 heard.insert(from.to_owned(), *floor);
                 self.floor = self.floor.max(*floor);
                 // What an old majority has closed, a new one has closed too, before it is one.
@@ -177,7 +211,9 @@
                 out.extend(all.map(|e| (e.clone(), Message::Decided(version.clone()))));
                 Some(self.ended(version))
             }
-            Message::Refused { ballot, promised } if *ballot == self.ballot && *promised > self.ballot => {
+            Message::Refused { ballot, promised }
+                if *ballot == self.ballot && *promised > self.ballot =>
+            {
                 if matches!(self.stage, Stage::Waiting(_)) {
                     return None;
                 }
--- a/crates/config-versions/src/version.rs
+++ b/crates/config-versions/src/version.rs
@@ -10,7 +10,8 @@
 pub const MOST_WHY: usize = 200;
 /// The longest name of a member, as in the view of the fleet, in bytes.
 pub const MOST_NAME: usize = 64;
-/// How many electors the operator's file may name. Between two of these there are four or six for a while.
+/// How many electors the operator's file may name. Between two of these there are four or six for a
+/// while.
 pub const ELECTORS: [usize; 3] = [3, 5, 7];
 
 /// The SHA-256 of a content.
@@ -93,29 +94,38 @@
 pub fn check_electors(electors: &[String]) -> Result<(), String> {
     let most = ELECTORS[2];
     if electors.len() < ELECTORS[0] || electors.len() > most {
-        return Err(format!("{} of them: there are {} to {most}", electors.len(), ELECTORS[0]));
+        return Err(format!(
+            "{} of them: there are {} to {most}",
+            electors.len(),
+            ELECTORS[0]
+        ));
     }
     let mut sorted: Vec<&String> = electors.iter().collect();
     sorted.sort();
     if let Some(twice) = sorted.windows(2).find(|w| w[0] == w[1]) {
         return Err(format!("{} twice", twice[0]));
     }
-    match electors.iter().find(|n| n.is_empty() || n.len() > MOST_NAME) {
+    match electors
+        .iter()
+        .find(|n| n.is_empty() || n.len() > MOST_NAME)
+    {
         Some(_) => Err(format!("a name has 1 to {MOST_NAME} bytes")),
         None => Ok(()),
     }
 }
 
-/// Whether the next electors may follow these. One may come or one may go, no more at once: any majority of the old ones
-/// and any of the new ones then share an elector. With one in another one's place they would not: of a, b, c and a, b, d
-/// these are b, c and a, d.
+/// Whether the next electors may follow these. One may come or one may go, no more at once: any
+/// majority of the old ones and any of the new ones then share an elector. With one in another
+/// one's place they would not: of a, b, c and a, b, d these are b, c and a, d.
 pub fn may_follow(before: &[String], next: &[String]) -> Result<(), String> {
     check_electors(next)?;
     let come = next.iter().filter(|n| !before.contains(n)).count();
     let gone = before.iter().filter(|n| !next.contains(n)).count();
     match come + gone {
         0 | 1 => Ok(()),
-        _ => Err(format!("{come} come and {gone} go: one may come or one may go at once")),
+        _ => Err(format!(
+            "{come} come and {gone} go: one may come or one may go at once"
+        )),
     }
 }
 
--- a/crates/config-versions/src/word.rs
+++ b/crates/config-versions/src/word.rs
@@ -45,7 +45,11 @@
     /// Reads one, if it is one.
     pub fn read(bytes: &[u8]) -> Option<Word> {
         let word: Word = postcard::from_bytes(bytes).ok()?;
-        let sane = if let Word::Piece { bytes, .. } = &word { bytes.len() <= PIECE } else { true };
+        let sane = if let Word::Piece { bytes, .. } = &word {
+            bytes.len() <= PIECE
+        } else {
+            true
+        };
         sane.then_some(word)
     }
 }
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! Messages and files of the config version protocol, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-config-versions --test compatibility`): nodes of both builds form one fleet,
-//! and either build reads the other's files.
+//! Messages and files of the config version protocol, compared with fixtures written by the build
+//! of commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-config-versions --test
+//! compatibility`): nodes of both builds form one fleet, and either build reads the other's files.
 
 use pipitlever_config_versions::elector::Kept;
 use pipitlever_config_versions::floor::Saved;
@@ -28,38 +28,135 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: "e1".into(), start: 400 + round }
+    Ballot {
+        round,
+        by: "e1".into(),
+        start: 400 + round,
+    }
 }
 
 fn seal(count: u64) -> Seal {
-    Seal { token: 0x1112_1314_1516_1718, count }
+    Seal {
+        token: 0x1112_1314_1516_1718,
+        count,
+    }
 }
 
 fn hint() -> Hint {
-    let beat = Beat { by: "e3".into(), start: 11, at: -12_345, floor: 600, config: 601 };
-    Hint { newest: 700, beats: vec![beat] }
+    let beat = Beat {
+        by: "e3".into(),
+        start: 11,
+        at: -12_345,
+        floor: 600,
+        config: 601,
+    };
+    Hint {
+        newest: 700,
+        beats: vec![beat],
+    }
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
     let accepted = Some((ballot(3), version(21)));
     vec![
-        ("prepare", Message::Prepare { ballot: ballot(1), base: version(20) }),
-        ("promise", Message::Promise { ballot: ballot(2), accepted, floor: 18, seal: seal(31) }),
-        ("promise-empty", Message::Promise { ballot: ballot(2), accepted: None, floor: 18, seal: seal(31) }),
-        ("accept", Message::Accept { ballot: ballot(4), base: version(20), version: version(21), floor: 19 }),
-        ("accepted", Message::Accepted { ballot: ballot(5), floor: 20, seal: seal(32) }),
-        ("refused", Message::Refused { ballot: ballot(6), promised: ballot(7) }),
+        (
+            "prepare",
+            Message::Prepare {
+                ballot: ballot(1),
+                base: version(20),
+            },
+        ),
+        (
+            "promise",
+            Message::Promise {
+                ballot: ballot(2),
+                accepted,
+                floor: 18,
+                seal: seal(31),
+            },
+        ),
+        (
+            "promise-empty",
+            Message::Promise {
+                ballot: ballot(2),
+                accepted: None,
+                floor: 18,
+                seal: seal(31),
+            },
+        ),
+        (
+            "accept",
+            Message::Accept {
+                ballot: ballot(4),
+                base: version(20),
+                version: version(21),
+                floor: 19,
+            },
+        ),
+        (
+            "accepted",
+            Message::Accepted {
+                ballot: ballot(5),
+                floor: 20,
+                seal: seal(32),
+            },
+        ),
+        (
+            "refused",
+            Message::Refused {
+                ballot: ballot(6),
+                promised: ballot(7),
+            },
+        ),
         ("decided", Message::Decided(version(22))),
         ("which", Message::Which),
-        ("close", Message::Close { floor: 21, newest: version(23) }),
-        ("closed", Message::Closed { floor: 22, pending: Some(version(24)), seal: seal(33) }),
+        (
+            "close",
+            Message::Close {
+                floor: 21,
+                newest: version(23),
+            },
+        ),
+        (
+            "closed",
+            Message::Closed {
+                floor: 22,
+                pending: Some(version(24)),
+                seal: seal(33),
+            },
+        ),
         ("known", Message::Known { seal: seal(34) }),
-        ("remembered", Message::Remembered { of: seal(35), newest: version(25) }),
+        (
+            "remembered",
+            Message::Remembered {
+                of: seal(35),
+                newest: version(25),
+            },
+        ),
         ("sealed", Message::Sealed(seal(36))),
         ("clock", Message::Clock { asked: 5_000_000 }),
-        ("clock-is", Message::ClockIs { asked: 6_000_000, start: 12, at: 7_000_000 }),
-        ("floor", Message::Floor { nonce: 0x2122_2324_2526_2728 }),
-        ("floor-is", Message::FloorIs { nonce: 0x3132_3334_3536_3738, newest: version(26), highest: 27 }),
+        (
+            "clock-is",
+            Message::ClockIs {
+                asked: 6_000_000,
+                start: 12,
+                at: 7_000_000,
+            },
+        ),
+        (
+            "floor",
+            Message::Floor {
+                nonce: 0x2122_2324_2526_2728,
+            },
+        ),
+        (
+            "floor-is",
+            Message::FloorIs {
+                nonce: 0x3132_3334_3536_3738,
+                newest: version(26),
+                highest: 27,
+            },
+        ),
     ]
 }
 
@@ -68,8 +165,24 @@
     vec![
         ("word-register", Word::register(&Message::Which)),
         ("word-want", Word::Want { digest, at: 1_024 }),
-        ("word-piece", Word::Piece { digest, at: 2_048, all: Some(4_096), bytes: vec![1, 2, 3] }),
-        ("word-piece-absent", Word::Piece { digest, at: 0, all: None, bytes: Vec::new() }),
+        (
+            "word-piece",
+            Word::Piece {
+                digest,
+                at: 2_048,
+                all: Some(4_096),
+                bytes: vec![1, 2, 3],
+            },
+        ),
+        (
+            "word-piece-absent",
+            Word::Piece {
+                digest,
+                at: 0,
+                all: None,
+                bytes: Vec::new(),
+            },
+        ),
     ]
 }
 
@@ -103,7 +216,11 @@
     let acceptor = saved::write(&acceptor_file());
     assert_eq!(saved::read::<Kept>(&acceptor), Ok(acceptor_file()));
     samples.push(("file-acceptor", acceptor));
-    let node = Saved { floor: 27, version: Some(version(28)), content: b"content".to_vec() };
+    let node = Saved {
+        floor: 27,
+        version: Some(version(28)),
+        content: b"content".to_vec(),
+    };
     let node_file = saved::write(&node);
     assert_eq!(saved::read::<Saved>(&node_file), Ok(node));
     samples.push(("file-node", node_file));
--- a/crates/config-versions/tests/disks.rs
+++ b/crates/config-versions/tests/disks.rs
@@ -1,4 +1,5 @@
-//! What rests on a disk: votes wait for their write, and an elector whose disk is not the one that others remember does not vote.
+//! What rests on a disk: votes wait for their write, and an elector whose disk is not the one that
+//! others remember does not vote.
 
 use pipitlever_config_versions::closer::{Closer, Stage};
 use pipitlever_config_versions::elector::{Elector, Kept, Said, Voting};
@@ -26,21 +27,28 @@
     /// All start with nothing on their disks.
     fn new(all: &str, present: &str) -> Room {
         let mut room = Room::default();
-        present.chars().for_each(|name| room.start(&name.to_string(), None, all, 1000 + name as u64));
+        present
+            .chars()
+            .for_each(|name| room.start(&name.to_string(), None, all, 1000 + name as u64));
         room.ask();
         room
     }
 
     fn start(&mut self, name: &str, kept: Option<Kept>, all: &str, token: u64) {
-        self.electors.insert(name.into(), Elector::start(name, kept, &names(all), token));
+        self.electors
+            .insert(name.into(), Elector::start(name, kept, &names(all), token));
     }
 
     /// Those that don't know yet whether they may vote ask the others.
     fn ask(&mut self) {
-        let asks: Vec<(String, Vec<Said>)> =
-            self.electors.iter().map(|(n, e)| (n.clone(), e.asks())).collect();
+        let asks: Vec<(String, Vec<Said>)> = self
+            .electors
+            .iter()
+            .map(|(n, e)| (n.clone(), e.asks()))
+            .collect();
         for (from, said) in asks {
-            said.into_iter().for_each(|s| self.say(&from, &s.to, s.message));
+            said.into_iter()
+                .for_each(|s| self.say(&from, &s.to, s.message));
         }
         self.settle();
     }
@@ -72,16 +80,19 @@
 
     /// A publisher that is no elector itself, to its end or until nobody says anything more.
     fn publish(&mut self, base: &Version, own: Version, round: u64) -> Option<Outcome> {
-        let mut publisher = Publisher::new(base.clone(), Some(own), ballot(round), 0, 1_000_000_000);
+        let mut publisher =
+            Publisher::new(base.clone(), Some(own), ballot(round), 0, 1_000_000_000);
         let mut out = Vec::new();
         for turn in 0..10 {
             publisher.wake(turn * 1_000_000, &mut out);
-            out.drain(..).for_each(|(to, message)| self.say("p", &to, message));
+            out.drain(..)
+                .for_each(|(to, message)| self.say("p", &to, message));
             self.settle();
             for (from, _, message) in std::mem::take(&mut self.outside) {
                 let outcome = publisher.hear(turn * 1_000_000, &from, &message, 0.0, &mut out);
                 if outcome.is_some() {
-                    out.drain(..).for_each(|(to, message)| self.say("p", &to, message));
+                    out.drain(..)
+                        .for_each(|(to, message)| self.say("p", &to, message));
                     self.settle();
                     return outcome;
                 }
@@ -92,7 +103,11 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: "p".into(), start: 1 }
+    Ballot {
+        round,
+        by: "p".into(),
+        start: 1,
+    }
 }
 
 fn next(base: &Version, electors: &str) -> Version {
@@ -101,7 +116,11 @@
         number,
         digest: Digest::of(&[number as u8]),
         electors: names(electors),
-        electors_since: if names(electors) == base.electors { base.electors_since } else { number },
+        electors_since: if names(electors) == base.electors {
+            base.electors_since
+        } else {
+            number
+        },
         by: "p".into(),
         ..base.clone()
     }
@@ -113,20 +132,43 @@
     let elector = room.electors.get_mut("a").unwrap();
     let (_, before) = elector.kept();
     let (base, ballot) = (Version::genesis(&names("abc")), ballot(1));
-    let promised =
-        elector.hear("p", &Message::Prepare { ballot: ballot.clone(), base: base.clone() }, |_| true);
+    let promised = elector.hear(
+        "p",
+        &Message::Prepare {
+            ballot: ballot.clone(),
+            base: base.clone(),
+        },
+        |_| true,
+    );
     let to_p = |said: &[Said]| said.iter().find(|s| s.to == "p").cloned().unwrap();
     let after = to_p(&promised).after;
     assert!(after > before && after == elector.kept().1 && elector.kept().0.promised == ballot);
     // Said again it rests on the same write.
-    let again = elector.hear("p", &Message::Prepare { ballot: ballot.clone(), base: base.clone() }, |_| true);
+    let again = elector.hear(
+        "p",
+        &Message::Prepare {
+            ballot: ballot.clone(),
+            base: base.clone(),
+        },
+        |_| true,
+    );
     assert_eq!((to_p(&again).after, elector.kept().1), (after, after));
-    let accept = Message::Accept { ballot, version: next(&base, "abc"), base, floor: 0 };
-    assert!(elector.hear("p", &accept, |_| false).is_empty(), "without the content it accepts nothing");
+    let accept = Message::Accept {
+        ballot,
+        version: next(&base, "abc"),
+        base,
+        floor: 0,
+    };
+    assert!(
+        elector.hear("p", &accept, |_| false).is_empty(),
+        "without the content it accepts nothing"
+    );
     let accepted = elector.hear("p", &accept, |_| true);
     assert!(to_p(&accepted).after > after && elector.pending().is_some());
     // The others are to remember that the disk was written.
-    assert!(accepted.iter().any(|s| s.to == "b" && matches!(s.message, Message::Sealed(_))));
+    assert!(accepted
+        .iter()
+        .any(|s| s.to == "b" && matches!(s.message, Message::Sealed(_))));
 }
 
 #[test]
@@ -136,9 +178,13 @@
     let base = Version::genesis(&names("abc"));
     let yesterday = room.kept("a");
     let first = next(&base, "abc");
-    assert_eq!(room.publish(&base, first.clone(), 1), Some(Outcome::Decided(first.clone())));
+    assert_eq!(
+        room.publish(&base, first.clone(), 1),
+        Some(Outcome::Decided(first.clone()))
+    );
     let today = room.kept("a");
-    // As it was left: it asks, and votes. Its attempts are not those of a start before, which may have made the same round.
+    // As it was left: it asks, and votes. Its attempts are not those of a start before, which may
+    // have made the same round.
     let before = Elector::start("a", Some(today.clone()), &names("abc"), 5);
     room.start("a", Some(before.kept().0.clone()), "abc", 5);
     assert_ne!(room.electors["a"].ballot(), before.ballot());
@@ -148,15 +194,25 @@
     for kept in [Some(yesterday), None] {
         room.start("a", kept, "abc", 5);
         room.ask();
-        assert!(matches!(room.electors["a"].voting(), Voting::Never(_)), "{:?}", room.electors["a"].voting());
+        assert!(
+            matches!(room.electors["a"].voting(), Voting::Never(_)),
+            "{:?}",
+            room.electors["a"].voting()
+        );
         // It promises nothing, closes nothing, and doesn't say that it lives.
         let elector = room.electors.get_mut("a").unwrap();
-        let prepare = Message::Prepare { ballot: ballot(9), base: first.clone() };
+        let prepare = Message::Prepare {
+            ballot: ballot(9),
+            base: first.clone(),
+        };
         assert!(elector.hear("p", &prepare, |_| true).is_empty() && elector.beat(0).is_none());
     }
     // The other two go on without it.
     let second = next(&first, "abc");
-    assert_eq!(room.publish(&first, second.clone(), 20), Some(Outcome::Decided(second)));
+    assert_eq!(
+        room.publish(&first, second.clone(), 20),
+        Some(Outcome::Decided(second))
+    );
 }
 
 #[test]
@@ -164,10 +220,21 @@
     let mut room = Room::new("abc", "abc");
     let base = Version::genesis(&names("abc"));
     let first = next(&base, "abc");
-    assert!(matches!(room.publish(&base, first.clone(), 1), Some(Outcome::Decided(_))));
-    let late = Version { nonce: 9, ..next(&base, "abc") };
-    assert_eq!(room.publish(&base, late, 5), Some(Outcome::Another(first.clone())));
-    assert!("abc".chars().all(|n| room.kept(&n.to_string()).newest == first));
+    assert!(matches!(
+        room.publish(&base, first.clone(), 1),
+        Some(Outcome::Decided(_))
+    ));
+    let late = Version {
+        nonce: 9,
+        ..next(&base, "abc")
+    };
+    assert_eq!(
+        room.publish(&base, late, 5),
+        Some(Outcome::Another(first.clone()))
+    );
+    assert!("abc"
+        .chars()
+        .all(|n| room.kept(&n.to_string()).newest == first));
     // Without a majority nothing is decided.
     room.electors.remove("a");
     room.electors.remove("b");
@@ -180,13 +247,21 @@
     let base = Version::genesis(&names("abc"));
     let first = next(&base, "abc");
     let second = next(&first, "abc");
-    assert!(matches!(room.publish(&base, first.clone(), 1), Some(Outcome::Decided(_))));
-    assert!(matches!(room.publish(&first, second.clone(), 2), Some(Outcome::Decided(_))));
+    assert!(matches!(
+        room.publish(&base, first.clone(), 1),
+        Some(Outcome::Decided(_))
+    ));
+    assert!(matches!(
+        room.publish(&first, second.clone(), 2),
+        Some(Outcome::Decided(_))
+    ));
     let mut closer = Closer::new(2, second.clone(), 0);
     let mut out = Vec::new();
     closer.wake(0, &mut out);
     // The third elector hears nothing of it.
-    out.into_iter().filter(|(to, _)| to != "c").for_each(|(to, message)| room.say("p", &to, message));
+    out.into_iter()
+        .filter(|(to, _)| to != "c")
+        .for_each(|(to, message)| room.say("p", &to, message));
     room.settle();
     for (from, _, message) in std::mem::take(&mut room.outside) {
         closer.hear(0, &from, &message, 10, Rates::default());
@@ -194,8 +269,14 @@
     assert!(matches!(closer.stage(), Stage::Waiting(_)));
     assert_eq!(room.kept("c").floor, 0);
     let third = next(&second, "abcd");
-    assert_eq!(room.publish(&second, third.clone(), 3), Some(Outcome::Decided(third)));
-    let closed = "abcd".chars().filter(|n| room.kept(&n.to_string()).floor == 2).count();
+    assert_eq!(
+        room.publish(&second, third.clone(), 3),
+        Some(Outcome::Decided(third))
+    );
+    let closed = "abcd"
+        .chars()
+        .filter(|n| room.kept(&n.to_string()).floor == 2)
+        .count();
     assert!(closed >= 3, "{closed} of four have closed it");
 }
 
@@ -203,11 +284,18 @@
 fn electors_change_one_at_a_time() {
     let follows = |before: &str, after: &str| may_follow(&names(before), &names(after)).is_ok();
     assert!(
-        follows("abc", "abc") && follows("abc", "abcd") && follows("abcd", "bcd") && follows("abc", "cab")
+        follows("abc", "abc")
+            && follows("abc", "abcd")
+            && follows("abcd", "bcd")
+            && follows("abc", "cab")
     );
-    for (before, after) in
-        [("abc", "abd"), ("abc", "abcde"), ("abc", "ab"), ("abc", "aabc"), ("abcdefg", "abcdefgh")]
-    {
+    for (before, after) in [
+        ("abc", "abd"),
+        ("abc", "abcde"),
+        ("abc", "ab"),
+        ("abc", "aabc"),
+        ("abcdefg", "abcdefgh"),
+    ] {
         assert!(!follows(before, after), "{before} {after}");
     }
 }
--- a/crates/config-versions/tests/floor.rs
+++ b/crates/config-versions/tests/floor.rs
@@ -1,5 +1,6 @@
-//! No process of a node acts on a version below the one that any process of its name has acted on: all orders in a small world of three
-//! electors, a node that crashes, is replaced, and has its disk put back or lost, and answers that are late.
+//! No process of a node acts on a version below the one that any process of its name has acted on:
+//! all orders in a small world of three electors, a node that crashes, is replaced, and has its
+//! disk put back or lost, and answers that are late.
 
 use pipitlever_config_versions::floor::Floor;
 use stateright::{Checker, Model, Property};
@@ -119,7 +120,11 @@
         if w.meddled < MEDDLED && w.disk != 0 {
             actions.push(Action::Lose);
         }
-        actions.extend(w.answers.iter().map(|(e, start, highest)| Action::Deliver(*e, *start, *highest)));
+        actions.extend(
+            w.answers
+                .iter()
+                .map(|(e, start, highest)| Action::Deliver(*e, *start, *highest)),
+        );
         let Some(p) = &w.process else {
             if w.starts < STARTS {
                 actions.push(Action::Start);
@@ -130,7 +135,8 @@
         if w.starts < STARTS && self.may_act(p) {
             actions.push(Action::Replace);
         }
-        let asked = |e: &usize| !p.floor.open() && !w.answers.iter().any(|a| (a.0, a.1) == (*e, w.starts));
+        let asked =
+            |e: &usize| !p.floor.open() && !w.answers.iter().any(|a| (a.0, a.1) == (*e, w.starts));
         actions.extend((0..3).filter(asked).map(Action::Answer));
         match p.written {
             Some(_) => actions.push(Action::Act),
@@ -155,8 +161,13 @@
             Action::Start => {
                 w.starts += 1;
                 let floor = Floor::new(w.disk, w.starts);
-                // It begins with what the disk has, and may act on it once that is known to be right.
-                w.process = Some(Process { floor, acting: w.disk, written: None });
+                // It begins with what the disk has, and may act on it once that is known to be
+                // right.
+                w.process = Some(Process {
+                    floor,
+                    acting: w.disk,
+                    written: None,
+                });
             }
             Action::Crash => w.process = None,
             Action::Replace => {
@@ -164,7 +175,11 @@
                 w.starts += 1;
                 let mut floor = Floor::new(w.disk, w.starts);
                 floor.handed(acting);
-                w.process = Some(Process { floor, acting, written: None });
+                w.process = Some(Process {
+                    floor,
+                    acting,
+                    written: None,
+                });
             }
             Action::Copy => (w.copy, w.meddled) = (w.disk, w.meddled + 1),
             Action::PutBack => (w.disk, w.meddled) = (w.copy, w.meddled + 1),
@@ -173,8 +188,16 @@
             Action::Deliver(e, to, highest) => {
                 w.answers.remove(&(e, to, highest));
                 let p = w.process.as_mut()?;
-                let to = if self.0 == Broken::Old { p.floor.nonce() } else { to };
-                let electors = if self.0 == Broken::One { vec![ELECTORS[e].to_owned()] } else { electors() };
+                let to = if self.0 == Broken::Old {
+                    p.floor.nonce()
+                } else {
+                    to
+                };
+                let electors = if self.0 == Broken::One {
+                    vec![ELECTORS[e].to_owned()]
+                } else {
+                    electors()
+                };
                 p.floor.heard(ELECTORS[e], to, highest, &electors);
             }
             Action::Write(v) => {
@@ -200,17 +223,34 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("nothing is begun below the floor", |_, w: &World| !w.broken)]
+        vec![Property::always(
+            "nothing is begun below the floor",
+            |_, w: &World| !w.broken,
+        )]
     }
 }
 
 /// Whether any order breaks it.
 fn breaks(broken: Broken) -> bool {
     let (start, most) = (Instant::now(), Duration::from_secs(120));
-    let checker = Orders(broken).checker().threads(4).timeout(most).spawn_bfs().join();
-    let found = checker.discovery("nothing is begun below the floor").is_some();
-    assert!(found || start.elapsed() < most, "not all states were reached in time");
-    println!("{} states in {:?}", checker.unique_state_count(), start.elapsed());
+    let checker = Orders(broken)
+        .checker()
+        .threads(4)
+        .timeout(most)
+        .spawn_bfs()
+        .join();
+    let found = checker
+        .discovery("nothing is begun below the floor")
+        .is_some();
+    assert!(
+        found || start.elapsed() < most,
+        "not all states were reached in time"
+    );
+    println!(
+        "{} states in {:?}",
+        checker.unique_state_count(),
+        start.elapsed()
+    );
     found
 }
 
@@ -224,6 +264,7 @@
     for broken in [Broken::Disk, Broken::One, Broken::Old] {
         assert!(breaks(broken));
     }
-    // What is not written down is found out from the electors all the same: the disk alone carries nothing.
+    // What is not written down is found out from the electors all the same: the disk alone carries
+    // nothing.
     assert!(!breaks(Broken::Unwritten));
 }
--- a/crates/config-versions/tests/lease.rs
+++ b/crates/config-versions/tests/lease.rs
@@ -1,4 +1,5 @@
-//! Nobody acts on a version after it was said to be closed: all orders in a small world, and clocks that run at different rates.
+//! Nobody acts on a version after it was said to be closed: all orders in a small world, and clocks
+//! that run at different rates.
 
 use pipitlever_config_versions::closer::{Closer, Stage};
 use pipitlever_config_versions::lease::{Leases, Rates};
@@ -14,15 +15,29 @@
 
 fn newest() -> Version {
     let electors: Vec<String> = ELECTORS.iter().map(|e| e.to_string()).collect();
-    Version { number: OLD + 1, by: "a".into(), ..Version::genesis(&electors) }
+    Version {
+        number: OLD + 1,
+        by: "a".into(),
+        ..Version::genesis(&electors)
+    }
 }
 
 fn beat(elector: usize, at: i64, floor: u64) -> Beat {
-    Beat { by: ELECTORS[elector].into(), start: 1, at, floor, config: 0 }
+    Beat {
+        by: ELECTORS[elector].into(),
+        start: 1,
+        at,
+        floor,
+        config: 0,
+    }
 }
 
 fn closed(floor: u64) -> Message {
-    Message::Closed { floor, pending: None, seal: Seal::default() }
+    Message::Closed {
+        floor,
+        pending: None,
+        seal: Seal::default(),
+    }
 }
 
 /// Three electors, a node that acts on the old version, and one who closes it.
@@ -79,15 +94,24 @@
     fn init_states(&self) -> Vec<World> {
         let (beats, asked, answers) = (BTreeSet::new(), BTreeSet::new(), BTreeSet::new());
         let closer = Closer::new(OLD + 1, newest(), 0);
-        vec![World { now: 0, closed: [false; 3], beats, asked, answers, leases: Leases::default(), closer }]
+        vec![World {
+            now: 0,
+            closed: [false; 3],
+            beats,
+            asked,
+            answers,
+            leases: Leases::default(),
+            closer,
+        }]
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
         if world.now < END {
             actions.push(Action::Tick);
         }
-        // The first one's words come at any time. The second one hears nothing of the closing, and the node hears it at once (in
-        // `Tick`): with it the first one makes a majority for the node, and with the third one for the closing.
+        // The first one's words come at any time. The second one hears nothing of the closing, and
+        // the node hears it at once (in `Tick`): with it the first one makes a majority for the
+        // node, and with the third one for the closing.
         for e in [0, 2] {
             actions.push(Action::Close(e));
             if world.closed[e] {
@@ -103,11 +127,21 @@
                 actions.push(Action::Ask(e));
             }
         }
-        actions.extend(world.beats.iter().map(|(e, at, c)| Action::Hear(*e, *at, *c)));
+        actions.extend(
+            world
+                .beats
+                .iter()
+                .map(|(e, at, c)| Action::Hear(*e, *at, *c)),
+        );
         let answered = |e: usize| world.answers.iter().any(|a| a.0 == e);
         let open = world.asked.iter().filter(|(e, _)| !answered(*e));
         actions.extend(open.map(|(e, at)| Action::Answer(*e, *at)));
-        actions.extend(world.answers.iter().map(|(e, asked, at)| Action::Told(*e, *asked, *at)));
+        actions.extend(
+            world
+                .answers
+                .iter()
+                .map(|(e, asked, at)| Action::Told(*e, *asked, *at)),
+        );
     }
 
     fn next_state(&self, world: &World, action: Action) -> Option<World> {
@@ -116,12 +150,17 @@
         match action {
             Action::Tick => {
                 next.now += 1;
-                next.leases.told(ELECTORS[1], 1, clock(1, next.now), next.now, &electors);
+                next.leases
+                    .told(ELECTORS[1], 1, clock(1, next.now), next.now, &electors);
                 next.leases.beat(&beat(1, clock(1, next.now), 0), &electors);
                 next.closer.wake(next.now, &mut Vec::new());
             }
             Action::Beat(e) => {
-                next.beats.insert((e, clock(e, next.now), if next.closed[e] { OLD + 1 } else { 0 }));
+                next.beats.insert((
+                    e,
+                    clock(e, next.now),
+                    if next.closed[e] { OLD + 1 } else { 0 },
+                ));
             }
             Action::Hear(e, at, closed) => {
                 next.leases.beat(&beat(e, at, closed), &electors);
@@ -133,15 +172,21 @@
                 next.answers.insert((e, asked, clock(e, next.now)));
             }
             Action::Told(e, asked, at) => {
-                let asked = if self.from_the_answer { next.now } else { asked };
+                let asked = if self.from_the_answer {
+                    next.now
+                } else {
+                    asked
+                };
                 next.leases.told(ELECTORS[e], 1, at, asked, &electors);
             }
             Action::Close(e) => next.closed[e] = true,
             Action::Acknowledge(e) => {
                 let lease = if self.no_wait { 0 } else { LEASE };
-                next.closer.hear(next.now, ELECTORS[e], &closed(OLD + 1), lease, EXACT);
+                next.closer
+                    .hear(next.now, ELECTORS[e], &closed(OLD + 1), lease, EXACT);
                 if self.first {
-                    next.closer.hear(next.now, ELECTORS[1], &closed(OLD + 1), lease, EXACT);
+                    next.closer
+                        .hear(next.now, ELECTORS[1], &closed(OLD + 1), lease, EXACT);
                 }
             }
         }
@@ -156,13 +201,18 @@
             Property::sometimes("one acts while it is being closed", |_, world: &World| {
                 acts(world) && matches!(world.closer.stage(), Stage::Waiting(_))
             }),
-            Property::sometimes("it is closed", |_, world: &World| *world.closer.stage() == Stage::Closed),
+            Property::sometimes("it is closed", |_, world: &World| {
+                *world.closer.stage() == Stage::Closed
+            }),
         ]
     }
 }
 
 fn acts(world: &World) -> bool {
-    world.leases.until(OLD, &newest(), LEASE, EXACT).is_some_and(|until| world.now < until)
+    world
+        .leases
+        .until(OLD, &newest(), LEASE, EXACT)
+        .is_some_and(|until| world.now < until)
 }
 
 fn play(times: Times) -> (usize, bool) {
@@ -170,11 +220,18 @@
     let start = std::time::Instant::now();
     let checker = times.checker().threads(4).timeout(most).spawn_bfs().join();
     let found = checker.discovery("nobody acts once it is closed").is_some();
-    assert!(found || start.elapsed() < most, "not all states were reached in time");
+    assert!(
+        found || start.elapsed() < most,
+        "not all states were reached in time"
+    );
     if !found {
         checker.assert_properties();
     }
-    println!("{} states in {:?}", checker.unique_state_count(), start.elapsed());
+    println!(
+        "{} states in {:?}",
+        checker.unique_state_count(),
+        start.elapsed()
+    );
     (checker.unique_state_count(), found)
 }
 
@@ -187,20 +244,31 @@
 #[test]
 fn the_check_notices_what_would_break_the_promise() {
     for times in [
-        Times { from_the_answer: true, ..Times::default() },
-        Times { no_wait: true, ..Times::default() },
-        Times { first: true, ..Times::default() },
+        Times {
+            from_the_answer: true,
+            ..Times::default()
+        },
+        Times {
+            no_wait: true,
+            ..Times::default()
+        },
+        Times {
+            first: true,
+            ..Times::default()
+        },
     ] {
         assert!(play(times).1);
     }
 }
 
-/// Clocks run at rates of their own, in millionths, and began at times of their own; all that is said takes its time. The first three are the
-/// electors', the next the node's, the last that of the one that closes.
+/// Clocks run at rates of their own, in millionths, and began at times of their own; all that is
+/// said takes its time. The first three are the electors', the next the node's, the last that of
+/// the one that closes.
 fn clocks(rates: [i64; 5], begun: [i64; 5], delays: &[i64], close_at: i64, cut: bool) {
     let (limits, lease, electors) = (Rates::default(), 10_000_000, newest().electors);
-    let clock =
-        |who: usize, now: i64| begun[who] + now + (now as i128 * rates[who] as i128 / 1_000_000) as i64;
+    let clock = |who: usize, now: i64| {
+        begun[who] + now + (now as i128 * rates[who] as i128 / 1_000_000) as i64
+    };
     let mut leases = Leases::default();
     let mut closer: Option<Closer> = None;
     let mut closed_by = [false; 3];
@@ -243,11 +311,20 @@
                 promised = Some(now);
             }
         }
-        let acts = leases.until(OLD, &newest(), lease, limits).is_some_and(|until| node < until);
-        assert!(!(acts && promised.is_some()), "it acts {} us after the promise", now - promised.unwrap());
+        let acts = leases
+            .until(OLD, &newest(), lease, limits)
+            .is_some_and(|until| node < until);
+        assert!(
+            !(acts && promised.is_some()),
+            "it acts {} us after the promise",
+            now - promised.unwrap()
+        );
         // Until the closing no lease runs out, once there is one.
         held += i64::from(acts);
-        assert!(acts || now >= close_at || now < 2_000_000, "no lease at {now}");
+        assert!(
+            acts || now >= close_at || now < 2_000_000,
+            "no lease at {now}"
+        );
     }
     assert!(held > 0 && promised.is_some());
 }
@@ -265,7 +342,8 @@
     }
 }
 
-/// As far apart as clocks may run, with the last beat right before the closing: what random draws seldom come near.
+/// As far apart as clocks may run, with the last beat right before the closing: what random draws
+/// seldom come near.
 #[test]
 fn the_farthest_rates_keep_the_promise() {
     for electors in [-10_000, 10_000] {
--- a/crates/config-versions/tests/nodes.rs
+++ b/crates/config-versions/tests/nodes.rs
@@ -60,7 +60,16 @@
             })
             .collect();
         let (on_the_way, cut) = (BTreeMap::new(), vec![false; count]);
-        let mut world = World { now: 0, places, cut, loss: 0.0, on_the_way, last: 0, rng, without };
+        let mut world = World {
+            now: 0,
+            places,
+            cut,
+            loss: 0.0,
+            on_the_way,
+            last: 0,
+            rng,
+            without,
+        };
         (0..count).for_each(|at| world.start(at));
         world.run(3 * S);
         world
@@ -76,7 +85,15 @@
         let seed = self.rng.u64(..);
         let p = &mut self.places[at];
         let kept = (at < 3).then(|| p.disk.clone());
-        p.node = Some(Node::new(&name(at), settings, kept, None, 0, seed, p.offset + self.now));
+        p.node = Some(Node::new(
+            &name(at),
+            settings,
+            kept,
+            None,
+            0,
+            seed,
+            p.offset + self.now,
+        ));
     }
 
     fn node(&mut self, at: usize) -> &mut Node {
@@ -101,7 +118,9 @@
             node.written(now, write, true);
         }
         if let Some((version, content)) = node.offer() {
-            let unfit = content.starts_with(b"unfit").then(|| "it lacks a class".to_owned());
+            let unfit = content
+                .starts_with(b"unfit")
+                .then(|| "it lacks a class".to_owned());
             node.acted(version.number, unfit.map_or(Ok(()), Err));
         }
         p.events.extend(node.take_events());
@@ -111,7 +130,8 @@
             if self.reaches(at, to) {
                 self.last += 1;
                 let arrives = self.now + self.rng.i64(200..2000);
-                self.on_the_way.insert((arrives, self.last), (at, to, message));
+                self.on_the_way
+                    .insert((arrives, self.last), (at, to, message));
             }
         }
     }
@@ -171,7 +191,8 @@
                 let piece = self.node(whom).piece(digest, from_byte);
                 let piece = piece.map(|(p, all)| (if lies { vec![0; p.len()] } else { p }, all));
                 let piece = piece.as_ref().map(|(p, all)| (&p[..], *all));
-                self.node(at).fetched(now, &name(whom), digest, from_byte, piece);
+                self.node(at)
+                    .fetched(now, &name(whom), digest, from_byte, piece);
             }
         }
         self.settle(at);
@@ -196,15 +217,27 @@
     /// Runs until all of these act on a version; how long that took.
     fn until_all_act(&mut self, who: &[usize], number: u64) -> i64 {
         let start = self.now;
-        while !who.iter().all(|at| self.places[*at].node.as_ref().is_some_and(|n| n.acting() == number)) {
-            assert!(self.now < start + 60 * S, "not all act on {number}: {:?}", self.acting());
+        while !who.iter().all(|at| {
+            self.places[*at]
+                .node
+                .as_ref()
+                .is_some_and(|n| n.acting() == number)
+        }) {
+            assert!(
+                self.now < start + 60 * S,
+                "not all act on {number}: {:?}",
+                self.acting()
+            );
             self.run(STEP);
         }
         self.now - start
     }
 
     fn acting(&self) -> Vec<Option<u64>> {
-        self.places.iter().map(|p| p.node.as_ref().map(Node::acting)).collect()
+        self.places
+            .iter()
+            .map(|p| p.node.as_ref().map(Node::acting))
+            .collect()
     }
 
     fn may(&mut self, at: usize) -> May {
@@ -240,13 +273,29 @@
         world.run(20 * S);
         assert!(all.iter().all(|at| acts(world.may(*at))), "seed {seed}");
         // Only an elector publishes, on top of the newest, and not without a reason.
-        assert!(matches!(world.publish(5, b"x"), Err(Unpublished::NoElector(_))));
+        assert!(matches!(
+            world.publish(5, b"x"),
+            Err(Unpublished::NoElector(_))
+        ));
         let now = world.local(0);
-        let draft =
-            Draft { base: 0, content: vec![], electors: None, withdraws: None, at_ms: 0, why: "x".into() };
+        let draft = Draft {
+            base: 0,
+            content: vec![],
+            electors: None,
+            withdraws: None,
+            at_ms: 0,
+            why: "x".into(),
+        };
         let stale = world.node(0).publish(now, draft.clone());
         assert!(matches!(stale, Err(Unpublished::Newest(v)) if v.number == 1));
-        let unfit = world.node(0).publish(now, Draft { base: 1, why: String::new(), ..draft });
+        let unfit = world.node(0).publish(
+            now,
+            Draft {
+                base: 1,
+                why: String::new(),
+                ..draft
+            },
+        );
         assert!(matches!(unfit, Err(Unpublished::Unfit(_))));
     }
 }
@@ -257,7 +306,10 @@
     for at in [0, 3] {
         world.cut[at] = true;
     }
-    assert_eq!((world.publish(0, b"few"), world.publish(1, b"many")), (Ok(1), Ok(1)));
+    assert_eq!(
+        (world.publish(0, b"few"), world.publish(1, b"many")),
+        (Ok(1), Ok(1))
+    );
     world.until_all_act(&[1, 2, 4, 5], 1);
     world.run(15 * S);
     assert!(
@@ -302,7 +354,11 @@
         world.places[5].paused = false;
         assert!(!acts(world.may(5)));
         world.until_all_act(&[5], 3);
-        let taken: Vec<_> = world.places[5].events.iter().filter(|e| matches!(e, Event::Acting(_))).collect();
+        let taken: Vec<_> = world.places[5]
+            .events
+            .iter()
+            .filter(|e| matches!(e, Event::Acting(_)))
+            .collect();
         assert_eq!(taken, [&Event::Acting(1), &Event::Acting(3)]);
         world.run(5 * S);
         assert!(acts(world.may(5)));
@@ -359,16 +415,23 @@
 #[test]
 fn a_content_is_whole_or_asked_for_elsewhere() {
     let mut world = World::new(8, 8, Without::Refuse);
-    // The publisher's own word is not to be had: it sends other bytes, and all others of the electors die.
+    // The publisher's own word is not to be had: it sends other bytes, and all others of the
+    // electors die.
     world.places[0].lies = true;
     let content: Vec<u8> = (0..30_000).map(|i| (i % 13) as u8).collect();
     world.publish(0, &content).unwrap();
     world.run(3 * S);
-    assert!(world.acting()[3..].iter().all(|a| *a == Some(0)), "{:?}", world.acting());
+    assert!(
+        world.acting()[3..].iter().all(|a| *a == Some(0)),
+        "{:?}",
+        world.acting()
+    );
     // Nor is a piece that brings nothing asked for again at once.
     let now = world.local(1) + 2 * S;
     let (digest, at, _) = world.node(1).take_fetch(now, &["n2"]).unwrap();
-    world.node(1).fetched(now, "n0", digest, at, Some((&[], 30_000)));
+    world
+        .node(1)
+        .fetched(now, "n0", digest, at, Some((&[], 30_000)));
     assert_eq!(world.node(1).take_fetch(now, &["n2"]), None);
     world.places[0].lies = false;
     world.until_all_act(&(0..8).collect::<Vec<_>>(), 1);
@@ -390,15 +453,18 @@
         ..Version::genesis(&settings.electors)
     };
     let mut node = Node::new("n7", settings, None, Some((version, content)), 0, 1, 0);
-    assert_eq!((node.acting(), node.newest().number, node.offer()), (4, 4, None));
+    assert_eq!(
+        (node.acting(), node.newest().number, node.offer()),
+        (4, 4, None)
+    );
     // Its disk may be yesterday's, unless the process before it says the same.
     assert_eq!(node.may_act(0), May::Unknown);
     node.handed(4);
     assert!(acts(node.may_act(0)));
 }
 
-/// One bad datagram, or a member that lies: a number that nobody decided must not become the newest, or its electors the electors, or
-/// every node would wait for it for ever.
+/// One bad datagram, or a member that lies: a number that nobody decided must not become the
+/// newest, or its electors the electors, or every node would wait for it for ever.
 #[test]
 fn a_version_that_a_liar_has_made_up_is_nobodys() {
     let mut world = World::new(7, 11, Without::Refuse);
@@ -412,59 +478,117 @@
         electors_since: 1 << 62,
         ..world.node(0).newest().clone()
     };
-    let ballot = Ballot { round: 1 << 60, by: "n5".into(), start: 1 };
+    let ballot = Ballot {
+        round: 1 << 60,
+        by: "n5".into(),
+        start: 1,
+    };
     let lies = [
         Message::Decided(forged.clone()),
-        Message::FloorIs { nonce: 0, newest: forged.clone(), highest: 1 << 63 },
-        Message::Prepare { ballot: ballot.clone(), base: forged.clone() },
-        Message::Remembered { of: Seal { token: 1, count: 1 << 60 }, newest: forged.clone() },
-        Message::Close { floor: 1 << 62, newest: forged.clone() },
+        Message::FloorIs {
+            nonce: 0,
+            newest: forged.clone(),
+            highest: 1 << 63,
+        },
+        Message::Prepare {
+            ballot: ballot.clone(),
+            base: forged.clone(),
+        },
+        Message::Remembered {
+            of: Seal {
+                token: 1,
+                count: 1 << 60,
+            },
+            newest: forged.clone(),
+        },
+        Message::Close {
+            floor: 1 << 62,
+            newest: forged.clone(),
+        },
     ];
     for at in 0..7 {
         let now = world.local(at);
         for lie in &lies {
-            // Of a member that is no elector, of nobody; and once in the name of an elector, which the others don't confirm.
+            // Of a member that is no elector, of nobody; and once in the name of an elector, which
+            // the others don't confirm.
             world.node(at).heard(now, "n5", lie);
             world.node(at).heard(now, "n99", lie);
         }
         let elector = if at == 1 { "n2" } else { "n1" };
-        world.node(at).heard(now, elector, &Message::Decided(forged.clone()));
-        let hint = Hint { newest: 1 << 63, beats: Vec::new() };
+        world
+            .node(at)
+            .heard(now, elector, &Message::Decided(forged.clone()));
+        let hint = Hint {
+            newest: 1 << 63,
+            beats: Vec::new(),
+        };
         for _ in 0..1000 {
             world.node(at).heard_hint(now, &hint);
         }
         // However often it is said, the electors are asked once for a while.
-        assert!(world.node(at).take_out().len() <= 3 + 2 * lies.len(), "n{at}");
+        assert!(
+            world.node(at).take_out().len() <= 3 + 2 * lies.len(),
+            "n{at}"
+        );
         let floor = world.node(at).floor().floor();
-        assert!(world.node(at).newest().number == 1 && floor <= 1, "n{at}: {floor}");
+        assert!(
+            world.node(at).newest().number == 1 && floor <= 1,
+            "n{at}: {floor}"
+        );
     }
     assert_eq!(world.publish(1, b"two"), Ok(2));
     world.until_all_act(&all, 2);
     assert!(all.iter().all(|at| acts(world.may(*at))));
 }
 
-/// An elector may have accepted one version under a number, and another one was decided under it: what it hears is what counts.
+/// An elector may have accepted one version under a number, and another one was decided under it:
+/// what it hears is what counts.
 #[test]
 fn what_an_elector_has_accepted_is_not_taken_for_what_was_decided() {
     let mut world = World::new(3, 12, Without::Refuse);
     assert_eq!(world.publish(0, b"one"), Ok(1));
     world.until_all_act(&[0, 1, 2], 1);
     let (now, base) = (world.local(0), world.node(0).newest().clone());
-    let version = |nonce| Version { number: 2, nonce, by: "n2".into(), ..base.clone() };
-    let ballot = Ballot { round: 9, by: "n2".into(), start: 1 };
+    let version = |nonce| Version {
+        number: 2,
+        nonce,
+        by: "n2".into(),
+        ..base.clone()
+    };
+    let ballot = Ballot {
+        round: 9,
+        by: "n2".into(),
+        start: 1,
+    };
     for message in [
-        Message::Prepare { ballot: ballot.clone(), base: base.clone() },
-        Message::Accept { ballot, base: base.clone(), version: version(7), floor: 0 },
+        Message::Prepare {
+            ballot: ballot.clone(),
+            base: base.clone(),
+        },
+        Message::Accept {
+            ballot,
+            base: base.clone(),
+            version: version(7),
+            floor: 0,
+        },
     ] {
         world.node(0).heard(now, "n2", &message);
     }
-    assert_eq!(world.node(0).elector().unwrap().pending().map(|v| v.nonce), Some(7));
-    world.node(0).heard(now, "n1", &Message::Decided(version(8)));
-    assert_eq!((world.node(0).newest().number, world.node(0).newest().nonce), (2, 8));
+    assert_eq!(
+        world.node(0).elector().unwrap().pending().map(|v| v.nonce),
+        Some(7)
+    );
+    world
+        .node(0)
+        .heard(now, "n1", &Message::Decided(version(8)));
+    assert_eq!(
+        (world.node(0).newest().number, world.node(0).newest().nonce),
+        (2, 8)
+    );
 }
 
-/// A process whose successor took over, voted and died goes on from what that one has written: its own memory is of before that, and
-/// what it would promise by it could undo a vote.
+/// A process whose successor took over, voted and died goes on from what that one has written: its
+/// own memory is of before that, and what it would promise by it could undo a vote.
 #[test]
 fn a_process_that_serves_again_goes_on_from_the_disk() {
     let mut world = World::new(5, 13, Without::Refuse);
--- a/crates/config-versions/tests/register.rs
+++ b/crates/config-versions/tests/register.rs
@@ -1,4 +1,5 @@
-//! All orders of what electors and publishers do at small size: one content for a number, whatever is late, lost, repeated or dies.
+//! All orders of what electors and publishers do at small size: one content for a number, whatever
+//! is late, lost, repeated or dies.
 
 use pipitlever_config_versions::elector::{Elector, Kept, Said};
 use pipitlever_config_versions::message::{Ballot, Message, Seal};
@@ -93,19 +94,25 @@
             Message::Sealed(_) => return,
             // Not hearing of it is the harder case, and its publisher's outcome is looked at.
             Message::Decided(_) if self.unheard => return,
-            Message::Promise { seal, .. } | Message::Accepted { seal, .. } | Message::Closed { seal, .. } => {
+            Message::Promise { seal, .. }
+            | Message::Accepted { seal, .. }
+            | Message::Closed { seal, .. } => {
                 *seal = Seal::default();
             }
             _ => {}
         }
-        self.sent.insert(Arc::new((known(from), known(to), message)));
+        self.sent
+            .insert(Arc::new((known(from), known(to), message)));
     }
 
     /// Starts a process on what is on the disk. Others find nothing wrong with that.
     fn started(disk: Option<Kept>, name: &str, all: &[String]) -> (Elector, Kept) {
         let mut elector = Elector::start(name, disk, all, 7);
         for other in all.iter().filter(|n| *n != name) {
-            let message = Message::Remembered { of: Seal::default(), newest: Version::genesis(all) };
+            let message = Message::Remembered {
+                of: Seal::default(),
+                newest: Version::genesis(all),
+            };
             elector.hear(other, &message, |_| true);
         }
         let kept = elector.kept().0.clone();
@@ -113,7 +120,9 @@
     }
 
     fn deliver(&mut self, from: &str, to: &str, message: &Message) {
-        let Some(node) = self.nodes.get_mut(to).map(Arc::make_mut) else { return };
+        let Some(node) = self.nodes.get_mut(to).map(Arc::make_mut) else {
+            return;
+        };
         let said = node.elector.hear(from, message, |_| true);
         let mut out = Vec::new();
         if let Some(publisher) = &mut node.publisher {
@@ -123,7 +132,9 @@
             }
         }
         node.disk = node.elector.kept().0.clone();
-        let said = said.into_iter().map(|Said { to, message, .. }| (to, message));
+        let said = said
+            .into_iter()
+            .map(|Said { to, message, .. }| (to, message));
         for (other, message) in said.chain(out) {
             self.send(to, &other, message);
         }
@@ -153,7 +164,8 @@
         told.chain(ended).filter(|v| v.number > 0).collect()
     }
 
-    /// From here on nothing fails: whether a publisher that comes now has a version decided, and all know the same one.
+    /// From here on nothing fails: whether a publisher that comes now has a version decided, and
+    /// all know the same one.
     fn heals(&self) -> bool {
         let mut fleet = self.clone();
         fleet.unheard = false;
@@ -168,7 +180,11 @@
             let newest = fleet.nodes["c"].elector.kept().0.newest.clone();
             if fleet.nodes["c"].publisher.is_none() && !done {
                 let own = version(&newest, "c", newest.electors.clone());
-                let ballot = Ballot { round: 50 + round, by: "c".into(), start: 9 };
+                let ballot = Ballot {
+                    round: 50 + round,
+                    by: "c".into(),
+                    start: 9,
+                };
                 let publisher = Publisher::new(newest, Some(own), ballot, 0, i64::MAX);
                 Arc::make_mut(fleet.nodes.get_mut("c").unwrap()).publisher = Some(publisher);
             }
@@ -210,13 +226,25 @@
                 let own = version(&genesis, by, next.clone());
                 Publisher::new(genesis.clone(), Some(own), elector.ballot(), 0, i64::MAX)
             });
-            nodes.insert(name, Arc::new(Node { disk, elector, publisher, outcome: None }));
+            nodes.insert(
+                name,
+                Arc::new(Node {
+                    disk,
+                    elector,
+                    publisher,
+                    outcome: None,
+                }),
+            );
         }
         if self.electors == 3 && self.publishers.iter().all(|(_, next)| next.len() == 3) {
             nodes.remove("d");
         }
-        let mut fleet =
-            Fleet { nodes, sent: BTreeSet::new(), crashes: 0, unheard: self.publishers.len() > 1 };
+        let mut fleet = Fleet {
+            nodes,
+            sent: BTreeSet::new(),
+            crashes: 0,
+            unheard: self.publishers.len() > 1,
+        };
         self.publishers.iter().for_each(|(by, _)| fleet.wake(by, 0));
         vec![fleet]
     }
@@ -230,7 +258,11 @@
         }
         for (name, node) in &fleet.nodes {
             // Sending again what may arrive at any time anyway makes no difference.
-            if node.publisher.as_ref().is_some_and(|p| p.backs_off() && p.round() <= self.rounds) {
+            if node
+                .publisher
+                .as_ref()
+                .is_some_and(|p| p.backs_off() && p.round() <= self.rounds)
+            {
                 actions.push(Action::Wake(name));
             }
         }
@@ -247,16 +279,28 @@
                 let node = Arc::make_mut(next.nodes.get_mut(to)?);
                 let mut dead = node.elector.clone();
                 dead.hear(from, message, |_| true);
-                let disk = if written { dead.kept().0.clone() } else { node.disk.clone() };
+                let disk = if written {
+                    dead.kept().0.clone()
+                } else {
+                    node.disk.clone()
+                };
                 let (elector, disk) = Fleet::started(Some(disk), to, &all);
                 // A publisher that was in the middle comes back with another version.
                 let publisher = node.publisher.as_ref().map(|_| {
                     let newest = elector.kept().0.newest.clone();
-                    let own = Version { nonce: 77, ..version(&newest, to, all.clone()) };
+                    let own = Version {
+                        nonce: 77,
+                        ..version(&newest, to, all.clone())
+                    };
                     Publisher::new(newest, Some(own), elector.ballot(), 0, i64::MAX)
                 });
                 let publishes = publisher.is_some();
-                *node = Node { disk, elector, publisher, outcome: node.outcome.clone() };
+                *node = Node {
+                    disk,
+                    elector,
+                    publisher,
+                    outcome: node.outcome.clone(),
+                };
                 next.crashes += 1;
                 if publishes {
                     next.wake(to, 0);
@@ -268,12 +312,22 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a number has one content", |_, fleet: &Fleet| one_content_each(fleet)),
-            Property::always("a publish is decided once faults stop", |_, fleet: &Fleet| fleet.heals()),
-            Property::sometimes("one is decided", |_, fleet: &Fleet| !fleet.decided().is_empty()),
+            Property::always("a number has one content", |_, fleet: &Fleet| {
+                one_content_each(fleet)
+            }),
+            Property::always(
+                "a publish is decided once faults stop",
+                |_, fleet: &Fleet| fleet.heals(),
+            ),
+            Property::sometimes("one is decided", |_, fleet: &Fleet| {
+                !fleet.decided().is_empty()
+            }),
             Property::sometimes("each may be decided", |model: &Orders, fleet: &Fleet| {
                 let by: BTreeSet<_> = fleet.decided().into_iter().map(|v| v.by).collect();
-                model.publishers.last().is_none_or(|(last, _)| by.contains(*last))
+                model
+                    .publishers
+                    .last()
+                    .is_none_or(|(last, _)| by.contains(*last))
             }),
         ]
     }
@@ -282,26 +336,54 @@
 fn play(orders: Orders) -> usize {
     let start = std::time::Instant::now();
     let checker = orders.checker().threads(4).timeout(MOST).spawn_bfs().join();
-    assert!(start.elapsed() < MOST, "not all states were reached in time");
+    assert!(
+        start.elapsed() < MOST,
+        "not all states were reached in time"
+    );
     checker.assert_properties();
-    println!("{} states in {:?}", checker.unique_state_count(), start.elapsed());
+    println!(
+        "{} states in {:?}",
+        checker.unique_state_count(),
+        start.elapsed()
+    );
     checker.unique_state_count()
 }
 
 #[test]
 fn a_crash_anywhere_leaves_one_content_and_a_way_on() {
     let publishers = vec![("a", electors(3))];
-    assert!(play(Orders { electors: 3, publishers, crashes: 1, rounds: 2 }) > 2000);
+    assert!(
+        play(Orders {
+            electors: 3,
+            publishers,
+            crashes: 1,
+            rounds: 2
+        }) > 2000
+    );
 }
 
 #[test]
 fn of_two_publishers_at_once_one_is_decided_or_the_other() {
     let publishers = vec![("a", electors(3)), ("b", electors(3))];
-    assert!(play(Orders { electors: 3, publishers, crashes: 0, rounds: 1 }) > 2000);
+    assert!(
+        play(Orders {
+            electors: 3,
+            publishers,
+            crashes: 0,
+            rounds: 1
+        }) > 2000
+    );
 }
 
 #[test]
 fn electors_change_while_another_one_publishes() {
     let publishers = vec![("a", electors(4)), ("b", electors(3))];
-    assert!(play(Orders { electors: 3, publishers, crashes: 0, rounds: 1 }) > 2000);
+    assert!(
+        play(Orders {
+            electors: 3,
+            publishers,
+            crashes: 0,
+            rounds: 1
+        }) > 2000
+    );
 }
--- a/crates/core/src/bounds.rs
+++ b/crates/core/src/bounds.rs
@@ -11,8 +11,9 @@
 /// On however little memory a node is started, it holds a few requests.
 const LEAST: usize = 2 << 20;
 
-/// The memory that may be taken, in bytes. What comes beyond is refused; nothing is forgotten for it. The
-/// module's books are of the processor's memory: these keep the process itself within its limit.
+/// The memory that may be taken, in bytes. What comes beyond is refused; nothing is forgotten for
+/// it. The module's books are of the processor's memory: these keep the process itself within its
+/// limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// By requests and their bodies.
@@ -24,9 +25,16 @@
 }
 
 impl Bounds {
-    /// The shares of a process that may take so many bytes and have so many connections. A tenth is left over.
+    /// The shares of a process that may take so many bytes and have so many connections. A tenth is
+    /// left over.
     pub fn within(memory: usize, connections: usize) -> Bounds {
-        let left = memory.saturating_sub(PROCESS + connections * CONNECTION).max(LEAST);
-        Bounds { requests: left / 10 * 3, keys: left / 10 * 4, answers: left / 10 * 2 }
+        let left = memory
+            .saturating_sub(PROCESS + connections * CONNECTION)
+            .max(LEAST);
+        Bounds {
+            requests: left / 10 * 3,
+            keys: left / 10 * 4,
+            answers: left / 10 * 2,
+        }
     }
 }
--- a/crates/core/src/classes.rs
+++ b/crates/core/src/classes.rs
@@ -1,13 +1,13 @@
 //! The classes of requests: those in force, and those that open requests came under.
 //!
-//! A class keeps its place for as long as a request in it is open, whatever a new configuration says. What became of
-//! its requests is counted by its name and outlasts it.
+//! A class keeps its place for as long as a request in it is open, whatever a new configuration
+//! says. What became of its requests is counted by its name and outlasts it.
 
 use super::counters::ByClass;
 use std::rc::Rc;
 
-/// Classes at most, in force or with requests still open, and names that counts are kept of: nothing grows with the
-/// number of configurations.
+/// Classes at most, in force or with requests still open, and names that counts are kept of:
+/// nothing grows with the number of configurations.
 pub const MOST: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -24,7 +24,8 @@
 pub struct Seat {
     /// Its place.
     pub at: usize,
-    /// The place of the class that it was before, itself if nothing about it has changed; none if it is new.
+    /// The place of the class that it was before, itself if nothing about it has changed; none if
+    /// it is new.
     pub was: Option<usize>,
 }
 
@@ -36,8 +37,9 @@
 }
 
 impl Classes {
-    /// Seats the classes of a configuration, by their names in its order, without changing anything yet. `same` says
-    /// whether the class at a place is defined like one of the new ones, `used` whether requests in it are open.
+    /// Seats the classes of a configuration, by their names in its order, without changing anything
+    /// yet. `same` says whether the class at a place is defined like one of the new ones, `used`
+    /// whether requests in it are open.
     pub fn seat(
         &self,
         names: &[Rc<str>],
@@ -48,20 +50,28 @@
         for (new, name) in names.iter().enumerate() {
             let named = |s: &&usize| self.slots[**s].name == *name;
             let all: Vec<usize> = (0..self.slots.len()).collect();
-            let was = all.iter().filter(named).max_by_key(|s| self.slots[**s].live).copied();
+            let was = all
+                .iter()
+                .filter(named)
+                .max_by_key(|s| self.slots[**s].live)
+                .copied();
             let kept = was.filter(|&s| same(s, new));
             let empty = |s: &usize| !self.slots[*s].live && !used(*s) && !taken[*s];
-            let at = kept.or_else(|| all.iter().copied().find(empty)).unwrap_or_else(|| {
-                taken.push(false);
-                taken.len() - 1
-            });
+            let at = kept
+                .or_else(|| all.iter().copied().find(empty))
+                .unwrap_or_else(|| {
+                    taken.push(false);
+                    taken.len() - 1
+                });
             taken[at] = true;
             seats.push(Seat { at, was });
         }
         let known = |name: &Rc<str>| self.counts.iter().any(|c| c.0 == *name);
         let counts = self.counts.len() + names.iter().filter(|n| !known(n)).count();
         if taken.len() > MOST || counts > MOST {
-            return Err(format!("more than {MOST} classes since the start, or with requests still open"));
+            return Err(format!(
+                "more than {MOST} classes since the start, or with requests still open"
+            ));
         }
         Ok(seats)
     }
@@ -70,11 +80,19 @@
     pub fn take(&mut self, names: &[Rc<str>], seats: &[Seat]) {
         self.slots.iter_mut().for_each(|s| s.live = false);
         for (name, seat) in names.iter().zip(seats) {
-            let count = self.counts.iter().position(|c| c.0 == *name).unwrap_or_else(|| {
-                self.counts.push((name.clone(), ByClass::default()));
-                self.counts.len() - 1
-            });
-            let slot = Slot { name: name.clone(), live: true, count };
+            let count = self
+                .counts
+                .iter()
+                .position(|c| c.0 == *name)
+                .unwrap_or_else(|| {
+                    self.counts.push((name.clone(), ByClass::default()));
+                    self.counts.len() - 1
+                });
+            let slot = Slot {
+                name: name.clone(),
+                live: true,
+                count,
+            };
             match self.slots.get_mut(seat.at) {
                 Some(place) => *place = slot,
                 None => self.slots.push(slot),
@@ -94,7 +112,9 @@
 
     /// The places of the classes in force.
     pub fn in_force(&self) -> Vec<usize> {
-        (0..self.slots.len()).filter(|&at| self.slots[at].live).collect()
+        (0..self.slots.len())
+            .filter(|&at| self.slots[at].live)
+            .collect()
     }
 
     /// The names by place, of classes that are no longer in force too.
@@ -139,9 +159,15 @@
         let (all, none) = (&|_, _| true, &|_, _| false);
         assert_eq!(change("a b", none, &[]), [(0, None), (1, None)]);
         // Another order changes nothing; what is new comes behind.
-        assert_eq!(change("b c a", all, &[0, 1]), [(1, Some(1)), (2, None), (0, Some(0))]);
+        assert_eq!(
+            change("b c a", all, &[0, 1]),
+            [(1, Some(1)), (2, None), (0, Some(0))]
+        );
         // b is defined anew while requests in the old b are open.
-        assert_eq!(change("a b c", &|s, _| s != 1, &[1]), [(0, Some(0)), (3, Some(1)), (2, Some(2))]);
+        assert_eq!(
+            change("a b c", &|s, _| s != 1, &[1]),
+            [(0, Some(0)), (3, Some(1)), (2, Some(2))]
+        );
         // a goes and d comes: the old b's place is free by now, a's is not.
         assert_eq!(change("b d", all, &[0]), [(3, Some(3)), (1, None)]);
         // a comes back as it was, and finds itself.
@@ -159,7 +185,10 @@
             let place = classes.named(class).unwrap();
             classes.count(place).fulfilled += 1;
         }
-        let counts: Vec<_> = classes.counts().map(|(name, c)| (name.to_owned(), c.fulfilled)).collect();
+        let counts: Vec<_> = classes
+            .counts()
+            .map(|(name, c)| (name.to_owned(), c.fulfilled))
+            .collect();
         assert_eq!(counts, [("a".to_owned(), 2), ("b".to_owned(), 1)]);
     }
 
--- a/crates/core/src/deployments.rs
+++ b/crates/core/src/deployments.rs
@@ -1,5 +1,6 @@
-//! The core under settings of any deployment, with a processor and a layer below by chance: one answer for each request by its due time,
-//! nothing refused that ran, no key run twice, and nothing left in memory at the end.
+//! The core under settings of any deployment, with a processor and a layer below by chance: one
+//! answer for each request by its due time, nothing refused that ran, no key run twice, and nothing
+//! left in memory at the end.
 
 use super::tests::incoming;
 use super::*;
@@ -41,13 +42,23 @@
                 Effect::Answer(origin, answer) => {
                     let fate = self.fates.get_mut(&origin.number).expect("of a request");
                     let late = self.now > fate.due + self.settings.safety.answer_slack;
-                    assert!(!late, "{} answered at {}, due {}", origin.number, self.now, fate.due);
+                    assert!(
+                        !late,
+                        "{} answered at {}, due {}",
+                        origin.number, self.now, fate.due
+                    );
                     assert!(
                         !(fate.begun && matches!(answer, Answer::Refused { .. })),
                         "refused after its run"
                     );
                     fate.answers.push(answer);
-                    assert_eq!(fate.answers.len(), 1, "{}: {:?}", origin.number, fate.answers);
+                    assert_eq!(
+                        fate.answers.len(),
+                        1,
+                        "{}: {:?}",
+                        origin.number,
+                        fate.answers
+                    );
                 }
                 Effect::Begin(reference, class, _, _) => {
                     let fate = self.fates.get_mut(&reference).expect("of a request");
@@ -57,17 +68,31 @@
                         let window = self.settings.classes[class].window;
                         let before = self.begun.insert((class, key), fate.arrived);
                         let apart = before.is_none_or(|before| fate.arrived > before + window);
-                        assert!(apart, "a key run twice: {before:?} {} {window}", fate.arrived);
+                        assert!(
+                            apart,
+                            "a key run twice: {before:?} {} {window}",
+                            fate.arrived
+                        );
                     }
                     self.running.push(reference);
                 }
                 Effect::Interrupt(reference, _) => {
-                    assert_ne!(self.settings.halt, HaltMode::Never, "there is no such command here");
+                    assert_ne!(
+                        self.settings.halt,
+                        HaltMode::Never,
+                        "there is no such command here"
+                    );
                     self.interrupted += 1;
                     // It may cross the run's end.
                     if let Some(at) = self.running.iter().position(|r| *r == reference) {
                         self.running.swap_remove(at);
-                        self.core.run_ended(self.now, reference, End::BrokenOff, 5 * MS, Rc::from([]));
+                        self.core.run_ended(
+                            self.now,
+                            reference,
+                            End::BrokenOff,
+                            5 * MS,
+                            Rc::from([]),
+                        );
                     }
                 }
                 Effect::Call(reference, ..) => self.calling.push(reference),
@@ -89,11 +114,21 @@
 fn play(seed: u8) -> (usize, usize, usize) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(Cases::default(), rng);
-    let json = any_settings().new_tree(&mut runner).expect("a tree").current();
+    let json = any_settings()
+        .new_tree(&mut runner)
+        .expect("a tree")
+        .current();
     let config: Config = serde_json::from_value(json.clone()).expect("settings");
     let (settings, names) = (config.settings().expect("settings"), config.class_names());
     let names: Vec<Rc<str>> = names.iter().map(|n| n.as_str().into()).collect();
-    let core = Core::new(settings.clone(), &names, 7, 2000, 4096, Bounds::within(64 << 20, 100));
+    let core = Core::new(
+        settings.clone(),
+        &names,
+        7,
+        2000,
+        4096,
+        Bounds::within(64 << 20, 100),
+    );
     let mut rng = Rng::with_seed(seed.into());
     let mut day = Day {
         core,
@@ -116,13 +151,19 @@
         let stands = (600..800).contains(&tick);
         for at in (0..day.running.len()).rev() {
             if !stands && rng.u32(..25) == 0 {
-                let Some(reference) = day.running.get(at).copied() else { continue };
+                let Some(reference) = day.running.get(at).copied() else {
+                    continue;
+                };
                 day.running.swap_remove(at);
                 let calls = day.settings.below != Below::Nothing && rng.u32(..4) == 0;
                 day.told(|core, now| match calls {
                     true => core.asked(now, reference, Rc::from([])),
                     false => {
-                        let end = if rng.u32(..8) == 0 { End::Fault } else { End::Fine };
+                        let end = if rng.u32(..8) == 0 {
+                            End::Fault
+                        } else {
+                            End::Fine
+                        };
                         core.run_ended(now, reference, end, 40 * MS, Rc::from(*b"result"));
                     }
                 });
@@ -130,9 +171,17 @@
         }
         for at in (0..day.calling.len()).rev() {
             if rng.u32(..10) == 0 {
-                let Some(reference) = day.calling.get(at).copied() else { continue };
+                let Some(reference) = day.calling.get(at).copied() else {
+                    continue;
+                };
                 day.calling.swap_remove(at);
-                let outcomes = [Outcome::Done, Outcome::Done, Outcome::Busy, Outcome::Error, Outcome::Reset];
+                let outcomes = [
+                    Outcome::Done,
+                    Outcome::Done,
+                    Outcome::Busy,
+                    Outcome::Error,
+                    Outcome::Reset,
+                ];
                 let outcome = outcomes[rng.usize(..outcomes.len())];
                 day.told(|core, now| core.call_ended(now, reference, outcome, Rc::from([])));
             }
@@ -151,7 +200,10 @@
             let waits = 100 * MS + rng.i64(0..2000 * MS);
             let due = rng.bool().then_some(day.now + waits);
             let deadline = day.settings.classes[class].deadline;
-            let tenant = rng.bool().then(|| rng.usize(..5)).filter(|t| *t < day.settings.tenants.len());
+            let tenant = rng
+                .bool()
+                .then(|| rng.usize(..5))
+                .filter(|t| *t < day.settings.tenants.len());
             let fate = Fate {
                 due: due.unwrap_or((arrived + deadline).max(day.now)),
                 key: key.clone(),
@@ -180,16 +232,33 @@
         }
     }
     // What still runs ends; nobody is owed anything by then.
-    for reference in std::mem::take(&mut day.running).into_iter().chain(std::mem::take(&mut day.calling)) {
-        day.told(|core, now| core.run_ended(now, reference, End::Fine, 40 * MS, Rc::from(*b"result")));
+    for reference in std::mem::take(&mut day.running)
+        .into_iter()
+        .chain(std::mem::take(&mut day.calling))
+    {
+        day.told(|core, now| {
+            core.run_ended(now, reference, End::Fine, 40 * MS, Rc::from(*b"result"))
+        });
     }
     assert_eq!(day.core.owed(), 0, "seed {seed}: {json}");
     for (reference, fate) in &day.fates {
         let one = fate.answers.len() == 1 || (fate.gone && fate.answers.is_empty());
-        assert!(one, "seed {seed}: {reference} has {:?}\n{json}", fate.answers);
+        assert!(
+            one,
+            "seed {seed}: {reference} has {:?}\n{json}",
+            fate.answers
+        );
     }
-    let served = day.fates.values().filter(|f| matches!(f.answers[..], [Answer::Served(_)])).count();
-    let refused = day.fates.values().filter(|f| matches!(f.answers[..], [Answer::Refused { .. }])).count();
+    let served = day
+        .fates
+        .values()
+        .filter(|f| matches!(f.answers[..], [Answer::Served(_)]))
+        .count();
+    let refused = day
+        .fates
+        .values()
+        .filter(|f| matches!(f.answers[..], [Answer::Refused { .. }]))
+        .count();
     (served, refused, day.interrupted)
 }
 
@@ -197,7 +266,10 @@
 fn every_rule_holds_in_the_core_under_settings_of_any_deployment() {
     let all: Vec<_> = (0..10).map(play).collect();
     let sum = |of: fn(&(usize, usize, usize)) -> usize| all.iter().map(of).sum::<usize>();
-    assert!(sum(|d| d.0) > 100 && sum(|d| d.1) > 100 && sum(|d| d.2) > 0, "{all:?}");
+    assert!(
+        sum(|d| d.0) > 100 && sum(|d| d.1) > 100 && sum(|d| d.2) > 0,
+        "{all:?}"
+    );
 }
 
 #[test]
--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -1,5 +1,5 @@
-//! Keyed runs that a store remembers: what the core makes of what the store's gate says. The decisions are
-//! [`Gate`]'s and [`pipitlever_idempotency_store::recovery`]'s.
+//! Keyed runs that a store remembers: what the core makes of what the store's gate says. The
+//! decisions are [`Gate`]'s and [`pipitlever_idempotency_store::recovery`]'s.
 
 use super::keys::Kept;
 use super::*;
@@ -53,12 +53,18 @@
 }
 
 impl Core {
-    /// From now on keyed runs are remembered by a store, which has brought these keys over the restart; the ends of their
-    /// windows are on the node's clock. Before anything arrives.
+    /// From now on keyed runs are remembered by a store, which has brought these keys over the
+    /// restart; the ends of their windows are on the node's clock. Before anything arrives.
     pub fn remember(&mut self, mut durable: Durable, found: Vec<Recovered>) {
-        for Recovered { intent, until, kept } in found {
-            // A number of its own, so that its repeats have something to repeat. The module has never heard of it, and
-            // needs not: a repeat is answered from the first whatever became of that.
+        for Recovered {
+            intent,
+            until,
+            kept,
+        } in found
+        {
+            // A number of its own, so that its repeats have something to repeat. The module has
+            // never heard of it, and needs not: a repeat is answered from the first whatever became
+            // of that.
             self.next_id += 1;
             let key: Rc<str> = Rc::from(&*intent.key);
             let outcome = match kept {
@@ -73,7 +79,8 @@
                     Kept::Unknown(until)
                 }
             };
-            self.keys.recover(&key, self.next_id, intent.payload, until, Some(outcome));
+            self.keys
+                .recover(&key, self.next_id, intent.payload, until, Some(outcome));
         }
         self.durable = Some(Box::new(durable));
     }
@@ -86,14 +93,20 @@
             gate::Why::Failing | gate::Why::Slow => (By::Store, FULL_COOLDOWN),
             gate::Why::Damaged => {
                 let most = self.settings.max_backoff.max(FULL_COOLDOWN);
-                (By::Store, (durable.suspect - now).clamp(FULL_COOLDOWN, most))
+                (
+                    By::Store,
+                    (durable.suspect - now).clamp(FULL_COOLDOWN, most),
+                )
             }
         })
     }
 
-    /// A keyed run is to begin: not before its intent is on the disk. Whether there is a store to say when.
+    /// A keyed run is to begin: not before its intent is on the disk. Whether there is a store to
+    /// say when.
     pub(super) fn intend(&mut self, id: RequestId) -> bool {
-        let Some(durable) = &mut self.durable else { return false };
+        let Some(durable) = &mut self.durable else {
+            return false;
+        };
         let incoming = &self.attempts[&id].incoming;
         let linger = self.keys.reading() + SPARE;
         let window = self.settings.classes[incoming.class].window;
@@ -113,21 +126,30 @@
         true
     }
 
-    /// What the gate has said is done. The module is told what comes of it with the next [`Core::pump`].
+    /// What the gate has said is done. The module is told what comes of it with the next
+    /// [`Core::pump`].
     pub(super) fn heed(&mut self) {
-        let Some(durable) = &mut self.durable else { return };
+        let Some(durable) = &mut self.durable else {
+            return;
+        };
         let mut events = std::mem::take(&mut durable.events);
         for event in events.drain(..) {
             match event {
                 gate::Event::Begin(reference) => self.written(reference),
                 gate::Event::Never(reference) => {
-                    let Some(&id) = self.by_reference.get(&reference) else { continue };
+                    let Some(&id) = self.by_reference.get(&reference) else {
+                        continue;
+                    };
                     self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
                 }
                 gate::Event::Kept(reference) => {
                     let durable = self.durable.as_mut().expect("as above");
-                    let Some((took, result)) = durable.ended.remove(&reference) else { continue };
-                    let Some(&id) = self.by_reference.get(&reference) else { continue };
+                    let Some((took, result)) = durable.ended.remove(&reference) else {
+                        continue;
+                    };
+                    let Some(&id) = self.by_reference.get(&reference) else {
+                        continue;
+                    };
                     self.ended(id, End::Fine, took, result, By::Run);
                 }
             }
@@ -146,15 +168,27 @@
     fn written(&mut self, reference: Reference) {
         let id = self.by_reference.get(&reference).copied();
         let Some((id, attempt)) = id.and_then(|id| Some((id, self.attempts.get(&id)?))) else {
-            return self.durable.as_mut().expect("it said so").gate.void(reference);
+            return self
+                .durable
+                .as_mut()
+                .expect("it said so")
+                .gate
+                .void(reference);
         };
         let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
-        let wanted =
-            attempt.origin.is_some() || self.keys.held_by(&key, id).is_some_and(|e| !e.waiting.is_empty());
+        let wanted = attempt.origin.is_some()
+            || self
+                .keys
+                .held_by(&key, id)
+                .is_some_and(|e| !e.waiting.is_empty());
         if wanted {
             return self.begin(id);
         }
-        self.durable.as_mut().expect("it said so").gate.void(reference);
+        self.durable
+            .as_mut()
+            .expect("it said so")
+            .gate
+            .void(reference);
         self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
     }
 
@@ -166,7 +200,9 @@
         took: Micros,
         result: &Rc<[u8]>,
     ) -> bool {
-        let Some(durable) = &mut self.durable else { return false };
+        let Some(durable) = &mut self.durable else {
+            return false;
+        };
         if durable.ended.contains_key(&reference) {
             return true;
         }
@@ -188,8 +224,12 @@
 
     /// A run ended that a process before this one began: its key's repeats learn of it.
     pub(super) fn earlier_ended(&mut self, reference: Reference, end: End, result: &Rc<[u8]>) {
-        let Some(durable) = &mut self.durable else { return };
-        let Some(key) = durable.earlier.remove(&reference) else { return };
+        let Some(durable) = &mut self.durable else {
+            return;
+        };
+        let Some(key) = durable.earlier.remove(&reference) else {
+            return;
+        };
         match end {
             End::NeverRan => {
                 durable.gate.void(reference);
@@ -209,7 +249,9 @@
 
     /// Whether the store has a run under this name whose end it doesn't know.
     pub(super) fn store_knows(&self, reference: Reference) -> bool {
-        self.durable.as_ref().is_some_and(|d| d.gate.knows(reference))
+        self.durable
+            .as_ref()
+            .is_some_and(|d| d.gate.knows(reference))
     }
 
     /// Whether keyed runs are remembered by a store.
@@ -225,7 +267,9 @@
     /// The store's writer is done with its batch.
     pub fn stored(&mut self, now: Micros, result: Result<u64, String>) {
         self.now = self.now.max(now);
-        let Some(durable) = &mut self.durable else { return };
+        let Some(durable) = &mut self.durable else {
+            return;
+        };
         durable.gate.done(now, result, &mut durable.events);
         self.heed();
         self.pump(now);
@@ -234,8 +278,12 @@
     /// Those that have waited for the store for too long are given up.
     pub(super) fn store_wake(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        let Some(durable) = &mut self.durable else { return };
-        durable.gate.tick(now, now + durable.up, &mut durable.events);
+        let Some(durable) = &mut self.durable else {
+            return;
+        };
+        durable
+            .gate
+            .tick(now, now + durable.up, &mut durable.events);
         self.heed();
         self.pump(now);
     }
@@ -255,8 +303,8 @@
         self.durable.as_ref().is_none_or(|d| d.gate.idle())
     }
 
-    /// Bytes that the store takes on the disk, those promised beside, and records that are not there yet; nothing without
-    /// a store.
+    /// Bytes that the store takes on the disk, those promised beside, and records that are not
+    /// there yet; nothing without a store.
     pub fn store_room(&self) -> Option<(u64, u64, usize)> {
         let gate = &self.durable.as_ref()?.gate;
         let (used, reserved) = gate.room();
--- a/crates/core/src/handed.rs
+++ b/crates/core/src/handed.rs
@@ -1,4 +1,5 @@
-//! Keys that pass from one process of the node to the next one, and the room that the two share meanwhile.
+//! Keys that pass from one process of the node to the next one, and the room that the two share
+//! meanwhile.
 
 use super::keys::Kept;
 use super::{Answer, Bounds, Core};
@@ -37,7 +38,13 @@
     /// It is gone, and keys that it has run are not known here.
     pub fn doubt_keys(&mut self, now: Micros) {
         self.keys.tell(false);
-        let window = self.settings.classes.iter().map(|c| c.window).max().unwrap_or(0);
+        let window = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.window)
+            .max()
+            .unwrap_or(0);
         // A repeat that came within a window may be read as late as its caller waits.
         self.handed.trust.lost(now + window + self.keys.reading());
     }
@@ -46,25 +53,38 @@
     pub(super) fn doubts(&self, now: Micros, retry: bool) -> Option<Answer> {
         match self.handed.trust.unknown(now, retry, self.marked) {
             Verdict::Take => None,
-            Verdict::Refuse => Some(Answer::Refused { cooldown: 0, nowhere: false }),
+            Verdict::Refuse => Some(Answer::Refused {
+                cooldown: 0,
+                nowhere: false,
+            }),
             Verdict::Fail => Some(Answer::Failed { expired: false }),
         }
     }
 
-    /// The next thing that the process that takes over is to hear of the keys, with times moved on to Unix time by this.
+    /// The next thing that the process that takes over is to hear of the keys, with times moved on
+    /// to Unix time by this.
     pub fn next_news(&mut self, to_unix: Micros) -> Option<Message> {
         let (key, entry) = self.keys.next_news()?;
-        let Some(entry) = entry else { return Some(Message::Free(key.to_string())) };
+        let Some(entry) = entry else {
+            return Some(Message::Free(key.to_string()));
+        };
         let state = match &entry.kept {
             None => State::Open,
-            Some(Kept::Served(result)) if result.len() <= MOST_RESULT => State::Served(result.to_vec()),
+            Some(Kept::Served(result)) if result.len() <= MOST_RESULT => {
+                State::Served(result.to_vec())
+            }
             // Its repeats fail at the other process; never does it run again.
             Some(Kept::Served(_)) => State::Failed,
             Some(Kept::Failed) => State::Failed,
             Some(Kept::Unknown(_)) => State::Unknown,
         };
         let until = entry.until.saturating_add(to_unix);
-        Some(Message::Key(Key { key: key.to_string(), payload: entry.payload, until, state }))
+        Some(Message::Key(Key {
+            key: key.to_string(),
+            payload: entry.payload,
+            until,
+            state,
+        }))
     }
 
     /// Whether the process that takes over has not heard all.
@@ -78,7 +98,9 @@
         let kept = match key.state {
             State::Open => None,
             // A result too long to be passed on can't be kept either.
-            State::Served(result) if result.len() <= self.most_result => Some(Kept::Served(Rc::from(result))),
+            State::Served(result) if result.len() <= self.most_result => {
+                Some(Kept::Served(Rc::from(result)))
+            }
             State::Served(_) | State::Failed => Some(Kept::Failed),
             State::Unknown => Some(Kept::Unknown(until)),
         };
@@ -93,16 +115,22 @@
                 if kept.is_none() {
                     self.handed.open.insert(name.clone());
                 }
-                self.keys.recover(&name, self.next_id, key.payload, until, kept);
+                self.keys
+                    .recover(&name, self.next_id, key.payload, until, kept);
             }
         }
     }
 
-    /// No run of a key began in the process before this one, and none will: its repeats are requests of their own.
+    /// No run of a key began in the process before this one, and none will: its repeats are
+    /// requests of their own.
     pub fn freed(&mut self, now: Micros, key: &str) {
         if let Some(key) = self.handed.open.take(key) {
             self.now = self.now.max(now);
-            let waiting = self.keys.remove(&key).map(|e| e.waiting).unwrap_or_default();
+            let waiting = self
+                .keys
+                .remove(&key)
+                .map(|e| e.waiting)
+                .unwrap_or_default();
             self.release(waiting, None);
             self.pump(now);
         }
@@ -111,7 +139,10 @@
     /// The process before this one has ended: how its open keys came out is not known to anybody.
     pub fn orphaned(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.handed.open) {
-            let until = self.keys.repeated(&key, Micros::MIN).map_or(now, |e| e.until);
+            let until = self
+                .keys
+                .repeated(&key, Micros::MIN)
+                .map_or(now, |e| e.until);
             self.settle_handed(now, &key, Kept::Unknown(until));
         }
     }
@@ -119,7 +150,9 @@
     fn settle_handed(&mut self, now: Micros, key: &Rc<str>, kept: Kept) {
         self.handed.open.remove(key);
         self.now = self.now.max(now);
-        let Some(waiting) = self.keys.waiting(key) else { return };
+        let Some(waiting) = self.keys.waiting(key) else {
+            return;
+        };
         self.keys.ended(key, kept.clone());
         for id in waiting {
             self.share(id, &kept);
@@ -127,15 +160,20 @@
         self.pump(now);
     }
 
-    /// Another process of this node is there, and this one may take so much of the processor's memory, and half of the runs that
-    /// its cores survive; or it is alone again.
+    /// Another process of this node is there, and this one may take so much of the processor's
+    /// memory, and half of the runs that its cores survive; or it is alone again.
     pub fn share_room(&mut self, share: Option<f64>, bounds: Bounds) {
         self.handed.share = share;
         self.most_taken = bounds.requests;
         self.keys.bound(bounds.keys);
         let settings = self.shared(&self.settings);
         if let Some(module) = &mut self.module {
-            let in_force: Vec<_> = self.classes.in_force().into_iter().map(|at| (at, Some(at))).collect();
+            let in_force: Vec<_> = self
+                .classes
+                .in_force()
+                .into_iter()
+                .map(|at| (at, Some(at)))
+                .collect();
             module.retune(settings, &in_force);
         }
     }
@@ -143,7 +181,8 @@
     /// The settings as far as they are this process's while there is another one.
     pub(super) fn shared(&self, settings: &Settings) -> Settings {
         let mut settings = settings.clone();
-        // On sockets no call can be skipped: a module that thought so would leave its run standing at the call.
+        // On sockets no call can be skipped: a module that thought so would leave its run standing
+        // at the call.
         settings.classes.iter_mut().for_each(|c| c.skip_worth = 0.0);
         if let Some(share) = self.handed.share {
             settings.memory_kb *= share;
@@ -152,15 +191,16 @@
         settings
     }
 
-    /// The share of the processor's memory that this process needs beside another one: half, or what it has already taken.
+    /// The share of the processor's memory that this process needs beside another one: half, or
+    /// what it has already taken.
     pub fn share_wanted(&self) -> f64 {
         let used = self.module.as_ref().map_or(0.0, |m| m.view().memory_kb);
         // The module leaves a tenth of what it may take.
         (used / 0.9 / self.settings.memory_kb).clamp(0.5, 1.0)
     }
 
-    /// The notice to leave, while the node goes on in another process: what the node tells its callers, its health and its
-    /// level, is that one's now.
+    /// The notice to leave, while the node goes on in another process: what the node tells its
+    /// callers, its health and its level, is that one's now.
     pub fn superseded(&mut self, now: Micros, left: Micros) {
         let told = (self.level, self.healthy);
         self.handed.superseded = true;
@@ -168,7 +208,8 @@
         (self.level, self.healthy) = told;
     }
 
-    /// How long a refused caller should keep away. From a process whose node goes on in another one it need not.
+    /// How long a refused caller should keep away. From a process whose node goes on in another one
+    /// it need not.
     pub(super) fn keep_away(&self, cooldown: Micros) -> Micros {
         if self.handed.superseded {
             0
@@ -180,6 +221,8 @@
     /// Whether a keyed run goes on whose outcome is not known yet.
     pub fn keyed_runs(&self) -> bool {
         let runs = |a: &super::Attempt| matches!(a.stage, super::Stage::Running { .. });
-        self.attempts.values().any(|a| a.incoming.key.is_some() && runs(a))
+        self.attempts
+            .values()
+            .any(|a| a.incoming.key.is_some() && runs(a))
     }
 }
--- a/crates/core/src/interleavings.rs
+++ b/crates/core/src/interleavings.rs
@@ -1,5 +1,6 @@
-//! Two processes of one node and the tries of one key, in every order at small size: steps of the handover, ends of runs, callers that
-//! leave, and the death of either process or the end of their connection at any point. The key is run once at most, no further try of it is turned away after
+//! Two processes of one node and the tries of one key, in every order at small size: steps of the
+//! handover, ends of runs, callers that leave, and the death of either process or the end of their
+//! connection at any point. The key is run once at most, no further try of it is turned away after
 //! that, and each try that a process has read is answered once while that process lives.
 
 use super::tests::{busy, core, incoming};
@@ -63,7 +64,13 @@
 
 impl Process {
     fn new(core: Core) -> Process {
-        Process { core, alive: true, running: Vec::new(), read: Vec::new(), gone: Vec::new() }
+        Process {
+            core,
+            alive: true,
+            running: Vec::new(),
+            read: Vec::new(),
+            gone: Vec::new(),
+        }
     }
 }
 
@@ -90,7 +97,8 @@
 }
 
 impl World {
-    /// The new process has been welcomed. With `held` the old one's cores are taken up, so that the key waits there.
+    /// The new process has been welcomed. With `held` the old one's cores are taken up, so that the
+    /// key waits there.
     fn new(held: bool) -> World {
         let mut old = core();
         old.marked = true;
@@ -101,8 +109,11 @@
         new.marked = true;
         let (mut predecessor, mut successor) = (Predecessor::default(), Successor::greeting());
         assert!(predecessor.met());
-        let welcome =
-            pipitlever_hot_restart::message::Welcome { name: "n".into(), listening: vec![], salt: [0; 2] };
+        let welcome = pipitlever_hot_restart::message::Welcome {
+            name: "n".into(),
+            listening: vec![],
+            salt: [0; 2],
+        };
         successor.heard(Message::Welcome(welcome));
         World {
             now: SECOND,
@@ -124,7 +135,10 @@
     }
 
     fn serves(&self) -> bool {
-        matches!(self.successor.stage(), successor::Stage::Serving | successor::Stage::Alone)
+        matches!(
+            self.successor.stage(),
+            successor::Stage::Serving | successor::Stage::Alone
+        )
     }
 
     fn possible(&self, step: Step) -> bool {
@@ -137,7 +151,9 @@
             Step::EndNew => self.new.alive && !self.new.running.is_empty(),
             Step::Gone => self.old.alive && self.old.gone.is_empty() && !self.old.read.is_empty(),
             Step::Ready => {
-                self.new.alive && !self.alone && self.successor.stage() == successor::Stage::Preparing
+                self.new.alive
+                    && !self.alone
+                    && self.successor.stage() == successor::Stage::Preparing
             }
             Step::Say => {
                 let asked = matches!(
@@ -150,12 +166,15 @@
             Step::HearOld => {
                 let heard = self.dropped != Some(Step::DropOld) && !self.to_old.is_empty();
                 // Where it has yielded it waits for the other one's death.
-                let over = !self.new.alive || (self.dropped.is_some() && !self.predecessor.awaits_death());
+                let over =
+                    !self.new.alive || (self.dropped.is_some() && !self.predecessor.awaits_death());
                 self.old.alive && !self.parted && (heard || over)
             }
             Step::HearNew => {
                 let heard = self.dropped != Some(Step::DropNew) && !self.to_new.is_empty();
-                self.new.alive && !self.alone && (heard || !self.old.alive || self.dropped.is_some())
+                self.new.alive
+                    && !self.alone
+                    && (heard || !self.old.alive || self.dropped.is_some())
             }
             // A third process is another story.
             Step::DieOld | Step::DieNew => both,
@@ -175,15 +194,30 @@
                 if self.begun > 0 {
                     self.late.push(reference);
                 }
-                let at = if step == Step::TryOld { &mut self.old } else { &mut self.new };
+                let at = if step == Step::TryOld {
+                    &mut self.old
+                } else {
+                    &mut self.new
+                };
                 at.read.push((reference, Vec::new()));
                 let retry = reference > 1;
-                at.core.arrived(now, Incoming { retry, ..incoming(reference, now, Some("k")) });
+                at.core.arrived(
+                    now,
+                    Incoming {
+                        retry,
+                        ..incoming(reference, now, Some("k"))
+                    },
+                );
             }
             Step::EndOld | Step::EndNew => {
-                let at = if step == Step::EndOld { &mut self.old } else { &mut self.new };
+                let at = if step == Step::EndOld {
+                    &mut self.old
+                } else {
+                    &mut self.new
+                };
                 let reference = at.running.remove(0);
-                at.core.run_ended(now, reference, super::End::Fine, 10, Rc::from(*b"result"));
+                at.core
+                    .run_ended(now, reference, super::End::Fine, 10, Rc::from(*b"result"));
             }
             Step::Gone => {
                 let reference = self.old.read[0].0;
@@ -198,10 +232,17 @@
                 Some(message) => self.to_new.push_back(message),
                 None => {
                     self.ended = true;
-                    self.to_new.push_back(Message::End { standby: false, share: 0.5 });
+                    self.to_new.push_back(Message::End {
+                        standby: false,
+                        share: 0.5,
+                    });
                 }
             },
-            Step::HearOld => match self.to_old.pop_front().filter(|_| self.dropped != Some(Step::DropOld)) {
+            Step::HearOld => match self
+                .to_old
+                .pop_front()
+                .filter(|_| self.dropped != Some(Step::DropOld))
+            {
                 Some(message) => match self.predecessor.heard(&message) {
                     predecessor::Act::Freeze => self.old.core.freeze(),
                     act => {
@@ -224,7 +265,11 @@
                     }
                 }
             },
-            Step::HearNew => match self.to_new.pop_front().filter(|_| self.dropped != Some(Step::DropNew)) {
+            Step::HearNew => match self
+                .to_new
+                .pop_front()
+                .filter(|_| self.dropped != Some(Step::DropNew))
+            {
                 Some(message) => match self.successor.heard(message) {
                     successor::Act::Enter(key) => {
                         let until = key.until;
@@ -282,7 +327,10 @@
                 match answer {
                     Answer::Served(result) => assert!(self.begun == 1 && **result == *b"result"),
                     Answer::Refused { .. } => {
-                        assert!(!self.late.contains(reference), "{reference} was turned away after the run");
+                        assert!(
+                            !self.late.contains(reference),
+                            "{reference} was turned away after the run"
+                        );
                     }
                     _ => {}
                 }
@@ -292,9 +340,15 @@
 
     /// Lets all end that may still end, without a further try or death: each try is answered then.
     fn settle(mut self) {
-        while let Some(step) = [Step::HearOld, Step::HearNew, Step::Say, Step::EndOld, Step::EndNew]
-            .into_iter()
-            .find(|s| self.possible(*s))
+        while let Some(step) = [
+            Step::HearOld,
+            Step::HearNew,
+            Step::Say,
+            Step::EndOld,
+            Step::EndNew,
+        ]
+        .into_iter()
+        .find(|s| self.possible(*s))
         {
             self.take(step);
             self.check();
@@ -302,10 +356,23 @@
         // Both serve only as long as one of them runs no key that the other may run.
         let authorities =
             [&self.old, &self.new].map(|at| at.alive && at.core.doubts(self.now, false).is_none());
-        assert!(authorities != [true, true] || !self.serves(), "both are the authority for keys");
-        // What never began at the old process is run at the new one, if somebody still waits for it there.
-        let left = self.old.read.iter().all(|(reference, _)| self.old.gone.contains(reference));
-        if self.old.alive && self.new.alive && self.dropped.is_none() && left && !self.new.read.is_empty() {
+        assert!(
+            authorities != [true, true] || !self.serves(),
+            "both are the authority for keys"
+        );
+        // What never began at the old process is run at the new one, if somebody still waits for it
+        // there.
+        let left = self
+            .old
+            .read
+            .iter()
+            .all(|(reference, _)| self.old.gone.contains(reference));
+        if self.old.alive
+            && self.new.alive
+            && self.dropped.is_none()
+            && left
+            && !self.new.read.is_empty()
+        {
             assert_eq!(self.begun, 1, "nobody runs it");
         }
         // The end of the run, wherever it was, is known at both by now.
@@ -319,7 +386,10 @@
             && self.predecessor.stage() == predecessor::Stage::Alone
             && !self.yielded
         {
-            assert!(self.old.core.doubts(self.now, true).is_none(), "it doubts for nothing");
+            assert!(
+                self.old.core.doubts(self.now, true).is_none(),
+                "it doubts for nothing"
+            );
         }
         for _ in 0..8 {
             self.now += SECOND;
@@ -372,7 +442,14 @@
 fn no_order_of_steps_and_deaths_runs_a_key_twice() {
     // From the start, and from the points where the authority is about to pass on.
     let asked = [Step::Ready, Step::HearOld];
-    let told = [Step::TryOld, Step::Ready, Step::HearOld, Step::Say, Step::Say, Step::HearNew];
+    let told = [
+        Step::TryOld,
+        Step::Ready,
+        Step::HearOld,
+        Step::Say,
+        Step::Say,
+        Step::HearNew,
+    ];
     let served = [&told[..], &[Step::HearNew, Step::HearOld, Step::HearNew]].concat();
     let ways = [
         explore(false, &mut vec![], 7),
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -1,4 +1,5 @@
-//! The table of keys: who holds a key, who waits for the outcome, and the outcome once there is one.
+//! The table of keys: who holds a key, who waits for the outcome, and the outcome once there is
+//! one.
 
 use pipitlever_admission::{Micros, RequestId};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -50,13 +51,14 @@
     most_result: usize,
     /// A repeat may be read this long after it reached the machine.
     reading: Micros,
-    /// Keys that another process is still to be told of, while one is: all at first, then each that changes.
+    /// Keys that another process is still to be told of, while one is: all at first, then each that
+    /// changes.
     news: Option<VecDeque<Rc<str>>>,
 }
 
 impl Keys {
-    /// A table of so many bytes, with results up to `most_result`, whose repeats may be read up to `reading`
-    /// after they came.
+    /// A table of so many bytes, with results up to `most_result`, whose repeats may be read up to
+    /// `reading` after they came.
     pub fn new(most: usize, most_result: usize, reading: Micros) -> Keys {
         Keys {
             entries: HashMap::new(),
@@ -70,7 +72,8 @@
         }
     }
 
-    /// Another process is to be told how all keys stand and each change from now on; or nothing more.
+    /// Another process is to be told how all keys stand and each change from now on; or nothing
+    /// more.
     pub fn tell(&mut self, tell: bool) {
         self.news = tell.then(|| self.entries.keys().cloned().collect());
     }
@@ -110,7 +113,9 @@
 
     /// The run of the try that holds this key has ended.
     pub fn ended(&mut self, key: &str, kept: Kept) {
-        let Some((name, _)) = self.entries.get_key_value(key) else { return };
+        let Some((name, _)) = self.entries.get_key_value(key) else {
+            return;
+        };
         let name = name.clone();
         self.changed(&name);
         let entry = self.entries.get_mut(key).expect("seen above");
@@ -137,7 +142,9 @@
 
     /// The repeats that wait for the outcome of a key, to be given it; nothing if the key has none.
     pub fn waiting(&mut self, key: &str) -> Option<Vec<RequestId>> {
-        self.entries.get_mut(key).map(|e| std::mem::take(&mut e.waiting))
+        self.entries
+            .get_mut(key)
+            .map(|e| std::mem::take(&mut e.waiting))
     }
 
     /// The key that this try holds.
@@ -145,8 +152,16 @@
         self.holders.get(&id).cloned()
     }
 
-    /// Enters a try under its key, or renews its entry. Another try's live entry is never overwritten.
-    pub fn keep(&mut self, key: &Rc<str>, id: RequestId, payload: u64, now: Micros, until: Micros) -> bool {
+    /// Enters a try under its key, or renews its entry. Another try's live entry is never
+    /// overwritten.
+    pub fn keep(
+        &mut self,
+        key: &Rc<str>,
+        id: RequestId,
+        payload: u64,
+        now: Micros,
+        until: Micros,
+    ) -> bool {
         match self.entries.get_mut(key) {
             Some(e) if e.holder != id && now <= e.until => return false,
             Some(e) if e.holder == id => {
@@ -160,8 +175,15 @@
             None => {}
         }
         let expires = until + self.reading;
-        let fresh =
-            Entry { holder: id, payload, until, expires, begun: false, kept: None, waiting: Vec::new() };
+        let fresh = Entry {
+            holder: id,
+            payload,
+            until,
+            expires,
+            begun: false,
+            kept: None,
+            waiting: Vec::new(),
+        };
         if !self.entries.contains_key(key) {
             self.taken += self.bytes(&fresh);
         }
@@ -172,11 +194,26 @@
         true
     }
 
-    /// Enters a key that a process before this one ran, with its outcome if there is one yet. Within its window it is never refused a
-    /// place.
-    pub fn recover(&mut self, key: &Rc<str>, id: RequestId, payload: u64, until: Micros, kept: Option<Kept>) {
+    /// Enters a key that a process before this one ran, with its outcome if there is one yet.
+    /// Within its window it is never refused a place.
+    pub fn recover(
+        &mut self,
+        key: &Rc<str>,
+        id: RequestId,
+        payload: u64,
+        until: Micros,
+        kept: Option<Kept>,
+    ) {
         let expires = until + self.reading;
-        let entry = Entry { holder: id, payload, until, expires, begun: true, kept, waiting: Vec::new() };
+        let entry = Entry {
+            holder: id,
+            payload,
+            until,
+            expires,
+            begun: true,
+            kept,
+            waiting: Vec::new(),
+        };
         self.remove(key);
         self.taken += self.bytes(&entry);
         self.entries.insert(key.clone(), entry);
@@ -186,7 +223,9 @@
 
     /// How a recovered key's run came out, after all.
     pub fn learned(&mut self, key: &str, kept: Kept) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         let old = entry.kept.replace(kept);
         let old = match &old {
             Some(Kept::Served(result)) => result.len(),
@@ -195,7 +234,8 @@
         self.taken = self.taken + self.bytes(&self.entries[key]) - (ENTRY + old);
     }
 
-    /// Repeats may be read as late as this, too, from now on. Entries that are there keep their time.
+    /// Repeats may be read as late as this, too, from now on. Entries that are there keep their
+    /// time.
     pub fn read_within(&mut self, reading: Micros) {
         self.reading = self.reading.max(reading);
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,9 @@
-//! What is kept in memory: requests, attempts, outcomes. The module's decisions become effects here.
+//! What is kept in memory: requests, attempts, outcomes. The module's decisions become effects
+//! here.
 //!
-//! The core knows no wire, no socket and no clock: it is told what happened and when, and leaves a list of
-//! effects to carry out. It decides no admission, no order and no run limit; that is the module's.
+//! The core knows no wire, no socket and no clock: it is told what happened and when, and leaves a
+//! list of effects to carry out. It decides no admission, no order and no run limit; that is the
+//! module's.
 
 mod bounds;
 mod calls;
@@ -41,7 +43,8 @@
 const GAUGE_AGE: Micros = 500_000;
 /// The least round, whatever the settings say.
 const LEAST_ROUND: Micros = 1000;
-/// A call without a reply is given up this long after its deadline: the layer below answers by then.
+/// A call without a reply is given up this long after its deadline: the layer below answers by
+/// then.
 const CALL_GRACE: Micros = 50_000;
 
 /// A call that a run stands at.
@@ -59,7 +62,11 @@
     /// Waits to start, or for another try of its key.
     Held,
     /// A run may have begun.
-    Running { since: Micros, call: Option<Call>, answered_again: bool },
+    Running {
+        since: Micros,
+        call: Option<Call>,
+        answered_again: bool,
+    },
 }
 
 /// One request, owned by the table of requests alone from its arrival to its close.
@@ -117,7 +124,8 @@
     healthy: bool,
     /// Operators want no new clients: health checks hear bad.
     standby: bool,
-    /// Nothing is admitted or started from then on, until it is told otherwise: its version of the settings may be stale.
+    /// Nothing is admitted or started from then on, until it is told otherwise: its version of the
+    /// settings may be stale.
     until: Micros,
     idle: Micros,
     gauges: (Micros, Gauges),
@@ -136,8 +144,8 @@
 }
 
 impl Core {
-    /// A node whose processor is not up yet, with the classes of these names. A round is the shortest gap between two calls of one request, and
-    /// no result is longer than `most_result`.
+    /// A node whose processor is not up yet, with the classes of these names. A round is the
+    /// shortest gap between two calls of one request, and no result is longer than `most_result`.
     pub fn new(
         settings: Settings,
         names: &[Rc<str>],
@@ -149,7 +157,12 @@
         let mut classes = Classes::default();
         let seats: Vec<Seat> = (0..names.len()).map(|at| Seat { at, was: None }).collect();
         classes.take(names, &seats);
-        let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         Core {
             idle: settings.keepalive_max,
             settings,
@@ -184,7 +197,8 @@
         }
     }
 
-    /// All work goes to workers: the node is up at once, and how busy they are shows in the runs they have.
+    /// All work goes to workers: the node is up at once, and how busy they are shows in the runs
+    /// they have.
     pub fn up_without_processor(&mut self, now: Micros) {
         self.counted = true;
         self.up(now, now, false);
@@ -209,7 +223,11 @@
 
     /// The longest deadline of the classes in force.
     pub fn longest_deadline(&self) -> Micros {
-        let classes = self.classes.in_force().into_iter().map(|at| self.settings.classes[at].deadline);
+        let classes = self
+            .classes
+            .in_force()
+            .into_iter()
+            .map(|at| self.settings.classes[at].deadline);
         classes.max().unwrap_or(0)
     }
 
@@ -223,8 +241,9 @@
         self.attempts.values().any(|a| a.incoming.class == class)
     }
 
-    /// Other settings from now on, with the classes of these names, in their order, where they were seated. What is
-    /// open ends under the class that it came with. Whether anything has changed for the module.
+    /// Other settings from now on, with the classes of these names, in their order, where they were
+    /// seated. What is open ends under the class that it came with. Whether anything has changed
+    /// for the module.
     pub fn retune(
         &mut self,
         mut settings: Settings,
@@ -242,8 +261,13 @@
                 None => classes.push(class),
             }
         }
-        self.keys.read_within(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
-        self.settings = Settings { classes, cold: self.settings.cold, ..settings };
+        self.keys
+            .read_within(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
+        self.settings = Settings {
+            classes,
+            cold: self.settings.cold,
+            ..settings
+        };
         self.round = round.max(LEAST_ROUND);
         if (&self.settings, self.classes.in_force()) == (&before.0, before.1) {
             return false;
@@ -285,8 +309,10 @@
         let due = incoming.due.unwrap_or(incoming.arrived + deadline) - DUE_MARGIN;
         let taken = self.taken + incoming.bytes();
         let full = taken > self.most_taken;
-        let new_key =
-            incoming.key.as_ref().is_some_and(|k| self.keys.repeated(k, incoming.arrived).is_none());
+        let new_key = incoming
+            .key
+            .as_ref()
+            .is_some_and(|k| self.keys.repeated(k, incoming.arrived).is_none());
         let no_place = new_key && self.keys.full();
         if let Some(answer) = new_key.then(|| self.doubts(now, incoming.retry)).flatten() {
             // Another process may have run it. Never offered, never run here.
@@ -296,10 +322,15 @@
             self.effects.push(Effect::Answer(incoming.origin, answer));
             return;
         }
-        let store = if new_key { self.store_refuses(now) } else { None };
+        let store = if new_key {
+            self.store_refuses(now)
+        } else {
+            None
+        };
         let barred = self.barred(now);
         if self.module.is_none() || barred || full || no_place || store.is_some() {
-            // Nothing may be forgotten to make room, so new work has to wait. Never offered, never run.
+            // Nothing may be forgotten to make room, so new work has to wait. Never offered, never
+            // run.
             let (by, cooldown) = match (&self.module, store) {
                 (None, _) => (By::NotUp, FULL_COOLDOWN),
                 (Some(_), _) if barred => (By::Floor, FULL_COOLDOWN),
@@ -307,7 +338,10 @@
                 (Some(_), _) if no_place => (By::KeysFull, FULL_COOLDOWN),
                 (Some(_), store) => store.expect("nothing else is left"),
             };
-            let answer = Answer::Refused { cooldown: self.keep_away(cooldown), nowhere: false };
+            let answer = Answer::Refused {
+                cooldown: self.keep_away(cooldown),
+                nowhere: false,
+            };
             self.now = self.now.max(now);
             note(&mut self.tap, self.now, &incoming, &answer, by);
             self.answered_as(incoming.class, &answer);
@@ -317,9 +351,18 @@
         self.owed += 1;
         self.taken = taken;
         let origin = Some(incoming.origin);
-        let attempt = Attempt { incoming, due, origin, repeats: None, stage: Stage::Held };
+        let attempt = Attempt {
+            incoming,
+            due,
+            origin,
+            repeats: None,
+            stage: Stage::Held,
+        };
         // Nothing is ever left to be told from before, so it need not wait its turn.
-        debug_assert!(self.pending.is_empty(), "each call tells the module all that it has");
+        debug_assert!(
+            self.pending.is_empty(),
+            "each call tells the module all that it has"
+        );
         let event = self.offer(now, attempt);
         self.step(now, &[event]);
         self.pump(now);
@@ -327,7 +370,9 @@
 
     /// The caller of this request has gone: no answer is owed any more.
     pub fn gone(&mut self, now: Micros, reference: Reference) {
-        let Some(&id) = self.by_reference.get(&reference) else { return };
+        let Some(&id) = self.by_reference.get(&reference) else {
+            return;
+        };
         let attempt = self.attempts.get_mut(&id).expect("both tables agree");
         if attempt.origin.take().is_none() {
             return;
@@ -351,7 +396,8 @@
         self.pump(now);
     }
 
-    /// Tells the module one thing at a time: what it said to one may decide what the next one repeats.
+    /// Tells the module one thing at a time: what it said to one may decide what the next one
+    /// repeats.
     fn pump(&mut self, now: Micros) {
         while let Some(pending) = self.pending.pop_front() {
             let event = match pending {
@@ -365,18 +411,25 @@
     fn step(&mut self, now: Micros, events: &[Event]) {
         // The module's clock never goes back.
         self.now = self.now.max(now);
-        let Some(module) = &mut self.module else { return };
+        let Some(module) = &mut self.module else {
+            return;
+        };
         let mut actions = std::mem::take(&mut self.actions);
         let tap = self.tap.as_mut();
         if let Some(tap) = tap.filter(|t| t.wants_checkpoint(self.now)) {
-            let names = self.attempts.iter().map(|(&id, a)| a.incoming.name(id)).collect();
+            let names = self
+                .attempts
+                .iter()
+                .map(|(&id, a)| a.incoming.name(id))
+                .collect();
             tap.checkpoint(self.now, module, &self.settings, names);
         }
         module.step(self.now, events, &mut actions);
         if let Some(tap) = &mut self.tap {
             tap.step(self.now, events, &actions);
         }
-        // Actions are carried out without a further step, so the list is this step's alone, and used again.
+        // Actions are carried out without a further step, so the list is this step's alone, and
+        // used again.
         for action in actions.drain(..) {
             self.act(action);
         }
@@ -390,7 +443,10 @@
         self.next_id += 1;
         let id = self.next_id;
         let incoming = &attempt.incoming;
-        let repeated = incoming.key.as_ref().and_then(|k| self.keys.repeated(k, incoming.arrived));
+        let repeated = incoming
+            .key
+            .as_ref()
+            .and_then(|k| self.keys.repeated(k, incoming.arrived));
         attempt.repeats = repeated.map(|e| e.holder);
         let request = Request {
             id,
@@ -420,13 +476,26 @@
         match action {
             Action::Run(id) => self.run(id),
             Action::Reuse(id) => self.reuse(id),
-            Action::Refuse { id, backoff, no_retry } => {
-                let Some(attempt) = self.attempts.get(&id) else { return };
-                // Refused promises that this try never ran. The module may turn a running read away: to its
-                // caller that is a failure.
+            Action::Refuse {
+                id,
+                backoff,
+                no_retry,
+            } => {
+                let Some(attempt) = self.attempts.get(&id) else {
+                    return;
+                };
+                // Refused promises that this try never ran. The module may turn a running read
+                // away: to its caller that is a failure.
                 if matches!(attempt.stage, Stage::Held) {
                     let cooldown = self.keep_away(backoff);
-                    self.answer(id, Answer::Refused { cooldown, nowhere: no_retry }, By::Module);
+                    self.answer(
+                        id,
+                        Answer::Refused {
+                            cooldown,
+                            nowhere: no_retry,
+                        },
+                        By::Module,
+                    );
                     self.close(id);
                 } else {
                     self.fail(id);
@@ -434,10 +503,15 @@
             }
             Action::Fail(id) => self.fail(id),
             Action::Keep(id, lifetime) => {
-                let Some(attempt) = self.attempts.get(&id) else { return };
+                let Some(attempt) = self.attempts.get(&id) else {
+                    return;
+                };
                 if let Some(key) = &attempt.incoming.key {
-                    let Incoming { payload, arrived, .. } = attempt.incoming;
-                    self.keys.keep(key, id, payload, arrived, self.now + lifetime);
+                    let Incoming {
+                        payload, arrived, ..
+                    } = attempt.incoming;
+                    self.keys
+                        .keep(key, id, payload, arrived, self.now + lifetime);
                 }
             }
             Action::Forget(id) => self.forget(id),
@@ -447,16 +521,20 @@
             Action::CloseIdle(idle) => self.idle = idle,
             Action::Timer(after, tag) => {
                 self.wakes.insert((self.now + after, Wake::Timer(tag)));
-                self.wakes.insert((self.now + after - GAUGE_LEAD, Wake::Gauges));
+                self.wakes
+                    .insert((self.now + after - GAUGE_LEAD, Wake::Gauges));
             }
             Action::Halt(id) => self.interrupt(id),
-            // No call can be skipped on sockets: no party has a command for it, and the module's settings say so.
+            // No call can be skipped on sockets: no party has a command for it, and the module's
+            // settings say so.
             Action::SkipCall(_) => {}
         }
     }
 
     fn fail(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         let held = matches!(attempt.stage, Stage::Held);
         let expired = self.now >= attempt.due;
         self.answer(id, Answer::Failed { expired }, By::Module);
@@ -467,8 +545,12 @@
 
     /// The final answer: taken once, whoever gives it.
     fn answer(&mut self, id: RequestId, answer: Answer, by: By) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        let Some(origin) = attempt.origin.take() else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
+        let Some(origin) = attempt.origin.take() else {
+            return;
+        };
         note(&mut self.tap, self.now, &attempt.incoming, &answer, by);
         self.owed -= 1;
         let class = attempt.incoming.class;
@@ -482,7 +564,9 @@
         let (all, of_class) = match answer {
             Answer::Served(_) => (&mut self.counters.served, &mut class.fulfilled),
             Answer::Refused { .. } => (&mut self.counters.refused, &mut class.throttled),
-            Answer::Failed { .. } | Answer::Unknown { .. } => (&mut self.counters.failed, &mut class.faulted),
+            Answer::Failed { .. } | Answer::Unknown { .. } => {
+                (&mut self.counters.failed, &mut class.faulted)
+            }
         };
         *all += 1;
         *of_class += 1;
@@ -494,7 +578,15 @@
         self.by_reference.remove(&attempt.incoming.reference);
         self.taken -= attempt.incoming.bytes();
         self.wakes.remove(&(attempt.due, Wake::Due(id)));
-        if let Stage::Running { call: Some(Call { placed: Some((_, given_up)), .. }), .. } = attempt.stage {
+        if let Stage::Running {
+            call:
+                Some(Call {
+                    placed: Some((_, given_up)),
+                    ..
+                }),
+            ..
+        } = attempt.stage
+        {
             self.wakes.remove(&(given_up, Wake::Call(id)));
         }
         if let (Some(key), Some(holder)) = (&attempt.incoming.key, attempt.repeats) {
@@ -509,7 +601,13 @@
 /// A final answer, for the capture.
 fn note(tap: &mut Option<Tap>, now: Micros, incoming: &Incoming, answer: &Answer, by: By) {
     if let Some(tap) = tap {
-        tap.answer(now, incoming.reference, incoming.class as u32, answer.told(), by);
+        tap.answer(
+            now,
+            incoming.reference,
+            incoming.class as u32,
+            answer.told(),
+            by,
+        );
     }
 }
 
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -57,7 +57,12 @@
     /// What a capture calls it.
     pub(super) fn name(&self, id: RequestId) -> Name {
         let key = self.key.as_deref().map(digest);
-        Name { id, reference: self.reference, sender: self.sender, key }
+        Name {
+            id,
+            reference: self.reference,
+            sender: self.sender,
+            key,
+        }
     }
 }
 
@@ -90,7 +95,10 @@
     pub(super) fn told(&self) -> Told {
         match self {
             Answer::Served(result) => Told::Served(result.len() as u32),
-            Answer::Refused { cooldown, nowhere } => Told::Refused { cooldown: *cooldown, nowhere: *nowhere },
+            Answer::Refused { cooldown, nowhere } => Told::Refused {
+                cooldown: *cooldown,
+                nowhere: *nowhere,
+            },
             Answer::Failed { expired } => Told::Failed { expired: *expired },
             Answer::Unknown { .. } => Told::Failed { expired: false },
         }
@@ -102,8 +110,8 @@
 pub enum Effect {
     /// Give this answer.
     Answer(Origin, Answer),
-    /// Start the run of a request of this class, with its body as it came. Nobody wants its result after the
-    /// time given.
+    /// Start the run of a request of this class, with its body as it came. Nobody wants its result
+    /// after the time given.
     Begin(Reference, usize, Micros, Rc<[u8]>),
     /// Pass on the reply to the call that the run waits for.
     Reply(Reference, Rc<[u8]>),
--- a/crates/core/src/repeats.rs
+++ b/crates/core/src/repeats.rs
@@ -3,15 +3,20 @@
 use super::*;
 
 impl Core {
-    /// Whether this key stands for another body or class. That is its client's error: the outcome of the other
-    /// request is not this one's, and a second run under the key would break its promise.
+    /// Whether this key stands for another body or class. That is its client's error: the outcome
+    /// of the other request is not this one's, and a second run under the key would break its
+    /// promise.
     pub fn conflicts(&self, key: &str, arrived: Micros, payload: u64) -> bool {
-        self.keys.repeated(key, arrived).is_some_and(|e| e.payload != payload)
+        self.keys
+            .repeated(key, arrived)
+            .is_some_and(|e| e.payload != payload)
     }
 
     /// A repeat joins the try that has its key, or gets the outcome that is kept of it.
     pub(super) fn reuse(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         self.counters.repeats += 1;
         let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
         let holder = attempt.repeats.unwrap_or_default();
@@ -28,11 +33,20 @@
         let (answer, outcome) = match kept {
             Kept::Served(result) => (Answer::Served(result.clone()), Outcome::Done),
             Kept::Failed => (Answer::Failed { expired: false }, Outcome::Error),
-            Kept::Unknown(until) => (Answer::Unknown { back: (until - self.now).max(0) }, Outcome::Error),
+            Kept::Unknown(until) => (
+                Answer::Unknown {
+                    back: (until - self.now).max(0),
+                },
+                Outcome::Error,
+            ),
         };
         self.answer(id, answer, By::Repeat);
         self.close(id);
-        self.pending.push_back(Pending::Event(Event::Finished { id, took: 0, outcome }));
+        self.pending.push_back(Pending::Event(Event::Finished {
+            id,
+            took: 0,
+            outcome,
+        }));
     }
 
     /// A keyed run ended: its outcome is kept, and goes to those that wait for it.
@@ -45,7 +59,9 @@
             }
             return;
         };
-        let Some(entry) = self.keys.held_by(key, id) else { return };
+        let Some(entry) = self.keys.held_by(key, id) else {
+            return;
+        };
         let waiting = std::mem::take(&mut entry.waiting);
         self.keys.ended(key, kept.clone());
         for id in waiting {
@@ -55,8 +71,11 @@
 
     /// The module dropped a try that never ran: its key is free again.
     pub(super) fn forget(&mut self, id: RequestId) {
-        // The request itself may have been closed by its answer, so the entry is looked for by its holder.
-        let Some(key) = self.keys.key_of(id) else { return };
+        // The request itself may have been closed by its answer, so the entry is looked for by its
+        // holder.
+        let Some(key) = self.keys.key_of(id) else {
+            return;
+        };
         if self.keys.held_by(&key, id).is_some_and(|e| e.begun) {
             return;
         }
@@ -64,11 +83,15 @@
         self.release(entry.waiting, None);
     }
 
-    /// Repeats of a try that never ran: refused along with it, or offered to the module as what they now are,
-    /// requests of their own that came when they came.
+    /// Repeats of a try that never ran: refused along with it, or offered to the module as what
+    /// they now are, requests of their own that came when they came.
     pub(super) fn release(&mut self, waiting: Vec<RequestId>, refusal: Option<Answer>) {
         for id in waiting {
-            self.pending.push_back(Pending::Event(Event::Finished { id, took: 0, outcome: Outcome::Error }));
+            self.pending.push_back(Pending::Event(Event::Finished {
+                id,
+                took: 0,
+                outcome: Outcome::Error,
+            }));
             if let Some(answer) = &refusal {
                 self.answer(id, answer.clone(), By::Repeat);
             }
--- a/crates/core/src/runs.rs
+++ b/crates/core/src/runs.rs
@@ -7,13 +7,20 @@
         if self.barred(self.now) {
             return self.unrun(id);
         }
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
         let keyed = self.settings.classes[attempt.incoming.class].idempotency == Idempotency::Keyed;
         if keyed {
-            // No run without the entry that tells its repeats apart, and none on another try's entry.
+            // No run without the entry that tells its repeats apart, and none on another try's
+            // entry.
             let key = attempt.incoming.key.as_deref().unwrap_or_default();
             let Some(entry) = self.keys.held_by(key, id).filter(|e| !e.begun) else {
-                let ended = Event::Finished { id, took: 0, outcome: Outcome::Moot };
+                let ended = Event::Finished {
+                    id,
+                    took: 0,
+                    outcome: Outcome::Moot,
+                };
                 self.pending.push_back(Pending::Event(ended));
                 self.answer(id, Answer::Failed { expired: false }, By::NoKey);
                 self.close(id);
@@ -21,20 +28,34 @@
             };
             entry.begun = true;
         }
-        attempt.stage = Stage::Running { since: self.now, call: None, answered_again: false };
+        attempt.stage = Stage::Running {
+            since: self.now,
+            call: None,
+            answered_again: false,
+        };
         if !keyed || !self.intend(id) {
             self.begin(id);
         }
     }
 
-    /// What was held under a version that may be stale by now is not started: it never ran, and its key is free again.
+    /// What was held under a version that may be stale by now is not started: it never ran, and its
+    /// key is free again.
     pub(super) fn unrun(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         let key = attempt.incoming.key.clone();
-        let answer = Answer::Refused { cooldown: self.keep_away(FULL_COOLDOWN), nowhere: false };
+        let answer = Answer::Refused {
+            cooldown: self.keep_away(FULL_COOLDOWN),
+            nowhere: false,
+        };
         self.answer(id, answer.clone(), By::Floor);
         self.close(id);
-        self.pending.push_back(Pending::Event(Event::Finished { id, took: 0, outcome: Outcome::Moot }));
+        self.pending.push_back(Pending::Event(Event::Finished {
+            id,
+            took: 0,
+            outcome: Outcome::Moot,
+        }));
         if let Some(key) = key {
             self.settle(&key, id, None, answer);
         }
@@ -42,31 +63,53 @@
 
     /// The run goes out.
     pub(super) fn begin(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         let incoming = &attempt.incoming;
         self.counters.runs += 1;
         self.classes.count(incoming.class).relayed += 1;
         let keyed = incoming.key.is_some();
         // A repeat may still want the outcome of a keyed run when its first caller does not.
         let class = &self.settings.classes[incoming.class];
-        let until = if keyed { attempt.due.max(incoming.arrived + class.window) } else { attempt.due };
-        let begin = Effect::Begin(incoming.reference, incoming.class, until, incoming.body.clone());
+        let until = if keyed {
+            attempt.due.max(incoming.arrived + class.window)
+        } else {
+            attempt.due
+        };
+        let begin = Effect::Begin(
+            incoming.reference,
+            incoming.class,
+            until,
+            incoming.body.clone(),
+        );
         self.effects.push(begin);
     }
 
-    /// Its request is answered, or its caller gone: the run would only take the cores from others. It stays in
-    /// the table until its end is told, which may also be that it had just ended well.
+    /// Its request is answered, or its caller gone: the run would only take the cores from others.
+    /// It stays in the table until its end is told, which may also be that it had just ended well.
     pub(super) fn interrupt(&mut self, id: RequestId) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         if attempt.origin.is_none() && matches!(attempt.stage, Stage::Running { .. }) {
             self.counters.interrupted += 1;
-            let Incoming { reference, class, .. } = attempt.incoming;
+            let Incoming {
+                reference, class, ..
+            } = attempt.incoming;
             self.effects.push(Effect::Interrupt(reference, class));
         }
     }
 
     /// A run ended. `took` runs from its start, waits included.
-    pub fn run_ended(&mut self, now: Micros, reference: Reference, end: End, took: Micros, result: Rc<[u8]>) {
+    pub fn run_ended(
+        &mut self,
+        now: Micros,
+        reference: Reference,
+        end: End,
+        took: Micros,
+        result: Rc<[u8]>,
+    ) {
         let Some(&id) = self.by_reference.get(&reference) else {
             return self.earlier_ended(reference, end, &result);
         };
@@ -78,37 +121,74 @@
         if attempt.incoming.key.is_some() && self.outcome(reference, end, took, &result) {
             return;
         }
-        let by = if end == End::NeverRan { By::Rejected } else { By::Run };
+        let by = if end == End::NeverRan {
+            By::Rejected
+        } else {
+            By::Run
+        };
         self.ended(id, end, took, result, by);
         self.pump(now);
     }
 
-    /// A run is over, or will never begin: its request is answered and closed. What the module is to hear of it
-    /// is pending.
-    pub(super) fn ended(&mut self, id: RequestId, end: End, took: Micros, result: Rc<[u8]>, by: By) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
-        let Stage::Running { call, .. } = &attempt.stage else { return };
+    /// A run is over, or will never begin: its request is answered and closed. What the module is
+    /// to hear of it is pending.
+    pub(super) fn ended(
+        &mut self,
+        id: RequestId,
+        end: End,
+        took: Micros,
+        result: Rc<[u8]>,
+        by: By,
+    ) {
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
+        let Stage::Running { call, .. } = &attempt.stage else {
+            return;
+        };
         let reference = attempt.incoming.reference;
         if call.as_ref().is_some_and(|c| c.placed.is_some()) {
             self.effects.push(Effect::Abandon(reference));
         }
         let key = attempt.incoming.key.clone();
         // A result too long to be passed on can't be kept either.
-        let end = if end == End::Fine && result.len() > self.most_result { End::Fault } else { end };
+        let end = if end == End::Fine && result.len() > self.most_result {
+            End::Fault
+        } else {
+            end
+        };
         let (outcome, answer, kept) = match end {
             End::Fine => {
                 self.counters.runs_fine += 1;
-                (Outcome::Done, Answer::Served(result.clone()), Some(Kept::Served(result)))
-            }
-            End::Fault => (Outcome::Error, Answer::Failed { expired: false }, Some(Kept::Failed)),
-            End::BrokenOff => (Outcome::Cancelled, Answer::Failed { expired: false }, Some(Kept::Failed)),
-            End::NeverRan => {
-                (Outcome::Moot, Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false }, None)
+                (
+                    Outcome::Done,
+                    Answer::Served(result.clone()),
+                    Some(Kept::Served(result)),
+                )
             }
+            End::Fault => (
+                Outcome::Error,
+                Answer::Failed { expired: false },
+                Some(Kept::Failed),
+            ),
+            End::BrokenOff => (
+                Outcome::Cancelled,
+                Answer::Failed { expired: false },
+                Some(Kept::Failed),
+            ),
+            End::NeverRan => (
+                Outcome::Moot,
+                Answer::Refused {
+                    cooldown: FULL_COOLDOWN,
+                    nowhere: false,
+                },
+                None,
+            ),
         };
         self.answer(id, answer.clone(), by);
         self.close(id);
-        self.pending.push_back(Pending::Event(Event::Finished { id, took, outcome }));
+        self.pending
+            .push_back(Pending::Event(Event::Finished { id, took, outcome }));
         if let Some(key) = key {
             self.settle(&key, id, kept, answer);
         }
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -23,8 +23,9 @@
         self.healthy && !self.standby && !self.barred(self.now)
     }
 
-    /// What it acts on is known not to be stale until then, or not known at all; whether it may do more or less than before. The time
-    /// is looked at with each request: a process that was stopped past it finds requests in its sockets.
+    /// What it acts on is known not to be stale until then, or not known at all; whether it may do
+    /// more or less than before. The time is looked at with each request: a process that was
+    /// stopped past it finds requests in its sockets.
     pub fn allow(&mut self, until: Option<Micros>) -> bool {
         let until = until.unwrap_or(Micros::MIN);
         let before = std::mem::replace(&mut self.until, until);
@@ -36,7 +37,8 @@
         now >= self.until
     }
 
-    /// Health checks hear bad from now on, or again what the module says; whether that is new. All else goes on.
+    /// Health checks hear bad from now on, or again what the module says; whether that is new. All
+    /// else goes on.
     pub fn stand_by(&mut self, standby: bool) -> bool {
         std::mem::replace(&mut self.standby, standby) != standby
     }
@@ -48,7 +50,9 @@
 
     /// Whether the module refuses work of low rank, or all.
     pub fn crowded(&self) -> bool {
-        self.module.as_ref().is_some_and(|m| m.mode() != Mode::Normal)
+        self.module
+            .as_ref()
+            .is_some_and(|m| m.mode() != Mode::Normal)
     }
 
     /// Whether operators want no new clients.
@@ -71,15 +75,26 @@
         self.owed
     }
 
-    /// Whether each request that was read is answered, told gone or open, and nothing is counted twice.
+    /// Whether each request that was read is answered, told gone or open, and nothing is counted
+    /// twice.
     pub fn balanced(&self) -> bool {
-        let Counters { requests, served, refused, failed, gone, .. } = self.counters;
+        let Counters {
+            requests,
+            served,
+            refused,
+            failed,
+            gone,
+            ..
+        } = self.counters;
         requests == served + refused + failed + gone + self.owed as u64
     }
 
     /// Requests, running ones and keys in memory.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        let running = self.attempts.values().filter(|a| matches!(a.stage, Stage::Running { .. }));
+        let running = self
+            .attempts
+            .values()
+            .filter(|a| matches!(a.stage, Stage::Running { .. }));
         (self.attempts.len(), running.count(), self.keys.len())
     }
 }
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -20,8 +20,14 @@
         below: Below::Tier,
         ..Settings::default()
     };
-    let mut core =
-        Core::new(settings, &["free".into(), "keyed".into()], 7, 2000, 4096, Bounds::within(192 << 20, 960));
+    let mut core = Core::new(
+        settings,
+        &["free".into(), "keyed".into()],
+        7,
+        2000,
+        4096,
+        Bounds::within(192 << 20, 960),
+    );
     core.up(SECOND, 0, false);
     core
 }
@@ -32,7 +38,10 @@
         reference,
         tenant: None,
         sender: None,
-        origin: Origin { connection: 1, number: reference },
+        origin: Origin {
+            connection: 1,
+            number: reference,
+        },
         class: usize::from(key.is_some()),
         arrived: now,
         due: Some(now + 5 * SECOND),
@@ -47,12 +56,24 @@
 }
 
 fn begun(effects: &[Effect]) -> Vec<Reference> {
-    let begin = |e: &Effect| if let Effect::Begin(r, ..) = e { Some(*r) } else { None };
+    let begin = |e: &Effect| {
+        if let Effect::Begin(r, ..) = e {
+            Some(*r)
+        } else {
+            None
+        }
+    };
     effects.iter().filter_map(begin).collect()
 }
 
 fn answers(effects: &[Effect]) -> Vec<(Reference, Answer)> {
-    let answer = |e: &Effect| if let Effect::Answer(o, a) = e { Some((o.number, a.clone())) } else { None };
+    let answer = |e: &Effect| {
+        if let Effect::Answer(o, a) = e {
+            Some((o.number, a.clone()))
+        } else {
+            None
+        }
+    };
     effects.iter().filter_map(answer).collect()
 }
 
@@ -75,7 +96,12 @@
         let mut core = core();
         core.arrived(SECOND, incoming(1, SECOND, None));
         core.asked(SECOND, 1, Rc::from([]));
-        let call = |core: &mut Core| core.effects().iter().filter(|e| matches!(e, Effect::Call(..))).count();
+        let call = |core: &mut Core| {
+            core.effects()
+                .iter()
+                .filter(|e| matches!(e, Effect::Call(..)))
+                .count()
+        };
         assert_eq!(call(&mut core), 1);
         core.call_ended(SECOND + 100, 1, outcome, Rc::from([]));
         assert_eq!(call(&mut core), 0);
@@ -116,7 +142,10 @@
 fn a_key_runs_once_within_its_window_whatever_became_of_the_run() {
     let failed = Answer::Failed { expired: false };
     let served = Answer::Served(Rc::from(*b"r"));
-    let refused = Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false };
+    let refused = Answer::Refused {
+        cooldown: FULL_COOLDOWN,
+        nowhere: false,
+    };
     let cases = [
         (End::Fine, served, false),
         (End::Fault, failed.clone(), false),
@@ -148,9 +177,15 @@
     core.effects();
     // It came within the window, and is read a second after.
     core.wake(22 * SECOND);
-    let late = Incoming { arrived: 20 * SECOND, ..incoming(2, 22 * SECOND, Some("k")) };
+    let late = Incoming {
+        arrived: 20 * SECOND,
+        ..incoming(2, 22 * SECOND, Some("k"))
+    };
     core.arrived(22 * SECOND, late);
-    assert_eq!(answers(&core.effects()), [(2, Answer::Served(Rc::from(*b"r")))]);
+    assert_eq!(
+        answers(&core.effects()),
+        [(2, Answer::Served(Rc::from(*b"r")))]
+    );
 }
 
 #[test]
@@ -165,8 +200,14 @@
     core.arrived(2 * SECOND, incoming(3, 2 * SECOND, Some("k")));
     core.arrived(2 * SECOND, incoming(4, 2 * SECOND, None));
     let effects = core.effects();
-    let refused = Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false };
-    assert_eq!(answers(&effects), [(2, refused), (3, Answer::Served(Rc::from(*b"r")))]);
+    let refused = Answer::Refused {
+        cooldown: FULL_COOLDOWN,
+        nowhere: false,
+    };
+    assert_eq!(
+        answers(&effects),
+        [(2, refused), (3, Answer::Served(Rc::from(*b"r")))]
+    );
     assert_eq!(begun(&effects), [4]);
 }
 
@@ -179,24 +220,51 @@
     core.wake(6 * SECOND);
     let due = answers(&core.effects());
     assert_eq!(due.len(), 2, "both are due: {due:?}");
-    assert!(due.iter().all(|(_, a)| *a == Answer::Failed { expired: true }), "{due:?}");
+    assert!(
+        due.iter()
+            .all(|(_, a)| *a == Answer::Failed { expired: true }),
+        "{due:?}"
+    );
     // The runs end later, and a caller that leaves later still changes nothing.
     core.gone(6 * SECOND, 1);
     core.run_ended(7 * SECOND, 1, End::Fine, 10, Rc::from([]));
     core.run_ended(7 * SECOND, 2, End::Fine, 10, Rc::from([]));
     core.run_ended(7 * SECOND, 2, End::Fine, 10, Rc::from([]));
     assert_eq!(answers(&core.effects()), []);
-    assert_eq!((core.owed(), core.sizes().0, core.taken, core.by_reference.len()), (0, 0, 0, 0));
+    assert_eq!(
+        (
+            core.owed(),
+            core.sizes().0,
+            core.taken,
+            core.by_reference.len()
+        ),
+        (0, 0, 0, 0)
+    );
     // Only the module's own timer is left to wake for.
-    assert!(core.wakes.iter().all(|w| matches!(w.1, Wake::Timer(_) | Wake::Gauges)), "{:?}", core.wakes);
+    assert!(
+        core.wakes
+            .iter()
+            .all(|w| matches!(w.1, Wake::Timer(_) | Wake::Gauges)),
+        "{:?}",
+        core.wakes
+    );
     assert_eq!(core.counters.failed, 2);
 }
 
 /// The bounds were once 104 MB whatever the limit, which is 32 MB on some days.
 #[test]
 fn all_that_is_kept_fits_the_limit_on_memory() {
-    for (memory, connections) in [(32 << 20, 320), (48 << 20, 448), (128 << 20, 448), (192 << 20, 960)] {
-        let Bounds { requests, keys, answers } = Bounds::within(memory, connections);
+    for (memory, connections) in [
+        (32 << 20, 320),
+        (48 << 20, 448),
+        (128 << 20, 448),
+        (192 << 20, 960),
+    ] {
+        let Bounds {
+            requests,
+            keys,
+            answers,
+        } = Bounds::within(memory, connections);
         let all = PROCESS + connections * CONNECTION + requests + keys + answers;
         assert!(all <= memory && all > memory * 8 / 10, "{all} of {memory}");
     }
@@ -205,12 +273,16 @@
     for reference in 1..=3 {
         core.arrived(SECOND, incoming(reference, SECOND, None));
     }
-    let refused = Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false };
+    let refused = Answer::Refused {
+        cooldown: FULL_COOLDOWN,
+        nowhere: false,
+    };
     assert_eq!(answers(&core.effects()), [(3, refused.clone())]);
     core.run_ended(SECOND, 1, End::Fine, 10, Rc::from([]));
     core.run_ended(SECOND, 2, End::Fine, 10, Rc::from([]));
     core.effects();
-    // Small results leave room for more keys; those whose results aren't there yet may still be long.
+    // Small results leave room for more keys; those whose results aren't there yet may still be
+    // long.
     let mut taken = 0;
     for reference in 10.. {
         let key = reference.to_string();
@@ -219,7 +291,10 @@
             break;
         }
         core.run_ended(SECOND, reference, End::Fine, 10, Rc::from([7; 100]));
-        assert_eq!(answers(&core.effects()), [(reference, Answer::Served(Rc::from([7; 100])))]);
+        assert_eq!(
+            answers(&core.effects()),
+            [(reference, Answer::Served(Rc::from([7; 100])))]
+        );
         taken += 1;
     }
     assert_eq!(taken, ((8 << 10) - 512 - 4096) / 612 + 1);
@@ -237,7 +312,12 @@
     /// A core with a store, and keys that it has brought over a restart.
     fn stored(wait: bool, suspect: Option<Micros>, found: Vec<Recovered>) -> Core {
         let mut core = core();
-        let rules = Rules { most: 1 << 20, spare: 1 << 16, most_result: 4096, each: false };
+        let rules = Rules {
+            most: 1 << 20,
+            spare: 1 << 16,
+            most_result: 4096,
+            each: false,
+        };
         let gate = Gate::new(rules, 0, suspect, 1 << 32);
         core.remember(Durable::new(gate, 1000 * SECOND, wait, suspect), found);
         core
@@ -255,7 +335,11 @@
             over: 1030 * SECOND,
             linger: 10 * SECOND,
         };
-        Recovered { intent, until: 20 * SECOND, kept }
+        Recovered {
+            intent,
+            until: 20 * SECOND,
+            kept,
+        }
     }
 
     fn served(bytes: &[u8]) -> Answer {
@@ -294,7 +378,10 @@
         assert_eq!(answers(&core.effects()), []);
         assert_eq!(core.batch(2 * SECOND).expect("its outcome").marks.len(), 1);
         core.stored(2 * SECOND, Ok(500));
-        assert_eq!(answers(&core.effects()), [(1, served(b"done")), (2, served(b"done"))]);
+        assert_eq!(
+            answers(&core.effects()),
+            [(1, served(b"done")), (2, served(b"done"))]
+        );
         assert_eq!(core.sizes().0, 0);
     }
 
@@ -306,13 +393,25 @@
         core.arrived(SECOND, incoming(2, SECOND, Some("b")));
         core.effects();
         core.stored(SECOND, Err("no space".into()));
-        let refused = Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false };
-        assert_eq!(answers(&core.effects()), [(1, refused.clone()), (2, refused.clone())]);
+        let refused = Answer::Refused {
+            cooldown: FULL_COOLDOWN,
+            nowhere: false,
+        };
+        assert_eq!(
+            answers(&core.effects()),
+            [(1, refused.clone()), (2, refused.clone())]
+        );
         core.arrived(SECOND, incoming(3, SECOND, Some("c")));
         core.arrived(SECOND, incoming(4, SECOND, None));
         let effects = core.effects();
-        assert_eq!((answers(&effects), begun(&effects)), (vec![(3, refused)], vec![4]));
-        assert_eq!(core.store_note(SECOND).unwrap(), "store: keyed requests are refused: failing: no space");
+        assert_eq!(
+            (answers(&effects), begun(&effects)),
+            (vec![(3, refused)], vec![4])
+        );
+        assert_eq!(
+            core.store_note(SECOND).unwrap(),
+            "store: keyed requests are refused: failing: no space"
+        );
         // It is tried again, at a time that the core asks to be woken for.
         let mut at = SECOND;
         while core.batch(at).is_none() {
@@ -339,8 +438,14 @@
         let late = SECOND + PATIENCE;
         assert!(core.next_wake().unwrap() <= late);
         core.wake(late);
-        let refused = Answer::Refused { cooldown: FULL_COOLDOWN, nowhere: false };
-        assert_eq!(answers(&core.effects()), [(1, refused.clone()), (2, refused)]);
+        let refused = Answer::Refused {
+            cooldown: FULL_COOLDOWN,
+            nowhere: false,
+        };
+        assert_eq!(
+            answers(&core.effects()),
+            [(1, refused.clone()), (2, refused)]
+        );
         core.stored(late + 1, Ok(400));
         assert!(begun(&core.effects()).is_empty());
         // That it never began is owed to the disk.
@@ -370,8 +475,14 @@
     #[test]
     fn what_was_recovered_is_told_and_not_run() {
         let cases = [
-            (Some(record::Kept::Served(b"done".to_vec())), served(b"done")),
-            (Some(record::Kept::Failed), Answer::Failed { expired: false }),
+            (
+                Some(record::Kept::Served(b"done".to_vec())),
+                served(b"done"),
+            ),
+            (
+                Some(record::Kept::Failed),
+                Answer::Failed { expired: false },
+            ),
             (None, Answer::Unknown { back: 19 * SECOND }),
         ];
         for (kept, wanted) in cases {
@@ -418,13 +529,22 @@
 
     #[test]
     fn damage_refuses_what_is_new_for_a_window() {
-        let mut core = stored(false, Some(20 * SECOND), vec![found(7, Some(record::Kept::Failed))]);
+        let mut core = stored(
+            false,
+            Some(20 * SECOND),
+            vec![found(7, Some(record::Kept::Failed))],
+        );
         core.arrived(SECOND, incoming(1, SECOND, Some("other")));
-        let [(1, Answer::Refused { cooldown, .. })] = answers(&core.effects())[..] else { panic!("refused") };
+        let [(1, Answer::Refused { cooldown, .. })] = answers(&core.effects())[..] else {
+            panic!("refused")
+        };
         assert!(cooldown >= FULL_COOLDOWN);
         // What is known for certain is told.
         core.arrived(SECOND, incoming(2, SECOND, Some("k")));
-        assert_eq!(answers(&core.effects()), [(2, Answer::Failed { expired: false })]);
+        assert_eq!(
+            answers(&core.effects()),
+            [(2, Answer::Failed { expired: false })]
+        );
         core.arrived(20 * SECOND, incoming(3, 20 * SECOND, Some("other")));
         core.batch(20 * SECOND);
         core.stored(20 * SECOND, Ok(200));
@@ -432,23 +552,51 @@
     }
 }
 
-/// The module was told no tenant at all: one that flooded the fleet was worth as much as those within their shares.
+/// The module was told no tenant at all: one that flooded the fleet was worth as much as those
+/// within their shares.
 #[test]
 fn a_tenant_beyond_its_share_is_worth_less() {
     let tenants = [1.0, 1000.0].map(|quota_rps| Tenant { quota_rps }).to_vec();
     let classes = vec![Class::default()];
-    let settings = Settings { classes, tenants, over_share_worth: 0.1, cores: 64.0, ..Settings::default() };
-    let mut core = Core::new(settings, &["free".into()], 7, 2000, 4096, Bounds::within(192 << 20, 960));
+    let settings = Settings {
+        classes,
+        tenants,
+        over_share_worth: 0.1,
+        cores: 64.0,
+        ..Settings::default()
+    };
+    let mut core = Core::new(
+        settings,
+        &["free".into()],
+        7,
+        2000,
+        4096,
+        Bounds::within(192 << 20, 960),
+    );
     core.up(SECOND, 0, false);
     let mut worth = |reference, tenant| {
-        core.arrived(SECOND, Incoming { tenant, ..incoming(reference, SECOND, None) });
+        core.arrived(
+            SECOND,
+            Incoming {
+                tenant,
+                ..incoming(reference, SECOND, None)
+            },
+        );
         let id = core.by_reference[&reference];
-        core.module.as_ref().unwrap().standing(id).expect("the cores take it").worth
+        core.module
+            .as_ref()
+            .unwrap()
+            .standing(id)
+            .expect("the cores take it")
+            .worth
     };
     assert_eq!(worth(1, Some(0)), 0.9, "within its share");
     for reference in 2..30 {
         worth(reference, Some(0));
     }
     let (loud, quiet, unknown) = (worth(31, Some(0)), worth(32, Some(1)), worth(33, None));
-    assert!(loud < 0.3 && quiet == 0.9 && unknown == 0.9, "{loud} {quiet} {unknown}");
+    assert!(
+        loud < 0.3 && quiet == 0.9 && unknown == 0.9,
+        "{loud} {quiet} {unknown}"
+    );
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -24,14 +24,35 @@
                         true => self.gauges.1,
                         false => Gauges::default(),
                     };
-                    let Gauges { core_use, on_cores, memory_use, connections } = g;
-                    self.tell(now, Event::Timer { tag, core_use, on_cores, memory_use, connections });
+                    let Gauges {
+                        core_use,
+                        on_cores,
+                        memory_use,
+                        connections,
+                    } = g;
+                    self.tell(
+                        now,
+                        Event::Timer {
+                            tag,
+                            core_use,
+                            on_cores,
+                            memory_use,
+                            connections,
+                        },
+                    );
                 }
                 Wake::Due(id) => self.due(now, id),
                 Wake::TurnedAway(id) => self.turned_away(now, id),
                 Wake::Call(id) => {
-                    let Some(a) = self.attempts.get(&id) else { continue };
-                    let Stage::Running { call: Some(call), .. } = &a.stage else { continue };
+                    let Some(a) = self.attempts.get(&id) else {
+                        continue;
+                    };
+                    let Stage::Running {
+                        call: Some(call), ..
+                    } = &a.stage
+                    else {
+                        continue;
+                    };
                     if call.placed.is_some() {
                         let reference = a.incoming.reference;
                         self.effects.push(Effect::Abandon(reference));
@@ -46,7 +67,11 @@
     pub(super) fn counted_gauges(&self) -> Gauges {
         let runs = self.sizes().1 as f64;
         let core_use = Some((runs / self.settings.cores.max(1.0)).min(1.0));
-        Gauges { core_use, on_cores: Some(runs), ..Gauges::default() }
+        Gauges {
+            core_use,
+            on_cores: Some(runs),
+            ..Gauges::default()
+        }
     }
 
     /// The processor's gauges.
@@ -61,7 +86,9 @@
         }
         self.step(now, &[]);
         self.pump(now);
-        let Some(attempt) = self.attempts.get(&id).filter(|a| a.origin.is_some()) else { return };
+        let Some(attempt) = self.attempts.get(&id).filter(|a| a.origin.is_some()) else {
+            return;
+        };
         let held = matches!(attempt.stage, Stage::Held);
         self.answer(id, Answer::Failed { expired: true }, By::Overdue);
         if held {
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -5,8 +5,8 @@
 //! frame:  number u32  length u32  crc32 of these 8 bytes  crc32 of the payload  payload
 //! ```
 //!
-//! All figures are little-endian. The header has a checksum of its own: without it a flipped bit in a length
-//! would look like a file that was cut off, and what follows would be lost without a word.
+//! All figures are little-endian. The header has a checksum of its own: without it a flipped bit in
+//! a length would look like a file that was cut off, and what follows would be lost without a word.
 
 use std::fmt;
 
@@ -69,7 +69,9 @@
         write!(f, "offset {}: ", self.at)?;
         match &self.why {
             Wrong::Foreign(what) => write!(f, "this is no {what}"),
-            Wrong::Version { found, read } => write!(f, "format {found}; this build reads format {read}"),
+            Wrong::Version { found, read } => {
+                write!(f, "format {found}; this build reads format {read}")
+            }
             Wrong::Checksum => write!(f, "damaged: a checksum does not match"),
             Wrong::Number { due, found } => write!(f, "damaged: frame {found} where {due} is due"),
             Wrong::Long(length) => write!(f, "damaged: a frame of {length} bytes"),
@@ -126,7 +128,12 @@
             if bytes != &expected[..bytes.len()] {
                 return wrong(0, Wrong::Foreign(format.what));
             }
-            return Ok(Frames { bytes, at: 0, number: 0, cut: true });
+            return Ok(Frames {
+                bytes,
+                at: 0,
+                number: 0,
+                cut: true,
+            });
         }
         if bytes[..8] != format.magic {
             return wrong(0, Wrong::Foreign(format.what));
@@ -136,9 +143,20 @@
         }
         let version = u16::from_le_bytes([bytes[8], bytes[9]]);
         if version != format.version {
-            return wrong(8, Wrong::Version { found: version, read: format.version });
+            return wrong(
+                8,
+                Wrong::Version {
+                    found: version,
+                    read: format.version,
+                },
+            );
         }
-        Ok(Frames { bytes, at: HEAD, number: 0, cut: false })
+        Ok(Frames {
+            bytes,
+            at: HEAD,
+            number: 0,
+            cut: false,
+        })
     }
 
     /// The next whole frame, with its offset. Nothing at the end and where the file was cut off.
@@ -159,7 +177,10 @@
         }
         let (found, length) = (word(rest, 0), word(rest, 4));
         if found != self.number {
-            return wrong(Wrong::Number { due: self.number, found });
+            return wrong(Wrong::Number {
+                due: self.number,
+                found,
+            });
         }
         if length as usize > MOST_PAYLOAD {
             return wrong(Wrong::Long(length));
@@ -195,13 +216,19 @@
 mod tests {
     use super::*;
 
-    const FORMAT: Format = Format { magic: *b"PLFRAMES", version: 3, what: "test" };
+    const FORMAT: Format = Format {
+        magic: *b"PLFRAMES",
+        version: 3,
+        what: "test",
+    };
 
     fn file() -> Vec<u8> {
         let mut bytes = Vec::new();
         FORMAT.head(&mut bytes);
         for (number, payload) in [&b"one"[..], b"", b"three and more"].iter().enumerate() {
-            frame(&mut bytes, number as u32, |out| out.extend_from_slice(payload));
+            frame(&mut bytes, number as u32, |out| {
+                out.extend_from_slice(payload)
+            });
         }
         bytes
     }
@@ -246,6 +273,12 @@
         FORMAT.head(&mut bytes);
         frame(&mut bytes, 1, |out| out.extend_from_slice(b"late"));
         let number = Wrong::Number { due: 0, found: 1 };
-        assert_eq!(read(&bytes), Err(Unreadable { at: HEAD as u64, why: number }));
+        assert_eq!(
+            read(&bytes),
+            Err(Unreadable {
+                at: HEAD as u64,
+                why: number
+            })
+        );
     }
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,5 +1,6 @@
-//! How one process of a node takes over from another one under load: the messages between them, the steps, and which
-//! keys may be run in which of the two meanwhile. It does no I/O and has no clock: it is fed bytes and told times.
+//! How one process of a node takes over from another one under load: the messages between them, the
+//! steps, and which keys may be run in which of the two meanwhile. It does no I/O and has no clock:
+//! it is fed bytes and told times.
 //!
 //! `docs/handover.md` has the steps and why they are these.
 
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,5 +1,5 @@
-//! What the two processes say to each other: a greeting that stays the same in all versions, then frames of postcard, each
-//! behind its length.
+//! What the two processes say to each other: a greeting that stays the same in all versions, then
+//! frames of postcard, each behind its length.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,8 @@
 const GREETING: &[u8; 6] = b"plhand";
 /// The longest frame, in bytes: a key, a result and some.
 pub const MOST_FRAME: usize = 1 << 20;
-/// The longest key, in bytes; the fronts read far shorter ones. A longer one would end the handover, never be left out.
+/// The longest key, in bytes; the fronts read far shorter ones. A longer one would end the
+/// handover, never be left out.
 pub const MOST_KEY: usize = 4096;
 /// The longest that is passed on of the fleet, in bytes: the node's own record, and some addresses.
 pub const MOST_MEMBER: usize = 16 << 10;
@@ -75,8 +76,8 @@
     Key(Key),
     /// Predecessor: a key that was open is free again, as no run of it began.
     Free(String),
-    /// Predecessor: these were all keys; what follows are changes. Whether operators have it in standby, and the share of the
-    /// processor's memory that it may still take.
+    /// Predecessor: these were all keys; what follows are changes. Whether operators have it in
+    /// standby, and the share of the processor's memory that it may still take.
     End {
         /// Health checks hear bad.
         standby: bool,
@@ -85,9 +86,11 @@
     },
     /// Successor: it has all keys.
     Taken,
-    /// Predecessor: it accepts nothing more, and the other one is the authority for keys. It is so until that one's death.
+    /// Predecessor: it accepts nothing more, and the other one is the authority for keys. It is so
+    /// until that one's death.
     Yielded {
-        /// The node's part in the fleet, which is the other one's from now on; nothing if it has none.
+        /// The node's part in the fleet, which is the other one's from now on; nothing if it has
+        /// none.
         member: Option<Vec<u8>>,
     },
 }
@@ -159,7 +162,9 @@
             if rest[..known] != GREETING[..known] {
                 return Err(Broken::Stranger);
             }
-            let Some(version) = rest.get(GREETING.len()..GREETING.len() + 2) else { return Ok(None) };
+            let Some(version) = rest.get(GREETING.len()..GREETING.len() + 2) else {
+                return Ok(None);
+            };
             let version = u16::from_le_bytes([version[0], version[1]]);
             if version != VERSION {
                 return Err(Broken::Version(version));
@@ -168,17 +173,23 @@
             self.read += GREETING.len() + 2;
         }
         let rest = &self.bytes[self.read..];
-        let Some(length) = rest.first_chunk::<4>() else { return Ok(None) };
+        let Some(length) = rest.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*length) as usize;
         if length > MOST_FRAME {
             return Err(Broken::Malformed);
         }
-        let Some(frame) = rest.get(4..4 + length) else { return Ok(None) };
+        let Some(frame) = rest.get(4..4 + length) else {
+            return Ok(None);
+        };
         let (message, behind) = postcard::take_from_bytes(frame).map_err(|_| Broken::Malformed)?;
         let sane = match &message {
             Message::Key(key) => key.key.len() <= MOST_KEY,
             Message::Free(key) => key.len() <= MOST_KEY,
-            Message::Yielded { member: Some(member) } => member.len() <= MOST_MEMBER,
+            Message::Yielded {
+                member: Some(member),
+            } => member.len() <= MOST_MEMBER,
             Message::End { share, .. } => (0.0..=1.0).contains(share),
             _ => true,
         };
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -41,7 +41,10 @@
 
 impl Default for Predecessor {
     fn default() -> Self {
-        Predecessor { stage: Stage::Alone, leaving: false }
+        Predecessor {
+            stage: Stage::Alone,
+            leaving: false,
+        }
     }
 }
 
@@ -51,8 +54,9 @@
         self.stage
     }
 
-    /// A successor has connected; whether it may stay. There is one at a time, and none takes over from a process that has
-    /// been told to leave: its end would be the end of what the successor was promised.
+    /// A successor has connected; whether it may stay. There is one at a time, and none takes over
+    /// from a process that has been told to leave: its end would be the end of what the successor
+    /// was promised.
     pub fn met(&mut self) -> bool {
         let may = self.stage == Stage::Alone && !self.leaving;
         if may {
@@ -76,8 +80,8 @@
         }
     }
 
-    /// Whether the end of its connection is not enough: it may live and serve, so that its death has to be seen before
-    /// [`Predecessor::lost`].
+    /// Whether the end of its connection is not enough: it may live and serve, so that its death
+    /// has to be seen before [`Predecessor::lost`].
     pub fn awaits_death(&self) -> bool {
         self.stage == Stage::Yielded
     }
@@ -99,7 +103,8 @@
         }
     }
 
-    /// This process is told to leave; whether another one serves in its place, so that the node goes on.
+    /// This process is told to leave; whether another one serves in its place, so that the node
+    /// goes on.
     pub fn leave(&mut self) -> bool {
         self.leaving = true;
         self.stage == Stage::Yielded
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -37,7 +37,8 @@
     },
     /// Accept, and say yes to operators. What the predecessor passes on of the fleet.
     Serve(Option<Vec<u8>>),
-    /// The predecessor doesn't keep to the protocol, and lives: end, so that it serves on as if nothing had been.
+    /// The predecessor doesn't keep to the protocol, and lives: end, so that it serves on as if
+    /// nothing had been.
     GiveUp(&'static str),
 }
 
@@ -63,12 +64,16 @@
 impl Successor {
     /// It has greeted a predecessor.
     pub fn greeting() -> Successor {
-        Successor { stage: Stage::Greeting }
+        Successor {
+            stage: Stage::Greeting,
+        }
     }
 
     /// There is no predecessor.
     pub fn alone() -> Successor {
-        Successor { stage: Stage::Alone }
+        Successor {
+            stage: Stage::Alone,
+        }
     }
 
     /// How far it has come.
@@ -92,8 +97,12 @@
                 self.stage = Stage::Preparing;
                 Act::Sockets(welcome)
             }
-            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Key(key)) => Act::Enter(key),
-            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Free(key)) => Act::Free(key),
+            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Key(key)) => {
+                Act::Enter(key)
+            }
+            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Free(key)) => {
+                Act::Free(key)
+            }
             (Stage::Freezing, Message::End { standby, share }) => {
                 self.stage = Stage::Taking;
                 Act::Take { standby, share }
@@ -106,10 +115,13 @@
         }
     }
 
-    /// Whether the end of the connection is not enough: the predecessor may live and serve, which has to be known for
-    /// [`Successor::lost`].
+    /// Whether the end of the connection is not enough: the predecessor may live and serve, which
+    /// has to be known for [`Successor::lost`].
     pub fn asks_for_death(&self) -> bool {
-        matches!(self.stage, Stage::Preparing | Stage::Freezing | Stage::Taking)
+        matches!(
+            self.stage,
+            Stage::Preparing | Stage::Freezing | Stage::Taking
+        )
     }
 
     /// The connection has ended, and the predecessor is dead or not.
--- a/crates/hot-restart/src/trust.rs
+++ b/crates/hot-restart/src/trust.rs
@@ -13,8 +13,8 @@
     Fail,
 }
 
-/// What a process may think of keys that it doesn't know. One process is the authority; in the other, and after one has
-/// died with what it knew, such a key may have been run.
+/// What a process may think of keys that it doesn't know. One process is the authority; in the
+/// other, and after one has died with what it knew, such a key may have been run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Trust {
     /// The other process is the authority.
@@ -29,7 +29,8 @@
         self.elsewhere = elsewhere;
     }
 
-    /// The other process has died with keys that this one doesn't know. No try of theirs is a repeat after `until`.
+    /// The other process has died with keys that this one doesn't know. No try of theirs is a
+    /// repeat after `until`.
     pub fn lost(&mut self, until: Micros) {
         self.elsewhere = false;
         self.until = self.until.max(Some(until));
@@ -40,8 +41,8 @@
         self.elsewhere || self.until.is_some_and(|until| now <= until)
     }
 
-    /// What becomes of a try whose key is not known here. Gateways mark each further try; where they don't (`marked`), any
-    /// try may be one.
+    /// What becomes of a try whose key is not known here. Gateways mark each further try; where
+    /// they don't (`marked`), any try may be one.
     pub fn unknown(&self, now: Micros, retry: bool, marked: bool) -> Verdict {
         match self.doubts(now) {
             false => Verdict::Take,
@@ -67,7 +68,11 @@
             (true, false, Verdict::Fail),
         ];
         for (retry, marked, verdict) in cases {
-            assert_eq!(trust.unknown(i64::MAX, retry, marked), verdict, "retry {retry} marked {marked}");
+            assert_eq!(
+                trust.unknown(i64::MAX, retry, marked),
+                verdict,
+                "retry {retry} marked {marked}"
+            );
         }
         trust.elsewhere(false);
         assert_eq!(trust.unknown(0, false, true), Verdict::Take);
--- a/crates/hot-restart/tests/compatibility.rs
+++ b/crates/hot-restart/tests/compatibility.rs
@@ -1,19 +1,33 @@
 //! Messages of a hot restart, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-hot-restart --test compatibility`): a process of either build replaces one
-//! of the other.
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-hot-restart --test compatibility`): a
+//! process of either build replaces one of the other.
 
-use pipitlever_hot_restart::message::{greeting, write, Key, Listening, Message, Reader, State, Welcome};
+use pipitlever_hot_restart::message::{
+    greeting, write, Key, Listening, Message, Reader, State, Welcome,
+};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
 fn key(state: State) -> Message {
     let (payload, until) = (0x0102_0304_0506_0708, 1_700_000_000_123_456);
-    Message::Key(Key { key: "key one".into(), payload, until, state })
+    Message::Key(Key {
+        key: "key one".into(),
+        payload,
+        until,
+        state,
+    })
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let listening = Listening { protocol: "rpc".into(), at: "127.0.0.2:1002".parse().unwrap() };
-    let welcome = Welcome { name: "n1".into(), listening: vec![listening], salt: [600, 700] };
+    let listening = Listening {
+        protocol: "rpc".into(),
+        at: "127.0.0.2:1002".parse().unwrap(),
+    };
+    let welcome = Welcome {
+        name: "n1".into(),
+        listening: vec![listening],
+        salt: [600, 700],
+    };
     vec![
         ("welcome", Message::Welcome(welcome)),
         ("freeze", Message::Freeze),
@@ -22,9 +36,20 @@
         ("key-failed", key(State::Failed)),
         ("key-unknown", key(State::Unknown)),
         ("free", Message::Free("key two".into())),
-        ("end", Message::End { standby: true, share: 0.375 }),
+        (
+            "end",
+            Message::End {
+                standby: true,
+                share: 0.375,
+            },
+        ),
         ("taken", Message::Taken),
-        ("yielded", Message::Yielded { member: Some(vec![4, 5, 6]) }),
+        (
+            "yielded",
+            Message::Yielded {
+                member: Some(vec![4, 5, 6]),
+            },
+        ),
         ("yielded-alone", Message::Yielded { member: None }),
     ]
 }
--- a/crates/hot-restart/tests/protocol.rs
+++ b/crates/hot-restart/tests/protocol.rs
@@ -6,19 +6,38 @@
 use proptest::prelude::*;
 
 fn all() -> Vec<Message> {
-    let listening = vec![Listening { protocol: "json-rpc".into(), at: "127.0.0.1:5050".parse().unwrap() }];
-    let key = |state| Message::Key(Key { key: "k".into(), payload: 7, until: -1, state });
+    let listening = vec![Listening {
+        protocol: "json-rpc".into(),
+        at: "127.0.0.1:5050".parse().unwrap(),
+    }];
+    let key = |state| {
+        Message::Key(Key {
+            key: "k".into(),
+            payload: 7,
+            until: -1,
+            state,
+        })
+    };
     vec![
-        Message::Welcome(Welcome { name: "n1".into(), listening, salt: [1, u64::MAX] }),
+        Message::Welcome(Welcome {
+            name: "n1".into(),
+            listening,
+            salt: [1, u64::MAX],
+        }),
         Message::Freeze,
         key(State::Open),
         key(State::Served(vec![0; 5000])),
         key(State::Failed),
         key(State::Unknown),
         Message::Free("k".into()),
-        Message::End { standby: true, share: 0.5 },
+        Message::End {
+            standby: true,
+            share: 0.5,
+        },
         Message::Taken,
-        Message::Yielded { member: Some(vec![7; 40]) },
+        Message::Yielded {
+            member: Some(vec![7; 40]),
+        },
     ]
 }
 
@@ -38,14 +57,24 @@
     let mut bytes = greeting();
     all().iter().for_each(|m| write(m, &mut bytes));
     for size in [1, 3, 7, 64, bytes.len()] {
-        assert_eq!(said(&bytes.chunks(size).collect::<Vec<_>>()), Ok(all()), "{size}");
+        assert_eq!(
+            said(&bytes.chunks(size).collect::<Vec<_>>()),
+            Ok(all()),
+            "{size}"
+        );
     }
 }
 
 #[test]
 fn strangers_other_versions_and_nonsense_are_told_apart() {
-    let frame =
-        |bytes: &[u8]| [greeting(), (bytes.len() as u32).to_le_bytes().to_vec(), bytes.to_vec()].concat();
+    let frame = |bytes: &[u8]| {
+        [
+            greeting(),
+            (bytes.len() as u32).to_le_bytes().to_vec(),
+            bytes.to_vec(),
+        ]
+        .concat()
+    };
     let message = |message: &Message| {
         let mut bytes = greeting();
         write(message, &mut bytes);
@@ -59,10 +88,28 @@
         (frame(&[250]), Err(Broken::Malformed)),
         // A frame that is longer than its message, and one that is longer than any.
         (frame(&[1, 0]), Err(Broken::Malformed)),
-        ([greeting(), u32::MAX.to_le_bytes().to_vec()].concat(), Err(Broken::Malformed)),
-        (message(&Message::End { standby: false, share: f64::NAN }), Err(Broken::Malformed)),
-        (message(&Message::End { standby: false, share: 1.5 }), Err(Broken::Malformed)),
-        (message(&Message::Free("k".repeat(MOST_KEY + 1))), Err(Broken::Malformed)),
+        (
+            [greeting(), u32::MAX.to_le_bytes().to_vec()].concat(),
+            Err(Broken::Malformed),
+        ),
+        (
+            message(&Message::End {
+                standby: false,
+                share: f64::NAN,
+            }),
+            Err(Broken::Malformed),
+        ),
+        (
+            message(&Message::End {
+                standby: false,
+                share: 1.5,
+            }),
+            Err(Broken::Malformed),
+        ),
+        (
+            message(&Message::Free("k".repeat(MOST_KEY + 1))),
+            Err(Broken::Malformed),
+        ),
     ];
     for (bytes, expected) in cases {
         assert_eq!(said(&[&bytes]), expected, "{bytes:?}");
@@ -83,7 +130,11 @@
     assert_eq!(p.heard(&Message::Taken), Act::Drop);
     assert!(p.met());
     assert!(!p.met(), "one at a time");
-    assert_eq!(p.heard(&Message::Taken), Act::Drop, "without the keys it serves nobody");
+    assert_eq!(
+        p.heard(&Message::Taken),
+        Act::Drop,
+        "without the keys it serves nobody"
+    );
     assert_eq!(p.lost(), [Act::Unshare]);
     p.met();
     assert_eq!(p.heard(&Message::Freeze), Act::Freeze);
@@ -104,32 +155,58 @@
     p.heard(&Message::Taken);
     assert!(p.leave());
     assert_eq!(p.lost(), []);
-    assert!(p.leave(), "the end of the successor on the way out brings nobody back");
+    assert!(
+        p.leave(),
+        "the end of the successor on the way out brings nobody back"
+    );
 }
 
 #[test]
 fn the_successor_serves_only_with_all_keys_and_knows_what_a_loss_means() {
     use successor::Act;
-    let [welcome, _, open, .., end, _, yielded] = &all()[..] else { panic!("as above") };
+    let [welcome, _, open, .., end, _, yielded] = &all()[..] else {
+        panic!("as above")
+    };
     let mut s = Successor::greeting();
     assert!(!s.ready(), "no sockets yet");
     assert!(matches!(s.heard(end.clone()), Act::GiveUp(_)));
     assert_eq!(s.lost(false), Lost::Nobody);
     let mut s = Successor::greeting();
     assert!(matches!(s.heard(welcome.clone()), Act::Sockets(_)));
-    assert!(matches!(s.heard(end.clone()), Act::GiveUp(_)), "not asked for");
+    assert!(
+        matches!(s.heard(end.clone()), Act::GiveUp(_)),
+        "not asked for"
+    );
     assert!(s.ready() && !s.ready(), "asked for once");
     assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
-    assert!(matches!(s.heard(yielded.clone()), Act::GiveUp(_)), "not all keys are here");
+    assert!(
+        matches!(s.heard(yielded.clone()), Act::GiveUp(_)),
+        "not all keys are here"
+    );
     assert!(s.asks_for_death());
-    assert_eq!([{ s }.lost(true), { s }.lost(false)], [Lost::Doubtful, Lost::GiveUp]);
-    assert_eq!(s.heard(end.clone()), Act::Take { standby: true, share: 0.5 });
+    assert_eq!(
+        [{ s }.lost(true), { s }.lost(false)],
+        [Lost::Doubtful, Lost::GiveUp]
+    );
+    assert_eq!(
+        s.heard(end.clone()),
+        Act::Take {
+            standby: true,
+            share: 0.5
+        }
+    );
     assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
     assert!(matches!(s.heard(end.clone()), Act::GiveUp(_)));
-    assert_eq!([{ s }.lost(true), { s }.lost(false)], [Lost::Settled, Lost::GiveUp]);
+    assert_eq!(
+        [{ s }.lost(true), { s }.lost(false)],
+        [Lost::Settled, Lost::GiveUp]
+    );
     assert_eq!(s.heard(yielded.clone()), Act::Serve(Some(vec![7; 40])));
     assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
-    assert!(!s.asks_for_death(), "it serves, whatever becomes of the other one");
+    assert!(
+        !s.asks_for_death(),
+        "it serves, whatever becomes of the other one"
+    );
     assert_eq!(s.lost(false), Lost::Settled);
     assert_eq!(s.lost(true), Lost::Nobody);
 }
--- a/crates/idempotency-store/src/disk.rs
+++ b/crates/idempotency-store/src/disk.rs
@@ -28,7 +28,11 @@
     /// The folder at this path, made if it is not there. An error if another process uses it.
     pub fn open(path: &Path) -> io::Result<Disk> {
         fs::create_dir_all(path)?;
-        let lock = File::options().create(true).truncate(false).write(true).open(path.join(LOCK))?;
+        let lock = File::options()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
@@ -47,14 +51,25 @@
     fn at(path: &Path, lock: Option<File>) -> io::Result<Disk> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let boot = boot.trim().to_owned();
-        Ok(Disk { path: path.to_owned(), file: None, folder: File::open(path)?, boot, _lock: lock })
+        Ok(Disk {
+            path: path.to_owned(),
+            file: None,
+            folder: File::open(path)?,
+            boot,
+            _lock: lock,
+        })
     }
 }
 
 impl Files for Disk {
     fn list(&mut self) -> io::Result<Vec<String>> {
-        let names = fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().into_string().ok()));
-        Ok(names.collect::<io::Result<Vec<_>>>()?.into_iter().flatten().collect())
+        let names =
+            fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().into_string().ok()));
+        Ok(names
+            .collect::<io::Result<Vec<_>>>()?
+            .into_iter()
+            .flatten()
+            .collect())
     }
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
@@ -70,14 +85,21 @@
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let (file, _) = self.file.as_mut().ok_or_else(|| io::Error::other("no segment"))?;
+        let (file, _) = self
+            .file
+            .as_mut()
+            .ok_or_else(|| io::Error::other("no segment"))?;
         file.write_all(bytes)
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let (file, path) = self.file.as_mut().ok_or_else(|| io::Error::other("no segment"))?;
+        let (file, path) = self
+            .file
+            .as_mut()
+            .ok_or_else(|| io::Error::other("no segment"))?;
         file.sync_data()?;
-        // A file whose name is lost is lost with it. Only the first sync of each finds anything to do here.
+        // A file whose name is lost is lost with it. Only the first sync of each finds anything to
+        // do here.
         self.folder.sync_data()?;
         // Written to a file that was taken away, or in a folder that was, nothing is kept.
         fs::metadata(path).map(drop)
@@ -91,9 +113,15 @@
     }
 
     fn clocks(&mut self) -> Clocks {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as i64);
+        let wall = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as i64);
         let up = clock_gettime(ClockId::Boottime);
-        Clocks { wall, up: up.tv_sec * 1_000_000 + up.tv_nsec / 1000, boot: self.boot.clone() }
+        Clocks {
+            wall,
+            up: up.tv_sec * 1_000_000 + up.tv_nsec / 1000,
+            boot: self.boot.clone(),
+        }
     }
 }
 
@@ -104,7 +132,8 @@
 }
 
 impl Thread {
-    /// Starts it. `done` is called in it after each batch, with the bytes that the log takes or what failed.
+    /// Starts it. `done` is called in it after each batch, with the bytes that the log takes or
+    /// what failed.
     pub fn start<F: Files + Send + 'static>(
         mut log: Log<F>,
         done: impl Fn(Result<u64, String>) + Send + 'static,
@@ -116,7 +145,10 @@
                 done(result.map(|()| log.used()));
             }
         };
-        std::thread::Builder::new().name("store".into()).stack_size(256 << 10).spawn(work)?;
+        std::thread::Builder::new()
+            .name("store".into())
+            .stack_size(256 << 10)
+            .spawn(work)?;
         Ok(Thread { batches })
     }
 
