--- a/crates/idempotency-store/src/gate.rs
+++ b/crates/idempotency-store/src/gate.rs
@@ -1,9 +1,11 @@
-//! What is written next, who waits for it, and when keyed requests are turned away. No I/O, and no clock of its own.
+//! What is written next, who waits for it, and when keyed requests are turned away. No I/O, and no
+//! clock of its own.
 //!
-//! One batch at a time is in the hands of whoever writes. What comes meanwhile gathers and goes with the next one, so that
-//! one sync serves all that wait for it. The writer may take long, or fail: then nobody waits. An intent that is not on the
-//! disk is given up, its run never begins, and until the writer has shown that it works again no keyed request is taken.
-//! Outcomes are owed to the disk, and are written once it works again.
+//! One batch at a time is in the hands of whoever writes. What comes meanwhile gathers and goes
+//! with the next one, so that one sync serves all that wait for it. The writer may take long, or
+//! fail: then nobody waits. An intent that is not on the disk is given up, its run never begins,
+//! and until the writer has shown that it works again no keyed request is taken. Outcomes are owed
+//! to the disk, and are written once it works again.
 
 use crate::log::Batch;
 use crate::record::{Intent, Kept, Record, INTENT, MOST_KEY, OUTCOME};
@@ -12,7 +14,8 @@
 
 /// A batch that takes longer has those that wait for it given up, in microseconds.
 pub const PATIENCE: Micros = 250_000;
-/// After a failure the writer is asked again so much later, twice as late each time, up to the last; microseconds.
+/// After a failure the writer is asked again so much later, twice as late each time, up to the
+/// last; microseconds.
 const FIRST_PAUSE: Micros = 100_000;
 const LAST_PAUSE: Micros = 2_000_000;
 /// While there is no room, what is over is looked for this often, in microseconds.
@@ -101,14 +104,21 @@
     BESIDE
         + match record {
             Record::Intent(Intent { key, class, .. }) => INTENT + (key.len() + class.len()) as u64,
-            Record::Outcome { kept: Kept::Served(result), .. } => OUTCOME + result.len() as u64,
-            Record::Outcome { kept: Kept::Failed, .. } | Record::Void { .. } => OUTCOME,
+            Record::Outcome {
+                kept: Kept::Served(result),
+                ..
+            } => OUTCOME + result.len() as u64,
+            Record::Outcome {
+                kept: Kept::Failed, ..
+            }
+            | Record::Void { .. } => OUTCOME,
         }
 }
 
 impl Gate {
-    /// A gate before a log that takes so many bytes now. Until `suspect` no keyed request is taken. Intents are numbered from
-    /// `first`, which has to be far from all that other processes took: a random one.
+    /// A gate before a log that takes so many bytes now. Until `suspect` no keyed request is taken.
+    /// Intents are numbered from `first`, which has to be far from all that other processes took: a
+    /// random one.
     pub fn new(rules: Rules, used: u64, suspect: Option<Micros>, first: u64) -> Gate {
         Gate {
             rules,
@@ -151,8 +161,8 @@
         }
     }
 
-    /// A run is to begin once this is on the disk; [`Event::Begin`] or [`Event::Never`] comes of it. Where new keys are
-    /// refused it is the latter, at once.
+    /// A run is to begin once this is on the disk; [`Event::Begin`] or [`Event::Never`] comes of
+    /// it. Where new keys are refused it is the latter, at once.
     pub fn intent(&mut self, now: Micros, mut intent: Intent, events: &mut Vec<Event>) {
         // What was let in before the writer failed must not wait for it.
         if matches!(self.refuses(now), Some(Why::Failing | Why::Slow)) {
@@ -160,7 +170,11 @@
         }
         self.last = self.last.wrapping_add(1);
         intent.id = self.last;
-        if self.open.insert(intent.reference, (intent.id, intent.over)).is_none() {
+        if self
+            .open
+            .insert(intent.reference, (intent.id, intent.over))
+            .is_none()
+        {
             self.reserved += self.outcome_room();
         }
         self.push(Record::Intent(intent));
@@ -171,13 +185,14 @@
         self.queue.push_back(record);
     }
 
-    /// Whether a try of this name has an intent, and no end that is known. Another one can't be called so.
+    /// Whether a try of this name has an intent, and no end that is known. Another one can't be
+    /// called so.
     pub fn knows(&self, reference: u64) -> bool {
         self.open.contains_key(&reference)
     }
 
-    /// An intent of this number that is on the disk from a process before this one. Whether its end may still be told,
-    /// which it can't if its try is called as another's.
+    /// An intent of this number that is on the disk from a process before this one. Whether its end
+    /// may still be told, which it can't if its try is called as another's.
     pub fn adopt(&mut self, reference: u64, id: u64, over: Micros) -> bool {
         if self.open.contains_key(&reference) {
             return false;
@@ -187,9 +202,12 @@
         true
     }
 
-    /// A run has ended. Whether that is written, which it isn't if its intent is not on the disk, or over.
+    /// A run has ended. Whether that is written, which it isn't if its intent is not on the disk,
+    /// or over.
     pub fn outcome(&mut self, reference: u64, kept: Kept) -> bool {
-        let Some((id, over)) = self.open.remove(&reference) else { return false };
+        let Some((id, over)) = self.open.remove(&reference) else {
+            return false;
+        };
         self.reserved -= self.outcome_room();
         self.names.insert(id, reference);
         self.push(Record::Outcome { id, over, kept });
@@ -198,12 +216,15 @@
 
     /// A run that has its intent on the disk will never begin.
     pub fn void(&mut self, reference: u64) {
-        let Some((id, over)) = self.open.remove(&reference) else { return };
+        let Some((id, over)) = self.open.remove(&reference) else {
+            return;
+        };
         self.reserved -= self.outcome_room();
         self.push(Record::Void { id, over });
     }
 
-    /// The next batch, if one is to be written now. An empty one asks the writer to tidy up, and whether it works.
+    /// The next batch, if one is to be written now. An empty one asks the writer to tidy up, and
+    /// whether it works.
     pub fn batch(&mut self, now: Micros) -> Option<Batch> {
         if self.flight.is_some() || now < self.not_before {
             return None;
@@ -224,13 +245,18 @@
         if full {
             self.not_before = now + LOOK;
         }
-        self.flight = Some(Flight { records, since: now });
+        self.flight = Some(Flight {
+            records,
+            since: now,
+        });
         Some(batch)
     }
 
     /// The writer is done with its batch: the log takes so many bytes now, or has failed.
     pub fn done(&mut self, now: Micros, result: Result<u64, String>, events: &mut Vec<Event>) {
-        let Some(flight) = self.flight.take() else { return };
+        let Some(flight) = self.flight.take() else {
+            return;
+        };
         match result {
             Ok(used) => {
                 (self.used, self.slow, self.failing, self.pause) = (used, false, None, FIRST_PAUSE);
@@ -240,11 +266,15 @@
                 for record in flight.records {
                     self.reserved -= room(&record);
                     match record {
-                        Record::Intent(Intent { reference, .. }) => match self.given_up.remove(&reference) {
-                            true => self.void(reference),
-                            false => events.push(Event::Begin(reference)),
-                        },
-                        Record::Outcome { id, .. } => events.extend(self.names.remove(&id).map(Event::Kept)),
+                        Record::Intent(Intent { reference, .. }) => {
+                            match self.given_up.remove(&reference) {
+                                true => self.void(reference),
+                                false => events.push(Event::Begin(reference)),
+                            }
+                        }
+                        Record::Outcome { id, .. } => {
+                            events.extend(self.names.remove(&id).map(Event::Kept))
+                        }
                         Record::Void { .. } => {}
                     }
                 }
@@ -272,9 +302,13 @@
         }
     }
 
-    /// Intents that nobody has written yet: their runs never begin, and nothing has to be written of them.
+    /// Intents that nobody has written yet: their runs never begin, and nothing has to be written
+    /// of them.
     fn drop_queued(&mut self, events: &mut Vec<Event>) {
-        let (intents, owed) = self.queue.drain(..).partition(|r| matches!(r, Record::Intent(_)));
+        let (intents, owed) = self
+            .queue
+            .drain(..)
+            .partition(|r| matches!(r, Record::Intent(_)));
         self.queue = owed;
         let intents: VecDeque<Record> = intents;
         for record in intents {
@@ -287,7 +321,8 @@
         }
     }
 
-    /// Gives up those that have waited for too long, and runs whose windows are over by the machine's count.
+    /// Gives up those that have waited for too long, and runs whose windows are over by the
+    /// machine's count.
     pub fn tick(&mut self, now: Micros, up: Micros, events: &mut Vec<Event>) {
         if now >= self.swept + SWEEP {
             self.swept = now;
@@ -295,7 +330,12 @@
             self.open.retain(|_, (_, over)| *over >= up);
             self.reserved -= (before - self.open.len()) as u64 * self.outcome_room();
         }
-        if self.slow || self.flight.as_ref().is_none_or(|f| now - f.since < PATIENCE) {
+        if self.slow
+            || self
+                .flight
+                .as_ref()
+                .is_none_or(|f| now - f.since < PATIENCE)
+        {
             return;
         }
         self.slow = true;
@@ -313,8 +353,9 @@
         match &self.flight {
             Some(flight) => (!self.slow).then_some(flight.since + PATIENCE),
             None => {
-                let wanted =
-                    self.failing.is_some() || !self.queue.is_empty() || self.refuses(now) == Some(Why::Full);
+                let wanted = self.failing.is_some()
+                    || !self.queue.is_empty()
+                    || self.refuses(now) == Some(Why::Full);
                 wanted.then_some(self.not_before.max(now))
             }
         }
@@ -351,9 +392,14 @@
                 format!("store: keyed requests are refused: failing: {error}")
             }
             Some(Why::Slow) => {
-                format!("store: keyed requests are refused: slow: no sync within {} ms", PATIENCE / 1000)
+                format!(
+                    "store: keyed requests are refused: slow: no sync within {} ms",
+                    PATIENCE / 1000
+                )
+            }
+            Some(Why::Full) => {
+                format!("store: keyed requests are refused: full: used={used} most={most}")
             }
-            Some(Why::Full) => format!("store: keyed requests are refused: full: used={used} most={most}"),
         })
     }
 }
@@ -362,7 +408,12 @@
 mod tests {
     use super::*;
 
-    const RULES: Rules = Rules { most: 100_000, spare: 16_000, most_result: 4096, each: false };
+    const RULES: Rules = Rules {
+        most: 100_000,
+        spare: 16_000,
+        most_result: 4096,
+        each: false,
+    };
 
     fn intent(reference: u64) -> Intent {
         let (key, class) = (format!("key {reference}"), "swap".to_owned());
@@ -390,7 +441,11 @@
     }
 
     fn ask(gate: &mut Gate, now: Micros, references: &[u64]) -> Vec<Event> {
-        events(|e| references.iter().for_each(|&r| gate.intent(now, intent(r), e)))
+        events(|e| {
+            references
+                .iter()
+                .for_each(|&r| gate.intent(now, intent(r), e))
+        })
     }
 
     #[test]
@@ -422,11 +477,22 @@
 
     #[test]
     fn each_is_synced_alone_where_that_is_asked() {
-        let mut gate = Gate::new(Rules { each: true, ..RULES }, 0, None, 0);
+        let mut gate = Gate::new(
+            Rules {
+                each: true,
+                ..RULES
+            },
+            0,
+            None,
+            0,
+        );
         ask(&mut gate, 0, &[1, 2]);
         for reference in [1, 2] {
             assert_eq!(gate.batch(0).unwrap().marks.len(), 1);
-            assert_eq!(events(|e| gate.done(0, Ok(0), e)), [Event::Begin(reference)]);
+            assert_eq!(
+                events(|e| gate.done(0, Ok(0), e)),
+                [Event::Begin(reference)]
+            );
         }
     }
 
@@ -443,7 +509,10 @@
         let lost = events(|e| gate.done(4, Err("no space".into()), e));
         assert_eq!(lost, [Event::Never(2), Event::Never(3)]);
         assert_eq!(gate.refuses(4), Some(Why::Failing));
-        assert_eq!(gate.note(4).unwrap(), "store: keyed requests are refused: failing: no space");
+        assert_eq!(
+            gate.note(4).unwrap(),
+            "store: keyed requests are refused: failing: no space"
+        );
         assert_eq!(gate.note(5), None);
         // One that the module lets go now never begins either.
         assert_eq!(ask(&mut gate, 5, &[4]), [Event::Never(4)]);
@@ -486,7 +555,10 @@
         ask(&mut gate, 1, &[2]);
         assert_eq!(gate.next_wake(1), Some(PATIENCE));
         assert_eq!(events(|e| gate.tick(PATIENCE - 1, 0, e)), []);
-        assert_eq!(events(|e| gate.tick(PATIENCE, 0, e)), [Event::Never(1), Event::Never(2)]);
+        assert_eq!(
+            events(|e| gate.tick(PATIENCE, 0, e)),
+            [Event::Never(1), Event::Never(2)]
+        );
         assert_eq!(gate.refuses(PATIENCE), Some(Why::Slow));
         assert_eq!(events(|e| gate.tick(PATIENCE + 1, 0, e)), []);
         // It is on the disk after all: that it never began follows.
@@ -497,7 +569,8 @@
         assert_eq!(gate.room(), (100, 0));
     }
 
-    /// What was let in always finds room for its outcome, and a full log is looked at until it isn't.
+    /// What was let in always finds room for its outcome, and a full log is looked at until it
+    /// isn't.
     #[test]
     fn a_full_gate_takes_no_key_and_forgets_none() {
         let mut gate = gate();
@@ -543,6 +616,9 @@
     #[test]
     fn damage_refuses_for_its_time() {
         let gate = Gate::new(RULES, 0, Some(100), 0);
-        assert_eq!((gate.refuses(99), gate.refuses(100)), (Some(Why::Damaged), None));
+        assert_eq!(
+            (gate.refuses(99), gate.refuses(100)),
+            (Some(Why::Damaged), None)
+        );
     }
 }
--- a/crates/idempotency-store/src/log.rs
+++ b/crates/idempotency-store/src/log.rs
@@ -1,13 +1,14 @@
 //! The log: segments of frames, within a bound, on files that may fail at any time.
 //!
-//! A frame is a batch of records, and is either durable whole or counts for nothing: nobody acted on one that was not
-//! synced. After any failure nothing is appended behind what may be half there: a new segment begins, and says how much of
-//! the one before is known to be on the disk. So on reading, a tail that is cut off is told from damage: what was
-//! synced has to be there.
+//! A frame is a batch of records, and is either durable whole or counts for nothing: nobody acted
+//! on one that was not synced. After any failure nothing is appended behind what may be half there:
+//! a new segment begins, and says how much of the one before is known to be on the disk. So on
+//! reading, a tail that is cut off is told from damage: what was synced has to be there.
 //!
-//! A segment is dropped once all that it holds is over. That is written down first, in the opening of the next
-//! segment: one that is missing without that is damage, too. Where records with long windows keep segments of others
-//! alive, those that are still wanted are written again, and the rest goes.
+//! A segment is dropped once all that it holds is over. That is written down first, in the opening
+//! of the next segment: one that is missing without that is damage, too. Where records with long
+//! windows keep segments of others alive, those that are still wanted are written again, and the
+//! rest goes.
 
 use crate::point::point;
 use crate::record::{decode, encode, opening, Clocks, Opening, Record, Salt, FORMAT};
@@ -35,7 +36,8 @@
     fn create(&mut self, name: &str) -> io::Result<()>;
     /// Appends to the file that was begun last.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// All that was appended to the file that was begun last, and its name, are on the disk from now on.
+    /// All that was appended to the file that was begun last, and its name, are on the disk from
+    /// now on.
     fn sync(&mut self) -> io::Result<()>;
     /// Takes a file away.
     fn remove(&mut self, name: &str) -> io::Result<()>;
@@ -55,7 +57,10 @@
 impl Limits {
     /// Limits for so many bytes in all.
     pub fn within(most: u64) -> Limits {
-        Limits { most, segment: (most / 16).clamp(16 << 10, 16 << 20) }
+        Limits {
+            most,
+            segment: (most / 16).clamp(16 << 10, 16 << 20),
+        }
     }
 }
 
@@ -87,7 +92,8 @@
     pub whole: u64,
     /// How it opens, if that could be read.
     pub opening: Option<Opening>,
-    /// How long something in it is wanted from now on, in microseconds; unknown where that takes other clocks.
+    /// How long something in it is wanted from now on, in microseconds; unknown where that takes
+    /// other clocks.
     lasts: Option<Micros>,
     /// Why it could not be read to its end, where that is not a tail that was cut off.
     pub wrong: Option<Unreadable>,
@@ -154,8 +160,8 @@
     (digits.len() == 12).then(|| digits.parse().ok()).flatten()
 }
 
-/// Whether what can't be read is what a power cut leaves: pages that were never written are zeros. No frame that was
-/// written begins with eight of them.
+/// Whether what can't be read is what a power cut leaves: pages that were never written are zeros.
+/// No frame that was written begins with eight of them.
 fn unwritten(bytes: &[u8], at: u64) -> bool {
     let at = at as usize;
     let first = at.div_ceil(BLOCK) * BLOCK;
@@ -171,7 +177,12 @@
 
 impl Segment {
     /// Reads a segment's bytes, and hands over its records.
-    fn read(number: u64, bytes: &[u8], now: &Clocks, mut take: impl FnMut(Record, &Clocks)) -> Segment {
+    fn read(
+        number: u64,
+        bytes: &[u8],
+        now: &Clocks,
+        mut take: impl FnMut(Record, &Clocks),
+    ) -> Segment {
         let mut segment = Segment {
             number,
             file: name(number),
@@ -182,7 +193,8 @@
             wrong: None,
         };
         if let Err(wrong) = segment.frames(bytes, now, &mut take) {
-            // Only the last frame of all can be one that nobody synced; whoever knows more decides (`Contents::read`).
+            // Only the last frame of all can be one that nobody synced; whoever knows more decides
+            // (`Contents::read`).
             segment.wrong = Some(wrong);
         }
         segment
@@ -196,7 +208,10 @@
     ) -> Result<(), Unreadable> {
         let mut frames = Frames::open(FORMAT, bytes)?;
         while let Some((at, payload)) = frames.next_frame()? {
-            let content = |what: String| Unreadable { at, why: Wrong::Content(what) };
+            let content = |what: String| Unreadable {
+                at,
+                why: Wrong::Content(what),
+            };
             match &self.opening {
                 None => {
                     let opening = opening(payload).map_err(content)?;
@@ -230,11 +245,15 @@
         for &number in &numbers {
             let bytes = files.read(&name(number))?;
             let table = &mut contents.table;
-            let segment =
-                Segment::read(number, &bytes, &now, |record, written| table.add(record, written, &now));
+            let segment = Segment::read(number, &bytes, &now, |record, written| {
+                table.add(record, written, &now)
+            });
             if let Some(wrong) = &segment.wrong {
                 if matches!(wrong.why, Wrong::Version { .. }) {
-                    return Err(Unusable::Format(Damage { file: segment.file, what: wrong.clone() }));
+                    return Err(Unusable::Format(Damage {
+                        file: segment.file,
+                        what: wrong.clone(),
+                    }));
                 }
                 torn.push(unwritten(&bytes, wrong.at));
             } else {
@@ -242,14 +261,28 @@
             }
             contents.segments.push(segment);
         }
-        let oldest = contents.segments.iter().filter_map(|s| Some(s.opening.as_ref()?.oldest)).max();
+        let oldest = contents
+            .segments
+            .iter()
+            .filter_map(|s| Some(s.opening.as_ref()?.oldest))
+            .max();
         // What is older was dropped before, as nothing in it was wanted any more.
-        contents.segments.retain(|s| oldest.is_none_or(|oldest| s.number >= oldest));
+        contents
+            .segments
+            .retain(|s| oldest.is_none_or(|oldest| s.number >= oldest));
         torn.drain(..torn.len() - contents.segments.len());
-        let damage = |file: String, at: u64, why: Wrong| Damage { file, what: Unreadable { at, why } };
+        let damage = |file: String, at: u64, why: Wrong| Damage {
+            file,
+            what: Unreadable { at, why },
+        };
         let mut due = oldest;
-        // Segments at the end that were never begun whole: nothing was written to them, and the one before is the last.
-        let begun = contents.segments.iter().rposition(|s| s.opening.is_some()).map_or(0, |i| i + 1);
+        // Segments at the end that were never begun whole: nothing was written to them, and the one
+        // before is the last.
+        let begun = contents
+            .segments
+            .iter()
+            .rposition(|s| s.opening.is_some())
+            .map_or(0, |i| i + 1);
         for (i, segment) in contents.segments.iter().enumerate() {
             // The first ones are enough to say so.
             for missing in (due.unwrap_or(segment.number)..segment.number).take(MOST_MISSING) {
@@ -263,17 +296,23 @@
             let lost = match known {
                 // So much was synced, and has to be there.
                 Some(length) => segment.whole < length,
-                // The last one: a batch at its end may be half written, and nobody acted on it. A frame that is there
-                // in all its length, and says something else than it did, is damage.
+                // The last one: a batch at its end may be half written, and nobody acted on it. A
+                // frame that is there in all its length, and says something else than it did, is
+                // damage.
                 None if i + 1 >= begun => !torn[i],
                 // The next one can't say: what is not whole is taken to be lost.
                 None => segment.wrong.is_some() || segment.whole < segment.size,
             };
             if lost {
-                let cut =
-                    || Unreadable { at: segment.whole, why: Wrong::Content("the rest is missing".into()) };
+                let cut = || Unreadable {
+                    at: segment.whole,
+                    why: Wrong::Content("the rest is missing".into()),
+                };
                 let what = segment.wrong.clone().unwrap_or_else(cut);
-                contents.damage.push(Damage { file: segment.file.clone(), what });
+                contents.damage.push(Damage {
+                    file: segment.file.clone(),
+                    what,
+                });
             }
         }
         Ok(contents)
@@ -286,7 +325,10 @@
 
     /// The salt of the store, if any segment can say it.
     pub fn salt(&self) -> Option<Salt> {
-        self.segments.iter().rev().find_map(|s| Some(s.opening.as_ref()?.salt))
+        self.segments
+            .iter()
+            .rev()
+            .find_map(|s| Some(s.opening.as_ref()?.salt))
     }
 }
 
@@ -317,7 +359,10 @@
 
 impl Kept {
     fn wanted(&self, now: Micros) -> u64 {
-        self.wanted.range(now / SECOND..).map(|(_, bytes)| bytes).sum()
+        self.wanted
+            .range(now / SECOND..)
+            .map(|(_, bytes)| bytes)
+            .sum()
     }
 }
 
@@ -337,7 +382,8 @@
     pub fn push(&mut self, record: &Record) {
         let before = self.bytes.len();
         encode(record, &mut self.bytes);
-        self.marks.push((record.over(), (self.bytes.len() - before) as u32));
+        self.marks
+            .push((record.over(), (self.bytes.len() - before) as u32));
     }
 }
 
@@ -363,8 +409,8 @@
     pub fn open(mut files: F, limits: Limits, window: Micros) -> Result<(Log<F>, Found), Unusable> {
         let mut contents = Contents::read(&mut files)?;
         let now = files.clocks();
-        // Segments at the end that were never begun whole are begun anew: kept, they could not say how much of the one
-        // before was on the disk, and its torn tail would look like damage.
+        // Segments at the end that were never begun whole are begun anew: kept, they could not say
+        // how much of the one before was on the disk, and its torn tail would look like damage.
         let damage = std::mem::take(&mut contents.damage);
         let never = |s: &Segment| s.opening.is_none() && !damage.iter().any(|d| d.file == s.file);
         while contents.segments.last().is_some_and(never) {
@@ -379,7 +425,10 @@
             None => Salt::random()?,
         };
         let whole = |s: &Segment| !contents.damage.iter().any(|d| d.file == s.file);
-        let durable = contents.segments.last().map(|s| if whole(s) { s.whole } else { s.size });
+        let durable = contents
+            .segments
+            .last()
+            .map(|s| if whole(s) { s.whole } else { s.size });
         let next = contents.segments.last().map_or(1, |s| s.number + 1);
         let damaged = !contents.damage.is_empty();
         let missing = contents.missing.iter().map(|&number| Kept {
@@ -389,10 +438,19 @@
             wanted: BTreeMap::new(),
         });
         let missing: Vec<Kept> = missing.collect();
-        let found = Found { keys: contents.table.keys(&now), damage: contents.damage, longest, torn };
+        let found = Found {
+            keys: contents.table.keys(&now),
+            damage: contents.damage,
+            longest,
+            torn,
+        };
         let segments = contents.segments.into_iter().map(|segment| {
-            // Damage is told until it can hide nothing any more, however many starts there are until then.
-            let left = segment.lasts.filter(|_| !damaged).unwrap_or(longest.saturating_add(linger));
+            // Damage is told until it can hide nothing any more, however many starts there are
+            // until then.
+            let left = segment
+                .lasts
+                .filter(|_| !damaged)
+                .unwrap_or(longest.saturating_add(linger));
             Kept {
                 number: segment.number,
                 bytes: segment.size,
@@ -403,7 +461,19 @@
         let mut segments: Vec<Kept> = missing.into_iter().chain(segments).collect();
         segments.sort_by_key(|s| s.number);
         let segments = segments.into();
-        Ok((Log { files, limits, salt, segments, open: None, durable, next, tidied: Micros::MIN }, found))
+        Ok((
+            Log {
+                files,
+                limits,
+                salt,
+                segments,
+                open: None,
+                durable,
+                next,
+                tidied: Micros::MIN,
+            },
+            found,
+        ))
     }
 
     /// What makes this store's digests its own.
@@ -431,7 +501,11 @@
         self.tidy()?;
         if batch.marks.is_empty() {
             // Whoever asks wants to know whether the files work again.
-            return if self.open.is_none() { self.rotate() } else { Ok(()) };
+            return if self.open.is_none() {
+                self.rotate()
+            } else {
+                Ok(())
+            };
         }
         let last = self.segments.back().map_or(0, |s| s.bytes);
         if self.open.is_none() || last >= self.limits.segment {
@@ -444,7 +518,9 @@
         let number = self.open.take().expect("a segment was begun");
         let segment = self.segments.back_mut().expect("a segment was begun");
         let mut bytes = Vec::new();
-        frame(&mut bytes, number, |out| out.extend_from_slice(&batch.bytes));
+        frame(&mut bytes, number, |out| {
+            out.extend_from_slice(&batch.bytes)
+        });
         point("before-append");
         // Whatever becomes of them, they may be on the disk from now on.
         segment.bytes += bytes.len() as u64;
@@ -465,15 +541,25 @@
     fn rotate(&mut self) -> io::Result<()> {
         self.open = None;
         let clocks = self.files.clocks();
-        let over = self.segments.iter().take_while(|s| s.over < clocks.up).count();
+        let over = self
+            .segments
+            .iter()
+            .take_while(|s| s.over < clocks.up)
+            .count();
         let number = self.next;
         let oldest = self.segments.get(over).map_or(number, |s| s.number);
-        let opening =
-            Opening { number, oldest, before: self.durable, clocks: clocks.clone(), salt: self.salt };
+        let opening = Opening {
+            number,
+            oldest,
+            before: self.durable,
+            clocks: clocks.clone(),
+            salt: self.salt,
+        };
         let mut bytes = Vec::new();
         FORMAT.head(&mut bytes);
         frame(&mut bytes, 0, |out| encode(&opening, out));
-        // One of this number that is there was not finished, and nothing was ever written behind its opening.
+        // One of this number that is there was not finished, and nothing was ever written behind
+        // its opening.
         self.files.create(&name(number))?;
         self.files.append(&bytes)?;
         self.files.sync()?;
@@ -481,7 +567,12 @@
         self.durable = Some(bytes.len() as u64);
         self.open = Some(1);
         let bytes = bytes.len() as u64;
-        self.segments.push_back(Kept { number, bytes, over: Micros::MIN, wanted: BTreeMap::new() });
+        self.segments.push_back(Kept {
+            number,
+            bytes,
+            over: Micros::MIN,
+            wanted: BTreeMap::new(),
+        });
         for _ in 0..over {
             // One that can't be removed still takes its room, and is tried again with the next.
             if self.files.remove(&name(self.segments[0].number)).is_err() {
@@ -492,7 +583,8 @@
         Ok(())
     }
 
-    /// Gives back room: drops segments that are over, and writes again what is still wanted of one that is mostly over.
+    /// Gives back room: drops segments that are over, and writes again what is still wanted of one
+    /// that is mostly over.
     fn tidy(&mut self) -> io::Result<()> {
         if self.used() <= self.limits.most / 2 || self.segments.len() < 2 {
             return Ok(());
@@ -528,7 +620,8 @@
         self.rotate()
     }
 
-    /// Writes all that is wanted into one new segment and drops the others: for a store that nobody uses.
+    /// Writes all that is wanted into one new segment and drops the others: for a store that nobody
+    /// uses.
     pub fn compact(&mut self) -> Result<(), Unusable> {
         let contents = Contents::read(&mut self.files)?;
         if let Some(damage) = contents.damage.first() {
@@ -536,7 +629,12 @@
         }
         let now = self.files.clocks();
         let mut batch = Batch::default();
-        for Recovered { mut intent, until, kept } in contents.keys(&now) {
+        for Recovered {
+            mut intent,
+            until,
+            kept,
+        } in contents.keys(&now)
+        {
             // By the clocks of the present start.
             intent.over = now.up + (until - now.wall) + intent.linger;
             intent.arrived = until - intent.window;
@@ -551,7 +649,10 @@
             self.append(&batch)?;
         }
         let last = self.segments.len() - 1;
-        self.segments.iter_mut().take(last).for_each(|s| s.over = Micros::MIN);
+        self.segments
+            .iter_mut()
+            .take(last)
+            .for_each(|s| s.over = Micros::MIN);
         self.rotate()?;
         Ok(())
     }
--- a/crates/idempotency-store/src/point.rs
+++ b/crates/idempotency-store/src/point.rs
@@ -1,7 +1,7 @@
 //! Named places where a test ends the process as a crash would, in the middle of everything.
 
-/// Ends the process with SIGKILL if `PIPITLEVER_POINT` names this place, as `NAME` or `NAME:N` for its Nth passing.
-/// Nothing without the feature `points`.
+/// Ends the process with SIGKILL if `PIPITLEVER_POINT` names this place, as `NAME` or `NAME:N` for
+/// its Nth passing. Nothing without the feature `points`.
 #[cfg(feature = "points")]
 pub fn point(name: &str) {
     use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -8,7 +8,11 @@
 use std::io;
 
 /// How a segment of the store begins.
-pub const FORMAT: Format = Format { magic: *b"PLSTORE\0", version: 1, what: "store of keyed requests" };
+pub const FORMAT: Format = Format {
+    magic: *b"PLSTORE\0",
+    version: 1,
+    what: "store of keyed requests",
+};
 /// The longest key. Longer ones are turned away by the fronts.
 pub const MOST_KEY: usize = 256;
 /// Bytes of an intent beside its key and class: a bound, not the usual.
@@ -30,8 +34,8 @@
 /// A run of a keyed request is about to begin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// The store's own number for it. What a try is called outside may come again, by mistake or on purpose, and must not
-    /// have one key's records taken for another's.
+    /// The store's own number for it. What a try is called outside may come again, by mistake or on
+    /// purpose, and must not have one key's records taken for another's.
     pub id: u64,
     /// What the try is called outside.
     pub reference: u64,
@@ -47,8 +51,8 @@
     pub window: Micros,
     /// When nothing of it is read any more, by [`Clocks::up`].
     pub over: Micros,
-    /// A repeat that came within the window may be read so long after its end, in microseconds: the window ends this
-    /// long before `over`.
+    /// A repeat that came within the window may be read so long after its end, in microseconds: the
+    /// window ends this long before `over`.
     pub linger: Micros,
 }
 
@@ -61,7 +65,8 @@
     Failed,
 }
 
-/// One thing that the store remembers. The order of records means nothing: what belongs together has one number.
+/// One thing that the store remembers. The order of records means nothing: what belongs together
+/// has one number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// A run may have begun from here on.
@@ -102,7 +107,8 @@
     pub number: u64,
     /// The oldest segment that was not dropped by then.
     pub oldest: u64,
-    /// How long the segment before is known to be on the disk, in bytes: what is missing of that was lost.
+    /// How long the segment before is known to be on the disk, in bytes: what is missing of that
+    /// was lost.
     pub before: Option<u64>,
     /// The clocks when it was begun.
     pub clocks: Clocks,
@@ -181,14 +187,24 @@
         assert!(length(&Record::Intent(intent)) <= INTENT + MOST_KEY as u64 + 64);
         let over = Micros::MIN;
         let kept = Kept::Served(vec![7; 4096]);
-        assert!(length(&Record::Outcome { id: u64::MAX, over, kept }) <= OUTCOME + 4096);
+        assert!(
+            length(&Record::Outcome {
+                id: u64::MAX,
+                over,
+                kept
+            }) <= OUTCOME + 4096
+        );
         assert!(length(&Record::Void { id: u64::MAX, over }) <= OUTCOME);
     }
 
     #[test]
     fn digests_tell_classes_and_bodies_apart() {
         let salt = Salt([1, 2]);
-        let all = [salt.digest("a", b"bc"), salt.digest("ab", b"c"), salt.digest("a", b"b")];
+        let all = [
+            salt.digest("a", b"bc"),
+            salt.digest("ab", b"c"),
+            salt.digest("a", b"b"),
+        ];
         assert!(all[0] != all[1] && all[0] != all[2] && all[1] != all[2]);
         assert_eq!(all[0], salt.digest("a", b"bc"));
         assert_ne!(all[0], Salt([1, 3]).digest("a", b"bc"));
--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -1,4 +1,5 @@
-//! What a process makes of what the ones before it left: the table of decisions, without a file or a clock.
+//! What a process makes of what the ones before it left: the table of decisions, without a file or
+//! a clock.
 //!
 //! | on the disk, within the window | a repeat gets |
 //! | --- | --- |
@@ -8,11 +9,12 @@
 //! | an intent and a void | it is a first try: nothing ever ran |
 //! | damage that may hide an intent | refused, until the longest window is over |
 //!
-//! The window counts from the arrival of the try that ran, by the wall clock. But that clock may have been set
-//! meanwhile, so an entry's end is the later one of two: by the wall clock, and by the machine's own count since its start,
-//! which nobody sets. After a start of the machine itself that count says nothing, and the whole window counts from now
-//! on. A clock that jumped never allows a second run; what it costs is that keys are remembered longer, a whole window from
-//! the restart at the most.
+//! The window counts from the arrival of the try that ran, by the wall clock. But that clock may
+//! have been set meanwhile, so an entry's end is the later one of two: by the wall clock, and by
+//! the machine's own count since its start, which nobody sets. After a start of the machine itself
+//! that count says nothing, and the whole window counts from now on. A clock that jumped never
+//! allows a second run; what it costs is that keys are remembered longer, a whole window from the
+//! restart at the most.
 
 use crate::record::{Clocks, Intent, Kept, Record};
 use crate::Micros;
@@ -23,21 +25,30 @@
 pub struct Recovered {
     /// Its last try that may have run.
     pub intent: Intent,
-    /// Tries that reach the machine up to this time are repeats, in Unix microseconds by the present clock.
+    /// Tries that reach the machine up to this time are repeats, in Unix microseconds by the
+    /// present clock.
     pub until: Micros,
     /// How it came out, if that is known.
     pub kept: Option<Kept>,
 }
 
-/// How long a window has still to go, in microseconds, less than nothing where repeats of it may still be read;
-/// nothing once it is over. `written` are the clocks of the process that wrote it.
+/// How long a window has still to go, in microseconds, less than nothing where repeats of it may
+/// still be read; nothing once it is over. `written` are the clocks of the process that wrote it.
 pub fn left(intent: &Intent, written: &Clocks, now: &Clocks) -> Option<Micros> {
     let same_start = !now.boot.is_empty() && written.boot == now.boot && written.up <= now.up;
     let window = intent.window.max(0);
     // No entry lasts longer than its window from now on, wherever the clocks were.
-    let by_wall = (intent.arrived.saturating_add(window).saturating_sub(now.wall)).min(window);
+    let by_wall = (intent
+        .arrived
+        .saturating_add(window)
+        .saturating_sub(now.wall))
+    .min(window);
     let by_machine = match same_start {
-        true => intent.over.saturating_sub(intent.linger).saturating_sub(now.up).min(window),
+        true => intent
+            .over
+            .saturating_sub(intent.linger)
+            .saturating_sub(now.up)
+            .min(window),
         false => window,
     };
     Some(by_wall.max(by_machine)).filter(|&left| left >= -intent.linger.max(0))
@@ -62,7 +73,9 @@
             Record::Intent(intent) => {
                 self.longest = self.longest.max(intent.window);
                 self.linger = self.linger.max(intent.linger);
-                let Some(left) = left(&intent, written, now) else { return };
+                let Some(left) = left(&intent, written, now) else {
+                    return;
+                };
                 let entry = self.intents.entry(intent.id).or_insert((intent, left));
                 entry.1 = entry.1.max(left);
             }
@@ -79,7 +92,8 @@
         }
     }
 
-    /// The longest time that a repeat may be read after its window, in microseconds, of all that was read.
+    /// The longest time that a repeat may be read after its window, in microseconds, of all that
+    /// was read.
     pub fn linger(&self) -> Micros {
         self.linger
     }
@@ -89,10 +103,15 @@
         self.longest
     }
 
-    /// What is known of each key. A key that has several tries that may have run has a result if any has one, and lasts as
-    /// long as the last of them.
+    /// What is known of each key. A key that has several tries that may have run has a result if
+    /// any has one, and lasts as long as the last of them.
     pub fn keys(self, now: &Clocks) -> Vec<Recovered> {
-        let Table { intents, mut outcomes, voids, .. } = self;
+        let Table {
+            intents,
+            mut outcomes,
+            voids,
+            ..
+        } = self;
         let mut keys: HashMap<String, Recovered> = HashMap::new();
         let mut intents: Vec<_> = intents.into_values().collect();
         // The same on every reading of the same files.
@@ -108,17 +127,32 @@
                 Some(known) => {
                     let until = known.until.max(until);
                     if !served(&known.kept) {
-                        *known = Recovered { intent, until, kept };
+                        *known = Recovered {
+                            intent,
+                            until,
+                            kept,
+                        };
                     }
                     known.until = until;
                 }
                 None => {
-                    keys.insert(intent.key.clone(), Recovered { intent, until, kept });
+                    keys.insert(
+                        intent.key.clone(),
+                        Recovered {
+                            intent,
+                            until,
+                            kept,
+                        },
+                    );
                 }
             }
         }
         let mut keys: Vec<Recovered> = keys.into_values().collect();
-        keys.sort_by(|a, b| a.until.cmp(&b.until).then_with(|| a.intent.key.cmp(&b.intent.key)));
+        keys.sort_by(|a, b| {
+            a.until
+                .cmp(&b.until)
+                .then_with(|| a.intent.key.cmp(&b.intent.key))
+        });
         keys
     }
 }
@@ -131,7 +165,11 @@
     const LINGER: Micros = 8_000_000;
 
     fn clocks(wall: Micros, up: Micros, boot: &str) -> Clocks {
-        Clocks { wall, up, boot: boot.into() }
+        Clocks {
+            wall,
+            up,
+            boot: boot.into(),
+        }
     }
 
     fn intent(id: u64, arrived: Micros, up: Micros) -> Intent {
@@ -149,7 +187,8 @@
         }
     }
 
-    /// How long an entry lasts that arrived at wall 1,000 s and 50 s after the machine's start, by the clocks of the restart.
+    /// How long an entry lasts that arrived at wall 1,000 s and 50 s after the machine's start, by
+    /// the clocks of the restart.
     #[test]
     fn no_clock_shortens_a_window() {
         let written = clocks(1_000_000_000, 50_000_000, "a");
@@ -178,7 +217,10 @@
         }
         // One that was written at a time that nobody could name is no reason to forget it.
         let nameless = clocks(1_000_000_000, 50_000_000, "");
-        assert_eq!(left(&intent, &nameless, &clocks(9_000_000_000, 90_000_000, "a")), Some(WINDOW));
+        assert_eq!(
+            left(&intent, &nameless, &clocks(9_000_000_000, 90_000_000, "a")),
+            Some(WINDOW)
+        );
     }
 
     #[test]
@@ -186,30 +228,68 @@
         let (written, now) = (clocks(1_000, 1_000, "a"), clocks(2_000, 2_000, "a"));
         let first = || Record::Intent(intent(1, 500, 500));
         let second = || Record::Intent(intent(2, 800, 800));
-        let served = |id| Record::Outcome { id, over: 0, kept: Kept::Served(vec![9]) };
-        let failed = |id| Record::Outcome { id, over: 0, kept: Kept::Failed };
+        let served = |id| Record::Outcome {
+            id,
+            over: 0,
+            kept: Kept::Served(vec![9]),
+        };
+        let failed = |id| Record::Outcome {
+            id,
+            over: 0,
+            kept: Kept::Failed,
+        };
         let void = |id| Record::Void { id, over: 0 };
         let nine = Some(Some(Kept::Served(vec![9])));
         let cases = [
             ("nothing", vec![], None),
             ("an intent", vec![first()], Some(None)),
             ("its result", vec![first(), served(1)], nine.clone()),
-            ("its failure", vec![first(), failed(1)], Some(Some(Kept::Failed))),
+            (
+                "its failure",
+                vec![first(), failed(1)],
+                Some(Some(Kept::Failed)),
+            ),
             ("it never began", vec![first(), void(1)], None),
             ("in another order", vec![served(1), first()], nine.clone()),
             ("void first", vec![void(1), first()], None),
-            ("twice each", vec![first(), served(1), first(), served(1)], nine.clone()),
+            (
+                "twice each",
+                vec![first(), served(1), first(), served(1)],
+                nine.clone(),
+            ),
             ("an outcome without an intent", vec![served(1)], None),
-            ("void and then a run", vec![first(), void(1), second()], Some(None)),
-            ("void and then a result", vec![first(), void(1), second(), served(2)], nine.clone()),
-            ("the first's result stays", vec![first(), served(1), second()], nine.clone()),
+            (
+                "void and then a run",
+                vec![first(), void(1), second()],
+                Some(None),
+            ),
+            (
+                "void and then a result",
+                vec![first(), void(1), second(), served(2)],
+                nine.clone(),
+            ),
+            (
+                "the first's result stays",
+                vec![first(), served(1), second()],
+                nine.clone(),
+            ),
             ("the second's too", vec![first(), second(), served(2)], nine),
-            ("one of both may have run", vec![first(), second(), void(2)], Some(None)),
-            ("an outcome outdoes a void", vec![first(), void(1), failed(1)], Some(Some(Kept::Failed))),
+            (
+                "one of both may have run",
+                vec![first(), second(), void(2)],
+                Some(None),
+            ),
+            (
+                "an outcome outdoes a void",
+                vec![first(), void(1), failed(1)],
+                Some(Some(Kept::Failed)),
+            ),
         ];
         for (name, records, wanted) in cases {
             let mut table = Table::default();
-            records.into_iter().for_each(|r| table.add(r, &written, &now));
+            records
+                .into_iter()
+                .for_each(|r| table.add(r, &written, &now));
             let keys = table.keys(&now);
             assert!(keys.len() <= 1);
             assert_eq!(keys.first().map(|k| k.kept.clone()), wanted, "{name}");
--- a/crates/idempotency-store/tests/common/mod.rs
+++ b/crates/idempotency-store/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A folder that fails in all the ways that folders fail, and loses on a power cut what was not synced.
+//! A folder that fails in all the ways that folders fail, and loses on a power cut what was not
+//! synced.
 #![allow(dead_code)]
 
 use pipitlever_idempotency_store::log::Files;
@@ -53,7 +54,12 @@
 impl Folder {
     /// All bytes together.
     pub fn size(&self) -> u64 {
-        self.0.borrow().files.values().map(|f| f.bytes.len() as u64).sum()
+        self.0
+            .borrow()
+            .files
+            .values()
+            .map(|f| f.bytes.len() as u64)
+            .sum()
     }
 
     /// The names of the files, the oldest first.
@@ -63,7 +69,15 @@
 
     /// Changes the bytes of a file, by hand.
     pub fn change(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
-        change(&mut self.0.borrow_mut().files.get_mut(name).expect("a file").bytes);
+        change(
+            &mut self
+                .0
+                .borrow_mut()
+                .files
+                .get_mut(name)
+                .expect("a file")
+                .bytes,
+        );
     }
 
     /// Takes a file away, by hand.
@@ -75,7 +89,10 @@
     pub fn kill(&self) {
         let mut world = self.0.borrow_mut();
         world.open = None;
-        world.files.values_mut().for_each(|f| (f.synced, f.named) = (f.bytes.len(), true));
+        world
+            .files
+            .values_mut()
+            .for_each(|f| (f.synced, f.named) = (f.bytes.len(), true));
     }
 
     /// The power goes. `dice` says of each page that was not synced whether it reached the disk.
@@ -98,7 +115,10 @@
             let pages = file.bytes.len().div_ceil(PAGE);
             for page in synced / PAGE..pages {
                 if dice() {
-                    let (start, end) = ((page * PAGE).max(synced), ((page + 1) * PAGE).min(file.bytes.len()));
+                    let (start, end) = (
+                        (page * PAGE).max(synced),
+                        ((page + 1) * PAGE).min(file.bytes.len()),
+                    );
                     file.bytes[start..end].fill(0);
                 }
             }
@@ -118,7 +138,11 @@
 
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>> {
         let world = self.0.borrow();
-        world.files.get(name).map(|f| f.bytes.clone()).ok_or_else(|| error("no such file"))
+        world
+            .files
+            .get(name)
+            .map(|f| f.bytes.clone())
+            .ok_or_else(|| error("no such file"))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -135,9 +159,14 @@
         let mut world = self.0.borrow_mut();
         let name = world.open.clone().expect("one was begun");
         let faults = world.faults;
-        let room = if faults.read_only { 0 } else { faults.short.unwrap_or(usize::MAX) };
+        let room = if faults.read_only {
+            0
+        } else {
+            faults.short.unwrap_or(usize::MAX)
+        };
         let file = world.files.get_mut(&name).ok_or_else(|| error("gone"))?;
-        file.bytes.extend_from_slice(&bytes[..room.min(bytes.len())]);
+        file.bytes
+            .extend_from_slice(&bytes[..room.min(bytes.len())]);
         if room < bytes.len() {
             return Err(error("no space"));
         }
@@ -167,6 +196,10 @@
 
     fn clocks(&mut self) -> Clocks {
         let world = self.0.borrow();
-        Clocks { wall: world.wall, up: world.up, boot: format!("boot {}", world.boot) }
+        Clocks {
+            wall: world.wall,
+            up: world.up,
+            boot: format!("boot {}", world.boot),
+        }
     }
 }
--- a/crates/idempotency-store/tests/compatibility.rs
+++ b/crates/idempotency-store/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Records and segments of the idempotency store, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-idempotency-store --test compatibility`): either build reads the other's folder.
+//! Records and segments of the idempotency store, compared with fixtures written by the build of
+//! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-idempotency-store --test
+//! compatibility`): either build reads the other's folder.
 
 mod common;
 
@@ -13,7 +14,10 @@
 
 const SECOND: i64 = 1_000_000;
 const WINDOW: i64 = 20 * SECOND;
-const LIMITS: Limits = Limits { most: 64 << 10, segment: 1 << 10 };
+const LIMITS: Limits = Limits {
+    most: 64 << 10,
+    segment: 1 << 10,
+};
 
 fn fixture(name: &str) -> PathBuf {
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
@@ -37,8 +41,22 @@
     let served = Kept::Served(b"result".to_vec());
     vec![
         ("intent", Record::Intent(intent(7, 500))),
-        ("outcome-served", Record::Outcome { id: 8, over: 501, kept: served }),
-        ("outcome-failed", Record::Outcome { id: 9, over: 502, kept: Kept::Failed }),
+        (
+            "outcome-served",
+            Record::Outcome {
+                id: 8,
+                over: 501,
+                kept: served,
+            },
+        ),
+        (
+            "outcome-failed",
+            Record::Outcome {
+                id: 9,
+                over: 502,
+                kept: Kept::Failed,
+            },
+        ),
         ("void", Record::Void { id: 10, over: 503 }),
     ]
 }
@@ -52,8 +70,18 @@
         assert_eq!(decode(&bytes), Ok(vec![record]), "{name}");
         samples.push((name, bytes));
     }
-    let clocks = Clocks { wall: 1_700_000_000_000_000, up: 600, boot: "boot-1".into() };
-    let first = Opening { number: 4, oldest: 2, before: Some(900), clocks, salt: Salt([11, 12]) };
+    let clocks = Clocks {
+        wall: 1_700_000_000_000_000,
+        up: 600,
+        boot: "boot-1".into(),
+    };
+    let first = Opening {
+        number: 4,
+        oldest: 2,
+        before: Some(900),
+        clocks,
+        salt: Salt([11, 12]),
+    };
     let mut bytes = Vec::new();
     encode(&first, &mut bytes);
     assert_eq!(opening(&bytes), Ok(first));
@@ -76,7 +104,8 @@
     found.keys.iter().map(line).collect()
 }
 
-/// Writes a folder with a live key, one served, one failed, one void and many that were compacted away.
+/// Writes a folder with a live key, one served, one failed, one void and many that were compacted
+/// away.
 fn write_folder() -> Folder {
     let folder = Folder::default();
     (folder.0.borrow_mut().wall, folder.0.borrow_mut().up) = (1_000_000 * SECOND, 500 * SECOND);
@@ -87,8 +116,16 @@
         batch.push(&Record::Intent(intent(id, over)));
         match id % 4 {
             0 => {}
-            1 => batch.push(&Record::Outcome { id, over, kept: Kept::Served(vec![id as u8; 200]) }),
-            2 => batch.push(&Record::Outcome { id, over, kept: Kept::Failed }),
+            1 => batch.push(&Record::Outcome {
+                id,
+                over,
+                kept: Kept::Served(vec![id as u8; 200]),
+            }),
+            2 => batch.push(&Record::Outcome {
+                id,
+                over,
+                kept: Kept::Failed,
+            }),
             _ => batch.push(&Record::Void { id, over }),
         }
         log.write(&batch).unwrap();
@@ -103,7 +140,10 @@
     if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
         let mut folder = write_folder();
         let names = folder.list().unwrap();
-        let files: Vec<_> = names.iter().map(|n| (n.as_str(), folder.read(n).unwrap())).collect();
+        let files: Vec<_> = names
+            .iter()
+            .map(|n| (n.as_str(), folder.read(n).unwrap()))
+            .collect();
         pipitlever_test_fixtures::assert_bytes(fixture("store.txt"), &files);
         pipitlever_test_fixtures::assert_text(fixture("recovered.txt"), &recovered(&folder));
         return;
--- a/crates/idempotency-store/tests/histories.rs
+++ b/crates/idempotency-store/tests/histories.rs
@@ -1,5 +1,6 @@
-//! Random histories of requests, runs, failures of the disk, crashes and clocks that jump, against what must always
-//! hold: no key runs twice within its window, and no outcome is lost that was told as durable.
+//! Random histories of requests, runs, failures of the disk, crashes and clocks that jump, against
+//! what must always hold: no key runs twice within its window, and no outcome is lost that was told
+//! as durable.
 
 mod common;
 
@@ -14,7 +15,10 @@
 const WINDOW: i64 = 20 * SECOND;
 /// What a request may take from its arrival until it is read.
 const READING: i64 = 7 * SECOND;
-const LIMITS: Limits = Limits { most: 48 << 10, segment: 4 << 10 };
+const LIMITS: Limits = Limits {
+    most: 48 << 10,
+    segment: 4 << 10,
+};
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -100,7 +104,12 @@
     let (log, found) = Log::open(folder.clone(), LIMITS, WINDOW).expect("it can be read");
     assert_eq!(found.damage, [], "a crash is no damage");
     let (wall, up) = (folder.0.borrow().wall, folder.0.borrow().up);
-    let rules = Rules { most: LIMITS.most, spare: LIMITS.segment, most_result: 300, each: false };
+    let rules = Rules {
+        most: LIMITS.most,
+        spare: LIMITS.segment,
+        most_result: 300,
+        each: false,
+    };
     let mut gate = Gate::new(rules, log.used(), None, first);
     let keys = found.keys.into_iter().map(|found| {
         let until = up + (found.until - wall);
@@ -108,10 +117,24 @@
             gate.adopt(found.intent.reference, found.intent.id, until + READING);
         }
         let key = found.intent.key.parse().expect("a number");
-        (key, Known { reference: found.intent.reference, until, outcome: found.kept })
+        (
+            key,
+            Known {
+                reference: found.intent.reference,
+                until,
+                outcome: found.kept,
+            },
+        )
     });
     let keys = keys.collect();
-    Node { gate, log, keys, running: Vec::new(), flying: None, slowly: false }
+    Node {
+        gate,
+        log,
+        keys,
+        running: Vec::new(),
+        flying: None,
+        slowly: false,
+    }
 }
 
 impl World {
@@ -141,7 +164,12 @@
         if let Some((arrived, kept)) = self.told.get(&key).filter(|t| self.time <= t.0 + WINDOW) {
             // Told as durable: it is what each repeat gets, whatever happened since.
             let outcome = known.and_then(|k| k.outcome.as_ref());
-            assert_eq!(outcome, Some(kept), "key {key}, arrived at {arrived}, now {}", self.time);
+            assert_eq!(
+                outcome,
+                Some(kept),
+                "key {key}, arrived at {arrived}, now {}",
+                self.time
+            );
         }
         if known.is_some() || self.node.gate.refuses(up).is_some() {
             return;
@@ -162,7 +190,14 @@
             over,
             linger: READING,
         };
-        self.node.keys.insert(key, Known { reference, until: up + WINDOW, outcome: None });
+        self.node.keys.insert(
+            key,
+            Known {
+                reference,
+                until: up + WINDOW,
+                outcome: None,
+            },
+        );
         self.arrivals.insert(reference, (key, self.time));
         let mut events = Vec::new();
         self.node.gate.intent(up, intent, &mut events);
@@ -176,20 +211,37 @@
                     let (key, arrived) = self.arrivals[&reference];
                     let before = self.begun.entry(key).or_default();
                     // The rule: no try that arrived within the window of one that ran is run.
-                    assert!(before.iter().all(|b| arrived > b + WINDOW), "key {key} runs again: {before:?}");
+                    assert!(
+                        before.iter().all(|b| arrived > b + WINDOW),
+                        "key {key} runs again: {before:?}"
+                    );
                     before.push(arrived);
-                    self.node.running.push(Run { key, reference, arrived });
+                    self.node.running.push(Run {
+                        key,
+                        reference,
+                        arrived,
+                    });
                 }
                 Event::Never(reference) => {
                     let (key, _) = self.arrivals[&reference];
-                    let held = self.node.keys.get(&key).is_some_and(|k| k.reference == reference);
+                    let held = self
+                        .node
+                        .keys
+                        .get(&key)
+                        .is_some_and(|k| k.reference == reference);
                     if held {
                         self.node.keys.remove(&key);
                     }
                 }
                 Event::Kept(reference) => {
-                    let Some(&(key, arrived)) = self.arrivals.get(&reference) else { continue };
-                    let known = self.node.keys.get(&key).filter(|k| k.reference == reference);
+                    let Some(&(key, arrived)) = self.arrivals.get(&reference) else {
+                        continue;
+                    };
+                    let known = self
+                        .node
+                        .keys
+                        .get(&key)
+                        .filter(|k| k.reference == reference);
                     if let Some(outcome) = known.and_then(|k| k.outcome.clone()) {
                         self.told.insert(key, (arrived, outcome));
                     }
@@ -208,7 +260,9 @@
                 return;
             }
         }
-        let Some(batch) = self.node.flying.take() else { return };
+        let Some(batch) = self.node.flying.take() else {
+            return;
+        };
         let result = self.node.log.write(&batch).map_err(|e| e.to_string());
         let used = self.node.log.used();
         assert!(used <= LIMITS.most, "{used}");
@@ -233,7 +287,11 @@
                     true => Kept::Served(vec![run.reference as u8 | 1; 200 + usize::from(run.key)]),
                     false => Kept::Failed,
                 };
-                if let Some(known) = self.node.keys.get_mut(&run.key).filter(|k| k.reference == run.reference)
+                if let Some(known) = self
+                    .node
+                    .keys
+                    .get_mut(&run.key)
+                    .filter(|k| k.reference == run.reference)
                 {
                     known.outcome = Some(kept.clone());
                 }
@@ -259,10 +317,22 @@
             Op::Fail(kind) => {
                 self.folder.0.borrow_mut().faults = match kind {
                     0 => Faults::default(),
-                    1 => Faults { short: Some(60), ..Faults::default() },
-                    2 => Faults { sync: true, ..Faults::default() },
-                    3 => Faults { read_only: true, ..Faults::default() },
-                    _ => Faults { remove: true, ..Faults::default() },
+                    1 => Faults {
+                        short: Some(60),
+                        ..Faults::default()
+                    },
+                    2 => Faults {
+                        sync: true,
+                        ..Faults::default()
+                    },
+                    3 => Faults {
+                        read_only: true,
+                        ..Faults::default()
+                    },
+                    _ => Faults {
+                        remove: true,
+                        ..Faults::default()
+                    },
                 };
             }
             Op::Kill => {
@@ -290,7 +360,12 @@
 fn cases() -> ProptestConfig {
     // The same ones on every run: a verdict that changes with the day is none.
     let rng_seed = proptest::test_runner::RngSeed::Fixed(20_260);
-    ProptestConfig { cases: 600, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
+    ProptestConfig {
+        cases: 600,
+        rng_seed,
+        failure_persistence: None,
+        ..ProptestConfig::default()
+    }
 }
 
 proptest! {
@@ -316,9 +391,27 @@
 fn a_history_of_each_kind() {
     let mut world = World::new();
     let play = |world: &mut World, ops: &[Op]| ops.iter().cloned().for_each(|op| world.play(op));
-    play(&mut world, &[Op::Request(1), Op::Write, Op::End(true), Op::Write, Op::Kill, Op::Request(1)]);
+    play(
+        &mut world,
+        &[
+            Op::Request(1),
+            Op::Write,
+            Op::End(true),
+            Op::Write,
+            Op::Kill,
+            Op::Request(1),
+        ],
+    );
     assert_eq!((world.begun[&1].len(), world.told.len()), (1, 1));
-    play(&mut world, &[Op::Jump(7200), Op::Request(1), Op::Jump(-7200), Op::Request(1)]);
+    play(
+        &mut world,
+        &[
+            Op::Jump(7200),
+            Op::Request(1),
+            Op::Jump(-7200),
+            Op::Request(1),
+        ],
+    );
     assert_eq!(world.begun[&1].len(), 1);
     // Past its window, by every clock.
     for _ in 0..12 {
@@ -327,13 +420,26 @@
     play(&mut world, &[Op::Request(1), Op::Write]);
     assert_eq!(world.begun[&1].len(), 2);
     // A slow writer: nobody waits for it, and what it wrote never ran.
-    play(&mut world, &[Op::Request(2), Op::Slowly, Op::Pass((PATIENCE / 1000) as u16 + 1)]);
+    play(
+        &mut world,
+        &[
+            Op::Request(2),
+            Op::Slowly,
+            Op::Pass((PATIENCE / 1000) as u16 + 1),
+        ],
+    );
     assert!(!world.node.keys.contains_key(&2) && !world.begun.contains_key(&2));
-    play(&mut world, &[Op::Write, Op::Write, Op::Request(2), Op::Write]);
+    play(
+        &mut world,
+        &[Op::Write, Op::Write, Op::Request(2), Op::Write],
+    );
     assert_eq!(world.begun[&2].len(), 1);
     // An intent without an outcome: its repeats are not run.
     play(&mut world, &[Op::PowerCut(7), Op::Request(2), Op::Write]);
     assert_eq!(world.begun[&2].len(), 1);
-    play(&mut world, &[Op::Fail(2), Op::Request(3), Op::Write, Op::Request(4)]);
+    play(
+        &mut world,
+        &[Op::Fail(2), Op::Request(3), Op::Write, Op::Request(4)],
+    );
     assert!(world.node.gate.refuses(world.up()).is_some() && !world.begun.contains_key(&3));
 }
--- a/crates/load-balancing/examples/balance.rs
+++ b/crates/load-balancing/examples/balance.rs
@@ -1,7 +1,8 @@
-//! Ways of balancing in one simulated fleet: `cargo run --release -p pipitlever-load-balancing --example balance`.
+//! Ways of balancing in one simulated fleet: `cargo run --release -p pipitlever-load-balancing
+//! --example balance`.
 //!
-//! Each is played with the same arrivals, speeds and failures. The ideal knows at each moment who serves, how fast, and how
-//! many runs each has. Last, nanoseconds a decision of the pool.
+//! Each is played with the same arrivals, speeds and failures. The ideal knows at each moment who
+//! serves, how fast, and how many runs each has. Last, nanoseconds a decision of the pool.
 
 use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
 use pipitlever_load_balancing::ring::mix;
@@ -39,7 +40,10 @@
 fn serves(trouble: Trouble, member: usize, now: Micros, length: Micros) -> (f64, bool) {
     let bad = member % 4 == 1 && now > length / 10;
     match trouble {
-        Trouble::Unequal => (6_000.0 * (1.0 + (mix(member as u64) % 200) as f64 / 100.0), true),
+        Trouble::Unequal => (
+            6_000.0 * (1.0 + (mix(member as u64) % 200) as f64 / 100.0),
+            true,
+        ),
         Trouble::Slow if bad => (90_000.0, true),
         Trouble::Hangs if bad => (f64::MAX, false),
         Trouble::Fails if bad => (300.0, false),
@@ -61,7 +65,13 @@
         self.seed = self.seed.wrapping_add(1);
         let member = match self.way {
             Way::Pool => {
-                return match self.pool.place(now, Ask { safe: true, ..Ask::default() }) {
+                return match self.pool.place(
+                    now,
+                    Ask {
+                        safe: true,
+                        ..Ask::default()
+                    },
+                ) {
                     Place::At { run, address, .. } => Some((address, run)),
                     _ => None,
                 }
@@ -73,7 +83,9 @@
             Way::LeastRequests => {
                 // The first of the least from a place that moves on.
                 self.turn = (self.turn + 1) % count;
-                (0..count).map(|i| (i + self.turn) % count).min_by_key(|&i| self.runs[i])?
+                (0..count)
+                    .map(|i| (i + self.turn) % count)
+                    .min_by_key(|&i| self.runs[i])?
             }
             Way::TwoRuns => {
                 let a = mix(self.seed) as usize % count;
@@ -101,8 +113,19 @@
 
 /// The share served in time, and p50 and p99 of those, in milliseconds.
 fn play(way: Way, trouble: Trouble, members: usize, requests: u64) -> (f64, f64, f64) {
-    let pool = Pool::new(Rules::default(), (0..members).map(Member::at).collect(), 7, 0);
-    let mut fleet = Fleet { way, pool, runs: vec![0; members], turn: 0, seed: 9 };
+    let pool = Pool::new(
+        Rules::default(),
+        (0..members).map(Member::at).collect(),
+        7,
+        0,
+    );
+    let mut fleet = Fleet {
+        way,
+        pool,
+        runs: vec![0; members],
+        turn: 0,
+        seed: 9,
+    };
     // Half of what all of them can do.
     let gap = 10_000.0 / CORES / members as f64 / 0.5;
     let length = (requests as f64 * gap) as Micros;
@@ -130,14 +153,28 @@
             let Reverse(e) = ends.pop().expect("seen above");
             took.extend(end(&mut fleet, e));
         }
-        let Some((member, run)) = fleet.place(now, trouble, length) else { continue };
+        let Some((member, run)) = fleet.place(now, trouble, length) else {
+            continue;
+        };
         fleet.runs[member] += 1;
         let (alone, well) = serves(trouble, member, now, length);
         // Service times vary: exponential, at least a tenth.
         let draw = (0.1 - 0.9 * ((mix(n ^ 77) % 100_000 + 1) as f64 / 100_001.0).ln()).min(8.0);
-        let time = alone * (f64::from(fleet.runs[member]) / CORES).max(1.0) * if well { draw } else { 1.0 };
-        let time = if time < DEADLINE as f64 { time as Micros } else { DEADLINE };
-        ends.push(Reverse((now + time.max(1), member, run, now, well && time < DEADLINE)));
+        let time = alone
+            * (f64::from(fleet.runs[member]) / CORES).max(1.0)
+            * if well { draw } else { 1.0 };
+        let time = if time < DEADLINE as f64 {
+            time as Micros
+        } else {
+            DEADLINE
+        };
+        ends.push(Reverse((
+            now + time.max(1),
+            member,
+            run,
+            now,
+            well && time < DEADLINE,
+        )));
     }
     while let Some(Reverse(e)) = ends.pop() {
         took.extend(end(&mut fleet, e));
@@ -148,11 +185,28 @@
 }
 
 fn main() {
-    let ways = [Way::Turns, Way::LeastRequests, Way::TwoRuns, Way::Pool, Way::Ideal];
+    let ways = [
+        Way::Turns,
+        Way::LeastRequests,
+        Way::TwoRuns,
+        Way::Pool,
+        Way::Ideal,
+    ];
     for members in [4, 64, 1024] {
-        for trouble in [Trouble::None, Trouble::Unequal, Trouble::Slow, Trouble::Hangs, Trouble::Fails] {
+        for trouble in [
+            Trouble::None,
+            Trouble::Unequal,
+            Trouble::Slow,
+            Trouble::Hangs,
+            Trouble::Fails,
+        ] {
             for way in ways {
-                let (served, p50, p99) = play(way, trouble, members, 50_000 * (members as u64).clamp(1, 20));
+                let (served, p50, p99) = play(
+                    way,
+                    trouble,
+                    members,
+                    50_000 * (members as u64).clamp(1, 20),
+                );
                 println!(
                     "{members:>5} {:<8} {:<14} served {:.2}%  p50 {p50:.1} ms  p99 {p99:.1} ms",
                     format!("{trouble:?}"),
@@ -164,14 +218,26 @@
     }
     for members in [4, 64, 1024] {
         for keyed in [false, true] {
-            let mut pool = Pool::new(Rules::default(), (0..members).map(Member::at).collect(), 7, 0);
+            let mut pool = Pool::new(
+                Rules::default(),
+                (0..members).map(Member::at).collect(),
+                7,
+                0,
+            );
             let count = 1_000_000u64;
             let start = Instant::now();
             let mut now = 0;
             for n in 0..count {
                 now += 20;
                 let key = keyed.then(|| mix(n));
-                if let Place::At { run, .. } = pool.place(now, Ask { safe: true, key, tried: &[] }) {
+                if let Place::At { run, .. } = pool.place(
+                    now,
+                    Ask {
+                        safe: true,
+                        key,
+                        tried: &[],
+                    },
+                ) {
                     pool.ended(now + 10_000, run, End::Well);
                 }
                 now = now.min(100 * SECOND);
--- a/crates/load-balancing/src/health.rs
+++ b/crates/load-balancing/src/health.rs
@@ -1,8 +1,9 @@
 //! A member's health, by what happens to its runs: nobody is asked for it.
 //!
-//! A member is taken out after some failures in a row, a high share of failures, or a latency far above its pool's median;
-//! each time for longer. It comes back on trial: one run that may happen twice goes first, and then it gets its share little
-//! by little. How many may be out at once is the pool's affair.
+//! A member is taken out after some failures in a row, a high share of failures, or a latency far
+//! above its pool's median; each time for longer. It comes back on trial: one run that may happen
+//! twice goes first, and then it gets its share little by little. How many may be out at once is
+//! the pool's affair.
 
 use crate::{Micros, SECOND};
 use std::fmt;
@@ -135,7 +136,10 @@
 
     /// A newcomer to a pool that has been running: it starts slowly.
     pub fn newcomer(rules: Rules, now: Micros) -> Health {
-        Health { state: State::Warming { since: now }, ..Health::new(rules, now) }
+        Health {
+            state: State::Warming { since: now },
+            ..Health::new(rules, now)
+        }
     }
 
     /// How it stands.
@@ -147,29 +151,37 @@
         (self.state, self.since) = (state, now);
     }
 
-    /// Whether it is out, or on trial after that, as its runs failed: one that is only slow does what it is given.
+    /// Whether it is out, or on trial after that, as its runs failed: one that is only slow does
+    /// what it is given.
     pub fn failing(&self) -> bool {
         self.failing && matches!(self.state, State::Out { .. } | State::Trial { .. })
     }
 
-    /// Another one is to try it first: it stays out as long again, once, in case that one doesn't. Whether it does.
+    /// Another one is to try it first: it stays out as long again, once, in case that one doesn't.
+    /// Whether it does.
     pub fn put_off(&mut self, now: Micros) -> bool {
         match self.state {
             State::Out { until, why } if now >= until && !self.waited => {
                 self.waited = true;
-                self.state =
-                    State::Out { until: now + (until - self.since).clamp(0, self.rules.longest), why };
+                self.state = State::Out {
+                    until: now + (until - self.since).clamp(0, self.rules.longest),
+                    why,
+                };
                 true
             }
             _ => false,
         }
     }
 
-    /// Somebody else has found it well: half of what is left of its time is enough. Whether it is out.
+    /// Somebody else has found it well: half of what is left of its time is enough. Whether it is
+    /// out.
     pub fn sooner(&mut self, now: Micros) -> bool {
         match self.state {
             State::Out { until, why } => {
-                self.state = State::Out { until: now + (until - now).max(0) / 2, why };
+                self.state = State::Out {
+                    until: now + (until - now).max(0) / 2,
+                    why,
+                };
                 // Nobody is waited for any more.
                 self.waited = true;
                 true
@@ -181,8 +193,12 @@
     /// Time passes. Whether it came on trial or is wholly back.
     pub fn tick(&mut self, now: Micros) -> bool {
         match self.state {
-            State::Out { until, .. } if now >= until => self.enter(now, State::Trial { since: now }),
-            State::Warming { since } if now >= since + self.rules.warm => self.enter(now, State::Up),
+            State::Out { until, .. } if now >= until => {
+                self.enter(now, State::Trial { since: now })
+            }
+            State::Warming { since } if now >= since + self.rules.warm => {
+                self.enter(now, State::Up)
+            }
             _ => return false,
         }
         true
@@ -200,7 +216,8 @@
         }
     }
 
-    /// Whether its trial may be a run like this: one alone, and one that may happen twice, unless none came for long.
+    /// Whether its trial may be a run like this: one alone, and one that may happen twice, unless
+    /// none came for long.
     pub fn may_try(&self, now: Micros, safe: bool, in_flight: usize) -> bool {
         match self.state {
             State::Trial { since } => in_flight == 0 && (safe || now >= since + self.rules.trial),
@@ -243,7 +260,8 @@
         }
     }
 
-    /// Why it should be out for its latency, if it should: its own and the pool's median, in microseconds.
+    /// Why it should be out for its latency, if it should: its own and the pool's median, in
+    /// microseconds.
     pub fn slow(&self, latency: f64, median: f64) -> Option<Why> {
         let times = latency / median.max(1.0);
         let counts = self.state == State::Up && self.runs >= self.rules.least_runs;
@@ -255,7 +273,11 @@
         if now - self.last_out > self.rules.forgiven + self.rules.longest {
             self.times = 0;
         }
-        let out = self.rules.out.saturating_mul(1 << self.times.min(20)).min(self.rules.longest);
+        let out = self
+            .rules
+            .out
+            .saturating_mul(1 << self.times.min(20))
+            .min(self.rules.longest);
         self.times += 1;
         self.last_out = now;
         self.waited = false;
@@ -265,7 +287,13 @@
             Why::Trial => self.failing,
         };
         (self.in_a_row, self.failures, self.runs) = (0, 0.0, 0.0);
-        self.enter(now, State::Out { until: now + out, why });
+        self.enter(
+            now,
+            State::Out {
+                until: now + out,
+                why,
+            },
+        );
     }
 }
 
@@ -278,8 +306,14 @@
         let mut health = health();
         health.take_out(0, Why::InARow(5));
         let out = Rules::default().out;
-        assert!(!health.put_off(out - 1) && health.put_off(out), "at the end of its time");
-        assert!(!health.tick(out) && !health.put_off(2 * out) && health.tick(2 * out), "once");
+        assert!(
+            !health.put_off(out - 1) && health.put_off(out),
+            "at the end of its time"
+        );
+        assert!(
+            !health.tick(out) && !health.put_off(2 * out) && health.tick(2 * out),
+            "once"
+        );
         health.take_out(10 * out, Why::Trial);
         assert!(health.sooner(10 * out));
         assert!(!health.tick(11 * out - 1) && !health.put_off(11 * out) && health.tick(11 * out));
@@ -314,7 +348,9 @@
             true => health.failed().map(|why| (i, why)),
             false => (health.went_well(0)).then_some((i, Why::Trial)),
         });
-        let Some((i, Why::Share(share))) = found else { panic!("{found:?}") };
+        let Some((i, Why::Share(share))) = found else {
+            panic!("{found:?}")
+        };
         assert!(i >= 9 && share >= 0.5);
         let mut health = self::health();
         // One in ten is no reason.
@@ -333,7 +369,9 @@
         let (mut now, mut outs) = (0, Vec::new());
         for _ in 0..8 {
             health.take_out(now, Why::Trial);
-            let State::Out { until, .. } = health.state() else { panic!("out") };
+            let State::Out { until, .. } = health.state() else {
+                panic!("out")
+            };
             outs.push((until - now) / SECOND);
             assert!(!health.tick(until - 1) && health.part(until - 1) == 0.0);
             assert!(health.tick(until));
--- a/crates/load-balancing/src/limit.rs
+++ b/crates/load-balancing/src/limit.rs
@@ -1,6 +1,6 @@
-//! How many runs a member may have at once, by what its latency says: it grows while it is used to the full and quick, and
-//! falls where runs take far longer than they do when there is room. Judged by means of some runs: single ones differ by more
-//! than any crowd makes them.
+//! How many runs a member may have at once, by what its latency says: it grows while it is used to
+//! the full and quick, and falls where runs take far longer than they do when there is room. Judged
+//! by means of some runs: single ones differ by more than any crowd makes them.
 
 use crate::Micros;
 
@@ -21,7 +21,13 @@
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { first: 16.0, least: 4.0, tolerance: 2.5, decrease: 0.8, runs: 30 }
+        Rules {
+            first: 16.0,
+            least: 4.0,
+            tolerance: 2.5,
+            decrease: 0.8,
+            runs: 30,
+        }
     }
 }
 
@@ -54,7 +60,15 @@
     pub fn new(rules: Rules, most: usize) -> Limit {
         let most = most.max(1) as f64;
         let (limit, window) = (rules.first, Window::default());
-        Limit { rules, most, limit, rest: None, window, from: Micros::MIN, found: false }
+        Limit {
+            rules,
+            most,
+            limit,
+            rest: None,
+            window,
+            from: Micros::MIN,
+            found: false,
+        }
     }
 
     /// What was learned, within the bound.
@@ -67,7 +81,8 @@
         self.limit().max(1.0) as usize
     }
 
-    /// Another bound holds from now on. What was learned stays: a bound that falls for a moment says nothing of the server.
+    /// Another bound holds from now on. What was learned stays: a bound that falls for a moment
+    /// says nothing of the server.
     pub fn bound(&mut self, most: usize) {
         self.most = most.max(1) as f64;
     }
@@ -86,8 +101,8 @@
         }
         let Window { sum, count, crowd } = std::mem::take(&mut self.window);
         let (mean, crowd) = (sum / f64::from(count), crowd as f64);
-        // A server that has become slower for good shows that in runs that have room: those of a full one would make any
-        // crowd look like rest.
+        // A server that has become slower for good shows that in runs that have room: those of a
+        // full one would make any crowd look like rest.
         let room = crowd <= 1.0 || crowd * 2.0 <= limit;
         let at_least = limit <= self.rules.least.min(self.most);
         let rest = self.rest.unwrap_or(mean);
@@ -112,7 +127,8 @@
 mod tests {
     use super::*;
 
-    /// A server with so many cores, which takes longer the more runs it has beyond them. Each run has a length of its own.
+    /// A server with so many cores, which takes longer the more runs it has beyond them. Each run
+    /// has a length of its own.
     fn play(limit: &mut Limit, cores: f64, alone: f64, now: &mut Micros, rounds: u64) -> usize {
         for round in 0..rounds {
             let runs = limit.runs();
@@ -129,10 +145,25 @@
     #[test]
     fn it_settles_where_the_server_is_full_and_not_far_beyond() {
         for (cores, least, most) in [(8.0, 8, 40), (32.0, 28, 110), (128.0, 100, 450)] {
-            let runs = play(&mut Limit::new(Rules::default(), 1000), cores, 10_000.0, &mut 0, 4000);
+            let runs = play(
+                &mut Limit::new(Rules::default(), 1000),
+                cores,
+                10_000.0,
+                &mut 0,
+                4000,
+            );
             assert!((least..=most).contains(&runs), "{cores} cores: {runs}");
         }
-        assert_eq!(play(&mut Limit::new(Rules::default(), 20), 128.0, 10_000.0, &mut 0, 1000), 20);
+        assert_eq!(
+            play(
+                &mut Limit::new(Rules::default(), 20),
+                128.0,
+                10_000.0,
+                &mut 0,
+                1000
+            ),
+            20
+        );
     }
 
     /// At rest it takes ten times as long from now on: the limit falls, and comes back.
@@ -142,7 +173,10 @@
         let before = play(&mut limit, 16.0, 10_000.0, &mut now, 2000);
         let fallen = play(&mut limit, 16.0, 100_000.0, &mut now, 60);
         let after = play(&mut limit, 16.0, 100_000.0, &mut now, 4000);
-        assert!(before >= 16 && fallen < before && after >= 12, "{before} {fallen} {after}");
+        assert!(
+            before >= 16 && fallen < before && after >= 12,
+            "{before} {fallen} {after}"
+        );
     }
 
     #[test]
--- a/crates/load-balancing/src/pool/judge.rs
+++ b/crates/load-balancing/src/pool/judge.rs
@@ -30,8 +30,11 @@
     /// Holds latencies against the pool's median.
     pub(super) fn judge(&mut self, now: Micros) {
         let (fade, typical) = (self.rules.fade, self.typical);
-        let mut all: Vec<f64> =
-            self.usable.iter().map(|&i| self.servers[i].latency(now, fade, typical)).collect();
+        let mut all: Vec<f64> = self
+            .usable
+            .iter()
+            .map(|&i| self.servers[i].latency(now, fade, typical))
+            .collect();
         if all.len() < 3 {
             return;
         }
@@ -39,7 +42,10 @@
         let median = all[(all.len() - 1) / 2];
         for i in self.usable.clone() {
             let server = &self.servers[i];
-            if let Some(why) = server.health.slow(server.latency(now, fade, typical), median) {
+            if let Some(why) = server
+                .health
+                .slow(server.latency(now, fade, typical), median)
+            {
                 self.take_out(now, i, why);
             }
         }
@@ -50,13 +56,27 @@
         if self.distrusted.is_some() {
             return;
         }
-        let main = || self.servers.iter().filter(|s| s.enabled() && !s.settings.spare);
-        let (enabled, out) = (main().count(), main().filter(|s| s.health.part(now) == 0.0).count());
+        let main = || {
+            self.servers
+                .iter()
+                .filter(|s| s.enabled() && !s.settings.spare)
+        };
+        let (enabled, out) = (
+            main().count(),
+            main().filter(|s| s.health.part(now) == 0.0).count(),
+        );
         // Spares that can bear a good part of the load are there for this.
         let weight = |s: &Server<A>| s.settings.weight;
-        let spares = self.servers.iter().filter(|s| s.enabled() && s.settings.spare);
-        let spare: f64 = spares.filter(|s| s.health.part(now) > 0.0).map(weight).sum();
-        let relieved = spare >= self.rules.most_out * main().map(weight).sum::<f64>() && spare > 0.0;
+        let spares = self
+            .servers
+            .iter()
+            .filter(|s| s.enabled() && s.settings.spare);
+        let spare: f64 = spares
+            .filter(|s| s.health.part(now) > 0.0)
+            .map(weight)
+            .sum();
+        let relieved =
+            spare >= self.rules.most_out * main().map(weight).sum::<f64>() && spare > 0.0;
         let on_trial = matches!(self.servers[i].health.state(), State::Trial { .. });
         // Of a lone member nobody is better off without it.
         if !on_trial && !relieved && (out + 1) as f64 > self.rules.most_out * enabled as f64 {
@@ -67,30 +87,45 @@
         let server = &mut self.servers[i];
         server.health.take_out(now, why);
         if let State::Out { until, .. } = server.health.state() {
-            self.notes.push(Note::Out(server.settings.address.clone(), why, until - now));
+            self.notes
+                .push(Note::Out(server.settings.address.clone(), why, until - now));
         }
         self.arrange(now);
     }
 
     /// Members that are left out, or on trial.
     pub fn out(&self) -> impl Iterator<Item = &A> {
-        let out = |s: &&Server<A>| matches!(s.health.state(), State::Out { .. } | State::Trial { .. });
-        self.servers.iter().filter(|s| !s.gone).filter(out).map(|s| &s.settings.address)
+        let out =
+            |s: &&Server<A>| matches!(s.health.state(), State::Out { .. } | State::Trial { .. });
+        self.servers
+            .iter()
+            .filter(|s| !s.gone)
+            .filter(out)
+            .map(|s| &s.settings.address)
     }
 
     /// Members that are left out, or on trial, as their runs failed.
     pub fn failing(&self) -> impl Iterator<Item = &A> {
-        self.servers.iter().filter(|s| !s.gone && s.health.failing()).map(|s| &s.settings.address)
+        self.servers
+            .iter()
+            .filter(|s| !s.gone && s.health.failing())
+            .map(|s| &s.settings.address)
     }
 
     /// Whether another node tries a member first that is left out.
     pub fn behind(&mut self, address: &A, behind: bool) {
-        self.servers.iter_mut().filter(|s| s.settings.address == *address).for_each(|s| s.behind = behind);
+        self.servers
+            .iter_mut()
+            .filter(|s| s.settings.address == *address)
+            .for_each(|s| s.behind = behind);
     }
 
     /// Another node has found a member to be well: it is tried sooner here.
     pub fn found_well(&mut self, now: Micros, address: &A) {
-        let server = self.servers.iter_mut().find(|s| s.settings.address == *address);
+        let server = self
+            .servers
+            .iter_mut()
+            .find(|s| s.settings.address == *address);
         if server.is_some_and(|s| s.health.sooner(now)) {
             self.arrange(now);
         }
--- a/crates/load-balancing/src/pool/members.rs
+++ b/crates/load-balancing/src/pool/members.rs
@@ -50,12 +50,16 @@
         });
     }
 
-    /// The members are these from now on. One that stays keeps what is known of it, one that goes finishes what it has,
-    /// and a newcomer starts slowly.
+    /// The members are these from now on. One that stays keeps what is known of it, one that goes
+    /// finishes what it has, and a newcomer starts slowly.
     pub fn update(&mut self, members: Vec<Member<A>>, now: Micros) {
         self.servers.iter_mut().for_each(|s| s.gone = true);
         for member in members {
-            match self.servers.iter_mut().find(|s| s.settings.address == member.address) {
+            match self
+                .servers
+                .iter_mut()
+                .find(|s| s.settings.address == member.address)
+            {
                 Some(server) => {
                     server.limit.bound(member.most_runs);
                     (server.settings, server.gone) = (member, false);
@@ -68,21 +72,35 @@
         self.belong();
     }
 
-    /// Works out anew which member a key belongs to. That depends on the file alone: a member that is out for a while has its
-    /// keys again when it is back.
+    /// Works out anew which member a key belongs to. That depends on the file alone: a member that
+    /// is out for a while has its keys again when it is back.
     pub(super) fn belong(&mut self) {
         let named = |s: &Server<A>| mix(Fixed.hash_one(&s.settings.address));
-        let ring = self.servers.iter().filter(|s| s.enabled() && !s.settings.spare);
+        let ring = self
+            .servers
+            .iter()
+            .filter(|s| s.enabled() && !s.settings.spare);
         self.ring = Ring::new(ring.map(|s| (s.number, named(s), s.settings.weight)));
     }
 
     /// Works out anew who may get runs.
     pub(super) fn arrange(&mut self, now: Micros) {
-        self.places = self.servers.iter().enumerate().map(|(i, s)| (s.number, i)).collect();
+        self.places = self
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (s.number, i))
+            .collect();
         let distrusted = self.distrusted.is_some();
         let well = |s: &Server<A>| distrusted || s.health.part(now) > 0.0;
         let main = |s: &&Server<A>| s.enabled() && !s.settings.spare;
-        let tier = self.servers.iter().filter(main).filter(|s| well(s)).map(|s| s.settings.tier).min();
+        let tier = self
+            .servers
+            .iter()
+            .filter(main)
+            .filter(|s| well(s))
+            .map(|s| s.settings.tier)
+            .min();
         // Back from the spares only once another member has been usable for a while.
         self.spares = match (tier, self.spares) {
             (None, None) if self.servers.iter().any(|s| s.enabled() && s.settings.spare) => {
@@ -103,7 +121,10 @@
             false => Some(s.settings.tier) == tier,
         };
         let all = || self.servers.iter().enumerate().filter(|(_, s)| s.enabled());
-        self.usable = all().filter(|(_, s)| well(s) && picked(s)).map(|(i, _)| i).collect();
+        self.usable = all()
+            .filter(|(_, s)| well(s) && picked(s))
+            .map(|(i, _)| i)
+            .collect();
         self.trials = match distrusted {
             true => Vec::new(),
             false => {
@@ -127,7 +148,14 @@
             State::Warming { since } => Some(since + self.rules.health.warm),
             State::Up | State::Trial { .. } => None,
         });
-        let spares = self.spares.flatten().map(|since| since + self.rules.spares_stay);
-        self.next_tick = ends.chain(self.distrusted).chain(spares).min().unwrap_or(Micros::MAX);
+        let spares = self
+            .spares
+            .flatten()
+            .map(|since| since + self.rules.spares_stay);
+        self.next_tick = ends
+            .chain(self.distrusted)
+            .chain(spares)
+            .min()
+            .unwrap_or(Micros::MAX);
     }
 }
--- a/crates/load-balancing/src/pool/mod.rs
+++ b/crates/load-balancing/src/pool/mod.rs
@@ -49,7 +49,8 @@
     notes: Vec<Note<A>>,
 }
 
-/// A fixed hasher: the same key and address come to the same place on all nodes and after a restart.
+/// A fixed hasher: the same key and address come to the same place on all nodes and after a
+/// restart.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fixed;
 
--- a/crates/load-balancing/src/pool/place.rs
+++ b/crates/load-balancing/src/pool/place.rs
@@ -21,7 +21,8 @@
     pub(super) fn load(&self, now: Micros, i: usize) -> f64 {
         let server = &self.servers[i];
         let latency = server.latency(now, self.rules.fade, self.typical);
-        // Idle members are alike but for their latency; their weights are in how often they are drawn.
+        // Idle members are alike but for their latency; their weights are in how often they are
+        // drawn.
         (server.runs.len() as f64 / (server.settings.weight * self.part(now, i)) + 1.0) * latency
     }
 
@@ -29,14 +30,18 @@
     pub(super) fn draw(&mut self) -> usize {
         let sum = *self.weights.last().expect("one is usable");
         let at = self.rng.random_range(0.0..sum);
-        self.usable[self.weights.partition_point(|w| *w <= at).min(self.usable.len() - 1)]
+        self.usable[self
+            .weights
+            .partition_point(|w| *w <= at)
+            .min(self.usable.len() - 1)]
     }
 
     /// The members that warm up and are left out of this request's choice.
     ///
-    /// Each is drawn for the request, and not by its load: with many processes each of them has next to nothing in a new member's
-    /// hands, and would take it to be idle. Whoever is among two drawn gets up to twice its share by being the less
-    /// loaded one, so it may be among them half as often; what all processes send together then keeps to the ramp.
+    /// Each is drawn for the request, and not by its load: with many processes each of them has
+    /// next to nothing in a new member's hands, and would take it to be idle. Whoever is among two
+    /// drawn gets up to twice its share by being the less loaded one, so it may be among them half
+    /// as often; what all processes send together then keeps to the ramp.
     fn left_out(&mut self, now: Micros) -> Vec<usize> {
         let mut left_out = Vec::new();
         if self.warming.len() == self.usable.len() {
@@ -130,7 +135,11 @@
             let free = !tried.contains(&server.number) && self.room(i);
             well && free && ((server.runs.len() + 1) as f64) <= most
         };
-        self.ring.order(key).take(256).filter_map(|n| self.places.get(&n).copied()).find(|&i| fits(i))
+        self.ring
+            .order(key)
+            .take(256)
+            .filter_map(|n| self.places.get(&n).copied())
+            .find(|&i| fits(i))
     }
 
     pub(super) fn put(&mut self, now: Micros, i: usize) -> Place<A> {
@@ -139,13 +148,21 @@
         let server = &mut self.servers[i];
         server.runs.insert((now, run));
         self.runs.insert(run, (server.number, now));
-        Place::At { run, member: server.number, address: server.settings.address.clone() }
+        Place::At {
+            run,
+            member: server.number,
+            address: server.settings.address.clone(),
+        }
     }
 
     /// A run has ended.
     pub fn ended(&mut self, now: Micros, run: Run, end: End) {
-        let Some((number, since)) = self.runs.remove(&run) else { return };
-        let Some(&i) = self.places.get(&number) else { return };
+        let Some((number, since)) = self.runs.remove(&run) else {
+            return;
+        };
+        let Some(&i) = self.places.get(&number) else {
+            return;
+        };
         let (fade, typical) = (self.rules.fade, &mut self.typical);
         let server = &mut self.servers[i];
         let in_flight = server.runs.len();
--- a/crates/load-balancing/src/pool/server.rs
+++ b/crates/load-balancing/src/pool/server.rs
@@ -21,7 +21,9 @@
 
 impl<A> Server<A> {
     pub(super) fn latency(&self, now: Micros, fade: Micros, typical: f64) -> f64 {
-        let faded = |latency: f64| latency * (-((now - self.seen).max(0) as f64) / fade.max(1) as f64).exp();
+        let faded = |latency: f64| {
+            latency * (-((now - self.seen).max(0) as f64) / fade.max(1) as f64).exp()
+        };
         let known = self.latency.map_or(typical, faded);
         // One that hangs shows in what it has not answered.
         let waits = self.runs.first().map_or(0, |(since, _)| now - since) as f64;
@@ -34,7 +36,9 @@
         self.latency = Some(match self.latency {
             Some(latency) if took < latency * left => {
                 // A tenth each, or what the time has faded, whichever is more.
-                (latency * left.min(0.9)).max(latency * left * 0.9 + took * 0.1).max(took)
+                (latency * left.min(0.9))
+                    .max(latency * left * 0.9 + took * 0.1)
+                    .max(took)
             }
             _ => took,
         });
--- a/crates/load-balancing/src/pool/terms.rs
+++ b/crates/load-balancing/src/pool/terms.rs
@@ -36,7 +36,14 @@
 impl<A> Member<A> {
     /// One of weight 1, with a bound far off.
     pub fn at(address: A) -> Member<A> {
-        Member { address, weight: 1.0, tier: 0, spare: false, usage: Use::On, most_runs: 1024 }
+        Member {
+            address,
+            weight: 1.0,
+            tier: 0,
+            spare: false,
+            usage: Use::On,
+            most_runs: 1024,
+        }
     }
 }
 
@@ -49,8 +56,8 @@
     pub limit: limit::Rules,
     /// Of repeated tries.
     pub retry: retry::Rules,
-    /// So large a share of the members may be out at once. Beyond it the signal is distrusted: if most look bad, it is more
-    /// likely what they all depend on.
+    /// So large a share of the members may be out at once. Beyond it the signal is distrusted: if
+    /// most look bad, it is more likely what they all depend on.
     pub most_out: f64,
     /// It is distrusted for so long, in microseconds.
     pub distrust: Micros,
@@ -118,7 +125,8 @@
     Unreachable,
     /// It broke off, said what can't be read, or took too long.
     Failed,
-    /// Its time was up. That says something of the member only if it had far more than a run usually takes.
+    /// Its time was up. That says something of the member only if it had far more than a run
+    /// usually takes.
     TimedOut,
 }
 
@@ -144,7 +152,9 @@
 impl<A: fmt::Display> fmt::Display for Note<A> {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Note::Out(member, why, out) => write!(f, "member={member} out for_ms={} why: {why}", out / 1000),
+            Note::Out(member, why, out) => {
+                write!(f, "member={member} out for_ms={} why: {why}", out / 1000)
+            }
             Note::OnTrial(member) => write!(f, "member={member} on trial"),
             Note::Back(member) => write!(f, "member={member} back"),
             Note::Distrusted => write!(f, "most members look bad: none is left out for a while"),
--- a/crates/load-balancing/src/retry.rs
+++ b/crates/load-balancing/src/retry.rs
@@ -1,5 +1,5 @@
-//! Whether a try may be repeated, and when: within a share of the first tries, so that a fleet in trouble is not given more
-//! of it.
+//! Whether a try may be repeated, and when: within a share of the first tries, so that a fleet in
+//! trouble is not given more of it.
 
 use crate::Micros;
 use rand::rngs::SmallRng;
@@ -24,7 +24,14 @@
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { share: 0.1, floor: 0.5, most: 10.0, pause: 4_000, longest: 100_000, least_left: 20_000 }
+        Rules {
+            share: 0.1,
+            floor: 0.5,
+            most: 10.0,
+            pause: 4_000,
+            longest: 100_000,
+            least_left: 20_000,
+        }
     }
 }
 
@@ -54,7 +61,8 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     rules: Rules,
-    /// What of the pool's budget is this node's: the floor and what may be saved up are divided, the share goes by itself.
+    /// What of the pool's budget is this node's: the floor and what may be saved up are divided,
+    /// the share goes by itself.
     part: f64,
     tokens: f64,
     filled: Micros,
@@ -63,7 +71,12 @@
 impl Budget {
     /// A full one.
     pub fn new(rules: Rules, now: Micros) -> Budget {
-        Budget { rules, part: 1.0, tokens: rules.most, filled: now }
+        Budget {
+            rules,
+            part: 1.0,
+            tokens: rules.most,
+            filled: now,
+        }
     }
 
     /// From now on so much of the budget is this node's; one repeat may always be saved up.
@@ -81,17 +94,26 @@
         self.tokens = (self.tokens + self.rules.share).min(self.most());
     }
 
-    /// How long to wait before the next try of a request that has had so many, if it may have another: it provably never
-    /// ran or may run twice, there is time left, and the budget has room.
+    /// How long to wait before the next try of a request that has had so many, if it may have
+    /// another: it provably never ran or may run twice, there is time left, and the budget has
+    /// room.
     pub fn again(&mut self, now: Micros, further: Further, rng: &mut SmallRng) -> Option<Micros> {
-        let Further { until, tried, safe, tries } = further;
+        let Further {
+            until,
+            tried,
+            safe,
+            tries,
+        } = further;
         if tried == Tried::MayHaveRun && !safe {
             return None;
         }
         let seconds = (now - self.filled).max(0) as f64 / 1e6;
         self.filled = self.filled.max(now);
         self.tokens = (self.tokens + seconds * self.rules.floor * self.part).min(self.most());
-        let bound = self.rules.pause.saturating_mul(1 << tries.saturating_sub(1).min(20));
+        let bound = self
+            .rules
+            .pause
+            .saturating_mul(1 << tries.saturating_sub(1).min(20));
         // Full jitter: those that failed together don't come back together.
         let pause = rng.random_range(0..=bound.min(self.rules.longest).max(0));
         if self.tokens < 1.0 || now + pause + self.rules.least_left > until {
@@ -119,7 +141,10 @@
             for t in 1..=60 {
                 for budget in &mut all {
                     (0..10 / nodes).for_each(|_| budget.first());
-                    while budget.again(t * SECOND, further((t + 1) * SECOND, 1), &mut rng).is_some() {
+                    while budget
+                        .again(t * SECOND, further((t + 1) * SECOND, 1), &mut rng)
+                        .is_some()
+                    {
                         count += 1;
                     }
                 }
@@ -131,7 +156,12 @@
     }
 
     fn further(until: Micros, tries: u32) -> Further {
-        Further { until, tried: Tried::NeverRan, safe: true, tries }
+        Further {
+            until,
+            tried: Tried::NeverRan,
+            safe: true,
+            tries,
+        }
     }
 
     #[test]
@@ -149,7 +179,18 @@
         for (tried, safe, until, wanted) in cases {
             let mut budget = Budget::new(Rules::default(), 0);
             assert_eq!(
-                budget.again(0, Further { until, tried, safe, tries: 1 }, &mut rng).is_some(),
+                budget
+                    .again(
+                        0,
+                        Further {
+                            until,
+                            tried,
+                            safe,
+                            tries: 1
+                        },
+                        &mut rng
+                    )
+                    .is_some(),
                 wanted,
                 "{tried:?} {safe}"
             );
@@ -164,24 +205,39 @@
             budget.first();
             firsts += 1;
             let mut tries = 1;
-            while budget.again(now, further(now + SECOND, tries), &mut rng).is_some() {
+            while budget
+                .again(now, further(now + SECOND, tries), &mut rng)
+                .is_some()
+            {
                 (repeats, tries) = (repeats + 1, tries + 1);
             }
         }
-        assert!(repeats > firsts / 20 && repeats < firsts / 5, "{repeats} of {firsts}");
+        assert!(
+            repeats > firsts / 20 && repeats < firsts / 5,
+            "{repeats} of {firsts}"
+        );
     }
 
     #[test]
     fn pauses_grow_and_are_bounded() {
-        let rules = Rules { most: 1e6, ..Rules::default() };
+        let rules = Rules {
+            most: 1e6,
+            ..Rules::default()
+        };
         let (mut budget, mut rng) = (Budget::new(rules, 0), SmallRng::seed_from_u64(7));
         let mut longest = |tries| {
-            let pauses = (0..300)
-                .map(|_| budget.again(0, further(10 * SECOND, tries), &mut rng).expect("time is left"));
+            let pauses = (0..300).map(|_| {
+                budget
+                    .again(0, further(10 * SECOND, tries), &mut rng)
+                    .expect("time is left")
+            });
             pauses.max().unwrap()
         };
         let all = [1, 2, 3, 40].map(&mut longest);
-        assert!(all[0] <= 4_000 && all[1] > 4_000 && all[1] <= 8_000 && all[2] > 8_000, "{all:?}");
+        assert!(
+            all[0] <= 4_000 && all[1] > 4_000 && all[1] <= 8_000 && all[2] > 8_000,
+            "{all:?}"
+        );
         assert!(all[3] <= rules.longest && all[3] > 50_000, "{all:?}");
     }
 }
--- a/crates/load-balancing/src/ring.rs
+++ b/crates/load-balancing/src/ring.rs
@@ -1,5 +1,5 @@
-//! Which member a key belongs to: consistent hashing, so that few keys move when one comes or goes (Karger et al., 1997;
-//! with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2016).
+//! Which member a key belongs to: consistent hashing, so that few keys move when one comes or goes
+//! (Karger et al., 1997; with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2016).
 
 /// Places of a member of weight 1 on the ring.
 const PLACES: f64 = 64.0;
@@ -17,7 +17,8 @@
 }
 
 impl Ring {
-    /// A ring of these members: the number of each in its pool, what names it wherever it is, and its weight.
+    /// A ring of these members: the number of each in its pool, what names it wherever it is, and
+    /// its weight.
     pub fn new(members: impl Iterator<Item = (u32, u64, f64)>) -> Ring {
         let mut places = Vec::new();
         for (number, name, weight) in members {
@@ -32,7 +33,10 @@
     pub fn order(&self, key: u64) -> impl Iterator<Item = u32> + '_ {
         let at = mix(key);
         let start = self.0.partition_point(|(place, _)| *place < at);
-        self.0[start..].iter().chain(&self.0[..start]).map(|(_, number)| *number)
+        self.0[start..]
+            .iter()
+            .chain(&self.0[..start])
+            .map(|(_, number)| *number)
     }
 }
 
@@ -61,7 +65,10 @@
         let mut counts = [0; 4];
         (0..40_000).for_each(|key| counts[ring.order(key).next().unwrap() as usize] += 1);
         for (count, share) in counts.into_iter().zip([5_000, 5_000, 10_000, 20_000]) {
-            assert!((share * 7 / 10..share * 13 / 10).contains(&count), "{counts:?}");
+            assert!(
+                (share * 7 / 10..share * 13 / 10).contains(&count),
+                "{counts:?}"
+            );
         }
     }
 }
--- a/crates/load-balancing/tests/compatibility.rs
+++ b/crates/load-balancing/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Consistent hashing of sticky keys, compared with a fixture written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-load-balancing --test compatibility`): nodes of both builds choose the same worker.
+//! Consistent hashing of sticky keys, compared with a fixture written by the build of commit
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-load-balancing --test
+//! compatibility`): nodes of both builds choose the same worker.
 
 use pipitlever_load_balancing::ring::{mix, Ring};
 
@@ -13,7 +14,10 @@
     let samples = [
         ("mix", mix(0x0102_0304_0506_0708).to_be_bytes().to_vec()),
         ("first-members", (0..256).map(first).collect()),
-        ("order", ring.order(7).take(16).map(|member| member as u8).collect()),
+        (
+            "order",
+            ring.order(7).take(16).map(|member| member as u8).collect(),
+        ),
     ];
     pipitlever_test_fixtures::assert_bytes(FIXTURES, &samples);
 }
--- a/crates/load-balancing/tests/fleets.rs
+++ b/crates/load-balancing/tests/fleets.rs
@@ -1,5 +1,5 @@
-//! Pools in simulated time: members that hang, fail, answer garbage, are slow or come back cold, storms of repeats, fleets of a
-//! thousand. Seeded; no socket and no clock.
+//! Pools in simulated time: members that hang, fail, answer garbage, are slow or come back cold,
+//! storms of repeats, fleets of a thousand. Seeded; no socket and no clock.
 
 use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules, Use};
 use pipitlever_load_balancing::retry::{Further, Tried};
@@ -59,12 +59,33 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Turn {
-    Try { since: Micros, tries: u32, tried: Vec<u32>, number: u64 },
-    End { run: u64, member: usize, since: Micros, tries: u32, tried: Vec<u32>, end: u8, number: u64 },
+    Try {
+        since: Micros,
+        tries: u32,
+        tried: Vec<u32>,
+        number: u64,
+    },
+    End {
+        run: u64,
+        member: usize,
+        since: Micros,
+        tries: u32,
+        tried: Vec<u32>,
+        end: u8,
+        number: u64,
+    },
 }
 
 fn play(play: Play) -> Outcome {
-    let Play { pool, members, rate, length, deadline, safe, way } = play;
+    let Play {
+        pool,
+        members,
+        rate,
+        length,
+        deadline,
+        safe,
+        way,
+    } = play;
     let mut outcome = Outcome::default();
     let mut turns = BinaryHeap::new();
     let mut running = vec![0.0f64; members];
@@ -72,7 +93,16 @@
     let gap = (1e6 / rate) as Micros;
     // Arrivals with jitter, the same on every run.
     let arrival = |n: u64| n as Micros * gap + (mix(n) % (gap.max(1) as u64)) as Micros;
-    turns.push(Reverse((arrival(0), 0, Turn::Try { since: arrival(0), tries: 0, tried: vec![], number: 0 })));
+    turns.push(Reverse((
+        arrival(0),
+        0,
+        Turn::Try {
+            since: arrival(0),
+            tries: 0,
+            tried: vec![],
+            number: 0,
+        },
+    )));
     let mut order = 1;
     while let Some(Reverse((now, _, turn))) = turns.pop() {
         let mut push = |at: Micros, turn: Turn| {
@@ -80,18 +110,42 @@
             order += 1;
         };
         match turn {
-            Turn::Try { since, tries, tried, number: request } => {
+            Turn::Try {
+                since,
+                tries,
+                tried,
+                number: request,
+            } => {
                 if tries == 0 {
                     outcome.firsts += 1;
                     number += 1;
                     if arrival(number) < length {
                         let since = arrival(number);
-                        push(since, Turn::Try { since, tries: 0, tried: vec![], number });
+                        push(
+                            since,
+                            Turn::Try {
+                                since,
+                                tries: 0,
+                                tried: vec![],
+                                number,
+                            },
+                        );
                     }
                 }
                 let key = (!safe).then(|| mix(request));
-                match pool.place(now, Ask { safe, key, tried: &tried }) {
-                    Place::At { run, member: id, address } => {
+                match pool.place(
+                    now,
+                    Ask {
+                        safe,
+                        key,
+                        tried: &tried,
+                    },
+                ) {
+                    Place::At {
+                        run,
+                        member: id,
+                        address,
+                    } => {
                         outcome.tries += 1;
                         *outcome.by.entry(address).or_default() += 1;
                         running[address] += 1.0;
@@ -126,7 +180,15 @@
                     Place::NoRoom | Place::Nobody => {}
                 }
             }
-            Turn::End { run, member, since, tries, tried, end, number: request } => {
+            Turn::End {
+                run,
+                member,
+                since,
+                tries,
+                tried,
+                end,
+                number: request,
+            } => {
                 running[member] -= 1.0;
                 let ends = [End::Well, End::Failed, End::Unreachable, End::TimedOut];
                 pool.ended(now, run, ends[usize::from(end)]);
@@ -134,26 +196,64 @@
                     outcome.served += 1;
                     outcome.latencies.push(now - since);
                 } else {
-                    let kind = if end == 2 { Tried::NeverRan } else { Tried::MayHaveRun };
-                    if let Some(pause) =
-                        pool.again(now, Further { until: since + deadline, tried: kind, safe, tries })
-                    {
-                        push(now + pause, Turn::Try { since, tries, tried, number: request });
+                    let kind = if end == 2 {
+                        Tried::NeverRan
+                    } else {
+                        Tried::MayHaveRun
+                    };
+                    if let Some(pause) = pool.again(
+                        now,
+                        Further {
+                            until: since + deadline,
+                            tried: kind,
+                            safe,
+                            tries,
+                        },
+                    ) {
+                        push(
+                            now + pause,
+                            Turn::Try {
+                                since,
+                                tries,
+                                tried,
+                                number: request,
+                            },
+                        );
                     }
                 }
             }
         }
-        outcome.notes.extend(pool.notes().iter().map(|n| format!("{} {n}", now / 1000)));
+        outcome
+            .notes
+            .extend(pool.notes().iter().map(|n| format!("{} {n}", now / 1000)));
     }
     outcome
 }
 
 fn pool(members: usize) -> Pool<usize> {
-    Pool::new(Rules::default(), (0..members).map(Member::at).collect(), 7, 0)
+    Pool::new(
+        Rules::default(),
+        (0..members).map(Member::at).collect(),
+        7,
+        0,
+    )
 }
 
-fn steady(pool: &mut Pool<usize>, members: usize, rate: f64, way: &dyn Fn(usize, Micros) -> Way) -> Outcome {
-    play(Play { pool, members, rate, length: 30 * SECOND, deadline: 2 * SECOND, safe: true, way })
+fn steady(
+    pool: &mut Pool<usize>,
+    members: usize,
+    rate: f64,
+    way: &dyn Fn(usize, Micros) -> Way,
+) -> Outcome {
+    play(Play {
+        pool,
+        members,
+        rate,
+        length: 30 * SECOND,
+        deadline: 2 * SECOND,
+        safe: true,
+        way,
+    })
 }
 
 #[test]
@@ -166,10 +266,21 @@
     ];
     for (name, bad, least) in kinds {
         let mut pool = pool(4);
-        let way = |member, _| if member == 2 { bad } else { Way::Serves(10_000.0) };
+        let way = |member, _| {
+            if member == 2 {
+                bad
+            } else {
+                Way::Serves(10_000.0)
+            }
+        };
         let outcome = steady(&mut pool, 4, 400.0, &way);
         let share = outcome.by[&2] as f64 / outcome.tries as f64;
-        assert!(outcome.share() >= least, "{name}: {} {:?}", outcome.share(), outcome.notes);
+        assert!(
+            outcome.share() >= least,
+            "{name}: {} {:?}",
+            outcome.share(),
+            outcome.notes
+        );
         assert!(share < 0.05, "{name}: {share}");
     }
 }
@@ -183,8 +294,16 @@
     };
     let outcome = steady(&mut pool, 4, 400.0, &way);
     let noted = |what: &str| outcome.notes.iter().filter(|n| n.contains(what)).count();
-    assert!(noted("member=2 out") >= 1 && noted("member=2 back") == 1, "{:?}", outcome.notes);
-    assert!(outcome.by[&2] as f64 > 0.15 * outcome.tries as f64, "{:?}", outcome.by);
+    assert!(
+        noted("member=2 out") >= 1 && noted("member=2 back") == 1,
+        "{:?}",
+        outcome.notes
+    );
+    assert!(
+        outcome.by[&2] as f64 > 0.15 * outcome.tries as f64,
+        "{:?}",
+        outcome.by
+    );
     assert!(outcome.share() > 0.999);
 }
 
@@ -192,20 +311,43 @@
 #[test]
 fn a_storm_of_failures_raises_no_storm_of_tries() {
     let mut pool = pool(8);
-    let way = |_, now| if now < 20 * SECOND { Way::Fails } else { Way::Serves(10_000.0) };
+    let way = |_, now| {
+        if now < 20 * SECOND {
+            Way::Fails
+        } else {
+            Way::Serves(10_000.0)
+        }
+    };
     let outcome = steady(&mut pool, 8, 1000.0, &way);
     let tries = outcome.tries as f64 / outcome.firsts as f64;
     assert!(tries < 1.2, "{tries}");
-    assert!(outcome.notes.iter().any(|n| n.contains("most members look bad")), "{:?}", outcome.notes);
+    assert!(
+        outcome
+            .notes
+            .iter()
+            .any(|n| n.contains("most members look bad")),
+        "{:?}",
+        outcome.notes
+    );
     // All of the last ten seconds but those on the way back.
-    assert!(outcome.served as f64 > 0.9 * 10.0 * 1000.0, "{}", outcome.served);
+    assert!(
+        outcome.served as f64 > 0.9 * 10.0 * 1000.0,
+        "{}",
+        outcome.served
+    );
 }
 
 #[test]
 fn a_keyed_run_that_may_have_run_is_tried_once() {
     for (bad, tries_more) in [(Way::Fails, false), (Way::Refuses, true)] {
         let mut pool = pool(3);
-        let way = |member, _| if member == 1 { bad } else { Way::Serves(5_000.0) };
+        let way = |member, _| {
+            if member == 1 {
+                bad
+            } else {
+                Way::Serves(5_000.0)
+            }
+        };
         let one = Play {
             pool: &mut pool,
             members: 3,
@@ -226,8 +368,13 @@
     let mut first: HashMap<u64, usize> = HashMap::new();
     for round in 0..5 {
         for key in 0..500 {
-            let Place::At { run, address, .. } = pool.place(round, Ask { key: Some(key), ..Ask::default() })
-            else {
+            let Place::At { run, address, .. } = pool.place(
+                round,
+                Ask {
+                    key: Some(key),
+                    ..Ask::default()
+                },
+            ) else {
                 panic!("there is room")
             };
             assert_eq!(*first.entry(key).or_insert(address), address);
@@ -238,7 +385,13 @@
     let members = (0..8).filter(|m| *m != 3).map(Member::at).collect();
     pool.update(members, 10);
     for (key, before) in first {
-        let Place::At { run, address, .. } = pool.place(20, Ask { key: Some(key), ..Ask::default() }) else {
+        let Place::At { run, address, .. } = pool.place(
+            20,
+            Ask {
+                key: Some(key),
+                ..Ask::default()
+            },
+        ) else {
             panic!("there is room")
         };
         assert!(address == before || before == 3, "{key}");
@@ -248,18 +401,41 @@
 
 #[test]
 fn spares_and_tiers_come_in_order_and_go_again() {
-    let spare = Member { spare: true, ..Member::at(2) };
-    let second = Member { tier: 1, ..Member::at(1) };
+    let spare = Member {
+        spare: true,
+        ..Member::at(2)
+    };
+    let second = Member {
+        tier: 1,
+        ..Member::at(1)
+    };
     let mut pool = Pool::new(Rules::default(), vec![Member::at(0), second, spare], 7, 0);
     let way = |member, now| match (member, now / SECOND) {
         (0, 5..15) | (1, 8..12) => Way::Refuses,
         _ => Way::Serves(5_000.0),
     };
     let outcome = steady(&mut pool, 3, 200.0, &way);
-    assert!(outcome.by[&0] > outcome.by[&1].max(outcome.by[&2]), "{:?}", outcome.by);
-    assert!(outcome.by[&2] > 0 && outcome.share() > 0.9, "{:?} {}", outcome.by, outcome.share());
-    let on = outcome.notes.iter().filter(|n| n.contains("spares are used")).count();
-    let off = outcome.notes.iter().filter(|n| n.contains("no longer used")).count();
+    assert!(
+        outcome.by[&0] > outcome.by[&1].max(outcome.by[&2]),
+        "{:?}",
+        outcome.by
+    );
+    assert!(
+        outcome.by[&2] > 0 && outcome.share() > 0.9,
+        "{:?} {}",
+        outcome.by,
+        outcome.share()
+    );
+    let on = outcome
+        .notes
+        .iter()
+        .filter(|n| n.contains("spares are used"))
+        .count();
+    let off = outcome
+        .notes
+        .iter()
+        .filter(|n| n.contains("no longer used"))
+        .count();
     assert!(on == off && on <= 2, "{:?}", outcome.notes);
 }
 
@@ -268,30 +444,54 @@
     let mut pool = pool(2);
     let mut runs = Vec::new();
     for _ in 0..6 {
-        let Place::At { run, address, .. } = pool.place(0, Ask::default()) else { panic!("there is room") };
+        let Place::At { run, address, .. } = pool.place(0, Ask::default()) else {
+            panic!("there is room")
+        };
         runs.push((run, address));
     }
-    pool.update(vec![Member::at(0), Member { usage: Use::Disabled, ..Member::at(5) }], 1);
+    pool.update(
+        vec![
+            Member::at(0),
+            Member {
+                usage: Use::Disabled,
+                ..Member::at(5)
+            },
+        ],
+        1,
+    );
     for _ in 0..8 {
-        let Place::At { run, address, .. } = pool.place(1, Ask::default()) else { panic!("there is room") };
+        let Place::At { run, address, .. } = pool.place(1, Ask::default()) else {
+            panic!("there is room")
+        };
         assert_eq!(address, 0);
         pool.ended(2, run, End::Well);
     }
-    assert!(pool.report(1).iter().any(|l| l.starts_with("member=1 state=leaving")));
-    runs.into_iter().for_each(|(run, _)| pool.ended(3, run, End::Well));
+    assert!(pool
+        .report(1)
+        .iter()
+        .any(|l| l.starts_with("member=1 state=leaving")));
+    runs.into_iter()
+        .for_each(|(run, _)| pool.ended(3, run, End::Well));
     assert!(!pool.report(3).iter().any(|l| l.starts_with("member=1 ")) && pool.in_flight() == 0);
 }
 
 #[test]
 fn load_follows_weights() {
     let weights = [1.0, 2.0, 3.0, 2.0];
-    let members = weights.iter().enumerate().map(|(i, w)| Member { weight: *w, ..Member::at(i) });
+    let members = weights.iter().enumerate().map(|(i, w)| Member {
+        weight: *w,
+        ..Member::at(i)
+    });
     let mut pool = Pool::new(Rules::default(), members.collect(), 7, 0);
     let way = |_, _| Way::Serves(10_000.0);
     let outcome = steady(&mut pool, 4, 600.0, &way);
     for (i, weight) in weights.iter().enumerate() {
         let share = outcome.by[&i] as f64 / outcome.tries as f64 / (weight / 8.0);
-        assert!((0.75..1.25).contains(&share), "{i}: {share} {:?}", outcome.by);
+        assert!(
+            (0.75..1.25).contains(&share),
+            "{i}: {share} {:?}",
+            outcome.by
+        );
     }
 }
 
@@ -299,13 +499,16 @@
 fn a_thousand_members_with_churn() {
     let mut pool = pool(1024);
     // A tenth of them hangs, fails or is slow, another tenth each three seconds.
-    let way = |member: usize, now: Micros| match mix(member as u64 ^ mix((now / (3 * SECOND)) as u64)) % 40 {
-        0 => Way::Hangs,
-        1 => Way::Fails,
-        2 => Way::Refuses,
-        3 => Way::Serves(90_000.0),
-        _ => Way::Serves(10_000.0),
-    };
+    let way =
+        |member: usize, now: Micros| match mix(member as u64 ^ mix((now / (3 * SECOND)) as u64))
+            % 40
+        {
+            0 => Way::Hangs,
+            1 => Way::Fails,
+            2 => Way::Refuses,
+            3 => Way::Serves(90_000.0),
+            _ => Way::Serves(10_000.0),
+        };
     let mut outcome = play(Play {
         pool: &mut pool,
         members: 1024,
@@ -324,7 +527,13 @@
 fn the_same_seed_gives_the_same_places() {
     let run = || {
         let mut pool = pool(16);
-        let way = |member, _| if member == 3 { Way::Fails } else { Way::Serves(9_000.0) };
+        let way = |member, _| {
+            if member == 3 {
+                Way::Fails
+            } else {
+                Way::Serves(9_000.0)
+            }
+        };
         let outcome = steady(&mut pool, 16, 500.0, &way);
         (outcome.notes, outcome.served, outcome.latencies)
     };
@@ -339,7 +548,9 @@
     steady(&mut pool, 3, 200.0, &way);
     let mut now = 40 * SECOND;
     for _ in 0..200 {
-        let Place::At { run, .. } = pool.place(now, Ask::default()) else { panic!("there is room") };
+        let Place::At { run, .. } = pool.place(now, Ask::default()) else {
+            panic!("there is room")
+        };
         now += 8_000;
         pool.ended(now, run, End::TimedOut);
     }
--- a/crates/load-balancing/tests/ramp.rs
+++ b/crates/load-balancing/tests/ramp.rs
@@ -1,5 +1,5 @@
-//! A member that has just been added warms up under the sum of what all processes send to it, however many there are: no process
-//! knows of the others. Seeded; no socket and no clock.
+//! A member that has just been added warms up under the sum of what all processes send to it,
+//! however many there are: no process knows of the others. Seeded; no socket and no clock.
 
 use pipitlever_load_balancing::health::Rules as Health;
 use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
@@ -47,22 +47,44 @@
 }
 
 fn play(play: Play) -> Loads {
-    let Play { callers, seed, late, restart } = play;
+    let Play {
+        callers,
+        seed,
+        late,
+        restart,
+    } = play;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let pool = |members: usize, seed: u64| Pool::new(Rules::default(), self::members(members), seed, 0);
-    let mut pools: Vec<_> = (0..callers).map(|i| pool(MEMBERS, seed * 100 + i as u64)).collect();
+    let pool =
+        |members: usize, seed: u64| Pool::new(Rules::default(), self::members(members), seed, 0);
+    let mut pools: Vec<_> = (0..callers)
+        .map(|i| pool(MEMBERS, seed * 100 + i as u64))
+        .collect();
     // One has been told first; the others hear of it whenever their list comes.
-    let told: Vec<Micros> =
-        (0..callers).map(|i| if i == 0 { 0 } else { rng.random_range(0..=late) }).collect();
+    let told: Vec<Micros> = (0..callers)
+        .map(|i| {
+            if i == 0 {
+                0
+            } else {
+                rng.random_range(0..=late)
+            }
+        })
+        .collect();
     let mut heard = vec![false; callers];
     let mut restarted = false;
     let end = Health::default().warm;
     let windows = (end / (SECOND / 2)) as usize;
-    let mut loads = Loads { got: vec![0.0; windows], allowed: vec![0.0; windows] };
+    let mut loads = Loads {
+        got: vec![0.0; windows],
+        allowed: vec![0.0; windows],
+    };
     let mut ends: BinaryHeap<Reverse<(Micros, usize, u64)>> = BinaryHeap::new();
     let mut now = -2 * SECOND;
     loop {
-        let rate = if (BURST.0..BURST.1).contains(&now) { BURST_RATE } else { RATE };
+        let rate = if (BURST.0..BURST.1).contains(&now) {
+            BURST_RATE
+        } else {
+            RATE
+        };
         now += (-(1.0 - rng.random_range(0.0..1.0f64)).ln() / rate * 1e6) as Micros;
         if now >= end {
             return loads;
@@ -81,15 +103,28 @@
             pools[0] = Pool::new(Rules::default(), members(MEMBERS + 1), seed + 1, now);
             ends.retain(|e| e.0 .1 != 0);
         }
-        let asked = pools[caller].place(now, Ask { safe: true, ..Ask::default() });
-        let Place::At { run, address, .. } = asked else { panic!("there is room") };
+        let asked = pools[caller].place(
+            now,
+            Ask {
+                safe: true,
+                ..Ask::default()
+            },
+        );
+        let Place::At { run, address, .. } = asked else {
+            panic!("there is room")
+        };
         let took = (-(1.0 - rng.random_range(0.0..1.0f64)).ln() * RUN) as Micros;
         ends.push(Reverse((now + took, caller, run)));
         if now >= 0 {
             let window = (now / (SECOND / 2)) as usize;
             loads.got[window] += f64::from(u8::from(address == MEMBERS));
-            // A process that starts can't tell which members are new to all: its own share is not ramped.
-            let part = if restarted && caller == 0 { 1.0 } else { ramp(now) };
+            // A process that starts can't tell which members are new to all: its own share is not
+            // ramped.
+            let part = if restarted && caller == 0 {
+                1.0
+            } else {
+                ramp(now)
+            };
             loads.allowed[window] += part / (MEMBERS + 1) as f64;
         }
     }
@@ -107,21 +142,34 @@
         let (mut over, mut windows) = (0, 0);
         for seed in 0..20 {
             for (late, restart) in [(0, None), (3 * SECOND, None), (SECOND, Some(1_500_000))] {
-                let loads = play(Play { callers, seed, late, restart });
-                let [got, allowed] = [&loads.got, &loads.allowed].map(|all| all.iter().sum::<f64>());
+                let loads = play(Play {
+                    callers,
+                    seed,
+                    late,
+                    restart,
+                });
+                let [got, allowed] =
+                    [&loads.got, &loads.allowed].map(|all| all.iter().sum::<f64>());
                 if got > most(allowed) {
                     wrong.push(format!(
                         "{callers} callers, seed {seed}, {late}, {restart:?}: {got} of {allowed:.0}"
                     ));
                 }
                 windows += loads.got.len();
-                over += loads.got.iter().zip(&loads.allowed).filter(|(g, a)| **g > most(**a)).count();
+                over += loads
+                    .got
+                    .iter()
+                    .zip(&loads.allowed)
+                    .filter(|(g, a)| **g > most(**a))
+                    .count();
             }
         }
         println!("{callers} callers: {over} of {windows} half seconds over the bound");
         // Two standard deviations and two runs more: one in fifty would still be chance.
         if over * 50 > windows {
-            wrong.push(format!("{callers} callers: {over} of {windows} half seconds"));
+            wrong.push(format!(
+                "{callers} callers: {over} of {windows} half seconds"
+            ));
         }
     }
     assert!(wrong.is_empty(), "{wrong:#?}");
@@ -133,7 +181,9 @@
     pool.update(members(4), 0);
     let mut got = [0; 4];
     for at in 0..400 {
-        let Place::At { run, address, .. } = pool.place(at, Ask::default()) else { panic!("there is room") };
+        let Place::At { run, address, .. } = pool.place(at, Ask::default()) else {
+            panic!("there is room")
+        };
         pool.ended(at + 1, run, End::Well);
         got[address] += 1;
     }
--- a/crates/membership/src/elsewhere.rs
+++ b/crates/membership/src/elsewhere.rs
@@ -1,8 +1,8 @@
-//! The first use of the view: whether a caller that is refused here has anywhere to go. If not, another try only costs the
-//! fleet a further reading, and the caller is better told so.
+//! The first use of the view: whether a caller that is refused here has anywhere to go. If not,
+//! another try only costs the fleet a further reading, and the caller is better told so.
 //!
-//! Each member tells the rank below which it refuses. What is older than some seconds counts for nothing, and neither does anything
-//! where this node is cut off.
+//! Each member tells the rank below which it refuses. What is older than some seconds counts for
+//! nothing, and neither does anything where this node is cut off.
 
 use crate::members::Members;
 use crate::record::State;
@@ -14,8 +14,8 @@
 pub const MOST: usize = 60;
 /// Ranks are told apart in so many bands.
 const BANDS: usize = 16;
-/// There is nowhere to go once fewer than this share of the others would take a request, and somewhere again beyond the other
-/// share: at one boundary callers would be sent back and forth.
+/// There is nowhere to go once fewer than this share of the others would take a request, and
+/// somewhere again beyond the other share: at one boundary callers would be sent back and forth.
 const NOWHERE: f64 = 0.10;
 const SOMEWHERE: f64 = 0.25;
 
@@ -36,7 +36,13 @@
         let others: Vec<u8> = members
             .iter()
             .filter(|(name, m)| *name != own && m.record.state == State::Alive)
-            .map(|(_, m)| if now - m.load_at <= STALE { m.record.load.1 } else { 0 })
+            .map(|(_, m)| {
+                if now - m.load_at <= STALE {
+                    m.record.load.1
+                } else {
+                    0
+                }
+            })
             .collect();
         let blind = cut_off || others.is_empty() || members.taking_part() > MOST;
         for (band, nowhere) in self.nowhere.iter_mut().enumerate() {
@@ -96,6 +102,9 @@
         seen.see(0, "n0", &members(&[255], 0), false);
         assert!(!seen.nowhere(0.0), "nor one that is alone");
         seen.see(0, "n0", &members(&[255; MOST + 1], 0), false);
-        assert!(!seen.nowhere(0.0), "nor in a fleet too large to tell in time");
+        assert!(
+            !seen.nowhere(0.0),
+            "nor in a fleet too large to tell in time"
+        );
     }
 }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -20,7 +20,11 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Cause::Missed(helpers) if helpers.is_empty() => write!(f, "no answer to this node"),
-            Cause::Missed(helpers) => write!(f, "no answer to this node, nor through {}", helpers.join(",")),
+            Cause::Missed(helpers) => write!(
+                f,
+                "no answer to this node, nor through {}",
+                helpers.join(",")
+            ),
             Cause::Confirmed(by) => write!(f, "not refuted in time, no answer to {}", by.join(",")),
             Cause::Told(by) => write!(f, "told by {by}"),
             Cause::Itself => write!(f, "by its own word"),
@@ -83,25 +87,60 @@
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Event::Changed { name, before, state, incarnation, cause } => {
+            Event::Changed {
+                name,
+                before,
+                state,
+                incarnation,
+                cause,
+            } => {
                 let before = before.map_or("new", State::word);
-                write!(f, "member={name} {before} -> {} incarnation={incarnation}: {cause}", state.word())
+                write!(
+                    f,
+                    "member={name} {before} -> {} incarnation={incarnation}: {cause}",
+                    state.word()
+                )
             }
-            Event::Refuted { held, by, incarnation } => {
-                write!(f, "refuted: held {} by {by}, now incarnation={incarnation}", held.word())
+            Event::Refuted {
+                held,
+                by,
+                incarnation,
+            } => {
+                write!(
+                    f,
+                    "refuted: held {} by {by}, now incarnation={incarnation}",
+                    held.word()
+                )
             }
-            Event::Conflict { name, address, rivals } => {
+            Event::Conflict {
+                name,
+                address,
+                rivals,
+            } => {
                 let others: Vec<String> = rivals.iter().map(|r| r.address.to_string()).collect();
-                write!(f, "conflict: member={name} is at {address} and at {}", others.join(","))
+                write!(
+                    f,
+                    "conflict: member={name} is at {address} and at {}",
+                    others.join(",")
+                )
             }
             Event::Resolved { name } => write!(f, "conflict: member={name} is one process again"),
             Event::Late(time) => write!(f, "late: this node was not there for {} ms", time / 1000),
-            Event::Forgotten { name, crowded: false } => write!(f, "forgotten: member={name}"),
-            Event::Forgotten { name, crowded: true } => {
+            Event::Forgotten {
+                name,
+                crowded: false,
+            } => write!(f, "forgotten: member={name}"),
+            Event::Forgotten {
+                name,
+                crowded: true,
+            } => {
                 write!(f, "forgotten: member={name}, there was no room")
             }
             Event::CutOff(true) => write!(f, "cut off: no majority of the known members is seen"),
-            Event::CutOff(false) => write!(f, "cut off no more: a majority of the known members is seen"),
+            Event::CutOff(false) => write!(
+                f,
+                "cut off no more: a majority of the known members is seen"
+            ),
         }
     }
 }
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/health.rs
@@ -1,5 +1,5 @@
-//! How far this node trusts itself (Lifeguard's local health): one that is late, or loses its own probes, is likely the one
-//! that is unwell, and takes more time before it blames others.
+//! How far this node trusts itself (Lifeguard's local health): one that is late, or loses its own
+//! probes, is likely the one that is unwell, and takes more time before it blames others.
 
 use crate::Micros;
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,5 +1,6 @@
-//! A view of the fleet that its nodes keep themselves, through joins, crashes and partitions: who is a member, where, and in
-//! which state. It does no I/O and has no clock: it is told times, handed datagrams and bytes, and yields those to be sent.
+//! A view of the fleet that its nodes keep themselves, through joins, crashes and partitions: who
+//! is a member, where, and in which state. It does no I/O and has no clock: it is told times,
+//! handed datagrams and bytes, and yields those to be sent.
 //!
 //! `docs/fleet.md` has the design, what was rejected, and the figures.
 //!
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -1,4 +1,5 @@
-//! The table of members: bounded, with a digest of each part of it, and a rule for what is forgotten.
+//! The table of members: bounded, with a digest of each part of it, and a rule for what is
+//! forgotten.
 
 use crate::record::{digest, Record, State};
 use crate::suspicion::Suspicion;
@@ -17,7 +18,8 @@
     pub since: Micros,
     /// Who told.
     pub told_by: String,
-    /// When it last answered this node; nothing if it never has. What it says unasked proves nothing: anybody can use a name.
+    /// When it last answered this node; nothing if it never has. What it says unasked proves
+    /// nothing: anybody can use a name.
     pub heard: Option<Micros>,
     /// When its reading of its load was heard of, here.
     pub load_at: Micros,
@@ -25,8 +27,8 @@
     pub suspicion: Option<Suspicion>,
     /// How often it was tried since it is down.
     pub tries: u32,
-    /// It is about to be forgotten: no part of the view any more, and not told; it is kept so that old news of others is known
-    /// to be old.
+    /// It is about to be forgotten: no part of the view any more, and not told; it is kept so that
+    /// old news of others is known to be old.
     pub fading: bool,
     hash: u64,
 }
@@ -47,7 +49,12 @@
 
 impl Default for Members {
     fn default() -> Self {
-        Members { all: BTreeMap::new(), parts: [0; PARTS], taking_part: 0, known: 0 }
+        Members {
+            all: BTreeMap::new(),
+            parts: [0; PARTS],
+            taking_part: 0,
+            known: 0,
+        }
     }
 }
 
@@ -59,7 +66,9 @@
 
     /// All of them, by name; those that fade, too.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &Member)> {
-        self.all.iter().map(|(name, member)| (name.as_str(), member))
+        self.all
+            .iter()
+            .map(|(name, member)| (name.as_str(), member))
     }
 
     /// How many there are, those that fade too.
@@ -89,7 +98,9 @@
 
     /// The digest of the whole: equal on two nodes exactly if their views are.
     pub fn digest(&self) -> u64 {
-        self.parts.iter().fold(0, |sum, part| sum.rotate_left(7).wrapping_add(*part))
+        self.parts
+            .iter()
+            .fold(0, |sum, part| sum.rotate_left(7).wrapping_add(*part))
     }
 
     /// Enters one that is not there.
@@ -138,12 +149,17 @@
 
     /// The one place where a member begins or ends to count.
     fn count(&mut self, name: &str, enters: bool) {
-        let Some(member) = self.all.get_mut(name) else { return };
+        let Some(member) = self.all.get_mut(name) else {
+            return;
+        };
         if member.fading {
             return;
         }
         let (state, part) = (member.record.state, part(name));
-        let (taking_part, known) = (usize::from(state.takes_part()), usize::from(state != State::Left));
+        let (taking_part, known) = (
+            usize::from(state.takes_part()),
+            usize::from(state != State::Left),
+        );
         if enters {
             member.hash = member.record.hash(name);
             self.parts[part] = self.parts[part].wrapping_add(member.hash);
@@ -156,21 +172,31 @@
         }
     }
 
-    /// Whose place goes to another one, when all are taken: the one that is about to be forgotten, down or gone for longest.
-    /// One that speaks for itself gets the place of the newest of those who have never answered this node, too; one that is
-    /// only heard of gets nobody's that takes part. So a liar's names push out nobody who was here before them.
+    /// Whose place goes to another one, when all are taken: the one that is about to be forgotten,
+    /// down or gone for longest. One that speaks for itself gets the place of the newest of those
+    /// who have never answered this node, too; one that is only heard of gets nobody's that takes
+    /// part. So a liar's names push out nobody who was here before them.
     pub fn least_useful(&self, own: &str, itself: bool) -> Option<String> {
         let others = || self.all.iter().filter(|(name, _)| name.as_str() != own);
         let done = others().filter(|(_, m)| m.fading || !m.record.state.takes_part());
         let done = done.min_by_key(|(_, m)| (!m.fading, m.since));
-        let unheard = || others().filter(|(_, m)| m.heard.is_none()).max_by_key(|(_, m)| m.since);
-        done.or_else(|| itself.then(unheard).flatten()).map(|(name, _)| name.clone())
+        let unheard = || {
+            others()
+                .filter(|(_, m)| m.heard.is_none())
+                .max_by_key(|(_, m)| m.since)
+        };
+        done.or_else(|| itself.then(unheard).flatten())
+            .map(|(name, _)| name.clone())
     }
 
     /// Those whose time to be told of is over, and those whose time to be kept is over as well.
     pub fn outlived(&self, now: Micros, forget: Micros) -> (Vec<String>, Vec<String>) {
         let (mut fade, mut gone) = (Vec::new(), Vec::new());
-        for (name, m) in self.all.iter().filter(|(_, m)| !m.record.state.takes_part()) {
+        for (name, m) in self
+            .all
+            .iter()
+            .filter(|(_, m)| !m.record.state.takes_part())
+        {
             let age = now - m.since;
             if age > forget + forget / 2 {
                 gone.push(name.clone());
@@ -188,7 +214,11 @@
     use crate::own::Own;
 
     fn record(state: State, incarnation: u64) -> Record {
-        Record { incarnation, state, ..Own::new(1, ([127, 0, 0, 1], 1).into(), "").record }
+        Record {
+            incarnation,
+            state,
+            ..Own::new(1, ([127, 0, 0, 1], 1).into(), "").record
+        }
     }
 
     #[test]
@@ -211,7 +241,11 @@
         assert_eq!((b.taking_part(), b.known()), (1, 1));
         b.change("n1", |m| m.fading = true);
         a.remove("n1");
-        assert_eq!(a.digest(), b.digest(), "one that fades is in the view no more");
+        assert_eq!(
+            a.digest(),
+            b.digest(),
+            "one that fades is in the view no more"
+        );
     }
 
     #[test]
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -23,7 +23,8 @@
     pub record: Record,
     /// Who had no answer of it, where it is a suspect.
     pub by: Option<String>,
-    /// For how long it has been so, in seconds, where it is down or has left: times that need no common clock.
+    /// For how long it has been so, in seconds, where it is down or has left: times that need no
+    /// common clock.
     pub age_s: u32,
 }
 
@@ -86,8 +87,8 @@
     pub body: Body,
     /// News that travels with it.
     pub news: Vec<Update>,
-    /// What a part that stands on the view has travel with everything. Behind the rest, and only if there is any: without it a
-    /// datagram is what it was before there was such a part.
+    /// What a part that stands on the view has travel with everything. Behind the rest, and only if
+    /// there is any: without it a datagram is what it was before there was such a part.
     #[serde(skip)]
     pub hint: Vec<u8>,
 }
@@ -195,7 +196,9 @@
         let packet = opened::<Packet>(fleet, bytes).or_else(|broken| match broken {
             Broken::Malformed => {
                 let (packet, hint): (Packet, Vec<u8>) = opened(fleet, bytes)?;
-                (hint.len() <= MOST_HINT).then_some(Packet { hint, ..packet }).ok_or(Broken::Malformed)
+                (hint.len() <= MOST_HINT)
+                    .then_some(Packet { hint, ..packet })
+                    .ok_or(Broken::Malformed)
             }
             other => Err(other),
         })?;
@@ -229,7 +232,10 @@
 
 impl Default for Frames {
     fn default() -> Self {
-        Frames { gathered: Box::new(CobsAccumulator::new()), waiting: Vec::new() }
+        Frames {
+            gathered: Box::new(CobsAccumulator::new()),
+            waiting: Vec::new(),
+        }
     }
 }
 
--- a/crates/membership/src/news.rs
+++ b/crates/membership/src/news.rs
@@ -1,4 +1,5 @@
-//! What a piece of news about another member is worth, beside what is held: the rule by which views change, without times.
+//! What a piece of news about another member is worth, beside what is held: the rule by which views
+//! change, without times.
 
 use crate::record::{Record, State};
 
@@ -9,14 +10,16 @@
     Nothing,
     /// It says that somebody had no answer.
     Accuses,
-    /// It says that a member is down which is held to be alive here. It is a suspect here from now on, and has its time to say
-    /// otherwise: else the halves of a fleet would hold themselves dead when they meet again.
+    /// It says that a member is down which is held to be alive here. It is a suspect here from now
+    /// on, and has its time to say otherwise: else the halves of a fleet would hold themselves dead
+    /// when they meet again.
     Doubted(Record),
     /// The member's record is this from now on.
     Turns(Record),
 }
 
-/// Weighs what is said against what is held. A member that is about to be forgotten is not brought back by what made it so.
+/// Weighs what is said against what is held. A member that is about to be forgotten is not brought
+/// back by what made it so.
 pub fn weigh(held: &Record, fading: bool, said: &Record) -> Weighed {
     let order = (said.incarnation, said.token).cmp(&(held.incarnation, held.token));
     if order.is_lt() || (order.is_eq() && fading) {
@@ -24,9 +27,10 @@
     }
     let suspected = order.is_eq() && held.state == State::Suspect;
     match said.state {
-        State::Down if held.state.takes_part() && !suspected => {
-            Weighed::Doubted(Record { state: State::Suspect, ..said.clone() })
-        }
+        State::Down if held.state.takes_part() && !suspected => Weighed::Doubted(Record {
+            state: State::Suspect,
+            ..said.clone()
+        }),
         State::Suspect => Weighed::Accuses,
         _ => {
             let mut joined = held.clone();
--- a/crates/membership/src/node/heard.rs
+++ b/crates/membership/src/node/heard.rs
@@ -21,7 +21,13 @@
     pub fn datagram(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Broken> {
         let packet = Packet::read(&self.fleet, bytes)?;
         self.present(now);
-        let Packet { from, digest, body, news, hint } = packet;
+        let Packet {
+            from,
+            digest,
+            body,
+            news,
+            hint,
+        } = packet;
         if from.name == self.name {
             if from.record.token == self.own.record.token {
                 // Its own word, by way of a seed that is this node, or sent again by somebody.
@@ -46,7 +52,11 @@
         if self.hint.is_none() || from == self.name {
             return;
         }
-        let said = if let Body::Said(said) = body { Some(Heard::Said(said.clone())) } else { None };
+        let said = if let Body::Said(said) = body {
+            Some(Heard::Said(said.clone()))
+        } else {
+            None
+        };
         let hint = (!hint.is_empty()).then_some(Heard::Hint(hint));
         for heard in hint.into_iter().chain(said) {
             if self.heard.len() < MOST_HEARD {
@@ -59,7 +69,8 @@
         let to = from.record.details.address;
         let held = self.members.get(&from.name).map(|m| m.record.state);
         // It lives, and is held to be something else: it hears so, and can say otherwise.
-        let accused = held.is_some_and(|held| held != State::Alive) && from.record.state.takes_part();
+        let accused =
+            held.is_some_and(|held| held != State::Alive) && from.record.state.takes_part();
         let first = accused.then_some(from.name.as_str());
         match body {
             Body::Ping { seq, to: name } => {
@@ -70,12 +81,16 @@
             Body::Ask { seq, name, address } => {
                 if self.help.len() < MOST_HELP {
                     let ours = self.next_seq();
-                    self.help.push(Help::new(now, self.rules.probe, ours, (seq, to)));
+                    self.help
+                        .push(Help::new(now, self.rules.probe, ours, (seq, to)));
                     self.ping(now, ours, &name, address);
                 }
             }
             Body::Ack { seq } => {
-                let probed = self.probe.as_ref().is_some_and(|p| p.seq == seq && p.name == from.name);
+                let probed = self
+                    .probe
+                    .as_ref()
+                    .is_some_and(|p| p.seq == seq && p.name == from.name);
                 if probed || self.reached == Some(seq) {
                     self.members.note(&from.name, |m| m.heard = Some(now));
                 }
@@ -125,7 +140,10 @@
         }
         self.agreed.clear();
         let since = *self.differs.get_or_insert(now);
-        let held = self.members.get(&from.name).is_some_and(|m| m.record.state.takes_part());
+        let held = self
+            .members
+            .get(&from.name)
+            .is_some_and(|m| m.record.state.takes_part());
         if held && now - since > DIFFER * self.rules.probe && now >= self.next_sync {
             self.want_sync(now, from.record.details.address);
         }
@@ -141,32 +159,55 @@
         if said.name == self.name {
             return self.learn_own(now, &said.record, teller);
         }
-        let Some(member) = self.members.get(&said.name) else { return self.meet(now, said, teller) };
+        let Some(member) = self.members.get(&said.name) else {
+            return self.meet(now, said, teller);
+        };
         let weighed = weigh(&member.record, member.fading, &said.record);
-        let told = if said.name == teller { Cause::Itself } else { Cause::Told(teller.to_owned()) };
+        let told = if said.name == teller {
+            Cause::Itself
+        } else {
+            Cause::Told(teller.to_owned())
+        };
         match weighed {
             Weighed::Nothing => {}
             Weighed::Accuses => self.accuse(now, said, told),
             Weighed::Doubted(record) => {
-                let said = Update { record, by: Some(teller.to_owned()), ..said.clone() };
+                let said = Update {
+                    record,
+                    by: Some(teller.to_owned()),
+                    ..said.clone()
+                };
                 self.accuse(now, &said, told);
             }
             Weighed::Turns(record) => {
                 let age = Micros::from(said.age_s) * 1_000_000;
-                self.turn(now, &said.name, Turn { record, teller, cause: told, by: None, age });
+                self.turn(
+                    now,
+                    &said.name,
+                    Turn {
+                        record,
+                        teller,
+                        cause: told,
+                        by: None,
+                        age,
+                    },
+                );
             }
         }
     }
 
     /// One says that it had no answer of a member, or this node says so.
     pub(super) fn accuse(&mut self, now: Micros, said: &Update, cause: Cause) {
-        let Some(member) = self.members.get(&said.name) else { return };
+        let Some(member) = self.members.get(&said.name) else {
+            return;
+        };
         let by = said.by.clone().unwrap_or_else(|| match &cause {
             Cause::Told(teller) => teller.clone(),
             _ => self.name.clone(),
         });
         let mut joined = member.record.clone();
-        let same = joined.token == said.record.token && joined.incarnation == said.record.incarnation;
+        let same =
+            joined.token == said.record.token && joined.incarnation == said.record.incarnation;
         let new = joined.join(&said.record);
         if same && member.record.state == State::Suspect {
             let mut confirmed = false;
@@ -181,16 +222,29 @@
                 return;
             }
             let told_by = member_told(&cause, &self.name);
-            let to = Turn { record: joined, teller: &told_by, cause, by: None, age: 0 };
+            let to = Turn {
+                record: joined,
+                teller: &told_by,
+                cause,
+                by: None,
+                age: 0,
+            };
             return self.turn(now, &said.name, to);
         }
         if new {
             let told_by = member_told(&cause, &self.name);
             let heard_of = matches!(cause, Cause::Told(_)) && joined.state == State::Suspect;
-            let to = Turn { record: joined, teller: &told_by, cause, by: Some(by), age: 0 };
+            let to = Turn {
+                record: joined,
+                teller: &told_by,
+                cause,
+                by: Some(by),
+                age: 0,
+            };
             self.turn(now, &said.name, to);
             if heard_of && self.rules.lifeguard.buddy {
-                // A few of all who hear of it look for themselves: they confirm or clear it by what they see.
+                // A few of all who hear of it look for themselves: they confirm or clear it by what
+                // they see.
                 let likely = CHECKERS / self.members.taking_part().max(1) as f64;
                 if self.rng.f64() < likely && self.checks.len() < MOST_CHECKS {
                     self.checks.push_back(said.name.clone());
@@ -201,11 +255,23 @@
 
     /// A member has another record from now on: the one place where one changes.
     pub(super) fn turn(&mut self, now: Micros, name: &str, to: Turn) {
-        let Turn { record, teller, cause, by, age } = to;
-        let Some(member) = self.members.get(name) else { return };
+        let Turn {
+            record,
+            teller,
+            cause,
+            by,
+            age,
+        } = to;
+        let Some(member) = self.members.get(name) else {
+            return;
+        };
         let (before, after) = (member.record.state, record.state);
-        let another = (member.record.incarnation, member.record.token) != (record.incarnation, record.token);
-        let rivals = (member.record.details.rivals.is_empty(), record.details.rivals.clone());
+        let another =
+            (member.record.incarnation, member.record.token) != (record.incarnation, record.token);
+        let rivals = (
+            member.record.details.rivals.is_empty(),
+            record.details.rivals.clone(),
+        );
         let (incarnation, address) = (record.incarnation, record.details.address);
         let digest = self.digest();
         let suspected = match after {
@@ -243,13 +309,25 @@
                 _ => {}
             }
             let name = name.to_owned();
-            self.event(Event::Changed { name, before: Some(before), state: after, incarnation, cause });
+            self.event(Event::Changed {
+                name,
+                before: Some(before),
+                state: after,
+                incarnation,
+                cause,
+            });
         }
         match rivals {
             (true, rivals) if !rivals.is_empty() => {
-                self.event(Event::Conflict { name: name.to_owned(), address, rivals });
+                self.event(Event::Conflict {
+                    name: name.to_owned(),
+                    address,
+                    rivals,
+                });
             }
-            (false, rivals) if rivals.is_empty() => self.event(Event::Resolved { name: name.to_owned() }),
+            (false, rivals) if rivals.is_empty() => self.event(Event::Resolved {
+                name: name.to_owned(),
+            }),
             _ => {}
         }
         if digest != self.digest() {
@@ -260,7 +338,12 @@
 
     /// One that was not known.
     pub(super) fn meet(&mut self, now: Micros, said: &Update, teller: &str) {
-        let Update { name, record, by, age_s } = said;
+        let Update {
+            name,
+            record,
+            by,
+            age_s,
+        } = said;
         let since = match record.state.takes_part() {
             true => now,
             false => now - Micros::from(*age_s) * 1_000_000,
@@ -269,13 +352,18 @@
             return;
         }
         while self.members.len() >= self.rules.most_members {
-            let Some(other) = self.members.least_useful(&self.name, name == teller) else { return };
+            let Some(other) = self.members.least_useful(&self.name, name == teller) else {
+                return;
+            };
             self.suspect(&other, None);
             let fading = self.members.remove(&other).is_some_and(|m| m.fading);
             self.ring.remove(&other);
             self.spread.remove(&other);
             if !fading {
-                self.event(Event::Forgotten { name: other, crowded: true });
+                self.event(Event::Forgotten {
+                    name: other,
+                    crowded: true,
+                });
             }
         }
         self.met |= record.state.takes_part();
@@ -284,14 +372,31 @@
             self.ring.add(name, &mut self.rng);
         }
         if record.state == State::Suspect {
-            self.suspect(name, Some(Suspicion::new(now, by.as_deref().unwrap_or(teller))));
+            self.suspect(
+                name,
+                Some(Suspicion::new(now, by.as_deref().unwrap_or(teller))),
+            );
         }
-        let cause = if name == teller { Cause::Itself } else { Cause::Told(teller.to_owned()) };
+        let cause = if name == teller {
+            Cause::Itself
+        } else {
+            Cause::Told(teller.to_owned())
+        };
         let (state, incarnation) = (record.state, record.incarnation);
-        self.event(Event::Changed { name: name.clone(), before: None, state, incarnation, cause });
+        self.event(Event::Changed {
+            name: name.clone(),
+            before: None,
+            state,
+            incarnation,
+            cause,
+        });
         if !record.details.rivals.is_empty() {
             let (address, rivals) = (record.details.address, record.details.rivals.clone());
-            self.event(Event::Conflict { name: name.clone(), address, rivals });
+            self.event(Event::Conflict {
+                name: name.clone(),
+                address,
+                rivals,
+            });
         }
         self.agreed.clear();
         self.spread.add(name);
@@ -305,7 +410,11 @@
             Reply::Refuted(held) => {
                 self.health.worse(1);
                 let (by, incarnation) = (teller.to_owned(), self.own.record.incarnation);
-                self.event(Event::Refuted { held, by, incarnation });
+                self.event(Event::Refuted {
+                    held,
+                    by,
+                    incarnation,
+                });
             }
             Reply::Outbid | Reply::Contested | Reply::Yielded => {}
         }
@@ -313,16 +422,26 @@
             (false, true) => {
                 let held = self.own.held();
                 let (address, rivals) = (held.details.address, held.details.rivals.clone());
-                self.event(Event::Conflict { name: self.name.clone(), address, rivals });
+                self.event(Event::Conflict {
+                    name: self.name.clone(),
+                    address,
+                    rivals,
+                });
             }
-            (true, false) => self.event(Event::Resolved { name: self.name.clone() }),
+            (true, false) => self.event(Event::Resolved {
+                name: self.name.clone(),
+            }),
             _ => {}
         }
         self.publish();
     }
 
     pub(super) fn publish_if_new(&mut self) {
-        if self.members.get(&self.name).is_some_and(|m| m.record != *self.own.held()) {
+        if self
+            .members
+            .get(&self.name)
+            .is_some_and(|m| m.record != *self.own.held())
+        {
             self.publish();
         }
     }
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One node's part in the fleet, as one machine: times, datagrams and what the node says of itself go in; datagrams, wishes
-//! for connections and events come out.
+//! One node's part in the fleet, as one machine: times, datagrams and what the node says of itself
+//! go in; datagrams, wishes for connections and events come out.
 
 use crate::elsewhere;
 use crate::event::{Cause, Event};
@@ -36,13 +36,16 @@
 const AGREED: usize = 3;
 /// Bytes of a datagram beside the news: its checksum.
 const OVERHEAD: usize = 8;
-/// Periods for which views may differ before a connection settles it: news has had its time to arrive.
+/// Periods for which views may differ before a connection settles it: news has had its time to
+/// arrive.
 const DIFFER: Micros = 4;
-/// Tries of members that are down: the first so many periods after the last change, then rarer, up to the most.
+/// Tries of members that are down: the first so many periods after the last change, then rarer, up
+/// to the most.
 const REACH_FIRST: Micros = 2;
 const REACH_MOST: Micros = 16;
 
-/// Readings of the load are told so far apart, by each, and for each member that there is; and again after so long.
+/// Readings of the load are told so far apart, by each, and for each member that there is; and
+/// again after so long.
 const LOAD_LEAST: Micros = 500_000;
 const LOAD_EACH: Micros = 50_000;
 const LOAD_AGAIN: Micros = 2_000_000;
@@ -101,7 +104,8 @@
     expected: Option<Micros>,
     there: Micros,
     out: Vec<Datagram>,
-    /// What travels with everything that is sent, where a part that stands on the view wants that; and what it is to hear.
+    /// What travels with everything that is sent, where a part that stands on the view wants that;
+    /// and what it is to hear.
     hint: Option<Vec<u8>>,
     heard: VecDeque<(String, Heard)>,
     events: VecDeque<Event>,
@@ -168,10 +172,18 @@
 
     /// What a process goes on with that takes this one's place.
     pub fn pass_on(&self) -> Passed {
-        let others =
-            self.members.iter().filter(|(name, m)| *name != self.name && m.record.state == State::Alive);
-        let contacts = others.map(|(_, m)| m.record.details.address).take(MOST_CONTACTS).collect();
-        Passed { record: self.own.record.clone(), contacts }
+        let others = self
+            .members
+            .iter()
+            .filter(|(name, m)| *name != self.name && m.record.state == State::Alive);
+        let contacts = others
+            .map(|(_, m)| m.record.details.address)
+            .take(MOST_CONTACTS)
+            .collect();
+        Passed {
+            record: self.own.record.clone(),
+            contacts,
+        }
     }
 
     /// Takes over times and bounds.
@@ -209,10 +221,15 @@
         self.health.score()
     }
 
-    /// Whether this node's view has come to rest: nobody is suspected, and the last ones heard have the same view.
+    /// Whether this node's view has come to rest: nobody is suspected, and the last ones heard have
+    /// the same view.
     pub fn settled(&self) -> bool {
         let others = self.members.taking_part().saturating_sub(1);
-        let met = self.met || self.seeds.iter().all(|s| *s == self.own.record.details.address);
+        let met = self.met
+            || self
+                .seeds
+                .iter()
+                .all(|s| *s == self.own.record.details.address);
         self.deadlines.is_empty() && met && self.agreed.len() >= others.min(AGREED)
     }
 
@@ -233,7 +250,10 @@
 
     /// What happened, and how much of it was lost as nobody fetched it.
     pub fn take_events(&mut self) -> (Vec<Event>, u64) {
-        (self.events.drain(..).collect(), std::mem::take(&mut self.lost_events))
+        (
+            self.events.drain(..).collect(),
+            std::mem::take(&mut self.lost_events),
+        )
     }
 
     /// Whether there is a member to be connected to.
@@ -264,14 +284,17 @@
         }
     }
 
-    /// The rank below which it refuses, in 255ths. It is told as often as the fleet can bear, and again while it refuses
-    /// anything, as old news counts for nothing.
+    /// The rank below which it refuses, in 255ths. It is told as often as the fleet can bear, and
+    /// again while it refuses anything, as old news counts for nothing.
     pub fn load(&mut self, now: Micros, cut: u8) {
         let (reading, before) = self.own.record.load;
         let since = now - self.load_at;
         let least = LOAD_LEAST.max(self.members.taking_part() as Micros * LOAD_EACH);
         let again = cut > 0 && since >= LOAD_AGAIN.max(least);
-        if self.members.taking_part() <= elsewhere::MOST && since >= least && (cut != before || again) {
+        if self.members.taking_part() <= elsewhere::MOST
+            && since >= least
+            && (cut != before || again)
+        {
             self.load_at = now;
             self.own.record.load = (reading + 1, cut);
             self.publish();
@@ -287,7 +310,8 @@
         }
     }
 
-    /// A part stands on the view: this travels with everything from now on, and what is not about the view is kept for it.
+    /// A part stands on the view: this travels with everything from now on, and what is not about
+    /// the view is kept for it.
     pub fn set_hint(&mut self, hint: Vec<u8>) {
         self.hint = Some(hint);
     }
@@ -299,9 +323,21 @@
 
     /// Says something of that part to a member; whether it is known.
     pub fn tell(&mut self, to: &str, said: Vec<u8>) -> bool {
-        let Some(address) = self.members.get(to).map(|m| m.record.details.address) else { return false };
-        let (from, digest, hint) = (self.own(), self.digest(), self.hint.clone().unwrap_or_default());
-        let packet = Packet { from, digest, body: Body::Said(said), news: Vec::new(), hint };
+        let Some(address) = self.members.get(to).map(|m| m.record.details.address) else {
+            return false;
+        };
+        let (from, digest, hint) = (
+            self.own(),
+            self.digest(),
+            self.hint.clone().unwrap_or_default(),
+        );
+        let packet = Packet {
+            from,
+            digest,
+            body: Body::Said(said),
+            news: Vec::new(),
+            hint,
+        };
         self.out.push((address, packet.write(&self.fleet)));
         true
     }
@@ -313,8 +349,8 @@
         }
     }
 
-    /// When it wants to be woken. To be asked after all that it is told: it holds its driver to the last answer, to know when it was
-    /// not there.
+    /// When it wants to be woken. To be asked after all that it is told: it holds its driver to the
+    /// last answer, to know when it was not there.
     pub fn next_wake(&mut self) -> Micros {
         let at = self.due();
         self.expected = Some(at.max(self.there));
@@ -322,11 +358,25 @@
     }
 
     fn due(&self) -> Micros {
-        let probe = self.probe.as_ref().map_or(self.next_probe, |p| p.due().min(p.end()));
-        let silent = self.help.iter().filter(|h| !h.silent).map(|h| h.silent_at).min();
+        let probe = self
+            .probe
+            .as_ref()
+            .map_or(self.next_probe, |p| p.due().min(p.end()));
+        let silent = self
+            .help
+            .iter()
+            .filter(|h| !h.silent)
+            .map(|h| h.silent_at)
+            .min();
         let gossip = (!self.spread.is_empty() && !self.ring.is_empty()).then_some(self.next_gossip);
         let deadline = self.deadlines.first().map(|(at, _)| *at);
-        let all = [silent, gossip, deadline, Some(self.next_reach), Some(self.next_tidy)];
+        let all = [
+            silent,
+            gossip,
+            deadline,
+            Some(self.next_reach),
+            Some(self.next_tidy),
+        ];
         all.into_iter().flatten().fold(probe, Micros::min)
     }
 
@@ -346,7 +396,9 @@
     /// Notices that this node was not there: nobody is to be blamed for what it has missed.
     fn present(&mut self, now: Micros) {
         self.there = now;
-        let Some(late) = self.expected.map(|at| now - at) else { return };
+        let Some(late) = self.expected.map(|at| now - at) else {
+            return;
+        };
         if late <= self.rules.probe / 2 {
             return;
         }
@@ -358,7 +410,8 @@
             return;
         }
         self.event(Event::Late(late));
-        // Its own probe says nothing, and suspects have the time again that it was away: refutations may wait to be read.
+        // Its own probe says nothing, and suspects have the time again that it was away:
+        // refutations may wait to be read.
         if let Some(probe) = self.probe.take() {
             self.checks.push_front(probe.name);
             self.checks.truncate(MOST_CHECKS);
@@ -377,7 +430,8 @@
 
     /// Lists the end of a member's suspicion, if it is suspected, and of none else.
     fn list(&mut self, name: &str) {
-        let (rules, members, deadlines) = (&self.rules, self.members.taking_part(), &mut self.deadlines);
+        let (rules, members, deadlines) =
+            (&self.rules, self.members.taking_part(), &mut self.deadlines);
         self.members.note(name, |m| {
             if let Some(suspicion) = &mut m.suspicion {
                 deadlines.remove(&(suspicion.listed, name.to_owned()));
@@ -418,7 +472,12 @@
 
     /// This node's own record, as it is told.
     pub fn own(&self) -> Update {
-        Update { name: self.name.clone(), record: self.own.record.clone(), by: None, age_s: 0 }
+        Update {
+            name: self.name.clone(),
+            record: self.own.record.clone(),
+            by: None,
+            age_s: 0,
+        }
     }
 
     /// What is told of a member; nothing of one that is not known, or about to be forgotten.
@@ -429,15 +488,28 @@
             true => 0,
             false => u32::try_from((now - m.since).max(0) / 1_000_000).unwrap_or(u32::MAX),
         };
-        Some(Update { name: name.to_owned(), record: m.record.clone(), by, age_s })
+        Some(Update {
+            name: name.to_owned(),
+            record: m.record.clone(),
+            by,
+            age_s,
+        })
     }
 
     /// Sends something with as much news as fits; first that of one member, if there is one.
     fn send(&mut self, now: Micros, to: SocketAddr, body: Body, first: Option<&str>) {
-        let mut packet =
-            Packet { from: self.own(), digest: self.digest(), body, news: Vec::new(), hint: Vec::new() };
+        let mut packet = Packet {
+            from: self.own(),
+            digest: self.digest(),
+            body,
+            news: Vec::new(),
+            hint: Vec::new(),
+        };
         packet.hint = self.hint.clone().unwrap_or_default();
-        let mut room = self.rules.most_datagram.saturating_sub(packet.write(&self.fleet).len() + OVERHEAD);
+        let mut room = self
+            .rules
+            .most_datagram
+            .saturating_sub(packet.write(&self.fleet).len() + OVERHEAD);
         if let Some(update) = first.and_then(|name| self.update(now, name)) {
             room = room.saturating_sub(length(&update));
             packet.news.push(update);
@@ -446,7 +518,9 @@
         let mut spread = std::mem::take(&mut self.spread);
         spread.take(most, |name| {
             // One that was forgotten meanwhile takes no room.
-            let Some(update) = self.update(now, name) else { return true };
+            let Some(update) = self.update(now, name) else {
+                return true;
+            };
             let length = length(&update);
             if length > room {
                 return false;
@@ -462,7 +536,9 @@
     }
 
     fn news_to(&mut self, now: Micros, name: &str) {
-        let Some(to) = self.members.get(name).map(|m| m.record.details.address) else { return };
+        let Some(to) = self.members.get(name).map(|m| m.record.details.address) else {
+            return;
+        };
         self.send(now, to, Body::News, None);
     }
 
@@ -473,9 +549,20 @@
 
     /// Asks one whether it is there. Who is held to be worse than alive is told so.
     fn ping(&mut self, now: Micros, seq: u32, name: &str, address: SocketAddr) {
-        let alive = self.members.get(name).is_none_or(|m| m.record.state == State::Alive);
+        let alive = self
+            .members
+            .get(name)
+            .is_none_or(|m| m.record.state == State::Alive);
         let first = (!alive && self.rules.lifeguard.buddy).then_some(name);
-        self.send(now, address, Body::Ping { seq, to: Some(name.to_owned()) }, first);
+        self.send(
+            now,
+            address,
+            Body::Ping {
+                seq,
+                to: Some(name.to_owned()),
+            },
+            first,
+        );
     }
 
     /// How many members are in each state, for figures.
--- a/crates/membership/src/own.rs
+++ b/crates/membership/src/own.rs
@@ -1,4 +1,5 @@
-//! This node's own record: what it says when others hold it dead, and when another process goes by its name.
+//! This node's own record: what it says when others hold it dead, and when another process goes by
+//! its name.
 
 use crate::record::{Details, Record, Rival, Standing, State, MOST_RIVALS};
 use crate::Micros;
@@ -45,7 +46,8 @@
     Outbid,
     /// Another process goes by this name, and lives. This one's record names it.
     Contested,
-    /// Another process goes by this name, and its record names this one: both are known to all, and that is left so.
+    /// Another process goes by this name, and its record names this one: both are known to all, and
+    /// that is left so.
     Yielded,
 }
 
@@ -64,8 +66,8 @@
 }
 
 impl Own {
-    /// A process that has just started. The token stands for it, and is drawn at random; what others remember of a process
-    /// before it is out-bid as soon as it is heard of.
+    /// A process that has just started. The token stands for it, and is drawn at random; what
+    /// others remember of a process before it is out-bid as soon as it is heard of.
     pub fn new(token: u64, address: SocketAddr, zone: &str) -> Own {
         let details = Details {
             revision: 1,
@@ -75,16 +77,35 @@
             payload: Vec::new(),
             rivals: Vec::new(),
         };
-        let record = Record { incarnation: 1, token, state: State::Alive, details, load: (0, 0) };
-        Own { record, other: None, outbid: Vec::new(), heard: Vec::new(), leaving: false }
+        let record = Record {
+            incarnation: 1,
+            token,
+            state: State::Alive,
+            details,
+            load: (0, 0),
+        };
+        Own {
+            record,
+            other: None,
+            outbid: Vec::new(),
+            heard: Vec::new(),
+            leaving: false,
+        }
     }
 
     /// A process that goes on where the one before it was.
     pub fn resumed(record: Record) -> Own {
-        Own { record, other: None, outbid: Vec::new(), heard: Vec::new(), leaving: false }
+        Own {
+            record,
+            other: None,
+            outbid: Vec::new(),
+            heard: Vec::new(),
+            leaving: false,
+        }
     }
 
-    /// The record that holds under this name: this process's, or the one of another that names it as its rival.
+    /// The record that holds under this name: this process's, or the one of another that names it
+    /// as its rival.
     pub fn held(&self) -> &Record {
         self.other.as_ref().unwrap_or(&self.record)
     }
@@ -123,12 +144,22 @@
 
     /// Rivals to be asked whether they are there.
     pub fn rivals(&self) -> Vec<SocketAddr> {
-        self.record.details.rivals.iter().map(|r| r.address).collect()
+        self.record
+            .details
+            .rivals
+            .iter()
+            .map(|r| r.address)
+            .collect()
     }
 
     /// Lets go of rivals of which nothing was heard since then; whether there were any.
     pub fn let_go(&mut self, since: Micros) -> bool {
-        let silent: Vec<u64> = self.heard.iter().filter(|(_, at)| *at < since).map(|(t, _)| *t).collect();
+        let silent: Vec<u64> = self
+            .heard
+            .iter()
+            .filter(|(_, at)| *at < since)
+            .map(|(t, _)| *t)
+            .collect();
         self.heard.retain(|(t, _)| !silent.contains(t));
         self.say(|d| d.rivals.retain(|r| !silent.contains(&r.token)))
     }
@@ -149,7 +180,11 @@
         if (said.incarnation, said.token) < (held.incarnation, held.token) {
             return Reply::Nothing;
         }
-        let names_this = said.details.rivals.iter().any(|r| r.token == self.record.token);
+        let names_this = said
+            .details
+            .rivals
+            .iter()
+            .any(|r| r.token == self.record.token);
         if said.state.takes_part() && names_this {
             let new = self.other.as_ref().is_none_or(|o| o.token != said.token);
             let mut other = self.other.take().unwrap_or_else(|| said.clone());
@@ -166,7 +201,8 @@
         }
         let again = self.outbid.contains(&said.token);
         if !again {
-            // The process before this one, most likely: it is dead, and what is left of it is its record.
+            // The process before this one, most likely: it is dead, and what is left of it is its
+            // record.
             self.outbid.push(said.token);
             if self.outbid.len() > MOST_OUTBID {
                 self.outbid.remove(0);
@@ -174,7 +210,10 @@
             return Reply::Outbid;
         }
         let own = self.record.token;
-        let theirs = std::iter::once(Rival { token: said.token, address: said.details.address });
+        let theirs = std::iter::once(Rival {
+            token: said.token,
+            address: said.details.address,
+        });
         let theirs: Vec<Rival> = theirs.chain(said.details.rivals.iter().cloned()).collect();
         for rival in &theirs {
             if rival.token != own && !self.heard.iter().any(|(t, _)| *t == rival.token) {
@@ -191,12 +230,14 @@
             d.rivals.sort();
         });
         let named = &self.record.details.rivals;
-        self.heard.retain(|(t, _)| named.iter().any(|r| r.token == *t));
+        self.heard
+            .retain(|(t, _)| named.iter().any(|r| r.token == *t));
         Reply::Contested
     }
 
     fn rival_heard_in(&mut self, said: &Record, now: Micros) {
-        // What it says itself is higher than all that others say of it, so a higher one is a sign of its own.
+        // What it says itself is higher than all that others say of it, so a higher one is a sign
+        // of its own.
         if said.state.takes_part()
             && (said.incarnation, said.token) > (self.record.incarnation, self.record.token)
         {
@@ -210,9 +251,15 @@
     }
 
     fn of_this_process(&mut self, said: &Record) -> Reply {
-        let Record { incarnation, state, details, .. } = said;
+        let Record {
+            incarnation,
+            state,
+            details,
+            ..
+        } = said;
         if let Some(other) = &self.other {
-            // The one that names this process holds, and so do its numbers: to refute what is lower would undo that.
+            // The one that names this process holds, and so do its numbers: to refute what is lower
+            // would undo that.
             if (said.incarnation, said.token) < (other.incarnation, other.token) {
                 return Reply::Nothing;
             }
@@ -254,12 +301,20 @@
         assert_eq!(a.news(0, &held), Reply::Refuted(State::Suspect));
         assert_eq!((a.record.incarnation, a.record.state), (2, State::Alive));
         held.state = State::Down;
-        assert_eq!(a.news(0, &held), Reply::Nothing, "of the incarnation before");
+        assert_eq!(
+            a.news(0, &held),
+            Reply::Nothing,
+            "of the incarnation before"
+        );
         held.incarnation = 2;
         assert_eq!(a.news(0, &held), Reply::Refuted(State::Down));
         a.leave();
         held.incarnation = 3;
-        assert_eq!(a.news(0, &held), Reply::Nothing, "it leaves, and is gone soon");
+        assert_eq!(
+            a.news(0, &held),
+            Reply::Nothing,
+            "it leaves, and is gone soon"
+        );
     }
 
     #[test]
@@ -309,7 +364,10 @@
             assert_eq!(tokens, (1..=count).collect::<Vec<_>>(), "all are named");
             assert!(all.iter().all(Own::contested));
             // The one whose word holds dies: the next one's does.
-            let dead = all.iter().position(|o| o.record.token == held.token).unwrap();
+            let dead = all
+                .iter()
+                .position(|o| o.record.token == held.token)
+                .unwrap();
             all.remove(dead);
             let mut down = held.clone();
             down.state = State::Down;
@@ -318,8 +376,14 @@
             });
             settle(&mut all);
             let held = all[0].held().clone();
-            assert!(held.state == State::Alive && all.iter().all(|o| *o.held() == held), "{count}");
-            assert!(!held.details.rivals.iter().any(|r| r.token == down.token), "{count}: {held:?}");
+            assert!(
+                held.state == State::Alive && all.iter().all(|o| *o.held() == held),
+                "{count}"
+            );
+            assert!(
+                !held.details.rivals.iter().any(|r| r.token == down.token),
+                "{count}: {held:?}"
+            );
         }
     }
 
@@ -327,7 +391,10 @@
     fn a_rival_that_is_silent_is_let_go() {
         let mut all = [own(1), own(2)];
         settle(&mut all);
-        let winner = all.iter_mut().find(|o| !o.record.details.rivals.is_empty()).unwrap();
+        let winner = all
+            .iter_mut()
+            .find(|o| !o.record.details.rivals.is_empty())
+            .unwrap();
         let rival = winner.record.details.rivals[0].token;
         winner.rival_heard(rival, 50);
         assert!(!winner.let_go(50) && winner.contested());
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,5 @@
-//! How one probe goes: a ping, a second one, then through others, and the verdict at the end of the period.
+//! How one probe goes: a ping, a second one, then through others, and the verdict at the end of the
+//! period.
 
 use crate::Micros;
 use std::net::SocketAddr;
@@ -49,7 +50,17 @@
     /// A probe that begins with a ping now, and is over after the period.
     pub fn new(now: Micros, period: Micros, seq: u32, name: String, address: SocketAddr) -> Probe {
         let (helpers, silent) = (Vec::new(), 0);
-        Probe { name, address, seq, helpers, silent, start: now, period, pinged: 1, answered: false }
+        Probe {
+            name,
+            address,
+            seq,
+            helpers,
+            silent,
+            start: now,
+            period,
+            pinged: 1,
+            answered: false,
+        }
     }
 
     /// It answered, one way or another; whether that is new.
@@ -105,6 +116,12 @@
 impl Help {
     /// One that begins now.
     pub fn new(now: Micros, period: Micros, seq: u32, of: (u32, SocketAddr)) -> Help {
-        Help { seq, of, silent_at: now + share(period, SILENT), silent: false, until: now + 4 * period }
+        Help {
+            seq,
+            of,
+            silent_at: now + share(period, SILENT),
+            silent: false,
+            until: now + 4 * period,
+        }
     }
 }
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,5 +1,6 @@
-//! What is said of a member, and how two pieces of news about one are joined. The records of one name are a join
-//! semilattice: news may come in any order, twice or late, and all who have heard the same hold the same.
+//! What is said of a member, and how two pieces of news about one are joined. The records of one
+//! name are a join semilattice: news may come in any order, twice or late, and all who have heard
+//! the same hold the same.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
@@ -108,13 +109,15 @@
     pub state: State,
     /// What it says of itself.
     pub details: Details,
-    /// The rank below which it refuses, in 255ths, and the number of that reading. It changes all the time: no part of the digest.
+    /// The rank below which it refuses, in 255ths, and the number of that reading. It changes all
+    /// the time: no part of the digest.
     pub load: (u32, u8),
 }
 
 impl Record {
-    /// Takes in what else is said of the same member; whether that brought anything new. The one of the higher incarnation
-    /// holds; within one the worse state does, as only the member itself can better it, by a higher incarnation.
+    /// Takes in what else is said of the same member; whether that brought anything new. The one of
+    /// the higher incarnation holds; within one the worse state does, as only the member itself can
+    /// better it, by a higher incarnation.
     pub fn join(&mut self, other: &Record) -> bool {
         match (other.incarnation, other.token).cmp(&(self.incarnation, self.token)) {
             std::cmp::Ordering::Less => false,
@@ -151,8 +154,15 @@
 
     /// Stands for the record under its name; the load is no part of it.
     pub fn hash(&self, name: &str) -> u64 {
-        let held = (name, self.incarnation, self.token, self.state, &self.details);
-        // A string of bytes that means the same in each process, whatever the compiler or the machine.
+        let held = (
+            name,
+            self.incarnation,
+            self.token,
+            self.state,
+            &self.details,
+        );
+        // A string of bytes that means the same in each process, whatever the compiler or the
+        // machine.
         digest(&postcard::to_allocvec(&held).unwrap_or_default())
     }
 }
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -1,5 +1,5 @@
-//! Whom to probe next: each in turn over a shuffled list, so that the longest time to a first probe is bounded, and two nodes
-//! don't go the same way.
+//! Whom to probe next: each in turn over a shuffled list, so that the longest time to a first probe
+//! is bounded, and two nodes don't go the same way.
 
 use fastrand::Rng;
 
@@ -11,7 +11,8 @@
 }
 
 impl Ring {
-    /// A member is to be probed from now on: at a random place, or all newcomers would be probed at once.
+    /// A member is to be probed from now on: at a random place, or all newcomers would be probed at
+    /// once.
     pub fn add(&mut self, name: &str, rng: &mut Rng) {
         if self.names.iter().any(|n| n == name) {
             return;
@@ -98,6 +99,9 @@
         assert_eq!(seen.len(), 20);
         let some = ring.some(3, &["n1"], &mut rng);
         assert!(some.len() == 3 && !some.contains(&"n1".to_owned()) && !some.contains(&gone));
-        assert_eq!(ring.some(50, &["n1"], &mut rng).len(), if gone == "n1" { 19 } else { 18 });
+        assert_eq!(
+            ring.some(50, &["n1"], &mut rng).len(),
+            if gone == "n1" { 19 } else { 18 }
+        );
     }
 }
--- a/crates/membership/src/rules.rs
+++ b/crates/membership/src/rules.rs
@@ -20,11 +20,14 @@
 /// Lifeguard's ideas, each of which can be switched off to see what it gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifeguard {
-    /// A node that runs late, or whose own probes get lost, takes more time for the others (LHA-Probe).
+    /// A node that runs late, or whose own probes get lost, takes more time for the others
+    /// (LHA-Probe).
     pub health: bool,
-    /// A suspicion's time shrinks as others confirm it (LHA-Suspicion); without it all have the shortest.
+    /// A suspicion's time shrinks as others confirm it (LHA-Suspicion); without it all have the
+    /// shortest.
     pub suspicion: bool,
-    /// Who is suspected is told so with the next probe, and a few who hear of it probe at once (the buddy system).
+    /// Who is suspected is told so with the next probe, and a few who hear of it probe at once (the
+    /// buddy system).
     pub buddy: bool,
 }
 
@@ -35,7 +38,11 @@
             most_members: 1200,
             most_datagram: 1200,
             forget: 3_600_000_000,
-            lifeguard: Lifeguard { health: true, suspicion: true, buddy: true },
+            lifeguard: Lifeguard {
+                health: true,
+                suspicion: true,
+                buddy: true,
+            },
         }
     }
 }
@@ -46,17 +53,20 @@
     /// Confirmations of others after which a suspicion has its shortest time.
     pub const CONFIRMATIONS: usize = 3;
 
-    /// How often one piece of news is sent by each, in a fleet of this size: enough for all to hear it, and an end.
+    /// How often one piece of news is sent by each, in a fleet of this size: enough for all to hear
+    /// it, and an end.
     pub fn sendings(&self, members: usize) -> u32 {
         4 * digits(members).ceil().max(1.0) as u32
     }
 
-    /// The shortest time that a suspect has. Its name must reach it and its answer come back, over some hops.
+    /// The shortest time that a suspect has. Its name must reach it and its answer come back, over
+    /// some hops.
     pub fn shortest(&self, members: usize) -> Micros {
         (self.probe as f64 * (2.0 + digits(members) / 2.0)) as Micros
     }
 
-    /// The time that a suspect has, with so many who have had no answer of it beside the first, of so many who might.
+    /// The time that a suspect has, with so many who have had no answer of it beside the first, of
+    /// so many who might.
     pub fn suspicion(&self, members: usize, confirmed: usize) -> Micros {
         let shortest = self.shortest(members);
         // Itself, the suspect and this node: whoever else there is could confirm it.
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -1,4 +1,5 @@
-//! What travels with other messages: each piece of news so many times and no more, the least sent first.
+//! What travels with other messages: each piece of news so many times and no more, the least sent
+//! first.
 
 use std::collections::BTreeMap;
 
@@ -38,7 +39,8 @@
         self.queue.len()
     }
 
-    /// Takes what goes with one message: `fits` says whether one more does. What was sent `most` times is done with.
+    /// Takes what goes with one message: `fits` says whether one more does. What was sent `most`
+    /// times is done with.
     pub fn take(&mut self, most: u32, mut fits: impl FnMut(&str) -> bool) {
         let mut sent = Vec::new();
         for (place, name) in &self.queue {
@@ -48,7 +50,9 @@
             sent.push(*place);
         }
         for place in sent {
-            let Some(name) = self.queue.remove(&place) else { continue };
+            let Some(name) = self.queue.remove(&place) else {
+                continue;
+            };
             let next = (place.0 + 1, place.1);
             if next.0 >= most {
                 self.places.remove(&name);
@@ -83,7 +87,10 @@
             });
         }
         assert_eq!(first[..6], ["n5", "n4", "n3", "n2", "n1", "n0"]);
-        assert!(sent.len() == 6 && sent.values().all(|n| *n == 3), "{sent:?}");
+        assert!(
+            sent.len() == 6 && sent.values().all(|n| *n == 3),
+            "{sent:?}"
+        );
         spread.add("a");
         spread.add("a");
         assert_eq!(spread.len(), 1);
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -1,9 +1,11 @@
-//! What a node says of its service: steady, however quickly the module's modes change, as each change goes to the whole fleet.
+//! What a node says of its service: steady, however quickly the module's modes change, as each
+//! change goes to the whole fleet.
 
 use crate::record::Standing;
 use crate::Micros;
 
-/// It has to be overloaded for so long before it says so, and not to be for so long before it says that.
+/// It has to be overloaded for so long before it says so, and not to be for so long before it says
+/// that.
 const ONSET: Micros = 1_000_000;
 const ABATE: Micros = 3_000_000;
 
@@ -18,7 +20,11 @@
 impl Steady {
     /// Nothing was said yet.
     pub fn new(now: Micros) -> Steady {
-        Steady { said: Standing::Starting, seen: Standing::Starting, since: now }
+        Steady {
+            said: Standing::Starting,
+            seen: Standing::Starting,
+            since: now,
+        }
     }
 
     /// The node is seen to be so; what is to be said.
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -16,7 +16,11 @@
 impl Suspicion {
     /// Somebody had no answer.
     pub fn new(now: Micros, by: &str) -> Suspicion {
-        Suspicion { start: now, by: vec![by.to_owned()], listed: now }
+        Suspicion {
+            start: now,
+            by: vec![by.to_owned()],
+            listed: now,
+        }
     }
 
     /// Somebody says so too; whether that is new, and shortens its time.
@@ -62,10 +66,16 @@
             last = next;
         }
         assert_eq!(last, rules.shortest(100));
-        assert!(!suspicion.confirm("n5"), "nobody counts beyond the shortest time");
+        assert!(
+            !suspicion.confirm("n5"),
+            "nobody counts beyond the shortest time"
+        );
         suspicion.put_off(1000);
         assert_eq!(suspicion.deadline(&rules, 100), last + 1000);
         // With two alone nobody could confirm.
-        assert_eq!(Suspicion::new(0, "n1").deadline(&rules, 2), 2 * rules.shortest(2));
+        assert_eq!(
+            Suspicion::new(0, "n1").deadline(&rules, 2),
+            2 * rules.shortest(2)
+        );
     }
 }
