--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,5 +1,6 @@
-//! Two views that differ are made equal over a connection: the one that connects says the digest of each part of its view, the
-//! other one says which differ and tells its members of these, and gets back what it had not, all in pieces.
+//! Two views that differ are made equal over a connection: the one that connects says the digest of
+//! each part of its view, the other one says which differ and tells its members of these, and gets
+//! back what it had not, all in pieces.
 
 use crate::members::{part, PARTS};
 use crate::message::{frame, length, Broken, Frame, Frames, Update, MOST_FRAME};
@@ -60,7 +61,14 @@
     pub fn dial(fleet: &Fleet) -> Session {
         let mut session = Session::new(Stage::Asked);
         let digests = fleet.members().parts().to_vec();
-        frame(&mut session.out, fleet.fleet(), &Frame::Parts { from: fleet.own(), digests });
+        frame(
+            &mut session.out,
+            fleet.fleet(),
+            &Frame::Parts {
+                from: fleet.own(),
+                digests,
+            },
+        );
         session
     }
 
@@ -74,7 +82,8 @@
         self.peer.as_deref()
     }
 
-    /// Takes in what was read. After an error the connection is to end; what was learned before stays.
+    /// Takes in what was read. After an error the connection is to end; what was learned before
+    /// stays.
     pub fn feed(&mut self, fleet: &mut Fleet, now: Micros, bytes: &[u8]) -> Result<(), Broken> {
         self.frames.feed(bytes);
         while let Some(said) = self.frames.next(fleet.fleet())? {
@@ -89,7 +98,14 @@
                 let ours = fleet.members().parts();
                 let differ = (0..PARTS).filter(|i| ours[*i] != digests[*i]);
                 self.parts = differ.fold(0, |bits, i| bits | 1 << i);
-                frame(&mut self.out, fleet.fleet(), &Frame::Differ { from: fleet.own(), parts: self.parts });
+                frame(
+                    &mut self.out,
+                    fleet.fleet(),
+                    &Frame::Differ {
+                        from: fleet.own(),
+                        parts: self.parts,
+                    },
+                );
                 self.tell(fleet);
                 self.stage = Stage::Told;
                 // Behind the choice of what to tell: it must hold for what the other one had.
@@ -128,7 +144,8 @@
         self.peer = Some(from.name);
     }
 
-    /// Has the members of the parts that differ told, but for those that the other end has told alike.
+    /// Has the members of the parts that differ told, but for those that the other end has told
+    /// alike.
     fn tell(&mut self, fleet: &Fleet) {
         let differs = |name: &str| self.parts >> part(name) & 1 == 1;
         let all = fleet.members().iter().filter(|(name, m)| {
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Encodings and hashes of the membership protocol, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-membership --test compatibility`): nodes of both builds form one fleet.
+//! Encodings and hashes of the membership protocol, compared with fixtures written by the build of
+//! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-membership --test
+//! compatibility`): nodes of both builds form one fleet.
 
 use pipitlever_membership::message::{frame, Body, Frame, Frames, Packet, Update};
 use pipitlever_membership::own::Passed;
@@ -9,7 +10,10 @@
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
 fn record(state: State, standing: Standing) -> Record {
-    let rival = Rival { token: 0x0102_0304_0506_0708, address: "127.0.0.9:1009".parse().unwrap() };
+    let rival = Rival {
+        token: 0x0102_0304_0506_0708,
+        address: "127.0.0.9:1009".parse().unwrap(),
+    };
     let details = Details {
         revision: 300,
         address: "127.0.0.2:1002".parse().unwrap(),
@@ -18,23 +22,53 @@
         payload: vec![7, 8, 9],
         rivals: vec![rival],
     };
-    Record { incarnation: 500, token: 0x1112_1314_1516_1718, state, details, load: (70_000, 9) }
+    Record {
+        incarnation: 500,
+        token: 0x1112_1314_1516_1718,
+        state,
+        details,
+        load: (70_000, 9),
+    }
 }
 
 fn update(state: State, standing: Standing) -> Update {
-    Update { name: "n1".into(), record: record(state, standing), by: Some("n2".into()), age_s: 4_000 }
+    Update {
+        name: "n1".into(),
+        record: record(state, standing),
+        by: Some("n2".into()),
+        age_s: 4_000,
+    }
 }
 
 fn packet(body: Body, hint: Vec<u8>) -> Packet {
-    let news = vec![update(State::Suspect, Standing::Overloaded), update(State::Left, Standing::Draining)];
-    Packet { from: update(State::Alive, Standing::Serving), digest: 0xfeed_f00d, body, news, hint }
+    let news = vec![
+        update(State::Suspect, Standing::Overloaded),
+        update(State::Left, Standing::Draining),
+    ];
+    Packet {
+        from: update(State::Alive, Standing::Serving),
+        digest: 0xfeed_f00d,
+        body,
+        news,
+        hint,
+    }
 }
 
 fn packets() -> Vec<(&'static str, Packet)> {
     let plain = |body| packet(body, Vec::new());
-    let ask = Body::Ask { seq: 7, name: "n3".into(), address: "[::1]:1003".parse().unwrap() };
+    let ask = Body::Ask {
+        seq: 7,
+        name: "n3".into(),
+        address: "[::1]:1003".parse().unwrap(),
+    };
     vec![
-        ("ping", plain(Body::Ping { seq: 3, to: Some("n3".into()) })),
+        (
+            "ping",
+            plain(Body::Ping {
+                seq: 3,
+                to: Some("n3".into()),
+            }),
+        ),
         ("ping-anyone", plain(Body::Ping { seq: 4, to: None })),
         ("ack", plain(Body::Ack { seq: 5 })),
         ("ask", plain(ask)),
@@ -49,9 +83,24 @@
 fn frames() -> Vec<(&'static str, Frame)> {
     let from = update(State::Down, Standing::Standby);
     vec![
-        ("parts", Frame::Parts { from: from.clone(), digests: vec![1, u64::MAX] }),
-        ("differ", Frame::Differ { from: from.clone(), parts: 0b1011 }),
-        ("members", Frame::Members(vec![from, update(State::Alive, Standing::Starting)])),
+        (
+            "parts",
+            Frame::Parts {
+                from: from.clone(),
+                digests: vec![1, u64::MAX],
+            },
+        ),
+        (
+            "differ",
+            Frame::Differ {
+                from: from.clone(),
+                parts: 0b1011,
+            },
+        ),
+        (
+            "members",
+            Frame::Members(vec![from, update(State::Alive, Standing::Starting)]),
+        ),
         ("end", Frame::End),
     ]
 }
@@ -72,8 +121,14 @@
         assert_eq!(frames.next(FLEET), Ok(Some(sent)), "{name}");
         samples.push((name, bytes));
     }
-    let contacts = vec!["127.0.0.4:1004".parse().unwrap(), "127.0.0.5:1005".parse().unwrap()];
-    let passed = Passed { record: record(State::Alive, Standing::Serving), contacts };
+    let contacts = vec![
+        "127.0.0.4:1004".parse().unwrap(),
+        "127.0.0.5:1005".parse().unwrap(),
+    ];
+    let passed = Passed {
+        record: record(State::Alive, Standing::Serving),
+        contacts,
+    };
     assert_eq!(Passed::read(&passed.write()), Some(passed.clone()));
     samples.push(("passed", passed.write()));
     let hash = record(State::Suspect, Standing::Standby).hash("n1");
--- a/crates/membership/tests/join.rs
+++ b/crates/membership/tests/join.rs
@@ -13,7 +13,13 @@
         zone: String::new(),
         standing: [Standing::Serving, Standing::Overloaded, Standing::Draining][standing],
         payload: Vec::new(),
-        rivals: rivals.into_iter().map(|t| Rival { token: t, address: ([127, 0, 0, 2], 9).into() }).collect(),
+        rivals: rivals
+            .into_iter()
+            .map(|t| Rival {
+                token: t,
+                address: ([127, 0, 0, 2], 9).into(),
+            })
+            .collect(),
     })
 }
 
@@ -21,7 +27,13 @@
 fn record() -> impl Strategy<Value = Record> {
     let state = prop::sample::select(vec![State::Alive, State::Suspect, State::Down, State::Left]);
     (1u64..3, 1u64..3, state, details(), (0u32..3, 0u8..2)).prop_map(
-        |(incarnation, token, state, details, load)| Record { incarnation, token, state, details, load },
+        |(incarnation, token, state, details, load)| Record {
+            incarnation,
+            token,
+            state,
+            details,
+            load,
+        },
     )
 }
 
@@ -32,7 +44,12 @@
 }
 
 fn update(record: Record) -> Update {
-    Update { name: "n1".into(), record, by: Some("n2".into()), age_s: 7 }
+    Update {
+        name: "n1".into(),
+        record,
+        by: Some("n2".into()),
+        age_s: 7,
+    }
 }
 
 proptest! {
@@ -118,11 +135,22 @@
         |r| r.details.address = ([127, 0, 0, 1], 0).into(),
         // It could never be out-bid.
         |r| r.incarnation = u64::MAX,
-        |r| r.details.rivals = vec![Rival { token: 1, address: ([127, 0, 0, 1], 1).into() }; 5],
+        |r| {
+            r.details.rivals = vec![
+                Rival {
+                    token: 1,
+                    address: ([127, 0, 0, 1], 1).into()
+                };
+                5
+            ]
+        },
     ];
     for wrong in wrong {
         let mut record = record.clone();
         wrong(&mut record);
-        assert_eq!(Packet::read("rota", &packet(record).write("rota")), Err(Broken::Malformed));
+        assert_eq!(
+            Packet::read("rota", &packet(record).write("rota")),
+            Err(Broken::Malformed)
+        );
     }
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,5 +1,6 @@
-//! All orders of a small fleet: joins, crashes, restarts, a partition, false suspicions, two processes of one name, and messages that are late,
-//! lost or come again. From every state that can be reached, once faults stop, all views become equal and right.
+//! All orders of a small fleet: joins, crashes, restarts, a partition, false suspicions, two
+//! processes of one name, and messages that are late, lost or come again. From every state that can
+//! be reached, once faults stop, all views become equal and right.
 
 use pipitlever_membership::news::{weigh, Weighed};
 use pipitlever_membership::own::Own;
@@ -62,10 +63,16 @@
 impl Bounds {
     fn start(&self, fleet: &mut Fleet, place: usize) {
         fleet.starts += 1;
-        let token = if self.falling { 100 - fleet.starts } else { fleet.starts };
+        let token = if self.falling {
+            100 - fleet.starts
+        } else {
+            fleet.starts
+        };
         let own = Own::new(token, ([127, 0, 0, 1], place as u16 + 1).into(), "");
-        fleet.places[place] =
-            Place { table: [(self.names[place], own.record.clone())].into(), own: Some(own) };
+        fleet.places[place] = Place {
+            table: [(self.names[place], own.record.clone())].into(),
+            own: Some(own),
+        };
     }
 
     fn apart(&self, fleet: &Fleet, a: usize, b: usize) -> bool {
@@ -101,7 +108,9 @@
         for (_, name, said) in std::mem::take(&mut fleet.net) {
             (0..fleet.places.len()).for_each(|i| self.hear(&mut fleet, i, name, &said, 0));
         }
-        let living: Vec<usize> = (0..fleet.places.len()).filter(|i| fleet.places[*i].own.is_some()).collect();
+        let living: Vec<usize> = (0..fleet.places.len())
+            .filter(|i| fleet.places[*i].own.is_some())
+            .collect();
         for round in 0.. {
             if round > 40 {
                 return Err("it does not come to rest".into());
@@ -109,12 +118,16 @@
             let before = fleet.clone();
             for &from in &living {
                 for (name, said) in fleet.places[from].table.clone() {
-                    living.iter().for_each(|to| self.hear(&mut fleet, *to, name, &said, round));
+                    living
+                        .iter()
+                        .for_each(|to| self.hear(&mut fleet, *to, name, &said, round));
                 }
                 // Its own word goes with each of its messages.
                 let own = fleet.places[from].own.as_ref().map(|o| o.record.clone());
                 if let Some(said) = own {
-                    living.iter().for_each(|to| self.hear(&mut fleet, *to, self.names[from], &said, round));
+                    living
+                        .iter()
+                        .for_each(|to| self.hear(&mut fleet, *to, self.names[from], &said, round));
                 }
             }
             for &at in &living {
@@ -126,7 +139,11 @@
                 for (name, held) in table.iter_mut().filter(|(n, _)| **n != self.names[at]) {
                     let lives = living.iter().any(|i| self.names[*i] == *name);
                     if held.state.takes_part() && (!lives || !tokens.contains(&held.token)) {
-                        held.state = if held.state == State::Alive { State::Suspect } else { State::Down };
+                        held.state = if held.state == State::Alive {
+                            State::Suspect
+                        } else {
+                            State::Down
+                        };
                     }
                 }
                 if let Some(own) = own {
@@ -139,10 +156,15 @@
                 break;
             }
         }
-        let Some(first) = living.first() else { return Ok(()) };
+        let Some(first) = living.first() else {
+            return Ok(());
+        };
         for &at in &living {
             if fleet.places[at].table != fleet.places[*first].table {
-                return Err(format!("{:?} and {:?}", fleet.places[at].table, fleet.places[*first].table));
+                return Err(format!(
+                    "{:?} and {:?}",
+                    fleet.places[at].table, fleet.places[*first].table
+                ));
             }
         }
         for (name, held) in &fleet.places[*first].table {
@@ -154,8 +176,13 @@
             let mut tokens: Vec<u64> = of.iter().map(|o| o.record.token).collect();
             let left = of.iter().all(|o| o.leaving());
             tokens.sort();
-            let mut named: Vec<u64> =
-                held.details.rivals.iter().map(|r| r.token).chain([held.token]).collect();
+            let mut named: Vec<u64> = held
+                .details
+                .rivals
+                .iter()
+                .map(|r| r.token)
+                .chain([held.token])
+                .collect();
             named.sort();
             let right = match of.len() {
                 0 => !held.state.takes_part(),
@@ -177,9 +204,22 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let places = vec![Place { own: None, table: BTreeMap::new() }; self.names.len()];
-        let mut fleet =
-            Fleet { places, net: Vec::new(), cut: false, starts: 0, crashes: 0, cuts: 0, misses: 0 };
+        let places = vec![
+            Place {
+                own: None,
+                table: BTreeMap::new()
+            };
+            self.names.len()
+        ];
+        let mut fleet = Fleet {
+            places,
+            net: Vec::new(),
+            cut: false,
+            starts: 0,
+            crashes: 0,
+            cuts: 0,
+            misses: 0,
+        };
         // All but the last one are there and know each other; the last one is to join.
         let count = self.names.len();
         (0..count - 1).for_each(|i| self.start(&mut fleet, i));
@@ -209,7 +249,8 @@
                 if fleet.net.len() < NET && !fleet.net.contains(&(i, name, held.clone())) {
                     acts.push(Act::Say(i, name));
                 }
-                if name != self.names[i] && held.state == State::Alive && fleet.misses < self.misses {
+                if name != self.names[i] && held.state == State::Alive && fleet.misses < self.misses
+                {
                     acts.push(Act::Miss(i, name));
                 }
                 if name != self.names[i] && held.state == State::Suspect {
@@ -236,7 +277,10 @@
             Act::Start(i) => self.start(&mut fleet, i),
             Act::Crash(i) => {
                 fleet.crashes += 1;
-                fleet.places[i] = Place { own: None, table: BTreeMap::new() };
+                fleet.places[i] = Place {
+                    own: None,
+                    table: BTreeMap::new(),
+                };
             }
             Act::Leave(i) => {
                 let Place { own, table } = &mut fleet.places[i];
@@ -269,21 +313,25 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("once faults stop, views become equal and right", |model: &Bounds, fleet| {
-                model.settles(fleet).is_ok()
-            }),
-            Property::sometimes("somebody is held down that lives", |model: &Bounds, fleet: &Fleet| {
-                fleet.places.iter().any(|p| {
-                    p.table.iter().any(|(name, held)| {
-                        held.state == State::Down
-                            && fleet
-                                .places
-                                .iter()
-                                .enumerate()
-                                .any(|(i, p)| model.names[i] == *name && p.own.is_some())
+            Property::always(
+                "once faults stop, views become equal and right",
+                |model: &Bounds, fleet| model.settles(fleet).is_ok(),
+            ),
+            Property::sometimes(
+                "somebody is held down that lives",
+                |model: &Bounds, fleet: &Fleet| {
+                    fleet.places.iter().any(|p| {
+                        p.table.iter().any(|(name, held)| {
+                            held.state == State::Down
+                                && fleet
+                                    .places
+                                    .iter()
+                                    .enumerate()
+                                    .any(|(i, p)| model.names[i] == *name && p.own.is_some())
+                        })
                     })
-                })
-            }),
+                },
+            ),
         ]
     }
 }
@@ -294,19 +342,41 @@
     for (what, path) in checker.discoveries() {
         if what.starts_with("once") {
             let last = path.last_state().clone();
-            panic!("{what}: {:?}\nafter {:#?}", bounds.settles(&last), path.into_actions());
+            panic!(
+                "{what}: {:?}\nafter {:#?}",
+                bounds.settles(&last),
+                path.into_actions()
+            );
         }
     }
     assert!(checker.is_done() && checker.unique_state_count() > 1000);
-    assert!(checker.discovery("somebody is held down that lives").is_some(), "the model has no faults");
+    assert!(
+        checker
+            .discovery("somebody is held down that lives")
+            .is_some(),
+        "the model has no faults"
+    );
 }
 
-const USUAL: Bounds =
-    Bounds { names: Vec::new(), starts: 2, crashes: 0, cuts: 0, misses: 0, falling: false, leaves: false };
+const USUAL: Bounds = Bounds {
+    names: Vec::new(),
+    starts: 2,
+    crashes: 0,
+    cuts: 0,
+    misses: 0,
+    falling: false,
+    leaves: false,
+};
 
 #[test]
 fn three_members_with_a_partition_and_a_false_suspicion() {
-    check(Bounds { names: vec![0, 1, 2], starts: 3, cuts: 1, misses: 1, ..USUAL });
+    check(Bounds {
+        names: vec![0, 1, 2],
+        starts: 3,
+        cuts: 1,
+        misses: 1,
+        ..USUAL
+    });
 }
 
 /// By hand, with `--release -- --ignored`: minutes.
@@ -314,22 +384,59 @@
 #[ignore]
 fn more_of_everything() {
     for falling in [false, true] {
-        check(Bounds { names: vec![0, 1, 2], starts: 3, cuts: 1, misses: 2, falling, ..USUAL });
-        check(Bounds { names: vec![0, 1, 0], starts: 4, crashes: 1, misses: 2, falling, ..USUAL });
-        check(Bounds { names: vec![0, 1], starts: 4, crashes: 2, cuts: 1, misses: 2, falling, leaves: true });
+        check(Bounds {
+            names: vec![0, 1, 2],
+            starts: 3,
+            cuts: 1,
+            misses: 2,
+            falling,
+            ..USUAL
+        });
+        check(Bounds {
+            names: vec![0, 1, 0],
+            starts: 4,
+            crashes: 1,
+            misses: 2,
+            falling,
+            ..USUAL
+        });
+        check(Bounds {
+            names: vec![0, 1],
+            starts: 4,
+            crashes: 2,
+            cuts: 1,
+            misses: 2,
+            falling,
+            leaves: true,
+        });
     }
 }
 
 #[test]
 fn three_members_with_a_crash_and_a_restart() {
     for falling in [false, true] {
-        check(Bounds { names: vec![0, 1], starts: 3, crashes: 1, cuts: 1, misses: 2, falling, ..USUAL });
+        check(Bounds {
+            names: vec![0, 1],
+            starts: 3,
+            crashes: 1,
+            cuts: 1,
+            misses: 2,
+            falling,
+            ..USUAL
+        });
     }
 }
 
 #[test]
 fn two_processes_of_one_name() {
     for falling in [false, true] {
-        check(Bounds { names: vec![0, 1, 0], starts: 3, crashes: 1, misses: 1, falling, ..USUAL });
+        check(Bounds {
+            names: vec![0, 1, 0],
+            starts: 3,
+            crashes: 1,
+            misses: 1,
+            falling,
+            ..USUAL
+        });
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,5 @@
-//! The rota node: pipitlever's decisions on real sockets. A library only so that a program that counts can hold it.
+//! The rota node: pipitlever's decisions on real sockets. A library only so that a program that
+//! counts can hold it.
 
 mod life;
 mod log;
--- a/crates/node/src/life/capture.rs
+++ b/crates/node/src/life/capture.rs
@@ -8,7 +8,8 @@
 use pipitlever_capture::tap::{queue, About, QUEUE};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long the end of the process waits for the last records. A disk that hangs costs them, not the end.
+/// How long the end of the process waits for the last records. A disk that hangs costs them, not
+/// the end.
 const PATIENCE: Duration = Duration::from_millis(100);
 
 /// The capture as it runs now, if it does.
@@ -20,7 +21,8 @@
     now: Option<(Capture, Thread)>,
 }
 
-/// Bytes of the queue, for a process of so much memory: its writer takes as much again while it is behind.
+/// Bytes of the queue, for a process of so much memory: its writer takes as much again while it is
+/// behind.
 fn queue_bytes(memory: usize) -> usize {
     QUEUE.min(memory / 64)
 }
@@ -33,7 +35,12 @@
 impl Capturing {
     /// Nothing is captured yet.
     pub fn new(node: &str, seed: u64, memory: usize) -> Capturing {
-        Capturing { node: node.to_owned(), seed, queue: queue_bytes(memory), now: None }
+        Capturing {
+            node: node.to_owned(),
+            seed,
+            queue: queue_bytes(memory),
+            now: None,
+        }
     }
 
     /// Captures as this says from now on.
@@ -44,7 +51,9 @@
         self.end(hub);
         let Some(wanted) = wanted else { return };
         let mut hub = hub.borrow_mut();
-        let run = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+        let run = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64);
         let about = About {
             build: env!("CARGO_PKG_VERSION").into(),
             node: self.node.clone(),
@@ -54,7 +63,10 @@
             fresh: hub.core.fresh(),
         };
         let (tap, spool) = queue(about, self.queue);
-        let limits = Limits { segment: wanted.segment, keep: wanted.keep };
+        let limits = Limits {
+            segment: wanted.segment,
+            keep: wanted.keep,
+        };
         let keeper = Keeper::new(Disk::new(&wanted.folder), limits, &self.node);
         match Thread::start(keeper, spool, |note| log(&note.to_string())) {
             Ok(thread) => {
@@ -67,7 +79,9 @@
 
     /// Captures nothing more, and gives the writer a moment for the rest.
     pub fn end(&mut self, hub: &Shared) {
-        let Some((_, thread)) = self.now.take() else { return };
+        let Some((_, thread)) = self.now.take() else {
+            return;
+        };
         hub.borrow_mut().core.capture(None);
         if !thread.ended(PATIENCE) {
             log("capture: stopped: the last records are not on the disk yet");
--- a/crates/node/src/life/command.rs
+++ b/crates/node/src/life/command.rs
@@ -54,7 +54,8 @@
     let mut verb = None;
     let mut operator = None;
     let mut files = Vec::new();
-    let (mut json, mut watch, mut doors, mut why, mut worker) = (false, false, Vec::new(), None, None);
+    let (mut json, mut watch, mut doors, mut why, mut worker) =
+        (false, false, Vec::new(), None, None);
     let mut config = std::env::var("EDGE_CONFIG").ok();
     while let Some(arg) = parser.next().map_err(|e| e.to_string())? {
         match arg {
@@ -63,7 +64,9 @@
                 config = Some(value.string().map_err(|e| e.to_string())?);
             }
             Long("uwsgi") => {
-                return Err("--uwsgi is gone: put the file under [uwsgi] into one for --operator".into());
+                return Err(
+                    "--uwsgi is gone: put the file under [uwsgi] into one for --operator".into(),
+                );
             }
             Long("operator") => {
                 let value = parser.value().map_err(|e| e.to_string())?;
@@ -92,7 +95,8 @@
             other => return Err(format!("{}; see 'pipitlever help'", other.unexpected())),
         }
     }
-    let read = move |version: Option<&[u8]>| Config::load(config.as_deref(), operator.as_deref(), version);
+    let read =
+        move |version: Option<&[u8]>| Config::load(config.as_deref(), operator.as_deref(), version);
     match verb.as_deref().unwrap_or("serve") {
         "serve" => serve(read(None)?, read).map(|()| 0),
         "check" => {
--- a/crates/node/src/life/config.rs
+++ b/crates/node/src/life/config.rs
@@ -45,7 +45,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: sockets(), memory_mb: memory_mb() }
+        Limits {
+            sockets: sockets(),
+            memory_mb: memory_mb(),
+        }
     }
 }
 
@@ -87,20 +90,25 @@
     pub fleet: Option<fleet::Settings>,
 }
 
-/// The first key that a file has and another lacks, with its path. A file that was cut and mended, or written by half, still
-/// reads; with what it leaves out taken for its default it would change what nobody meant to change.
+/// The first key that a file has and another lacks, with its path. A file that was cut and mended,
+/// or written by half, still reads; with what it leaves out taken for its default it would change
+/// what nobody meant to change.
 fn lacks(new: &Value, old: &Value) -> Option<String> {
     match (new, old) {
-        (Value::Object(new), Value::Object(old)) => old.iter().find_map(|(key, old)| match new.get(key) {
-            None | Some(Value::Null) if !old.is_null() => Some(key.clone()),
-            new => lacks(new?, old).map(|below| format!("{key}.{below}")),
-        }),
+        (Value::Object(new), Value::Object(old)) => {
+            old.iter().find_map(|(key, old)| match new.get(key) {
+                None | Some(Value::Null) if !old.is_null() => Some(key.clone()),
+                new => lacks(new?, old).map(|below| format!("{key}.{below}")),
+            })
+        }
         // Classes come and go; each has what all of them had.
         (Value::Array(new), Value::Array(old)) => {
             let had = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
             let mut keys = old.first()?.as_object()?.keys().filter(had);
             keys.find_map(|key| {
-                let at = new.iter().position(|v| v.get(key).is_none_or(Value::is_null))?;
+                let at = new
+                    .iter()
+                    .position(|v| v.get(key).is_none_or(Value::is_null))?;
                 Some(format!("{at}.{key}"))
             })
         }
@@ -115,7 +123,9 @@
     /// Whether this configuration may take the place of one that is in force.
     pub fn follows(&self, before: &Value) -> Result<(), String> {
         match lacks(&self.shape, before) {
-            Some(key) => Err(format!("configuration: no key {key}, which the one in force has")),
+            Some(key) => Err(format!(
+                "configuration: no key {key}, which the one in force has"
+            )),
             None => Ok(()),
         }
     }
@@ -123,10 +133,21 @@
     /// Whether somebody does the work of every class: without a processor only workers can.
     pub fn complete(&self) -> Result<(), String> {
         let worked = |class: &&String| {
-            self.tuning.uwsgi.routes.iter().any(|r| r.class == **class && r.backend == Backend::Workers)
+            self.tuning
+                .uwsgi
+                .routes
+                .iter()
+                .any(|r| r.class == **class && r.backend == Backend::Workers)
         };
-        match self.tuning.classes.iter().find(|c| self.parties.processor.is_none() && !worked(c)) {
-            Some(class) => Err(format!("no processor, and no route of class {class} to workers")),
+        match self
+            .tuning
+            .classes
+            .iter()
+            .find(|c| self.parties.processor.is_none() && !worked(c))
+        {
+            Some(class) => Err(format!(
+                "no processor, and no route of class {class} to workers"
+            )),
             None => Ok(()),
         }
     }
@@ -140,41 +161,58 @@
         let version = version.map(Content::read).transpose()?.unwrap_or_default();
         let path = path.ok_or("no configuration: give --config FILE or set EDGE_CONFIG")?;
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        let mut config = Config::read(&version.over_configuration(&text)?, |name| std::env::var(name).ok())?;
+        let mut config = Config::read(&version.over_configuration(&text)?, |name| {
+            std::env::var(name).ok()
+        })?;
         if let Some(path) = operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
             let file = Operator::read(&version.over_operator(&text)?, &config.tuning.classes)
                 .map_err(|e| format!("{path}: {e}"))?;
             config.parties.pools = file.uwsgi.pools();
-            (config.tuning.uwsgi, config.capture, config.store) = (file.uwsgi, file.capture, file.store);
+            (config.tuning.uwsgi, config.capture, config.store) =
+                (file.uwsgi, file.capture, file.store);
             config.fleet = file.fleet;
         }
         config.complete()?;
         Ok(config)
     }
 
-    /// Reads the configuration's text. The name and the address may come from the environment instead.
+    /// Reads the configuration's text. The name and the address may come from the environment
+    /// instead.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let shape: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         let file: File = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-        file.settings.check().map_err(|e| format!("settings: {e}"))?;
+        file.settings
+            .check()
+            .map_err(|e| format!("settings: {e}"))?;
         if file.stop_ms == 0 || file.stop_ms > MOST_STOP_MS {
-            return Err(format!("stop_ms: {} is not from 1 to {MOST_STOP_MS}", file.stop_ms));
+            return Err(format!(
+                "stop_ms: {} is not from 1 to {MOST_STOP_MS}",
+                file.stop_ms
+            ));
         }
         let address = |given: Option<SocketAddr>, name: &str| match (given, env(name)) {
             (Some(address), _) => Ok(Some(address)),
-            (None, Some(text)) => text.parse().map(Some).map_err(|_| format!("{name}: no address: {text}")),
+            (None, Some(text)) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("{name}: no address: {text}")),
             (None, None) => Ok(None),
         };
         let listen = address(file.listen, "EDGE_LISTEN")?;
         let listen = listen.ok_or("no 'listen' in the configuration and no EDGE_LISTEN")?;
         let control = address(file.control, "EDGE_CONTROL")?;
         let seed = match &file.seed {
-            Some(hex) => u64::from_str_radix(hex, 16).map_err(|_| format!("seed: not hex: {hex}"))?,
+            Some(hex) => {
+                u64::from_str_radix(hex, 16).map_err(|_| format!("seed: not hex: {hex}"))?
+            }
             None => u64::from(std::process::id()),
         };
         Ok(Config {
-            name: file.name.or_else(|| env("EDGE_NAME")).unwrap_or_else(|| "node".into()),
+            name: file
+                .name
+                .or_else(|| env("EDGE_NAME"))
+                .unwrap_or_else(|| "node".into()),
             listen,
             control,
             parties: Parties {
@@ -194,7 +232,10 @@
                 round: file.settings.round(),
                 marked: file.settings.marks_retry(),
                 uwsgi: Uwsgi::default(),
-                settings: file.settings.settings().map_err(|e| format!("settings: {e}"))?,
+                settings: file
+                    .settings
+                    .settings()
+                    .map_err(|e| format!("settings: {e}"))?,
             },
             shape,
             capture: None,
--- a/crates/node/src/life/doors.rs
+++ b/crates/node/src/life/doors.rs
@@ -79,20 +79,31 @@
 pub fn ask(door: &str) -> Result<View, String> {
     let wrong = |what: String| format!("{door}: {what}");
     match call(door, "GET", "/fleet", b"")? {
-        (200, body) => serde_json::from_slice(&body).map_err(|e| wrong(format!("not understood: {e}"))),
-        (404, _) => Err(wrong("this node is in no fleet: its operator's file has no [fleet]".into())),
+        (200, body) => {
+            serde_json::from_slice(&body).map_err(|e| wrong(format!("not understood: {e}")))
+        }
+        (404, _) => Err(wrong(
+            "this node is in no fleet: its operator's file has no [fleet]".into(),
+        )),
         (code, _) => Err(wrong(format!("answered {code}"))),
     }
 }
 
-/// Publishes a version on top of the newest that the door's node knows, and waits until the fleet has decided.
+/// Publishes a version on top of the newest that the door's node knows, and waits until the fleet
+/// has decided.
 pub fn publish(door: &str, file: &str, why: Option<&str>) -> Result<u8, String> {
-    let why = why.ok_or("publish: say --why, in a sentence: it is written down with the version")?;
+    let why =
+        why.ok_or("publish: say --why, in a sentence: it is written down with the version")?;
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
-    let content: serde_json::Value = serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
+    let content: serde_json::Value =
+        serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
     // Whole or not at all, and here rather than at each node.
     super::versions::Content::read(text.as_bytes()).map_err(|e| format!("{file}: {e}"))?;
-    let versions = || ask(door)?.versions.ok_or(format!("{door}: its fleet decides no versions"));
+    let versions = || {
+        ask(door)?
+            .versions
+            .ok_or(format!("{door}: its fleet decides no versions"))
+    };
     let base = versions()?.decided;
     let body = serde_json::json!({"base": base, "why": why, "content": content}).to_string();
     let (code, said) = call(door, "POST", "/fleet/publish", body.as_bytes())?;
@@ -115,7 +126,9 @@
 
 /// Has a door's node do something about a version.
 pub fn order(door: &str, task: &str, number: &str) -> Result<u8, String> {
-    let number: u64 = number.parse().map_err(|_| format!("{task}: no number of a version: {number}"))?;
+    let number: u64 = number
+        .parse()
+        .map_err(|_| format!("{task}: no number of a version: {number}"))?;
     let (code, said) = call(door, "POST", &format!("/fleet/{task}/{number}"), b"")?;
     let said = String::from_utf8_lossy(&said).trim_end().to_owned();
     match code {
@@ -141,13 +154,20 @@
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
     );
-    stream.write_all(&[head.as_bytes(), content].concat()).map_err(failed)?;
+    stream
+        .write_all(&[head.as_bytes(), content].concat())
+        .map_err(failed)?;
     let mut bytes = Vec::new();
-    stream.take(MOST_ANSWER).read_to_end(&mut bytes).map_err(failed)?;
+    stream
+        .take(MOST_ANSWER)
+        .read_to_end(&mut bytes)
+        .map_err(failed)?;
     let mut fields = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut fields);
     match response.parse(&bytes) {
-        Ok(httparse::Status::Complete(head)) => Ok((response.code.unwrap_or(0), bytes[head..].to_vec())),
+        Ok(httparse::Status::Complete(head)) => {
+            Ok((response.code.unwrap_or(0), bytes[head..].to_vec()))
+        }
         _ => Err(wrong("no door: it does not answer in HTTP".into())),
     }
 }
@@ -163,33 +183,65 @@
 
 /// The view as a table.
 pub fn table(view: &View) -> String {
-    let mut rows =
-        vec![["MEMBER", "STATE", "STANDING", "SINCE", "INCARNATION", "ZONE", "ADDRESS", "TOLD BY"]
-            .map(str::to_owned)];
+    let mut rows = vec![[
+        "MEMBER",
+        "STATE",
+        "STANDING",
+        "SINCE",
+        "INCARNATION",
+        "ZONE",
+        "ADDRESS",
+        "TOLD BY",
+    ]
+    .map(str::to_owned)];
     for m in &view.members {
         let mark = if m.name == view.itself { "*" } else { "" };
-        let address = std::iter::once(&m.address).chain(&m.conflict).cloned().collect::<Vec<_>>();
+        let address = std::iter::once(&m.address)
+            .chain(&m.conflict)
+            .cloned()
+            .collect::<Vec<_>>();
         rows.push([
             format!("{}{mark}", m.name),
-            if m.conflict.is_empty() { m.state.clone() } else { format!("{} CONFLICT", m.state) },
+            if m.conflict.is_empty() {
+                m.state.clone()
+            } else {
+                format!("{} CONFLICT", m.state)
+            },
             m.standing.clone(),
             ago(m.since_ms),
             m.incarnation.to_string(),
-            if m.zone.is_empty() { "-".into() } else { m.zone.clone() },
+            if m.zone.is_empty() {
+                "-".into()
+            } else {
+                m.zone.clone()
+            },
             address.join(" and "),
             m.told_by.clone(),
         ]);
     }
-    let width = |column: usize| rows.iter().map(|r| r[column].chars().count()).max().unwrap_or(0);
+    let width = |column: usize| {
+        rows.iter()
+            .map(|r| r[column].chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..8).map(width).collect();
-    let settled = if view.settled { "settled" } else { "not settled" };
+    let settled = if view.settled {
+        "settled"
+    } else {
+        "not settled"
+    };
     let cut_off = if view.cut_off { ", CUT OFF" } else { "" };
     let (fleet, of, digest, health) = (&view.fleet, &view.itself, &view.digest, view.health);
-    let mut text =
-        format!("fleet {fleet} as {of} sees it: {settled}{cut_off}, digest {digest}, health {health}\n");
+    let mut text = format!(
+        "fleet {fleet} as {of} sees it: {settled}{cut_off}, digest {digest}, health {health}\n"
+    );
     for row in rows {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, w)| format!("{cell:w$}", w = *w)).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, w)| format!("{cell:w$}", w = *w))
+            .collect();
         // A string takes all that is written to it.
         let _ = writeln!(text, "{}", cells.join("  ").trim_end());
     }
@@ -202,27 +254,46 @@
     let mut fleets: Vec<&str> = views.iter().map(|v| v.fleet.as_str()).collect();
     fleets.dedup();
     if fleets.len() > 1 {
-        lines.push(format!("they are of different fleets: {}", fleets.join(", ")));
+        lines.push(format!(
+            "they are of different fleets: {}",
+            fleets.join(", ")
+        ));
     }
-    let names: BTreeSet<&str> =
-        views.iter().flat_map(|v| v.members.iter().map(|m| m.name.as_str())).collect();
+    let names: BTreeSet<&str> = views
+        .iter()
+        .flat_map(|v| v.members.iter().map(|m| m.name.as_str()))
+        .collect();
     for name in names {
         // Who says the same of it, by what is said.
         let mut said: BTreeMap<String, Vec<&str>> = BTreeMap::new();
         for view in views {
-            let of = view.members.iter().find(|m| m.name == name).map_or("not known".into(), |m| {
-                let zone = if m.zone.is_empty() { String::new() } else { format!(" in {}", m.zone) };
-                let rivals = m.conflict.iter().map(|at| format!(" and {at}")).collect::<String>();
-                format!(
-                    "{} {} incarnation {} at {}{rivals}{zone}",
-                    m.state, m.standing, m.incarnation, m.address
-                )
-            });
+            let of = view
+                .members
+                .iter()
+                .find(|m| m.name == name)
+                .map_or("not known".into(), |m| {
+                    let zone = if m.zone.is_empty() {
+                        String::new()
+                    } else {
+                        format!(" in {}", m.zone)
+                    };
+                    let rivals = m
+                        .conflict
+                        .iter()
+                        .map(|at| format!(" and {at}"))
+                        .collect::<String>();
+                    format!(
+                        "{} {} incarnation {} at {}{rivals}{zone}",
+                        m.state, m.standing, m.incarnation, m.address
+                    )
+                });
             said.entry(of).or_default().push(&view.itself);
         }
         if said.len() > 1 {
-            let sides: Vec<String> =
-                said.iter().map(|(of, by)| format!("{of} ({})", by.join(", "))).collect();
+            let sides: Vec<String> = said
+                .iter()
+                .map(|(of, by)| format!("{of} ({})", by.join(", ")))
+                .collect();
             lines.push(format!("{name}: {}", sides.join("; ")));
         }
     }
@@ -242,7 +313,10 @@
         let shown = |v: &View| (v.digest.clone(), v.settled, v.cut_off);
         if last.as_ref().map(shown) != Some(shown(&view)) {
             match json {
-                true => println!("{}", serde_json::to_string(&view).map_err(|e| e.to_string())?),
+                true => println!(
+                    "{}",
+                    serde_json::to_string(&view).map_err(|e| e.to_string())?
+                ),
                 false => print!("{}", table(&view)),
             }
         }
@@ -256,12 +330,23 @@
 
 /// `fleet compare`: prints where views differ; 1 if they do.
 pub fn compare(doors: &[String]) -> Result<u8, String> {
-    let views = doors.iter().map(|door| ask(door)).collect::<Result<Vec<_>, _>>()?;
+    let views = doors
+        .iter()
+        .map(|door| ask(door))
+        .collect::<Result<Vec<_>, _>>()?;
     let lines = differences(&views);
     lines.iter().for_each(|line| println!("{line}"));
     if lines.is_empty() {
-        let alive = views[0].members.iter().filter(|m| m.state == "alive").count();
-        println!("equal: {} views of {} members, {alive} alive", views.len(), views[0].members.len());
+        let alive = views[0]
+            .members
+            .iter()
+            .filter(|m| m.state == "alive")
+            .count();
+        println!(
+            "equal: {} views of {} members, {alive} alive",
+            views.len(),
+            views[0].members.len()
+        );
     }
     Ok(u8::from(!lines.is_empty()))
 }
@@ -305,9 +390,19 @@
             differences(&[one.clone(), two, one.clone()]),
             ["n3: down serving incarnation 1 at 127.0.0.1:1 (n1, n1); not known (n2)"]
         );
-        let other = View { fleet: "x".into(), digest: "y".into(), ..one.clone() };
-        assert_eq!(differences(&[one.clone(), other]), ["they are of different fleets: rota, x"]);
-        let unseen = View { digest: "y".into(), ..one.clone() };
+        let other = View {
+            fleet: "x".into(),
+            digest: "y".into(),
+            ..one.clone()
+        };
+        assert_eq!(
+            differences(&[one.clone(), other]),
+            ["they are of different fleets: rota, x"]
+        );
+        let unseen = View {
+            digest: "y".into(),
+            ..one.clone()
+        };
         assert_eq!(differences(&[one, unseen]).len(), 1);
     }
 
@@ -319,7 +414,10 @@
         let text = table(&seen);
         let lines: Vec<&str> = text.lines().collect();
         assert!(lines[0].contains("settled, CUT OFF"), "{text}");
-        assert!(lines[2].starts_with("n1*") && lines[2].contains("2m"), "{text}");
+        assert!(
+            lines[2].starts_with("n1*") && lines[2].contains("2m"),
+            "{text}"
+        );
         assert!(
             lines[3].contains("down CONFLICT") && lines[3].contains("127.0.0.1:1 and 127.0.0.1:9"),
             "{text}"
--- a/crates/node/src/life/explain.rs
+++ b/crates/node/src/life/explain.rs
@@ -15,10 +15,18 @@
             continue;
         }
         let name = name(pool);
-        let fallback = pool.fallback.map_or("none".to_owned(), |i| self::name(&all[i]));
-        let routes = uwsgi.routes.iter().filter(|r| r.backend == Backend::Workers && uwsgi.pool(r) == i);
+        let fallback = pool
+            .fallback
+            .map_or("none".to_owned(), |i| self::name(&all[i]));
+        let routes = uwsgi
+            .routes
+            .iter()
+            .filter(|r| r.backend == Backend::Workers && uwsgi.pool(r) == i);
         let routes: Vec<&str> = routes.map(|r| r.path.as_str()).collect();
-        lines.push(format!("pool {name}: fallback={fallback} routes={}", routes.join(",")));
+        lines.push(format!(
+            "pool {name}: fallback={fallback} routes={}",
+            routes.join(",")
+        ));
         lines.extend(members(&pool.members));
         let odd = odd(pool, &routes, all.iter().any(|p| p.fallback == Some(i)));
         lines.extend(odd.into_iter().map(|odd| format!("  odd: {odd}")));
@@ -43,19 +51,29 @@
     let mut turns: BTreeMap<(bool, u32), Vec<&Member<SocketAddr>>> = BTreeMap::new();
     for member in all {
         // Spares are used together, whatever their tiers.
-        turns.entry((member.spare, if member.spare { 0 } else { member.tier })).or_default().push(member);
+        turns
+            .entry((member.spare, if member.spare { 0 } else { member.tier }))
+            .or_default()
+            .push(member);
     }
     let mut lines = Vec::new();
     for ((spare, tier), members) in turns {
         let sum: f64 = members.iter().copied().filter(on).map(|m| m.weight).sum();
         for member in members {
-            let turn = if spare { "spare".to_owned() } else { format!("tier {tier}") };
+            let turn = if spare {
+                "spare".to_owned()
+            } else {
+                format!("tier {tier}")
+            };
             let share = match member.usage {
                 Use::On => format!("{:.1}% of its runs", member.weight / sum * 100.0),
                 Use::Draining => "nothing new: draining".into(),
                 Use::Disabled => "nothing: disabled".into(),
             };
-            lines.push(format!("  {turn}: {} gets {share}, {} at once", member.address, member.most_runs));
+            lines.push(format!(
+                "  {turn}: {} gets {share}, {} at once",
+                member.address, member.most_runs
+            ));
         }
     }
     lines
@@ -75,9 +93,22 @@
     if routes.is_empty() && !takes_over {
         odd.push("no route and no other pool leads here".into());
     }
-    let heaviest = pool.members.iter().filter(on).map(|m| m.weight).fold(0.0, f64::max);
-    for member in pool.members.iter().filter(on).filter(|m| m.weight * 50.0 < heaviest) {
-        odd.push(format!("{} has less than a fiftieth of another's weight", member.address));
+    let heaviest = pool
+        .members
+        .iter()
+        .filter(on)
+        .map(|m| m.weight)
+        .fold(0.0, f64::max);
+    for member in pool
+        .members
+        .iter()
+        .filter(on)
+        .filter(|m| m.weight * 50.0 < heaviest)
+    {
+        odd.push(format!(
+            "{} has less than a fiftieth of another's weight",
+            member.address
+        ));
     }
     odd
 }
--- a/crates/node/src/life/fleet.rs
+++ b/crates/node/src/life/fleet.rs
@@ -45,9 +45,11 @@
     pub fn read(self, text: &str) -> Result<Settings, String> {
         let wrong = |at: usize, what: &str| Err(line(text, at, what));
         let name = |key: &str, name: &Spanned<String>| match name.get_ref() {
-            n if n.is_empty() || n.len() > MOST_NAME => {
-                Err(line(text, name.span().start, &format!("{key}: it has 1 to {MOST_NAME} bytes")))
-            }
+            n if n.is_empty() || n.len() > MOST_NAME => Err(line(
+                text,
+                name.span().start,
+                &format!("{key}: it has 1 to {MOST_NAME} bytes"),
+            )),
             n => Ok(n.clone()),
         };
         let bind = *self.bind.get_ref();
@@ -60,34 +62,66 @@
             }
             None => bind,
             Some(at) if at.get_ref().ip().is_unspecified() => {
-                return wrong(at.span().start, "advertise: nobody can be reached at that address");
+                return wrong(
+                    at.span().start,
+                    "advertise: nobody can be reached at that address",
+                );
             }
             Some(at) => *at.get_ref(),
         };
         if self.seeds.len() > MOST_SEEDS {
-            return wrong(self.seeds[MOST_SEEDS].span().start, "seeds: too many, some are enough");
+            return wrong(
+                self.seeds[MOST_SEEDS].span().start,
+                "seeds: too many, some are enough",
+            );
         }
         // Whoever reaches the fleet's port can say anything: nothing of it is signed or secret yet.
         let local = |at: &SocketAddr| at.ip().is_loopback();
-        let named = std::iter::once(&self.bind).chain(&self.advertise).chain(&self.seeds);
-        if let Some(far) = named.into_iter().find(|at| !self.trusted_network && !local(at.get_ref())) {
+        let named = std::iter::once(&self.bind)
+            .chain(&self.advertise)
+            .chain(&self.seeds);
+        if let Some(far) = named
+            .into_iter()
+            .find(|at| !self.trusted_network && !local(at.get_ref()))
+        {
             let what = "an address that is not loopback: say trusted_network = true if nobody but the fleet reaches it";
             return wrong(far.span().start, what);
         }
         let usual = Rules::default();
-        let probe = within(text, "probe_ms", self.probe_ms, usual.probe as u64 / 1000, [50, 60_000])?;
-        let forget = within(text, "forget_s", self.forget_s, usual.forget as u64 / 1_000_000, [60, 604_800])?;
+        let probe = within(
+            text,
+            "probe_ms",
+            self.probe_ms,
+            usual.probe as u64 / 1000,
+            [50, 60_000],
+        )?;
+        let forget = within(
+            text,
+            "forget_s",
+            self.forget_s,
+            usual.forget as u64 / 1_000_000,
+            [60, 604_800],
+        )?;
         let rules = Rules {
             probe: probe as i64 * 1000,
             forget: forget as i64 * 1_000_000,
-            most_members: within(text, "most_members", self.most_members, usual.most_members, [2, 10_000])?,
+            most_members: within(
+                text,
+                "most_members",
+                self.most_members,
+                usual.most_members,
+                [2, 10_000],
+            )?,
             ..usual
         };
         let apart = match &self.share_apart {
             Some(apart) if matches!(apart.get_ref(), ShareApart::Least) => {
                 if self.versions.is_none() {
                     // Whether it is cut off, and since when, is known by its lease.
-                    return wrong(apart.span().start, "share_apart = \"least\" needs [fleet.versions]");
+                    return wrong(
+                        apart.span().start,
+                        "share_apart = \"least\" needs [fleet.versions]",
+                    );
                 }
                 Apart::Least
             }
@@ -99,9 +133,16 @@
             bind,
             advertise,
             seeds: self.seeds.into_iter().map(Spanned::into_inner).collect(),
-            zone: self.zone.map(|zone| name("zone", &zone)).transpose()?.unwrap_or_default(),
+            zone: self
+                .zone
+                .map(|zone| name("zone", &zone))
+                .transpose()?
+                .unwrap_or_default(),
             rules,
-            versions: self.versions.map(|section| section.read(text)).transpose()?,
+            versions: self
+                .versions
+                .map(|section| section.read(text))
+                .transpose()?,
         })
     }
 }
@@ -112,19 +153,38 @@
 
     #[test]
     fn what_is_wrong_with_a_fleet_is_named_with_its_line() {
-        let fleet = |more: &str| format!("[fleet]\nname = \"rota\"\nbind = \"127.0.0.1:7946\"\n{more}");
+        let fleet =
+            |more: &str| format!("[fleet]\nname = \"rota\"\nbind = \"127.0.0.1:7946\"\n{more}");
         let cases = [
             (fleet(""), ""),
-            (fleet("seeds = [\"127.0.0.1:1\"]\nprobe_ms = 200\nzone = \"west\""), ""),
-            ("[fleet]\nbind = \"127.0.0.1:1\"".to_owned(), "line 1: missing field `name`"),
-            ("[fleet]\nname = \"\"\nbind = \"127.0.0.1:1\"".to_owned(), "line 2: name: it has 1 to 64 bytes"),
+            (
+                fleet("seeds = [\"127.0.0.1:1\"]\nprobe_ms = 200\nzone = \"west\""),
+                "",
+            ),
+            (
+                "[fleet]\nbind = \"127.0.0.1:1\"".to_owned(),
+                "line 1: missing field `name`",
+            ),
+            (
+                "[fleet]\nname = \"\"\nbind = \"127.0.0.1:1\"".to_owned(),
+                "line 2: name: it has 1 to 64 bytes",
+            ),
             (
                 "[fleet]\nname = \"a\"\nbind = \"10.0.0.1:1\"".to_owned(),
                 "line 3: an address that is not loopback",
             ),
-            (fleet("seeds = [\"10.0.0.1:1\"]"), "line 4: an address that is not loopback"),
-            (fleet("advertise = \"10.0.0.1:1\""), "line 4: an address that is not loopback"),
-            (fleet("seeds = [\"10.0.0.1:1\"]\ntrusted_network = true"), ""),
+            (
+                fleet("seeds = [\"10.0.0.1:1\"]"),
+                "line 4: an address that is not loopback",
+            ),
+            (
+                fleet("advertise = \"10.0.0.1:1\""),
+                "line 4: an address that is not loopback",
+            ),
+            (
+                fleet("seeds = [\"10.0.0.1:1\"]\ntrusted_network = true"),
+                "",
+            ),
             (
                 "[fleet]\nname = \"a\"\nbind = \"0.0.0.0:1\"\ntrusted_network = true".to_owned(),
                 "line 3: bind: all addresses; advertise has to say",
@@ -133,22 +193,40 @@
                 fleet("advertise = \"0.0.0.0:1\"\ntrusted_network = true"),
                 "line 4: advertise: nobody can be reached",
             ),
-            (fleet("probe_ms = 10"), "line 4: probe_ms = 10: it lies from 50 to 60000"),
-            (fleet("most_members = 1"), "line 4: most_members = 1: it lies from 2"),
-            (fleet("forget_s = 5"), "line 4: forget_s = 5: it lies from 60"),
+            (
+                fleet("probe_ms = 10"),
+                "line 4: probe_ms = 10: it lies from 50 to 60000",
+            ),
+            (
+                fleet("most_members = 1"),
+                "line 4: most_members = 1: it lies from 2",
+            ),
+            (
+                fleet("forget_s = 5"),
+                "line 4: forget_s = 5: it lies from 60",
+            ),
             (fleet("gossip = true"), "line 4: unknown field `gossip`"),
             (fleet("share_apart = \"keep\""), ""),
-            (fleet("share_apart = \"least\""), "line 4: share_apart = \"least\" needs [fleet.versions]"),
+            (
+                fleet("share_apart = \"least\""),
+                "line 4: share_apart = \"least\" needs [fleet.versions]",
+            ),
         ];
         for (text, expected) in cases {
             match Operator::read(&text, &[]) {
                 Ok(file) => assert!(expected.is_empty() && file.fleet.is_some(), "{text}"),
-                Err(why) => assert!(!expected.is_empty() && why.starts_with(expected), "{text}: {why}"),
+                Err(why) => assert!(
+                    !expected.is_empty() && why.starts_with(expected),
+                    "{text}: {why}"
+                ),
             }
         }
         // Without the section there is no part in any fleet.
         assert_eq!(Operator::read("", &[]).unwrap().fleet, None);
-        let read = Operator::read(&fleet("forget_s = 60"), &[]).unwrap().fleet.unwrap();
+        let read = Operator::read(&fleet("forget_s = 60"), &[])
+            .unwrap()
+            .fleet
+            .unwrap();
         assert_eq!((read.advertise, read.rules.forget), (read.bind, 60_000_000));
     }
 }
--- a/crates/node/src/life/import.rs
+++ b/crates/node/src/life/import.rs
@@ -1,5 +1,5 @@
-//! Turns mod_jk's `workers.properties` and Apache's balancer sections into the operator's file's section on uwsgi, and
-//! names with file and line what it can't carry over.
+//! Turns mod_jk's `workers.properties` and Apache's balancer sections into the operator's file's
+//! section on uwsgi, and names with file and line what it can't carry over.
 
 use crate::net::routes::Uwsgi;
 use pipitlever_load_balancing::pool::{Member, Use};
@@ -38,12 +38,17 @@
         }
     }
 
-    /// Takes in one thing said, by its name in either file. What is wrong with it, or can't be carried over.
+    /// Takes in one thing said, by its name in either file. What is wrong with it, or can't be
+    /// carried over.
     fn take(&mut self, key: &str, value: &str) -> Result<(), String> {
         match key {
             "loadfactor" | "lbfactor" => {
-                let weight = value.parse::<f64>().ok().filter(|w| (0.01..=100.0).contains(w));
-                self.weight = Some(weight.ok_or_else(|| format!("no weight from 0.01 to 100: {value}"))?);
+                let weight = value
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|w| (0.01..=100.0).contains(w));
+                self.weight =
+                    Some(weight.ok_or_else(|| format!("no weight from 0.01 to 100: {value}"))?);
             }
             // Both files prefer the lower number, and use the next one when nobody of it is usable.
             "lbset" | "distance" => {
@@ -51,8 +56,12 @@
                 self.tier = Some(tier.ok_or_else(|| format!("no {key}: {value}"))?);
             }
             "max" => {
-                let most = value.parse::<usize>().ok().filter(|m| (1..=MOST_RUNS).contains(m));
-                let most = most.ok_or_else(|| format!("no number of runs from 1 to {MOST_RUNS}: {value}"))?;
+                let most = value
+                    .parse::<usize>()
+                    .ok()
+                    .filter(|m| (1..=MOST_RUNS).contains(m));
+                let most = most
+                    .ok_or_else(|| format!("no number of runs from 1 to {MOST_RUNS}: {value}"))?;
                 self.most_runs = Some(most);
             }
             "activation" => {
@@ -109,7 +118,11 @@
             text += &format!("{key} = {value}\n");
         }
     };
-    say("weight", format!("{:?}", member.weight), member.weight != usual.weight);
+    say(
+        "weight",
+        format!("{:?}", member.weight),
+        member.weight != usual.weight,
+    );
     say("tier", member.tier.to_string(), member.tier != usual.tier);
     say("spare", member.spare.to_string(), member.spare);
     let usage = match member.usage {
@@ -118,7 +131,11 @@
         Use::Disabled => "disabled",
     };
     say("use", format!("\"{usage}\""), member.usage != Use::On);
-    say("most_runs", member.most_runs.to_string(), member.most_runs != usual.most_runs);
+    say(
+        "most_runs",
+        member.most_runs.to_string(),
+        member.most_runs != usual.most_runs,
+    );
     text
 }
 
@@ -130,7 +147,8 @@
     /// Where each worker of a balancer is in the list, and what said so.
     known: HashMap<(String, SocketAddr), (usize, String)>,
     deadline_ms: Option<u64>,
-    /// Paths that were sent to a balancer, and to which: their classes are for the operators to name.
+    /// Paths that were sent to a balancer, and to which: their classes are for the operators to
+    /// name.
     paths: Vec<(String, String)>,
     /// What was not carried over, each with file and line.
     pub notes: Vec<String>,
@@ -152,16 +170,28 @@
         // One balancer alone needs no name.
         let one = balancers.len() <= 1;
         let of = |balancer: &str| -> Vec<&Member<SocketAddr>> {
-            self.workers.iter().filter(|(b, _)| b == balancer).map(|(_, m)| m).collect()
+            self.workers
+                .iter()
+                .filter(|(b, _)| b == balancer)
+                .map(|(_, m)| m)
+                .collect()
+        };
+        let unnamed = if one {
+            balancers.first().copied().unwrap_or_default()
+        } else {
+            ""
         };
-        let unnamed = if one { balancers.first().copied().unwrap_or_default() } else { "" };
         let plain = |m: &&&Member<SocketAddr>| ***m == Member::at(m.address);
         let first = of(unnamed);
         let workers = first.iter().filter(plain).map(|m| m.address).collect();
-        let mut file = Uwsgi { workers, ..Uwsgi::default() };
+        let mut file = Uwsgi {
+            workers,
+            ..Uwsgi::default()
+        };
         file.deadline_ms = self.deadline_ms.unwrap_or(file.deadline_ms);
-        let mut text =
-            String::from("# Add 'listen', where uwsgi clients connect, and a route for each class.\n");
+        let mut text = String::from(
+            "# Add 'listen', where uwsgi clients connect, and a route for each class.\n",
+        );
         text += &toml::to_string(&Section { uwsgi: file }).map_err(|e| e.to_string())?;
         for member in first.iter().filter(|m| !plain(m)) {
             text += &worker_text("uwsgi.worker", member);
@@ -169,7 +199,9 @@
         let quoted = |text: &str| toml::Value::String(text.to_owned());
         for balancer in balancers.into_iter().filter(|b| *b != unnamed) {
             text += &format!("\n[[pool]]\nname = {}\n", quoted(balancer));
-            of(balancer).iter().for_each(|m| text += &worker_text("pool.member", m));
+            of(balancer)
+                .iter()
+                .for_each(|m| text += &worker_text("pool.member", m));
         }
         for (path, balancer) in &self.paths {
             text += &format!("\n# [[uwsgi.route]]\n# path = {}\n", quoted(path));
@@ -186,8 +218,19 @@
     }
 
     /// A worker of this place, as its lines say more of it.
-    fn worker(&mut self, balancer: &str, name: &str, line: usize, (host, port): (&str, &str), said: Said) {
-        let host = if host == "localhost" { "127.0.0.1" } else { host };
+    fn worker(
+        &mut self,
+        balancer: &str,
+        name: &str,
+        line: usize,
+        (host, port): (&str, &str),
+        said: Said,
+    ) {
+        let host = if host == "localhost" {
+            "127.0.0.1"
+        } else {
+            host
+        };
         let ip = host.trim_matches(['[', ']']).parse::<IpAddr>();
         let (Ok(ip), Ok(port @ 1..)) = (ip, port.parse::<u16>()) else {
             return self.note(name, line, &format!("no address of numbers: {host}:{port}"));
@@ -202,7 +245,10 @@
             }
             Some((at, _)) if self.workers[*at].1 == member => {}
             Some((_, place)) => {
-                let what = format!("{} was said to be otherwise at {place}, which holds", member.address);
+                let what = format!(
+                    "{} was said to be otherwise at {place}, which holds",
+                    member.address
+                );
                 self.note(name, line, &what);
             }
         }
@@ -210,7 +256,11 @@
 
     /// Several limits become one, the shortest.
     fn deadline(&mut self, name: &str, line: usize, text: &str, unit_ms: u64) {
-        match text.parse::<u64>().ok().and_then(|n| n.checked_mul(unit_ms)) {
+        match text
+            .parse::<u64>()
+            .ok()
+            .and_then(|n| n.checked_mul(unit_ms))
+        {
             Some(ms @ 1..=3_600_000) => {
                 self.deadline_ms = Some(self.deadline_ms.map_or(ms, |d| d.min(ms)));
             }
@@ -226,32 +276,45 @@
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let pair = line.split_once('=').map(|(key, value)| (key.trim(), value.trim()));
+            let pair = line
+                .split_once('=')
+                .map(|(key, value)| (key.trim(), value.trim()));
             match pair.map(|(key, value)| (key.splitn(3, '.').collect::<Vec<_>>(), value)) {
                 // Which workers there are shows in their own lines.
                 Some((words, _)) if words == ["worker", "list"] => {}
                 Some((words, value)) if words.len() == 3 && words[0] == "worker" => {
-                    workers.entry(words[1]).or_default().insert(words[2], (i + 1, value));
+                    workers
+                        .entry(words[1])
+                        .or_default()
+                        .insert(words[2], (i + 1, value));
                 }
                 _ => self.note(name, i + 1, &format!("unknown directive: {line}")),
             }
         }
-        // A balancer that names a worker which nobody defines would send it a share that goes nowhere.
+        // A balancer that names a worker which nobody defines would send it a share that goes
+        // nowhere.
         let mut within: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (balancer, lines) in &workers {
             for key in ["balance_workers", "balanced_workers"] {
-                let Some((line, names)) = lines.get(key) else { continue };
+                let Some((line, names)) = lines.get(key) else {
+                    continue;
+                };
                 for named in names.split([',', ' ', '\t']).filter(|n| !n.is_empty()) {
                     within.entry(named).or_default().push(balancer);
                     let kind = workers.get(named).and_then(|lines| lines.get("type"));
                     if kind.is_some_and(|(_, kind)| *kind == "lb") {
                         // Whether they go round in a circle or not: a pool has no pools within.
-                        let what =
-                            format!("worker {balancer}: {named} is a balancer itself: not carried over");
+                        let what = format!(
+                            "worker {balancer}: {named} is a balancer itself: not carried over"
+                        );
                         self.note(name, *line, &what);
                     }
                     if !workers.contains_key(named) {
-                        self.note(name, *line, &format!("worker {balancer}: {named} is not defined"));
+                        self.note(
+                            name,
+                            *line,
+                            &format!("worker {balancer}: {named} is not defined"),
+                        );
                     }
                 }
             }
@@ -266,12 +329,15 @@
                 ("uwsgi", Some((line, port))) => {
                     let mut said = Said::default();
                     for key in ["lbfactor", "activation", "distance"] {
-                        let Some((line, value)) = lines.get(key) else { continue };
+                        let Some((line, value)) = lines.get(key) else {
+                            continue;
+                        };
                         if let Err(what) = said.take(key, value) {
                             self.note(name, *line, &format!("worker {worker}: {what}"));
                         }
                     }
-                    // One that no balancer names is a balancer of its own in mod_jk, and has no name here.
+                    // One that no balancer names is a balancer of its own in mod_jk, and has no
+                    // name here.
                     for balancer in within.get(worker).map_or(&[""][..], |b| b) {
                         self.worker(balancer, name, *line, (host, port), said);
                     }
@@ -292,7 +358,11 @@
                     // Of a worker that is carried over, all of it was taken in above.
                     "lbfactor" | "activation" | "distance" if kind == "uwsgi" => {}
                     "reply_timeout" => self.deadline(name, line, value, 1),
-                    _ => self.note(name, line, &format!("worker {worker}: unknown directive: {key}={value}")),
+                    _ => self.note(
+                        name,
+                        line,
+                        &format!("worker {worker}: unknown directive: {key}={value}"),
+                    ),
                 }
             }
         }
@@ -312,10 +382,16 @@
             if joined.matches('"').count() % 2 == 1 && !joined.starts_with('#') {
                 self.note(name, i + 1, "a quote is not closed");
             }
-            let Some(directive) = words.first().filter(|w| !w.starts_with('#')) else { continue };
+            let Some(directive) = words.first().filter(|w| !w.starts_with('#')) else {
+                continue;
+            };
             let rest = &words[1..];
             let to_balancer = |w: Option<&String>| {
-                w.is_some_and(|w| w.trim_end_matches('>').to_ascii_lowercase().starts_with("balancer://"))
+                w.is_some_and(|w| {
+                    w.trim_end_matches('>')
+                        .to_ascii_lowercase()
+                        .starts_with("balancer://")
+                })
             };
             match directive.to_ascii_lowercase().as_str() {
                 "<proxy" if to_balancer(rest.first()) => {
@@ -339,7 +415,11 @@
             }
         }
         if let Some((open, line)) = balancer {
-            self.note(name, line, &format!("the section of balancer {open} is not closed"));
+            self.note(
+                name,
+                line,
+                &format!("the section of balancer {open} is not closed"),
+            );
         }
     }
 
@@ -356,7 +436,9 @@
                 let (host, port) = named.unwrap_or((place, "3031"));
                 self.worker(balancer, name, line, (host, port), said);
             }
-            Some((scheme, _)) => self.note(name, line, &format!("{url}: {scheme} is not spoken here")),
+            Some((scheme, _)) => {
+                self.note(name, line, &format!("{url}: {scheme} is not spoken here"))
+            }
             None => self.note(name, line, &format!("no address: {url}")),
         }
     }
@@ -365,7 +447,10 @@
     fn parameters(&mut self, name: &str, line: usize, words: &[String], member: bool) -> Said {
         let mut said = Said::default();
         for word in words {
-            match word.split_once('=').map(|(k, v)| (k.to_ascii_lowercase(), v)) {
+            match word
+                .split_once('=')
+                .map(|(k, v)| (k.to_ascii_lowercase(), v))
+            {
                 Some((key, value)) if key == "timeout" => self.deadline(name, line, value, 1000),
                 Some((key, value)) if member => {
                     if let Err(what) = said.take(&key, value) {
@@ -381,11 +466,15 @@
 
 /// The name in a balancer's address.
 fn balancer_name(url: &str) -> String {
-    let name = url.trim_end_matches('>').split_once("://").map_or("", |(_, rest)| rest);
+    let name = url
+        .trim_end_matches('>')
+        .split_once("://")
+        .map_or("", |(_, rest)| rest);
     name.split('/').next().unwrap_or_default().to_owned()
 }
 
-/// Words apart by white space, with or without quotes; a tag's closing bracket is not part of its last one.
+/// Words apart by white space, with or without quotes; a tag's closing bracket is not part of its
+/// last one.
 fn words(line: &str) -> Vec<String> {
     let mut words = Vec::new();
     let mut rest = line.trim();
@@ -410,7 +499,11 @@
     fn import(name: &str, text: &str) -> (Vec<String>, Option<u64>, Vec<String>, Vec<String>) {
         let mut import = Import::default();
         import.read(name, text);
-        let workers = import.workers.iter().map(|(_, m)| m.address.to_string()).collect();
+        let workers = import
+            .workers
+            .iter()
+            .map(|(_, m)| m.address.to_string())
+            .collect();
         let paths = import.paths.into_iter().map(|(path, _)| path).collect();
         (workers, import.deadline_ms, paths, import.notes)
     }
@@ -423,7 +516,10 @@
                     worker.c.type=uwsgi\nworker.c.host=node.example\nworker.c.port=1\n\
                     worker.lb.sticky_session=1\nworker.maintain=60\nnonsense\n";
         let (workers, deadline, _, notes) = import("workers.properties", text);
-        assert_eq!((workers, deadline), (vec!["127.0.0.1:3032".into()], Some(4000)));
+        assert_eq!(
+            (workers, deadline),
+            (vec!["127.0.0.1:3032".into()], Some(4000))
+        );
         let expected = [
             "workers.properties:16: unknown directive: worker.maintain=60",
             "workers.properties:17: unknown directive: nonsense",
@@ -462,33 +558,103 @@
             ("loadfactor=1", usual.clone(), ""),
             (
                 "loadfactor=2.5 lbset=1 max=8",
-                Member { weight: 2.5, tier: 1, most_runs: 8, ..usual.clone() },
+                Member {
+                    weight: 2.5,
+                    tier: 1,
+                    most_runs: 8,
+                    ..usual.clone()
+                },
+                "",
+            ),
+            (
+                "status=+H",
+                Member {
+                    spare: true,
+                    ..usual.clone()
+                },
+                "",
+            ),
+            (
+                "status=D",
+                Member {
+                    usage: Use::Disabled,
+                    ..usual.clone()
+                },
                 "",
             ),
-            ("status=+H", Member { spare: true, ..usual.clone() }, ""),
-            ("status=D", Member { usage: Use::Disabled, ..usual.clone() }, ""),
             ("status=+D-D", usual.clone(), ""),
-            ("status=+S", Member { usage: Use::Disabled, ..usual.clone() }, ""),
-            ("status=+N+H", Member { usage: Use::Draining, spare: true, ..usual.clone() }, ""),
+            (
+                "status=+S",
+                Member {
+                    usage: Use::Disabled,
+                    ..usual.clone()
+                },
+                "",
+            ),
+            (
+                "status=+N+H",
+                Member {
+                    usage: Use::Draining,
+                    spare: true,
+                    ..usual.clone()
+                },
+                "",
+            ),
             ("status=-H", usual.clone(), ""),
-            ("status=+RH", Member { spare: true, ..usual.clone() }, "status=+RH: not carried over: R"),
-            ("status=+IE", usual.clone(), "status=+IE: not carried over: IE"),
-            ("loadfactor=0", usual.clone(), "no weight from 0.01 to 100: 0"),
-            ("loadfactor=many", usual.clone(), "no weight from 0.01 to 100: many"),
+            (
+                "status=+RH",
+                Member {
+                    spare: true,
+                    ..usual.clone()
+                },
+                "status=+RH: not carried over: R",
+            ),
+            (
+                "status=+IE",
+                usual.clone(),
+                "status=+IE: not carried over: IE",
+            ),
+            (
+                "loadfactor=0",
+                usual.clone(),
+                "no weight from 0.01 to 100: 0",
+            ),
+            (
+                "loadfactor=many",
+                usual.clone(),
+                "no weight from 0.01 to 100: many",
+            ),
             ("lbset=-1", usual.clone(), "no lbset: -1"),
-            ("max=0", usual.clone(), "no number of runs from 1 to 1024: 0"),
-            ("max=99999", usual.clone(), "no number of runs from 1 to 1024: 99999"),
+            (
+                "max=0",
+                usual.clone(),
+                "no number of runs from 1 to 1024: 0",
+            ),
+            (
+                "max=99999",
+                usual.clone(),
+                "no number of runs from 1 to 1024: 99999",
+            ),
             ("route=n1", usual.clone(), "unknown parameter: route=n1"),
             ("retry", usual.clone(), "unknown parameter: retry"),
         ];
         for (parameters, wanted, said) in cases {
             let mut import = Import::default();
-            import.read("a.conf", &format!("BalancerMember balancer://b uwsgi://127.0.0.1:1 {parameters}"));
+            import.read(
+                "a.conf",
+                &format!("BalancerMember balancer://b uwsgi://127.0.0.1:1 {parameters}"),
+            );
             assert_eq!(import.workers, [("b".to_owned(), wanted)], "{parameters}");
-            let notes: Vec<&str> = import.notes.iter().map(|n| n.trim_start_matches("a.conf:1: ")).collect();
+            let notes: Vec<&str> = import
+                .notes
+                .iter()
+                .map(|n| n.trim_start_matches("a.conf:1: "))
+                .collect();
             assert_eq!(notes.concat(), said, "{parameters}");
             let text = import.file().unwrap();
-            let file = Operator::read(&text, &[]).unwrap_or_else(|e| panic!("{e} in {text}")).uwsgi;
+            let file = Operator::read(&text, &[])
+                .unwrap_or_else(|e| panic!("{e} in {text}"))
+                .uwsgi;
             assert_eq!(file.members(), [import.workers[0].1.clone()], "{text}");
         }
     }
@@ -500,18 +666,51 @@
             ("activation=Disabled", 1.0, 0, Use::Draining, ""),
             ("activation=S", 1.0, 0, Use::Disabled, ""),
             ("distance=2", 1.0, 2, Use::On, ""),
-            ("activation=perhaps", 1.0, 0, Use::On, "worker a: unknown activation: perhaps"),
-            ("lbfactor=", 1.0, 0, Use::On, "worker a: no weight from 0.01 to 100: "),
-            ("redirect=b", 1.0, 0, Use::On, "worker a: unknown directive: redirect=b"),
+            (
+                "activation=perhaps",
+                1.0,
+                0,
+                Use::On,
+                "worker a: unknown activation: perhaps",
+            ),
+            (
+                "lbfactor=",
+                1.0,
+                0,
+                Use::On,
+                "worker a: no weight from 0.01 to 100: ",
+            ),
+            (
+                "redirect=b",
+                1.0,
+                0,
+                Use::On,
+                "worker a: unknown directive: redirect=b",
+            ),
         ];
         for (line, weight, tier, usage, said) in cases {
             let mut import = Import::default();
             let text = format!("worker.a.type=uwsgi\nworker.a.port=1\nworker.a.{line}\n");
             import.read("w.properties", &text);
             let usual = Member::at("127.0.0.1:1".parse().unwrap());
-            assert_eq!(import.workers, [(String::new(), Member { weight, tier, usage, ..usual })], "{line}");
-            let notes: Vec<&str> =
-                import.notes.iter().map(|n| n.trim_start_matches("w.properties:3: ")).collect();
+            assert_eq!(
+                import.workers,
+                [(
+                    String::new(),
+                    Member {
+                        weight,
+                        tier,
+                        usage,
+                        ..usual
+                    }
+                )],
+                "{line}"
+            );
+            let notes: Vec<&str> = import
+                .notes
+                .iter()
+                .map(|n| n.trim_start_matches("w.properties:3: "))
+                .collect();
             assert_eq!(notes.concat(), said, "{line}");
         }
     }
@@ -523,7 +722,10 @@
             "w.properties",
             "worker.lb.type=lb\nworker.lb.balance_workers=a, ghost\nworker.a.type=uwsgi\nworker.a.port=1\n",
         );
-        import.read("a.conf", "BalancerMember balancer://b uwsgi://127.0.0.1:1 loadfactor=4");
+        import.read(
+            "a.conf",
+            "BalancerMember balancer://b uwsgi://127.0.0.1:1 loadfactor=4",
+        );
         import.read("b.conf", "BalancerMember balancer://b uwsgi://127.0.0.1:1");
         assert_eq!(
             import.notes,
@@ -543,7 +745,8 @@
                       BalancerMember uwsgi://127.0.0.1:2 status=+H\n</Proxy>\n\
                       <Proxy \"balancer://swaps/\">\nBalancerMember uwsgi://127.0.0.1:1\n</Proxy>\n\
                       ProxyPass /view/old !\nProxyPass /view balancer://views/\nProxyPass /swap balancer://swaps\n";
-        let mod_jk = "worker.views.type=lb\nworker.views.balance_workers=a,b\nworker.swaps.type=lb\n\
+        let mod_jk =
+            "worker.views.type=lb\nworker.views.balance_workers=a,b\nworker.swaps.type=lb\n\
                       worker.swaps.balance_workers=a\nworker.a.type=uwsgi\nworker.a.port=1\n\
                       worker.b.type=uwsgi\nworker.b.port=2\n";
         for (name, text) in [("a.conf", apache), ("w.properties", mod_jk)] {
@@ -551,13 +754,28 @@
             import.read(name, text);
             assert!(import.notes.is_empty(), "{:?}", import.notes);
             let text = import.file().unwrap();
-            let file = Operator::read(&text, &[]).unwrap_or_else(|e| panic!("{e} in {text}")).uwsgi;
-            let pools: Vec<_> = file.named.iter().map(|p| (p.name.as_str(), p.members.len())).collect();
+            let file = Operator::read(&text, &[])
+                .unwrap_or_else(|e| panic!("{e} in {text}"))
+                .uwsgi;
+            let pools: Vec<_> = file
+                .named
+                .iter()
+                .map(|p| (p.name.as_str(), p.members.len()))
+                .collect();
             assert_eq!(pools, [("swaps", 1), ("views", 2)], "{text}");
             assert!(file.members().is_empty());
             if name == "a.conf" {
-                assert_eq!((file.named[1].members[0].weight, file.named[1].members[1].spare), (2.0, true));
-                assert!(text.contains("path = \"/view\"") && text.contains("pool = \"views\""), "{text}");
+                assert_eq!(
+                    (
+                        file.named[1].members[0].weight,
+                        file.named[1].members[1].spare
+                    ),
+                    (2.0, true)
+                );
+                assert!(
+                    text.contains("path = \"/view\"") && text.contains("pool = \"views\""),
+                    "{text}"
+                );
                 assert!(!text.contains("/view/old"));
             }
         }
@@ -569,7 +787,8 @@
         let mut text = String::new();
         for i in 0..200_000u32 {
             let [_, a, b, c] = i.to_be_bytes();
-            text += &format!("BalancerMember balancer://b uwsgi://10.{a}.{b}.{c}:3031 loadfactor=2\n");
+            text +=
+                &format!("BalancerMember balancer://b uwsgi://10.{a}.{b}.{c}:3031 loadfactor=2\n");
         }
         let mut import = Import::default();
         import.read("a.conf", &text);
@@ -584,11 +803,20 @@
             "BalancerMember balancer://b uwsgi://127.0.0.1:1 timeout=1\nProxyPass /a\"b balancer://b",
         );
         let text = import.file().unwrap();
-        let file = Operator::read(&text, &[]).unwrap_or_else(|e| panic!("{e} in {text}")).uwsgi;
-        assert_eq!((file.members(), file.deadline_ms), (vec![import.workers[0].1.clone()], 1000));
+        let file = Operator::read(&text, &[])
+            .unwrap_or_else(|e| panic!("{e} in {text}"))
+            .uwsgi;
+        assert_eq!(
+            (file.members(), file.deadline_ms),
+            (vec![import.workers[0].1.clone()], 1000)
+        );
         // A route becomes one by taking the marks away and naming its class.
-        let named = text.replace("class = \"\"", "class = \"c\"").replace("\n# ", "\n");
-        let file = Operator::read(&named, &["c".into()]).unwrap_or_else(|e| panic!("{e} in {named}")).uwsgi;
+        let named = text
+            .replace("class = \"\"", "class = \"c\"")
+            .replace("\n# ", "\n");
+        let file = Operator::read(&named, &["c".into()])
+            .unwrap_or_else(|e| panic!("{e} in {named}"))
+            .uwsgi;
         assert_eq!(file.routes[0].path, "/a\"b");
     }
 }
--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/life/pools.rs
@@ -40,7 +40,11 @@
 impl AffinitySection {
     fn read(self, text: &str) -> Result<Sessions, String> {
         if self.session.get_ref().is_empty() {
-            return Err(line(text, self.session.span().start, "session: the variable that names it"));
+            return Err(line(
+                text,
+                self.session.span().start,
+                "session: the variable that names it",
+            ));
         }
         Ok(Sessions {
             variable: self.session.into_inner(),
@@ -61,14 +65,20 @@
     for section in sections {
         let (name, at) = (section.name.get_ref().clone(), section.name.span().start);
         if name.is_empty() || names.iter().filter(|n| **n == name).count() > 1 {
-            return Err(line(text, at, &format!("a pool needs a name of its own: {name:?}")));
+            return Err(line(
+                text,
+                at,
+                &format!("a pool needs a name of its own: {name:?}"),
+            ));
         }
         if section.member.is_empty() {
             return Err(line(text, at, &format!("pool {name} has no member")));
         }
         let fallback = section.fallback.map(|fallback| {
             let at = fallback.span().start;
-            let found = names.iter().position(|n| n == fallback.get_ref() && *n != name);
+            let found = names
+                .iter()
+                .position(|n| n == fallback.get_ref() && *n != name);
             found
                 .map(|i| i + 1)
                 .ok_or_else(|| line(text, at, &format!("no other pool {}", fallback.get_ref())))
@@ -80,10 +90,15 @@
                 return Err(line(text, subset.span().start, &what));
             }
             (false, None) => None,
-            (true, subset) => Some(Shared { subset: within(text, "subset", subset, SUBSET, [1, 1000])? }),
+            (true, subset) => Some(Shared {
+                subset: within(text, "subset", subset, SUBSET, [1, 1000])?,
+            }),
         };
         let at = section.affinity.as_ref().map_or(0, |a| a.span().start);
-        let sessions = section.affinity.map(|a| a.into_inner().read(text)).transpose()?;
+        let sessions = section
+            .affinity
+            .map(|a| a.into_inner().read(text))
+            .transpose()?;
         let shared = match (shared, &sessions) {
             (Some(_), Some(_)) if subset_given => {
                 // A session may live with any of them, whichever node its client reaches.
@@ -98,39 +113,67 @@
         let labels = labels(text, &section.member)?;
         let members = members(text, &[], section.member)?;
         let (fallback, was) = (fallback.transpose()?, section.was);
-        all.push(Named { name, fallback, members, labels, shared, was, sessions });
+        all.push(Named {
+            name,
+            fallback,
+            members,
+            labels,
+            shared,
+            was,
+            sessions,
+        });
     }
     // Whoever follows the fall-backs must come to an end.
     for start in 1..=all.len() {
         let next = |i: &usize| all[*i - 1].fallback;
-        if std::iter::successors(Some(start), next).nth(all.len()).is_some() {
-            return Err(format!("pool {}: its fall-backs go round in a circle", all[start - 1].name));
+        if std::iter::successors(Some(start), next)
+            .nth(all.len())
+            .is_some()
+        {
+            return Err(format!(
+                "pool {}: its fall-backs go round in a circle",
+                all[start - 1].name
+            ));
         }
     }
     Ok(all)
 }
 
-/// What the members of a pool with a name are called, and where they stand. One that has no name goes by its address.
+/// What the members of a pool with a name are called, and where they stand. One that has no name
+/// goes by its address.
 fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<Label>, String> {
     let mut all: Vec<Label> = Vec::new();
     for entry in entries {
         let text_of = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.get_ref().clone());
         let name = text_of(&entry.name).unwrap_or_else(|| entry.address.get_ref().to_string());
-        let at = entry.name.as_ref().map_or(entry.address.span().start, |n| n.span().start);
+        let at = entry
+            .name
+            .as_ref()
+            .map_or(entry.address.span().start, |n| n.span().start);
         if name.is_empty() || name.len() > MOST_NAME {
-            return Err(line(text, at, &format!("name: it has 1 to {MOST_NAME} bytes")));
+            return Err(line(
+                text,
+                at,
+                &format!("name: it has 1 to {MOST_NAME} bytes"),
+            ));
         }
         if all.iter().any(|l| l.name == name) {
             return Err(line(text, at, &format!("the name {name} is given twice")));
         }
-        all.push(Label { name, zone: text_of(&entry.zone).unwrap_or_default() });
+        all.push(Label {
+            name,
+            zone: text_of(&entry.zone).unwrap_or_default(),
+        });
     }
     Ok(all)
 }
 
-/// Whether any of them has what only members of a pool with a name may have: the place of that, in bytes.
+/// Whether any of them has what only members of a pool with a name may have: the place of that, in
+/// bytes.
 pub fn labelled(entries: &[WorkerEntry]) -> Option<usize> {
-    entries.iter().find_map(|e| e.name.as_ref().or(e.zone.as_ref()).map(|s| s.span().start))
+    entries
+        .iter()
+        .find_map(|e| e.name.as_ref().or(e.zone.as_ref()).map(|s| s.span().start))
 }
 
 /// Reads members, none of which may be among those that are known.
@@ -143,7 +186,11 @@
     for entry in entries {
         let address = *entry.address.get_ref();
         if known.contains(&address) || all.iter().any(|m| m.address == address) {
-            return Err(line(text, entry.address.span().start, &format!("{address} is named twice")));
+            return Err(line(
+                text,
+                entry.address.span().start,
+                &format!("{address} is named twice"),
+            ));
         }
         let usual = Member::at(address);
         all.push(Member {
@@ -155,7 +202,13 @@
                 Usage::Draining => Use::Draining,
                 Usage::Disabled => Use::Disabled,
             },
-            most_runs: within(text, "most_runs", entry.most_runs, usual.most_runs, [1, 1024])?,
+            most_runs: within(
+                text,
+                "most_runs",
+                entry.most_runs,
+                usual.most_runs,
+                [1, 1024],
+            )?,
             ..usual
         });
     }
--- a/crates/node/src/life/reload.rs
+++ b/crates/node/src/life/reload.rs
@@ -11,7 +11,11 @@
 
 /// Whether the fleet decides what this node acts on.
 fn versioned(hub: &Shared) -> bool {
-    hub.borrow().callers.fleet.as_ref().is_some_and(|part| part.versions.is_some())
+    hub.borrow()
+        .callers
+        .fleet
+        .as_ref()
+        .is_some_and(|part| part.versions.is_some())
 }
 
 /// What of a configuration the next one is held against, and how it is read.
@@ -26,17 +30,22 @@
 impl<R: Fn(Option<&[u8]>) -> Result<Config, String>> Reload<R> {
     /// Follows the configuration that the node starts with.
     pub fn new(read: R, config: &Config) -> Reload<R> {
-        Reload { read, shape: config.shape.clone(), store: config.store.clone() }
+        Reload {
+            read,
+            shape: config.shape.clone(),
+            store: config.store.clone(),
+        }
     }
 
-    /// Reads the files, and takes over settings, classes, addresses of the other parties and the capture. With files
-    /// that can't be used the node goes on as it is, in every respect.
+    /// Reads the files, and takes over settings, classes, addresses of the other parties and the
+    /// capture. With files that can't be used the node goes on as it is, in every respect.
     pub fn reload(&mut self, hub: &Shared, capturing: &mut Capturing) {
         let taken = match versioned(hub) {
             // Each node's own file may be any day's: what the fleet decided would be gone with it.
-            true => {
-                Err("the fleet decides versions: pipitlever fleet publish FILE --why WHY --at DOOR".into())
-            }
+            true => Err(
+                "the fleet decides versions: pipitlever fleet publish FILE --why WHY --at DOOR"
+                    .into(),
+            ),
             false => (self.read)(None).and_then(|new| self.take(new, hub, capturing)),
         };
         match taken {
@@ -46,17 +55,22 @@
             }
             Err(trouble) => {
                 hub.borrow_mut().files.invalid += 1;
-                log(&format!("reload: not done, the old configuration stays: {trouble}"));
+                log(&format!(
+                    "reload: not done, the old configuration stays: {trouble}"
+                ));
             }
         }
     }
 
-    /// Acts on a version that the fleet has decided: as a whole, once it is on the disk that no process of this node goes back
-    /// behind it. One that can't be taken is turned down before that, and the node goes on under the one before.
+    /// Acts on a version that the fleet has decided: as a whole, once it is on the disk that no
+    /// process of this node goes back behind it. One that can't be taken is turned down before
+    /// that, and the node goes on under the one before.
     pub async fn act(&mut self, hub: &Shared, capturing: &mut Capturing, (number, content): Act) {
-        let Some(part) = hub.borrow().callers.fleet.clone() else { return };
-        // Once another process of the node is the member, this one ends under the version that it has: what it wrote down meanwhile is
-        // that one's to act on.
+        let Some(part) = hub.borrow().callers.fleet.clone() else {
+            return;
+        };
+        // Once another process of the node is the member, this one ends under the version that it
+        // has: what it wrote down meanwhile is that one's to act on.
         if !part.active() {
             return;
         }
@@ -83,13 +97,21 @@
         }
         let same = |(new, old): (&Named, &String)| new.name == *old || new.was.contains(old);
         let names = hub.borrow().pools.names();
-        if new.parties.pools.len() != names.len() || !new.parties.pools.iter().zip(&names).all(same) {
+        if new.parties.pools.len() != names.len() || !new.parties.pools.iter().zip(&names).all(same)
+        {
             return Err(
-                "pools can be neither added nor removed while the node runs, their members can".into()
+                "pools can be neither added nor removed while the node runs, their members can"
+                    .into(),
             );
         }
         let parts = |p: &Named| (p.shared.is_some(), p.sessions.is_some());
-        if new.parties.pools.iter().map(parts).ne(hub.borrow().pools.files().map(parts)) {
+        if new
+            .parties
+            .pools
+            .iter()
+            .map(parts)
+            .ne(hub.borrow().pools.files().map(parts))
+        {
             return Err(
                 "share = true and [pool.affinity] can be neither added nor removed while the node runs"
                     .into(),
@@ -111,7 +133,9 @@
         match (&hub.borrow().callers.fleet, &new.fleet) {
             (Some(part), Some(settings)) => part.retune(settings),
             (None, None) => {}
-            _ => log("reload: [fleet] was added or removed: it stays as it was until the next start"),
+            _ => {
+                log("reload: [fleet] was added or removed: it stays as it was until the next start")
+            }
         }
         if new.store != self.store {
             log("reload: [store] has changed: it stays as it was until the next start");
--- a/crates/node/src/life/sessions.rs
+++ b/crates/node/src/life/sessions.rs
@@ -38,19 +38,38 @@
 
 /// The table, or the lines of one worker.
 pub fn table(sessions: &Sessions, worker: Option<&str>) -> String {
-    let Sessions { filled, remembered, bytes, turned_down, pools } = sessions;
-    let filled = if *filled { "" } else { ", still hearing from the others" };
+    let Sessions {
+        filled,
+        remembered,
+        bytes,
+        turned_down,
+        pools,
+    } = sessions;
+    let filled = if *filled {
+        ""
+    } else {
+        ", still hearing from the others"
+    };
     let mut text = format!(
         "remembers {remembered} sessions in {} kB, {turned_down} found no room{filled}\n",
         bytes / 1024
     );
     for pool in pools {
-        let PoolSessions { pool: name, workers, placed, moved_removed, moved_failed, moved_unreachable } =
-            pool;
+        let PoolSessions {
+            pool: name,
+            workers,
+            placed,
+            moved_removed,
+            moved_failed,
+            moved_unreachable,
+        } = pool;
         text += &format!(
             "pool {name}: placed here {placed}, moved here: removed {moved_removed}, failed {moved_failed}, unreachable {moved_unreachable}\n"
         );
-        for (name, count) in workers.iter().filter(|(name, _)| worker.is_none_or(|w| w == *name)) {
+        for (name, count) in workers
+            .iter()
+            .filter(|(name, _)| worker.is_none_or(|w| w == *name))
+        {
             text += &format!("  {name}  {count}\n");
         }
     }
@@ -66,7 +85,10 @@
         return Err(format!("{door}: no worker {worker}"));
     }
     match json {
-        true => println!("{}", serde_json::to_string(&sessions).map_err(|e| e.to_string())?),
+        true => println!(
+            "{}",
+            serde_json::to_string(&sessions).map_err(|e| e.to_string())?
+        ),
         false => print!("{}", table(&sessions, worker)),
     }
     Ok(0)
@@ -87,11 +109,18 @@
             moved_failed: 2,
             moved_unreachable: 0,
         };
-        let sessions =
-            Sessions { filled: true, remembered: 7, bytes: 2048, turned_down: 0, pools: vec![pool] };
+        let sessions = Sessions {
+            filled: true,
+            remembered: 7,
+            bytes: 2048,
+            turned_down: 0,
+            pools: vec![pool],
+        };
         let all = table(&sessions, None);
         assert!(
-            all.contains("remembers 7 sessions in 2 kB") && all.contains("w0  3") && all.contains("w1  4"),
+            all.contains("remembers 7 sessions in 2 kB")
+                && all.contains("w0  3")
+                && all.contains("w1  4"),
             "{all}"
         );
         assert!(all.contains("removed 1, failed 2, unreachable 0"), "{all}");
--- a/crates/node/src/life/store.rs
+++ b/crates/node/src/life/store.rs
@@ -22,14 +22,14 @@
     window: Micros,
 }
 
-/// Opens it, for a node whose longest window is this, with the time in which its repeats are read. What it finds is
-/// told.
+/// Opens it, for a node whose longest window is this, with the time in which its repeats are read.
+/// What it finds is told.
 pub fn open(settings: Store, window: Micros) -> Result<Opened, String> {
     let place = settings.folder.display().to_string();
     let start = Instant::now();
     let disk = Disk::open(&settings.folder).map_err(|e| format!("store: {place}: {e}"))?;
-    let (log, found) =
-        Log::open(disk, Limits::within(settings.most), window).map_err(|e| format!("store: {place}: {e}"))?;
+    let (log, found) = Log::open(disk, Limits::within(settings.most), window)
+        .map_err(|e| format!("store: {place}: {e}"))?;
     for damage in &found.damage {
         self::log(&format!("store: damage: {place}/{damage}"));
     }
@@ -43,12 +43,17 @@
         "store: open: folder={place} keys={keys} ended={ended} used={used} torn={} ms={ms}",
         found.torn
     ));
-    Ok(Opened { settings, log, found, window })
+    Ok(Opened {
+        settings,
+        log,
+        found,
+        window,
+    })
 }
 
 impl Opened {
-    /// The core takes over, before it is told anything else. Damage may hide any key: until the longest window has passed
-    /// since the start, keyed requests are refused.
+    /// The core takes over, before it is told anything else. Damage may hide any key: until the
+    /// longest window has passed since the start, keyed requests are refused.
     pub fn begin(
         mut self,
         executor: &Rc<LocalExecutor<'static>>,
@@ -76,7 +81,8 @@
         {
             let mut hub = hub.borrow_mut();
             let now = hub.clock.now();
-            let suspect = (!self.found.damage.is_empty()).then(|| now + self.found.longest.max(self.window));
+            let suspect =
+                (!self.found.damage.is_empty()).then(|| now + self.found.longest.max(self.window));
             let gate = Gate::new(rules, used, suspect, first);
             let wait = self.settings.wait;
             let durable = Durable::new(gate, machine.up - now, wait, suspect);
@@ -85,7 +91,9 @@
             }
             hub.remember(durable, self.found.keys, salt);
         }
-        executor.spawn(store::batches(hub.clone(), writer, done)).detach();
+        executor
+            .spawn(store::batches(hub.clone(), writer, done))
+            .detach();
         Ok(())
     }
 }
--- a/crates/node/src/life/stored.rs
+++ b/crates/node/src/life/stored.rs
@@ -54,7 +54,10 @@
                     json!({"segments": segments, "bytes": size, "keys": keys, "torn": torn, "damage": damage})
                 );
             } else {
-                println!("segments={segments} bytes={size} keys={keys} torn={torn} damage={}", damage.len());
+                println!(
+                    "segments={segments} bytes={size} keys={keys} torn={torn} damage={}",
+                    damage.len()
+                );
                 damage.iter().for_each(|d| println!("damage: {d}"));
             }
             match damage.len() {
@@ -88,11 +91,15 @@
             Ok(())
         }
         Task::Compact => {
-            let (mut log, _) = Log::open(disk, Limits::within(u64::MAX / 2), 0).map_err(|e| wrong(&e))?;
+            let (mut log, _) =
+                Log::open(disk, Limits::within(u64::MAX / 2), 0).map_err(|e| wrong(&e))?;
             log.compact().map_err(|e| wrong(&e))?;
             let after = log.used();
             if json {
-                println!("{}", json!({"keys": keys.len(), "bytes_before": size, "bytes": after}));
+                println!(
+                    "{}",
+                    json!({"keys": keys.len(), "bytes_before": size, "bytes": after})
+                );
             } else {
                 println!("keys={} bytes_before={size} bytes={after}", keys.len());
             }
--- a/crates/node/src/life/text.rs
+++ b/crates/node/src/life/text.rs
@@ -21,5 +21,9 @@
     if (least..=most).contains(&given) {
         return Ok(given);
     }
-    Err(line(text, value.span().start, &format!("{key} = {given}: it lies from {least} to {most}")))
+    Err(line(
+        text,
+        value.span().start,
+        &format!("{key} = {given}: it lies from {least} to {most}"),
+    ))
 }
--- a/crates/node/src/life/versions.rs
+++ b/crates/node/src/life/versions.rs
@@ -44,12 +44,23 @@
     /// Holds it to what a register can be.
     pub fn read(self, text: &str) -> Result<Settings, String> {
         if self.folder.get_ref().as_os_str().is_empty() {
-            return Err(line(text, self.folder.span().start, "folder: its name is empty"));
+            return Err(line(
+                text,
+                self.folder.span().start,
+                "folder: its name is empty",
+            ));
         }
         let at = self.electors.span().start;
-        check_electors(self.electors.get_ref()).map_err(|why| line(text, at, &format!("electors: {why}")))?;
+        check_electors(self.electors.get_ref())
+            .map_err(|why| line(text, at, &format!("electors: {why}")))?;
         let mut rules = usual(self.electors.into_inner());
-        let lease = within(text, "lease_ms", self.lease_ms, rules.lease as u64 / 1000, [1000, 600_000])?;
+        let lease = within(
+            text,
+            "lease_ms",
+            self.lease_ms,
+            rules.lease as u64 / 1000,
+            [1000, 600_000],
+        )?;
         rules.lease = lease as i64 * 1000;
         rules.without = match self.without_lease {
             Some(WithoutLease::Refuse) => Without::Refuse,
@@ -59,12 +70,16 @@
             Some(UnknownFloor::Serve) => Unknown::Serve,
             Some(UnknownFloor::Wait) | None => Unknown::Wait,
         };
-        Ok(Settings { folder: self.folder.into_inner(), rules })
+        Ok(Settings {
+            folder: self.folder.into_inner(),
+            rules,
+        })
     }
 }
 
-/// The configuration that a node starts with: that of the version on its disk, where the fleet decides versions. What can't be read is as if
-/// it were not there, as a majority of electors says where to go on; not where the node would act without hearing one.
+/// The configuration that a node starts with: that of the version on its disk, where the fleet
+/// decides versions. What can't be read is as if it were not there, as a majority of electors says
+/// where to go on; not where the node would act without hearing one.
 pub fn begin(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
@@ -79,12 +94,22 @@
         }
         saved => saved?,
     };
-    let Some(saved) = saved.filter(|s| s.version.is_some()) else { return Ok((config, None)) };
+    let Some(saved) = saved.filter(|s| s.version.is_some()) else {
+        return Ok((config, None));
+    };
     match read(Some(&saved.content)) {
         Ok(config) => Ok((config, Some(saved))),
         Err(why) => {
-            log(&format!("versions: the version on the disk can't be acted on: {why}"));
-            Ok((config, Some(Saved { floor: saved.floor, ..Saved::default() })))
+            log(&format!(
+                "versions: the version on the disk can't be acted on: {why}"
+            ));
+            Ok((
+                config,
+                Some(Saved {
+                    floor: saved.floor,
+                    ..Saved::default()
+                }),
+            ))
         }
     }
 }
@@ -110,8 +135,11 @@
 
     /// A node's configuration with the version's settings in it.
     pub fn over_configuration(&self, text: &str) -> Result<String, String> {
-        let Some(settings) = &self.settings else { return Ok(text.to_owned()) };
-        let mut own: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
+        let Some(settings) = &self.settings else {
+            return Ok(text.to_owned());
+        };
+        let mut own: Value =
+            serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         let own_fields = own.as_object_mut().ok_or("configuration: no object")?;
         own_fields.insert("settings".into(), settings.clone());
         Ok(own.to_string())
@@ -119,13 +147,18 @@
 
     /// A node's operator's file with the version's sections in it.
     pub fn over_operator(&self, text: &str) -> Result<String, String> {
-        let Some(shared) = &self.operator else { return Ok(text.to_owned()) };
+        let Some(shared) = &self.operator else {
+            return Ok(text.to_owned());
+        };
         let table = |what: &str, text: &str| {
-            text.parse::<toml::Table>().map_err(|e| format!("{what}: {}", e.message()))
+            text.parse::<toml::Table>()
+                .map_err(|e| format!("{what}: {}", e.message()))
         };
         let shared = table("the version's content: operator", shared)?;
         if let Some(other) = shared.keys().find(|key| !SHARED.contains(&key.as_str())) {
-            return Err(format!("the version's content: operator: [{other}] is each node's own"));
+            return Err(format!(
+                "the version's content: operator: [{other}] is each node's own"
+            ));
         }
         let mut own = table("the operator's file", text)?;
         SHARED.iter().for_each(|key| drop(own.remove(*key)));
@@ -141,17 +174,32 @@
     #[test]
     fn a_version_takes_the_place_of_what_is_shared_and_of_nothing_else() {
         let content =
-            Content::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#).unwrap();
-        let text = content.over_configuration(r#"{"name": "n1", "settings": {"b": 2}}"#).unwrap();
-        assert_eq!(serde_json::from_str::<Value>(&text).unwrap()["settings"]["a"], 1);
+            Content::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#)
+                .unwrap();
+        let text = content
+            .over_configuration(r#"{"name": "n1", "settings": {"b": 2}}"#)
+            .unwrap();
+        assert_eq!(
+            serde_json::from_str::<Value>(&text).unwrap()["settings"]["a"],
+            1
+        );
         assert!(text.contains("n1") && !text.contains("\"b\""), "{text}");
-        let text =
-            content.over_operator("[fleet]\nname = \"x\"\n[uwsgi]\nmost_body = 1\n[[pool]]\nname = \"old\"");
+        let text = content.over_operator(
+            "[fleet]\nname = \"x\"\n[uwsgi]\nmost_body = 1\n[[pool]]\nname = \"old\"",
+        );
         let text = text.unwrap();
-        assert!(text.contains("[fleet]") && !text.contains("most_body") && !text.contains("old"), "{text}");
+        assert!(
+            text.contains("[fleet]") && !text.contains("most_body") && !text.contains("old"),
+            "{text}"
+        );
         // What is one machine's own can't be published to all.
         let own = Content::read(br#"{"operator": "[store]\nfolder = \"x\""}"#).unwrap();
-        assert!(own.over_operator("").unwrap_err().contains("[store] is each node's own"));
-        assert!(Content::read(br#"{"listen": "x"}"#).unwrap_err().contains("unknown field"));
+        assert!(own
+            .over_operator("")
+            .unwrap_err()
+            .contains("[store] is each node's own"));
+        assert!(Content::read(br#"{"listen": "x"}"#)
+            .unwrap_err()
+            .contains("unknown field"));
     }
 }
--- a/crates/node/src/net/callers.rs
+++ b/crates/node/src/net/callers.rs
@@ -1,4 +1,5 @@
-//! The operators' door as it is kept in memory: who calls, and who has to go when there are too many.
+//! The operators' door as it is kept in memory: who calls, and who has to go when there are too
+//! many.
 
 use super::fleet::Part;
 use super::nudge::Nudge;
@@ -33,7 +34,8 @@
         (self.last, go)
     }
 
-    /// Whether one that has its answer may be read for a moment; if so it keeps a descriptor until [`Callers::left`].
+    /// Whether one that has its answer may be read for a moment; if so it keeps a descriptor until
+    /// [`Callers::left`].
     pub fn may_linger(&mut self) -> bool {
         let may = self.leaving < MOST_CALLERS;
         self.leaving += usize::from(may);
@@ -50,8 +52,8 @@
         self.all.remove(&id);
     }
 
-    /// Whether there is a place for one more. If not, the one that came first is told to go, unless all are new;
-    /// then when to look again.
+    /// Whether there is a place for one more. If not, the one that came first is told to go, unless
+    /// all are new; then when to look again.
     pub fn room(&mut self, now: Instant) -> Result<(), Instant> {
         if self.all.len() < MOST_CALLERS {
             return Ok(());
@@ -85,7 +87,10 @@
         assert_eq!(callers.room(start), Err(start + NEW));
         assert_eq!((callers.all.len(), callers.sent_away), (MOST_CALLERS, 0));
         assert_eq!(callers.room(start + NEW), Ok(()));
-        assert_eq!((callers.all.len(), callers.sent_away), (MOST_CALLERS - 1, 1));
+        assert_eq!(
+            (callers.all.len(), callers.sent_away),
+            (MOST_CALLERS - 1, 1)
+        );
         pipitlever_reactor::block_on(first.wait());
         assert!(!callers.all.contains_key(&1));
     }
--- a/crates/node/src/net/calls.rs
+++ b/crates/node/src/net/calls.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Connections to the ledger, one for each call that is out. The module's own bound is far lower on any real settings; this one
-/// keeps the process within its descriptors.
+/// Connections to the ledger, one for each call that is out. The module's own bound is far lower on
+/// any real settings; this one keeps the process within its descriptors.
 pub const MOST_CALLS: usize = 48;
 
 /// A call to place with the ledger.
@@ -67,7 +67,8 @@
         self.nudge.give();
     }
 
-    /// A call that was not sent yet is taken back; the connection of one in the ledger's hands is closed.
+    /// A call that was not sent yet is taken back; the connection of one in the ledger's hands is
+    /// closed.
     pub fn abandon(&mut self, reference: Reference) {
         self.queue.retain(|c| c.reference != reference);
         if let Some(taken_back) = self.out.remove(&reference) {
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -13,7 +13,10 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        Clock { start: Instant::now(), base: unix() }
+        Clock {
+            start: Instant::now(),
+            base: unix(),
+        }
     }
 
     /// The time now.
@@ -21,8 +24,8 @@
         self.base + self.start.elapsed().as_micros() as Micros
     }
 
-    /// A Unix time on this clock. The two drift apart when the system's clock is set, so each Unix time is
-    /// carried over once, when it is read, and never held.
+    /// A Unix time on this clock. The two drift apart when the system's clock is set, so each Unix
+    /// time is carried over once, when it is read, and never held.
     pub fn of_unix(&self, at: Micros) -> Micros {
         self.now() - (unix() - at)
     }
@@ -39,5 +42,7 @@
 }
 
 fn unix() -> Micros {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as Micros)
 }
--- a/crates/node/src/net/control.rs
+++ b/crates/node/src/net/control.rs
@@ -18,7 +18,11 @@
 const LEAVE_MS: u64 = 500;
 
 /// Accepts callers for as long as the process lives, on its way out too.
-pub async fn listen(executor: Rc<LocalExecutor<'static>>, hub: Shared, listener: Async<TcpListener>) {
+pub async fn listen(
+    executor: Rc<LocalExecutor<'static>>,
+    hub: Shared,
+    listener: Async<TcpListener>,
+) {
     loop {
         // Not held over a wait.
         let room = hub.borrow_mut().callers.room(Instant::now());
@@ -28,11 +32,14 @@
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let Ok(stream) = Async::<TcpStream>::new(stream) else { continue };
+                let Ok(stream) = Async::<TcpStream>::new(stream) else {
+                    continue;
+                };
                 let _ = stream.get_ref().set_nodelay(true);
                 let (id, go) = hub.borrow_mut().callers.add(Instant::now());
                 executor.spawn(caller(hub.clone(), stream, id, go)).detach();
-                // It is read before the next one is let in: a crowd that says nothing must not push out who does.
+                // It is read before the next one is let in: a crowd that says nothing must not push
+                // out who does.
                 future::yield_now().await;
             }
             Err(_) => {
@@ -44,7 +51,11 @@
 }
 
 async fn caller(hub: Shared, stream: Async<TcpStream>, id: u64, go: Nudge) {
-    let asked = async { by(ahead(WHOLE_MS), read(&stream)).await.unwrap_or(Some(Err(Wrong::Timeout))) };
+    let asked = async {
+        by(ahead(WHOLE_MS), read(&stream))
+            .await
+            .unwrap_or(Some(Err(Wrong::Timeout)))
+    };
     let sent_away = async {
         go.wait().await;
         None
@@ -60,7 +71,8 @@
     // An answer fits into the socket's buffer, so that this waits for nobody who reads.
     let written = by(ahead(LEAVE_MS), stream.write_all(&out)).await;
     if matches!(written, Some(Ok(()))) && hub.borrow_mut().callers.may_linger() {
-        // What is unread at the close would reset the connection, and could take the answer with it.
+        // What is unread at the close would reset the connection, and could take the answer with
+        // it.
         closing::linger(&stream, LEAVE_MS).await;
         hub.borrow_mut().callers.left();
     }
@@ -97,7 +109,9 @@
         }
         if let Call::Publish | Call::Close(_) | Call::AcceptFloor(_) = call {
             let part = self.callers.fleet.clone();
-            let Some((part, versions)) = part.as_ref().and_then(|p| Some((p, p.versions.as_ref()?))) else {
+            let Some((part, versions)) =
+                part.as_ref().and_then(|p| Some((p, p.versions.as_ref()?)))
+            else {
                 return control::wrong(out, Wrong::NotFound);
             };
             let now = self.clock.now();
@@ -120,7 +134,9 @@
             },
             Call::Metrics => (true, self.figures()),
             // Answered above.
-            Call::Fleet | Call::Publish | Call::Close(_) | Call::AcceptFloor(_) => (false, String::new()),
+            Call::Fleet | Call::Publish | Call::Close(_) | Call::AcceptFloor(_) => {
+                (false, String::new())
+            }
             Call::Standby => {
                 self.stand_by(true);
                 (true, "standby\n".into())
@@ -137,7 +153,11 @@
 
     fn stand_by(&mut self, stand_by: bool) {
         if self.core.stand_by(stand_by) {
-            log(if stand_by { "control: standby" } else { "control: active" });
+            log(if stand_by {
+                "control: standby"
+            } else {
+                "control: active"
+            });
         }
     }
 
@@ -160,7 +180,10 @@
         let _ = writeln!(text, "edge.open_requests:{}|g", self.core.owed());
         let _ = writeln!(text, "edge.cfg_accepted:{}|c", files.accepted);
         let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.invalid);
-        self.callers.fleet.iter().for_each(|part| super::fleet::figures(part, &mut text));
+        self.callers
+            .fleet
+            .iter()
+            .for_each(|part| super::fleet::figures(part, &mut text));
         text
     }
 }
--- a/crates/node/src/net/fleet/door.rs
+++ b/crates/node/src/net/fleet/door.rs
@@ -52,11 +52,27 @@
             let _ = writeln!(text, "edge.fleet.{name}:{value}|g");
         }
     });
-    part.affinity.iter().for_each(|sessions| sessions.figures(text));
-    part.sharing.iter().for_each(|sharing| sharing.figures(part.clock.now(), text));
-    let Counts { sent, unsent, heard, malformed, synced, broken } = part.counts();
-    let counts =
-        [("sent", sent), ("unsent", unsent), ("heard", heard), ("malformed", malformed), ("synced", synced)];
+    part.affinity
+        .iter()
+        .for_each(|sessions| sessions.figures(text));
+    part.sharing
+        .iter()
+        .for_each(|sharing| sharing.figures(part.clock.now(), text));
+    let Counts {
+        sent,
+        unsent,
+        heard,
+        malformed,
+        synced,
+        broken,
+    } = part.counts();
+    let counts = [
+        ("sent", sent),
+        ("unsent", unsent),
+        ("heard", heard),
+        ("malformed", malformed),
+        ("synced", synced),
+    ];
     for (name, value) in counts.into_iter().chain([("broken", broken)]) {
         let _ = writeln!(text, "edge.fleet.{name}:{value}|c");
     }
--- a/crates/node/src/net/fleet/loops.rs
+++ b/crates/node/src/net/fleet/loops.rs
@@ -29,7 +29,9 @@
         let standing = part.steady.borrow_mut().see(part.clock.now(), seen);
         let until = part.parts_until();
         part.turn(|fleet, now| {
-            part.sharing.iter().for_each(|sharing| sharing.turn(fleet, now, until));
+            part.sharing
+                .iter()
+                .for_each(|sharing| sharing.turn(fleet, now, until));
             let mut payload = Vec::new();
             let (sharing, sessions) = (&part.sharing, &part.affinity);
             if part.versions.is_some() || sharing.is_some() || sessions.is_some() {
@@ -38,7 +40,9 @@
             if sharing.is_some() || sessions.is_some() {
                 payload.push(sessions.as_ref().map_or(0, Sessions::told));
             }
-            sharing.iter().for_each(|sharing| payload.extend(sharing.told()));
+            sharing
+                .iter()
+                .for_each(|sharing| payload.extend(sharing.told()));
             if let Some(sessions) = sessions {
                 sessions.look(now);
                 sessions.note(now);
@@ -61,11 +65,15 @@
                 if part.sessions.get() >= MOST_SESSIONS {
                     continue;
                 }
-                let Ok(stream) = Async::<TcpStream>::new(stream) else { continue };
+                let Ok(stream) = Async::<TcpStream>::new(stream) else {
+                    continue;
+                };
                 part.sessions.set(part.sessions.get() + 1);
                 let session = part.clone();
                 let answering = async move {
-                    session.settle("a connection", stream, Session::answer()).await;
+                    session
+                        .settle("a connection", stream, Session::answer())
+                        .await;
                     session.sessions.set(session.sessions.get() - 1);
                 };
                 part.executor.spawn(answering).detach();
@@ -81,7 +89,9 @@
 pub(super) async fn dials(part: Rc<Part>) {
     loop {
         part.dial.wait().await;
-        let Some(to) = part.turn(|fleet, _| fleet.take_sync()) else { continue };
+        let Some(to) = part.turn(|fleet, _| fleet.take_sync()) else {
+            continue;
+        };
         let from = (!part.from.ip().is_unspecified()).then(|| part.from.ip());
         match by(ahead(READ_MS), Async::<TcpStream>::connect_from(from, to)).await {
             Some(Ok(stream)) => {
@@ -107,7 +117,10 @@
                 if session.over() {
                     return Some(());
                 }
-                let read = by(ahead(READ_MS), stream.read(&mut bytes)).await?.ok().filter(|n| *n > 0)?;
+                let read = by(ahead(READ_MS), stream.read(&mut bytes))
+                    .await?
+                    .ok()
+                    .filter(|n| *n > 0)?;
                 if !self.active() {
                     return None;
                 }
@@ -117,6 +130,8 @@
             }
         });
         let over = settled.await.flatten().is_some();
-        self.count(|c| (c.synced, c.broken) = (c.synced + u64::from(over), c.broken + u64::from(!over)));
+        self.count(|c| {
+            (c.synced, c.broken) = (c.synced + u64::from(over), c.broken + u64::from(!over))
+        });
     }
 }
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! The node's part in the fleet: datagrams, connections and timers for what `pipitlever-fleet` decides. Only with `[fleet]`.
+//! The node's part in the fleet: datagrams, connections and timers for what `pipitlever-fleet`
+//! decides. Only with `[fleet]`.
 
 use super::clock::Clock;
 use super::hub::Shared;
@@ -113,7 +114,8 @@
 }
 
 impl Part {
-    /// Begins to take part: as the process before it in this node did, which has passed this on, or as a new member.
+    /// Begins to take part: as the process before it in this node did, which has passed this on, or
+    /// as a new member.
     pub fn begin(
         executor: Rc<LocalExecutor<'static>>,
         hub: Shared,
@@ -126,24 +128,48 @@
         let wrong = |e: std::io::Error| format!("fleet: {e}");
         let clock = hub.borrow().clock;
         let times = settings.times();
-        let Settings { name: fleet, bind, mut advertise, seeds, zone, rules, versions, apart } = settings;
+        let Settings {
+            name: fleet,
+            bind,
+            mut advertise,
+            seeds,
+            zone,
+            rules,
+            versions,
+            apart,
+        } = settings;
         let at = sockets.udp.local_addr().map_err(wrong)?;
         if advertise.port() == 0 {
             advertise.set_port(at.port());
         }
         let passed = passed.and_then(|bytes| Passed::read(&bytes));
         let contacts = passed.as_ref().map_or(Vec::new(), |p| p.contacts.clone());
-        let handed = passed.as_ref().and_then(|p| acting(&p.record.details.payload));
+        let handed = passed
+            .as_ref()
+            .and_then(|p| acting(&p.record.details.payload));
         let own = match passed {
             Some(passed) => Own::resumed(passed.record),
             // Not from the seed: two processes must never have the same.
-            None => Own::new(RandomState::new().hash_one(std::process::id()), advertise, &zone),
+            None => Own::new(
+                RandomState::new().hash_one(std::process::id()),
+                advertise,
+                &zone,
+            ),
         };
         let now = clock.now();
-        let mut decisions = Fleet::new(rules, &fleet, name, own, RandomState::new().hash_one(now), now);
+        let mut decisions = Fleet::new(
+            rules,
+            &fleet,
+            name,
+            own,
+            RandomState::new().hash_one(now),
+            now,
+        );
         decisions.seeds(seeds);
         decisions.contacts(contacts);
-        log(&format!("fleet: serving: fleet={fleet} member={name} bind={at} advertise={advertise}"));
+        log(&format!(
+            "fleet: serving: fleet={fleet} member={name} bind={at} advertise={advertise}"
+        ));
         let Versioned { saved, acts } = versioned;
         let mut done = None;
         let versions = match versions {
@@ -192,7 +218,10 @@
             let writer = part.clone();
             let written = async move {
                 while let Ok(done) = done.recv().await {
-                    let said = writer.versions.as_ref().and_then(|v| v.done(writer.clock.now(), done));
+                    let said = writer
+                        .versions
+                        .as_ref()
+                        .and_then(|v| v.done(writer.clock.now(), done));
                     if let Some(written) = said {
                         let _ = writer.written.0.try_send(written);
                     }
@@ -207,8 +236,12 @@
 
     /// Takes part again, after another process of the node has for a while.
     pub fn resume(self: &Rc<Part>) {
-        self.versions.iter().for_each(|versions| versions.resume(self.clock.now()));
-        self.affinity.iter().for_each(|sessions| sessions.pause(false));
+        self.versions
+            .iter()
+            .for_each(|versions| versions.resume(self.clock.now()));
+        self.affinity
+            .iter()
+            .for_each(|sessions| sessions.pause(false));
         self.start();
     }
 
@@ -223,10 +256,13 @@
         *self.tasks.borrow_mut() = tasks.into();
     }
 
-    /// Another process of the node is the member from now on: nothing is read any more that is for it.
+    /// Another process of the node is the member from now on: nothing is read any more that is for
+    /// it.
     pub fn pause(&self) {
         self.tasks.borrow_mut().clear();
-        self.affinity.iter().for_each(|sessions| sessions.pause(true));
+        self.affinity
+            .iter()
+            .for_each(|sessions| sessions.pause(true));
     }
 
     /// What that process goes on with.
@@ -299,20 +335,31 @@
             // One that the system does not take is like one that is lost on its way.
             unsent += u64::from(self.udp.get_ref().send_to(bytes, to).is_err());
         }
-        self.count(|c| (c.sent, c.unsent) = (c.sent + out.len() as u64 - unsent, c.unsent + unsent));
+        self.count(|c| {
+            (c.sent, c.unsent) = (c.sent + out.len() as u64 - unsent, c.unsent + unsent)
+        });
         let (events, lost) = fleet.take_events();
-        events.iter().for_each(|event| log(&format!("fleet: {event}")));
+        events
+            .iter()
+            .for_each(|event| log(&format!("fleet: {event}")));
         if lost > 0 {
             log(&format!("fleet: {lost} lines were left out"));
         }
         if fleet.wants_sync() {
             self.dial.give();
         }
-        if self.sharing.as_ref().is_some_and(|sharing| sharing.stale(&fleet)) {
+        if self
+            .sharing
+            .as_ref()
+            .is_some_and(|sharing| sharing.stale(&fleet))
+        {
             self.woken.give();
         }
         let parts = self.versions.as_ref().map_or(i64::MAX, Versions::due);
-        let parts = self.affinity.as_ref().map_or(parts, |sessions| sessions.due().min(parts));
+        let parts = self
+            .affinity
+            .as_ref()
+            .map_or(parts, |sessions| sessions.due().min(parts));
         let next = parts.min(fleet.next_wake());
         if next < self.next.replace(next) {
             self.woken.give();
@@ -320,12 +367,17 @@
         told
     }
 
-    /// Writes down that a version is about to be acted on; it is on the disk once this has come to its end.
+    /// Writes down that a version is about to be acted on; it is on the disk once this has come to
+    /// its end.
     pub async fn write_down(&self, number: u64, content: &[u8]) -> Result<(), String> {
-        let Some(versions) = &self.versions else { return Ok(()) };
+        let Some(versions) = &self.versions else {
+            return Ok(());
+        };
         versions.write(number, content);
         let written = self.written.1.recv().await;
-        written.map_err(|_| "the disk's thread has ended".to_owned())?.map(drop)
+        written
+            .map_err(|_| "the disk's thread has ended".to_owned())?
+            .map(drop)
     }
 
     /// It should look at what there is to do.
@@ -366,7 +418,10 @@
 
     /// A run could not begin at its session's worker: where it goes instead, if anywhere.
     pub fn unreachable(&self, pool: usize, looked: Looked, at: SocketAddr) -> Option<SocketAddr> {
-        let next = self.affinity.as_ref()?.unreachable(self.clock.now(), pool, looked, at);
+        let next = self
+            .affinity
+            .as_ref()?
+            .unreachable(self.clock.now(), pool, looked, at);
         self.woken.give();
         next
     }
@@ -384,7 +439,9 @@
         let hub = self.hub.borrow();
         match () {
             () if hub.draining() => Standing::Draining,
-            () if hub.core.fresh() || !hub.taking || hub.core.barred(self.clock.now()) => Standing::Starting,
+            () if hub.core.fresh() || !hub.taking || hub.core.barred(self.clock.now()) => {
+                Standing::Starting
+            }
             () if hub.core.standing_by() => Standing::Standby,
             () if hub.core.crowded() => Standing::Overloaded,
             () => Standing::Serving,
--- a/crates/node/src/net/fleet/settings.rs
+++ b/crates/node/src/net/fleet/settings.rs
@@ -24,11 +24,16 @@
 }
 
 impl Settings {
-    /// News reaches all within the first, as a rule; what a node had that is gone is nobody's for the second.
+    /// News reaches all within the first, as a rule; what a node had that is gone is nobody's for
+    /// the second.
     pub(super) fn times(&self) -> Times {
         let hold = 2 * self.rules.probe + 2 * LOOK_MS as i64 * 1000;
-        // From the last word that one that is cut off had of a majority until its lease is over, by any clock.
-        let reserve = self.versions.as_ref().map_or(RESERVE, |v| v.rules.lease + v.rules.lease / 40 + hold);
+        // From the last word that one that is cut off had of a majority until its lease is over, by
+        // any clock.
+        let reserve = self
+            .versions
+            .as_ref()
+            .map_or(RESERVE, |v| v.rules.lease + v.rules.lease / 40 + hold);
         Times { hold, reserve }
     }
 }
@@ -52,7 +57,11 @@
             let udp = UdpSocket::bind(at)?;
             match TcpListener::bind(udp.local_addr()?) {
                 // The system picked a port for the one that is taken for the other.
-                Err(e) if at.port() == 0 && e.kind() == std::io::ErrorKind::AddrInUse && tries < 20 => {
+                Err(e)
+                    if at.port() == 0
+                        && e.kind() == std::io::ErrorKind::AddrInUse
+                        && tries < 20 =>
+                {
                     tries += 1
                 }
                 tcp => return Ok(Sockets { udp, tcp: tcp? }),
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,4 +1,5 @@
-//! The fronts: accept connections and carry what is said on them, lines of gateways or uwsgi packets.
+//! The fronts: accept connections and carry what is said on them, lines of gateways or uwsgi
+//! packets.
 
 use super::closing::{self, End};
 use super::hub::Shared;
@@ -18,8 +19,8 @@
 /// At the limit, a place is looked for again after so long, in milliseconds.
 const FULL_MS: u64 = 10;
 
-/// Accepts connections until told to leave; then takes those that the machine has already accepted, and
-/// closes the listening socket.
+/// Accepts connections until told to leave; then takes those that the machine has already accepted,
+/// and closes the listening socket.
 async fn listen(
     executor: Rc<LocalExecutor<'static>>,
     hub: Shared,
@@ -28,12 +29,17 @@
     leave: Nudge,
 ) {
     let accept = |stream: TcpStream| {
-        let Ok(stream) = Async::<TcpStream>::new(stream) else { return };
+        let Ok(stream) = Async::<TcpStream>::new(stream) else {
+            return;
+        };
         // Answers are small and wanted at once; a socket without the option still works.
         let _ = stream.get_ref().set_nodelay(true);
-        // It takes its place now: a burst would else be accepted whole before the first driver runs.
+        // It takes its place now: a burst would else be accepted whole before the first driver
+        // runs.
         let place = hub.borrow_mut().connected(front);
-        executor.spawn(connection(hub.clone(), front, stream, place)).detach();
+        executor
+            .spawn(connection(hub.clone(), front, stream, place))
+            .detach();
     };
     let accepting = async {
         let freed = hub.borrow().places.freed.clone();
@@ -46,7 +52,8 @@
             match listener.accept().await {
                 Ok((stream, _)) => {
                     accept(stream);
-                    // Ahead of need: a connection is closed in some steps, and the next newcomer is not to wait for them.
+                    // Ahead of need: a connection is closed in some steps, and the next newcomer is
+                    // not to wait for them.
                     hub.borrow_mut().make_room();
                 }
                 Err(_) => {
@@ -63,12 +70,17 @@
         // Another process of this node accepts from the same queue.
         return;
     }
-    // A request on a connection that the machine accepted is held here: none may be cut off by the close.
+    // A request on a connection that the machine accepted is held here: none may be cut off by the
+    // close.
     loop {
         match listener.get_ref().accept() {
             Ok((stream, _)) => accept(stream),
             // That one alone is gone; others may wait behind it.
-            Err(error) if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                ) => {}
             Err(_) => return,
         }
     }
@@ -97,14 +109,16 @@
         }
         closing::retire(&hub, id, &stream).await
     };
-    // The idle one first: it closes what the writer waits for, and knows that the peer has read all.
+    // The idle one first: it closes what the writer waits for, and knows that the peer has read
+    // all.
     let end = future::or(unused, future::or(reading, writing)).await;
     let bound_ms = match end {
         End::Said => Some(closing::LINGER_MS),
         End::Idle => Some(closing::LINGER_IDLE_MS),
         End::Peer | End::Stuck => None,
     };
-    let lingering = bound_ms.and_then(|bound_ms| Some((hub.borrow_mut().places.linger(id)?, bound_ms)));
+    let lingering =
+        bound_ms.and_then(|bound_ms| Some((hub.borrow_mut().places.linger(id)?, bound_ms)));
     hub.borrow_mut().disconnected(id);
     if let Some((lingering, bound_ms)) = lingering {
         closing::linger(&stream, bound_ms).await;
@@ -121,12 +135,16 @@
         if n == 0 {
             return;
         }
-        // What comes behind the last word is not acted on: its answer could not be written any more.
+        // What comes behind the last word is not acted on: its answer could not be written any
+        // more.
         if !out.closed() {
             machine.feed(&bytes[..n]);
         }
         while !out.closed() {
-            let message = machine.next(|name| hub.borrow().class(name), |name| hub.borrow().tenant(name));
+            let message = machine.next(
+                |name| hub.borrow().class(name),
+                |name| hub.borrow().tenant(name),
+            );
             let Some(message) = message else { break };
             hub.borrow_mut().gateway(id, message);
             if machine.broken() {
@@ -137,7 +155,8 @@
             future::pending::<()>().await;
         }
         hub.borrow_mut().stirred(id, machine.unfinished());
-        // A peer that always has something to say would otherwise never let the others have their turn.
+        // A peer that always has something to say would otherwise never let the others have their
+        // turn.
         future::yield_now().await;
     }
 }
@@ -210,8 +229,15 @@
         hub: Shared,
         sockets: Vec<(Front, SocketAddr, Async<TcpListener>)>,
     ) -> Rc<Fronts> {
-        let sockets = sockets.into_iter().map(|(front, at, listener)| (front, at, Rc::new(listener)));
-        Rc::new(Fronts { executor, hub, sockets: RefCell::new(sockets.collect()), leave: RefCell::default() })
+        let sockets = sockets
+            .into_iter()
+            .map(|(front, at, listener)| (front, at, Rc::new(listener)));
+        Rc::new(Fronts {
+            executor,
+            hub,
+            sockets: RefCell::new(sockets.collect()),
+            leave: RefCell::default(),
+        })
     }
 
     /// Accepts from now on.
@@ -220,7 +246,13 @@
         for (front, _, listener) in self.sockets.borrow().iter() {
             let leave = Nudge::new();
             self.leave.borrow_mut().push(leave.clone());
-            let accepting = listen(self.executor.clone(), self.hub.clone(), *front, listener.clone(), leave);
+            let accepting = listen(
+                self.executor.clone(),
+                self.hub.clone(),
+                *front,
+                listener.clone(),
+                leave,
+            );
             self.executor.spawn(accepting).detach();
         }
     }
--- a/crates/node/src/net/handover/mod.rs
+++ b/crates/node/src/net/handover/mod.rs
@@ -1,4 +1,5 @@
-//! The contact between a process of this node and the one that takes over from it: a Unix socket in `$TMPDIR`.
+//! The contact between a process of this node and the one that takes over from it: a Unix socket in
+//! `$TMPDIR`.
 
 mod predecessor;
 mod successor;
@@ -29,8 +30,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A peer says and reads what is its turn by then, in milliseconds: a process answers operators within a second, and a
-/// successor is to say yes within six.
+/// A peer says and reads what is its turn by then, in milliseconds: a process answers operators
+/// within a second, and a successor is to say yes within six.
 const PATIENCE_MS: u64 = 2000;
 /// A process that is leaving is waited for so long, in milliseconds, with such pauses.
 const LEAVING_MS: u64 = 3000;
@@ -40,8 +41,12 @@
 /// What the fleet's sockets are called when they are passed on.
 const FLEET: [&str; 2] = ["fleet-udp", "fleet-tcp"];
 /// Nothing is waited for.
-const NOW: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
-/// Bytes written at a time: the table moves in pieces, and the node's other tasks have their turn in between.
+const NOW: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 0,
+};
+/// Bytes written at a time: the table moves in pieces, and the node's other tasks have their turn
+/// in between.
 const PIECE: usize = 64 << 10;
 
 /// Where the processes of the node that listens here meet, if there is a folder for that.
@@ -55,7 +60,8 @@
 struct Peer(Option<OwnedFd>);
 
 impl Peer {
-    /// Who holds the other end, if it is of the same user: nobody else may have the node's sockets, or give it any.
+    /// Who holds the other end, if it is of the same user: nobody else may have the node's sockets,
+    /// or give it any.
     fn of(stream: &UnixStream) -> Option<Peer> {
         let peer = rustix::net::sockopt::socket_peercred(stream).ok()?;
         let ours = peer.uid == rustix::process::getuid();
--- a/crates/node/src/net/handover/predecessor.rs
+++ b/crates/node/src/net/handover/predecessor.rs
@@ -1,4 +1,5 @@
-//! The side of the process that is replaced: it offers its place, passes on what it has, and yields.
+//! The side of the process that is replaced: it offers its place, passes on what it has, and
+//! yields.
 
 use super::*;
 use pipitlever_hot_restart::predecessor::{Act, Stage as Step};
@@ -23,16 +24,25 @@
         name: String,
         place: PathBuf,
     ) -> Rc<Offer> {
-        Rc::new(Offer { executor, hub, fronts, name, place, close: RefCell::default() })
+        Rc::new(Offer {
+            executor,
+            hub,
+            fronts,
+            name,
+            place,
+            close: RefCell::default(),
+        })
     }
 
-    /// Waits for a successor from now on. A socket that is there is taken over: whoever had it is dead, or leaves.
+    /// Waits for a successor from now on. A socket that is there is taken over: whoever had it is
+    /// dead, or leaves.
     pub fn open(self: &Rc<Offer>) {
         let fresh = self.place.with_extension(format!("{}", std::process::id()));
         // One that a crash has left under this very number.
         let _ = std::fs::remove_file(&fresh);
         let bound = UnixListener::bind(&fresh).and_then(|listener| {
-            // Under its name only once it listens, and in one step: whoever comes finds one that answers.
+            // Under its name only once it listens, and in one step: whoever comes finds one that
+            // answers.
             std::fs::rename(&fresh, &self.place)?;
             Async::<UnixListener>::new(listener)
         });
@@ -56,11 +66,16 @@
                     continue;
                 };
                 if let Ok(stream) = Async::<UnixStream>::new(stream) {
-                    offer.executor.spawn(welcome(offer.clone(), stream, peer)).detach();
+                    offer
+                        .executor
+                        .spawn(welcome(offer.clone(), stream, peer))
+                        .detach();
                 }
             }
         };
-        self.executor.spawn(future::or(accepting, async move { close.wait().await })).detach();
+        self.executor
+            .spawn(future::or(accepting, async move { close.wait().await }))
+            .detach();
     }
 
     /// Nobody finds this process any more: its successor is to be found there by now.
@@ -115,9 +130,13 @@
     }
     let acts = hub.borrow_mut().predecessor.lost();
     if !yielded {
-        log(&format!("handover: not done, this process serves on: {why}"));
+        log(&format!(
+            "handover: not done, this process serves on: {why}"
+        ));
     } else if !acts.is_empty() {
-        log(&format!("handover: the process that took over is gone, this one serves again: {why}"));
+        log(&format!(
+            "handover: the process that took over is gone, this one serves again: {why}"
+        ));
     }
     acts.iter().for_each(|act| act_on(&offer, *act));
 }
@@ -125,25 +144,46 @@
 /// Tells the successor what there is, until it can't be told; why not.
 async fn write(offer: &Offer, stream: &Async<UnixStream>) -> String {
     let (hub, sockets) = (&offer.hub, offer.fronts.sockets());
-    let listening = sockets.iter().map(|(front, at, _)| Listening { protocol: front.word().into(), at: *at });
+    let listening = sockets.iter().map(|(front, at, _)| Listening {
+        protocol: front.word().into(),
+        at: *at,
+    });
     let mut listening: Vec<Listening> = listening.collect();
     let part = hub.borrow().callers.fleet.clone();
     let member = part.as_ref().map(|part| part.sockets());
     if let Some((udp, tcp)) = member {
         let at = [udp.local_addr(), tcp.local_addr()];
         let named = FLEET.into_iter().zip(at);
-        listening.extend(
-            named.filter_map(|(protocol, at)| Some(Listening { protocol: protocol.into(), at: at.ok()? })),
-        );
+        listening.extend(named.filter_map(|(protocol, at)| {
+            Some(Listening {
+                protocol: protocol.into(),
+                at: at.ok()?,
+            })
+        }));
     }
     let Salt(salt) = hub.borrow().salt;
     let mut bytes = message::greeting();
-    message::write(&Message::Welcome(Welcome { name: offer.name.clone(), listening, salt }), &mut bytes);
-    let passed = sockets.iter().map(|(_, _, listener)| listener.get_ref().as_fd());
-    let passed = passed.chain(member.into_iter().flat_map(|(udp, tcp)| [udp.as_fd(), tcp.as_fd()]));
+    message::write(
+        &Message::Welcome(Welcome {
+            name: offer.name.clone(),
+            listening,
+            salt,
+        }),
+        &mut bytes,
+    );
+    let passed = sockets
+        .iter()
+        .map(|(_, _, listener)| listener.get_ref().as_fd());
+    let passed = passed.chain(
+        member
+            .into_iter()
+            .flat_map(|(udp, tcp)| [udp.as_fd(), tcp.as_fd()]),
+    );
     let passed: Vec<_> = passed.collect();
     let first = by(ahead(PATIENCE_MS), stream.send_with(&bytes, &passed)).await;
-    let Some(Ok(sent)) = first else { return "its welcome could not be sent".into() };
+    let Some(Ok(sent)) = first else {
+        return "its welcome could not be sent".into();
+    };
     drop(sockets);
     let mut rest = bytes.split_off(sent);
     let news = hub.borrow().news.clone();
@@ -169,12 +209,15 @@
     yielded: bool,
 }
 
-/// What is to be told next, in one piece; whether there is anything. All keys come before `End`, then those that change.
+/// What is to be told next, in one piece; whether there is anything. All keys come before `End`,
+/// then those that change.
 fn next_piece(hub: &Shared, piece: &mut Vec<u8>, said: &mut Said) -> bool {
     let mut hub = hub.borrow_mut();
     let to_unix = hub.clock.ahead_to_unix();
     while piece.len() < PIECE {
-        let Some(message) = hub.core.next_news(to_unix) else { break };
+        let Some(message) = hub.core.next_news(to_unix) else {
+            break;
+        };
         message::write(&message, piece);
     }
     let stage = hub.predecessor.stage();
@@ -229,13 +272,18 @@
         Act::Yield => {
             log("handover: done, the other process serves");
             offer.fronts.pause();
-            hub.borrow().callers.fleet.iter().for_each(|part| part.pause());
+            hub.borrow()
+                .callers
+                .fleet
+                .iter()
+                .for_each(|part| part.pause());
             offer.pass_on();
             hub.borrow().news.give();
         }
         Act::Resume => {
             hub.borrow_mut().tell(|core, now| core.doubt_keys(now));
-            // Before the fronts: what it acts on may be stale by now, and nobody is to be let in before that is known.
+            // Before the fronts: what it acts on may be stale by now, and nobody is to be let in
+            // before that is known.
             let part = hub.borrow().callers.fleet.clone();
             part.iter().for_each(|part| part.resume());
             offer.fronts.open();
--- a/crates/node/src/net/handover/successor.rs
+++ b/crates/node/src/net/handover/successor.rs
@@ -1,4 +1,5 @@
-//! The side of the process that takes over: it meets the one before it, follows it, and serves in its place.
+//! The side of the process that takes over: it meets the one before it, follows it, and serves in
+//! its place.
 
 use super::*;
 use pipitlever_hot_restart::successor::{Act, Lost, Stage, Successor};
@@ -17,8 +18,8 @@
     pub fleet: Option<Sockets>,
 }
 
-/// Meets the process that this one takes over from, if there is one. An error is a process that is there and can't be taken
-/// over from: it serves on.
+/// Meets the process that this one takes over from, if there is one. An error is a process that is
+/// there and can't be taken over from: it serves on.
 pub async fn meet(place: &Path, name: &str, listen: SocketAddr) -> Result<Option<Met>, String> {
     let until = ahead(LEAVING_MS);
     loop {
@@ -31,22 +32,37 @@
             Err(e) => return Err(format!("handover: {}: {e}", place.display())),
         };
         let Some(peer) = Peer::of(&stream) else {
-            return Err(format!("handover: {}: a process of another user listens there", place.display()));
+            return Err(format!(
+                "handover: {}: a process of another user listens there",
+                place.display()
+            ));
         };
         let stream = Async::<UnixStream>::new(stream).map_err(|e| format!("handover: {e}"))?;
         match by(ahead(PATIENCE_MS), welcomed(&stream)).await {
             Some(Ok(Some((machine, reader, welcome, passed)))) => {
                 let (sockets, fleet) = taken_over(&welcome, passed, name, listen)?;
                 let salt = Salt(welcome.salt);
-                return Ok(Some(Met { stream, peer, reader, machine, salt, sockets, fleet }));
+                return Ok(Some(Met {
+                    stream,
+                    peer,
+                    reader,
+                    machine,
+                    salt,
+                    sockets,
+                    fleet,
+                }));
             }
             // It leaves, died, or has another successor already.
             Some(Ok(None)) if Instant::now() < until => {
                 Timer::at(ahead(PAUSE_MS)).await;
             }
-            Some(Ok(None)) => return Err("handover: the process that is there turns this one away".into()),
+            Some(Ok(None)) => {
+                return Err("handover: the process that is there turns this one away".into())
+            }
             Some(Err(why)) => {
-                return Err(format!("handover: the process that is there can't be understood: {why}"))
+                return Err(format!(
+                    "handover: the process that is there can't be understood: {why}"
+                ))
             }
             None => return Err("handover: the process that is there says nothing".into()),
         }
@@ -80,7 +96,10 @@
 }
 
 /// What came: the fronts' sockets, and the fleet's.
-type TakenOver = (Vec<(Front, SocketAddr, Async<TcpListener>)>, Option<Sockets>);
+type TakenOver = (
+    Vec<(Front, SocketAddr, Async<TcpListener>)>,
+    Option<Sockets>,
+);
 
 /// The sockets that came, if they are those of this very node.
 fn taken_over(
@@ -110,19 +129,29 @@
             return wrong(format!("speaks {}", said.protocol));
         };
         let listener = TcpListener::from(passed);
-        let at = listener.local_addr().map_err(|e| format!("handover: no listening socket came: {e}"))?;
+        let at = listener
+            .local_addr()
+            .map_err(|e| format!("handover: no listening socket came: {e}"))?;
         if at != said.at || (front == Front::Gateway && at != listen) {
             return wrong(format!("listens on {at}"));
         }
-        sockets.push((front, at, Async::<TcpListener>::new(listener).map_err(|e| format!("handover: {e}"))?));
+        sockets.push((
+            front,
+            at,
+            Async::<TcpListener>::new(listener).map_err(|e| format!("handover: {e}"))?,
+        ));
     }
     Ok((sockets, udp.zip(tcp).map(|(udp, tcp)| Sockets { udp, tcp })))
 }
 
 impl Met {
-    /// Takes over once this process is ready, and follows the predecessor to its end. An error means that this process is to end,
-    /// and the other one serves on.
-    pub async fn take_over(mut self, hub: &Shared, serve: impl Fn(Option<Vec<u8>>)) -> Result<(), String> {
+    /// Takes over once this process is ready, and follows the predecessor to its end. An error
+    /// means that this process is to end, and the other one serves on.
+    pub async fn take_over(
+        mut self,
+        hub: &Shared,
+        serve: impl Fn(Option<Vec<u8>>),
+    ) -> Result<(), String> {
         self.follow(hub, &serve).await?;
         // A connection can end while both live, and two must not serve.
         let dead = !self.machine.asks_for_death() || self.peer.died(Some(ahead(DYING_MS))).await;
@@ -143,7 +172,11 @@
     }
 
     /// Until the connection ends, or the predecessor, which lives, can't be followed.
-    async fn follow(&mut self, hub: &Shared, serve: &impl Fn(Option<Vec<u8>>)) -> Result<(), String> {
+    async fn follow(
+        &mut self,
+        hub: &Shared,
+        serve: &impl Fn(Option<Vec<u8>>),
+    ) -> Result<(), String> {
         let mut bytes = vec![0; PIECE];
         let ready = async {
             while hub.borrow().core.fresh() {
@@ -165,7 +198,8 @@
         let until = ahead(PATIENCE_MS);
         loop {
             if !out.is_empty() {
-                // Few bytes, which go out whole. If nobody is there, the end of the connection says so.
+                // Few bytes, which go out whole. If nobody is there, the end of the connection says
+                // so.
                 let _ = by(ahead(PATIENCE_MS), self.stream.write_all(&out)).await;
                 out.clear();
             }
@@ -176,7 +210,9 @@
             match read {
                 Some(Ok(n)) if n > 0 => self.reader.feed(&bytes[..n]),
                 Some(_) => return Ok(()),
-                None => return Err("handover: the process that is there does not tell its keys".into()),
+                None => {
+                    return Err("handover: the process that is there does not tell its keys".into())
+                }
             }
             loop {
                 let serving = self.machine.stage() == Stage::Serving;
@@ -188,7 +224,9 @@
                 match act {
                     // It serves by now, and must not end for what another process says.
                     Act::GiveUp(_) if serving => return Ok(()),
-                    Act::GiveUp(why) => return Err(format!("handover: the process that is there: {why}")),
+                    Act::GiveUp(why) => {
+                        return Err(format!("handover: the process that is there: {why}"))
+                    }
                     Act::Sockets(_) => {}
                     Act::Enter(key) => {
                         let mut hub = hub.borrow_mut();
--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -13,7 +13,9 @@
 use pipitlever_admission::{Idempotency, Micros, Outcome, Settings};
 use pipitlever_core::counters::Files;
 use pipitlever_core::durable::Durable;
-use pipitlever_core::{Answer, Bounds, Core, Effect, End, Gauges, Incoming, Origin, Reference, Rejected};
+use pipitlever_core::{
+    Answer, Bounds, Core, Effect, End, Gauges, Incoming, Origin, Reference, Rejected,
+};
 use pipitlever_hot_restart::predecessor::Predecessor;
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_idempotency_store::recovery::Recovered;
@@ -35,8 +37,8 @@
 use tuning::classes;
 pub use tuning::{Class, Limits, Parties, Tuning};
 
-/// Places that are kept free for newcomers once connections get scarce, and the part of all places that they are at the most:
-/// the closing of one that is idle takes some time.
+/// Places that are kept free for newcomers once connections get scarce, and the part of all places
+/// that they are at the most: the closing of one that is idle takes some time.
 const MOST_SPARE: usize = 16;
 const SPARE_PART: usize = 8;
 
@@ -88,8 +90,8 @@
     /// Room for what the core has to have done.
     effects: Vec<Effect>,
     names: u64,
-    /// What tells the bodies of a key's tries apart: keyed at random, so that no client can make two agree. A store
-    /// brings its own, and so does the process before this one.
+    /// What tells the bodies of a key's tries apart: keyed at random, so that no client can make
+    /// two agree. A store brings its own, and so does the process before this one.
     pub salt: Salt,
     classes: Vec<Class>,
     gauge_names: Vec<String>,
@@ -107,10 +109,22 @@
     /// A hub for these settings.
     pub fn new(tuning: Tuning, seed: u64, salt: Salt, bounds: Bounds) -> Hub {
         let classes = classes(&tuning);
-        let Tuning { settings, gauges: gauge_names, tenants, round, marked, uwsgi, .. } = tuning;
+        let Tuning {
+            settings,
+            gauges: gauge_names,
+            tenants,
+            round,
+            marked,
+            uwsgi,
+            ..
+        } = tuning;
         let names: Vec<Rc<str>> = classes.iter().map(|c| c.name.clone()).collect();
         let worked = classes.iter().any(|c| c.workers_path.is_some());
-        let most_result = if worked { uwsgi.most_response } else { jsonrpc::MOST_RESULT };
+        let most_result = if worked {
+            uwsgi.most_response
+        } else {
+            jsonrpc::MOST_RESULT
+        };
         let clock = Clock::start();
         let mut core = Core::new(settings, &names, seed, round, most_result, bounds);
         core.marked = marked;
@@ -126,7 +140,8 @@
             core,
             uwsgi,
             effects: Vec::new(),
-            // Not the same on each start: a processor may still run what the last process called so.
+            // Not the same on each start: a processor may still run what the last process called
+            // so.
             names: RandomState::new().hash_one(seed),
             salt,
             storing: Nudge::new(),
@@ -184,27 +199,49 @@
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Answer(origin, answer) => self.answer(origin, answer),
-            Effect::Begin(reference, class, until, packet) if self.classes[class].workers_path.is_some() => {
-                let Class { keyed, pool: (pool, sticky), .. } = self.classes[class];
-                self.pools.job(Job { reference, safe: !keyed, pool, sticky, packet, until });
+            Effect::Begin(reference, class, until, packet)
+                if self.classes[class].workers_path.is_some() =>
+            {
+                let Class {
+                    keyed,
+                    pool: (pool, sticky),
+                    ..
+                } = self.classes[class];
+                self.pools.job(Job {
+                    reference,
+                    safe: !keyed,
+                    pool,
+                    sticky,
+                    packet,
+                    until,
+                });
             }
             Effect::Begin(reference, class, _, body) => {
                 let Class { keyed, name, .. } = &self.classes[class];
-                self.link.command(Told::Begin(reference, *keyed, name.clone()), body);
+                self.link
+                    .command(Told::Begin(reference, *keyed, name.clone()), body);
             }
             Effect::Reply(reference, body) => {
                 self.link.command(Told::Answer(reference), body);
             }
-            // A worker knows no way to be stopped but the end of its connection, which says nothing of the run.
+            // A worker knows no way to be stopped but the end of its connection, which says nothing
+            // of the run.
             Effect::Interrupt(_, class) if self.classes[class].workers_path.is_some() => {}
-            Effect::Interrupt(reference, _) => self.link.command(Told::Interrupt(reference), Rc::from([])),
+            Effect::Interrupt(reference, _) => {
+                self.link.command(Told::Interrupt(reference), Rc::from([]))
+            }
             Effect::Gauges => self.link.ask(),
             Effect::Call(reference, deadline, body) => {
                 if self.calls.address.is_some() {
-                    self.calls.place(ToPost { reference, deadline, body });
+                    self.calls.place(ToPost {
+                        reference,
+                        deadline,
+                        body,
+                    });
                 } else {
                     // Not 'never ran': the module would place it again at once, and for ever.
-                    self.core.call_ended(self.clock.now(), reference, Outcome::Error, Rc::from([]));
+                    self.core
+                        .call_ended(self.clock.now(), reference, Outcome::Error, Rc::from([]));
                 }
             }
             Effect::Abandon(reference) => self.calls.abandon(reference),
@@ -231,13 +268,15 @@
     /// Has a connection closed, if one may be, unless enough places are free or about to be.
     pub fn make_room(&mut self) {
         let spare = MOST_SPARE.min(self.sockets / SPARE_PART);
-        let excess = (self.places.taken() + self.pools.in_flight() + spare).saturating_sub(self.sockets);
+        let excess =
+            (self.places.taken() + self.pools.in_flight() + spare).saturating_sub(self.sockets);
         if excess > 0 && self.places.leaving() < excess {
             self.core.counters.crowded_out += u64::from(self.places.make_room(self.clock.now()));
         }
     }
 
-    /// A connection is about to be closed; whether its peer is told first, and what it sent before it hears is waited for.
+    /// A connection is about to be closed; whether its peer is told first, and what it sent before
+    /// it hears is waited for.
     pub fn retire(&mut self, id: u64) -> bool {
         let told = self.places.retire(id) && !self.ending;
         if told && !self.closing {
@@ -273,7 +312,12 @@
     }
 
     fn take(&mut self, incoming: Incoming) {
-        self.places.opened(incoming.origin, self.clock.now(), incoming.reference, incoming.class);
+        self.places.opened(
+            incoming.origin,
+            self.clock.now(),
+            incoming.reference,
+            incoming.class,
+        );
         self.tell(|core, now| core.arrived(now, incoming));
     }
 
--- a/crates/node/src/net/hub/answers.rs
+++ b/crates/node/src/net/hub/answers.rs
@@ -27,14 +27,24 @@
 fn to_gateway(out: &mut Vec<u8>, number: u64, answer: Answer, worked: bool, level: Option<f64>) {
     match answer {
         Answer::Served(result) => {
-            let result = if worked { Response::plain_body(&result) } else { Some(&*result) };
+            let result = if worked {
+                Response::plain_body(&result)
+            } else {
+                Some(&*result)
+            };
             match result.filter(|r| r.len() <= jsonrpc::MOST_RESULT) {
                 Some(result) => jsonrpc::served(out, number, result, level),
                 None => jsonrpc::failed(out, Some(number), Code::Failed, level),
             }
         }
         Answer::Refused { cooldown, nowhere } => {
-            jsonrpc::refused(out, number, (cooldown as u64).div_ceil(1000), nowhere, level);
+            jsonrpc::refused(
+                out,
+                number,
+                (cooldown as u64).div_ceil(1000),
+                nowhere,
+                level,
+            );
         }
         // On this wire only a refusal has a field for when to come back.
         Answer::Unknown { .. } => jsonrpc::failed(out, Some(number), Code::Failed, level),
@@ -56,7 +66,9 @@
         Answer::Refused { cooldown, .. } => {
             uwsgi::response(out, Status::Unavailable, Some(whole_seconds(cooldown)), b"");
         }
-        Answer::Unknown { back } => uwsgi::response(out, Status::BadGateway, Some(whole_seconds(back)), b""),
+        Answer::Unknown { back } => {
+            uwsgi::response(out, Status::BadGateway, Some(whole_seconds(back)), b"")
+        }
         Answer::Failed { expired: true } => uwsgi::response(out, Status::GatewayTimeout, None, b""),
         Answer::Failed { expired: false } => uwsgi::response(out, Status::BadGateway, None, b""),
     }
--- a/crates/node/src/net/hub/clients.rs
+++ b/crates/node/src/net/hub/clients.rs
@@ -9,7 +9,8 @@
             Ok(incoming) => self.take(incoming),
             Err(status) => {
                 self.core.counters.malformed += 1;
-                self.places.send(id, |out| uwsgi::response(out, status, None, b""));
+                self.places
+                    .send(id, |out| uwsgi::response(out, status, None, b""));
                 self.places.finish(id);
             }
         }
@@ -23,14 +24,19 @@
         if keyed && key.is_none() {
             return Err(Status::BadRequest);
         }
-        let allow = packet.allow()?.unwrap_or(route.deadline_ms.unwrap_or(self.uwsgi.deadline_ms));
+        let allow = packet
+            .allow()?
+            .unwrap_or(route.deadline_ms.unwrap_or(self.uwsgi.deadline_ms));
         let body = match route.backend {
             Backend::Workers => packet.bytes(),
-            Backend::Processor if packet.body().len() > jsonrpc::MOST_BODY => return Err(Status::TooLarge),
+            Backend::Processor if packet.body().len() > jsonrpc::MOST_BODY => {
+                return Err(Status::TooLarge)
+            }
             Backend::Processor => packet.body(),
         };
         let arrived = self.clock.now();
-        // The body alone: how long a client still waits stands in the variables and differs from try to try.
+        // The body alone: how long a client still waits stands in the variables and differs from
+        // try to try.
         let payload = self.payload(class, packet.body());
         if key.is_some_and(|k| self.core.conflicts(k, arrived, payload)) {
             return Err(Status::BadRequest);
@@ -40,7 +46,10 @@
             reference: self.new_name(),
             tenant: None,
             sender: None,
-            origin: Origin { connection, number: 1 },
+            origin: Origin {
+                connection,
+                number: 1,
+            },
             class,
             arrived,
             due: Some(arrived + (allow * 1000) as Micros),
@@ -54,7 +63,8 @@
         })
     }
 
-    /// A name for a request that came without one (splitmix64 over the node's seed), unlike any in memory.
+    /// A name for a request that came without one (splitmix64 over the node's seed), unlike any in
+    /// memory.
     fn new_name(&mut self) -> Reference {
         loop {
             self.names = self.names.wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/node/src/net/hub/gateways.rs
+++ b/crates/node/src/net/hub/gateways.rs
@@ -6,7 +6,9 @@
     /// A gateway said something.
     pub fn gateway(&mut self, id: u64, message: Message) {
         let level = self.core.level();
-        let Some(open) = self.places.open(id) else { return };
+        let Some(open) = self.places.open(id) else {
+            return;
+        };
         match message {
             Message::Work(work) => {
                 let number = work.id;
@@ -21,12 +23,19 @@
             Message::Alive { id: number, inner } => {
                 self.places.heard(id, self.clock.now());
                 let healthy = self.core.healthy() && !(inner && self.core.stands_still());
-                self.places.send(id, |out| jsonrpc::health(out, number, healthy, level));
+                self.places
+                    .send(id, |out| jsonrpc::health(out, number, healthy, level));
             }
             Message::Cancel(number) => {
-                if let Some(reference) = self.places.cancelled(Origin { connection: id, number }) {
-                    // No answer is owed, but a caller that only ever takes back would never hear a word.
-                    self.places.send(id, |out| jsonrpc::failed(out, Some(number), Code::Cancelled, level));
+                if let Some(reference) = self.places.cancelled(Origin {
+                    connection: id,
+                    number,
+                }) {
+                    // No answer is owed, but a caller that only ever takes back would never hear a
+                    // word.
+                    self.places.send(id, |out| {
+                        jsonrpc::failed(out, Some(number), Code::Cancelled, level)
+                    });
                     self.tell(|core, now| core.gone(now, reference));
                 }
             }
@@ -37,7 +46,8 @@
     fn malformed(&mut self, id: u64, number: Option<u64>, code: Code) {
         self.core.counters.malformed += 1;
         let level = self.core.level();
-        self.places.send(id, |out| jsonrpc::failed(out, number, code, level));
+        self.places
+            .send(id, |out| jsonrpc::failed(out, number, code, level));
         self.places.erred(id);
     }
 
@@ -52,7 +62,10 @@
         let arrived = since.min(self.clock.now());
         let key = work.replay.clone().filter(|_| keyed);
         let payload = self.payload(class, &work.body);
-        if key.as_ref().is_some_and(|k| self.core.conflicts(k, arrived, payload)) {
+        if key
+            .as_ref()
+            .is_some_and(|k| self.core.conflicts(k, arrived, payload))
+        {
             return Err(Code::Params);
         }
         let body = match &self.classes[class].workers_path {
@@ -68,7 +81,11 @@
                     ("CONTENT_TYPE", "application/octet-stream"),
                     ("CONTENT_LENGTH", &length),
                 ];
-                vars.extend(work.replay.as_deref().map(|key| ("HTTP_IDEMPOTENCY_KEY", key)));
+                vars.extend(
+                    work.replay
+                        .as_deref()
+                        .map(|key| ("HTTP_IDEMPOTENCY_KEY", key)),
+                );
                 Rc::from(uwsgi::packet(&vars, &work.body).ok_or(Code::Params)?)
             }
         };
@@ -76,7 +93,10 @@
             reference: work.reference,
             sender: work.sender,
             tenant: work.tenant,
-            origin: Origin { connection, number: work.id },
+            origin: Origin {
+                connection,
+                number: work.id,
+            },
             class,
             arrived,
             due: work.allow.map(|ms| since + (ms * 1e3) as Micros),
--- a/crates/node/src/net/hub/leaving.rs
+++ b/crates/node/src/net/hub/leaving.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// The end of this process, while the node goes on in another one: those who are connected have been told to go over.
+    /// The end of this process, while the node goes on in another one: those who are connected have
+    /// been told to go over.
     pub fn superseded(&mut self, left: Micros) {
         (self.draining, self.superseded) = (true, true);
         self.leaving.give();
@@ -63,7 +64,8 @@
     /// Whether all that was read is answered and written.
     pub fn settled(&self) -> bool {
         // What its successor does not hear of a keyed run nobody will know.
-        let told = !self.superseded || !(self.core.keyed_runs() || self.core.has_news() || self.telling > 0);
+        let told = !self.superseded
+            || !(self.core.keyed_runs() || self.core.has_news() || self.telling > 0);
         self.core.owed() == 0 && self.places.queued() == 0 && self.core.store_idle() && told
     }
 }
--- a/crates/node/src/net/hub/notices.rs
+++ b/crates/node/src/net/hub/notices.rs
@@ -15,7 +15,12 @@
                 self.link.hi();
                 self.tell(|core, now| core.up(now, now - (ms * 1e3) as Micros, cold));
             }
-            Notice::Complete { id, end, ms, result } => {
+            Notice::Complete {
+                id,
+                end,
+                ms,
+                result,
+            } => {
                 let end = match end {
                     RunEnd::Fine => End::Fine,
                     RunEnd::Fault => End::Fault,
@@ -38,7 +43,8 @@
                     connections: named("links"),
                 };
                 self.tell(|core, now| core.gauges(now, gauges));
-                self.link.answered(self.clock.now(), question, &mut self.core);
+                self.link
+                    .answered(self.clock.now(), question, &mut self.core);
             }
             Notice::Reject { command, id } => {
                 let command = match command {
--- a/crates/node/src/net/hub/tuning.rs
+++ b/crates/node/src/net/hub/tuning.rs
@@ -1,4 +1,5 @@
-//! What a configuration says of requests, other parties and limits, and how another one takes its place while the node runs.
+//! What a configuration says of requests, other parties and limits, and how another one takes its
+//! place while the node runs.
 
 use super::*;
 use pipitlever_core::classes::Seat;
@@ -43,8 +44,8 @@
 }
 
 impl Limits {
-    /// Connections that there may be, of the fronts and to the workers together. Beside another process a half of the
-    /// descriptors is this one's, and what it keeps back is of that.
+    /// Connections that there may be, of the fronts and to the workers together. Beside another
+    /// process a half of the descriptors is this one's, and what it keeps back is of that.
     pub fn connections(&self, shared: bool) -> usize {
         let sockets = self.sockets / if shared { 2 } else { 1 };
         sockets.saturating_sub(self.kept_back).max(8)
@@ -52,7 +53,10 @@
 
     /// The shares of the memory.
     pub fn bounds(&self, shared: bool) -> Bounds {
-        Bounds::within(self.memory / if shared { 2 } else { 1 }, self.connections(shared))
+        Bounds::within(
+            self.memory / if shared { 2 } else { 1 },
+            self.connections(shared),
+        )
     }
 }
 
@@ -80,12 +84,20 @@
 
 /// The classes of a configuration, in its order.
 pub(super) fn classes(tuning: &Tuning) -> Vec<Class> {
-    let Tuning { settings, classes: names, uwsgi, .. } = tuning;
+    let Tuning {
+        settings,
+        classes: names,
+        uwsgi,
+        ..
+    } = tuning;
     let all = &settings.classes;
     let class = |(name, class): (&String, &pipitlever_admission::Class)| {
         // Classes have equal bands of rank, in ascending order of worth.
         let below = all.iter().filter(|c| c.worth < class.worth).count() as f64;
-        let route = uwsgi.routes.iter().find(|r| r.class == *name && r.backend == Backend::Workers);
+        let route = uwsgi
+            .routes
+            .iter()
+            .find(|r| r.class == *name && r.backend == Backend::Workers);
         Class {
             keyed: class.idempotency == Idempotency::Keyed,
             workers_path: route.map(|r| r.path.clone()),
@@ -114,15 +126,20 @@
         let core = &self.core;
         let same = |at: usize, class: usize| {
             // A band of ranks that moves is no reason to begin a class anew.
-            let old = Class { rank: wanted[class].rank, ..self.classes[at].clone() };
+            let old = Class {
+                rank: wanted[class].rank,
+                ..self.classes[at].clone()
+            };
             old == wanted[class] && *core.class(at) == new.settings.classes[class]
         };
-        let seats = core.classes.seat(&names, same, |at| core.class_in_use(at))?;
+        let seats = core
+            .classes
+            .seat(&names, same, |at| core.class_in_use(at))?;
         Ok((wanted, names, seats))
     }
 
-    /// Takes over the settings, classes and routes of another configuration, and says whether the module was told
-    /// anything; or nothing of it, and says why not.
+    /// Takes over the settings, classes and routes of another configuration, and says whether the
+    /// module was told anything; or nothing of it, and says why not.
     pub fn retune(&mut self, new: Tuning) -> Result<bool, String> {
         let (wanted, names, seats) = self.seated(&new)?;
         for (class, seat) in wanted.into_iter().zip(&seats) {
@@ -138,7 +155,8 @@
         Ok(self.core.retune(new.settings, new.round, &names, &seats))
     }
 
-    /// The parties are where this says from now on. What is out with the old ones may still come home.
+    /// The parties are where this says from now on. What is out with the old ones may still come
+    /// home.
     pub fn moved(&mut self, parties: Parties) {
         self.link.moved(parties.processor);
         self.calls.moved(parties.ledger);
@@ -146,14 +164,15 @@
         self.pools.moved(parties.pools, self.clock.now());
     }
 
-    /// What the process may take; so many connections there may be, of the fronts and to the workers together.
+    /// What the process may take; so many connections there may be, of the fronts and to the
+    /// workers together.
     pub fn bound(&mut self, limits: Limits) {
         self.limits = limits;
         self.sockets = limits.connections(false);
     }
 
-    /// Another process of this node is there, and this one may take so much of the processor's memory, and half of all else;
-    /// or it is alone.
+    /// Another process of this node is there, and this one may take so much of the processor's
+    /// memory, and half of all else; or it is alone.
     pub fn share(&mut self, share: Option<f64>) {
         let bounds = self.limits.bounds(share.is_some());
         self.sockets = self.limits.connections(share.is_some());
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,5 +1,5 @@
-//! Calls to the layer below: a small pool of connections, each with one call at a time, so that a spoilt reply
-//! costs the call that it belongs to and no other.
+//! Calls to the layer below: a small pool of connections, each with one call at a time, so that a
+//! spoilt reply costs the call that it belongs to and no other.
 
 use super::calls::{Idle, ToPost};
 use super::hub::Shared;
@@ -13,11 +13,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A connection without a call is used again for so long, in milliseconds. The ledger closes idle ones after
-/// 10 s, but some are closed or forgotten sooner, and a call written to such a one is lost without proof.
+/// A connection without a call is used again for so long, in milliseconds. The ledger closes idle
+/// ones after 10 s, but some are closed or forgotten sooner, and a call written to such a one is
+/// lost without proof.
 const REUSE_MS: u64 = 250;
-/// A reply that has begun is whole within this time, in milliseconds: the ledger writes it in one go. What
-/// goes on for longer is noise, or a body that never ends.
+/// A reply that has begun is whole within this time, in milliseconds: the ledger writes it in one
+/// go. What goes on for longer is noise, or a body that never ends.
 const WHOLE_MS: u64 = 250;
 /// Between two tries to reach a ledger that nobody listens for, in milliseconds.
 const APART_MS: u64 = 50;
@@ -47,7 +48,8 @@
     }
 }
 
-/// One call from start to end. Dropped when the call is given up: its connection closes, which tells the ledger.
+/// One call from start to end. Dropped when the call is given up: its connection closes, which
+/// tells the ledger.
 async fn carry(hub: Shared, call: ToPost) {
     let (outcome, reply) = match connection(&hub, &call).await {
         Some((stream, address)) => exchange(&hub, &call, stream, address).await,
@@ -62,10 +64,14 @@
     loop {
         // The one used last: the others grow old and are closed.
         let idle = hub.borrow_mut().calls.idle.pop();
-        let Some(idle) = idle.filter(|c| c.until > Instant::now()) else { break };
+        let Some(idle) = idle.filter(|c| c.until > Instant::now()) else {
+            break;
+        };
         // Bytes that no call asked for, or an end: either way it is of no further use.
         let quiet = idle.stream.get_ref().peek(&mut [0]);
-        if idle.last != call.reference && quiet.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock) {
+        if idle.last != call.reference
+            && quiet.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        {
             return Some((idle.stream, address));
         }
     }
@@ -98,20 +104,33 @@
         return (Outcome::Reset, Vec::new());
     };
     if clean {
-        hub.borrow_mut().calls.rest(address, Idle { stream, until: ahead(REUSE_MS), last: call.reference });
+        hub.borrow_mut().calls.rest(
+            address,
+            Idle {
+                stream,
+                until: ahead(REUSE_MS),
+                last: call.reference,
+            },
+        );
     }
     let outcome = match end {
         CallEnd::Posted => Outcome::Done,
         CallEnd::QueueFull => Outcome::Busy,
-        // No run waits for it any more: its end is on its way, and another call would fare the same.
+        // No run waits for it any more: its end is on its way, and another call would fare the
+        // same.
         CallEnd::Error | CallEnd::Moot => Outcome::Error,
         CallEnd::Expired => Outcome::TimedOut,
     };
     (outcome, reply)
 }
 
-/// The reply to this request's call, and whether nothing but it came; nothing if none can come any more.
-async fn reply(hub: &Shared, reference: u64, stream: &Async<TcpStream>) -> Option<(CallEnd, Vec<u8>, bool)> {
+/// The reply to this request's call, and whether nothing but it came; nothing if none can come any
+/// more.
+async fn reply(
+    hub: &Shared,
+    reference: u64,
+    stream: &Async<TcpStream>,
+) -> Option<(CallEnd, Vec<u8>, bool)> {
     let mut machine = Replies::default();
     let mut bytes = [0; 4096];
     let mut alone = true;
--- a/crates/node/src/net/link.rs
+++ b/crates/node/src/net/link.rs
@@ -1,4 +1,5 @@
-//! The link to the processor, as far as it is kept in memory: what waits, what is written, what may be lost.
+//! The link to the processor, as far as it is kept in memory: what waits, what is written, what may
+//! be lost.
 
 use super::nudge::Nudge;
 use pipitlever_admission::Micros;
@@ -33,16 +34,17 @@
 
 /// What waits to be written to the processor, and how its link stands.
 ///
-/// A link that breaks may have swallowed what was last written to it, unread. So commands go out in batches,
-/// each with a question behind it and the next one only after its answer: what is lost is one batch at most,
-/// and it is known which. The rest waits here, and has certainly not been read.
+/// A link that breaks may have swallowed what was last written to it, unread. So commands go out in
+/// batches, each with a question behind it and the next one only after its answer: what is lost is
+/// one batch at most, and it is known which. The rest waits here, and has certainly not been read.
 #[derive(Debug)]
 pub struct Link {
     /// Something is to be done on the link.
     pub nudge: Nudge,
     /// Where the processor is, if there is one.
     pub address: Option<SocketAddr>,
-    /// It is somewhere else now: the present link is to be left once all that was said on it is read.
+    /// It is somewhere else now: the present link is to be left once all that was said on it is
+    /// read.
     pub moved: Nudge,
     leaving: bool,
     /// The processor has said hi on this link.
@@ -100,9 +102,13 @@
         if !self.up || !self.answered || self.leaving || (self.commands.is_empty() && !self.ask) {
             return false;
         }
-        // A start that must not happen twice is never written to a link that may have died since it last
-        // answered: unread, it could not be told from one whose run is under way, and could not go out again.
-        let once = self.commands.iter().any(|c| matches!(c.told, Told::Begin(_, true, _)));
+        // A start that must not happen twice is never written to a link that may have died since it
+        // last answered: unread, it could not be told from one whose run is under way, and could
+        // not go out again.
+        let once = self
+            .commands
+            .iter()
+            .any(|c| matches!(c.told, Told::Begin(_, true, _)));
         if !self.catching_up && (!once || now - self.heard <= ALIVE) {
             while let Some(command) = self.commands.pop_front() {
                 self.unread.push(command);
@@ -124,7 +130,8 @@
         true
     }
 
-    /// The processor answered this question. If it is the last one, all that was written before it is read.
+    /// The processor answered this question. If it is the last one, all that was written before it
+    /// is read.
     pub fn answered(&mut self, now: Micros, question: Option<u64>, core: &mut Core) {
         if question != Some(self.questions) {
             return;
@@ -137,8 +144,9 @@
         self.nudge.give();
     }
 
-    /// A new link has brought all notices of the old one. What that may have swallowed goes out again, first,
-    /// where it is safe to; a start that must not happen twice is not, as its run may just have ended.
+    /// A new link has brought all notices of the old one. What that may have swallowed goes out
+    /// again, first, where it is safe to; a start that must not happen twice is not, as its run may
+    /// just have ended.
     fn caught_up(&mut self, core: &mut Core) {
         for command in std::mem::take(&mut self.doubtful).into_iter().rev() {
             let again = match &command.told {
@@ -152,7 +160,8 @@
         }
     }
 
-    /// Whether nothing more is to be said on this link: the processor is elsewhere and has read everything.
+    /// Whether nothing more is to be said on this link: the processor is elsewhere and has read
+    /// everything.
     pub fn left(&self) -> bool {
         self.leaving && (self.answered || !self.up)
     }
@@ -164,8 +173,8 @@
 
     /// The processor is up on a new link.
     pub fn hi(&mut self) {
-        // A question before anything else: its answer comes behind all notices that the old link left unread. The
-        // answer to an older one proves nothing here.
+        // A question before anything else: its answer comes behind all notices that the old link
+        // left unread. The answer to an older one proves nothing here.
         (self.up, self.ask, self.answered) = (true, true, true);
         self.doubtful.append(&mut self.unread);
         self.catching_up = true;
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/membership.rs
@@ -5,12 +5,12 @@
 use pipitlever_wire::membership::report;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Time between reports, in milliseconds. Reports get lost: where one in four does, four in a row within the
-/// three seconds were a matter of minutes, and eleven are not to be expected.
+/// Time between reports, in milliseconds. Reports get lost: where one in four does, four in a row
+/// within the three seconds were a matter of minutes, and eleven are not to be expected.
 const EVERY_MS: u64 = 250;
 
-/// Reports for as long as the node takes requests. On its way out it says so once and falls silent, so that
-/// it is dropped from the list where the word alone has no effect.
+/// Reports for as long as the node takes requests. On its way out it says so once and falls silent,
+/// so that it is dropped from the list where the word alone has no effect.
 pub async fn reports(hub: Shared, name: String) {
     let leaving = hub.borrow().leaving.clone();
     let (mut socket, mut bound) = (None, None);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! Thin drivers on smol's executor and the reactor: they read, write and wait; what it means is decided in `wire` and `core`.
+//! Thin drivers on smol's executor and the reactor: they read, write and wait; what it means is
+//! decided in `wire` and `core`.
 
 pub mod callers;
 pub mod calls;
--- a/crates/node/src/net/nudge.rs
+++ b/crates/node/src/net/nudge.rs
@@ -11,7 +11,8 @@
     waiting: RefCell<Option<Waker>>,
 }
 
-/// Wakes a driver that waits for something to do. One task waits for it; any may give it, and it is remembered.
+/// Wakes a driver that waits for something to do. One task waits for it; any may give it, and it is
+/// remembered.
 #[derive(Clone, Debug, Default)]
 pub struct Nudge(Rc<State>);
 
@@ -42,7 +43,10 @@
                 return Poll::Ready(());
             }
             let mut waiting = self.0.waiting.borrow_mut();
-            if !waiting.as_ref().is_some_and(|w| w.will_wake(context.waker())) {
+            if !waiting
+                .as_ref()
+                .is_some_and(|w| w.will_wake(context.waker()))
+            {
                 *waiting = Some(context.waker().clone());
             }
             Poll::Pending
