--- a/crates/node/src/net/places.rs
+++ b/crates/node/src/net/places.rs
@@ -1,5 +1,5 @@
-//! The fronts' connections, as far as they are kept in memory: who is connected, what is open, what waits to be
-//! written. Places are few, and everything that waits is bounded.
+//! The fronts' connections, as far as they are kept in memory: who is connected, what is open, what
+//! waits to be written. Places are few, and everything that waits is bounded.
 
 use super::closing::Rest;
 use super::nudge::Nudge;
@@ -9,27 +9,30 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Bytes that may wait to be written to one connection before it is given up: all open answers and more.
+/// Bytes that may wait to be written to one connection before it is given up: all open answers and
+/// more.
 const MOST_QUEUED: usize = 256 << 10;
 /// What a connection's buffers keep of their memory once they are empty: some answers.
 const KEPT: usize = 8 << 10;
 
-/// A connection that has brought no request and no health check yet is closed after so long: it is owed a
-/// word or a close within three seconds, and places are few.
+/// A connection that has brought no request and no health check yet is closed after so long: it is
+/// owed a word or a close within three seconds, and places are few.
 const STRANGER: Micros = 2_000_000;
-/// One that has brought bytes this lately may stay a little longer: a first request may take two seconds to arrive.
+/// One that has brought bytes this lately may stay a little longer: a first request may take two
+/// seconds to arrive.
 const STIRRED: Micros = 1_000_000;
 const STRANGER_MOST: Micros = 2_700_000;
-/// Errors without a request between them that a connection may bring: a peer that speaks another protocol
-/// would else have the core to itself.
+/// Errors without a request between them that a connection may bring: a peer that speaks another
+/// protocol would else have the core to itself.
 const MOST_ERRORS: u32 = 8;
 /// A connection used this lately is not closed to make room: its peer may be about to use it again.
 const IN_USE: Micros = 100_000;
-/// Nor is one that came this lately: its request may be on its way. Longer than the above, so that some other one
-/// can be closed before it.
+/// Nor is one that came this lately: its request may be on its way. Longer than the above, so that
+/// some other one can be closed before it.
 const NEW: Micros = 250_000;
-/// Connections without a whole message that may be read for a moment after their last word; the others of these are
-/// closed at once. One that has brought a request always is: it may have answers to read.
+/// Connections without a whole message that may be read for a moment after their last word; the
+/// others of these are closed at once. One that has brought a request always is: it may have
+/// answers to read.
 const MOST_LINGERING_STRANGERS: usize = 32;
 
 /// The front that a connection speaks.
@@ -52,7 +55,9 @@
 
     /// The front of this name.
     pub fn named(word: &str) -> Option<Front> {
-        [Front::Gateway, Front::Uwsgi].into_iter().find(|f| f.word() == word)
+        [Front::Gateway, Front::Uwsgi]
+            .into_iter()
+            .find(|f| f.word() == word)
     }
 }
 
@@ -71,7 +76,8 @@
 }
 
 impl Outbox {
-    /// Waits for something to write and takes all of it, for a buffer that is empty. False once nothing more comes.
+    /// Waits for something to write and takes all of it, for a buffer that is empty. False once
+    /// nothing more comes.
     pub async fn take(&self, bytes: &mut Vec<u8>) -> bool {
         loop {
             {
@@ -147,7 +153,8 @@
 impl Connection {
     /// Until when the rest of a message that has begun to come is waited for, if one has.
     fn message_until(&self) -> Option<Micros> {
-        self.begun.map(|begun| (self.stirred + STIRRED).min(begun + STRANGER_MOST))
+        self.begun
+            .map(|begun| (self.stirred + STIRRED).min(begun + STRANGER_MOST))
     }
 }
 
@@ -159,7 +166,8 @@
     /// Bytes that wait to be written to all connections together, and that may.
     queued: usize,
     most_queued: usize,
-    /// Connections that are read after their last word, and those of them that never brought a whole message.
+    /// Connections that are read after their last word, and those of them that never brought a
+    /// whole message.
     lingering: usize,
     lingering_strangers: usize,
     /// A connection was closed.
@@ -188,7 +196,11 @@
     /// A connection was accepted, and takes a place until [`Places::remove`].
     pub fn add(&mut self, now: Micros, front: Front) -> Place {
         self.last += 1;
-        let place = Place { id: self.last, out: Outbox::default(), wanted: Nudge::new() };
+        let place = Place {
+            id: self.last,
+            out: Outbox::default(),
+            wanted: Nudge::new(),
+        };
         let connection = Connection {
             front,
             out: place.out.clone(),
@@ -209,15 +221,24 @@
 
     /// A connection ended: the one place where it is given back. Its requests without an answer.
     pub fn remove(&mut self, id: u64) -> Vec<Reference> {
-        let Some(connection) = self.all.remove(&id) else { return Vec::new() };
+        let Some(connection) = self.all.remove(&id) else {
+            return Vec::new();
+        };
         self.queued -= connection.queued;
         self.freed.give();
-        connection.open.into_values().map(|(reference, _)| reference).collect()
+        connection
+            .open
+            .into_values()
+            .map(|(reference, _)| reference)
+            .collect()
     }
 
-    /// Writes something to a connection; whether it will be written. One whose peer does not read is given up.
+    /// Writes something to a connection; whether it will be written. One whose peer does not read
+    /// is given up.
     pub fn send(&mut self, id: u64, write: impl FnOnce(&mut Vec<u8>)) -> bool {
-        let Some(connection) = self.all.get_mut(&id) else { return false };
+        let Some(connection) = self.all.get_mut(&id) else {
+            return false;
+        };
         let mut waiting = connection.out.waiting.borrow_mut();
         if waiting.closed {
             return false;
@@ -256,7 +277,8 @@
         self.all.get(&id).inspect(|c| c.out.close());
     }
 
-    /// A connection brought bytes, whether they make a message or not; whether a part of a message is left.
+    /// A connection brought bytes, whether they make a message or not; whether a part of a message
+    /// is left.
     pub fn stirred(&mut self, id: u64, now: Micros, unfinished: bool) {
         if let Some(c) = self.all.get_mut(&id) {
             c.stirred = now;
@@ -296,12 +318,17 @@
     /// Its caller took it back.
     pub fn cancelled(&mut self, origin: Origin) -> Option<Reference> {
         let connection = self.all.get_mut(&origin.connection)?;
-        connection.open.remove(&origin.number).map(|(reference, _)| reference)
+        connection
+            .open
+            .remove(&origin.number)
+            .map(|(reference, _)| reference)
     }
 
     /// A connection brought something that it may not; with too many of them it ends.
     pub fn erred(&mut self, id: u64) {
-        let Some(connection) = self.all.get_mut(&id) else { return };
+        let Some(connection) = self.all.get_mut(&id) else {
+            return;
+        };
         connection.errors += 1;
         if connection.errors >= MOST_ERRORS {
             connection.out.close();
@@ -310,10 +337,15 @@
 
     /// The connections of the platform's gateways.
     pub fn gateways(&self) -> Vec<u64> {
-        self.all.iter().filter(|(_, c)| c.front == Front::Gateway).map(|(&id, _)| id).collect()
+        self.all
+            .iter()
+            .filter(|(_, c)| c.front == Front::Gateway)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
-    /// Whether a connection may be read for a moment after its last word; it then keeps a place until [`Places::lingered`].
+    /// Whether a connection may be read for a moment after its last word; it then keeps a place
+    /// until [`Places::lingered`].
     pub fn linger(&mut self, id: u64) -> Option<Lingering> {
         let stranger = self.all.get(&id).is_none_or(|c| !c.known);
         if stranger && self.lingering_strangers >= MOST_LINGERING_STRANGERS {
@@ -331,10 +363,12 @@
         self.freed.give();
     }
 
-    /// Marks a connection as one that is being closed; whether its peer is a gateway that may be about to use it and is
-    /// to hear of that first.
+    /// Marks a connection as one that is being closed; whether its peer is a gateway that may be
+    /// about to use it and is to hear of that first.
     pub fn retire(&mut self, id: u64) -> bool {
-        let Some(connection) = self.all.get_mut(&id) else { return false };
+        let Some(connection) = self.all.get_mut(&id) else {
+            return false;
+        };
         let first = !std::mem::replace(&mut connection.retiring, true);
         first && connection.known && connection.front == Front::Gateway
     }
@@ -359,31 +393,40 @@
         self.all.len() + self.lingering
     }
 
-    /// Connections whose places are about to be free: those that are being closed with nothing open on them, and those that are
-    /// read after their last word.
+    /// Connections whose places are about to be free: those that are being closed with nothing open
+    /// on them, and those that are read after their last word.
     pub fn leaving(&self) -> usize {
-        let leaves = |c: &&Connection| c.open.is_empty() && (c.chosen || c.retiring || c.out.closed());
+        let leaves =
+            |c: &&Connection| c.open.is_empty() && (c.chosen || c.retiring || c.out.closed());
         self.all.values().filter(leaves).count() + self.lingering
     }
 
-    /// Has one connection closed for the others, if any may be: of those that have said nothing whole first the one that
-    /// has been silent for longest, as a request may be on its way in pieces; then the one that was used least lately. While
-    /// those that have said nothing whole hold more than half of the places they make room among themselves: each ends
-    /// within [`STRANGER_MOST`], and a flood of them is not to push out who has been heard.
+    /// Has one connection closed for the others, if any may be: of those that have said nothing
+    /// whole first the one that has been silent for longest, as a request may be on its way in
+    /// pieces; then the one that was used least lately. While those that have said nothing whole
+    /// hold more than half of the places they make room among themselves: each ends within
+    /// [`STRANGER_MOST`], and a flood of them is not to push out who has been heard.
     pub fn make_room(&mut self, now: Micros) -> bool {
-        let (all, strangers) = (self.all.len(), self.all.values().filter(|c| !c.known).count());
+        let (all, strangers) = (
+            self.all.len(),
+            self.all.values().filter(|c| !c.known).count(),
+        );
         let unused = |c: &&mut Connection| {
             c.open.is_empty() && !c.chosen && !c.retiring && !c.out.closed() && c.queued == 0
         };
         let closable = self.all.values_mut().filter(unused);
         let last = |c: &Connection| if c.known { c.active } else { c.stirred };
-        let closable = closable.filter(|c| !c.known || c.message_until().is_none_or(|until| until <= now));
+        let closable =
+            closable.filter(|c| !c.known || c.message_until().is_none_or(|until| until <= now));
         let closable = closable.filter(|c| last(c) + if c.known { IN_USE } else { NEW } <= now);
-        let Some(closed) = closable.min_by_key(|c| (c.known, last(c))) else { return false };
+        let Some(closed) = closable.min_by_key(|c| (c.known, last(c))) else {
+            return false;
+        };
         if closed.known && 2 * strangers > all {
             return false;
         }
-        // Its driver may not have its turn before the next newcomer comes, which is to have another one's place.
+        // Its driver may not have its turn before the next newcomer comes, which is to have another
+        // one's place.
         closed.chosen = true;
         closed.wanted.give();
         true
@@ -394,11 +437,13 @@
         self.open(id).is_some_and(|open| open > 0)
     }
 
-    /// When a connection has been idle for too long, if it may be so for this time; nothing while a request is
-    /// open on it.
+    /// When a connection has been idle for too long, if it may be so for this time; nothing while a
+    /// request is open on it.
     pub fn idle_at(&self, id: u64, idle: Micros) -> Option<Micros> {
         let connection = self.all.get(&id)?;
-        let Connection { active, stirred, .. } = *connection;
+        let Connection {
+            active, stirred, ..
+        } = *connection;
         let at = match connection.known {
             // A request that arrives in pieces has begun, though it is not read yet.
             true => (active + idle).max(connection.message_until().unwrap_or(Micros::MIN)),
--- a/crates/node/src/net/pools.rs
+++ b/crates/node/src/net/pools.rs
@@ -1,4 +1,5 @@
-//! The pools of workers as the node has them: their names, which takes over for which, the runs that wait for their driver.
+//! The pools of workers as the node has them: their names, which takes over for which, the runs
+//! that wait for their driver.
 
 use super::nudge::Nudge;
 use super::routes::{Label, Named};
@@ -57,7 +58,11 @@
 
 impl Default for Parts {
     fn default() -> Parts {
-        Parts { uses: HashMap::new(), part: 1.0, until: Micros::MAX }
+        Parts {
+            uses: HashMap::new(),
+            part: 1.0,
+            until: Micros::MAX,
+        }
     }
 }
 
@@ -72,8 +77,8 @@
     pool: Pool<SocketAddr>,
 }
 
-/// The members as this node uses them. Where the pool is divided, those that are not (yet) this node's are for when nobody else is
-/// usable, one run each; tiers are kept apart by that.
+/// The members as this node uses them. Where the pool is divided, those that are not (yet) this
+/// node's are for when nobody else is usable, one run each; tiers are kept apart by that.
 fn members(file: &Named, uses: &HashMap<String, Use>) -> Vec<Member<SocketAddr>> {
     if file.shared.is_none() {
         return file.members.clone();
@@ -82,10 +87,21 @@
         let tier = m.tier.saturating_mul(2);
         match uses.get(&label.name) {
             _ if !divided(m) => Member { tier, ..m.clone() },
-            Some(Use { inside: true, weight, most_runs }) => {
-                Member { tier, weight: *weight, most_runs: *most_runs, ..m.clone() }
-            }
-            _ => Member { tier: tier.saturating_add(1), most_runs: 1, ..m.clone() },
+            Some(Use {
+                inside: true,
+                weight,
+                most_runs,
+            }) => Member {
+                tier,
+                weight: *weight,
+                most_runs: *most_runs,
+                ..m.clone()
+            },
+            _ => Member {
+                tier: tier.saturating_add(1),
+                most_runs: 1,
+                ..m.clone()
+            },
         }
     };
     file.members.iter().zip(&file.labels).map(member).collect()
@@ -114,7 +130,9 @@
 
     fn note(&mut self) {
         let notes = self.pool.notes();
-        notes.iter().for_each(|note| log(&format!("{}: {note}", self.called())));
+        notes
+            .iter()
+            .for_each(|note| log(&format!("{}: {note}", self.called())));
     }
 }
 
@@ -134,10 +152,19 @@
         let entry = |file: Named| {
             let parts = Parts::default();
             let pool = Pool::new(Rules::default(), members(&file, &parts.uses), seed, now);
-            Entry { file, parts, wanted: 0, pool }
+            Entry {
+                file,
+                parts,
+                wanted: 0,
+                pool,
+            }
         };
         let jobs = (VecDeque::new(), Nudge::new());
-        Pools { all: named.into_iter().map(entry).collect(), generation: 0, jobs }
+        Pools {
+            all: named.into_iter().map(entry).collect(),
+            generation: 0,
+            jobs,
+        }
     }
 
     /// A run for its driver.
@@ -151,7 +178,9 @@
         self.generation += 1;
         for (entry, named) in self.all.iter_mut().zip(named) {
             entry.file = named;
-            entry.pool.update(members(&entry.file, &entry.parts.uses), now);
+            entry
+                .pool
+                .update(members(&entry.file, &entry.parts.uses), now);
         }
     }
 
@@ -168,7 +197,9 @@
         if entry.parts.uses == before.uses {
             return false;
         }
-        entry.pool.update(members(&entry.file, &entry.parts.uses), now);
+        entry
+            .pool
+            .update(members(&entry.file, &entry.parts.uses), now);
         entry.note();
         true
     }
@@ -183,24 +214,49 @@
         &mut self.all[pool].pool
     }
 
-    /// A place for a run, in its pool or in those that take over for it. `tried` has the pools and numbers of workers that
-    /// it was put to before.
-    pub fn place(&mut self, now: Micros, job: &Job, key: Option<u64>, tried: &[(usize, u32)]) -> Option<Put> {
+    /// A place for a run, in its pool or in those that take over for it. `tried` has the pools and
+    /// numbers of workers that it was put to before.
+    pub fn place(
+        &mut self,
+        now: Micros,
+        job: &Job,
+        key: Option<u64>,
+        tried: &[(usize, u32)],
+    ) -> Option<Put> {
         let mut at = Some(job.pool);
         // The file names no circle of pools; were there one, each has its turn once.
         for _ in 0..self.all.len() {
             let pool = at?;
             let entry = &mut self.all[pool];
             entry.wanted += u64::from(tried.is_empty());
-            // A process that was stopped finds requests in its sockets before it hears that it was long gone.
+            // A process that was stopped finds requests in its sockets before it hears that it was
+            // long gone.
             if now >= entry.parts.until {
                 entry.lapse(now);
             }
             let tried: Vec<u32> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
-            let place = entry.pool.place(now, Ask { safe: job.safe, key, tried: &tried });
+            let place = entry.pool.place(
+                now,
+                Ask {
+                    safe: job.safe,
+                    key,
+                    tried: &tried,
+                },
+            );
             entry.note();
             match place {
-                Place::At { run, member, address } => return Some(Put { pool, run, member, address }),
+                Place::At {
+                    run,
+                    member,
+                    address,
+                } => {
+                    return Some(Put {
+                        pool,
+                        run,
+                        member,
+                        address,
+                    })
+                }
                 Place::NoRoom | Place::Nobody => at = entry.file.fallback,
             }
         }
@@ -210,7 +266,9 @@
     /// What a run's packet says of its session, where sessions stay with the workers of its pool.
     pub fn session(&self, job: &Job) -> Option<u64> {
         let sessions = self.all[job.pool].file.sessions.as_ref()?;
-        variable(&job.packet, &sessions.variable).filter(|v| !v.is_empty()).map(digest)
+        variable(&job.packet, &sessions.variable)
+            .filter(|v| !v.is_empty())
+            .map(digest)
     }
 
     /// A place for a run at one worker of its pool and at no other.
@@ -227,10 +285,27 @@
             entry.lapse(now);
         }
         let numbers: Vec<u32> = tried.iter().map(|t| t.1).collect();
-        let place = entry.pool.place_at(now, Ask { safe: job.safe, key: None, tried: &numbers }, &at);
+        let place = entry.pool.place_at(
+            now,
+            Ask {
+                safe: job.safe,
+                key: None,
+                tried: &numbers,
+            },
+            &at,
+        );
         entry.note();
         match place {
-            Place::At { run, member, address } => Some(Put { pool: job.pool, run, member, address }),
+            Place::At {
+                run,
+                member,
+                address,
+            } => Some(Put {
+                pool: job.pool,
+                run,
+                member,
+                address,
+            }),
             Place::NoRoom | Place::Nobody => None,
         }
     }
@@ -242,11 +317,32 @@
         entry.note();
     }
 
-    /// How long to wait before a further try of a run that this pool could not do, if it may have one.
-    pub fn again(&mut self, now: Micros, put: Put, job: &Job, ran: bool, tries: u32) -> Option<Micros> {
-        // What may have run once is only tried again where it may run twice, whichever try that was.
-        let tried = if ran { Tried::MayHaveRun } else { Tried::NeverRan };
-        self.all[put.pool].pool.again(now, Further { until: job.until, tried, safe: job.safe, tries })
+    /// How long to wait before a further try of a run that this pool could not do, if it may have
+    /// one.
+    pub fn again(
+        &mut self,
+        now: Micros,
+        put: Put,
+        job: &Job,
+        ran: bool,
+        tries: u32,
+    ) -> Option<Micros> {
+        // What may have run once is only tried again where it may run twice, whichever try that
+        // was.
+        let tried = if ran {
+            Tried::MayHaveRun
+        } else {
+            Tried::NeverRan
+        };
+        self.all[put.pool].pool.again(
+            now,
+            Further {
+                until: job.until,
+                tried,
+                safe: job.safe,
+                tries,
+            },
+        )
     }
 
     /// Runs in the workers' hands.
@@ -263,7 +359,11 @@
     pub fn report(&self, now: Micros) -> Vec<String> {
         let lines = |e: &Entry| {
             let called = e.called();
-            e.pool.report(now).into_iter().map(move |line| format!("{called}: {line}")).collect::<Vec<_>>()
+            e.pool
+                .report(now)
+                .into_iter()
+                .map(move |line| format!("{called}: {line}"))
+                .collect::<Vec<_>>()
         };
         self.all.iter().flat_map(lines).collect()
     }
@@ -277,21 +377,77 @@
     #[test]
     fn a_process_that_stood_still_has_one_run_for_each_worker() {
         let address = "127.0.0.1:1".parse().unwrap();
-        let label = Label { name: "w".into(), zone: String::new() };
+        let label = Label {
+            name: "w".into(),
+            zone: String::new(),
+        };
         let (members, labels) = (vec![Member::at(address)], vec![label]);
         let shared = Some(Shared { subset: 1 });
-        let mut pools = Pools::new(vec![Named { members, labels, shared, ..Named::default() }], 1, 0);
+        let mut pools = Pools::new(
+            vec![Named {
+                members,
+                labels,
+                shared,
+                ..Named::default()
+            }],
+            1,
+            0,
+        );
         let reference = Reference::default();
-        let job = Job { reference, safe: true, pool: 0, sticky: false, packet: Rc::from([]), until: 1 << 40 };
-        let places =
-            |pools: &mut Pools, now| (0..9).filter(|_| pools.place(now, &job, None, &[]).is_some()).count();
+        let job = Job {
+            reference,
+            safe: true,
+            pool: 0,
+            sticky: false,
+            packet: Rc::from([]),
+            until: 1 << 40,
+        };
+        let places = |pools: &mut Pools, now| {
+            (0..9)
+                .filter(|_| pools.place(now, &job, None, &[]).is_some())
+                .count()
+        };
         // Before it has looked at the view it has one as well.
         assert_eq!(places(&mut pools, 0), 1);
-        let uses = HashMap::from([("w".to_owned(), Use { inside: true, weight: 1.0, most_runs: 4 })]);
-        assert!(pools.divide(0, 0, Parts { uses, part: 0.5, until: 1_000 }));
+        let uses = HashMap::from([(
+            "w".to_owned(),
+            Use {
+                inside: true,
+                weight: 1.0,
+                most_runs: 4,
+            },
+        )]);
+        assert!(pools.divide(
+            0,
+            0,
+            Parts {
+                uses,
+                part: 0.5,
+                until: 1_000
+            }
+        ));
         assert_eq!(places(&mut pools, 999), 3, "four in all");
-        let uses = HashMap::from([("w".to_owned(), Use { inside: true, weight: 1.0, most_runs: 8 })]);
-        assert!(pools.divide(999, 0, Parts { uses, part: 0.5, until: 1_000 }));
-        assert_eq!(places(&mut pools, 1_000), 0, "nobody knows whose they are by now");
+        let uses = HashMap::from([(
+            "w".to_owned(),
+            Use {
+                inside: true,
+                weight: 1.0,
+                most_runs: 8,
+            },
+        )]);
+        assert!(pools.divide(
+            999,
+            0,
+            Parts {
+                uses,
+                part: 0.5,
+                until: 1_000
+            }
+        ));
+        assert_eq!(
+            places(&mut pools, 1_000),
+            0,
+            "nobody knows whose they are by now"
+        );
     }
 }
--- a/crates/node/src/net/processor.rs
+++ b/crates/node/src/net/processor.rs
@@ -8,7 +8,8 @@
 use pipitlever_wire::processor::Processor;
 use std::net::TcpStream;
 
-/// An old link says within this time, in milliseconds, that it has read everything, or is left without.
+/// An old link says within this time, in milliseconds, that it has read everything, or is left
+/// without.
 const LEAVE_MS: u64 = 150;
 
 /// What the buffer of what is written keeps of its memory.
@@ -20,10 +21,13 @@
     let moved = hub.borrow().link.moved.clone();
     loop {
         let next = ahead(50);
-        // The address is read now: a nudge left over from the old link, which ended before it was waited for,
-        // would have the new one dropped as soon as it is there, with nothing said on it.
+        // The address is read now: a nudge left over from the old link, which ended before it was
+        // waited for, would have the new one dropped as soon as it is there, with nothing said on
+        // it.
         moved.clear();
-        let Some(address) = hub.borrow().link.address else { return };
+        let Some(address) = hub.borrow().link.address else {
+            return;
+        };
         let connect = by(ahead(1000), Async::<TcpStream>::connect(address));
         let connected = future::or(async { connect.await.and_then(Result::ok) }, async {
             moved.wait().await;
@@ -33,7 +37,10 @@
             let _ = stream.get_ref().set_nodelay(true);
             hub.borrow_mut().linked();
             let hello = machine.hello();
-            let carried = future::or(read(&hub, &mut machine, &stream), write(&hub, hello, &stream));
+            let carried = future::or(
+                read(&hub, &mut machine, &stream),
+                write(&hub, hello, &stream),
+            );
             let left = async {
                 moved.wait().await;
                 Timer::at(ahead(LEAVE_MS)).await;
@@ -41,7 +48,11 @@
             future::or(carried, left).await;
             let elsewhere = hub.borrow().link.address != Some(address);
             hub.borrow_mut().link.unlinked();
-            log(if elsewhere { "processor: link moved" } else { "processor: link lost" });
+            log(if elsewhere {
+                "processor: link moved"
+            } else {
+                "processor: link lost"
+            });
             if elsewhere {
                 continue;
             }
--- a/crates/node/src/net/routes.rs
+++ b/crates/node/src/net/routes.rs
@@ -128,20 +128,33 @@
 impl Uwsgi {
     /// All workers, as members of a pool.
     pub fn members(&self) -> Vec<Member<SocketAddr>> {
-        self.workers.iter().copied().map(Member::at).chain(self.special.iter().cloned()).collect()
+        self.workers
+            .iter()
+            .copied()
+            .map(Member::at)
+            .chain(self.special.iter().cloned())
+            .collect()
     }
 
     /// All pools: first that of `workers`, then those with a name.
     pub fn pools(&self) -> Vec<Named> {
         let members = self.members();
-        let first = Named { members, ..Named::default() };
-        std::iter::once(first).chain(self.named.iter().cloned()).collect()
+        let first = Named {
+            members,
+            ..Named::default()
+        };
+        std::iter::once(first)
+            .chain(self.named.iter().cloned())
+            .collect()
     }
 
     /// The pool of a route, by position among all pools.
     pub fn pool(&self, route: &Route) -> usize {
         let name = route.pool.as_deref().unwrap_or_default();
-        self.pools().iter().position(|p| p.name == name).unwrap_or_default()
+        self.pools()
+            .iter()
+            .position(|p| p.name == name)
+            .unwrap_or_default()
     }
 
     /// The route of a path. `/a` takes `/a` and `/a/b`, not `/ab`.
@@ -150,6 +163,9 @@
             let rest = path.strip_prefix(r.path.trim_end_matches('/'));
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
-        self.routes.iter().filter(fits).max_by_key(|r| r.path.trim_end_matches('/').len())
+        self.routes
+            .iter()
+            .filter(fits)
+            .max_by_key(|r| r.path.trim_end_matches('/').len())
     }
 }
--- a/crates/node/src/net/sessions.rs
+++ b/crates/node/src/net/sessions.rs
@@ -1,5 +1,6 @@
-//! The node's part in sessions that stay with their workers: requests ask it where theirs lives, and what `pipitlever-affinity` decides
-//! travels in the fleet's datagrams. Only with `[pool.affinity]`.
+//! The node's part in sessions that stay with their workers: requests ask it where theirs lives,
+//! and what `pipitlever-affinity` decides travels in the fleet's datagrams. Only with
+//! `[pool.affinity]`.
 
 use super::hub::Shared;
 use super::routes::Named;
@@ -46,19 +47,27 @@
 
 fn files(hub: &Shared) -> Vec<(usize, Named)> {
     let hub = hub.borrow();
-    let all = hub.pools.files().enumerate().filter(|(_, f)| f.sessions.is_some());
+    let all = hub
+        .pools
+        .files()
+        .enumerate()
+        .filter(|(_, f)| f.sessions.is_some());
     all.map(|(i, f)| (i, f.clone())).collect()
 }
 
 fn pool(file: &Named) -> Option<Pool> {
     let sessions = file.sessions.as_ref()?;
-    let workers = file.members.iter().zip(&file.labels).map(|(m, label)| Server {
-        name: label.name.clone(),
-        weight: m.weight,
-        // Who stands by for others has no sessions of his own.
-        takes: m.usage == Use::On && !m.spare,
-        drains: m.usage == Use::Draining,
-    });
+    let workers = file
+        .members
+        .iter()
+        .zip(&file.labels)
+        .map(|(m, label)| Server {
+            name: label.name.clone(),
+            weight: m.weight,
+            // Who stands by for others has no sessions of his own.
+            takes: m.usage == Use::On && !m.spare,
+            drains: m.usage == Use::Draining,
+        });
     let (idle, patience, linger) = (sessions.idle_s, sessions.patience, sessions.linger);
     Some(Pool {
         name: file.name.clone(),
@@ -77,9 +86,21 @@
         if files.is_empty() {
             return None;
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs() as u32);
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_secs() as u32);
         let pools = files.iter().filter_map(|(_, f)| pool(f)).collect();
-        let node = Node::new(name, Settings { wait: WAIT, most: MOST }, pools, unix, token, now);
+        let node = Node::new(
+            name,
+            Settings {
+                wait: WAIT,
+                most: MOST,
+            },
+            pools,
+            unix,
+            token,
+            now,
+        );
         Some(Sessions {
             node: RefCell::new(node),
             files: RefCell::new(files),
@@ -96,15 +117,24 @@
     /// What a member said, if it is about sessions.
     pub fn heard(&self, now: i64, from: &str, bytes: &[u8]) -> bool {
         let message = Message::read(bytes);
-        message.inspect(|message| self.node.borrow_mut().heard(now, from, message)).is_some()
+        message
+            .inspect(|message| self.node.borrow_mut().heard(now, from, message))
+            .is_some()
     }
 
     /// Takes over another version or file, if there is one.
     fn renew(&self, node: &mut Node, now: i64, version: u64) {
-        let generation = self.hub.try_borrow().map_or(self.generation.get(), |hub| hub.pools.generation);
+        let generation = self
+            .hub
+            .try_borrow()
+            .map_or(self.generation.get(), |hub| hub.pools.generation);
         if self.generation.replace(generation) != generation {
             let files = files(&self.hub);
-            node.set_pools(now, version, files.iter().filter_map(|(_, f)| pool(f)).collect());
+            node.set_pools(
+                now,
+                version,
+                files.iter().filter_map(|(_, f)| pool(f)).collect(),
+            );
             *self.files.borrow_mut() = files;
         }
     }
@@ -132,12 +162,15 @@
 
     /// Which workers fail here. One that is slow keeps its sessions.
     pub fn look(&self, now: i64) {
-        let Ok(mut hub) = self.hub.try_borrow_mut() else { return };
+        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+            return;
+        };
         let mut node = self.node.borrow_mut();
         for (i, (pool, file)) in self.files.borrow().iter().enumerate() {
             let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing().copied().collect();
             let state = &node.pools()[i];
-            let id = |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
+            let id =
+                |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
             let out: Vec<WorkerId> = out.iter().filter_map(id).collect();
             node.left_out(now, i, &out);
         }
@@ -174,7 +207,12 @@
 
     /// Flags that travel with the view.
     pub fn told(&self) -> u8 {
-        TAKES_PART | if self.node.borrow().filled() { FILLED } else { 0 }
+        TAKES_PART
+            | if self.node.borrow().filled() {
+                FILLED
+            } else {
+                0
+            }
     }
 
     fn number(&self, pool: usize) -> Option<usize> {
@@ -191,7 +229,9 @@
     ) -> Result<Option<SocketAddr>, Waiting> {
         let mut node = self.node.borrow_mut();
         self.renew(&mut node, now, version);
-        let Some((number, what)) = self.number(pool).and_then(|i| Some((i, self.what(&node, i, looked)?)))
+        let Some((number, what)) = self
+            .number(pool)
+            .and_then(|i| Some((i, self.what(&node, i, looked)?)))
         else {
             return Ok(None);
         };
@@ -204,14 +244,22 @@
             Found::Asked => {
                 let (sender, receiver) = async_channel::bounded(1);
                 self.waiting.borrow_mut().insert(self.last.get(), sender);
-                Err(Waiting { number, what, receiver })
+                Err(Waiting {
+                    number,
+                    what,
+                    receiver,
+                })
             }
             found => Ok(self.address(&node, number, found)),
         }
     }
 
     fn worker(&self, node: &Node, number: usize, at: SocketAddr) -> Option<WorkerId> {
-        let position = self.files.borrow()[number].1.members.iter().position(|m| m.address == at);
+        let position = self.files.borrow()[number]
+            .1
+            .members
+            .iter()
+            .position(|m| m.address == at);
         node.pools()[number].id(position?)
     }
 
@@ -224,28 +272,45 @@
 
     /// Where a worker is.
     fn address(&self, node: &Node, number: usize, found: Found) -> Option<SocketAddr> {
-        let Found::At(worker) = found else { return None };
+        let Found::At(worker) = found else {
+            return None;
+        };
         let at = node.pools()[number].position(worker)?;
-        self.files.borrow()[number].1.members.get(at).map(|m| m.address)
+        self.files.borrow()[number]
+            .1
+            .members
+            .get(at)
+            .map(|m| m.address)
     }
 
     /// What came for a request that waited; where nothing will any more, by what is known here.
     pub async fn wait(&self, now: impl Fn() -> i64, waiting: Waiting) -> Option<SocketAddr> {
-        let Waiting { number, what, receiver } = waiting;
+        let Waiting {
+            number,
+            what,
+            receiver,
+        } = waiting;
         let came = receiver.recv().await;
         let node = self.node.borrow();
         let found = came.unwrap_or_else(|_| node.recall(now(), number, what));
         self.address(&node, number, found)
     }
 
-    /// Another process of this node is the member from now on, or is no more. Nobody waits for word that can't come.
+    /// Another process of this node is the member from now on, or is no more. Nobody waits for word
+    /// that can't come.
     pub fn pause(&self, paused: bool) {
         self.paused.set(paused);
         self.waiting.borrow_mut().clear();
     }
 
     /// A run could not begin at a session's worker: where it goes instead, if anywhere.
-    pub fn unreachable(&self, now: i64, pool: usize, looked: Looked, at: SocketAddr) -> Option<SocketAddr> {
+    pub fn unreachable(
+        &self,
+        now: i64,
+        pool: usize,
+        looked: Looked,
+        at: SocketAddr,
+    ) -> Option<SocketAddr> {
         let mut node = self.node.borrow_mut();
         let number = self.number(pool)?;
         let worker = self.worker(&node, number, at)?;
@@ -296,7 +361,8 @@
 pub enum Looked {
     /// Its session.
     Session(u64),
-    /// Where a keyed one went first; and where its session lives now, for one that comes for the first time.
+    /// Where a keyed one went first; and where its session lives now, for one that comes for the
+    /// first time.
     Key(u64, SocketAddr),
 }
 
@@ -309,12 +375,17 @@
 
 /// The others that take part. One that is suspected still does.
 fn peers(fleet: &Fleet) -> Vec<Peer> {
-    let there =
-        fleet.members().iter().filter(|(name, m)| m.record.state.takes_part() && *name != fleet.name());
+    let there = fleet
+        .members()
+        .iter()
+        .filter(|(name, m)| m.record.state.takes_part() && *name != fleet.name());
     let flags = |payload: &[u8]| payload.get(8).copied().unwrap_or(0);
     let peer = |(name, m): (&str, &pipitlever_membership::members::Member)| {
         let flags = flags(&m.record.details.payload);
-        (flags & TAKES_PART != 0).then(|| Peer { name: name.to_owned(), filled: flags & FILLED != 0 })
+        (flags & TAKES_PART != 0).then(|| Peer {
+            name: name.to_owned(),
+            filled: flags & FILLED != 0,
+        })
     };
     there.filter_map(peer).collect()
 }
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/share.rs
@@ -1,5 +1,6 @@
-//! The node's part in pools that the nodes of a fleet divide among themselves: the view goes to what `pipitlever-share` decides, and
-//! what comes of it to the pools. Only with `share = true` on a pool.
+//! The node's part in pools that the nodes of a fleet divide among themselves: the view goes to
+//! what `pipitlever-share` decides, and what comes of it to the pools. Only with `share = true` on
+//! a pool.
 
 use super::hub::Shared;
 use super::pools::{divided, Parts};
@@ -22,7 +23,8 @@
     /// Its part, no more of it: the other side may have that too by then.
     #[default]
     Keep,
-    /// One run for each worker from the moment at which no majority of electors is heard: the sum stays within the bound.
+    /// One run for each worker from the moment at which no majority of electors is heard: the sum
+    /// stays within the bound.
     Least,
 }
 
@@ -49,18 +51,28 @@
 /// A pool as it is divided.
 fn shared(file: &Named) -> Option<Pool> {
     let subset = file.shared?.subset;
-    let of = file.members.iter().zip(&file.labels).filter(|(m, _)| divided(m));
-    let worker =
-        |(m, label): (&pipitlever_load_balancing::pool::Member<SocketAddr>, &super::routes::Label)| Worker {
-            name: label.name.clone(),
-            zone: label.zone.clone(),
-            weight: m.weight,
-            tier: m.tier,
-            most_runs: m.most_runs,
-        };
+    let of = file
+        .members
+        .iter()
+        .zip(&file.labels)
+        .filter(|(m, _)| divided(m));
+    let worker = |(m, label): (
+        &pipitlever_load_balancing::pool::Member<SocketAddr>,
+        &super::routes::Label,
+    )| Worker {
+        name: label.name.clone(),
+        zone: label.zone.clone(),
+        weight: m.weight,
+        tier: m.tier,
+        most_runs: m.most_runs,
+    };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
-    Some(Pool { name, subset, workers: of.map(worker).collect() })
+    Some(Pool {
+        name,
+        subset,
+        workers: of.map(worker).collect(),
+    })
 }
 
 impl Sharing {
@@ -72,11 +84,25 @@
             return None;
         }
         let names: Vec<&str> = pools.iter().map(|p| &p.name[..]).collect();
-        log(&format!("share: pools={} reserve_ms={}", names.join(","), times.reserve / 1000));
+        log(&format!(
+            "share: pools={} reserve_ms={}",
+            names.join(","),
+            times.reserve / 1000
+        ));
         let given = RefCell::new(given(&files));
         let hold = times.hold;
-        let (node, files) = (RefCell::new(Node::new(name, times, pools, now)), RefCell::new(files));
-        Some(Sharing { node, given, files, hold, seen: Cell::new((0, false)), hub: hub.clone() })
+        let (node, files) = (
+            RefCell::new(Node::new(name, times, pools, now)),
+            RefCell::new(files),
+        );
+        Some(Sharing {
+            node,
+            given,
+            files,
+            hold,
+            seen: Cell::new((0, false)),
+            hub: hub.clone(),
+        })
     }
 
     /// Whether the view has changed since it was last looked at.
@@ -84,13 +110,16 @@
         fleet.digest() != self.seen.get().0
     }
 
-    /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until` others may have it.
+    /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until`
+    /// others may have it.
     pub fn turn(&self, fleet: &Fleet, now: i64, until: i64) {
         let alone = until <= now;
         // What is not looked at again by then is not known to be right: the process stood still.
         let until = until.min(now + self.hold);
         // A turn may come from within the hub's own; the next one is soon.
-        let Ok(mut hub) = self.hub.try_borrow_mut() else { return };
+        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+            return;
+        };
         let mut node = self.node.borrow_mut();
         if hub.pools.files().ne(self.files.borrow().iter()) {
             let files: Vec<Named> = hub.pools.files().cloned().collect();
@@ -109,12 +138,17 @@
             let out: Vec<usize> = pool.out().filter_map(at).collect();
             node.left_out(i, &out);
             for worker in out {
-                pool.behind(&given.workers[worker].1, node.turn(i, worker) == Turn::Behind);
+                pool.behind(
+                    &given.workers[worker].1,
+                    node.turn(i, worker) == Turn::Behind,
+                );
             }
         }
         for (i, worker) in node.found_well() {
             let given = &self.given.borrow()[i];
-            hub.pools.pool(given.pool).found_well(now, &given.workers[worker].1);
+            hub.pools
+                .pool(given.pool)
+                .found_well(now, &given.workers[worker].1);
         }
         node.tick(now);
         for (i, given) in self.given.borrow().iter().enumerate() {
@@ -122,12 +156,18 @@
             let names = given.workers.iter().map(|w| w.0.clone());
             let uses: HashMap<String, Use> = names.zip(uses).collect();
             let inside = uses.values().filter(|u| u.inside).count();
-            let runs: usize = uses.values().filter(|u| u.inside).map(|u| u.most_runs).sum();
+            let runs: usize = uses
+                .values()
+                .filter(|u| u.inside)
+                .map(|u| u.most_runs)
+                .sum();
             let (pool, part) = (given.pool, node.part(i));
             if hub.pools.divide(now, pool, Parts { uses, part, until }) {
                 let name = &self.files.borrow()[pool].name;
                 let all = given.workers.len();
-                log(&format!("share: pool={name} workers={inside} of {all} runs={runs} part={part:.3}"));
+                log(&format!(
+                    "share: pool={name} workers={inside} of {all} runs={runs} part={part:.3}"
+                ));
             }
         }
     }
@@ -147,7 +187,10 @@
             let workers = uses.iter().filter(|u| u.inside).count();
             let name = &self.files.borrow()[given.pool].name;
             // A string takes all that is written to it.
-            let _ = writeln!(text, "edge.share.{name}.runs:{runs}|g\nedge.share.{name}.workers:{workers}|g");
+            let _ = writeln!(
+                text,
+                "edge.share.{name}.runs:{runs}|g\nedge.share.{name}.workers:{workers}|g"
+            );
         }
     }
 
@@ -172,8 +215,14 @@
 fn given(files: &[Named]) -> Vec<Given> {
     let of = |(pool, file): (usize, &Named)| {
         file.shared?;
-        let workers = file.members.iter().zip(&file.labels).filter(|(m, _)| divided(m));
-        let workers = workers.map(|(m, label)| (label.name.clone(), m.address)).collect();
+        let workers = file
+            .members
+            .iter()
+            .zip(&file.labels)
+            .filter(|(m, _)| divided(m));
+        let workers = workers
+            .map(|(m, label)| (label.name.clone(), m.address))
+            .collect();
         Some(Given { pool, workers })
     };
     files.iter().enumerate().filter_map(of).collect()
@@ -181,7 +230,10 @@
 
 /// The members, by name. Who has left has no part; who is down has, for a while.
 fn members(fleet: &Fleet) -> Vec<Member> {
-    let there = fleet.members().iter().filter(|(_, m)| !m.fading && m.record.state != State::Left);
+    let there = fleet
+        .members()
+        .iter()
+        .filter(|(_, m)| !m.fading && m.record.state != State::Left);
     let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
--- a/crates/node/src/net/store.rs
+++ b/crates/node/src/net/store.rs
@@ -17,9 +17,13 @@
             continue;
         };
         writer.write(batch);
-        // Without its thread nothing is ever written: that is a failure like any other, and the gate asks again ever more
-        // seldom. Left alone, what waits would have the core woken without end.
-        let result = done.recv().await.unwrap_or_else(|_| Err("the writer's thread has ended".into()));
+        // Without its thread nothing is ever written: that is a failure like any other, and the
+        // gate asks again ever more seldom. Left alone, what waits would have the core woken
+        // without end.
+        let result = done
+            .recv()
+            .await
+            .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
         hub.borrow_mut().tell(|core, now| core.stored(now, result));
     }
 }
--- a/crates/node/src/net/versions/disk.rs
+++ b/crates/node/src/net/versions/disk.rs
@@ -1,6 +1,7 @@
-//! The files of a node's versions: what an elector has voted, and what is acted on. Each is written anew as a whole, synced, put in
-//! place by a rename, and the folder synced: a crash leaves the one or the other, never half of one. A thread does it, as a
-//! disk may take its time and no request may wait for that.
+//! The files of a node's versions: what an elector has voted, and what is acted on. Each is written
+//! anew as a whole, synced, put in place by a rename, and the folder synced: a crash leaves the one
+//! or the other, never half of one. A thread does it, as a disk may take its time and no request
+//! may wait for that.
 
 use async_channel::{Receiver, Sender};
 use pipitlever_config_versions::elector::Kept;
@@ -32,7 +33,10 @@
 }
 
 /// What is there: the elector's file only for one that is an elector.
-pub fn load<T: for<'a> serde::Deserialize<'a>>(folder: &Path, name: &str) -> Result<Option<T>, String> {
+pub fn load<T: for<'a> serde::Deserialize<'a>>(
+    folder: &Path,
+    name: &str,
+) -> Result<Option<T>, String> {
     let path = folder.join(name);
     match fs::read(&path) {
         Ok(bytes) => match read(&bytes) {
@@ -76,21 +80,31 @@
             }
         }
     };
-    let thread = std::thread::Builder::new().name("versions".into()).spawn(work);
-    thread.map(|_| (jobs, done)).map_err(|e| format!("versions: no thread: {e}"))
+    let thread = std::thread::Builder::new()
+        .name("versions".into())
+        .spawn(work);
+    thread
+        .map(|_| (jobs, done))
+        .map_err(|e| format!("versions: no thread: {e}"))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// A file that was cut at any byte, or spoilt, was never put in place like that: it is an error with its name, not an empty disk.
+    /// A file that was cut at any byte, or spoilt, was never put in place like that: it is an error
+    /// with its name, not an empty disk.
     #[test]
     fn a_file_is_whole_or_named_as_damaged() {
-        let folder = std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         assert_eq!(load::<Saved>(&folder, ACTING), Ok(None));
-        let saved = Saved { floor: 7, version: None, content: b"{}".to_vec() };
+        let saved = Saved {
+            floor: 7,
+            version: None,
+            content: b"{}".to_vec(),
+        };
         put(&folder, ACTING, &write(&saved)).unwrap();
         assert_eq!(load::<Saved>(&folder, ACTING), Ok(Some(saved.clone())));
         let bytes = fs::read(folder.join(ACTING)).unwrap();
@@ -100,7 +114,10 @@
             for wrong in [&bytes[..at], &spoilt] {
                 fs::write(folder.join(ACTING), wrong).unwrap();
                 let found = load::<Saved>(&folder, ACTING);
-                assert!(found.as_ref().is_err_and(|e| e.contains(ACTING)), "{at}: {found:?}");
+                assert!(
+                    found.as_ref().is_err_and(|e| e.contains(ACTING)),
+                    "{at}: {found:?}"
+                );
             }
         }
         // What a crash left of the next one is not looked at.
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/versions/mod.rs
@@ -1,5 +1,6 @@
-//! The node's part in the fleet's versions: what `pipitlever-versions` decides, by datagrams of the fleet, a thread for the disk, and a word to
-//! the core on whether anything may be done at all. Only with `[fleet.versions]`.
+//! The node's part in the fleet's versions: what `pipitlever-versions` decides, by datagrams of the
+//! fleet, a thread for the disk, and a word to the core on whether anything may be done at all.
+//! Only with `[fleet.versions]`.
 
 pub mod disk;
 
@@ -56,7 +57,8 @@
 }
 
 impl Versions {
-    /// Begins, with what the disk holds. What is to be acted on goes out by the channel, whose other end acts and says so.
+    /// Begins, with what the disk holds. What is to be acted on goes out by the channel, whose
+    /// other end acts and says so.
     pub fn begin(
         hub: Shared,
         name: &str,
@@ -68,14 +70,37 @@
     ) -> Result<(Versions, Receiver<Done>), String> {
         let (jobs, done) = disk::start(settings.folder.clone())?;
         let elector = settings.rules.electors.iter().any(|e| e == name);
-        let kept = elector.then(|| disk::load(&settings.folder, disk::ELECTOR)).transpose()?;
+        let kept = elector
+            .then(|| disk::load(&settings.folder, disk::ELECTOR))
+            .transpose()?;
         let saved = saved.unwrap_or_default();
         let acting = saved.version.map(|version| (version, saved.content.into()));
-        let node = Node::new(name, settings.rules.clone(), kept, acting, saved.floor, seed, now);
-        log(&format!("versions: acting={} floor={} elector={elector}", node.acting(), node.floor().floor()));
+        let node = Node::new(
+            name,
+            settings.rules.clone(),
+            kept,
+            acting,
+            saved.floor,
+            seed,
+            now,
+        );
+        log(&format!(
+            "versions: acting={} floor={} elector={elector}",
+            node.acting(),
+            node.floor().floor()
+        ));
         let (offered, told) = (Cell::new(node.acting()), Cell::new(None));
         let (node, folder) = (RefCell::new(node), settings.folder.clone());
-        let versions = Versions { node, jobs, folder, elector, acts, offered, told, hub };
+        let versions = Versions {
+            node,
+            jobs,
+            folder,
+            elector,
+            acts,
+            offered,
+            told,
+            hub,
+        };
         Ok((versions, done))
     }
 
@@ -97,9 +122,23 @@
                         let piece = node.piece(digest, at as usize);
                         let all = piece.as_ref().map(|(_, all)| *all as u32);
                         let bytes = piece.map_or(Vec::new(), |(bytes, _)| bytes);
-                        fleet.tell(&from, Word::Piece { digest, at, all, bytes }.write());
+                        fleet.tell(
+                            &from,
+                            Word::Piece {
+                                digest,
+                                at,
+                                all,
+                                bytes,
+                            }
+                            .write(),
+                        );
                     }
-                    Some(Word::Piece { digest, at, all, bytes }) => {
+                    Some(Word::Piece {
+                        digest,
+                        at,
+                        all,
+                        bytes,
+                    }) => {
                         let piece = all.map(|all| (&bytes[..], all as usize));
                         node.fetched(now, &from, digest, at as usize, piece);
                     }
@@ -114,20 +153,36 @@
         }
         // Not put together each time: a content is wanted now and then.
         if node.fetching() {
-            let there = fleet.members().iter().filter(|(_, m)| m.record.state.takes_part());
-            let others: Vec<&str> =
-                there.map(|(name, _)| name).filter(|name| *name != fleet.name()).collect();
+            let there = fleet
+                .members()
+                .iter()
+                .filter(|(_, m)| m.record.state.takes_part());
+            let others: Vec<&str> = there
+                .map(|(name, _)| name)
+                .filter(|name| *name != fleet.name())
+                .collect();
             if let Some((digest, at, of)) = node.take_fetch(now, &others) {
-                fleet.tell(&of, Word::Want { digest, at: at as u32 }.write());
+                fleet.tell(
+                    &of,
+                    Word::Want {
+                        digest,
+                        at: at as u32,
+                    }
+                    .write(),
+                );
             }
         }
         for (to, message) in node.take_out() {
             fleet.tell(&to, Word::register(&message).write());
         }
-        if let Some((version, content)) = node.offer().filter(|(v, _)| v.number > self.offered.get()) {
+        if let Some((version, content)) =
+            node.offer().filter(|(v, _)| v.number > self.offered.get())
+        {
             if node.floor().allows(version.number) {
                 self.offered.set(version.number);
-                self.acts.iter().for_each(|acts| drop(acts.try_send((version.number, content.clone()))));
+                self.acts
+                    .iter()
+                    .for_each(|acts| drop(acts.try_send((version.number, content.clone()))));
             }
         }
         for event in node.take_events() {
@@ -143,21 +198,31 @@
         self.tell(may);
     }
 
-    /// Tells the core what may be done, and until when: it looks at the time itself, at each request.
+    /// Tells the core what may be done, and until when: it looks at the time itself, at each
+    /// request.
     fn tell(&self, may: May) {
         if self.told.replace(Some(may)) == Some(may) {
             return;
         }
         let serves = self.node.borrow().serves();
         // A turn may come from within the hub's own; the next one is soon.
-        let Ok(mut hub) = self.hub.try_borrow_mut() else { return self.told.set(None) };
+        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+            return self.told.set(None);
+        };
         let until = match may {
             May::Act(_) if serves => Some(i64::MAX),
             May::Act(until) => Some(until),
             _ => None,
         };
         if hub.core.allow(until) {
-            log(&format!("versions: {}", if until.is_some() { "this node acts" } else { why(may) }));
+            log(&format!(
+                "versions: {}",
+                if until.is_some() {
+                    "this node acts"
+                } else {
+                    why(may)
+                }
+            ));
         }
     }
 
@@ -171,7 +236,8 @@
         match done {
             Done::Elector(number, result) => {
                 let written = result.is_ok();
-                let _ = result.inspect_err(|why| log(&format!("versions: a vote is not on the disk: {why}")));
+                let _ = result
+                    .inspect_err(|why| log(&format!("versions: a vote is not on the disk: {why}")));
                 self.node.borrow_mut().written(now, number, written);
                 None
             }
@@ -184,15 +250,28 @@
         let node = self.node.borrow();
         let version = Some(node.newest().clone()).filter(|v| v.number == number);
         let floor = node.floor().floor().max(number);
-        let _ = self.jobs.try_send(Job::Acting(Saved { floor, version, content: content.to_vec() }));
+        let _ = self.jobs.try_send(Job::Acting(Saved {
+            floor,
+            version,
+            content: content.to_vec(),
+        }));
     }
 
-    /// Another process of this node was the member for a while, and is gone: what it has voted and acted on is on the disk. A disk that
-    /// can't be read is like a new one: its elector is found out, and a majority says where to go on.
+    /// Another process of this node was the member for a while, and is gone: what it has voted and
+    /// acted on is on the disk. A disk that can't be read is like a new one: its elector is found
+    /// out, and a majority says where to go on.
     pub fn resume(&self, now: i64) {
         let said = |why: String| log(&format!("versions: {why}: going on as on a new disk"));
-        let kept = self.elector.then(|| disk::load(&self.folder, disk::ELECTOR).map_err(said).ok().flatten());
-        let saved: Option<Saved> = disk::load(&self.folder, disk::ACTING).map_err(said).ok().flatten();
+        let kept = self.elector.then(|| {
+            disk::load(&self.folder, disk::ELECTOR)
+                .map_err(said)
+                .ok()
+                .flatten()
+        });
+        let saved: Option<Saved> = disk::load(&self.folder, disk::ACTING)
+            .map_err(said)
+            .ok()
+            .flatten();
         let mut node = self.node.borrow_mut();
         node.resume(now, kept, saved.map_or(0, |saved| saved.floor));
         self.offered.set(node.acting());
@@ -223,14 +302,25 @@
         };
         let Published { base, why, content } = published;
         let content = content.get().as_bytes().to_vec();
-        let draft = Draft { base, content, electors: None, withdraws: None, at_ms: unix_ms, why };
+        let draft = Draft {
+            base,
+            content,
+            electors: None,
+            withdraws: None,
+            at_ms: unix_ms,
+            why,
+        };
         match self.node.borrow_mut().publish(now, draft) {
             Ok(number) => (true, format!("publishing {number}\n")),
             Err(Unpublished::Newest(v)) => {
-                let Version { number, by, why, .. } = *v;
+                let Version {
+                    number, by, why, ..
+                } = *v;
                 (false, format!("the newest is {number}, by {by}: {why}\n"))
             }
-            Err(Unpublished::NoElector(why)) => (false, format!("this node can't publish: {why}\n")),
+            Err(Unpublished::NoElector(why)) => {
+                (false, format!("this node can't publish: {why}\n"))
+            }
             Err(Unpublished::Busy) => (false, "another version is being published here\n".into()),
             Err(Unpublished::Unfit(why)) => (false, format!("{why}\n")),
         }
@@ -297,5 +387,10 @@
 
 /// What is usual: leases of ten seconds, and no act that is not known to be right.
 pub fn usual(electors: Vec<String>) -> node::Settings {
-    node::Settings { electors, lease: 10_000_000, without: node::Without::Serve, unknown: Unknown::Wait }
+    node::Settings {
+        electors,
+        lease: 10_000_000,
+        without: node::Without::Serve,
+        unknown: Unknown::Wait,
+    }
 }
--- a/crates/node/src/net/workers.rs
+++ b/crates/node/src/net/workers.rs
@@ -1,5 +1,5 @@
-//! Runs on uwsgi workers: a connection a run, closed by its end. The pool says which worker, and whether a run may be tried
-//! on another one.
+//! Runs on uwsgi workers: a connection a run, closed by its end. The pool says which worker, and
+//! whether a run may be tried on another one.
 
 use super::by;
 use super::hub::Shared;
@@ -37,17 +37,26 @@
         (hub.clock.instant(job.until), hub.uwsgi.most_response)
     };
     // A key in the packet is the same in all tries of a request, whichever front they came by.
-    let key = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY").filter(|_| job.sticky).map(digest);
+    let key = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
+        .filter(|_| job.sticky)
+        .map(digest);
     // Where sessions stay with their workers there is one place for it, and no other.
     let session = hub.borrow().pools.session(&job).map(Looked::Session);
-    let part = hub.borrow().callers.fleet.clone().filter(|_| session.is_some());
+    let part = hub
+        .borrow()
+        .callers
+        .fleet
+        .clone()
+        .filter(|_| session.is_some());
     let mut looked = Vec::from_iter(session);
     let mut home = match (session, &part) {
         (Some(session), Some(part)) => Some(part.session(job.pool, session).await),
         _ => None,
     };
     // A repeat goes where the first try went, though its session has moved since.
-    let repeats = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY").filter(|_| !job.safe).map(digest);
+    let repeats = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
+        .filter(|_| !job.safe)
+        .map(digest);
     if let (Some(Some(at)), Some(part), Some(shown)) = (home, &part, repeats) {
         looked.push(Looked::Key(shown, at));
         home = Some(part.session(job.pool, Looked::Key(shown, at)).await);
@@ -63,7 +72,11 @@
         let Some(put) = put else { break None };
         tried.push((put.pool, put.member));
         let mut sent = false;
-        let outcome = by(until, attempt(put.address, &job.packet, until, most, &mut sent)).await;
+        let outcome = by(
+            until,
+            attempt(put.address, &job.packet, until, most, &mut sent),
+        )
+        .await;
         ran |= sent;
         let end = match &outcome {
             Some(Some(_)) => pool::End::Well,
@@ -76,7 +89,9 @@
             let now = hub.clock.now();
             hub.pools.ended(now, put, end);
             let failed = !matches!(end, pool::End::Well);
-            failed.then(|| hub.pools.again(now, put, &job, ran, tried.len() as u32)).flatten()
+            failed
+                .then(|| hub.pools.again(now, put, &job, ran, tried.len() as u32))
+                .flatten()
         };
         match (outcome.flatten(), again) {
             (Some(response), _) => break Some(response),
@@ -101,7 +116,8 @@
         None => (End::Fault, Vec::new()),
     };
     let took = started.elapsed().as_micros() as i64;
-    hub.borrow_mut().tell(|core, now| core.run_ended(now, job.reference, end, took, Rc::from(result)));
+    hub.borrow_mut()
+        .tell(|core, now| core.run_ended(now, job.reference, end, took, Rc::from(result)));
 }
 
 /// The response, if a whole one came. `sent` tells whether the worker may have seen the packet.
@@ -114,8 +130,11 @@
 ) -> Option<Vec<u8>> {
     let now = Instant::now();
     let patience = now + until.saturating_duration_since(now) / CONNECT;
-    let stream = by(patience, Async::<TcpStream>::connect(worker)).await?.ok()?;
-    // Only the first write proves anything: from its first byte on the worker may act on what it has.
+    let stream = by(patience, Async::<TcpStream>::connect(worker))
+        .await?
+        .ok()?;
+    // Only the first write proves anything: from its first byte on the worker may act on what it
+    // has.
     let first = stream.write(packet).await.ok()?;
     *sent = true;
     stream.write_all(&packet[first..]).await.ok()?;
--- a/crates/node/tests/capture_cost.rs
+++ b/crates/node/tests/capture_cost.rs
@@ -13,13 +13,17 @@
 const OPEN: usize = 16;
 const ROUNDS: usize = 15;
 
-/// CPU of a process so far, in clock ticks of a hundredth of a second, and the most memory that it held, in KB.
+/// CPU of a process so far, in clock ticks of a hundredth of a second, and the most memory that it
+/// held, in KB.
 fn usage(pid: u32) -> (u64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let words: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
     let ticks = words[12].parse::<u64>().unwrap() + words[13].parse::<u64>().unwrap();
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let most = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+    let most = status
+        .lines()
+        .find_map(|l| l.strip_prefix("VmHWM:"))
+        .unwrap();
     (ticks, most.trim().trim_end_matches(" kB").parse().unwrap())
 }
 
@@ -32,9 +36,12 @@
 }
 
 fn run(capture: bool, round: usize) -> Figures {
-    let folder = std::env::temp_dir().join(format!("pipitlever-{}-cost-{round}", std::process::id()));
-    let section =
-        format!("[capture]\nfolder = {:?}\nsegment_mb = 1\nkeep_mb = 64\n", folder.to_str().unwrap());
+    let folder =
+        std::env::temp_dir().join(format!("pipitlever-{}-cost-{round}", std::process::id()));
+    let section = format!(
+        "[capture]\nfolder = {:?}\nsegment_mb = 1\nkeep_mb = 64\n",
+        folder.to_str().unwrap()
+    );
     let mut processor = Processor::new();
     let limits = json!({"processor": processor.address().to_string(),
         "limits": {"memory_mb": 32, "sockets": 384, "cores": 0.5}});
@@ -50,18 +57,27 @@
     while took.len() < REQUESTS {
         while next < REQUESTS && sent.len() < OPEN {
             next += 1;
-            let class = if next.is_multiple_of(7) { "swap-confirm" } else { "rota-view" };
+            let class = if next.is_multiple_of(7) {
+                "swap-confirm"
+            } else {
+                "rota-view"
+            };
             let key = format!("key-{round}-{next}");
             let params = work(5000, (next.is_multiple_of(7)).then_some(&*key), &[7; 200]);
             sent.insert(gateway.send(class, params), Instant::now());
         }
         let answer = gateway.receive();
-        took.push(sent.remove(&answer["id"].as_u64().unwrap()).unwrap().elapsed());
+        took.push(
+            sent.remove(&answer["id"].as_u64().unwrap())
+                .unwrap()
+                .elapsed(),
+        );
     }
     let (after, most_kb) = usage(node.pid());
     node.signal("-TERM");
     node.wait();
-    let files = std::fs::read_dir(&folder).map(|all| all.map(|e| e.unwrap().metadata().unwrap().len()).sum());
+    let files = std::fs::read_dir(&folder)
+        .map(|all| all.map(|e| e.unwrap().metadata().unwrap().len()).sum());
     let bytes = files.unwrap_or(0u64) as f64 / REQUESTS as f64;
     if capture {
         let keep = std::env::var_os("PIPITLEVER_KEEP");
@@ -96,12 +112,20 @@
             cpu[usize::from(capture)].push(f.cpu_us);
         }
     }
-    // The machine's own speed changes from run to run by far more than a capture costs, so neighbours in time
-    // are held against each other.
-    let mut ratios: Vec<f64> = cpu[0].iter().zip(&cpu[1]).map(|(off, on)| 100.0 * (on / off - 1.0)).collect();
+    // The machine's own speed changes from run to run by far more than a capture costs, so
+    // neighbours in time are held against each other.
+    let mut ratios: Vec<f64> = cpu[0]
+        .iter()
+        .zip(&cpu[1])
+        .map(|(off, on)| 100.0 * (on / off - 1.0))
+        .collect();
     ratios.sort_by(f64::total_cmp);
     let [quarter, median, most] = [1, 2, 3].map(|n| ratios[n * ROUNDS / 4]);
     println!("CPU with a capture: {median:+.1}%, quartiles {quarter:+.1}% and {most:+.1}%");
     let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
-    println!("off {:.1} us, on {:.1} us a request in the mean", mean(&cpu[0]), mean(&cpu[1]));
+    println!(
+        "off {:.1} us, on {:.1} us a request in the mean",
+        mean(&cpu[0]),
+        mean(&cpu[1])
+    );
 }
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -1,7 +1,8 @@
-//! What a real node captures: failures met before and hard cases, each replayed to the same decisions.
+//! What a real node captures: failures met before and hard cases, each replayed to the same
+//! decisions.
 //!
-//! With PIPITLEVER_RECORD=FOLDER each test leaves its capture there; lab/tests/captures holds those of the
-//! last time that the module's decisions changed on purpose.
+//! With PIPITLEVER_RECORD=FOLDER each test leaves its capture there; lab/tests/captures holds those
+//! of the last time that the module's decisions changed on purpose.
 
 mod common;
 
@@ -24,11 +25,16 @@
     }
 
     fn section(&self) -> String {
-        format!("[capture]\nfolder = {:?}\nsegment_mb = 8\nkeep_mb = 64\n", self.0 .0.to_str().unwrap())
+        format!(
+            "[capture]\nfolder = {:?}\nsegment_mb = 8\nkeep_mb = 64\n",
+            self.0 .0.to_str().unwrap()
+        )
     }
 
     fn files(&self) -> Vec<PathBuf> {
-        let Ok(all) = std::fs::read_dir(&self.0 .0) else { return Vec::new() };
+        let Ok(all) = std::fs::read_dir(&self.0 .0) else {
+            return Vec::new();
+        };
         let mut files: Vec<PathBuf> = all.map(|e| e.unwrap().path()).collect();
         files.sort();
         files
@@ -38,13 +44,22 @@
     fn wait_for(&self, there: impl Fn(&Played) -> bool) {
         let start = Instant::now();
         let read = |f: &PathBuf| Played::read(&std::fs::read(f).unwrap());
-        while !self.files().first().is_some_and(|f| read(f).is_some_and(|p| there(&p))) {
-            assert!(start.elapsed() < PATIENCE, "it is not on the disk: {:?}", self.files());
+        while !self
+            .files()
+            .first()
+            .is_some_and(|f| read(f).is_some_and(|p| there(&p)))
+        {
+            assert!(
+                start.elapsed() < PATIENCE,
+                "it is not on the disk: {:?}",
+                self.files()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The one capture, read and held against this build; it is kept under this name where that is wanted.
+    /// The one capture, read and held against this build; it is kept under this name where that is
+    /// wanted.
     fn played(&self, name: &str) -> Played {
         let files = self.files();
         assert_eq!(files.len(), 1, "{files:?}");
@@ -76,9 +91,16 @@
         let mut reader = Reader::open(bytes).unwrap();
         let opening = reader.opening()?.clone();
         let recorded = reader.controller().unwrap();
-        let start = if opening.first { from_start(&opening) } else { recorded.clone() };
+        let start = if opening.first {
+            from_start(&opening)
+        } else {
+            recorded.clone()
+        };
         let mut replay = Replay::new(start, &opening);
-        assert!(replay.go_on(&opening, Some(&recorded)), "the start is another one");
+        assert!(
+            replay.go_on(&opening, Some(&recorded)),
+            "the start is another one"
+        );
         let mut played = Played {
             first: opening.first,
             names: opening.names,
@@ -94,11 +116,20 @@
             assert!(difference.is_none(), "{difference:#?}");
             match record {
                 Record::Named(name) => played.names.push(name),
-                Record::Answer { reference, told, by, .. } => played.answers.push((reference, told, by)),
-                Record::Step { events, actions, .. } => {
+                Record::Answer {
+                    reference,
+                    told,
+                    by,
+                    ..
+                } => played.answers.push((reference, told, by)),
+                Record::Step {
+                    events, actions, ..
+                } => {
                     played.events.extend(events.into_owned());
                     played.actions.extend(actions.into_owned());
-                    played.causes.extend(replay.controller().why().iter().map(|w| w.1));
+                    played
+                        .causes
+                        .extend(replay.controller().why().iter().map(|w| w.1));
                     played.modes.push(replay.controller().mode());
                 }
             }
@@ -108,7 +139,10 @@
     }
 
     fn refused(&self) -> usize {
-        self.answers.iter().filter(|a| matches!(a.1, Told::Refused { .. })).count()
+        self.answers
+            .iter()
+            .filter(|a| matches!(a.1, Told::Refused { .. }))
+            .count()
     }
 }
 
@@ -121,7 +155,9 @@
     let folder = Folder::new(name);
     let mut processor = Processor::new();
     let mut all = json!({"processor": processor.address().to_string()});
-    all.as_object_mut().unwrap().extend(parties.as_object().unwrap().clone());
+    all.as_object_mut()
+        .unwrap()
+        .extend(parties.as_object().unwrap().clone());
     let node = Node::start(all, Some(&folder.section()));
     processor.accept();
     processor.say(hi);
@@ -157,9 +193,21 @@
     gateway.receive();
     leave(node);
     let played = folder.played("one-swap");
-    assert!(played.first && matches!(played.tail, Tail::Whole(_)), "{:?}", played.tail);
+    assert!(
+        played.first && matches!(played.tail, Tail::Whole(_)),
+        "{:?}",
+        played.tail
+    );
     let key = Some(digest("a secret key"));
-    assert_eq!(played.names, [Name { id: 1, reference, sender: Some(4), key }]);
+    assert_eq!(
+        played.names,
+        [Name {
+            id: 1,
+            reference,
+            sender: Some(4),
+            key
+        }]
+    );
     assert_eq!(played.answers, [(reference, Told::Served(15), By::Run)]);
     let bytes = std::fs::read(&folder.files()[0]).unwrap();
     for secret in ["a secret key", "a secret body", "a secret result"] {
@@ -174,7 +222,8 @@
     let runs = fill(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
     assert_eq!(gateway.receive()["method"], "goaway");
-    runs.iter().for_each(|id| processor.complete(id, "fine", b"done"));
+    runs.iter()
+        .for_each(|id| processor.complete(id, "fine", b"done"));
     let answers: Vec<Value> = (0..9).map(|_| gateway.receive()).collect();
     assert!(answers.iter().all(|a| !a.is_null()), "{answers:?}");
     leave(node);
@@ -215,16 +264,24 @@
     (0..5).for_each(|_| assert!(gateway.receive()["result"].is_object()));
     leave(node);
     let played = folder.played("key-repeated-while-it-runs");
-    let reused = played.actions.iter().filter(|a| matches!(a, Action::Reuse(_))).count();
+    let reused = played
+        .actions
+        .iter()
+        .filter(|a| matches!(a, Action::Reuse(_)))
+        .count();
     let repeats = played.answers.iter().filter(|a| a.2 == By::Repeat).count();
     assert_eq!((reused, repeats), (3, 3));
 }
 
-/// A start that brought keys over a restart: the module is told of repeats of tries that it never heard of.
+/// A start that brought keys over a restart: the module is told of repeats of tries that it never
+/// heard of.
 #[test]
 fn a_start_with_keys_brought_over() {
     let (store, folder) = (Folder::new("store"), Folder::new("brought-over"));
-    let section = format!("[store]\nfolder = {:?}\nmax_mb = 4\n", store.0 .0.to_str().unwrap());
+    let section = format!(
+        "[store]\nfolder = {:?}\nmax_mb = 4\n",
+        store.0 .0.to_str().unwrap()
+    );
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties.clone(), Some(&section));
@@ -249,7 +306,11 @@
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"new");
     let answers: Vec<Value> = (0..3).map(|_| gateway.receive()).collect();
-    assert_eq!(answers.iter().filter(|a| a["result"].is_object()).count(), 2, "{answers:?}");
+    assert_eq!(
+        answers.iter().filter(|a| a["result"].is_object()).count(),
+        2,
+        "{answers:?}"
+    );
     leave(node);
     let played = folder.played("keys-brought-over");
     let by = |wanted: By| played.answers.iter().filter(|a| a.2 == wanted).count();
@@ -314,21 +375,38 @@
         }
     });
     let answers: Vec<Value> = (0..2).map(|_| gateway.receive()).collect();
-    assert!(answers.iter().all(|a| a["error"]["code"].as_i64() < Some(-32000)), "{answers:?}");
+    assert!(
+        answers
+            .iter()
+            .all(|a| a["error"]["code"].as_i64() < Some(-32000)),
+        "{answers:?}"
+    );
     leave(node);
     let played = folder.played("tier-jams");
     let ended = |wanted| {
         let is = |e: &&Event| matches!(e, Event::CallEnded { outcome, .. } if *outcome == wanted);
         played.events.iter().filter(is).count()
     };
-    assert!(ended(Outcome::Busy) >= 2 && ended(Outcome::Error) == 1, "{} busy", ended(Outcome::Busy));
-    assert!(played.causes.iter().any(|c| matches!(c, Cause::Call(Outcome::Error))), "{:?}", played.causes);
+    assert!(
+        ended(Outcome::Busy) >= 2 && ended(Outcome::Error) == 1,
+        "{} busy",
+        ended(Outcome::Busy)
+    );
+    assert!(
+        played
+            .causes
+            .iter()
+            .any(|c| matches!(c, Cause::Call(Outcome::Error))),
+        "{:?}",
+        played.causes
+    );
 }
 
 #[test]
 fn a_release_with_a_cold_successor() {
     // A successor of which the gateways think as much as of a warm node.
-    let (folder, node, mut processor, mut gateway) = captured_with("cold", json!({}), b"hi starting 100\r\n");
+    let (folder, node, mut processor, mut gateway) =
+        captured_with("cold", json!({}), b"hi starting 100\r\n");
     let runs = fill(&mut gateway, &mut processor, 30);
     for id in runs {
         processor.complete(&id, "fine", b"slowly");
@@ -340,7 +418,11 @@
     drop(running);
     leave(node);
     let played = folder.played("cold-successor");
-    assert!(played.refused() > 0 && played.answers.len() == 30, "{:?}", played.answers);
+    assert!(
+        played.refused() > 0 && played.answers.len() == 30,
+        "{:?}",
+        played.answers
+    );
 }
 
 #[test]
@@ -355,12 +437,21 @@
     }
     // The last of the burst is refused at once, long before anything has ended.
     assert_eq!(others[3].receive()["error"]["code"], -32000);
-    runs.iter().for_each(|id| processor.complete(id, "fine", b"done"));
+    runs.iter()
+        .for_each(|id| processor.complete(id, "fine", b"done"));
     (0..6).for_each(|_| drop(processor.begin()));
     leave(node);
     let played = folder.played("burst-into-discard");
     assert!(played.modes.contains(&Mode::Overload) && played.modes.contains(&Mode::Discard));
-    let discard = |c: &Cause| matches!(c, Cause::Line { mode: Mode::Discard, .. });
+    let discard = |c: &Cause| {
+        matches!(
+            c,
+            Cause::Line {
+                mode: Mode::Discard,
+                ..
+            }
+        )
+    };
     assert!(played.causes.iter().any(discard), "{:?}", played.causes);
 }
 
@@ -368,7 +459,10 @@
 fn a_capture_switched_on_and_off_while_the_node_runs() {
     let folder = Folder::new("later");
     let mut processor = Processor::new();
-    let node = Node::start(json!({"processor": processor.address().to_string()}), Some(""));
+    let node = Node::start(
+        json!({"processor": processor.address().to_string()}),
+        Some(""),
+    );
     processor.accept();
     processor.say(b"hi running 3600000\r\n");
     let mut gateway = node.ready();
--- a/crates/node/tests/closing.rs
+++ b/crates/node/tests/closing.rs
@@ -1,4 +1,5 @@
-//! What happens in the moment in which a connection, or the node itself, closes: no request and no answer may be lost.
+//! What happens in the moment in which a connection, or the node itself, closes: no request and no
+//! answer may be lost.
 
 mod common;
 
@@ -19,7 +20,10 @@
 fn pair(more: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
     let mut parties = json!({"processor": processor.address()});
-    parties.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+    parties
+        .as_object_mut()
+        .unwrap()
+        .extend(more.as_object().unwrap().clone());
     let node = Node::start(parties, None);
     processor.up();
     let gateway = node.ready();
@@ -28,13 +32,18 @@
 
 /// A request as a line.
 fn line(id: u64, params: &Value) -> String {
-    format!("{}\n", json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": params}))
+    format!(
+        "{}\n",
+        json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": params})
+    )
 }
 
 /// All that comes until the end of the stream. A reset is a failure.
 fn rest(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("an end, and no reset");
+    stream
+        .read_to_end(&mut bytes)
+        .expect("an end, and no reset");
     String::from_utf8(bytes).unwrap()
 }
 
@@ -43,7 +52,9 @@
     let mut stream = TcpStream::connect(node.gateways).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n").unwrap();
+    stream
+        .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n")
+        .unwrap();
     let mut bytes = [0; 512];
     let mut read = 0;
     while !bytes[..read].contains(&b'\n') {
@@ -57,7 +68,11 @@
     let mut text = String::new();
     while !text.ends_with('\n') {
         let mut byte = [0];
-        assert_eq!(stream.read(&mut byte).unwrap(), 1, "goaway comes before the end");
+        assert_eq!(
+            stream.read(&mut byte).unwrap(),
+            1,
+            "goaway comes before the end"
+        );
         text.push(byte[0] as char);
     }
     assert!(text.contains("\"method\":\"goaway\""), "{text}");
@@ -69,7 +84,9 @@
     let mut stream = known(&node);
     // What a gateway writes before it has read this has crossed it.
     goaway(&mut stream);
-    stream.write_all(line(2, &work(5000, None, b"crossed")).as_bytes()).unwrap();
+    stream
+        .write_all(line(2, &work(5000, None, b"crossed")).as_bytes())
+        .unwrap();
     let (id, body) = processor.begin();
     assert_eq!(body, b"crossed");
     processor.complete(&id, "fine", b"served");
@@ -97,7 +114,11 @@
     let (node, _processor, _gateway) = pair(idle_after(300));
     let mut stream = known(&node);
     goaway(&mut stream);
-    assert_eq!(stream.read(&mut [0; 64]).unwrap(), 0, "the node has half-closed");
+    assert_eq!(
+        stream.read(&mut [0; 64]).unwrap(),
+        0,
+        "the node has half-closed"
+    );
     // Within the 100 ms for which it still reads: a close would answer this with a reset.
     stream.write_all(b"{\"jsonrpc\":").unwrap();
     stream.write_all(b"\"2.0\"}\n").unwrap();
@@ -106,14 +127,16 @@
     assert_eq!(stream.read(&mut [0; 64]).unwrap(), 0);
 }
 
-/// The last error closes the connection: a request behind it was read in the same turn, ran, and had no answer.
+/// The last error closes the connection: a request behind it was read in the same turn, ran, and
+/// had no answer.
 #[test]
 fn nothing_behind_the_last_word_runs() {
     let (mut node, mut processor, mut gateway) = pair(json!({}));
     let mut bad = TcpStream::connect(node.gateways).unwrap();
     bad.set_read_timeout(Some(PATIENCE)).unwrap();
     let request = line(1, &work(5000, None, b"behind"));
-    bad.write_all(format!("{}{request}", "{\n".repeat(8)).as_bytes()).unwrap();
+    bad.write_all(format!("{}{request}", "{\n".repeat(8)).as_bytes())
+        .unwrap();
     assert_eq!(rest(&mut bad).lines().count(), 8);
     gateway.send("rota-view", work(5000, None, b"after"));
     let (id, body) = processor.begin();
@@ -149,7 +172,10 @@
         });
         let text = rest(&mut reader);
         drop(reader);
-        (writer.join().unwrap(), text.lines().filter(|l| l.contains("\"id\":")).count())
+        (
+            writer.join().unwrap(),
+            text.lines().filter(|l| l.contains("\"id\":")).count(),
+        )
     };
     let clients: Vec<_> = (0..8).map(|_| std::thread::spawn(client)).collect();
     let mut asking = node.gateway();
@@ -165,10 +191,15 @@
         assert!(answered > 0 && answered as u64 <= sent);
     }
     assert!(node.wait().success());
-    assert!(start.elapsed() < Duration::from_millis(3000), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(3000),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
-/// All that a node may have in hand when the signal comes gets its one answer, and only what came within the grace runs.
+/// All that a node may have in hand when the signal comes gets its one answer, and only what came
+/// within the grace runs.
 #[test]
 fn a_drain_answers_what_is_queued_runs_waits_and_was_not_read_yet() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -188,11 +219,14 @@
     half.set_nodelay(true).unwrap();
     half.set_read_timeout(Some(PATIENCE)).unwrap();
     half.write_all(&half_text.as_bytes()[..30]).unwrap();
-    // In the kernel's buffers, of a connection that the node has not accepted yet: it stands still meanwhile.
+    // In the kernel's buffers, of a connection that the node has not accepted yet: it stands still
+    // meanwhile.
     node.signal("-STOP");
     let mut unread = TcpStream::connect(node.gateways).unwrap();
     unread.set_read_timeout(Some(PATIENCE)).unwrap();
-    unread.write_all(line(1, &work(3000, None, b"unread")).as_bytes()).unwrap();
+    unread
+        .write_all(line(1, &work(3000, None, b"unread")).as_bytes())
+        .unwrap();
     node.signal("-TERM");
     node.signal("-TERM");
     node.signal("-HUP");
@@ -201,7 +235,10 @@
     half.write_all(&half_text.as_bytes()[30..]).unwrap();
     let mut begun = vec![processor.begin(), processor.begin()];
     begun.sort_by(|a, b| a.1.cmp(&b.1));
-    assert_eq!((&begun[0].1[..], &begun[1].1[..]), (&b"half"[..], &b"unread"[..]));
+    assert_eq!(
+        (&begun[0].1[..], &begun[1].1[..]),
+        (&b"half"[..], &b"unread"[..])
+    );
     for (id, body) in &begun {
         processor.complete(id, "fine", body);
     }
@@ -220,26 +257,42 @@
     }
     answers.sort_by_key(|a| a.0);
     let ran = json!(base64(b"ran"));
-    assert_eq!(answers, [(calling, json!(base64(b"called"))), (running, ran.clone()), (repeat, ran)]);
+    assert_eq!(
+        answers,
+        [
+            (calling, json!(base64(b"called"))),
+            (running, ran.clone()),
+            (repeat, ran)
+        ]
+    );
     assert!(rest(&mut half).contains(&base64(b"half")));
     assert!(rest(&mut unread).contains(&base64(b"unread")));
     let counters = node.line("counters: ");
-    assert_eq!((Node::counter(&counters, "requests"), Node::counter(&counters, "served")), (5, 5));
+    assert_eq!(
+        (
+            Node::counter(&counters, "requests"),
+            Node::counter(&counters, "served")
+        ),
+        (5, 5)
+    );
     assert!(node.wait().success());
 }
 
-/// What reaches the machine after the grace is refused as never run, on every connection, until the end.
+/// What reaches the machine after the grace is refused as never run, on every connection, until the
+/// end.
 #[test]
 fn what_comes_after_the_grace_of_a_drain_never_runs() {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["safety"]["drainGrace"] = json!(300_000);
-    let (mut node, mut processor, mut gateway) = pair(json!({"settings": settings, "stop_ms": 4000}));
+    let (mut node, mut processor, mut gateway) =
+        pair(json!({"settings": settings, "stop_ms": 4000}));
     gateway.send("rota-view", work(3500, None, b"holds the end back"));
     let (id, _) = processor.begin();
     node.signal("-TERM");
     node.line("draining: ");
     assert_eq!(gateway.receive()["method"], "goaway");
-    // The fronts close a little before the grace is over; what is said to have come after it is late for certain.
+    // The fronts close a little before the grace is over; what is said to have come after it is
+    // late for certain.
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(200) {
         std::thread::sleep(Duration::from_millis(10));
@@ -250,17 +303,29 @@
     }
     for number in late {
         let answer = gateway.receive();
-        assert_eq!((&answer["id"], &answer["error"]["code"]), (&json!(number), &json!(-32000)), "{answer}");
+        assert_eq!(
+            (&answer["id"], &answer["error"]["code"]),
+            (&json!(number), &json!(-32000)),
+            "{answer}"
+        );
     }
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
     let counters = node.line("counters: ");
-    assert_eq!((Node::counter(&counters, "runs"), Node::counter(&counters, "refused")), (1, 5), "{counters}");
+    assert_eq!(
+        (
+            Node::counter(&counters, "runs"),
+            Node::counter(&counters, "refused")
+        ),
+        (1, 5),
+        "{counters}"
+    );
     assert!(node.wait().success());
 }
 
-/// A node whose clients have taken all places still reaches its processor, its ledger and the membership service, and lets
-/// newcomers in; no connection with an open request is closed for them.
+/// A node whose clients have taken all places still reaches its processor, its ledger and the
+/// membership service, and lets newcomers in; no connection with an open request is closed for
+/// them.
 #[test]
 fn resting_clients_keep_the_node_from_nothing_that_it_needs() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -286,7 +351,8 @@
     processor.cut();
     processor.up();
     below.reply(&format!("{id} posted 0\r\n\r\n"));
-    // A start that the old link may have swallowed goes out again; where it runs already that means nothing.
+    // A start that the old link may have swallowed goes out again; where it runs already that means
+    // nothing.
     while processor.command().0[0] != "answer" {}
     processor.complete(&id, "fine", b"served");
     assert_eq!(newcomer.receive()["result"]["doc"], base64(b"served"));
@@ -305,7 +371,8 @@
     let counters = node.line("counters: ");
     assert_eq!(Node::counter(&counters, "accept_errors"), 0, "{counters}");
     for mut last in resting.into_iter().skip(148) {
-        last.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+        last.set_read_timeout(Some(Duration::from_millis(1)))
+            .unwrap();
         let heard = last.read(&mut [0; 64]);
         assert!(
             heard.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)),
@@ -314,7 +381,8 @@
     }
 }
 
-/// Newcomers that are accepted in one turn each had the same connection chosen for them, as its driver had not had its turn yet.
+/// Newcomers that are accepted in one turn each had the same connection chosen for them, as its
+/// driver had not had its turn yet.
 #[test]
 fn newcomers_in_one_turn_have_one_connection_each_closed_for_them() {
     // 74 descriptors are kept back, so 16 connections are taken, two of which are kept free.
@@ -323,7 +391,9 @@
     // One that was used within the last 0.1 s is not closed.
     std::thread::sleep(Duration::from_millis(150));
     node.signal("-STOP");
-    let newcomers: Vec<TcpStream> = (0..4).map(|_| TcpStream::connect(node.gateways).unwrap()).collect();
+    let newcomers: Vec<TcpStream> = (0..4)
+        .map(|_| TcpStream::connect(node.gateways).unwrap())
+        .collect();
     node.signal("-CONT");
     // It is answered in a later turn than that in which the newcomers were accepted.
     known(&node);
@@ -334,7 +404,9 @@
     // The gateway of the start was the first of them.
     for stream in resting.iter_mut().take(chosen as usize - 1) {
         // Idle ones are closed after 15 s in any case.
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         goaway(stream);
     }
     drop(newcomers);
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -6,7 +6,15 @@
 
 fn run(args: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pipitlever"));
-    let Output { status, stdout, stderr } = command.env_remove("EDGE_CONFIG").args(args).output().unwrap();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = command
+        .env_remove("EDGE_CONFIG")
+        .args(args)
+        .output()
+        .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (status.code(), text(stdout), text(stderr))
 }
@@ -15,12 +23,26 @@
 fn commands_do_what_they_say_or_say_what_is_wrong() {
     // What was typed, the code, and what stands in the output and in the errors.
     let cases: [(&[&str], i32, &str, &str); 8] = [
-        (&["version"], 0, concat!("pipitlever ", env!("CARGO_PKG_VERSION"), "\n"), ""),
+        (
+            &["version"],
+            0,
+            concat!("pipitlever ", env!("CARGO_PKG_VERSION"), "\n"),
+            "",
+        ),
         (&["--help"], 0, "pipitlever import FILE...", ""),
         (&[], 1, "", "no configuration"),
-        (&["serve", "--config", "/no/such/file"], 1, "", "/no/such/file: "),
         (
-            &["check", "--config", concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml")],
+            &["serve", "--config", "/no/such/file"],
+            1,
+            "",
+            "/no/such/file: ",
+        ),
+        (
+            &[
+                "check",
+                "--config",
+                concat!(env!("CARGO_MANIFEST_DIR"), "/Cargo.toml"),
+            ],
             1,
             "",
             "configuration: ",
@@ -32,8 +54,15 @@
     for (args, code, output, errors) in cases {
         let ran = run(args);
         assert_eq!(ran.0, Some(code), "{args:?}: {ran:?}");
-        assert!(ran.1.contains(output) && ran.2.contains(errors), "{args:?}: {ran:?}");
-        assert_eq!((ran.1.is_empty(), ran.2.is_empty()), (code != 0, code == 0), "{args:?}: {ran:?}");
+        assert!(
+            ran.1.contains(output) && ran.2.contains(errors),
+            "{args:?}: {ran:?}"
+        );
+        assert_eq!(
+            (ran.1.is_empty(), ran.2.is_empty()),
+            (code != 0, code == 0),
+            "{args:?}: {ran:?}"
+        );
     }
 }
 
@@ -50,17 +79,37 @@
 
 #[test]
 fn an_import_is_written_and_what_it_left_out_is_named() {
-    let path = std::env::temp_dir().join(format!("pipitlever-{}-import.properties", std::process::id()));
-    std::fs::write(&path, "worker.a.type=uwsgi\nworker.a.port=3032\nworker.b.port=8009\n").unwrap();
+    let path = std::env::temp_dir().join(format!(
+        "pipitlever-{}-import.properties",
+        std::process::id()
+    ));
+    std::fs::write(
+        &path,
+        "worker.a.type=uwsgi\nworker.a.port=3032\nworker.b.port=8009\n",
+    )
+    .unwrap();
     let name = path.to_str().unwrap();
     let (code, output, errors) = run(&["import", name]);
     assert_eq!(code, Some(3));
-    assert!(output.contains("workers = [\"127.0.0.1:3032\"]"), "{output}");
-    assert_eq!(errors, format!("{name}:3: worker b at localhost:8009: ajp13 is not spoken here\n"));
-    std::fs::write(&path, "worker.a.type=uwsgi\nworker.a.port=3032\nworker.a.lbfactor=3\n").unwrap();
+    assert!(
+        output.contains("workers = [\"127.0.0.1:3032\"]"),
+        "{output}"
+    );
+    assert_eq!(
+        errors,
+        format!("{name}:3: worker b at localhost:8009: ajp13 is not spoken here\n")
+    );
+    std::fs::write(
+        &path,
+        "worker.a.type=uwsgi\nworker.a.port=3032\nworker.a.lbfactor=3\n",
+    )
+    .unwrap();
     let (code, output, errors) = run(&["import", name]);
     assert_eq!((code, errors.as_str()), (Some(0), ""));
-    assert!(output.contains("address = \"127.0.0.1:3032\"\nweight = 3.0\n"), "{output}");
+    assert!(
+        output.contains("address = \"127.0.0.1:3032\"\nweight = 3.0\n"),
+        "{output}"
+    );
     std::fs::write(&path, b"worker.a.type=uwsgi\nworker.a.port=\xff\n").unwrap();
     let (code, output, errors) = run(&["import", name]);
     assert_eq!((code, output.as_str()), (Some(1), ""));
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for all that a node talks to, each as small as its page of the protocol allows, and a node to
-//! talk to them. Everything is on loopback, on ports that the system picks; everything waits for events.
+//! Stand-ins for all that a node talks to, each as small as its page of the protocol allows, and a
+//! node to talk to them. Everything is on loopback, on ports that the system picks; everything
+//! waits for events.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -14,13 +15,16 @@
 /// Nothing that is waited for takes this long: past it the test has failed.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 /// The program under test: the node, or the one that counts what it allocates.
-pub const PROGRAM: &str =
-    match (option_env!("CARGO_BIN_EXE_pipitlever"), option_env!("CARGO_BIN_EXE_counted")) {
-        (Some(node), _) => node,
-        (None, Some(counted)) => counted,
-        (None, None) => panic!("cargo names the program"),
-    };
-/// Nobody listens there. A port of 127.0.0.1 that was free a moment ago may be another test's by now.
+pub const PROGRAM: &str = match (
+    option_env!("CARGO_BIN_EXE_pipitlever"),
+    option_env!("CARGO_BIN_EXE_counted"),
+) {
+    (Some(node), _) => node,
+    (None, Some(counted)) => counted,
+    (None, None) => panic!("cargo names the program"),
+};
+/// Nobody listens there. A port of 127.0.0.1 that was free a moment ago may be another test's by
+/// now.
 pub fn nobody() -> SocketAddr {
     "127.77.0.1:9".parse().unwrap()
 }
@@ -50,7 +54,10 @@
 pub fn configuration(more: &Value) -> Value {
     let mut config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "stop_ms": 5000, "settings": settings()});
-    config.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+    config
+        .as_object_mut()
+        .unwrap()
+        .extend(more.as_object().unwrap().clone());
     config
 }
 
@@ -104,17 +111,30 @@
     /// The files of a new node, by the ends of their names.
     fn files() -> impl Fn(&str) -> PathBuf {
         static COUNT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("pipitlever-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "pipitlever-{}-{}",
+            std::process::id(),
+            COUNT.fetch_add(1, Ordering::Relaxed)
+        );
         move |end: &str| std::env::temp_dir().join(format!("{name}.{end}"))
     }
 
     /// The same with more in its environment.
-    pub fn start_with(program: &Path, parties: Value, operator: Option<&str>, env: &[(&str, &str)]) -> Node {
+    pub fn start_with(
+        program: &Path,
+        parties: Value,
+        operator: Option<&str>,
+        env: &[(&str, &str)],
+    ) -> Node {
         let file = Node::files();
         let config = configuration(&parties);
         std::fs::write(file("json"), config.to_string()).unwrap();
         let mut command = Command::new(program);
-        command.arg("serve").arg("--config").arg(file("json")).envs(env.iter().copied());
+        command
+            .arg("serve")
+            .arg("--config")
+            .arg(file("json"))
+            .envs(env.iter().copied());
         Node::spawn(command, config, &file, operator)
     }
 
@@ -124,7 +144,10 @@
         let config = configuration(&parties);
         std::fs::write(file("json"), config.to_string()).unwrap();
         let mut command = Command::new("prlimit");
-        command.arg(format!("--nofile={descriptors}")).arg(Node::program()).arg("serve");
+        command
+            .arg(format!("--nofile={descriptors}"))
+            .arg(Node::program())
+            .arg("serve");
         command.arg("--config").arg(file("json"));
         Node::spawn(command, config, &file, None)
     }
@@ -139,20 +162,32 @@
             std::fs::write(file("toml"), text).unwrap();
             command.arg("--operator").arg(file("toml"));
         }
-        let mut child = command.stdin(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("starts");
+        let mut child = command
+            .stdin(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("starts");
         let (sender, lines) = channel();
         let log = BufReader::new(child.stderr.take().unwrap());
-        std::thread::spawn(move || log.lines().map_while(Result::ok).try_for_each(|l| sender.send(l)));
+        std::thread::spawn(move || {
+            log.lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| sender.send(l))
+        });
         let listening = || -> SocketAddr {
             loop {
-                let line = lines.recv_timeout(PATIENCE).expect("the node says where it listens");
+                let line = lines
+                    .recv_timeout(PATIENCE)
+                    .expect("the node says where it listens");
                 if let Some((_, at)) = line.rsplit_once("listen=") {
                     return at.parse().unwrap();
                 }
             }
         };
         let gateways = listening();
-        let uwsgi = operator.filter(|text| text.contains("listen")).map(|_| listening());
+        let uwsgi = operator
+            .filter(|text| text.contains("listen"))
+            .map(|_| listening());
         Node {
             child,
             config: (file("json"), config),
@@ -167,24 +202,37 @@
 
     /// Starts a node that does not stay; the code that it ends with, and its log.
     pub fn fails(parties: Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
-        let file = std::env::temp_dir().join(format!("pipitlever-{}-fails.json", std::process::id()));
+        let file =
+            std::env::temp_dir().join(format!("pipitlever-{}-fails.json", std::process::id()));
         std::fs::write(&file, configuration(&parties).to_string()).unwrap();
         let mut command = Command::new(PROGRAM);
-        command.arg("serve").arg("--config").arg(&file).envs(env.iter().copied());
+        command
+            .arg("serve")
+            .arg("--config")
+            .arg(&file)
+            .envs(env.iter().copied());
         let output = command.output().expect("starts");
         let _ = std::fs::remove_file(&file);
-        (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
+        (
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
+        )
     }
 
     /// Replaces the configuration by one with these parties, and says so.
     pub fn reload(&mut self, parties: Value) {
-        self.config.1.as_object_mut().unwrap().extend(parties.as_object().unwrap().clone());
+        self.config
+            .1
+            .as_object_mut()
+            .unwrap()
+            .extend(parties.as_object().unwrap().clone());
         let text = self.config.1.to_string();
         self.reload_text(&text);
     }
 
     pub fn reload_text(&self, text: &str) {
-        // In one step: the node may still be reading for the signal before, and turns down a file that is cut short.
+        // In one step: the node may still be reading for the signal before, and turns down a file
+        // that is cut short.
         let new = self.config.0.with_extension("new");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(&new, &self.config.0).unwrap();
@@ -201,13 +249,20 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// The next line of the log that begins so.
     pub fn line(&self, start: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(PATIENCE).unwrap_or_else(|_| panic!("no line {start}"));
+            let line = self
+                .lines
+                .recv_timeout(PATIENCE)
+                .unwrap_or_else(|_| panic!("no line {start}"));
             if line.starts_with(start) {
                 return line;
             }
@@ -222,8 +277,12 @@
 
     /// A counter from the line that the node ends with.
     pub fn counter(line: &str, name: &str) -> u64 {
-        let word = line.split(' ').find_map(|w| w.strip_prefix(&format!("{name}=")));
-        word.unwrap_or_else(|| panic!("no {name} in {line}")).parse().unwrap()
+        let word = line
+            .split(' ')
+            .find_map(|w| w.strip_prefix(&format!("{name}=")));
+        word.unwrap_or_else(|| panic!("no {name} in {line}"))
+            .parse()
+            .unwrap()
     }
 
     /// Says a line to the program that counts.
@@ -244,7 +303,11 @@
         // What is said goes out at once, rather than when the last was acknowledged.
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Gateway { lines: BufReader::new(stream.try_clone().unwrap()), stream, id: 0 }
+        Gateway {
+            lines: BufReader::new(stream.try_clone().unwrap()),
+            stream,
+            id: 0,
+        }
     }
 
     /// A gateway, once the node takes requests.
@@ -274,7 +337,8 @@
 }
 
 impl Node {
-    /// The figures that the node prints when asked, or printed at its end: counters and what it has now.
+    /// The figures that the node prints when asked, or printed at its end: counters and what it has
+    /// now.
     fn figures(&self, patience: Duration) -> Option<(String, String)> {
         let mut counters = None;
         loop {
@@ -298,7 +362,10 @@
         // One that a test has killed, or whose last lines it took, has nothing more to say.
         let patience = if running { PATIENCE } else { Duration::ZERO };
         let Some((counters, now)) = self.figures(patience) else {
-            return assert!(!running || self.stopped, "a node that runs prints its figures");
+            return assert!(
+                !running || self.stopped,
+                "a node that runs prints its figures"
+            );
         };
         let count = |name: &str| Node::counter(&counters, name);
         let answered = count("served") + count("refused") + count("failed") + count("gone");
@@ -312,7 +379,9 @@
     fn drop(&mut self) {
         let checked = match std::thread::panicking() {
             true => Ok(()),
-            false => std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.check_accounts())),
+            false => {
+                std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.check_accounts()))
+            }
         };
         // Whatever came of it, no process outlives its test.
         let _ = self.child.kill();
@@ -331,7 +400,9 @@
     pub fn call(&self, line: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.0).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.write_all(format!("{line} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes()).unwrap();
+        stream
+            .write_all(format!("{line} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes())
+            .unwrap();
         response(stream)
     }
 
@@ -339,16 +410,23 @@
     pub fn figure(&self, name: &str) -> Option<u64> {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
-        let line = text.lines().find_map(|l| l.strip_prefix(&format!("edge.{name}:")))?;
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(&format!("edge.{name}:")))?;
         line.split_once('|')?.0.parse().ok()
     }
 }
 
 pub fn response(mut stream: TcpStream) -> (u16, String) {
     let mut bytes = Vec::new();
-    stream.read_to_end(&mut bytes).expect("a response and the end");
+    stream
+        .read_to_end(&mut bytes)
+        .expect("a response and the end");
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    let status = text.strip_prefix("HTTP/1.").and_then(|t| t.get(2..5)).and_then(|s| s.parse().ok());
+    let status = text
+        .strip_prefix("HTTP/1.")
+        .and_then(|t| t.get(2..5))
+        .and_then(|s| s.parse().ok());
     (status.unwrap_or_else(|| panic!("no HTTP: {text:?}")), text)
 }
 
@@ -371,7 +449,13 @@
     }
 
     pub fn notify(&mut self, method: &str, params: Value) {
-        self.raw(format!("{}\n", json!({"jsonrpc": "2.0", "method": method, "params": params})).as_bytes());
+        self.raw(
+            format!(
+                "{}\n",
+                json!({"jsonrpc": "2.0", "method": method, "params": params})
+            )
+            .as_bytes(),
+        );
     }
 
     /// The next message; `Null` at the end of the connection.
@@ -389,7 +473,10 @@
 pub fn work(allow: u64, key: Option<&str>, body: &[u8]) -> Value {
     static COUNT: AtomicU64 = AtomicU64::new(1);
     let reference = format!("{:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
     let mut params = json!({"ref": reference, "since": since, "sender": 1, "allow": allow, "effort": 12.5,
         "room": 24.5, "class_rank": 0.625, "doc": base64(body)});
     if let Some(key) = key {
@@ -398,7 +485,8 @@
     params
 }
 
-/// A stand-in for the processor: commands come out as they were read, notices are said as a test wants.
+/// A stand-in for the processor: commands come out as they were read, notices are said as a test
+/// wants.
 pub struct Processor {
     pub listener: TcpListener,
     link: Option<(TcpStream, BufReader<TcpStream>)>,
@@ -409,7 +497,12 @@
 impl Processor {
     pub fn new() -> Processor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        Processor { listener, link: None, hello: String::new(), notices: 0 }
+        Processor {
+            listener,
+            link: None,
+            hello: String::new(),
+            notices: 0,
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -443,18 +536,30 @@
     pub fn left(&mut self) {
         loop {
             let line = self.read_line();
-            let Some(tag) = line.strip_prefix("usage ") else { return assert_eq!(line, "") };
+            let Some(tag) = line.strip_prefix("usage ") else {
+                return assert_eq!(line, "");
+            };
             self.say(format!("used {tag} 0.5 1 0.1 2\r\n").as_bytes());
         }
     }
 
     pub fn cut(&mut self) {
-        self.link.take().unwrap().0.shutdown(Shutdown::Both).unwrap();
+        self.link
+            .take()
+            .unwrap()
+            .0
+            .shutdown(Shutdown::Both)
+            .unwrap();
     }
 
     fn read_line(&mut self) -> String {
         let mut line = String::new();
-        self.link.as_mut().unwrap().1.read_line(&mut line).expect("a command");
+        self.link
+            .as_mut()
+            .unwrap()
+            .1
+            .read_line(&mut line)
+            .expect("a command");
         line.trim_end_matches("\r\n").to_owned()
     }
 
@@ -483,7 +588,11 @@
             if words[0] == "interrupt" {
                 return (words, Vec::new());
             }
-            let length: usize = words.last().unwrap().parse().unwrap_or_else(|_| panic!("{words:?}"));
+            let length: usize = words
+                .last()
+                .unwrap()
+                .parse()
+                .unwrap_or_else(|_| panic!("{words:?}"));
             let mut body = vec![0; length + 2];
             self.link.as_mut().unwrap().1.read_exact(&mut body).unwrap();
             assert_eq!(body.split_off(length), b"\r\n");
@@ -525,7 +634,10 @@
         self.answer_all(|body| body.to_vec())
     }
 
-    fn answer_all(mut self, result: impl Fn(&[u8]) -> Vec<u8> + Send + 'static) -> Receiver<Vec<u8>> {
+    fn answer_all(
+        mut self,
+        result: impl Fn(&[u8]) -> Vec<u8> + Send + 'static,
+    ) -> Receiver<Vec<u8>> {
         let (sender, bodies) = channel();
         std::thread::spawn(move || loop {
             let mut line = String::new();
@@ -562,7 +674,10 @@
 
     pub fn of(stream: TcpStream) -> Below {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Below { lines: BufReader::new(stream), allowed: 0 }
+        Below {
+            lines: BufReader::new(stream),
+            allowed: 0,
+        }
     }
 
     /// The next call: the request and the body.
@@ -575,7 +690,9 @@
         let mut line = String::new();
         self.lines.read_line(&mut line).ok().filter(|&n| n > 0)?;
         let words: Vec<&str> = line.trim_end_matches("\r\n").split(' ').collect();
-        let ["post", id, allowed, length] = words[..] else { panic!("{line}") };
+        let ["post", id, allowed, length] = words[..] else {
+            panic!("{line}")
+        };
         self.allowed = allowed.parse().unwrap();
         let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
         self.lines.read_exact(&mut body).unwrap();
@@ -595,10 +712,17 @@
 /// A uwsgi packet of these variables, CONTENT_LENGTH and a body.
 pub fn packet(path: &str, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let length = body.len().to_string();
-    let mut vars = vec![("REQUEST_METHOD", "POST"), ("PATH_INFO", path), ("CONTENT_LENGTH", &length)];
+    let mut vars = vec![
+        ("REQUEST_METHOD", "POST"),
+        ("PATH_INFO", path),
+        ("CONTENT_LENGTH", &length),
+    ];
     vars.extend(more);
     let word = |w: &str| [&(w.len() as u16).to_le_bytes()[..], w.as_bytes()].concat();
-    let block: Vec<u8> = vars.iter().flat_map(|(n, v)| [word(n), word(v)].concat()).collect();
+    let block: Vec<u8> = vars
+        .iter()
+        .flat_map(|(n, v)| [word(n), word(v)].concat())
+        .collect();
     let [low, high] = (block.len() as u16).to_le_bytes();
     [&[0, low, high, 0][..], &block, body].concat()
 }
@@ -635,7 +759,11 @@
         stream.read_exact(&mut bytes[4..]).ok()?;
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let value = text.split_once("CONTENT_LENGTH").expect("always sent").1;
-        let digits: String = value.chars().skip(2).take_while(char::is_ascii_digit).collect();
+        let digits: String = value
+            .chars()
+            .skip(2)
+            .take_while(char::is_ascii_digit)
+            .collect();
         let start = bytes.len();
         bytes.resize(start + digits.parse::<usize>().ok()?, 0);
         stream.read_exact(&mut bytes[start..]).ok()?;
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! What operators and their scripts read: the control endpoint's JSON and figures, the `--json` outputs and the counters line,
-//! compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-node --test compatibility`). Values that differ from run to run are
-//! replaced by their type.
+//! What operators and their scripts read: the control endpoint's JSON and figures, the `--json`
+//! outputs and the counters line, compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-node --test compatibility`). Values that
+//! differ from run to run are replaced by their type.
 
 mod common;
 
@@ -19,10 +19,14 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
 }
 
-/// A JSON value with each number, truth value and free text replaced by its type, and each list by its first element.
+/// A JSON value with each number, truth value and free text replaced by its type, and each list by
+/// its first element.
 fn shape(key: &str, value: &Value) -> Value {
     match value {
-        Value::Object(members) => members.iter().map(|(k, v)| (k.clone(), shape(k, v))).collect(),
+        Value::Object(members) => members
+            .iter()
+            .map(|(k, v)| (k.clone(), shape(k, v)))
+            .collect(),
         Value::Array(members) => members.iter().take(1).map(|v| shape("", v)).collect(),
         Value::String(_) if COMPARED_TEXTS.contains(&key) => value.clone(),
         Value::String(_) => json!("text"),
@@ -60,7 +64,11 @@
 /// Standard output of `pipitlever` with these arguments.
 fn program(arguments: &[&str]) -> String {
     let output = Command::new(PROGRAM).args(arguments).output().unwrap();
-    assert!(output.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{arguments:?}: {}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).unwrap()
 }
 
@@ -78,21 +86,38 @@
     let cluster = Cluster::settled(spec, 3);
     let complete = |view: Value| {
         let share = view["share"][0]["workers"][0]["most_runs"].is_number();
-        let serving = view["members"].as_array().unwrap().iter().all(|m| m["standing"] == "serving");
-        serving && view["versions"]["may_act"] == true && view["sessions"]["filled"] == true && share
+        let serving = view["members"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .all(|m| m["standing"] == "serving");
+        serving
+            && view["versions"]["may_act"] == true
+            && view["sessions"]["filled"] == true
+            && share
     };
-    cluster.wait("leases, sessions and shares", |c| (0..3).all(|i| c.view(i).is_some_and(complete)));
+    cluster.wait("leases, sessions and shares", |c| {
+        (0..3).all(|i| c.view(i).is_some_and(complete))
+    });
     let endpoint = cluster.nodes[0].process.as_ref().unwrap().door;
     let at = endpoint.to_string();
     let mut text = String::new();
     let view = cluster.view(0).unwrap();
     text.push_str(&format!("GET /fleet {}\n", shape("", &view)));
     let status = program(&["fleet", "status", "--at", &at, "--json"]);
-    text.push_str(&format!("fleet status --json {}\n", shape("", &parsed(&status))));
+    text.push_str(&format!(
+        "fleet status --json {}\n",
+        shape("", &parsed(&status))
+    ));
     let sessions = program(&["fleet", "sessions", "--at", &at, "--json"]);
-    text.push_str(&format!("fleet sessions --json {}\n", shape("", &parsed(&sessions))));
+    text.push_str(&format!(
+        "fleet sessions --json {}\n",
+        shape("", &parsed(&sessions))
+    ));
     let (_, figures) = call(endpoint, "GET /status/metrics").unwrap();
-    figures.lines().for_each(|line| text.push_str(&figure_name(line)));
+    figures
+        .lines()
+        .for_each(|line| text.push_str(&figure_name(line)));
     pipitlever_test_fixtures::assert_text(fixture("fleet.txt"), &text);
 }
 
@@ -106,15 +131,30 @@
     let mut called = |line: &str| {
         let (code, answer) = endpoint.call(line);
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
-        text.push_str(&format!("{line}: {code} {}\n", body.trim_end().replace('\n', "; ")));
+        text.push_str(&format!(
+            "{line}: {code} {}\n",
+            body.trim_end().replace('\n', "; ")
+        ));
     };
     called("GET /status");
     processor.up();
     let mut gateway = node.ready();
-    for line in ["GET /status", "GET /status/metrics", "POST /standby", "GET /status", "POST /active"] {
+    for line in [
+        "GET /status",
+        "GET /status/metrics",
+        "POST /standby",
+        "GET /status",
+        "POST /active",
+    ] {
         called(line);
     }
-    for line in ["GET /nowhere", "GET /standby", "GET /fleet", "POST /fleet/publish", "POST /fleet/close/1"] {
+    for line in [
+        "GET /nowhere",
+        "GET /standby",
+        "GET /fleet",
+        "POST /fleet/publish",
+        "POST /fleet/close/1",
+    ] {
         called(line);
     }
     gateway.send("rota-view", work(5000, None, b"body"));
@@ -149,10 +189,16 @@
     let mut text = String::new();
     for task in ["check", "list", "compact"] {
         for line in program(&["store", task, folder, "--json"]).lines() {
-            text.push_str(&format!("store {task} --json {}\n", shape("", &parsed(line))));
+            text.push_str(&format!(
+                "store {task} --json {}\n",
+                shape("", &parsed(line))
+            ));
         }
         let line = program(&["store", task, folder]);
-        text.push_str(&format!("store {task} {}\n", keys_of(line.lines().next().unwrap_or_default())));
+        text.push_str(&format!(
+            "store {task} {}\n",
+            keys_of(line.lines().next().unwrap_or_default())
+        ));
     }
     pipitlever_test_fixtures::assert_text(fixture("store.txt"), &text);
 }
@@ -161,7 +207,10 @@
 fn a_uwsgi_response_is_that_of_the_earlier_build() {
     let (processor, worker) = (Processor::new(), Worker::new());
     let parties = json!({"processor": processor.address().to_string()});
-    let node = Node::start(parties, Some(&common::uwsgi_file(Some(worker.address()), "workers")));
+    let node = Node::start(
+        parties,
+        Some(&common::uwsgi_file(Some(worker.address()), "workers")),
+    );
     let (code, response) = node.uwsgi(&packet("/nowhere", &[], b""));
     let text = format!("{code}\n{}", response.replace('\r', ""));
     pipitlever_test_fixtures::assert_text(fixture("uwsgi.txt"), &text);
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -12,10 +12,16 @@
 fn daily(more: Value) -> (Node, Processor, Gateway, Door) {
     let mut processor = Processor::new();
     let mut all = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
-    all.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+    all.as_object_mut()
+        .unwrap()
+        .extend(more.as_object().unwrap().clone());
     let node = Node::start(all, None);
     let door = node.door();
-    assert_eq!(door.call("GET /status").0, 503, "it takes no clients before its processor is up");
+    assert_eq!(
+        door.call("GET /status").0,
+        503,
+        "it takes no clients before its processor is up"
+    );
     processor.up();
     let gateway = node.ready();
     (node, processor, gateway, door)
@@ -32,8 +38,14 @@
     assert_eq!(door.call("GET /status").0, 200);
     assert_eq!(door.call("GET /nowhere").0, 404);
     let (status, text) = door.call("GET /standby");
-    assert!(status == 405 && text.contains("\r\nAllow: POST\r\n"), "{text}");
-    assert_eq!(door.call(&format!("GET /status?{}", "a".repeat(9000))).0, 431);
+    assert!(
+        status == 405 && text.contains("\r\nAllow: POST\r\n"),
+        "{text}"
+    );
+    assert_eq!(
+        door.call(&format!("GET /status?{}", "a".repeat(9000))).0,
+        431
+    );
     assert_eq!(door.call("\u{1}").0, 400);
 }
 
@@ -45,7 +57,8 @@
     let dawdlers: Vec<TcpStream> = (0..300)
         .map(|i| {
             let mut stream = TcpStream::connect(door.0).unwrap();
-            // Some say nothing, some half a call; one that was sent away can't be written to, which is its affair.
+            // Some say nothing, some half a call; one that was sent away can't be written to, which
+            // is its affair.
             let _ = stream.write_all(&b"POST /standby HTTP/1.1\r\nA: b\r\n"[..(i % 3) * 14]);
             stream
         })
@@ -65,7 +78,10 @@
 fn figures_count_each_outcome_once_from_nought() {
     let (_node, mut processor, mut gateway, door) = daily(json!({}));
     for figure in ["fulfilled", "throttled", "faulted", "relayed"] {
-        assert_eq!(door.figure(&format!("operations.swap-confirm.{figure}")), Some(0));
+        assert_eq!(
+            door.figure(&format!("operations.swap-confirm.{figure}")),
+            Some(0)
+        );
     }
     gateway.send("rota-view", work(5000, None, b"one"));
     let (one, _) = processor.command();
@@ -80,9 +96,16 @@
     gateway.send("rota-view", work(0, None, b"three"));
     gateway.receive();
     let figures = ["fulfilled", "faulted", "throttled", "relayed"];
-    let of = |class: &str| figures.map(|f| door.figure(&format!("operations.{class}.{f}")).unwrap());
-    assert_eq!((of("rota-view"), of("swap-confirm")), ([1, 1, 1, 2], [0; 4]));
-    assert_eq!(["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| door.figure(f)), [Some(0); 3]);
+    let of =
+        |class: &str| figures.map(|f| door.figure(&format!("operations.{class}.{f}")).unwrap());
+    assert_eq!(
+        (of("rota-view"), of("swap-confirm")),
+        ([1, 1, 1, 2], [0; 4])
+    );
+    assert_eq!(
+        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| door.figure(f)),
+        [Some(0); 3]
+    );
 }
 
 #[test]
@@ -93,7 +116,11 @@
         assert_eq!(door.call("POST /standby").0, 200);
         assert!(!healthy(&mut gateway), "a second call changes nothing");
     }
-    assert_eq!(door.call("GET /status").0, 200, "the process still takes clients");
+    assert_eq!(
+        door.call("GET /status").0,
+        200,
+        "the process still takes clients"
+    );
     gateway.send("swap-confirm", swap);
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
@@ -132,7 +159,8 @@
     assert!(node.wait().success());
 }
 
-/// The node finds a new configuration, a drain by call and a request in its sockets at once, as it goes on after a standstill.
+/// The node finds a new configuration, a drain by call and a request in its sockets at once, as it
+/// goes on after a standstill.
 #[test]
 fn a_drain_by_call_and_a_reload_in_one_turn_both_hold() {
     let (mut node, mut processor, mut gateway, door) = daily(json!({}));
@@ -140,7 +168,9 @@
     node.reload(json!({}));
     let mut caller = TcpStream::connect(door.0).unwrap();
     caller.set_read_timeout(Some(PATIENCE)).unwrap();
-    caller.write_all(b"POST /standby HTTP/1.1\r\nHost: n1\r\n\r\n").unwrap();
+    caller
+        .write_all(b"POST /standby HTTP/1.1\r\nHost: n1\r\n\r\n")
+        .unwrap();
     gateway.send("rota-view", work(5000, None, b"body"));
     node.signal("-CONT");
     assert_eq!(response(caller).0, 200);
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -1,4 +1,5 @@
-//! What one deployment's settings ask for and another's don't: tenants, and runs that can be stopped.
+//! What one deployment's settings ask for and another's don't: tenants, and runs that can be
+//! stopped.
 
 mod common;
 
@@ -17,13 +18,16 @@
     params["ref"].as_str().unwrap().to_owned()
 }
 
-/// On the second deployment runs can be stopped. The node answered their requests and let them go on: the cores worked for
-/// nobody while others waited for them.
+/// On the second deployment runs can be stopped. The node answered their requests and let them go
+/// on: the cores worked for nobody while others waited for them.
 #[test]
 fn a_run_that_nobody_waits_for_is_stopped() {
     for mode in ["abort", "suspend"] {
         let mut processor = Processor::new();
-        let node = Node::start(json!({"processor": processor.address(), "settings": stopping(mode)}), None);
+        let node = Node::start(
+            json!({"processor": processor.address(), "settings": stopping(mode)}),
+            None,
+        );
         processor.up();
         let mut gateway = node.ready();
         let params = work(5000, None, b"one");
@@ -47,7 +51,10 @@
 #[test]
 fn a_stop_that_comes_too_late_means_nothing() {
     let mut processor = Processor::new();
-    let node = Node::start(json!({"processor": processor.address(), "settings": stopping("abort")}), None);
+    let node = Node::start(
+        json!({"processor": processor.address(), "settings": stopping("abort")}),
+        None,
+    );
     processor.up();
     let mut gateway = node.ready();
     let (gone, kept) = (work(5000, None, b"gone"), work(5000, None, b"kept"));
@@ -65,14 +72,21 @@
     processor.complete(&reference(&kept), "fine", b"served");
     assert_eq!(gateway.receive()["id"], id);
     let answer = gateway.receive();
-    assert_eq!((&answer["id"], &answer["result"]["doc"]), (&json!(id + 1), &json!(base64(b"served"))));
+    assert_eq!(
+        (&answer["id"], &answer["result"]["doc"]),
+        (&json!(id + 1), &json!(base64(b"served")))
+    );
 }
 
-/// A link that broke may have swallowed the stop unread: it goes out again on the next one, if the run still goes on.
+/// A link that broke may have swallowed the stop unread: it goes out again on the next one, if the
+/// run still goes on.
 #[test]
 fn a_stop_lost_with_the_link_is_said_again() {
     let mut processor = Processor::new();
-    let node = Node::start(json!({"processor": processor.address(), "settings": stopping("abort")}), None);
+    let node = Node::start(
+        json!({"processor": processor.address(), "settings": stopping("abort")}),
+        None,
+    );
     processor.up();
     let mut gateway = node.ready();
     let params = work(5000, None, b"one");
@@ -92,7 +106,8 @@
     assert_eq!(processor.begin().0, reference(&params));
 }
 
-/// Where runs can't be stopped the command is never written: the older processor closes its link on what it doesn't know.
+/// Where runs can't be stopped the command is never written: the older processor closes its link on
+/// what it doesn't know.
 #[test]
 fn where_runs_cannot_be_stopped_nobody_is_told_to() {
     let mut processor = Processor::new();
@@ -105,16 +120,24 @@
     gateway.notify("cancelRequest", json!({"id": id}));
     gateway.receive();
     gateway.send("rota-view", second.clone());
-    assert_eq!(processor.begin().0, reference(&second), "no other command stands between the two");
+    assert_eq!(
+        processor.begin().0,
+        reference(&second),
+        "no other command stands between the two"
+    );
 }
 
-/// A tenant is named as in the settings. A name that these don't have is no error; what is no name is one.
+/// A tenant is named as in the settings. A name that these don't have is no error; what is no name
+/// is one.
 #[test]
 fn tenants_are_read_by_their_names() {
     let mut settings = stopping("abort");
     settings["tenants"] = json!([{"name": "acme", "quotaRps": 1.0}]);
     let mut processor = Processor::new();
-    let node = Node::start(json!({"processor": processor.address(), "settings": settings}), None);
+    let node = Node::start(
+        json!({"processor": processor.address(), "settings": settings}),
+        None,
+    );
     processor.up();
     let mut gateway = node.ready();
     for project in [json!("acme"), json!("stranger"), Value::Null] {
@@ -131,7 +154,8 @@
     assert_eq!(gateway.receive()["error"]["code"], -32602);
 }
 
-/// A check with `inner` asks whether work gets done. It was answered good while a server hung and failed all that it was sent.
+/// A check with `inner` asks whether work gets done. It was answered good while a server hung and
+/// failed all that it was sent.
 #[test]
 fn a_check_of_whether_work_gets_done_is_bad_while_none_does() {
     let mut settings = stopping("abort");
@@ -140,11 +164,16 @@
         class["target"] = json!(400_000);
     }
     let mut processor = Processor::new();
-    let node = Node::start(json!({"processor": processor.address(), "settings": settings}), None);
+    let node = Node::start(
+        json!({"processor": processor.address(), "settings": settings}),
+        None,
+    );
     processor.up();
     let mut gateway = node.ready();
     // Keyed runs, which nobody gives up for it.
-    let runs: Vec<Value> = (0..2).map(|i| work(20_000, Some(&format!("key-{i}")), b"x")).collect();
+    let runs: Vec<Value> = (0..2)
+        .map(|i| work(20_000, Some(&format!("key-{i}")), b"x"))
+        .collect();
     for params in &runs {
         gateway.send("swap-confirm", params.clone());
         processor.begin();
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,10 +1,13 @@
-//! The fleet as several real processes see it, with faults between them. Callers ask all the while, and the rules hold.
+//! The fleet as several real processes see it, with faults between them. Callers ask all the while,
+//! and the rules hold.
 
 mod common;
 
 use common::{configuration, Scratch, PROGRAM};
 use pipitlever_cluster_testing::crowd::Crowd;
-use pipitlever_cluster_testing::parties::{check, cpu_ms, memory_mb, open_loop, Asked, Caller, Processor};
+use pipitlever_cluster_testing::parties::{
+    check, cpu_ms, memory_mb, open_loop, Asked, Caller, Processor,
+};
 use pipitlever_cluster_testing::processes::{call, Cluster, Line, Spec};
 use pipitlever_cluster_testing::relay::Link;
 use serde_json::json;
@@ -26,7 +29,9 @@
 }
 
 fn state(cluster: &Cluster, at: usize, of: &str) -> String {
-    cluster.held(at, of).map_or(String::new(), |m| m["state"].as_str().unwrap().to_owned())
+    cluster
+        .held(at, of)
+        .map_or(String::new(), |m| m["state"].as_str().unwrap().to_owned())
 }
 
 fn all_hold(cluster: &Cluster, nodes: &[usize], of: &str, wanted: &str) -> bool {
@@ -38,7 +43,10 @@
     let lines = cluster.history.lines().split_off(behind);
     let down = |l: &Line| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
     let of = |l: &Line, name: &str| l.text.contains(&format!("member={name} "));
-    lines.into_iter().filter(|l| down(l) && !right.iter().any(|name| of(l, name))).collect()
+    lines
+        .into_iter()
+        .filter(|l| down(l) && !right.iter().any(|name| of(l, name)))
+        .collect()
 }
 
 fn stop(callers: Vec<Caller>, cluster: &Cluster, most: Duration) {
@@ -56,7 +64,15 @@
     let mut command = std::process::Command::new(PROGRAM);
     command.arg("fleet").args(words);
     for node in nodes {
-        command.args(["--at", &cluster.nodes[*node].process.as_ref().unwrap().door.to_string()]);
+        command.args([
+            "--at",
+            &cluster.nodes[*node]
+                .process
+                .as_ref()
+                .unwrap()
+                .door
+                .to_string(),
+        ]);
     }
     let output = command.output().unwrap();
     let text = [output.stdout, output.stderr].concat();
@@ -68,16 +84,30 @@
     let folder = Scratch::new("fleet-two");
     let mut cluster = Cluster::settled(spec(&folder), 2);
     let (code, text) = command(&cluster, &["status"], &[0]);
-    assert!(code == Some(0) && text.contains("n0*") && text.contains("settled"), "{text}");
+    assert!(
+        code == Some(0) && text.contains("n0*") && text.contains("settled"),
+        "{text}"
+    );
     let (code, text) = command(&cluster, &["compare"], &[0, 1]);
-    assert!(code == Some(0) && text.contains("equal: 2 views of 2 members, 2 alive"), "{text}");
+    assert!(
+        code == Some(0) && text.contains("equal: 2 views of 2 members, 2 alive"),
+        "{text}"
+    );
     assert_eq!(command(&cluster, &["compare"], &[0]).0, Some(1));
-    assert_eq!(command(&cluster, &["status", "--at", "nowhere"], &[]).0, Some(1));
+    assert_eq!(
+        command(&cluster, &["status", "--at", "nowhere"], &[]).0,
+        Some(1)
+    );
     // While they don't hear each other their views differ.
     cluster.links.split(2, |i| i);
-    cluster.wait("they hold each other down", |c| state(c, 0, "n1") == "down" && state(c, 1, "n0") == "down");
+    cluster.wait("they hold each other down", |c| {
+        state(c, 0, "n1") == "down" && state(c, 1, "n0") == "down"
+    });
     let (code, text) = command(&cluster, &["compare"], &[0, 1]);
-    assert!(code == Some(1) && text.contains("n1: ") && text.contains("(n0)"), "{text}");
+    assert!(
+        code == Some(1) && text.contains("n1: ") && text.contains("(n0)"),
+        "{text}"
+    );
     cluster.links.heal();
     cluster.wait_settled("they hear each other");
     cluster.kill(1);
@@ -88,16 +118,29 @@
     // A drain says so, a crash doesn't.
     cluster.signal(1, "-TERM");
     cluster.wait("n1 has left", |c| state(c, 0, "n1") == "left");
-    let lines = cluster.said("member=n1").into_iter().filter(|l| l.node == 0);
+    let lines = cluster
+        .said("member=n1")
+        .into_iter()
+        .filter(|l| l.node == 0);
     let lines: Vec<String> = lines.map(|l| l.text).collect();
     let seen = |part: &str| lines.iter().any(|l| l.contains(part));
     assert!(
         seen("alive -> suspect") && seen("no answer to this node") && seen("suspect -> down"),
         "{lines:#?}"
     );
-    assert!(seen("down -> alive") && seen("alive -> left incarnation="), "{lines:#?}");
-    let (_, figures) = call(cluster.nodes[0].process.as_ref().unwrap().door, "GET /status/metrics").unwrap();
-    assert!(figures.contains("edge.fleet.alive:1|g") && figures.contains("edge.fleet.left:1|g"), "{figures}");
+    assert!(
+        seen("down -> alive") && seen("alive -> left incarnation="),
+        "{lines:#?}"
+    );
+    let (_, figures) = call(
+        cluster.nodes[0].process.as_ref().unwrap().door,
+        "GET /status/metrics",
+    )
+    .unwrap();
+    assert!(
+        figures.contains("edge.fleet.alive:1|g") && figures.contains("edge.fleet.left:1|g"),
+        "{figures}"
+    );
 }
 
 /// One course through the faults, on seven nodes whose callers never stop asking.
@@ -109,30 +152,54 @@
     let (all, calm) = ([0, 1, 2, 3, 4, 5, 6], cluster.history.lines().len());
 
     // Links that carry one way or not at all, and one that loses, doubles and spoils.
-    let cut = Link { cut: true, ..Link::default() };
-    let bad = Link { loss: 0.1, twice: 0.2, spoilt: 0.1, delay: Duration::from_millis(20), cut: false };
+    let cut = Link {
+        cut: true,
+        ..Link::default()
+    };
+    let bad = Link {
+        loss: 0.1,
+        twice: 0.2,
+        spoilt: 0.1,
+        delay: Duration::from_millis(20),
+        cut: false,
+    };
     cluster.links.set(1, 0, cut);
     cluster.links.set(2, 3, cut);
     cluster.links.set(3, 2, cut);
     all.iter().for_each(|i| cluster.links.set(4, *i, bad));
     std::thread::sleep(Duration::from_secs(4));
-    assert_eq!(wrongly_down(&cluster, calm, &[]).len(), 0, "{:#?}", wrongly_down(&cluster, calm, &[]));
+    assert_eq!(
+        wrongly_down(&cluster, calm, &[]).len(),
+        0,
+        "{:#?}",
+        wrongly_down(&cluster, calm, &[])
+    );
     cluster.links.heal();
     cluster.wait_settled("links are whole again");
 
     // Stopped past its death, while another one dies and comes back.
     cluster.signal(5, "-STOP");
-    cluster.wait("n5 is down", |c| all_hold(c, &[0, 1, 2, 3, 4, 6], "n5", "down"));
+    cluster.wait("n5 is down", |c| {
+        all_hold(c, &[0, 1, 2, 3, 4, 6], "n5", "down")
+    });
     cluster.kill(6);
-    cluster.wait("n6 is down", |c| all_hold(c, &[0, 1, 2, 3, 4], "n6", "down"));
+    cluster.wait("n6 is down", |c| {
+        all_hold(c, &[0, 1, 2, 3, 4], "n6", "down")
+    });
     cluster.start(6);
     cluster.wait("n6 is back", |c| c.agree(&[0, 1, 2, 3, 4, 6]));
     let woken = cluster.history.lines().len();
     cluster.signal(5, "-CONT");
     cluster.wait_settled("n5 goes on");
     let wrong = wrongly_down(&cluster, woken, &[]);
-    assert!(wrong.is_empty(), "nobody is blamed for its sleep: {wrong:#?}");
-    assert!(cluster.said("fleet: refuted: held").iter().any(|l| l.node == 5));
+    assert!(
+        wrong.is_empty(),
+        "nobody is blamed for its sleep: {wrong:#?}"
+    );
+    assert!(cluster
+        .said("fleet: refuted: held")
+        .iter()
+        .any(|l| l.node == 5));
 
     // Halves, with a crash, a restart and a leaver while they are apart.
     cluster.links.split(7, |i| usize::from(i >= 4));
@@ -143,7 +210,9 @@
             && all_hold(c, &[4, 5, 6], "n3", "down")
     });
     cluster.wait("the smaller part knows that it is cut off", |c| {
-        [4, 5, 6].iter().all(|i| c.view(*i).unwrap()["cut_off"] == true)
+        [4, 5, 6]
+            .iter()
+            .all(|i| c.view(*i).unwrap()["cut_off"] == true)
             && c.view(0).unwrap()["cut_off"] == false
     });
     cluster.kill(3);
@@ -157,7 +226,9 @@
     let running = [0, 1, 2, 4, 6];
     let took = cluster.wait("one fleet again", |c| c.agree(&running));
     assert!(took < Duration::from_secs(10), "{took:?}");
-    assert!(all_hold(&cluster, &running, "n3", "down") && all_hold(&cluster, &running, "n5", "left"));
+    assert!(
+        all_hold(&cluster, &running, "n3", "down") && all_hold(&cluster, &running, "n5", "left")
+    );
     cluster.start(3);
     cluster.start(5);
     cluster.wait_settled("all are back");
@@ -184,16 +255,26 @@
         let listen = cluster.nodes[2].process.as_ref().unwrap().gateways;
         let successor = cluster.process(2, "n2", Some(listen));
         let number = successor.number;
-        let taken = cluster.history.wait(calm, |l| l.process == number && l.text.contains("fleet: serving"));
+        let taken = cluster.history.wait(calm, |l| {
+            l.process == number && l.text.contains("fleet: serving")
+        });
         assert!(taken.is_some(), "{:#?}", cluster.tail(2));
         let mut old = cluster.nodes[2].process.replace(successor).unwrap();
         // While both live only one of them hears and speaks: the others would believe each in turn.
         let heard = |door| {
             let (_, text) = call(door, "GET /status/metrics").unwrap();
-            let count = text.lines().find_map(|l| l.strip_prefix("edge.fleet.heard:")?.strip_suffix("|c"));
-            count.unwrap_or_else(|| panic!("{text}")).parse::<u64>().unwrap()
+            let count = text
+                .lines()
+                .find_map(|l| l.strip_prefix("edge.fleet.heard:")?.strip_suffix("|c"));
+            count
+                .unwrap_or_else(|| panic!("{text}"))
+                .parse::<u64>()
+                .unwrap()
         };
-        let (before, door) = (heard(old.door), cluster.nodes[2].process.as_ref().unwrap().door);
+        let (before, door) = (
+            heard(old.door),
+            cluster.nodes[2].process.as_ref().unwrap().door,
+        );
         cluster.wait("the successor hears the others", |_| heard(door) > 20);
         assert_eq!(heard(old.door), before);
         old.signal("-TERM");
@@ -204,10 +285,16 @@
     }
     // Nobody but the one that was cut off saw it leave, be suspected, or come anew.
     let lines = cluster.history.lines().split_off(calm);
-    let seen: Vec<_> = lines.iter().filter(|l| l.node < 2 && l.text.contains("member=n2 ")).collect();
+    let seen: Vec<_> = lines
+        .iter()
+        .filter(|l| l.node < 2 && l.text.contains("member=n2 "))
+        .collect();
     assert!(seen.is_empty(), "{seen:#?}");
     let after = cluster.held(0, "n2").unwrap();
-    assert_eq!((&after["incarnation"], &after["address"]), (&before["incarnation"], &before["address"]));
+    assert_eq!(
+        (&after["incarnation"], &after["address"]),
+        (&before["incarnation"], &before["address"])
+    );
     cluster.links.heal();
     cluster.wait_settled("n3 is back");
 
@@ -218,7 +305,10 @@
     cluster.nodes[2].process = Some(successor);
     cluster.wait_settled("the successor lives");
     let at = cluster.held(0, "n2").unwrap();
-    assert_eq!((&at["address"], &at["conflict"]), (&before["address"], &json!([])));
+    assert_eq!(
+        (&at["address"], &at["conflict"]),
+        (&before["address"], &json!([]))
+    );
     stop(callers, &cluster, Duration::from_secs(5));
 }
 
@@ -251,7 +341,11 @@
         let launched = cluster.launch(2, "n2", Some(listen));
         let new = launched.number;
         let step = |l: &Line| (l.process == old || l.process == new) && l.text.contains(word);
-        assert!(cluster.history.wait(behind, step).is_some(), "{word}: {:#?}", cluster.tail(2));
+        assert!(
+            cluster.history.wait(behind, step).is_some(),
+            "{word}: {:#?}",
+            cluster.tail(2)
+        );
         std::thread::sleep(Duration::from_millis(ms));
         if successor_dies {
             launched.child.signal("-KILL");
@@ -262,7 +356,9 @@
             cluster.nodes[2].process = None;
             cluster.nodes[2].process = Some(cluster.ready(launched));
         }
-        cluster.wait_settled(&format!("{word}, {successor_dies}, {ms}: the one that is left"));
+        cluster.wait_settled(&format!(
+            "{word}, {successor_dies}, {ms}: the one that is left"
+        ));
         let at = cluster.held(0, "n2").unwrap();
         assert_eq!(
             (&at["state"], &at["address"], &at["conflict"]),
@@ -271,8 +367,9 @@
             cluster.tail(2)
         );
         let lines = cluster.history.lines().split_off(behind);
-        let ended =
-            lines.iter().find(|l| l.node < 2 && l.text.contains("member=n2 ") && l.text.contains("-> left"));
+        let ended = lines
+            .iter()
+            .find(|l| l.node < 2 && l.text.contains("member=n2 ") && l.text.contains("-> left"));
         assert!(ended.is_none(), "{word}, {successor_dies}, {ms}: {ended:?}");
     }
     stop(callers, &cluster, Duration::from_secs(5));
@@ -282,17 +379,38 @@
 fn a_node_that_was_given_a_wrong_seed_meets_the_others_after_a_sighup() {
     let folder = Scratch::new("fleet-seeds");
     let nobody = common::nobody();
-    let mut cluster = Cluster::new(Spec { seeds: vec![nobody], ..spec(&folder) }, 2);
+    let mut cluster = Cluster::new(
+        Spec {
+            seeds: vec![nobody],
+            ..spec(&folder)
+        },
+        2,
+    );
     (0..2).for_each(|i| cluster.start(i));
     for i in 0..2 {
         let view = cluster.view(i).unwrap();
-        assert!(view["settled"] == false && view["members"].as_array().unwrap().len() == 1, "{view}");
+        assert!(
+            view["settled"] == false && view["members"].as_array().unwrap().len() == 1,
+            "{view}"
+        );
     }
-    let line = cluster.said("fleet: serving").into_iter().find(|l| l.node == 1).unwrap().text;
-    let at = line.split(' ').find_map(|w| w.strip_prefix("bind=")).unwrap();
+    let line = cluster
+        .said("fleet: serving")
+        .into_iter()
+        .find(|l| l.node == 1)
+        .unwrap()
+        .text;
+    let at = line
+        .split(' ')
+        .find_map(|w| w.strip_prefix("bind="))
+        .unwrap();
     cluster.rewrite(0, &nobody.to_string(), at);
     cluster.wait_settled("they have met");
-    let (yes, _) = call(cluster.nodes[0].process.as_ref().unwrap().door, "GET /status").unwrap();
+    let (yes, _) = call(
+        cluster.nodes[0].process.as_ref().unwrap().door,
+        "GET /status",
+    )
+    .unwrap();
     assert!(yes && cluster.said("reload: done").len() == 1);
 }
 
@@ -303,19 +421,27 @@
     let id = cluster.nodes[2].process.as_ref().unwrap().id().to_string();
     let limit = |most: &str| {
         let words = ["--pid", &id, &format!("--nofile={most}")];
-        assert!(std::process::Command::new("prlimit").args(words).status().unwrap().success());
+        assert!(std::process::Command::new("prlimit")
+            .args(words)
+            .status()
+            .unwrap()
+            .success());
     };
     let behind = cluster.history.lines().len();
     // It may open nothing beyond its three standard streams any more, and what is open stays.
     limit("3:1024");
-    let mut stream = std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().door).unwrap();
-    stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
+    let mut stream =
+        std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().door).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_millis(300)))
+        .unwrap();
     stream.write_all(b"GET /fleet HTTP/1.1\r\n\r\n").unwrap();
     assert!(stream.read(&mut [0]).is_err(), "it has descriptors still");
     cluster.kill(3);
     cluster.wait("n3 is down", |c| all_hold(c, &[0, 1], "n3", "down"));
-    let noticed =
-        cluster.history.wait(behind, |l| l.node == 2 && l.text.contains("member=n3 suspect -> down"));
+    let noticed = cluster.history.wait(behind, |l| {
+        l.node == 2 && l.text.contains("member=n3 suspect -> down")
+    });
     assert!(noticed.is_some(), "{:#?}", cluster.tail(2));
     // One that comes back is met by datagrams; who connects is not let in, and nobody is blamed.
     cluster.start(3);
@@ -338,20 +464,34 @@
     cluster.nodes[3].process = Some(twin);
     let addresses = |c: &Cluster, at: usize| {
         let held = c.held(at, "n1")?;
-        let mut both = vec![held["address"].as_str()?.to_owned(), held["conflict"][0].as_str()?.to_owned()];
+        let mut both = vec![
+            held["address"].as_str()?.to_owned(),
+            held["conflict"][0].as_str()?.to_owned(),
+        ];
         both.sort();
         Some(both)
     };
-    let mut both = vec![cluster.nodes[1].relay.at.to_string(), cluster.nodes[3].relay.at.to_string()];
+    let mut both = vec![
+        cluster.nodes[1].relay.at.to_string(),
+        cluster.nodes[3].relay.at.to_string(),
+    ];
     both.sort();
-    cluster.wait("all name both", |c| (0..4).all(|i| addresses(c, i).as_ref() == Some(&both)));
+    cluster.wait("all name both", |c| {
+        (0..4).all(|i| addresses(c, i).as_ref() == Some(&both))
+    });
     let number = |c: &Cluster| c.held(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
     let first = number(&cluster);
     std::thread::sleep(Duration::from_secs(3));
-    assert!(number(&cluster) <= first + 1 && addresses(&cluster, 2) == Some(both), "they fight");
+    assert!(
+        number(&cluster) <= first + 1 && addresses(&cluster, 2) == Some(both),
+        "they fight"
+    );
     for node in [1, 3] {
         assert!(
-            cluster.said("fleet: conflict: member=n1").iter().any(|l| l.node == node),
+            cluster
+                .said("fleet: conflict: member=n1")
+                .iter()
+                .any(|l| l.node == node),
             "node {node} says so"
         );
     }
@@ -366,17 +506,22 @@
     });
 }
 
-/// By hand: random faults by seed, and the verdict over the history. `RIG="NODES SECONDS SEED" cargo test --release -p
-/// pipitlever-node --test fleet -- --ignored --nocapture`.
+/// By hand: random faults by seed, and the verdict over the history. `RIG="NODES SECONDS SEED"
+/// cargo test --release -p pipitlever-node --test fleet -- --ignored --nocapture`.
 #[test]
 #[ignore]
 fn random_faults() {
     let words = std::env::var("RIG").unwrap_or("24 600 1".into());
     let words: Vec<u64> = words.split(' ').map(|w| w.parse().unwrap()).collect();
-    let [count, seconds, seed] = words[..] else { panic!("NODES SECONDS SEED") };
+    let [count, seconds, seed] = words[..] else {
+        panic!("NODES SECONDS SEED")
+    };
     let (count, mut rng) = (count as usize, fastrand::Rng::with_seed(seed));
     let folder = Scratch::new("fleet-random");
-    let spec = Spec { probe_ms: 500, ..spec(&folder) };
+    let spec = Spec {
+        probe_ms: 500,
+        ..spec(&folder)
+    };
     let mut cluster = Cluster::settled(spec, count);
     let callers: Vec<Caller> = (0..count).map(|i| cluster.caller(i)).collect();
     let start = Instant::now();
@@ -396,11 +541,17 @@
                 }
                 3 if running => {
                     cluster.signal(one, "-TERM");
-                    assert_eq!(cluster.nodes[one].process.as_mut().unwrap().wait().code(), Some(0));
+                    assert_eq!(
+                        cluster.nodes[one].process.as_mut().unwrap().wait().code(),
+                        Some(0)
+                    );
                     cluster.nodes[one].process = None;
                 }
                 4 => {
-                    let cut = Link { cut: true, ..Link::default() };
+                    let cut = Link {
+                        cut: true,
+                        ..Link::default()
+                    };
                     cluster.links.set(one, rng.usize(..count), cut);
                 }
                 5 => {
@@ -410,7 +561,13 @@
                 }
                 6 => {
                     let delay = Duration::from_millis(rng.u64(..100));
-                    let bad = Link { loss: 0.2, twice: 0.1, spoilt: 0.05, delay, cut: false };
+                    let bad = Link {
+                        loss: 0.2,
+                        twice: 0.1,
+                        spoilt: 0.05,
+                        delay,
+                        cut: false,
+                    };
                     (0..count).for_each(|i| cluster.links.set(one, i, bad));
                 }
                 _ => std::thread::sleep(Duration::from_millis(rng.u64(..4000))),
@@ -419,11 +576,13 @@
         std::thread::sleep(Duration::from_millis(rng.u64(..8000)));
         cluster.links.heal();
         stopped.iter().for_each(|i| cluster.signal(*i, "-CONT"));
-        (0..count).filter(|i| cluster.nodes[*i].process.is_none()).collect::<Vec<_>>().into_iter().for_each(
-            |i| {
+        (0..count)
+            .filter(|i| cluster.nodes[*i].process.is_none())
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|i| {
                 cluster.start(i);
-            },
-        );
+            });
         let took = cluster.wait_settled("after a round of faults");
         (rounds, longest) = (rounds + 1, longest.max(took));
     }
@@ -433,21 +592,29 @@
     stop(callers, &cluster, Duration::from_secs(30));
 }
 
-/// By hand: what the fleet costs a node. `FLEET="24 5" cargo test --release -p pipitlever-node --test fleet cost -- --ignored --nocapture`:
-/// members (beyond 100 all but the node are emulated), and rounds, in turn with `[fleet]` and without.
+/// By hand: what the fleet costs a node. `FLEET="24 5" cargo test --release -p pipitlever-node
+/// --test fleet cost -- --ignored --nocapture`: members (beyond 100 all but the node are emulated),
+/// and rounds, in turn with `[fleet]` and without.
 #[test]
 #[ignore]
 fn cost() {
     let words = std::env::var("FLEET").unwrap_or("24 5".into());
     let words: Vec<usize> = words.split(' ').map(|w| w.parse().unwrap()).collect();
-    let [members, rounds] = words[..] else { panic!("MEMBERS ROUNDS") };
+    let [members, rounds] = words[..] else {
+        panic!("MEMBERS ROUNDS")
+    };
     let emulated = members > 100;
     for round in 0..rounds {
         for fleet in [false, true] {
             let folder = Scratch::new("fleet-cost");
             let crowd = (emulated && fleet).then(|| Crowd::start(members));
             let seeds = crowd.iter().map(|c| c.seed()).collect();
-            let mut spec = Spec { probe_ms: 500, seeds, fleet, ..spec(&folder) };
+            let mut spec = Spec {
+                probe_ms: 500,
+                seeds,
+                fleet,
+                ..spec(&folder)
+            };
             // Cores for all that is asked: refusals would be another case.
             spec.config["settings"]["familyInfo"]["cpus"] = json!(64);
             let count = if fleet && !emulated { members } else { 1 };
@@ -456,7 +623,12 @@
             if fleet {
                 let all = |c: &Cluster| {
                     c.view(0).is_some_and(|v| {
-                        v["members"].as_array().unwrap().iter().filter(|m| m["state"] == "alive").count()
+                        v["members"]
+                            .as_array()
+                            .unwrap()
+                            .iter()
+                            .filter(|m| m["state"] == "alive")
+                            .count()
                             >= members
                     })
                 };
@@ -464,9 +636,13 @@
                 std::thread::sleep(Duration::from_secs(5));
             }
             let process = cluster.nodes[0].process.as_ref().unwrap();
-            let measured = open_loop(process.gateways, 500, Duration::from_secs(10), || cpu_ms(process.id()));
+            let measured = open_loop(process.gateways, 500, Duration::from_secs(10), || {
+                cpu_ms(process.id())
+            });
             let memory = memory_mb(process.id());
-            println!("members={members} round={round} fleet={fleet}: {measured} memory={memory:.1} MB");
+            println!(
+                "members={members} round={round} fleet={fleet}: {measured} memory={memory:.1} MB"
+            );
         }
     }
 }
--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -14,8 +14,9 @@
 const CONNECTIONS: usize = 240;
 /// Requests that are served meanwhile, one after the other.
 const REQUESTS: u64 = 30;
-/// Each of those on a connection that is there within this time: a node that is not harmed takes some milliseconds. A newcomer
-/// waits for its place behind those whose first request may still be on its way, 2.7 s each, and so does who was asked to go.
+/// Each of those on a connection that is there within this time: a node that is not harmed takes
+/// some milliseconds. A newcomer waits for its place behind those whose first request may still be
+/// on its way, 2.7 s each, and so does who was asked to go.
 const SERVED_WITHIN: Duration = Duration::from_secs(2);
 
 /// What one connection of the flood writes, over and over.
@@ -37,13 +38,19 @@
     let mut opened = 0;
     while !end.load(Ordering::Relaxed) {
         if all.len() < CONNECTIONS {
-            let Ok(stream) = TcpStream::connect_timeout(&to, Duration::from_millis(200)) else { continue };
+            let Ok(stream) = TcpStream::connect_timeout(&to, Duration::from_millis(200)) else {
+                continue;
+            };
             stream.set_nonblocking(true).unwrap();
             all.push((stream, noise(opened), 0));
             opened += 1;
         }
         all.retain_mut(|(stream, bytes, at)| {
-            let piece = if bytes.len() > 1000 { &bytes[..] } else { &bytes[*at % bytes.len()..][..1] };
+            let piece = if bytes.len() > 1000 {
+                &bytes[..]
+            } else {
+                &bytes[*at % bytes.len()..][..1]
+            };
             *at += 1;
             // What the node says is read, or it would be given up for that alone.
             let open = !matches!(stream.read(&mut [0; 512]), Ok(0));
@@ -53,7 +60,8 @@
     }
 }
 
-/// The gateway's connection, or a new one where the node has asked it to go: it is heard just before a request comes on it.
+/// The gateway's connection, or a new one where the node has asked it to go: it is heard just
+/// before a request comes on it.
 fn heard(node: &Node, mut gateway: Gateway) -> Gateway {
     loop {
         let id = gateway.send("alive", json!({}));
@@ -61,7 +69,10 @@
         if message["id"] == id {
             return gateway;
         }
-        assert!(message.is_null() || message["method"] == "goaway", "{message}");
+        assert!(
+            message.is_null() || message["method"] == "goaway",
+            "{message}"
+        );
         gateway = node.gateway();
     }
 }
@@ -69,7 +80,8 @@
 #[test]
 fn a_flood_of_connections_and_bad_input_delays_nobody_else() {
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address(), "limits": {"sockets": 154, "memory_mb": 48}});
+    let parties =
+        json!({"processor": processor.address(), "limits": {"sockets": 154, "memory_mb": 48}});
     let node = Node::start(parties, None);
     processor.up();
     let mut gateway = node.ready();
@@ -88,13 +100,21 @@
         assert_eq!(body, number.to_le_bytes(), "nothing of the flood runs");
         processor.complete(&id, "fine", &body);
         assert_eq!(asking.receive()["result"]["doc"], base64(&body));
-        assert!(newcomer || start.elapsed() < SERVED_WITHIN, "request {number}: {:?}", start.elapsed());
+        assert!(
+            newcomer || start.elapsed() < SERVED_WITHIN,
+            "request {number}: {:?}",
+            start.elapsed()
+        );
     }
     end.store(true, Ordering::Relaxed);
     flooding.join().unwrap();
     node.signal("-USR1");
     let counters = node.line("counters: ");
     let count = |name: &str| Node::counter(&counters, name);
-    assert_eq!((count("requests"), count("served")), (REQUESTS, REQUESTS), "{counters}");
+    assert_eq!(
+        (count("requests"), count("served")),
+        (REQUESTS, REQUESTS),
+        "{counters}"
+    );
     assert!(count("malformed") > 0, "{counters}");
 }
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -23,7 +23,10 @@
     fn new(name: &str) -> Place {
         let folder = Scratch::new(name);
         std::fs::create_dir_all(&folder.0).unwrap();
-        Place { folder, listen: json!("127.0.0.1:0") }
+        Place {
+            folder,
+            listen: json!("127.0.0.1:0"),
+        }
     }
 
     /// One more process, with a processor of its own that has not answered yet.
@@ -63,11 +66,15 @@
 }
 
 fn served(answer: &Value) -> &str {
-    answer["result"]["doc"].as_str().unwrap_or_else(|| panic!("not served: {answer}"))
+    answer["result"]["doc"]
+        .as_str()
+        .unwrap_or_else(|| panic!("not served: {answer}"))
 }
 
 fn code(answer: &Value) -> i64 {
-    answer["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {answer}"))
+    answer["error"]["code"]
+        .as_i64()
+        .unwrap_or_else(|| panic!("no error: {answer}"))
 }
 
 #[test]
@@ -93,7 +100,8 @@
     late.send("swap-confirm", work(9000, Some("ended"), b"other"));
     assert_eq!(code(&late.receive()), -32602);
     let repeat = late.send("swap-confirm", work(9000, Some("open"), b"open"));
-    // A key of the new process alone: at the old one its first try is refused, a further one may have run.
+    // A key of the new process alone: at the old one its first try is refused, a further one may
+    // have run.
     late.send("swap-confirm", work(9000, Some("new"), b"new"));
     let (run, body) = after.command();
     assert_eq!(body, b"new", "the open one is not run again");
@@ -113,7 +121,10 @@
     before.complete(&open[1], "fine", b"result 2");
     assert_eq!(served(&early.receive()), base64(b"result 2"));
     let answer = late.receive();
-    assert_eq!((&answer["id"], served(&answer)), (&json!(repeat), &*base64(b"result 2")));
+    assert_eq!(
+        (&answer["id"], served(&answer)),
+        (&json!(repeat), &*base64(b"result 2"))
+    );
     after.complete(&run[1], "fine", b"result 3");
     assert_eq!(served(&late.receive()), base64(b"result 3"));
     assert_eq!(old.wait().code(), Some(0));
@@ -221,7 +232,11 @@
     assert_eq!(second.wait().code(), Some(0));
     let mut gateway = third.ready();
     gateway.send("swap-confirm", work(9000, Some("k"), b"body"));
-    assert_eq!(served(&gateway.receive()), base64(b"result"), "over two replacements");
+    assert_eq!(
+        served(&gateway.receive()),
+        base64(b"result"),
+        "over two replacements"
+    );
 }
 
 #[test]
@@ -229,7 +244,12 @@
     let mut place = Place::new("strangers");
     let (mut old, _before, _) = place.first();
     let mut gateway = old.ready();
-    for words in [&b"GET / HTTP/1.1\r\n\r\n"[..], b"plhand\x07\x00", b"plhand\x03\x00\xff\xff\xff\xff", b""] {
+    for words in [
+        &b"GET / HTTP/1.1\r\n\r\n"[..],
+        b"plhand\x07\x00",
+        b"plhand\x03\x00\xff\xff\xff\xff",
+        b"",
+    ] {
         let mut stream = UnixStream::connect(place.socket()).unwrap();
         stream.write_all(words).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
@@ -256,7 +276,10 @@
     });
     let config = json!({"listen": place.listen, "processor": nobody().to_string()});
     let (code, log) = Node::fails(config, &[("TMPDIR", place.folder.0.to_str().unwrap())]);
-    assert!(code == Some(1) && log.contains("it speaks version 9, this is 3"), "{code:?} {log}");
+    assert!(
+        code == Some(1) && log.contains("it speaks version 9, this is 3"),
+        "{code:?} {log}"
+    );
 }
 
 /// What a peer says next, until it says what is waited for.
@@ -280,7 +303,8 @@
     stream.write_all(&bytes).unwrap();
 }
 
-/// The connection can end while both processes live: then the one that has yielded must not serve beside the other.
+/// The connection can end while both processes live: then the one that has yielded must not serve
+/// beside the other.
 #[test]
 fn a_process_that_has_yielded_serves_again_only_once_the_other_is_dead() {
     let mut place = Place::new("yielded");
@@ -289,11 +313,17 @@
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(&message::greeting()).unwrap();
     let mut reader = Reader::default();
-    hear(&mut stream, &mut reader, |m| matches!(m, Message::Welcome(_)));
+    hear(&mut stream, &mut reader, |m| {
+        matches!(m, Message::Welcome(_))
+    });
     say(&mut stream, &Message::Freeze);
-    hear(&mut stream, &mut reader, |m| matches!(m, Message::End { .. }));
+    hear(&mut stream, &mut reader, |m| {
+        matches!(m, Message::End { .. })
+    });
     say(&mut stream, &Message::Taken);
-    hear(&mut stream, &mut reader, |m| matches!(m, Message::Yielded { .. }));
+    hear(&mut stream, &mut reader, |m| {
+        matches!(m, Message::Yielded { .. })
+    });
     // This test lives on. Each call lets the node come round to what it has noticed.
     drop(stream);
     for _ in 0..20 {
@@ -304,7 +334,8 @@
     assert_eq!(old.wait().code(), Some(0));
 }
 
-/// The same the other way round: a predecessor that lives and breaks off serves on, so its successor ends.
+/// The same the other way round: a predecessor that lives and breaks off serves on, so its
+/// successor ends.
 #[test]
 fn a_successor_ends_when_a_living_predecessor_breaks_off() {
     let place = Place::new("breaks-off");
@@ -312,20 +343,41 @@
     let at = listener.local_addr().unwrap();
     let mut processor = Processor::new();
     let config = json!({"processor": processor.address().to_string(), "listen": at.to_string()});
-    let socket = place.folder.0.join(format!("pipitlever-{}.sock", at.to_string().replace(':', "-")));
+    let socket = place.folder.0.join(format!(
+        "pipitlever-{}.sock",
+        at.to_string().replace(':', "-")
+    ));
     let offer = UnixListener::bind(socket).unwrap();
     let predecessor = std::thread::spawn(move || {
         let mut stream = offer.accept().unwrap().0;
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let listening = vec![Listening { protocol: "json-rpc".into(), at }];
+        let listening = vec![Listening {
+            protocol: "json-rpc".into(),
+            at,
+        }];
         let mut bytes = message::greeting();
-        message::write(&Message::Welcome(Welcome { name: "n1".into(), listening, salt: [1, 2] }), &mut bytes);
+        message::write(
+            &Message::Welcome(Welcome {
+                name: "n1".into(),
+                listening,
+                salt: [1, 2],
+            }),
+            &mut bytes,
+        );
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         let passed = [listener.as_fd()];
         assert!(control.push(SendAncillaryMessage::ScmRights(&passed)));
-        sendmsg(&stream, &[IoSlice::new(&bytes)], &mut control, SendFlags::empty()).unwrap();
-        hear(&mut stream, &mut Reader::default(), |m| *m == Message::Freeze);
+        sendmsg(
+            &stream,
+            &[IoSlice::new(&bytes)],
+            &mut control,
+            SendFlags::empty(),
+        )
+        .unwrap();
+        hear(&mut stream, &mut Reader::default(), |m| {
+            *m == Message::Freeze
+        });
     });
     let starter = std::thread::spawn({
         let tmp = place.folder.0.to_str().unwrap().to_owned();
@@ -334,7 +386,10 @@
     processor.up();
     predecessor.join().unwrap();
     let (code, log) = starter.join().unwrap();
-    assert!(code == Some(1) && log.contains("has broken off"), "{code:?} {log}");
+    assert!(
+        code == Some(1) && log.contains("has broken off"),
+        "{code:?} {log}"
+    );
 }
 
 #[test]
--- a/crates/node/tests/import.rs
+++ b/crates/node/tests/import.rs
@@ -1,16 +1,22 @@
-//! Files of mod_jk and Apache, each with the operator's file that it becomes and what is said of it.
+//! Files of mod_jk and Apache, each with the operator's file that it becomes and what is said of
+//! it.
 //!
-//! `node/tests/import/NAME` is the input, `NAME.toml` the output, `NAME.said` what stands on standard error, the code in its
-//! first line. `PIPITLEVER_RECORD=1 cargo test -p pipitlever-node --test import` writes them anew, to be read before they are
-//! committed.
+//! `node/tests/import/NAME` is the input, `NAME.toml` the output, `NAME.said` what stands on
+//! standard error, the code in its first line. `PIPITLEVER_RECORD=1 cargo test -p pipitlever-node
+//! --test import` writes them anew, to be read before they are committed.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 fn samples() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/import");
-    let all = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path());
-    let input = |p: &PathBuf| p.extension().is_some_and(|e| e == "properties" || e == "conf");
+    let all = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|e| e.unwrap().path());
+    let input = |p: &PathBuf| {
+        p.extension()
+            .is_some_and(|e| e == "properties" || e == "conf")
+    };
     let mut all: Vec<PathBuf> = all.filter(input).collect();
     all.sort();
     all
@@ -31,7 +37,10 @@
         let code = output.status.code().expect("no signal");
         partly += usize::from(code == 3);
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-        let told = [text(output.stdout), format!("{code}\n{}", text(output.stderr))];
+        let told = [
+            text(output.stdout),
+            format!("{code}\n{}", text(output.stderr)),
+        ];
         for (told, end) in told.into_iter().zip(["toml", "said"]) {
             let beside = path.with_file_name(format!("{name}.{end}"));
             if std::env::var_os("PIPITLEVER_RECORD").is_some() {
@@ -47,7 +56,10 @@
 /// Whatever the bytes: no panic and no silence, but a file, a report or an error.
 #[test]
 fn bytes_that_nobody_wrote_do_no_harm() {
-    let inputs: Vec<Vec<u8>> = samples().iter().map(|p| std::fs::read(p).unwrap()).collect();
+    let inputs: Vec<Vec<u8>> = samples()
+        .iter()
+        .map(|p| std::fs::read(p).unwrap())
+        .collect();
     // splitmix64: the same changes on every run.
     let mut seed = 20_260u64;
     let mut next = |below: usize| {
@@ -67,7 +79,9 @@
                 match next(4) {
                     0 => bytes.insert(at, b"\\\"=.<>! \n\t#,0"[next(13)]),
                     1 => bytes.truncate(at),
-                    2 => drop(bytes.splice(at..at, inputs[next(inputs.len())].iter().copied().take(30))),
+                    2 => drop(
+                        bytes.splice(at..at, inputs[next(inputs.len())].iter().copied().take(30)),
+                    ),
                     _ if at < bytes.len() => bytes[at] = next(128) as u8,
                     _ => {}
                 }
@@ -77,9 +91,16 @@
             std::fs::write(&path, &bytes).unwrap();
             arguments.push(path.to_str().unwrap().to_owned());
         }
-        let output = Command::new(env!("CARGO_BIN_EXE_pipitlever")).args(&arguments).output().unwrap();
+        let output = Command::new(env!("CARGO_BIN_EXE_pipitlever"))
+            .args(&arguments)
+            .output()
+            .unwrap();
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(matches!(output.status.code(), Some(0 | 3)), "{:?} {said}", output.status);
+        assert!(
+            matches!(output.status.code(), Some(0 | 3)),
+            "{:?} {said}",
+            output.status
+        );
         assert_eq!(output.status.code() == Some(3), !said.is_empty());
     }
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -17,7 +17,10 @@
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
     let processor = standin::processor(Some(result));
-    let node = Node::start(json!({"processor": processor.to_string(), "settings": settings}), None);
+    let node = Node::start(
+        json!({"processor": processor.to_string(), "settings": settings}),
+        None,
+    );
     node.ready();
     node
 }
@@ -60,8 +63,8 @@
     let mut good = Gateway::new(node.gateways, 2);
     let (doc, mut line) = (base64(&[7; 8]), String::new());
     let start = Instant::now();
-    // The system's own buffers take megabytes before the node's begin to fill. 32 at a time may be open; the others
-    // are errors, and gather as well.
+    // The system's own buffers take megabytes before the node's begin to fill. 32 at a time may be
+    // open; the others are errors, and gather as well.
     let (mut to, mut from) = deaf.split();
     let text = requests(&mut deaf, 32, &doc);
     let mut rounds = 0;
@@ -71,9 +74,16 @@
         let sent = Instant::now();
         good.say(&request);
         good.line(&mut line);
-        assert!(answered(&line).1 && sent.elapsed() < Duration::from_secs(1), "{line}");
-        assert!(start.elapsed() < PATIENCE, "{rounds} rounds, and it is still heard");
-        // What it said must not have been read as new requests: its numbers are old, and count as errors.
+        assert!(
+            answered(&line).1 && sent.elapsed() < Duration::from_secs(1),
+            "{line}"
+        );
+        assert!(
+            start.elapsed() < PATIENCE,
+            "{rounds} rounds, and it is still heard"
+        );
+        // What it said must not have been read as new requests: its numbers are old, and count as
+        // errors.
     }
     // It reads at last: whole answers, and then the end.
     let mut all = Vec::new();
@@ -121,13 +131,21 @@
     let rounds: usize = flood.join().unwrap();
     took.sort();
     // Were the greedy one's whole flood to come first, it would be a second and more.
-    assert!(rounds > 1 && took[25] < Duration::from_millis(100), "{rounds} rounds, {:?}", took[25]);
+    assert!(
+        rounds > 1 && took[25] < Duration::from_millis(100),
+        "{rounds} rounds, {:?}",
+        took[25]
+    );
 }
 
-/// Refusals are answered, all of them, while the first callers wait; now and then one is held, and ends at its due time.
+/// Refusals are answered, all of them, while the first callers wait; now and then one is held, and
+/// ends at its due time.
 #[test]
 fn a_flood_of_refusals_is_answered_whole() {
-    let node = Node::start(json!({"processor": standin::processor(None).to_string()}), None);
+    let node = Node::start(
+        json!({"processor": standin::processor(None).to_string()}),
+        None,
+    );
     node.ready();
     let doc = base64(&[7; 200]);
     let mut gateways: Vec<Gateway> = (0..6).map(|n| Gateway::new(node.gateways, 1 + n)).collect();
@@ -155,7 +173,10 @@
             }
         }
     }
-    assert!(refused + late >= 160 && refused >= 9 * late, "{refused} refused, {late} late");
+    assert!(
+        refused + late >= 160 && refused >= 9 * late,
+        "{refused} refused, {late} late"
+    );
 }
 
 /// The resident memory of the node, in KB.
@@ -164,18 +185,23 @@
     statm.split(' ').nth(1).unwrap().parse::<u64>().unwrap() * 4
 }
 
-/// What the process holds after a burst is back at rest (`bench/tests/cost.rs` counts it). What the system's allocator keeps
-/// of the pages is bounded: later bursts take those again.
+/// What the process holds after a burst is back at rest (`bench/tests/cost.rs` counts it). What the
+/// system's allocator keeps of the pages is bounded: later bursts take those again.
 #[cfg(target_os = "linux")]
 #[test]
 fn bursts_of_large_bodies_do_not_add_up() {
     let node = wide(4096);
     let (doc, mut line) = (base64(&[7; 2048]), String::new());
     let mut burst = || {
-        let mut crowd: Vec<Gateway> = (0..60).map(|n| Gateway::new(node.gateways, 1 + n)).collect();
+        let mut crowd: Vec<Gateway> = (0..60)
+            .map(|n| Gateway::new(node.gateways, 1 + n))
+            .collect();
         // Few at once: unoptimized, the module looks all of its tables over after each event.
         let texts: Vec<Vec<u8>> = crowd.iter_mut().map(|g| requests(g, 8, &doc)).collect();
-        crowd.iter_mut().zip(&texts).for_each(|(gateway, text)| gateway.say(text));
+        crowd
+            .iter_mut()
+            .zip(&texts)
+            .for_each(|(gateway, text)| gateway.say(text));
         for gateway in &mut crowd {
             for _ in 0..8 {
                 gateway.line(&mut line);
@@ -189,5 +215,8 @@
     let later = (0..6).map(|_| burst()).max().unwrap();
     println!("at rest {rest} KB, after two bursts {first} KB, after eight {later} KB");
     assert!(first > rest, "no burst: {rest} KB, {first} KB");
-    assert!(later < first + (first - rest) / 2, "{rest} KB, {first} KB, {later} KB");
+    assert!(
+        later < first + (first - rest) / 2,
+        "{rest} KB, {first} KB, {later} KB"
+    );
 }
--- a/crates/node/tests/pools.rs
+++ b/crates/node/tests/pools.rs
@@ -1,4 +1,5 @@
-//! The pool of workers in the node: members that hang, break off or refuse, repeated tries, spares, a reload.
+//! The pool of workers in the node: members that hang, break off or refuse, repeated tries, spares,
+//! a reload.
 
 mod common;
 
@@ -32,7 +33,9 @@
             let (mut stream, _) = worker.accept();
             read.fetch_add(1, Ordering::SeqCst);
             let _ = match way {
-                Way::Serves => stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell"),
+                Way::Serves => {
+                    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell")
+                }
                 Way::Garbage => stream.write_all(b"\x00\x01 nothing that is HTTP\r\n\r\n"),
                 Way::Breaks => Ok(()),
                 Way::Hangs => {
@@ -88,7 +91,10 @@
     let mut statuses = Vec::new();
     for i in 0..30 {
         let key = format!("key-{i}");
-        statuses.push(node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x")).0);
+        statuses.push(
+            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+                .0,
+        );
     }
     let failed = statuses.iter().filter(|s| **s == 502).count();
     let (served, broken) = (served.load(Ordering::SeqCst), broken.load(Ordering::SeqCst));
@@ -103,7 +109,11 @@
     let node = node(&listed(&[good, nobody()]));
     for i in 0..20 {
         let key = format!("key-{i}");
-        assert_eq!(node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x")).0, 200);
+        assert_eq!(
+            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+                .0,
+            200
+        );
     }
     assert_eq!(served.load(Ordering::SeqCst), 20);
 }
@@ -122,7 +132,11 @@
             status => panic!("{status}"),
         }
     }
-    assert!(late <= 6, "{late} late, {} tries", tries.load(Ordering::SeqCst));
+    assert!(
+        late <= 6,
+        "{late} late, {} tries",
+        tries.load(Ordering::SeqCst)
+    );
 }
 
 #[test]
@@ -135,13 +149,21 @@
     let node = node(&text);
     let statuses: Vec<u16> = (0..20).map(|_| read(&node)).collect();
     // Before the first one is out its runs have nowhere to go, and never ran.
-    assert!(statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200), "{statuses:?}");
+    assert!(
+        statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200),
+        "{statuses:?}"
+    );
     node.line("pool: spares are used");
     assert!(got.load(Ordering::SeqCst) > 0);
     node.signal("-USR1");
-    assert!(node.line(&format!("pool: member={down} state=")).contains("state=out"));
+    assert!(node
+        .line(&format!("pool: member={down} state="))
+        .contains("state=out"));
     let line = node.line(&format!("pool: member={spare} state="));
-    assert!(line.contains("state=up") && line.ends_with("spare"), "{line}");
+    assert!(
+        line.contains("state=up") && line.ends_with("spare"),
+        "{line}"
+    );
 }
 
 #[test]
@@ -161,8 +183,12 @@
     node.line("reload: done");
     assert_eq!(read(&node), 200);
     node.signal("-USR1");
-    assert!(node.line(&format!("pool: member={} ", first.address())).contains("state=leaving"));
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast").unwrap();
+    assert!(node
+        .line(&format!("pool: member={} ", first.address()))
+        .contains("state=leaving"));
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast")
+        .unwrap();
     drop(stream);
     assert!(response(client).1.ends_with("last"));
     node.signal("-USR1");
@@ -180,7 +206,10 @@
         listed(&[worker.address()])
     );
     // 64 are kept back for the node's own, 8 are left for these.
-    let node = Node::start(json!({"limits": {"sockets": 72, "memory_mb": 64}}), Some(&text));
+    let node = Node::start(
+        json!({"limits": {"sockets": 72, "memory_mb": 64}}),
+        Some(&text),
+    );
     let mut gateway = node.ready();
     let held: Vec<_> = (0..4)
         .map(|_| {
@@ -190,17 +219,31 @@
         .collect();
     let id = gateway.send("rota-view", work(5000, None, b"one too many"));
     let answer = gateway.receive();
-    assert_eq!((&answer["id"], &answer["error"]["code"]), (&json!(id), &json!(-32000)), "{answer}");
+    assert_eq!(
+        (&answer["id"], &answer["error"]["code"]),
+        (&json!(id), &json!(-32000)),
+        "{answer}"
+    );
     for mut stream in held {
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell")
+            .unwrap();
     }
     (0..4).for_each(|_| assert_eq!(gateway.receive()["result"]["doc"], base64(b"well")));
 }
 
-/// Two pools: routes name theirs, one takes over for the other, and one key's runs stay with one worker.
+/// Two pools: routes name theirs, one takes over for the other, and one key's runs stay with one
+/// worker.
 #[test]
 fn pools_have_names_fall_backs_and_keys() {
-    let (down, workers) = (nobody(), [worker(Way::Serves), worker(Way::Serves), worker(Way::Serves)]);
+    let (down, workers) = (
+        nobody(),
+        [
+            worker(Way::Serves),
+            worker(Way::Serves),
+            worker(Way::Serves),
+        ],
+    );
     let [first, second, other] = [&workers[0], &workers[1], &workers[2]];
     let text = format!(
         "[[pool]]\nname = \"views\"\nfallback = \"other\"\n[[pool.member]]\naddress = \"{down}\"\n\
@@ -220,24 +263,42 @@
     let mut seen = Vec::new();
     for i in 0..12 {
         let key = format!("key-{i}");
-        assert_eq!(node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x")).0, 200);
+        assert_eq!(
+            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+                .0,
+            200
+        );
         seen.push(first.1.load(Ordering::SeqCst));
     }
     let after = [first, second].map(|w| w.1.load(Ordering::SeqCst));
-    assert!(after.iter().sum::<usize>() == 12 && after.iter().all(|n| *n > 0), "{after:?}");
+    assert!(
+        after.iter().sum::<usize>() == 12 && after.iter().all(|n| *n > 0),
+        "{after:?}"
+    );
     // The same keys on another node: the same workers.
     let again = Node::start(json!({}), Some(&text));
     again.ready();
     for (i, before) in seen.iter().enumerate() {
         let key = format!("key-{i}");
-        assert_eq!(again.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x")).0, 200);
+        assert_eq!(
+            again
+                .uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+                .0,
+            200
+        );
         assert_eq!(first.1.load(Ordering::SeqCst), after[0] + before, "{key}");
     }
     node.signal("-USR1");
-    assert!(node.line(&format!("pool other: member={} ", other.0)).contains("state=up"));
+    assert!(node
+        .line(&format!("pool other: member={} ", other.0))
+        .contains("state=up"));
     // Pools stay as they are until the next start; members may change.
     node.rewrite_operator(
-        &text.replace("name = \"other\"", "name = \"else\"").replace("\"other\"", "\"else\""),
+        &text
+            .replace("name = \"other\"", "name = \"else\"")
+            .replace("\"other\"", "\"else\""),
     );
-    assert!(node.line("reload: not done").contains("pools can be neither added nor removed"));
+    assert!(node
+        .line("reload: not done")
+        .contains("pools can be neither added nor removed"));
 }
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,4 +1,5 @@
-//! Starts: under a crowd of others, beside an address that is still in use, without the parties that the node needs.
+//! Starts: under a crowd of others, beside an address that is still in use, without the parties
+//! that the node needs.
 
 mod common;
 
@@ -18,7 +19,8 @@
         std::thread::spawn(move || {
             let mut processor = Processor::new();
             // Neither the ledger nor the membership service is there.
-            let parties = json!({"processor": processor.address(), "ledger": nobody(), "members": nobody()});
+            let parties =
+                json!({"processor": processor.address(), "ledger": nobody(), "members": nobody()});
             let node = Node::start(parties, None);
             processor.up();
             let mut gateway = node.ready();
@@ -56,20 +58,32 @@
 #[test]
 fn a_start_that_waits_for_its_address_ends_when_told_to() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let config =
-        configuration(&json!({"processor": nobody(), "listen": taken.local_addr().unwrap().to_string()}));
+    let config = configuration(
+        &json!({"processor": nobody(), "listen": taken.local_addr().unwrap().to_string()}),
+    );
     let scratch = Scratch::new("told-to-leave");
     std::fs::create_dir_all(&scratch.0).unwrap();
     let file = scratch.0.join("config.json");
     std::fs::write(&file, config.to_string()).unwrap();
     let program = std::env::var_os("PIPITLEVER_PROGRAM").unwrap_or_else(|| PROGRAM.into());
-    let mut child =
-        Command::new(program).arg("serve").arg("--config").arg(&file).stderr(Stdio::null()).spawn().unwrap();
+    let mut child = Command::new(program)
+        .arg("serve")
+        .arg("--config")
+        .arg(&file)
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     let start = Instant::now();
-    // Signals are caught from early on; before that the default ends the process as well, but not with 0.
+    // Signals are caught from early on; before that the default ends the process as well, but not
+    // with 0.
     let caught = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap();
-        let line = status.lines().find_map(|l| l.strip_prefix("SigCgt:")).unwrap().trim().to_owned();
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("SigCgt:"))
+            .unwrap()
+            .trim()
+            .to_owned();
         u64::from_str_radix(&line, 16).unwrap() & (1 << 14) != 0
     };
     while !caught() {
@@ -77,11 +91,19 @@
         std::thread::yield_now();
     }
     let told = Instant::now();
-    assert!(Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
     let status = child.wait().unwrap();
     assert!(status.success(), "{status}");
     // The address is waited for up to 5 s, and a drain takes half of that.
-    assert!(told.elapsed() < Duration::from_secs(2), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 /// Bytes that came before the processor was up get an answer, and so does what comes once it is.
--- a/crates/node/tests/repeats.rs
+++ b/crates/node/tests/repeats.rs
@@ -1,4 +1,5 @@
-//! Repeats of a key at the edges of its window and of its run, and answers that break off at every byte.
+//! Repeats of a key at the edges of its window and of its run, and answers that break off at every
+//! byte.
 
 mod common;
 
@@ -18,7 +19,10 @@
     settings["categories"][1]["target"] = json!(900_000);
     let mut processor = Processor::new();
     let mut parties = json!({"processor": processor.address(), "settings": settings});
-    parties.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+    parties
+        .as_object_mut()
+        .unwrap()
+        .extend(more.as_object().unwrap().clone());
     let node = Node::start(parties, None);
     processor.up();
     let gateway = node.ready();
@@ -74,7 +78,8 @@
     served(&mut gateway, b"second");
 }
 
-/// The end of a run and a repeat of it are read in one turn, in either order: one run, and its result for both.
+/// The end of a run and a repeat of it are read in one turn, in either order: one run, and its
+/// result for both.
 #[test]
 fn a_repeat_that_comes_as_the_run_ends_joins_it() {
     for end_first in [true, false] {
@@ -95,7 +100,8 @@
     }
 }
 
-/// A caller's own answer broke off with its connection; its repeat comes on another one, over another link of the processor's.
+/// A caller's own answer broke off with its connection; its repeat comes on another one, over
+/// another link of the processor's.
 #[test]
 fn a_repeat_after_its_answer_broke_off_gets_it_over_a_new_link() {
     let (node, mut processor, mut gateway) = pair(json!({}));
@@ -110,7 +116,8 @@
     served(&mut other, b"once");
 }
 
-/// A link that breaks within the notice of a run's end, at any byte, costs nothing: the notice comes again, and counts once.
+/// A link that breaks within the notice of a run's end, at any byte, costs nothing: the notice
+/// comes again, and counts once.
 #[test]
 fn the_end_of_a_run_may_break_off_at_every_byte() {
     let (node, mut processor, mut gateway) = pair(json!({}));
@@ -129,8 +136,21 @@
         processor.cut();
         processor.up();
         // All notices that the node has not read whole follow, as its hello asks for.
-        let read: u64 = processor.hello.strip_prefix("hello ").unwrap().parse().unwrap();
-        assert_eq!(read, if cut == notice.len() { notices } else { notices - 1 }, "cut at {cut}");
+        let read: u64 = processor
+            .hello
+            .strip_prefix("hello ")
+            .unwrap()
+            .parse()
+            .unwrap();
+        assert_eq!(
+            read,
+            if cut == notice.len() {
+                notices
+            } else {
+                notices - 1
+            },
+            "cut at {cut}"
+        );
         if read < notices {
             processor.say(notice.as_bytes());
         }
@@ -142,8 +162,8 @@
     assert_eq!(Node::counter(&counters, "served"), notices, "{counters}");
 }
 
-/// A reply to a call that breaks off, at any byte, may have had its effect: a class that may run twice asks again, on another
-/// connection, and its run gets the whole reply once.
+/// A reply to a call that breaks off, at any byte, may have had its effect: a class that may run
+/// twice asks again, on another connection, and its run gets the whole reply once.
 #[test]
 fn a_reply_to_a_call_may_break_off_at_every_byte() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -164,7 +184,11 @@
             again.reply(&reply);
         }
         let (words, body) = processor.command();
-        assert_eq!((words[0].as_str(), &body[..]), ("answer", &b"reply"[..]), "cut at {cut}");
+        assert_eq!(
+            (words[0].as_str(), &body[..]),
+            ("answer", &b"reply"[..]),
+            "cut at {cut}"
+        );
         processor.complete(&id, "fine", b"served");
         served(&mut gateway, b"served");
         if whole {
@@ -173,7 +197,8 @@
     }
 }
 
-/// Who accepts and is gone at once has read nothing for certain: link and call are set up again, and one run has one answer.
+/// Who accepts and is gone at once has read nothing for certain: link and call are set up again,
+/// and one run has one answer.
 #[test]
 fn a_party_may_be_killed_right_after_it_accepts() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -217,7 +242,8 @@
     assert_eq!(processor.command().1, b"two");
     processor.complete(&id, "fine", b"served");
     served(&mut gateway, b"served");
-    // Too late: the request is answered at its due time, and what comes behind that changes nothing.
+    // Too late: the request is answered at its due time, and what comes behind that changes
+    // nothing.
     gateway.send("rota-view", work(400, None, b"late"));
     let (id, _) = processor.begin();
     let start = Instant::now();
