--- a/crates/node/tests/retune.rs
+++ b/crates/node/tests/retune.rs
@@ -33,17 +33,28 @@
     let (node, mut processor, mut gateway, door, mut good) = node();
     // Beside what is wrong each of them has a new class and another ledger.
     let added = class(&good, 0, "extra");
-    good["settings"]["categories"].as_array_mut().unwrap().push(added);
+    good["settings"]["categories"]
+        .as_array_mut()
+        .unwrap()
+        .push(added);
     good["ledger"] = json!("127.0.0.2:9");
     let text = good.to_string();
     let changed = |pointer: &str, value: Value| {
         let mut config = good.clone();
-        *config.pointer_mut(pointer).unwrap_or_else(|| panic!("no {pointer}")) = value;
+        *config
+            .pointer_mut(pointer)
+            .unwrap_or_else(|| panic!("no {pointer}")) = value;
         config.to_string()
     };
     let without = |pointer: &str, key: &str| {
         let mut config = good.clone();
-        config.pointer_mut(pointer).unwrap().as_object_mut().unwrap().remove(key).unwrap();
+        config
+            .pointer_mut(pointer)
+            .unwrap()
+            .as_object_mut()
+            .unwrap()
+            .remove(key)
+            .unwrap();
         config.to_string()
     };
     let deadline = "/settings/categories/2/deadline";
@@ -70,15 +81,24 @@
         changed("/settings/familyInfo/cpus", json!(0)),
         changed("/stop_ms", json!(0)),
     ];
-    for value in
-        [json!(0), json!(-6700000), json!("6700000"), json!(null), json!(true), json!([1]), json!(1e300)]
-    {
+    for value in [
+        json!(0),
+        json!(-6700000),
+        json!("6700000"),
+        json!(null),
+        json!(true),
+        json!([1]),
+        json!(1e300),
+    ] {
         wrong.push(changed(deadline, value));
     }
     for (count, text) in wrong.iter().enumerate() {
         node.reload_text(text);
         let line = node.line("reload: ");
-        assert!(line.starts_with("reload: not done") && line.len() < 300, "{line} for {text}");
+        assert!(
+            line.starts_with("reload: not done") && line.len() < 300,
+            "{line} for {text}"
+        );
         assert_eq!(door.figure("cfg_invalid"), Some(count as u64 + 1), "{text}");
         // Too many errors in a row would end the connection.
         gateway.send("alive", json!({}));
@@ -113,7 +133,10 @@
     assert!(unknown(&gateway.receive()));
     processor.complete(&viewed[1], "fine", b"viewed");
     let answer = gateway.receive();
-    assert_eq!((&answer["id"], &answer["result"]["doc"]), (&json!(view), &json!(base64(b"viewed"))));
+    assert_eq!(
+        (&answer["id"], &answer["result"]["doc"]),
+        (&json!(view), &json!(base64(b"viewed")))
+    );
 
     // A repeat of the run that goes on, and one of the run that has ended: neither is run.
     gateway.send("swap-confirm", work(5000, Some("one"), b"swap"));
@@ -132,7 +155,11 @@
     gateway.receive();
 
     let figures = |class: &str, figure: &str| door.figure(&format!("operations.{class}.{figure}"));
-    assert_eq!(figures("rota-view", "fulfilled"), Some(1), "a class that went keeps its counts");
+    assert_eq!(
+        figures("rota-view", "fulfilled"),
+        Some(1),
+        "a class that went keeps its counts"
+    );
     assert_eq!(figures("swap-confirm", "fulfilled"), Some(3));
     assert_eq!(figures("swap-confirm", "relayed"), Some(1));
     assert_eq!(figures("crew-view", "fulfilled"), Some(1));
@@ -141,7 +168,8 @@
 #[test]
 fn two_files_at_once_are_each_taken_whole() {
     let (node, mut processor, mut gateway, door, mut config) = node();
-    // The second replaces the first before or after that was read: what is in force in the end is the second.
+    // The second replaces the first before or after that was read: what is in force in the end is
+    // the second.
     for name in ["first", "second"] {
         config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, name);
         node.reload_text(&config.to_string());
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -12,7 +12,9 @@
 fn pair(parties: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
     let mut all = json!({"processor": processor.address().to_string()});
-    all.as_object_mut().unwrap().extend(parties.as_object().unwrap().clone());
+    all.as_object_mut()
+        .unwrap()
+        .extend(parties.as_object().unwrap().clone());
     let node = Node::start(all, None);
     processor.up();
     let gateway = node.ready();
@@ -20,7 +22,9 @@
 }
 
 fn code(answer: &Value) -> i64 {
-    answer["error"]["code"].as_i64().unwrap_or_else(|| panic!("no error: {answer}"))
+    answer["error"]["code"]
+        .as_i64()
+        .unwrap_or_else(|| panic!("no error: {answer}"))
 }
 
 #[test]
@@ -31,20 +35,35 @@
     let every: Vec<u8> = (0..2048).map(|i| i as u8).collect();
     let number = gateway.send("rota-view", work(5000, None, &every));
     let (words, body) = processor.command();
-    assert_eq!((&*words[0], &*words[2], &body), ("begin", "rota-view", &every));
+    assert_eq!(
+        (&*words[0], &*words[2], &body),
+        ("begin", "rota-view", &every)
+    );
     processor.notice("ask", &words[1], b"call\r\n\0");
     let mut below = Below::accept(&ledger);
     assert_eq!(below.post(), (words[1].clone(), b"call\r\n\0".to_vec()));
     assert!((1..=5000).contains(&below.allowed), "{}", below.allowed);
-    below.reply_bytes(&[format!("{} posted 4\r\n", words[1]).as_bytes(), b"\r\n\xff\0\r\n"].concat());
+    below.reply_bytes(
+        &[
+            format!("{} posted 4\r\n", words[1]).as_bytes(),
+            b"\r\n\xff\0\r\n",
+        ]
+        .concat(),
+    );
     assert_eq!(
         processor.command(),
-        (vec!["answer".into(), words[1].clone(), "4".into()], b"\r\n\xff\0".to_vec())
+        (
+            vec!["answer".into(), words[1].clone(), "4".into()],
+            b"\r\n\xff\0".to_vec()
+        )
     );
     let result: Vec<u8> = (0..4096).map(|i| (i * 7) as u8).collect();
     processor.complete(&words[1], "fine", &result);
     let answer = gateway.receive();
-    assert_eq!((&answer["id"], &answer["result"]["doc"]), (&json!(number), &json!(base64(&result))));
+    assert_eq!(
+        (&answer["id"], &answer["result"]["doc"]),
+        (&json!(number), &json!(base64(&result)))
+    );
 }
 
 #[test]
@@ -55,7 +74,11 @@
     processor.begin();
     // The module may turn a running read away; to its caller that is never a refusal.
     assert_eq!(code(&gateway.receive()), -32002);
-    assert!(start.elapsed() < Duration::from_millis(450), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(450),
+        "{:?}",
+        start.elapsed()
+    );
     // A try that came late is answered at once, unrun.
     let mut late = work(300, None, b"");
     late["since"] = json!(late["since"].as_u64().unwrap() - 1000);
@@ -72,7 +95,10 @@
     assert_eq!(gateway.receive()["result"]["healthy"], false);
     gateway.send("swap-confirm", work(5000, Some("k"), b""));
     let answer = gateway.receive();
-    assert_eq!((code(&answer), &answer["error"]["data"]["cooldown"]), (-32000, &json!(200)));
+    assert_eq!(
+        (code(&answer), &answer["error"]["data"]["cooldown"]),
+        (-32000, &json!(200))
+    );
 }
 
 #[test]
@@ -83,7 +109,8 @@
     let (id, _) = processor.begin();
     // One joins the run; its own cancelled twin does not.
     let joined = other.send("swap-confirm", work(5000, Some("key"), b"x"));
-    // The key with another body is its client's error, while it runs and after: the result is not its own.
+    // The key with another body is its client's error, while it runs and after: the result is not
+    // its own.
     let another = |party: &mut Gateway| {
         party.send("swap-confirm", work(5000, Some("key"), b"other"));
         assert_eq!(code(&party.receive()), -32602);
@@ -101,7 +128,10 @@
     processor.complete(&id, "fine", b"once");
     for (party, number) in [(&mut gateway, first), (&mut other, joined)] {
         let answer = party.receive();
-        assert_eq!((&answer["id"], &answer["result"]["doc"]), (&json!(number), &json!(base64(b"once"))));
+        assert_eq!(
+            (&answer["id"], &answer["result"]["doc"]),
+            (&json!(number), &json!(base64(b"once")))
+        );
     }
     another(&mut gateway);
     // After the end the kept result serves; another key runs.
@@ -124,7 +154,13 @@
     below.post();
     below.reply(&format!("{stands} posted 1\r\nx\r\n"));
     let answer = processor.command();
-    assert_eq!(answer, (vec!["answer".into(), stands.clone(), "1".into()], b"x".to_vec()));
+    assert_eq!(
+        answer,
+        (
+            vec!["answer".into(), stands.clone(), "1".into()],
+            b"x".to_vec()
+        )
+    );
     // While nobody knows whether that was read nothing more goes out, so nothing more can be lost.
     gateway.send("swap-confirm", work(10000, Some("key"), b"waits"));
     gateway.send("alive", json!({}));
@@ -158,7 +194,8 @@
     }
 }
 
-/// A try whose start was rejected never ran: its key is free, and what comes next under it is no repeat.
+/// A try whose start was rejected never ran: its key is free, and what comes next under it is no
+/// repeat.
 #[test]
 fn a_rejected_command_ends_its_request_at_once() {
     let (_node, mut processor, mut gateway) = pair(json!({}));
@@ -192,7 +229,10 @@
     let (read, _) = processor.begin();
     processor.notice("ask", &read, b"call");
     for _ in 0..2 {
-        assert_eq!(Below::accept(&ledger).post(), (read.clone(), b"call".to_vec()));
+        assert_eq!(
+            Below::accept(&ledger).post(),
+            (read.clone(), b"call".to_vec())
+        );
     }
     let mut below = Below::accept(&ledger);
     below.post();
@@ -212,7 +252,11 @@
     assert_eq!(next(), "HB n1 UP");
     let start = Instant::now();
     assert_eq!(next(), "HB n1 UP");
-    assert!(start.elapsed() < Duration::from_millis(1500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(1500),
+        "{:?}",
+        start.elapsed()
+    );
     node.signal("-TERM");
     while next() != "HB n1 OUT" {}
 }
@@ -239,9 +283,13 @@
     // A file that can't be read changes nothing.
     node.reload_text("{");
     node.line("reload: not done");
-    // The old link is left once what was said on it is read; the new one goes on behind its last notice.
-    let (new_ledger, new_members, mut new) =
-        (TcpListener::bind("127.0.0.1:0").unwrap(), udp(), Processor::new());
+    // The old link is left once what was said on it is read; the new one goes on behind its last
+    // notice.
+    let (new_ledger, new_members, mut new) = (
+        TcpListener::bind("127.0.0.1:0").unwrap(),
+        udp(),
+        Processor::new(),
+    );
     node.reload(parties(&new, &new_ledger, &new_members));
     processor.left();
     new.accept();
@@ -250,7 +298,13 @@
     new.say(b"hi running 2000\r\n");
     // The call that was out comes home from the old ledger, the next one goes to the new.
     below.reply(&format!("{read} posted 1\r\nx\r\n"));
-    assert_eq!(new.command(), (vec!["answer".into(), read.clone(), "1".into()], b"x".to_vec()));
+    assert_eq!(
+        new.command(),
+        (
+            vec!["answer".into(), read.clone(), "1".into()],
+            b"x".to_vec()
+        )
+    );
     new.notice("ask", &read, b"next");
     let mut next = Below::accept(&new_ledger);
     assert_eq!(next.post(), (read, b"next".to_vec()));
@@ -281,8 +335,13 @@
     };
     let (good, mut below) = stands(&mut gateway);
     let noise = "\u{1}".repeat(2000);
-    for spoilt in ["noise without an end", "ID posted 3000000000\r\nxxx", "ID posted 9\r\nx\r\n", &noise, ""]
-    {
+    for spoilt in [
+        "noise without an end",
+        "ID posted 3000000000\r\nxxx",
+        "ID posted 9\r\nx\r\n",
+        &noise,
+        "",
+    ] {
         let (id, mut below) = stands(&mut gateway);
         assert_eq!(below.post().0, id);
         below.reply(&spoilt.replace("ID", &id));
@@ -297,7 +356,13 @@
     below.reply(&format!(
         "0123456789abcdef posted 1\r\n0\r\n{good} posted 1\r\n1\r\n{good} posted 1\r\n2\r\n"
     ));
-    assert_eq!(processor.command(), (vec!["answer".into(), good.clone(), "1".into()], b"1".to_vec()));
+    assert_eq!(
+        processor.command(),
+        (
+            vec!["answer".into(), good.clone(), "1".into()],
+            b"1".to_vec()
+        )
+    );
     processor.notice("ask", &good, b"next");
     assert_eq!(Below::accept(&ledger).post(), (good, b"next".to_vec()));
     drop(node);
@@ -325,16 +390,25 @@
     let counters = node.line("counters: ");
     assert_eq!(Node::counter(&counters, "served"), 1);
     assert!(node.wait().success());
-    assert!(start.elapsed() < Duration::from_millis(4900), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(4900),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
-/// A first request may take two seconds to arrive, while connections without number come in that say half a word. At half
-/// limits it was the oldest that had said nothing whole, and so the first to be closed for the others.
+/// A first request may take two seconds to arrive, while connections without number come in that
+/// say half a word. At half limits it was the oldest that had said nothing whole, and so the first
+/// to be closed for the others.
 #[test]
 fn a_request_that_arrives_in_pieces_is_served_among_a_crowd() {
-    let (node, mut processor, _gateway) = pair(json!({"limits": {"sockets": 160, "memory_mb": 24}}));
+    let (node, mut processor, _gateway) =
+        pair(json!({"limits": {"sockets": 160, "memory_mb": 24}}));
     let params = work(6000, None, b"in pieces");
-    let text = format!("{}\n", json!({"jsonrpc": "2.0", "id": 1, "method": "rota-view", "params": params}));
+    let text = format!(
+        "{}\n",
+        json!({"jsonrpc": "2.0", "id": 1, "method": "rota-view", "params": params})
+    );
     let mut slow = node.gateway();
     let mut crowd = Vec::new();
     let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(21)).collect();
@@ -354,7 +428,8 @@
     assert_eq!(slow.receive()["result"]["doc"], base64(b"served"));
 }
 
-/// Callers hear of a drain late: a node that shut its door at once had its whole traffic refused for seconds.
+/// Callers hear of a drain late: a node that shut its door at once had its whole traffic refused
+/// for seconds.
 #[test]
 fn a_drain_serves_who_comes_within_its_grace() {
     let (node, mut processor, _gateway) = pair(json!({}));
@@ -385,7 +460,11 @@
     assert_eq!(gateway.receive()["method"], "goaway");
     assert!(code(&gateway.receive()) < -32000);
     assert!(node.wait().success());
-    assert!(start.elapsed() < Duration::from_millis(1000), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(1000),
+        "{:?}",
+        start.elapsed()
+    );
 }
 
 #[test]
@@ -399,11 +478,26 @@
     let cases = [
         ("{".to_owned(), -32700),
         ("[]".to_owned(), -32600),
-        (r#"{"jsonrpc":"1.0","id":9,"method":"alive"}"#.to_owned(), -32600),
-        (r#"{"jsonrpc":"2.0","id":"9","method":"alive"}"#.to_owned(), -32600),
-        (r#"{"jsonrpc":"2.0","id":0,"method":"alive"}"#.to_owned(), -32600),
-        (r#"{"jsonrpc":"2.0","id":9,"method":"rota-view"}"#.to_owned(), -32602),
-        (change("method", json!(1)).replace("swap-confirm", "no-such"), -32601),
+        (
+            r#"{"jsonrpc":"1.0","id":9,"method":"alive"}"#.to_owned(),
+            -32600,
+        ),
+        (
+            r#"{"jsonrpc":"2.0","id":"9","method":"alive"}"#.to_owned(),
+            -32600,
+        ),
+        (
+            r#"{"jsonrpc":"2.0","id":0,"method":"alive"}"#.to_owned(),
+            -32600,
+        ),
+        (
+            r#"{"jsonrpc":"2.0","id":9,"method":"rota-view"}"#.to_owned(),
+            -32602,
+        ),
+        (
+            change("method", json!(1)).replace("swap-confirm", "no-such"),
+            -32601,
+        ),
         (change("ref", json!("9B1F03AA5C7E2D41")), -32602),
         (change("ref", json!(7)), -32602),
         (change("since", json!("now")), -32602),
@@ -432,7 +526,8 @@
     assert_eq!(good.receive()["result"]["doc"], base64(b"fine"));
 }
 
-/// At the limit accepting once stopped, so clients that said nothing shut out those that had something to say.
+/// At the limit accepting once stopped, so clients that said nothing shut out those that had
+/// something to say.
 #[test]
 fn those_that_say_nothing_shut_nobody_out() {
     // 74 descriptors are kept back, so 8 connections are taken.
@@ -451,17 +546,24 @@
         stranger.set_read_timeout(Some(PATIENCE)).unwrap();
         assert_eq!(stranger.read(&mut [0; 64]).unwrap_or(0), 0);
     }
-    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        start.elapsed()
+    );
     processor.complete(&id, "fine", b"late");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"late"));
     node.signal("-USR1");
     let counters = node.line("counters: ");
     let count = |name: &str| Node::counter(&counters, name);
-    assert!(count("accepted") == 16 && count("crowded_out") >= 7, "{counters}");
+    assert!(
+        count("accepted") == 16 && count("crowded_out") >= 7,
+        "{counters}"
+    );
 }
 
-/// A place was once wanted as soon as the last one was taken, and its new holder was the first to be closed: with
-/// its request, whose run went on for nobody.
+/// A place was once wanted as soon as the last one was taken, and its new holder was the first to
+/// be closed: with its request, whose run went on for nobody.
 #[test]
 fn a_newcomer_among_idle_ones_is_served() {
     let (node, mut processor, first) = pair(json!({"limits": {"sockets": 82}}));
@@ -491,7 +593,13 @@
         let mut bad = node.gateway();
         bad.raw(format!("{line}\n").repeat(100).as_bytes());
         let answers = std::iter::from_fn(|| Some(bad.receive()).filter(|a| !a.is_null()));
-        assert_eq!(answers.inspect(|a| assert!(code(a) < -32000, "{a}")).count(), 8, "{line}");
+        assert_eq!(
+            answers
+                .inspect(|a| assert!(code(a) < -32000, "{a}"))
+                .count(),
+            8,
+            "{line}"
+        );
     }
     // What is taken back is confirmed, or a client that only does that would never hear a word.
     let number = good.send("rota-view", work(9000, None, b""));
@@ -507,14 +615,18 @@
 fn a_connection_has_32_requests_open_and_its_end_lets_go_of_them() {
     let (mut node, mut processor, mut gateway) = pair(json!({}));
     // Repeats of one key: one runs, the others wait for it, and none can be served early.
-    let numbers: Vec<u64> =
-        (0..33).map(|_| gateway.send("swap-confirm", work(9000, Some("k"), b""))).collect();
+    let numbers: Vec<u64> = (0..33)
+        .map(|_| gateway.send("swap-confirm", work(9000, Some("k"), b"")))
+        .collect();
     let answer = gateway.receive();
-    assert_eq!((&answer["id"], code(&answer)), (&json!(numbers[32]), -32600));
+    assert_eq!(
+        (&answer["id"], code(&answer)),
+        (&json!(numbers[32]), -32600)
+    );
     let (id, _) = processor.begin();
     drop(gateway);
-    // Another connection is read after the end of the first one is seen, or the key is still held: either way
-    // the run that began is the only one, and its result serves the next try.
+    // Another connection is read after the end of the first one is seen, or the key is still held:
+    // either way the run that began is the only one, and its result serves the next try.
     let mut other = node.gateway();
     other.send("swap-confirm", work(9000, Some("k"), b""));
     processor.complete(&id, "fine", b"once");
@@ -523,6 +635,10 @@
     let counters = node.line("counters: ");
     assert!(node.wait().success());
     let count = |name: &str| Node::counter(&counters, name);
-    assert_eq!((count("requests"), count("runs"), count("malformed")), (33, 1, 1), "{counters}");
+    assert_eq!(
+        (count("requests"), count("runs"), count("malformed")),
+        (33, 1, 1),
+        "{counters}"
+    );
     assert_eq!(count("gone") + count("served"), 33, "{counters}");
 }
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Long-lived sessions on several real processes: a session stays with its worker through versions, restarts and lossy links, whichever
-//! node its client reaches; and what does move has a cause.
+//! Long-lived sessions on several real processes: a session stays with its worker through versions,
+//! restarts and lossy links, whichever node its client reaches; and what does move has a cause.
 
 mod common;
 
@@ -31,7 +31,11 @@
 fn stand(name: &str, takes: Duration) -> Stand {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let name = Arc::new(Mutex::new(name.to_owned()));
-    let stand = Stand { at: listener.local_addr().unwrap(), closed: Arc::default(), name: name.clone() };
+    let stand = Stand {
+        at: listener.local_addr().unwrap(),
+        closed: Arc::default(),
+        name: name.clone(),
+    };
     let gone = stand.closed.clone();
     std::thread::spawn(move || {
         loop {
@@ -41,7 +45,9 @@
                 return;
             }
             // One that was killed meanwhile has sent a part at the most.
-            let Some((mut stream, _)) = Worker::try_read(stream) else { continue };
+            let Some((mut stream, _)) = Worker::try_read(stream) else {
+                continue;
+            };
             let name = name.lock().unwrap().clone();
             std::thread::spawn(move || {
                 std::thread::sleep(takes);
@@ -59,7 +65,9 @@
 /// What a version holds of the operator's file.
 fn operator(pool: &str, was: &str, desks: &Desks) -> String {
     let member = |(name, at, weight, more): &(String, SocketAddr, f64, &str)| {
-        format!("[[pool.member]]\naddress = \"{at}\"\nname = \"{name}\"\nweight = {weight:?}\n{more}")
+        format!(
+            "[[pool.member]]\naddress = \"{at}\"\nname = \"{name}\"\nweight = {weight:?}\n{more}"
+        )
     };
     let members: String = desks.iter().map(member).collect();
     format!(
@@ -91,18 +99,29 @@
         );
         let spec = Spec::new(PROGRAM, config, folder.0.clone(), more);
         let cluster = Cluster::settled(spec, NODES);
-        let site = Site { cluster, folder, fronts: Arc::new(Mutex::new(vec![None; NODES])) };
+        let site = Site {
+            cluster,
+            folder,
+            fronts: Arc::new(Mutex::new(vec![None; NODES])),
+        };
         (0..NODES).for_each(|i| site.found(i));
-        site.cluster.wait("all have what they are to remember", |c| (0..NODES).all(|i| filled(c, i)));
+        site.cluster
+            .wait("all have what they are to remember", |c| {
+                (0..NODES).all(|i| filled(c, i))
+            });
         site
     }
 
     /// Finds where a node's process takes uwsgi clients.
     fn found(&self, node: usize) {
         let number = self.cluster.nodes[node].process.as_ref().unwrap().number;
-        let line = self.cluster.history.wait(0, |l| l.process == number && l.text.contains("protocol=uwsgi"));
+        let line = self.cluster.history.wait(0, |l| {
+            l.process == number && l.text.contains("protocol=uwsgi")
+        });
         let text = line.expect("it says so").text;
-        let at = text.split(' ').find_map(|w| w.strip_prefix("listen=").or(w.strip_prefix("address=")));
+        let at = text
+            .split(' ')
+            .find_map(|w| w.strip_prefix("listen=").or(w.strip_prefix("address=")));
         self.fronts.lock().unwrap()[node] = Some(at.unwrap().parse().unwrap());
     }
 
@@ -119,29 +138,58 @@
     fn publish(&self, node: usize, why: &str, operator: &str) {
         let file = self.folder.0.join("version.json");
         std::fs::write(&file, json!({ "operator": operator }).to_string()).unwrap();
-        let door = self.cluster.nodes[node].process.as_ref().unwrap().door.to_string();
-        let words = ["fleet", "publish", file.to_str().unwrap(), "--why", why, "--at", &door];
+        let door = self.cluster.nodes[node]
+            .process
+            .as_ref()
+            .unwrap()
+            .door
+            .to_string();
+        let words = [
+            "fleet",
+            "publish",
+            file.to_str().unwrap(),
+            "--why",
+            why,
+            "--at",
+            &door,
+        ];
         let output = Command::new(PROGRAM).args(words).output().unwrap();
-        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{}",
+            String::from_utf8_lossy(&output.stderr)
+        );
     }
 
     fn acts(&self, nodes: &[usize], version: u64) {
-        let acts = |c: &Cluster, i: usize| c.view(i).is_some_and(|v| v["versions"]["acting"] == version);
-        self.cluster.wait("they act on it", |c| nodes.iter().all(|i| acts(c, *i)));
+        let acts = |c: &Cluster, i: usize| {
+            c.view(i)
+                .is_some_and(|v| v["versions"]["acting"] == version)
+        };
+        self.cluster
+            .wait("they act on it", |c| nodes.iter().all(|i| acts(c, *i)));
     }
 }
 
 fn filled(cluster: &Cluster, node: usize) -> bool {
-    cluster.view(node).is_some_and(|v| v["sessions"]["filled"] == true)
+    cluster
+        .view(node)
+        .is_some_and(|v| v["sessions"]["filled"] == true)
 }
 
 /// One request of a session at a node: the worker that answered, or the code of the refusal.
 fn ask(front: SocketAddr, session: usize) -> Result<String, String> {
     let wrong = |e: std::io::Error| e.to_string();
     let mut stream = TcpStream::connect(front).map_err(wrong)?;
-    stream.set_read_timeout(Some(Duration::from_secs(8))).map_err(wrong)?;
     stream
-        .write_all(&packet("/view", &[("HTTP_X_TERMINAL", &format!("terminal-{session}"))], b"x"))
+        .set_read_timeout(Some(Duration::from_secs(8)))
+        .map_err(wrong)?;
+    stream
+        .write_all(&packet(
+            "/view",
+            &[("HTTP_X_TERMINAL", &format!("terminal-{session}"))],
+            b"x",
+        ))
         .map_err(wrong)?;
     let mut text = String::new();
     stream.read_to_string(&mut text).map_err(wrong)?;
@@ -174,18 +222,29 @@
             start: Instant::now(),
         };
         for part in 0..4 {
-            let (stop, heard, refused) =
-                (clients.stop.clone(), clients.heard.clone(), clients.refused.clone());
+            let (stop, heard, refused) = (
+                clients.stop.clone(),
+                clients.heard.clone(),
+                clients.refused.clone(),
+            );
             let (fronts, start, sessions) = (site.fronts.clone(), clients.start, sessions.clone());
             clients.threads.push(std::thread::spawn(move || {
                 let mut rng = fastrand::Rng::with_seed(part);
                 while !stop.load(SeqCst) {
                     let (session, node) = (rng.usize(sessions.clone()), rng.usize(0..NODES));
-                    // A client keeps to one thread, so that what it hears is in the order in which it asked.
+                    // A client keeps to one thread, so that what it hears is in the order in which
+                    // it asked.
                     let session = session - session % 4 + part as usize;
-                    let Some(front) = fronts.lock().unwrap()[node] else { continue };
+                    let Some(front) = fronts.lock().unwrap()[node] else {
+                        continue;
+                    };
                     match ask(front, session) {
-                        Ok(worker) => heard.lock().unwrap().push((start.elapsed(), session, node, worker)),
+                        Ok(worker) => {
+                            heard
+                                .lock()
+                                .unwrap()
+                                .push((start.elapsed(), session, node, worker))
+                        }
                         Err(why) => refused.lock().unwrap().push(why),
                     }
                 }
@@ -200,13 +259,16 @@
         let refused = self.refused.lock().unwrap();
         let heard = std::mem::take(&mut *self.heard.lock().unwrap());
         let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
-        refused.iter().for_each(|why| *kinds.entry(why).or_default() += 1);
+        refused
+            .iter()
+            .for_each(|why| *kinds.entry(why).or_default() += 1);
         println!("{} answers; refused or lost: {kinds:?}", heard.len());
         heard
     }
 }
 
-/// Each change of a session's worker, behind so many answers, in the order in which its client heard: session, from, to, and where.
+/// Each change of a session's worker, behind so many answers, in the order in which its client
+/// heard: session, from, to, and where.
 fn moves(heard: &[Heard], behind: usize) -> Vec<(usize, String, String, usize)> {
     let mut last: BTreeMap<usize, &str> = BTreeMap::new();
     let mut moves = Vec::new();
@@ -222,7 +284,10 @@
 }
 
 fn last(heard: &[Heard]) -> BTreeMap<usize, String> {
-    heard.iter().map(|(_, session, _, worker)| (*session, worker.clone())).collect()
+    heard
+        .iter()
+        .map(|(_, session, _, worker)| (*session, worker.clone()))
+        .collect()
 }
 
 fn desks(names: std::ops::Range<usize>, takes: Duration) -> (Desks, Vec<Stand>) {
@@ -244,17 +309,33 @@
     let (more, _) = desks(5..8, Duration::ZERO);
     all.extend(more);
     all.reverse();
-    all.iter_mut().enumerate().for_each(|(i, d)| d.2 = 0.5 + i as f64);
+    all.iter_mut()
+        .enumerate()
+        .for_each(|(i, d)| d.2 = 0.5 + i as f64);
     site.publish(0, "more desks", &operator("desks", "", &all));
     site.acts(&[0, 1, 2, 3, 4], 1);
     site.publish(1, "another name", &operator("counters", "\"desks\"", &all));
     site.acts(&[0, 1, 2, 3, 4], 2);
     // What each node has of the workers goes by the pool's first name, too.
-    let parts = |i: usize| site.cluster.view(i).unwrap()["share"][0]["workers"].as_array().unwrap().clone();
-    assert!((0..NODES).all(|i| parts(i).iter().all(|w| w["most_runs"].as_u64() > Some(1))), "{:?}", parts(0));
+    let parts = |i: usize| {
+        site.cluster.view(i).unwrap()["share"][0]["workers"]
+            .as_array()
+            .unwrap()
+            .clone()
+    };
+    assert!(
+        (0..NODES).all(|i| parts(i).iter().all(|w| w["most_runs"].as_u64() > Some(1))),
+        "{:?}",
+        parts(0)
+    );
     // Links that lose a fifth, double some, and take their time.
     for (from, to) in (0..NODES).flat_map(|a| (0..NODES).map(move |b| (a, b))) {
-        let link = Link { loss: 0.2, twice: 0.1, delay: Duration::from_millis(3), ..Link::default() };
+        let link = Link {
+            loss: 0.2,
+            twice: 0.1,
+            delay: Duration::from_millis(3),
+            ..Link::default()
+        };
         site.cluster.links.set(from, to, link);
     }
     std::thread::sleep(settle);
@@ -266,13 +347,23 @@
     }
     // A worker moves to another machine: it is known by its name.
     all[0].1 = stand(&all[0].0, Duration::ZERO).at;
-    site.publish(0, "another machine", &operator("counters", "\"desks\"", &all));
+    site.publish(
+        0,
+        "another machine",
+        &operator("counters", "\"desks\"", &all),
+    );
     site.acts(&[0, 1, 2, 3, 4], 3);
     site.cluster.links.heal();
     std::thread::sleep(settle);
     let heard = clients.end();
     let moved = moves(&heard, 0);
-    let said = || [site.cluster.said("sessions: pool"), site.cluster.said(" out for_ms")].concat();
+    let said = || {
+        [
+            site.cluster.said("sessions: pool"),
+            site.cluster.said(" out for_ms"),
+        ]
+        .concat()
+    };
     assert!(moved.is_empty(), "{moved:?}: {:#?}", said());
     assert!(last(&heard).len() > 190 && heard.len() > 1_000);
     // One's address is another's former one: names count, and nothing that was known of an address.
@@ -281,41 +372,72 @@
     let (one, two) = (place("w1"), place("w2"));
     *stands[1].name.lock().unwrap() = "w2".into();
     (all[one].1, all[two].1) = (stand("w1", Duration::ZERO).at, stands[1].at);
-    site.publish(0, "w2 gets the machine of w1", &operator("counters", "\"desks\"", &all));
+    site.publish(
+        0,
+        "w2 gets the machine of w1",
+        &operator("counters", "\"desks\"", &all),
+    );
     site.acts(&[0, 1, 2, 3, 4], 4);
     let fronts = site.fronts.lock().unwrap().clone();
-    let asked: Vec<(usize, String)> =
-        homes.iter().filter(|(_, w)| *w == "w1" || *w == "w2").map(|(s, w)| (*s, w.clone())).collect();
+    let asked: Vec<(usize, String)> = homes
+        .iter()
+        .filter(|(_, w)| *w == "w1" || *w == "w2")
+        .map(|(s, w)| (*s, w.clone()))
+        .collect();
     for (session, worker) in &asked {
-        assert_eq!(ask(fronts[session % NODES].unwrap(), *session).as_ref(), Ok(worker));
+        assert_eq!(
+            ask(fronts[session % NODES].unwrap(), *session).as_ref(),
+            Ok(worker)
+        );
     }
     // The new ones took some as well: whoever came after they did.
-    let new: Vec<String> = (1_000..1_060).map(|s| ask(fronts[s % NODES].unwrap(), s).unwrap()).collect();
-    assert!(["w5", "w6"].iter().all(|w| new.iter().any(|n| n == w)), "{new:?}");
+    let new: Vec<String> = (1_000..1_060)
+        .map(|s| ask(fronts[s % NODES].unwrap(), s).unwrap())
+        .collect();
+    assert!(
+        ["w5", "w6"].iter().all(|w| new.iter().any(|n| n == w)),
+        "{new:?}"
+    );
 }
 
-/// A process takes over from another one, which has more in hand than it may run: sessions stay, and none of it waits for word that
-/// never comes.
+/// A process takes over from another one, which has more in hand than it may run: sessions stay,
+/// and none of it waits for word that never comes.
 #[test]
 fn a_replacement_moves_nobody_and_answers_all() {
     let takes = Duration::from_millis(100);
     let (mut all, _) = desks(0..4, takes);
     let mut site = Site::new("sessions-replaced", &all, 1);
-    let fronts =
-        |site: &Site| -> Vec<SocketAddr> { site.fronts.lock().unwrap().iter().flatten().copied().collect() };
+    let fronts = |site: &Site| -> Vec<SocketAddr> {
+        site.fronts
+            .lock()
+            .unwrap()
+            .iter()
+            .flatten()
+            .copied()
+            .collect()
+    };
     // Each session is known to all nodes by now, and to none within the last second.
     let ask_all = |fronts: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
         let asked = (0..40).map(|s| (fronts[at.unwrap_or(s % NODES)], s));
-        let threads: Vec<_> = asked.map(|(f, s)| std::thread::spawn(move || ask(f, s))).collect();
+        let threads: Vec<_> = asked
+            .map(|(f, s)| std::thread::spawn(move || ask(f, s)))
+            .collect();
         threads.into_iter().map(|t| t.join().unwrap()).collect()
     };
     let mut homes: BTreeMap<usize, String> = BTreeMap::new();
     while homes.len() < 40 {
         let heard = ask_all(&fronts(&site), None);
-        homes.extend(heard.into_iter().enumerate().filter_map(|(s, h)| Some((s, h.ok()?))));
+        homes.extend(
+            heard
+                .into_iter()
+                .enumerate()
+                .filter_map(|(s, h)| Some((s, h.ok()?))),
+        );
     }
     // Where a new session would go is another matter than where one lives.
-    all.iter_mut().enumerate().for_each(|(i, d)| d.2 = 0.2 + 2.0 * i as f64);
+    all.iter_mut()
+        .enumerate()
+        .for_each(|(i, d)| d.2 = 0.2 + 2.0 * i as f64);
     site.publish(0, "other weights", &operator("desks", "", &all));
     site.acts(&[0, 1, 2, 3, 4], 1);
     std::thread::sleep(Duration::from_millis(2_100));
@@ -341,9 +463,15 @@
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0));
     }
-    site.cluster.wait("all have what they are to remember", |c| (0..NODES).all(|i| filled(c, i)));
+    site.cluster
+        .wait("all have what they are to remember", |c| {
+            (0..NODES).all(|i| filled(c, i))
+        });
     for heard in ask_all(&fronts(&site), None).into_iter().enumerate() {
-        assert!(heard.1.as_ref().is_ok_and(|w| *w == homes[&heard.0]) || heard.1.is_err(), "{heard:?}");
+        assert!(
+            heard.1.as_ref().is_ok_and(|w| *w == homes[&heard.0]) || heard.1.is_err(),
+            "{heard:?}"
+        );
     }
 }
 
@@ -355,7 +483,9 @@
     std::thread::sleep(Duration::from_millis(800));
     // Two nodes don't hear that w0 is gone; clients go back and forth between the halves.
     site.cluster.links.split(NODES, |i| usize::from(i >= 3));
-    site.cluster.wait("they are parted", |c| c.agree(&[0, 1, 2]) && c.agree(&[3, 4]));
+    site.cluster.wait("they are parted", |c| {
+        c.agree(&[0, 1, 2]) && c.agree(&[3, 4])
+    });
     let gone = all.remove(0);
     site.publish(0, "w0 is gone", &operator("desks", "", &all));
     site.acts(&[0, 1, 2], 1);
@@ -368,7 +498,11 @@
     let heard = clients.heard.lock().unwrap().clone();
     let moved = moves(&heard, 0);
     assert!(!moved.is_empty(), "some were of w0");
-    let of_gone: Vec<usize> = moved.iter().filter(|m| m.1 == gone.0).map(|m| m.0).collect();
+    let of_gone: Vec<usize> = moved
+        .iter()
+        .filter(|m| m.1 == gone.0)
+        .map(|m| m.0)
+        .collect();
     assert!(
         moved.iter().all(|m| of_gone.contains(&m.0)),
         "{moved:?} {:#?}",
@@ -378,14 +512,20 @@
     let heard = clients.heard.lock().unwrap().clone();
     let after = moves(&heard, so_far);
     // Within a second of the heal all have heard which place holds.
-    assert!(after.iter().all(|m| m.1 == gone.0 || of_gone.contains(&m.0)), "{after:?}");
+    assert!(
+        after
+            .iter()
+            .all(|m| m.1 == gone.0 || of_gone.contains(&m.0)),
+        "{after:?}"
+    );
     let settled = heard.len();
     std::thread::sleep(Duration::from_secs(1));
     let heard = clients.heard.lock().unwrap().clone();
     assert_eq!(moves(&heard, settled), [], "and from then on nobody moves");
     let settled = heard.len();
 
-    // w1 breaks down: its machine accepts nobody. Runs never began there, so its sessions move at once, and once.
+    // w1 breaks down: its machine accepts nobody. Runs never began there, so its sessions move at
+    // once, and once.
     stands[1].closed.store(true, SeqCst);
     let _ = TcpStream::connect(all[0].1);
     std::thread::sleep(Duration::from_millis(2_500));
@@ -393,24 +533,50 @@
     let before = last(&heard[..settled]);
     let moved = moves(&heard, settled);
     assert!(moved.iter().all(|m| m.1 == "w1"), "{moved:?}");
-    let of: Vec<usize> = before.iter().filter(|(_, w)| *w == "w1").map(|(s, _)| *s).collect();
-    assert!(of.iter().all(|s| moved.iter().filter(|m| m.0 == *s).count() == 1), "{of:?} {moved:?}");
+    let of: Vec<usize> = before
+        .iter()
+        .filter(|(_, w)| *w == "w1")
+        .map(|(s, _)| *s)
+        .collect();
+    assert!(
+        of.iter()
+            .all(|s| moved.iter().filter(|m| m.0 == *s).count() == 1),
+        "{of:?} {moved:?}"
+    );
     // The same for all: wherever one asks.
     let now = last(&heard);
     let fronts = site.fronts.lock().unwrap().clone();
     for (session, worker) in &now {
         for front in fronts.iter().flatten() {
-            assert_eq!(ask(*front, *session).as_deref(), Ok(worker.as_str()), "{session}");
+            assert_eq!(
+                ask(*front, *session).as_deref(),
+                Ok(worker.as_str()),
+                "{session}"
+            );
         }
     }
     let door = site.cluster.nodes[0].process.as_ref().unwrap().door;
-    let figures = pipitlever_cluster_testing::processes::call(door, "GET /status/metrics").unwrap().1;
+    let figures = pipitlever_cluster_testing::processes::call(door, "GET /status/metrics")
+        .unwrap()
+        .1;
     assert!(figures.contains("edge.sessions.remembered:"), "{figures}");
     let output = Command::new(PROGRAM)
-        .args(["fleet", "sessions", "--worker", "w2", "--at", &door.to_string()])
+        .args([
+            "fleet",
+            "sessions",
+            "--worker",
+            "w2",
+            "--at",
+            &door.to_string(),
+        ])
         .output();
     let output = String::from_utf8(output.unwrap().stdout).unwrap();
     assert!(output.contains("w2") && !output.contains("w3"), "{output}");
     let view: Value = site.cluster.view(0).unwrap();
-    assert!(view["sessions"]["pools"][0]["workers"]["w2"].as_u64().is_some_and(|n| n > 0), "{view}");
+    assert!(
+        view["sessions"]["pools"][0]["workers"]["w2"]
+            .as_u64()
+            .is_some_and(|n| n > 0),
+        "{view}"
+    );
 }
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -1,5 +1,5 @@
-//! Pools that several real processes divide among themselves: what their runs at one worker add up to, whatever is cut, killed or
-//! stopped; who uses whom; and whose turn it is.
+//! Pools that several real processes divide among themselves: what their runs at one worker add up
+//! to, whatever is cut, killed or stopped; who uses whom; and whose turn it is.
 
 mod common;
 
@@ -33,11 +33,17 @@
             runs: Arc::default(),
             fails: Arc::default(),
         };
-        let (now, most, runs, fails) =
-            (desk.now.clone(), desk.most.clone(), desk.runs.clone(), desk.fails.clone());
+        let (now, most, runs, fails) = (
+            desk.now.clone(),
+            desk.most.clone(),
+            desk.runs.clone(),
+            desk.fails.clone(),
+        );
         std::thread::spawn(move || loop {
             // One that was killed meanwhile has sent a part at the most.
-            let Some((mut stream, _)) = Worker::try_read(worker.0.accept().unwrap().0) else { continue };
+            let Some((mut stream, _)) = Worker::try_read(worker.0.accept().unwrap().0) else {
+                continue;
+            };
             runs.fetch_add(1, SeqCst);
             if fails.load(SeqCst) {
                 continue;
@@ -60,7 +66,10 @@
 fn cluster(folder: &Scratch, nodes: usize, desks: &[Desk], more: &str) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
     let member = |(i, desk): (usize, &Desk)| {
-        format!("[[pool.member]]\naddress = \"{}\"\nname = \"w{i}\"\nmost_runs = {MOST}\n", desk.at)
+        format!(
+            "[[pool.member]]\naddress = \"{}\"\nname = \"w{i}\"\nmost_runs = {MOST}\n",
+            desk.at
+        )
     };
     let mut config = configuration(&json!({}));
     // Cores for all that the workers may have: it is their bound that is looked at.
@@ -85,7 +94,10 @@
 impl Load {
     fn start(cluster: &Cluster, node: usize, callers: usize) -> Load {
         let at = cluster.nodes[node].process.as_ref().unwrap().gateways;
-        let load = Load { stop: Arc::default(), served: Arc::default() };
+        let load = Load {
+            stop: Arc::default(),
+            served: Arc::default(),
+        };
         for _ in 0..callers {
             let (stop, served) = (load.stop.clone(), load.served.clone());
             std::thread::spawn(move || calls(at, &stop, &served));
@@ -102,14 +114,15 @@
 
 fn calls(at: SocketAddr, stop: &AtomicBool, served: &AtomicUsize) -> Option<()> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .ok()?;
     let mut lines = BufReader::new(stream.try_clone().ok()?);
     for id in 1.. {
         if stop.load(SeqCst) {
             break;
         }
-        let message =
-            json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": work(3000, None, b"x")});
+        let message = json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": work(3000, None, b"x")});
         stream.write_all(format!("{message}\n").as_bytes()).ok()?;
         let mut line = String::new();
         while !line.contains(&format!("\"id\":{id},")) {
@@ -139,14 +152,24 @@
     let mut sums = vec![0; workers];
     for node in nodes {
         let parts = parts(cluster, *node)?;
-        parts.iter().zip(&mut sums).for_each(|((used, runs), sum)| *sum += if *used { *runs } else { 0 });
+        parts
+            .iter()
+            .zip(&mut sums)
+            .for_each(|((used, runs), sum)| *sum += if *used { *runs } else { 0 });
     }
     Some(sums)
 }
 
-/// Whether no worker had more runs than this since it was last looked. Nothing is promised of a node that got no time for as long as
-/// news takes, and that says so: on a machine that is busy with other things.
-fn within(cluster: &Cluster, desks: &[Desk], most: usize, stopped: &[usize], behind: &mut usize) -> bool {
+/// Whether no worker had more runs than this since it was last looked. Nothing is promised of a
+/// node that got no time for as long as news takes, and that says so: on a machine that is busy
+/// with other things.
+fn within(
+    cluster: &Cluster,
+    desks: &[Desk],
+    most: usize,
+    stopped: &[usize],
+    behind: &mut usize,
+) -> bool {
     let seen = peaks(desks);
     let late = |l: &pipitlever_cluster_testing::processes::Line| {
         l.text.contains("this node was not there") && !stopped.contains(&l.node)
@@ -177,7 +200,10 @@
     std::thread::sleep(Duration::from_secs(3));
     let seen = peaks(&desks);
     assert!(seen.iter().all(|most| *most <= MOST), "{seen:?}");
-    assert!(seen.iter().sum::<usize>() >= 2 * MOST, "the workers are made use of: {seen:?}");
+    assert!(
+        seen.iter().sum::<usize>() >= 2 * MOST,
+        "the workers are made use of: {seen:?}"
+    );
 
     // One that dies: what it had is nobody's until it is certain, and then the others'.
     loads.remove(4);
@@ -188,10 +214,13 @@
     cluster.wait("it has its part again", |c| whole(c, &all));
     loads.push(Load::start(&cluster, 4, 12));
 
-    // Two are cut off from the electors: they keep to one run for each worker by the time that the others take over.
+    // Two are cut off from the electors: they keep to one run for each worker by the time that the
+    // others take over.
     cluster.links.split(5, |i| usize::from(i >= 3));
     let least = |c: &Cluster| {
-        [3, 4].iter().all(|i| parts(c, *i).is_some_and(|p| p.iter().all(|(_, runs)| *runs == 1)))
+        [3, 4]
+            .iter()
+            .all(|i| parts(c, *i).is_some_and(|p| p.iter().all(|(_, runs)| *runs == 1)))
     };
     cluster.wait("they keep to the least", least);
     cluster.wait("the others have all", |c| whole(c, &[0, 1, 2]));
@@ -204,7 +233,8 @@
     std::thread::sleep(2 * TAKES);
     peaks(&desks);
 
-    // One that stands still, with its callers' requests in its sockets, has nothing of it when it wakes.
+    // One that stands still, with its callers' requests in its sockets, has nothing of it when it
+    // wakes.
     cluster.signal(3, "-STOP");
     cluster.wait("the others have its part", |c| whole(c, &[0, 1, 2, 4]));
     assert!(within(&cluster, &desks, MOST, &[3], &mut behind));
@@ -218,18 +248,30 @@
     let folder = Scratch::new("share-idle");
     let desks: Vec<Desk> = (0..3).map(|_| Desk::start()).collect();
     let cluster = cluster(&folder, 4, &desks, "");
-    cluster.wait("all of each bound is divided", |c| sums(c, &[0, 1, 2, 3], 3) == Some(vec![MOST; 3]));
+    cluster.wait("all of each bound is divided", |c| {
+        sums(c, &[0, 1, 2, 3], 3) == Some(vec![MOST; 3])
+    });
     let start = Instant::now();
     let _load = Load::start(&cluster, 1, 40);
     // One run of each bound is left to each of the others.
     cluster.wait("the busy one has it", |c| {
         parts(c, 1).is_some_and(|p| p.iter().all(|(_, runs)| *runs >= MOST - 3))
     });
-    println!("an idle node's part was the busy one's after {:?}", start.elapsed());
-    assert!(start.elapsed() < Duration::from_secs(8), "{:?}", start.elapsed());
+    println!(
+        "an idle node's part was the busy one's after {:?}",
+        start.elapsed()
+    );
+    assert!(
+        start.elapsed() < Duration::from_secs(8),
+        "{:?}",
+        start.elapsed()
+    );
     std::thread::sleep(Duration::from_secs(1));
     let seen = peaks(&desks);
-    assert!(seen.iter().all(|most| (MOST / 2..=MOST).contains(most)), "{seen:?}");
+    assert!(
+        seen.iter().all(|most| (MOST / 2..=MOST).contains(most)),
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -239,8 +281,13 @@
     let mut cluster = cluster(&folder, 6, &desks, "subset = 4\n");
     let all = [0, 1, 2, 3, 4, 5];
     let uses = |c: &Cluster, nodes: &[usize]| -> Option<Vec<Vec<usize>>> {
-        let used =
-            |p: Vec<(bool, usize)>| p.iter().enumerate().filter(|(_, p)| p.0).map(|(i, _)| i).collect();
+        let used = |p: Vec<(bool, usize)>| {
+            p.iter()
+                .enumerate()
+                .filter(|(_, p)| p.0)
+                .map(|(i, _)| i)
+                .collect()
+        };
         nodes.iter().map(|i| parts(c, *i).map(used)).collect()
     };
     let even = |c: &Cluster, nodes: &[usize]| {
@@ -253,21 +300,37 @@
                 && counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1
         })
     };
-    cluster.wait("each worker has three nodes, each node four workers", |c| even(c, &all));
+    cluster.wait("each worker has three nodes, each node four workers", |c| {
+        even(c, &all)
+    });
     let before = uses(&cluster, &all).unwrap();
     cluster.kill(5);
     cluster.wait("it is even without one", |c| even(c, &all[..5]));
     let after = uses(&cluster, &all[..5]).unwrap();
-    let moved: usize =
-        before.iter().zip(&after).map(|(b, a)| b.iter().filter(|w| !a.contains(w)).count()).sum();
-    assert!(moved <= 4, "{moved} of 20 pairs moved: {before:?} {after:?}");
+    let moved: usize = before
+        .iter()
+        .zip(&after)
+        .map(|(b, a)| b.iter().filter(|w| !a.contains(w)).count())
+        .sum();
+    assert!(
+        moved <= 4,
+        "{moved} of 20 pairs moved: {before:?} {after:?}"
+    );
     cluster.start(5);
     cluster.wait("it is even with it again", |c| even(c, &all));
-    assert_eq!(uses(&cluster, &all).unwrap(), before, "who comes back has what it had");
+    assert_eq!(
+        uses(&cluster, &all).unwrap(),
+        before,
+        "who comes back has what it had"
+    );
 
     // A worker that fails all it gets is tried by one at a time, and nobody's callers notice.
     let loads: Vec<Load> = all.iter().map(|i| Load::start(&cluster, *i, 3)).collect();
-    let of: Vec<usize> = all.iter().copied().filter(|i| before[*i].contains(&0)).collect();
+    let of: Vec<usize> = all
+        .iter()
+        .copied()
+        .filter(|i| before[*i].contains(&0))
+        .collect();
     desks[0].fails.store(true, SeqCst);
     let out = |c: &Cluster| {
         of.iter().all(|i| {
@@ -281,8 +344,13 @@
     let (tries, since) = (desks[0].runs.load(SeqCst), Instant::now());
     std::thread::sleep(Duration::from_secs(9));
     let tries = desks[0].runs.load(SeqCst) - tries;
-    println!("{} nodes tried it {tries} times in {:?}", of.len(), since.elapsed());
-    // Each by itself comes on trial after 2 and 6 s, and had it out for 2 s before: without turns it is two for each.
+    println!(
+        "{} nodes tried it {tries} times in {:?}",
+        of.len(),
+        since.elapsed()
+    );
+    // Each by itself comes on trial after 2 and 6 s, and had it out for 2 s before: without turns
+    // it is two for each.
     assert!(tries < 2 * of.len(), "{tries} tries by {} nodes", of.len());
     desks[0].fails.store(false, SeqCst);
     let back = |c: &Cluster| {
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -19,7 +19,10 @@
 
 impl Stored for Scratch {
     fn section(&self) -> String {
-        format!("[store]\nfolder = {:?}\nmax_mb = 4\n", self.0.to_str().unwrap())
+        format!(
+            "[store]\nfolder = {:?}\nmax_mb = 4\n",
+            self.0.to_str().unwrap()
+        )
     }
 
     fn keys(&self) -> Vec<Recovered> {
@@ -31,8 +34,8 @@
     }
 }
 
-/// A drain with a run under way: it is answered, its outcome is on the disk before the process ends, and the next process
-/// tells it.
+/// A drain with a run under way: it is answered, its outcome is on the disk before the process
+/// ends, and the next process tells it.
 #[test]
 fn a_drain_leaves_nothing_open() {
     let scratch = Scratch::new("drain");
@@ -43,8 +46,16 @@
     let mut gateway = node.ready();
     gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
     let (id, _) = processor.begin();
-    let [Recovered { intent, kept: None, .. }] = &scratch.keys()[..] else { panic!("an intent alone") };
-    assert_eq!((intent.key.as_str(), intent.class.as_str()), ("k", "swap-confirm"));
+    let [Recovered {
+        intent, kept: None, ..
+    }] = &scratch.keys()[..]
+    else {
+        panic!("an intent alone")
+    };
+    assert_eq!(
+        (intent.key.as_str(), intent.class.as_str()),
+        ("k", "swap-confirm")
+    );
     node.signal("-TERM");
     assert_eq!(gateway.receive()["method"], "goaway");
     processor.complete(&id, "fine", b"done");
@@ -61,8 +72,8 @@
     assert_eq!(gateway.receive()["error"]["code"], -32602);
 }
 
-/// A run that a worker has is as much a run: its response is told again, byte for byte, and what a worker had in hand when
-/// the process died fails.
+/// A run that a worker has is as much a run: its response is told again, byte for byte, and what a
+/// worker had in hand when the process died fails.
 #[test]
 fn runs_of_workers_are_remembered() {
     let scratch = Scratch::new("workers");
@@ -81,20 +92,37 @@
     drop(stream);
     let first = self::response(client);
     assert_eq!(first.0, 201);
-    let _half = node.client(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", "half")], b"body"));
+    let _half = node.client(&packet(
+        "/swap",
+        &[("HTTP_IDEMPOTENCY_KEY", "half")],
+        b"body",
+    ));
     let (_held, _) = worker.accept();
     node.signal("-KILL");
     node.wait();
     let mut keys = scratch.keys();
     keys.sort_by(|a, b| a.intent.key.cmp(&b.intent.key));
-    let kept: Vec<_> = keys.iter().map(|k| (k.intent.key.as_str(), k.kept.clone())).collect();
-    assert_eq!(kept, [("half", None), ("k", Some(Kept::Served(response.to_vec())))]);
+    let kept: Vec<_> = keys
+        .iter()
+        .map(|k| (k.intent.key.as_str(), k.kept.clone()))
+        .collect();
+    assert_eq!(
+        kept,
+        [("half", None), ("k", Some(Kept::Served(response.to_vec())))]
+    );
     let node = Node::start(parties, Some(&text));
     processor.up();
     let mut gateway = node.ready();
     assert_eq!(node.uwsgi(&packet("/swap", &key, b"body")), first);
-    let (status, text) = node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", "half")], b"body"));
-    let seconds = text.split_once("Retry-After: ").expect("when to come back").1;
+    let (status, text) = node.uwsgi(&packet(
+        "/swap",
+        &[("HTTP_IDEMPOTENCY_KEY", "half")],
+        b"body",
+    ));
+    let seconds = text
+        .split_once("Retry-After: ")
+        .expect("when to come back")
+        .1;
     let seconds: u64 = seconds.split_once('\r').unwrap().0.parse().unwrap();
     assert!(status == 502 && (1..=21).contains(&seconds), "{text}");
     // On the other front the same run's body.
@@ -104,7 +132,8 @@
     assert!(worker.0.accept().is_err(), "a worker got it a second time");
 }
 
-/// A request's name that another's run under way has is its client's error: its end would be taken for the other's.
+/// A request's name that another's run under way has is its client's error: its end would be taken
+/// for the other's.
 #[test]
 fn a_name_in_use_is_refused_over_the_restart() {
     let scratch = Scratch::new("names");
@@ -125,7 +154,8 @@
     other["ref"] = first["ref"].clone();
     gateway.send("swap-confirm", other);
     assert_eq!(gateway.receive()["error"]["code"], -32602);
-    // The end of the run that goes on is told to the first one's repeats, and its name is free again.
+    // The end of the run that goes on is told to the first one's repeats, and its name is free
+    // again.
     processor.complete(&id, "fine", b"done");
     loop {
         gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -19,14 +19,21 @@
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
-    let parties = json!({"processor": standin::processor(Some(200)).to_string(), "settings": settings});
-    let text = store.map(|more| format!("[store]\nfolder = \"{}\"\nmax_mb = 512\n{more}", folder.display()));
+    let parties =
+        json!({"processor": standin::processor(Some(200)).to_string(), "settings": settings});
+    let text = store.map(|more| {
+        format!(
+            "[store]\nfolder = \"{}\"\nmax_mb = 512\n{more}",
+            folder.display()
+        )
+    });
     let node = Node::start(parties, text.as_deref());
     node.ready();
     node
 }
 
-/// So many keyed requests one after the other, or 16 at a time; microseconds each takes, and requests a second.
+/// So many keyed requests one after the other, or 16 at a time; microseconds each takes, and
+/// requests a second.
 fn latencies(node: &Node, run: u64, length: Duration, at_once: usize) -> (Vec<f64>, f64) {
     let mut gateway = Gateway::new(node.gateways, 1 + run);
     let (doc, mut out, mut line) = (base64(&[7; 200]), Vec::new(), String::new());
@@ -71,7 +78,9 @@
                 let (mut took, rate) = latencies(&node, run, Duration::from_millis(700), at_once);
                 took.sort_by(f64::total_cmp);
                 let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
-                all.entry((at_once, name)).or_default().push([at(0.5), at(0.99), rate]);
+                all.entry((at_once, name))
+                    .or_default()
+                    .push([at(0.5), at(0.99), rate]);
             }
         }
     }
@@ -87,7 +96,8 @@
     let _ = std::fs::remove_dir_all(&base);
 }
 
-/// 100,000 keys with results of 400 bytes: how long a node takes to read them, and the most memory that it has had.
+/// 100,000 keys with results of 400 bytes: how long a node takes to read them, and the most memory
+/// that it has had.
 #[test]
 #[ignore = "a measurement, not a check of every build"]
 fn a_hundred_thousand_keys() {
@@ -116,7 +126,11 @@
                 linger,
             };
             batch.push(&Record::Intent(intent));
-            batch.push(&Record::Outcome { id, over, kept: Kept::Served(vec![7; 400]) });
+            batch.push(&Record::Outcome {
+                id,
+                over,
+                kept: Kept::Served(vec![7; 400]),
+            });
         }
         log.write(&batch).unwrap();
     }
--- a/crates/node/tests/uwsgi.rs
+++ b/crates/node/tests/uwsgi.rs
@@ -16,7 +16,10 @@
 fn both() -> (Node, Processor, Worker) {
     let (mut processor, worker) = (Processor::new(), Worker::new());
     let file = uwsgi_file(Some(worker.address()), "workers");
-    let node = Node::start(json!({"processor": processor.address().to_string()}), Some(&file));
+    let node = Node::start(
+        json!({"processor": processor.address().to_string()}),
+        Some(&file),
+    );
     processor.up();
     node.ready();
     (node, processor, worker)
@@ -25,7 +28,11 @@
 #[test]
 fn a_packet_reaches_its_worker_unchanged_and_so_does_the_response() {
     let (node, _processor, worker) = both();
-    let sent = packet("/swap/7", &[(KEY, "k"), ("HTTP_X_OTHER", "ü")], b"\0body\xff");
+    let sent = packet(
+        "/swap/7",
+        &[(KEY, "k"), ("HTTP_X_OTHER", "ü")],
+        b"\0body\xff",
+    );
     let client = node.client(&sent);
     let (mut stream, seen) = worker.accept();
     assert_eq!(seen, sent);
@@ -39,12 +46,21 @@
     // With another body it is an error on either front.
     gateway.send("swap-confirm", work(5000, Some("k"), b"other"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
-    assert_eq!(node.uwsgi(&packet("/swap/7", &[(KEY, "k")], b"other")).0, 400);
+    assert_eq!(
+        node.uwsgi(&packet("/swap/7", &[(KEY, "k")], b"other")).0,
+        400
+    );
     // A platform request of a class of the workers' is a packet to them.
     gateway.send("swap-confirm", work(5000, Some("k2"), b"doc"));
     let (mut stream, seen) = worker.accept();
-    assert!(seen.ends_with(b"doc"), "{:?}", String::from_utf8_lossy(&seen));
-    stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nto the end").unwrap();
+    assert!(
+        seen.ends_with(b"doc"),
+        "{:?}",
+        String::from_utf8_lossy(&seen)
+    );
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\n\r\nto the end")
+        .unwrap();
     drop(stream);
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"to the end"));
 }
@@ -80,13 +96,25 @@
     ];
     for (bytes, expected) in cases {
         let (status, text) = node.uwsgi(&bytes);
-        assert_eq!(status, expected, "{text} to {:?}", String::from_utf8_lossy(&bytes));
+        assert_eq!(
+            status,
+            expected,
+            "{text} to {:?}",
+            String::from_utf8_lossy(&bytes)
+        );
     }
     // A length that is no number is wrong, one that no number holds is too large.
     for (length, expected) in [("-1", 400), ("1e3", 400), ("99999999999999999999999", 413)] {
         let mut bytes = packet("/view", &[], b"");
-        let at = bytes.windows(14).position(|w| w == b"CONTENT_LENGTH").unwrap() + 14;
-        bytes.splice(at..at + 3, [&(length.len() as u16).to_le_bytes()[..], length.as_bytes()].concat());
+        let at = bytes
+            .windows(14)
+            .position(|w| w == b"CONTENT_LENGTH")
+            .unwrap()
+            + 14;
+        bytes.splice(
+            at..at + 3,
+            [&(length.len() as u16).to_le_bytes()[..], length.as_bytes()].concat(),
+        );
         let size = (bytes.len() - 4) as u16;
         bytes[1..3].copy_from_slice(&size.to_le_bytes());
         assert_eq!(node.uwsgi(&bytes).0, expected, "{length}");
@@ -112,32 +140,51 @@
     let client = node.client(&packet("/view", &[("HTTP_X_ALLOW_MS", "200")], b""));
     processor.begin();
     assert_eq!(response(client).0, 504);
-    assert!(start.elapsed() < Duration::from_millis(450), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(450),
+        "{:?}",
+        start.elapsed()
+    );
     // A worker that breaks off may have run it: failed, and not run again for a repeat.
-    for reply in [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", b"no http at all\r\n\r\n"] {
+    for reply in [
+        &b""[..],
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+        b"no http at all\r\n\r\n",
+    ] {
         let key = format!("broken {}", reply.len());
         let client = node.client(&packet("/swap", &[(KEY, &key)], b""));
         let (mut stream, _) = worker.accept();
         stream.write_all(reply).unwrap();
         drop(stream);
         assert_eq!(response(client).0, 502, "{key}");
-        assert_eq!(node.uwsgi(&packet("/swap", &[(KEY, &key)], b"")).0, 502, "{key} again");
+        assert_eq!(
+            node.uwsgi(&packet("/swap", &[(KEY, &key)], b"")).0,
+            502,
+            "{key} again"
+        );
     }
     // A worker that refuses the connection never ran it: come back, and it runs.
     let address = worker.address();
     drop(worker);
     let (status, text) = node.uwsgi(&packet("/swap", &[(KEY, "later")], b""));
-    assert!(status == 503 && text.contains("Retry-After: 1\r\n"), "{text}");
+    assert!(
+        status == 503 && text.contains("Retry-After: 1\r\n"),
+        "{text}"
+    );
     let worker = Worker(std::net::TcpListener::bind(address).expect("the port is still free"));
     let bodies = worker.echo();
-    assert_eq!(node.uwsgi(&packet("/swap", &[(KEY, "later")], b"now")).0, 200);
+    assert_eq!(
+        node.uwsgi(&packet("/swap", &[(KEY, "later")], b"now")).0,
+        200
+    );
     assert_eq!(bodies.recv_timeout(PATIENCE).unwrap(), b"now");
 }
 
 #[test]
 fn a_node_of_workers_alone_needs_no_processor() {
     let worker = Worker::new();
-    let file = uwsgi_file(Some(worker.address()), "workers").replace("\"processor\"", "\"workers\"");
+    let file =
+        uwsgi_file(Some(worker.address()), "workers").replace("\"processor\"", "\"workers\"");
     let node = Node::start(json!({}), Some(&file));
     let _bodies = worker.echo();
     let mut gateway = node.ready();
@@ -158,10 +205,13 @@
     let retry = node.client(&swap);
     let mut gateway = node.gateway();
     gateway.send("swap-confirm", work(10000, Some("k"), b""));
-    // The first caller leaves; its run goes on for the others, and one more try gets the outcome too.
+    // The first caller leaves; its run goes on for the others, and one more try gets the outcome
+    // too.
     first.shutdown(Shutdown::Both).unwrap();
     let last = node.client(&swap);
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nonce").unwrap();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nonce")
+        .unwrap();
     for client in [retry, last] {
         let (status, text) = response(client);
         assert!(status == 200 && text.ends_with("once"), "{text}");
@@ -177,29 +227,40 @@
     let swap = packet("/swap", &[(KEY, "k")], b"body");
     let running = node.client(&swap);
     let (mut stream, _) = worker.accept();
-    let halves: Vec<_> = [1, 4, 20, swap.len() - 1].map(|n| node.client(&swap[..n])).into();
+    let halves: Vec<_> = [1, 4, 20, swap.len() - 1]
+        .map(|n| node.client(&swap[..n]))
+        .into();
     let start = Instant::now();
     node.signal("-TERM");
     node.line("draining: ");
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").unwrap();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        .unwrap();
     assert_eq!(response(running).0, 200);
     let counters = node.line("counters: ");
     assert!(node.wait().success());
     // The grace of the drain and some, not the time that there is.
-    assert!(start.elapsed() < Duration::from_millis(4500), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_millis(4500),
+        "{:?}",
+        start.elapsed()
+    );
     assert_eq!(Node::counter(&counters, "requests"), 1);
     drop(halves);
 }
 
-/// Both protocols at once, more than the node takes: one outcome for each request and one run for each key.
-/// That a drain treats both alike is the next test.
+/// Both protocols at once, more than the node takes: one outcome for each request and one run for
+/// each key. That a drain treats both alike is the next test.
 #[test]
 fn a_surge_over_both_fronts_gets_one_outcome_for_each_request() {
     const CALLERS: usize = 12;
     const EACH: usize = 60;
     let (mut processor, worker) = (Processor::new(), Worker::new());
     let file = uwsgi_file(Some(worker.address()), "workers");
-    let mut node = Node::start(json!({"processor": processor.address().to_string()}), Some(&file));
+    let mut node = Node::start(
+        json!({"processor": processor.address().to_string()}),
+        Some(&file),
+    );
     processor.up();
     node.ready();
     let (reads, writes) = (processor.echo(), worker.echo());
@@ -216,7 +277,8 @@
                 for i in 0..EACH / 30 {
                     for j in 0..15 {
                         let key = key(i * 15 + j);
-                        let number = gateway.send("swap-confirm", work(9000, Some(&key), swap.as_bytes()));
+                        let number =
+                            gateway.send("swap-confirm", work(9000, Some(&key), swap.as_bytes()));
                         open.insert(number, swap.clone());
                         open.insert(
                             gateway.send("rota-view", work(9000, None, view.as_bytes())),
@@ -245,7 +307,9 @@
                     };
                     let mut stream = std::net::TcpStream::connect(uwsgi).unwrap();
                     stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                    stream.write_all(&packet(path, &more, body.as_bytes())).unwrap();
+                    stream
+                        .write_all(&packet(path, &more, body.as_bytes()))
+                        .unwrap();
                     let (status, text) = response(stream);
                     match status {
                         200 => assert!(text.ends_with(&format!("\r\n\r\n{body}")), "{text}"),
@@ -265,9 +329,15 @@
     assert_eq!(count("served") + count("refused"), asked, "{counters}");
     assert_eq!((count("failed"), count("gone")), (0, 0), "{counters}");
     // Every run was of its own: no more writes than keys, and the node began as many as came out.
-    let (reads, writes) = (reads.try_iter().count() as u64, writes.try_iter().count() as u64);
+    let (reads, writes) = (
+        reads.try_iter().count() as u64,
+        writes.try_iter().count() as u64,
+    );
     assert_eq!(reads + writes, count("runs"));
-    assert!(writes <= (CALLERS / 4 * EACH / 2) as u64, "{writes} runs for {counters}");
+    assert!(
+        writes <= (CALLERS / 4 * EACH / 2) as u64,
+        "{writes} runs for {counters}"
+    );
     assert!(count("repeats") > 0 && count("served") > 0, "{counters}");
 }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,9 +1,9 @@
 //! Sockets and timers on one thread, for tasks on a local executor. Linux alone: it is epoll.
 //!
-//! It has the part of async-io's interface that the node needs. `docs/request-path.md` says with figures why it
-//! is not async-io: there each wait costs five system calls, and a second thread takes the poller over whenever
-//! the first is idle or busy for a while. Here a wait is one call: sockets are registered once, for edges, and
-//! the next timer is the wait's own time-out.
+//! It has the part of async-io's interface that the node needs. `docs/request-path.md` says with
+//! figures why it is not async-io: there each wait costs five system calls, and a second thread
+//! takes the poller over whenever the first is idle or busy for a while. Here a wait is one call:
+//! sockets are registered once, for edges, and the next timer is the wait's own time-out.
 //!
 //! Everything belongs to the thread that made it. A waker may be called from any thread.
 //!
@@ -47,7 +47,10 @@
 /// That of the clock.
 const CLOCK: u64 = u64::MAX - 1;
 /// Nothing at all.
-const ZERO: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+const ZERO: Timespec = Timespec {
+    tv_sec: 0,
+    tv_nsec: 0,
+};
 
 /// What a task may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,11 +59,13 @@
     Out,
 }
 
-/// One descriptor. It is ready until a call has said that it is not: with edges, nobody says it a second time.
+/// One descriptor. It is ready until a call has said that it is not: with edges, nobody says it a
+/// second time.
 #[derive(Debug, Default)]
 struct Source {
     ready: [bool; 2],
-    /// The peer sends no more, or the socket has failed: a read has something to say, and no edge is to come.
+    /// The peer sends no more, or the socket has failed: a read has something to say, and no edge
+    /// is to come.
     ended: bool,
     /// One task reads and one writes; it may be the same.
     waiting: [Option<Waker>; 2],
@@ -68,8 +73,8 @@
 
 struct Reactor {
     epoll: OwnedFd,
-    /// Wakes the poller to the nanosecond, where its own time-out would round up to a millisecond; and when it is
-    /// set for.
+    /// Wakes the poller to the nanosecond, where its own time-out would round up to a millisecond;
+    /// and when it is set for.
     clock: OwnedFd,
     armed: Cell<Option<Instant>>,
     sources: RefCell<Slab<Source>>,
@@ -111,11 +116,22 @@
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         let notifier = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         let flags = epoll::EventFlags::IN | epoll::EventFlags::ET;
-        epoll::add(&epoll, &notifier, epoll::EventData::new_u64(NOTIFIER), flags)?;
-        let clock =
-            timerfd_create(TimerfdClockId::Monotonic, TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK)?;
+        epoll::add(
+            &epoll,
+            &notifier,
+            epoll::EventData::new_u64(NOTIFIER),
+            flags,
+        )?;
+        let clock = timerfd_create(
+            TimerfdClockId::Monotonic,
+            TimerfdFlags::CLOEXEC | TimerfdFlags::NONBLOCK,
+        )?;
         epoll::add(&epoll, &clock, epoll::EventData::new_u64(CLOCK), flags)?;
-        let main = Main { thread: std::thread::current().id(), woken: AtomicBool::new(false), notifier };
+        let main = Main {
+            thread: std::thread::current().id(),
+            woken: AtomicBool::new(false),
+            notifier,
+        };
         Ok(Reactor {
             epoll,
             clock,
@@ -133,15 +149,20 @@
         let key = self.sources.borrow_mut().insert(source);
         use epoll::EventFlags as E;
         let flags = E::IN | E::OUT | E::RDHUP | E::ET;
-        if let Err(error) = epoll::add(&self.epoll, fd, epoll::EventData::new_u64(key as u64), flags) {
+        if let Err(error) = epoll::add(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(key as u64),
+            flags,
+        ) {
             self.sources.borrow_mut().remove(key);
             return Err(error.into());
         }
         Ok(key)
     }
 
-    /// No event of it is left to reach the next holder of its number: all that were taken are worked off before any
-    /// task runs.
+    /// No event of it is left to reach the next holder of its number: all that were taken are
+    /// worked off before any task runs.
     fn remove(&self, key: usize, fd: impl AsFd) {
         let _ = epoll::delete(&self.epoll, fd);
         let source = self.sources.borrow_mut().try_remove(key);
@@ -170,7 +191,8 @@
         self.sources.borrow_mut()[key].ready[way as usize] = false;
     }
 
-    /// Sets the clock for the next timer, unless it rings by then anyway. Whether that is still to come.
+    /// Sets the clock for the next timer, unless it rings by then anyway. Whether that is still to
+    /// come.
     fn arm(&self, next: Option<Instant>) -> bool {
         let Some(next) = next.filter(|next| self.armed.get().is_none_or(|at| *next < at)) else {
             return true;
@@ -179,8 +201,14 @@
         if left.is_zero() {
             return false;
         }
-        let value = Timespec { tv_sec: left.as_secs() as _, tv_nsec: left.subsec_nanos().into() };
-        let value = Itimerspec { it_interval: ZERO, it_value: value };
+        let value = Timespec {
+            tv_sec: left.as_secs() as _,
+            tv_nsec: left.subsec_nanos().into(),
+        };
+        let value = Itimerspec {
+            it_interval: ZERO,
+            it_value: value,
+        };
         // A clock that can't be set is looked at instead.
         let set = timerfd_settime(&self.clock, TimerfdTimerFlags::empty(), &value).is_ok();
         self.armed.set(set.then_some(next));
@@ -189,11 +217,19 @@
 
     /// Waits for events, at most until the next timer, or not at all; wakes those concerned.
     fn react(&self, wait: bool) {
-        let next = self.timers.borrow().first_key_value().map(|((at, _), _)| *at);
+        let next = self
+            .timers
+            .borrow()
+            .first_key_value()
+            .map(|((at, _), _)| *at);
         let wait = wait && self.arm(next);
         let mut events = self.events.borrow_mut();
         // Interrupted by a signal, or out of kernel memory: either way the loop comes again.
-        let _ = epoll::wait(&self.epoll, spare_capacity(&mut events), (!wait).then_some(&ZERO));
+        let _ = epoll::wait(
+            &self.epoll,
+            spare_capacity(&mut events),
+            (!wait).then_some(&ZERO),
+        );
         let mut woken = self.woken.take();
         let mut sources = self.sources.borrow_mut();
         for event in events.drain(..) {
@@ -203,11 +239,16 @@
                 continue;
             }
             // The clock has rung: it need not be read, as each time that it rings is an edge.
-            let Some(source) = sources.get_mut(data as usize) else { continue };
+            let Some(source) = sources.get_mut(data as usize) else {
+                continue;
+            };
             use epoll::EventFlags as E;
             source.ended |= flags.intersects(E::RDHUP | E::HUP | E::ERR);
             let ways = [E::IN | E::RDHUP | E::HUP | E::ERR, E::OUT | E::HUP | E::ERR];
-            for (way, flags) in [Way::In, Way::Out].into_iter().zip(ways.map(|w| flags.intersects(w))) {
+            for (way, flags) in [Way::In, Way::Out]
+                .into_iter()
+                .zip(ways.map(|w| flags.intersects(w)))
+            {
                 if flags {
                     source.ready[way as usize] = true;
                     woken.extend(source.waiting[way as usize].take());
@@ -244,7 +285,8 @@
             if let Poll::Ready(value) = future.as_mut().poll(&mut context) {
                 return value;
             }
-            // What has been woken meanwhile has its turn after a look at the sockets, which it may not starve.
+            // What has been woken meanwhile has its turn after a look at the sockets, which it may
+            // not starve.
             reactor.react(!reactor.main.woken.load(Ordering::Acquire));
         }
     })
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -5,8 +5,8 @@
 use rustix::io::Errno;
 use rustix::net::{
     bind, connect, ipproto, recvmsg, sendmsg, socket_with, AddressFamily, RecvAncillaryBuffer,
-    RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketFlags,
-    SocketType,
+    RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags,
+    SocketFlags, SocketType,
 };
 use std::future::poll_fn;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut, Read, Write};
@@ -26,11 +26,19 @@
 }
 
 impl<T: AsFd> Async<T> {
-    /// Registers a socket that does not block. It is taken to be writable until a write says that it isn't.
+    /// Registers a socket that does not block. It is taken to be writable until a write says that
+    /// it isn't.
     fn register(io: T, writable: bool) -> io::Result<Async<T>> {
-        let source = Source { ready: [false, writable], ..Source::default() };
+        let source = Source {
+            ready: [false, writable],
+            ..Source::default()
+        };
         let key = REACTOR.with(|r| r.add(&io, source))?;
-        Ok(Async { io, key, here: PhantomData })
+        Ok(Async {
+            io,
+            key,
+            here: PhantomData,
+        })
     }
 
     /// The socket itself. It does not block.
@@ -43,7 +51,11 @@
     }
 
     /// Does something that may say that it would block, until it doesn't.
-    async fn attempt<R>(&self, way: Way, mut call: impl FnMut(&T) -> io::Result<R>) -> io::Result<R> {
+    async fn attempt<R>(
+        &self,
+        way: Way,
+        mut call: impl FnMut(&T) -> io::Result<R>,
+    ) -> io::Result<R> {
         loop {
             self.ready(way).await;
             match call(&self.io) {
@@ -69,12 +81,13 @@
 where
     for<'a> &'a T: Read + Write,
 {
-    /// Bytes read; none at the end of the stream. The system is asked once it has said that there is something.
+    /// Bytes read; none at the end of the stream. The system is asked once it has said that there
+    /// is something.
     pub async fn read(&self, bytes: &mut [u8]) -> io::Result<usize> {
         let read = self.attempt(Way::In, |mut io| io.read(bytes)).await?;
         if read < bytes.len() {
-            // All that there was, as epoll(7) has it for streams; the next edge says when there is more. An end
-            // that came with the bytes has no further edge, and is there to be read.
+            // All that there was, as epoll(7) has it for streams; the next edge says when there is
+            // more. An end that came with the bytes has no further edge, and is there to be read.
             REACTOR.with(|r| r.not_ready(self.key, Way::In));
         }
         Ok(read)
@@ -110,8 +123,15 @@
     }
 
     /// Connects from this address of the machine, if one is given.
-    pub async fn connect_from(from: Option<IpAddr>, to: SocketAddr) -> io::Result<Async<TcpStream>> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    pub async fn connect_from(
+        from: Option<IpAddr>,
+        to: SocketAddr,
+    ) -> io::Result<Async<TcpStream>> {
+        let family = if to.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
         if let Some(from) = from {
@@ -162,7 +182,8 @@
 
     /// The next datagram: its bytes, of which those that find no room are lost, and who sent it.
     pub async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        self.attempt(Way::In, |socket| socket.recv_from(bytes)).await
+        self.attempt(Way::In, |socket| socket.recv_from(bytes))
+            .await
     }
 }
 
@@ -176,7 +197,8 @@
         Async::register(stream, true)
     }
 
-    /// Writes some of the bytes, and passes these descriptors along with the first of them; how many bytes.
+    /// Writes some of the bytes, and passes these descriptors along with the first of them; how
+    /// many bytes.
     pub async fn send_with(&self, bytes: &[u8], passed: &[BorrowedFd<'_>]) -> io::Result<usize> {
         if passed.len() > MOST_PASSED {
             return Err(ErrorKind::InvalidInput.into());
@@ -187,13 +209,22 @@
             if !control.push(SendAncillaryMessage::ScmRights(passed)) {
                 return Err(ErrorKind::InvalidInput.into());
             }
-            Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?)
+            Ok(sendmsg(
+                stream,
+                &[IoSlice::new(bytes)],
+                &mut control,
+                SendFlags::NOSIGNAL,
+            )?)
         })
         .await
     }
 
     /// Bytes read, none at the end of the stream, and the descriptors that came along with them.
-    pub async fn receive_with(&self, bytes: &mut [u8], passed: &mut Vec<OwnedFd>) -> io::Result<usize> {
+    pub async fn receive_with(
+        &self,
+        bytes: &mut [u8],
+        passed: &mut Vec<OwnedFd>,
+    ) -> io::Result<usize> {
         self.attempt(Way::In, |stream| {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_PASSED))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
@@ -219,7 +250,9 @@
 
     /// The next connection.
     pub async fn accept(&self) -> io::Result<UnixStream> {
-        self.attempt(Way::In, |listener| listener.accept()).await.map(|(stream, _)| stream)
+        self.attempt(Way::In, |listener| listener.accept())
+            .await
+            .map(|(stream, _)| stream)
     }
 }
 
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -29,7 +29,10 @@
 fn pair() -> (Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    (Async::<TcpStream>::new(ours).unwrap(), listener.accept().unwrap().0)
+    (
+        Async::<TcpStream>::new(ours).unwrap(),
+        listener.accept().unwrap().0,
+    )
 }
 
 /// A timer that is waited for and has not rung yet, however long the machine kept the test waiting.
@@ -83,7 +86,8 @@
     assert!((1..=2).contains(&polls), "{polls}");
 }
 
-/// The poller's own time-out has whole milliseconds, rounded up: a timer of 3.3 ms would be 0.7 ms late or more.
+/// The poller's own time-out has whole milliseconds, rounded up: a timer of 3.3 ms would be 0.7 ms
+/// late or more.
 #[test]
 fn timers_keep_to_less_than_a_millisecond() {
     let late = (0..50).map(|_| {
@@ -95,7 +99,8 @@
     assert!(least < Duration::from_micros(500), "{least:?}");
 }
 
-/// The clock was once taken to be set for a timer that had long been dropped, and nothing else ever set it.
+/// The clock was once taken to be set for a timer that had long been dropped, and nothing else ever
+/// set it.
 #[test]
 fn a_clock_that_rang_for_nobody_is_set_again() {
     let (done, ended) = std::sync::mpsc::channel();
@@ -118,7 +123,9 @@
         });
         done.send(()).unwrap();
     });
-    ended.recv_timeout(Duration::from_secs(20)).expect("the timer rings");
+    ended
+        .recv_timeout(Duration::from_secs(20))
+        .expect("the timer rings");
 }
 
 /// The end comes with the bytes in one event, and no edge follows.
@@ -290,7 +297,8 @@
     assert_eq!(run(future::or(async { Some(read.await) }, busy)), Some(1));
 }
 
-/// Sockets come and go: the place of one is taken by the next, which hears nothing of the last one's.
+/// Sockets come and go: the place of one is taken by the next, which hears nothing of the last
+/// one's.
 #[test]
 fn a_place_is_used_again() {
     run(async {
--- a/crates/session-affinity/examples/cost.rs
+++ b/crates/session-affinity/examples/cost.rs
@@ -1,23 +1,45 @@
-//! What a session costs a request: finding one that is known here, placing a new one alone, and what a home and a newcomer do, with so
-//! many sessions remembered. `cargo run --release -p pipitlever-session-affinity --example cost`
+//! What a session costs a request: finding one that is known here, placing a new one alone, and
+//! what a home and a newcomer do, with so many sessions remembered. `cargo run --release -p
+//! pipitlever-session-affinity --example cost`
 
 use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 use std::time::Instant;
 
 fn pool(workers: usize) -> Pool {
-    let server = |i| Server { name: format!("w{i}"), weight: 1.0, takes: true, drains: false };
+    let server = |i| Server {
+        name: format!("w{i}"),
+        weight: 1.0,
+        takes: true,
+        drains: false,
+    };
     let workers = (0..workers).map(server).collect();
-    Pool { name: "p".into(), was: Vec::new(), workers, idle: 3600, patience: 0, linger: 0 }
+    Pool {
+        name: "p".into(),
+        was: Vec::new(),
+        workers,
+        idle: 3600,
+        patience: 0,
+        linger: 0,
+    }
 }
 
 fn main() {
     println!("sessions  nodes  known, ns  placed, ns  MB  homes change, piece, sweep, ms");
-    for (sessions, nodes) in [(1_000u64, 10), (1_000_000, 10), (1_000, 1_000), (1_000_000, 1_000)] {
-        let settings = Settings { wait: 60_000, most: 2_000_000 };
+    for (sessions, nodes) in [
+        (1_000u64, 10),
+        (1_000_000, 10),
+        (1_000, 1_000),
+        (1_000_000, 1_000),
+    ] {
+        let settings = Settings {
+            wait: 60_000,
+            most: 2_000_000,
+        };
         let mut node = Node::new("n0", settings, vec![pool(12)], 0, 1, 0);
         node.view(0, Vec::new(), true);
         let start = Instant::now();
-        (0..sessions).for_each(|s| assert!(matches!(node.want(0, 0, What::Session(s), s), Found::At(_))));
+        (0..sessions)
+            .for_each(|s| assert!(matches!(node.want(0, 0, What::Session(s), s), Found::At(_))));
         let placed = start.elapsed().as_nanos() as f64 / sessions as f64;
         let looks = 1_000_000;
         let start = Instant::now();
@@ -29,11 +51,19 @@
         }
         node.take_out();
         let known = start.elapsed().as_nanos() as f64 / looks as f64;
-        let peers = |count: usize| (1..count).map(|i| Peer { name: format!("n{i}"), filled: true }).collect();
+        let peers = |count: usize| {
+            (1..count)
+                .map(|i| Peer {
+                    name: format!("n{i}"),
+                    filled: true,
+                })
+                .collect()
+        };
         let start = Instant::now();
         node.view(0, peers(nodes), true);
         let change = start.elapsed().as_secs_f64() * 1e3;
-        // The longest of what is done at one time: pieces of what others are to hear, and of what may be forgotten.
+        // The longest of what is done at one time: pieces of what others are to hear, and of what
+        // may be forgotten.
         let mut piece = 0.0f64;
         for t in 1..2_000 {
             let start = Instant::now();
--- a/crates/session-affinity/src/choose.rs
+++ b/crates/session-affinity/src/choose.rs
@@ -1,6 +1,7 @@
-//! Where a session would live that is placed now: weighted rendezvous (Thaler and Ravishankar 1998, with weights after Schindelhauer
-//! and Schomaker 2005). It follows from the session and the workers alone, so that all nodes would place it alike, and those that
-//! have to leave a worker spread over the others by weight.
+//! Where a session would live that is placed now: weighted rendezvous (Thaler and Ravishankar 1998,
+//! with weights after Schindelhauer and Schomaker 2005). It follows from the session and the
+//! workers alone, so that all nodes would place it alike, and those that have to leave a worker
+//! spread over the others by weight.
 
 use crate::{mix, Session, WorkerId};
 
@@ -18,14 +19,20 @@
 }
 
 /// The worker of a new session, of those that are not to be had; none if nobody takes any.
-pub fn choose(session: Session, workers: &[Worker], not: impl Fn(WorkerId) -> bool) -> Option<WorkerId> {
+pub fn choose(
+    session: Session,
+    workers: &[Worker],
+    not: impl Fn(WorkerId) -> bool,
+) -> Option<WorkerId> {
     let worth = |w: &&Worker| {
         // Within 0 and 1, and neither.
         let drawn = ((mix(session, u64::from(w.id)) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         -w.weight / drawn.ln()
     };
     let there = workers.iter().filter(|w| w.takes && !not(w.id));
-    there.max_by(|a, b| worth(a).total_cmp(&worth(b)).then(a.id.cmp(&b.id))).map(|w| w.id)
+    there
+        .max_by(|a, b| worth(a).total_cmp(&worth(b)).then(a.id.cmp(&b.id)))
+        .map(|w| w.id)
 }
 
 #[cfg(test)]
@@ -33,8 +40,12 @@
     use super::*;
 
     fn workers(weights: &[f64]) -> Vec<Worker> {
-        let worker =
-            |(i, w): (usize, &f64)| Worker { id: i as u32 + 1, weight: *w, takes: true, keeps: true };
+        let worker = |(i, w): (usize, &f64)| Worker {
+            id: i as u32 + 1,
+            weight: *w,
+            takes: true,
+            keeps: true,
+        };
         weights.iter().enumerate().map(worker).collect()
     }
 
@@ -51,10 +62,16 @@
             after[next as usize - 1] += 1;
         }
         for (count, ideal) in counts.into_iter().zip([10_000, 10_000, 20_000, 40_000]) {
-            assert!((ideal * 97 / 100..ideal * 103 / 100).contains(&count), "{counts:?}");
+            assert!(
+                (ideal * 97 / 100..ideal * 103 / 100).contains(&count),
+                "{counts:?}"
+            );
         }
         for (count, ideal) in after.into_iter().zip([20_000, 20_000, 40_000]) {
-            assert!((ideal * 97 / 100..ideal * 103 / 100).contains(&count), "{after:?}");
+            assert!(
+                (ideal * 97 / 100..ideal * 103 / 100).contains(&count),
+                "{after:?}"
+            );
         }
         assert_eq!(choose(1, &all, |_| true), None);
         assert_eq!(choose(1, &[], |_| false), None);
--- a/crates/session-affinity/src/homes.rs
+++ b/crates/session-affinity/src/homes.rs
@@ -1,5 +1,6 @@
-//! Which nodes remember a session for the others: the first ones in an order of all nodes that is another for each session
-//! (rendezvous hashing). Who comes takes a place among the first of few sessions, and those who had them are the next in that order.
+//! Which nodes remember a session for the others: the first ones in an order of all nodes that is
+//! another for each session (rendezvous hashing). Who comes takes a place among the first of few
+//! sessions, and those who had them are the next in that order.
 
 use crate::{mix, Session};
 use pipitlever_membership::record::digest;
@@ -19,7 +20,9 @@
 impl Homes {
     /// These nodes.
     pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> Homes {
-        let mut all: Vec<(u64, String)> = names.map(|n| (digest(n.as_bytes()), n.to_owned())).collect();
+        let mut all: Vec<(u64, String)> = names
+            .map(|n| (digest(n.as_bytes()), n.to_owned()))
+            .collect();
         all.sort_unstable();
         Homes { all }
     }
@@ -35,7 +38,9 @@
                 best.truncate(count);
             }
         }
-        best.into_iter().map(|(_, i)| self.all[i].1.as_str()).collect()
+        best.into_iter()
+            .map(|(_, i)| self.all[i].1.as_str())
+            .collect()
     }
 
     /// Whether a node is one of those that remember a session.
@@ -64,10 +69,16 @@
             let session = mix(session, 1);
             let asked = after.first(session, ASKED);
             // Whoever had it is asked still.
-            assert!(before.first(session, COPIES).iter().all(|n| asked.contains(n)));
+            assert!(before
+                .first(session, COPIES)
+                .iter()
+                .all(|n| asked.contains(n)));
             new += usize::from(after.has(session, "n19"));
         }
-        assert!((800..1_200).contains(&new), "{new} of 10,000 are two of twenty");
+        assert!(
+            (800..1_200).contains(&new),
+            "{new} of 10,000 are two of twenty"
+        );
         assert_eq!(before.first(7, 50).len(), 19);
         assert!(Homes::default().first(7, 2).is_empty());
     }
--- a/crates/session-affinity/src/lib.rs
+++ b/crates/session-affinity/src/lib.rs
@@ -1,5 +1,5 @@
-//! Where each session lives: a session stays with its worker through versions, whichever node its client reaches, until the worker is
-//! taken away or fails; and all nodes come to hold the same.
+//! Where each session lives: a session stays with its worker through versions, whichever node its
+//! client reaches, until the worker is taken away or fails; and all nodes come to hold the same.
 //!
 //! Nothing here does I/O or reads a clock.
 //!
@@ -9,7 +9,8 @@
 //! - [`homes`]: which nodes remember a session for the others.
 //! - [`table`]: what a node remembers, bounded.
 //! - [`message`]: what nodes say to each other.
-//! - [`lookup`]: asking for a session that is not known here; [`owed`]: what homes have not said that they have.
+//! - [`lookup`]: asking for a session that is not known here; [`owed`]: what homes have not said
+//!   that they have.
 //! - [`node`]: all of it together.
 //!
 //! `docs/affinity.md` has the design, what was compared, and the figures.
@@ -31,7 +32,8 @@
 /// A worker, as a digest of its pool and name: wherever it is.
 pub type WorkerId = u32;
 
-/// Two numbers that each stand for something, as one: the same in all builds and processes, as nodes choose by it alone.
+/// Two numbers that each stand for something, as one: the same in all builds and processes, as
+/// nodes choose by it alone.
 pub fn mix(a: u64, b: u64) -> u64 {
     pipitlever_load_balancing::ring::mix(a ^ b.rotate_left(32))
 }
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -1,4 +1,5 @@
-//! Asking a session's homes where it lives, and for how long: whoever wants it waits no longer than that.
+//! Asking a session's homes where it lives, and for how long: whoever wants it waits no longer than
+//! that.
 
 use crate::homes::ASKED;
 use crate::placement::Placement;
@@ -58,11 +59,15 @@
 impl Questions {
     /// A request waits for a session that is being asked for; whether there is such a question.
     pub fn join(&mut self, session: Session, waiting: u64) -> bool {
-        let question = self.by_session.get(&session).and_then(|ticket| self.all.get_mut(ticket));
+        let question = self
+            .by_session
+            .get(&session)
+            .and_then(|ticket| self.all.get_mut(ticket));
         question.map(|q| q.waiting.push(waiting)).is_some()
     }
 
-    /// A question to these, the first ones of which are homes, on behalf of a request. Its number; nothing if there are too many.
+    /// A question to these, the first ones of which are homes, on behalf of a request. Its number;
+    /// nothing if there are too many.
     pub fn ask(
         &mut self,
         pool: usize,
@@ -82,13 +87,24 @@
         let again = now + AGAIN;
         self.all.insert(
             self.last,
-            Question { session, pool, open, homes, best: None, at, until, again, waiting: vec![waiting] },
+            Question {
+                session,
+                pool,
+                open,
+                homes,
+                best: None,
+                at,
+                until,
+                again,
+                waiting: vec![waiting],
+            },
         );
         self.by_session.insert(session, self.last);
         Some(self.last)
     }
 
-    /// One has answered. The first home that knows settles it; if none does, the last that was asked.
+    /// One has answered. The first home that knows settles it; if none does, the last that was
+    /// asked.
     pub fn answer(
         &mut self,
         ticket: u32,
@@ -109,9 +125,22 @@
     }
 
     fn end(&mut self, ticket: u32) -> Option<Settled> {
-        let Question { session, pool, waiting, best, at, .. } = self.all.remove(&ticket)?;
+        let Question {
+            session,
+            pool,
+            waiting,
+            best,
+            at,
+            ..
+        } = self.all.remove(&ticket)?;
         self.by_session.remove(&session);
-        Some(Settled { session, pool, waiting, placement: best, at })
+        Some(Settled {
+            session,
+            pool,
+            waiting,
+            placement: best,
+            at,
+        })
     }
 
     /// Somebody has told of a session that is being asked for.
@@ -133,8 +162,15 @@
 
     /// Those whose time is over.
     pub fn due(&mut self, now: Micros) -> Vec<Settled> {
-        let late: Vec<u32> = self.all.iter().filter(|(_, q)| q.until <= now).map(|(t, _)| *t).collect();
-        late.into_iter().filter_map(|ticket| self.end(ticket)).collect()
+        let late: Vec<u32> = self
+            .all
+            .iter()
+            .filter(|(_, q)| q.until <= now)
+            .map(|(t, _)| *t)
+            .collect();
+        late.into_iter()
+            .filter_map(|ticket| self.end(ticket))
+            .collect()
     }
 
     /// When there is something to do about one.
@@ -150,25 +186,59 @@
 
     #[test]
     fn the_first_that_knows_settles_it_and_nobody_waits_for_longer() {
-        let at = Placement { worker: 1, birth: Birth { seconds: 1, by: 1 }, moves: 0, version: 0 };
+        let at = Placement {
+            worker: 1,
+            birth: Birth { seconds: 1, by: 1 },
+            moves: 0,
+            version: 0,
+        };
         let mut questions = Questions::default();
-        let ticket = questions.ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1).unwrap();
+        let ticket = questions
+            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .unwrap();
         assert!(questions.join(7, 2) && !questions.join(8, 3));
         assert_eq!(questions.answer(ticket, "a", 7, None), None);
-        assert_eq!(questions.answer(ticket, "a", 7, Some(at)), None, "one answer of each");
-        assert_eq!(questions.answer(ticket, "x", 7, Some(at)), None, "nobody asked it");
-        assert_eq!(questions.answer(ticket, "b", 8, Some(at)), None, "that was not the question");
+        assert_eq!(
+            questions.answer(ticket, "a", 7, Some(at)),
+            None,
+            "one answer of each"
+        );
+        assert_eq!(
+            questions.answer(ticket, "x", 7, Some(at)),
+            None,
+            "nobody asked it"
+        );
+        assert_eq!(
+            questions.answer(ticket, "b", 8, Some(at)),
+            None,
+            "that was not the question"
+        );
         let settled = questions.answer(ticket, "b", 7, Some(at)).unwrap();
         assert_eq!((settled.waiting, settled.placement), (vec![1, 2], Some(at)));
-        let ticket = questions.ask(0, (7, None), &["a", "b"], 2, [0, 100], 1).unwrap();
+        let ticket = questions
+            .ask(0, (7, None), &["a", "b"], 2, [0, 100], 1)
+            .unwrap();
         assert_eq!(questions.answer(ticket, "a", 7, None), None);
-        assert_eq!(questions.answer(ticket, "b", 7, None).unwrap().placement, None);
+        assert_eq!(
+            questions.answer(ticket, "b", 7, None).unwrap().placement,
+            None
+        );
         // One that is no home settles nothing while a home may know better.
-        let ticket = questions.ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1).unwrap();
+        let ticket = questions
+            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .unwrap();
         assert_eq!(questions.answer(ticket, "c", 7, Some(at)), None);
         let later = at.moved(2, 0);
-        assert_eq!(questions.answer(ticket, "a", 7, Some(later)).unwrap().placement, Some(later));
-        let ticket = questions.ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1).unwrap();
+        assert_eq!(
+            questions
+                .answer(ticket, "a", 7, Some(later))
+                .unwrap()
+                .placement,
+            Some(later)
+        );
+        let ticket = questions
+            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .unwrap();
         assert_eq!(questions.answer(ticket, "c", 7, Some(at)), None);
         assert_eq!(questions.due(100)[0].placement, Some(at));
         questions.ask(0, (9, None), &["a"], 1, [0, 100], 4);
--- a/crates/session-affinity/src/message.rs
+++ b/crates/session-affinity/src/message.rs
@@ -89,16 +89,40 @@
 
     #[test]
     fn the_longest_one_fits_a_datagram() {
-        let birth = Birth { seconds: u32::MAX, by: u16::MAX };
-        let placement = Placement { worker: u32::MAX, birth, moves: 255, version: u16::MAX };
+        let birth = Birth {
+            seconds: u32::MAX,
+            by: u16::MAX,
+        };
+        let placement = Placement {
+            worker: u32::MAX,
+            birth,
+            moves: 255,
+            version: u16::MAX,
+        };
         let entries = vec![(u64::MAX, placement, u32::MAX); MOST];
-        let message = Message::Tell { time: u32::MAX, entries, owed: true };
+        let message = Message::Tell {
+            time: u32::MAX,
+            entries,
+            owed: true,
+        };
         let bytes = message.write();
         assert!(bytes.len() < 800, "{}", bytes.len());
         assert_eq!(Message::read(&bytes), Some(message));
-        let more = Message::Tell { time: 0, entries: vec![(0, placement, 0); MOST + 1], owed: false };
+        let more = Message::Tell {
+            time: 0,
+            entries: vec![(0, placement, 0); MOST + 1],
+            owed: false,
+        };
         assert_eq!(Message::read(&more.write()), None);
-        assert_eq!(Message::read(&Message::Have { sessions: vec![0; MOST + 1] }.write()), None);
+        assert_eq!(
+            Message::read(
+                &Message::Have {
+                    sessions: vec![0; MOST + 1]
+                }
+                .write()
+            ),
+            None
+        );
     }
 
     proptest! {
--- a/crates/session-affinity/src/node/fill.rs
+++ b/crates/session-affinity/src/node/fill.rs
@@ -1,4 +1,5 @@
-//! A node that has just come is filled before it is anybody's home: each that is one sends it what it is to remember.
+//! A node that has just come is filled before it is anybody's home: each that is one sends it what
+//! it is to remember.
 
 use super::pieces::Errand;
 use super::Node;
@@ -50,8 +51,9 @@
     }
 
     pub(super) fn view(&mut self, filled: BTreeSet<String>, settled: bool) {
-        // Once a view has come to rest nobody else is wanted: whoever is filled later has it from these, and hears what is new as this
-        // node does. Many that start together would wait for each other.
+        // Once a view has come to rest nobody else is wanted: whoever is filled later has it from
+        // these, and hears what is new as this node does. Many that start together would wait for
+        // each other.
         if !self.settled {
             for name in &filled {
                 self.wanted.entry(name.clone()).or_default();
@@ -78,8 +80,13 @@
         if self.done {
             return None;
         }
-        let open = self.wanted.iter().filter(|(n, _)| !self.answered.contains(*n));
-        let again = open.map(|(_, at)| at.map_or(self.begun, |at| at + AGAIN)).min();
+        let open = self
+            .wanted
+            .iter()
+            .filter(|(n, _)| !self.answered.contains(*n));
+        let again = open
+            .map(|(_, at)| at.map_or(self.begun, |at| at + AGAIN))
+            .min();
         Some(again.unwrap_or(Micros::MAX).min(self.begun + LONGEST))
     }
 }
@@ -94,7 +101,8 @@
         for (name, at) in &mut fill.wanted {
             if !fill.answered.contains(name) && at.is_none_or(|at| now >= at + AGAIN) {
                 *at = Some(now);
-                self.out.push((name.clone(), Message::Fill { token: fill.token }.write()));
+                self.out
+                    .push((name.clone(), Message::Fill { token: fill.token }.write()));
             }
         }
         let all = fill.wanted.keys().all(|n| fill.answered.contains(n));
@@ -119,6 +127,12 @@
         if self.fill.served.len() > SERVED {
             self.fill.served.remove(0);
         }
-        self.send_all(now, Errand::Fill { to: from.to_owned(), token });
+        self.send_all(
+            now,
+            Errand::Fill {
+                to: from.to_owned(),
+                token,
+            },
+        );
     }
 }
--- a/crates/session-affinity/src/node/heard.rs
+++ b/crates/session-affinity/src/node/heard.rs
@@ -17,13 +17,20 @@
             .map(|p| (p.name.as_str(), p.filled))
             .chain(me)
             .collect();
-        let homes = Homes::new(all.iter().filter(|(_, filled)| *filled).map(|(name, _)| *name));
+        let homes = Homes::new(
+            all.iter()
+                .filter(|(_, filled)| *filled)
+                .map(|(name, _)| *name),
+        );
         self.coming = Homes::new(all.iter().map(|(name, _)| *name));
         let before = std::mem::replace(&mut self.homes, homes);
         if before != self.homes {
             self.spread(now, before);
         }
-        let filled = others.into_iter().filter(|p| p.filled && p.name != self.name).map(|p| p.name);
+        let filled = others
+            .into_iter()
+            .filter(|p| p.filled && p.name != self.name)
+            .map(|p| p.name);
         self.fill.view(filled.collect(), settled);
         self.filling(now);
     }
@@ -31,21 +38,37 @@
     /// A member said this.
     pub fn heard(&mut self, now: Micros, from: &str, message: &Message) {
         match message {
-            Message::Ask { time, ticket, session } => {
+            Message::Ask {
+                time,
+                ticket,
+                session,
+            } => {
                 self.time.hear(now, *time);
                 self.table.touch(now, *session);
                 let placement = self.table.get(now, *session).map(|(p, _)| p);
                 let (time, ticket, session) = (self.time.read(now), *ticket, *session);
-                let answer = Message::Answer { time, ticket, session, placement };
+                let answer = Message::Answer {
+                    time,
+                    ticket,
+                    session,
+                    placement,
+                };
                 self.out.push((from.to_owned(), answer.write()));
             }
-            Message::Answer { time, ticket, session, placement } => {
+            Message::Answer {
+                time,
+                ticket,
+                session,
+                placement,
+            } => {
                 self.time.hear(now, *time);
                 if let Some(settled) = self.questions.answer(*ticket, from, *session, *placement) {
                     return self.settled(now, settled);
                 }
                 // A late one, or one that nobody waits for.
-                let Some((ours, _)) = self.table.get(now, *session) else { return };
+                let Some((ours, _)) = self.table.get(now, *session) else {
+                    return;
+                };
                 match placement {
                     // The others may have what it takes the place of.
                     Some(theirs) if self.join(now, from, (*session, *theirs, 0)) => {
@@ -56,12 +79,17 @@
                     None => self.answer_with(now, from, vec![(*session, ours, 0)]),
                 }
             }
-            Message::Tell { time, entries, owed } => {
+            Message::Tell {
+                time,
+                entries,
+                owed,
+            } => {
                 self.time.hear(now, *time);
                 self.fill.heard(now, from);
                 for entry in entries {
                     let (session, placement, _) = *entry;
-                    let mine = self.homes.has(session, &self.name) || self.coming.has(session, &self.name);
+                    let mine =
+                        self.homes.has(session, &self.name) || self.coming.has(session, &self.name);
                     // Strangers fill nobody's memory with what is not his to remember.
                     if mine || self.table.get(now, session).is_some() {
                         self.join(now, from, *entry);
@@ -70,11 +98,14 @@
                         self.settled(now, settled);
                     }
                 }
-                let there =
-                    entries.iter().map(|e| e.0).filter(|s| *owed && self.table.get(now, *s).is_some());
+                let there = entries
+                    .iter()
+                    .map(|e| e.0)
+                    .filter(|s| *owed && self.table.get(now, *s).is_some());
                 let sessions: Vec<Session> = there.collect();
                 if !sessions.is_empty() {
-                    self.out.push((from.to_owned(), Message::Have { sessions }.write()));
+                    self.out
+                        .push((from.to_owned(), Message::Have { sessions }.write()));
                 }
             }
             Message::Have { sessions } => sessions.iter().for_each(|s| self.owed.has(*s, from)),
@@ -98,13 +129,23 @@
     }
 
     fn answer_with(&mut self, now: Micros, to: &str, entries: Vec<Entry>) {
-        let message = Message::Tell { time: self.time.read(now), entries, owed: false };
+        let message = Message::Tell {
+            time: self.time.read(now),
+            entries,
+            owed: false,
+        };
         self.out.push((to.to_owned(), message.write()));
     }
 
     /// A question is settled: those who wait hear of it.
     pub(super) fn settled(&mut self, now: Micros, settled: Settled) {
-        let Settled { session, pool, waiting, placement, at } = settled;
+        let Settled {
+            session,
+            pool,
+            waiting,
+            placement,
+            at,
+        } = settled;
         let found = match placement {
             _ if pool >= self.pools.len() => Found::Nowhere,
             Some(placement) => {
--- a/crates/session-affinity/src/node/mod.rs
+++ b/crates/session-affinity/src/node/mod.rs
@@ -44,13 +44,15 @@
 pub enum What {
     /// A session, by what its client shows.
     Session(u64),
-    /// A keyed request that has come to this worker for the first time: its repeats go there too, wherever its session goes meanwhile.
+    /// A keyed request that has come to this worker for the first time: its repeats go there too,
+    /// wherever its session goes meanwhile.
     Key(u64, WorkerId),
 }
 
 /// Keys are the odd ones among what is remembered.
 const KEY: u64 = 1;
-/// A key is remembered for so long, in seconds: longer than any window in which its repeats count as such.
+/// A key is remembered for so long, in seconds: longer than any window in which its repeats count
+/// as such.
 const KEYS: u32 = 600;
 
 impl What {
@@ -74,10 +76,12 @@
     Nowhere,
 }
 
-/// Sessions of other nodes' clients alone, and those that nobody wanted for so long, are asked for again; in seconds.
+/// Sessions of other nodes' clients alone, and those that nobody wanted for so long, are asked for
+/// again; in seconds.
 const CACHED: u32 = 60;
-/// How often a part of what is remembered is looked through for what is idle, in microseconds; and how many parts there are. Whether a
-/// session is this node's to remember takes some time to find out, and requests wait meanwhile.
+/// How often a part of what is remembered is looked through for what is idle, in microseconds; and
+/// how many parts there are. Whether a session is this node's to remember takes some time to find
+/// out, and requests wait meanwhile.
 const SWEEP: Micros = 1_000_000;
 const PARTS: u64 = 64;
 
@@ -140,7 +144,8 @@
         node
     }
 
-    /// Another version, or another file, is in force. What is known of a pool that stays, by whatever name it went, goes on.
+    /// Another version, or another file, is in force. What is known of a pool that stays, by
+    /// whatever name it went, goes on.
     pub fn set_pools(&mut self, now: Micros, version: u64, pools: Vec<Pool>) {
         self.version = version as u16;
         let before = std::mem::take(&mut self.pools);
@@ -150,14 +155,17 @@
 
     /// Where a request's session lives, or its key belongs. `waiting` stands for the request.
     pub fn want(&mut self, now: Micros, pool: usize, what: What, waiting: u64) -> Found {
-        let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else { return Found::Nowhere };
+        let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else {
+            return Found::Nowhere;
+        };
         if !self.fill.ready() {
             // It knows nobody yet whom it could ask.
             return Found::Nowhere;
         }
         if let Some((placement, fresh)) = self.table.get(now, session) {
             self.table.touch(now, session);
-            // Its homes are told of each move. Others hold what they have against them where they have not of late.
+            // Its homes are told of each move. Others hold what they have against them where they
+            // have not of late.
             if fresh {
                 return self.settle(now, pool, session, placement);
             }
@@ -171,12 +179,18 @@
             return Found::Asked;
         }
         let homes = self.homes.first(session, ASKED);
-        let first = homes.iter().take(COPIES).filter(|h| **h != self.name).count();
+        let first = homes
+            .iter()
+            .take(COPIES)
+            .filter(|h| **h != self.name)
+            .count();
         let others: Vec<&str> = homes.into_iter().filter(|h| *h != self.name).collect();
         let until = now + self.settings.wait;
         let asked = match others.is_empty() {
             true => None,
-            false => self.questions.ask(pool, (session, at), &others, first, [now, until], waiting),
+            false => self
+                .questions
+                .ask(pool, (session, at), &others, first, [now, until], waiting),
         };
         match asked {
             Some(ticket) => {
@@ -195,28 +209,51 @@
         }
     }
 
-    /// The same by what is known here alone, without a word to anybody: for a process that another one of its node has taken over from. Of
-    /// what it doesn't know it says nothing: whoever comes again finds the other process.
+    /// The same by what is known here alone, without a word to anybody: for a process that another
+    /// one of its node has taken over from. Of what it doesn't know it says nothing: whoever comes
+    /// again finds the other process.
     pub fn recall(&self, now: Micros, pool: usize, what: What) -> Found {
-        let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else { return Found::Nowhere };
+        let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else {
+            return Found::Nowhere;
+        };
         let held = self.table.get(now, session).map(|(p, _)| p.worker).or(at);
         let stays = held.filter(|worker| self.pools[pool].leaves(now, *worker).is_none());
         stays.map_or(Found::Nowhere, Found::At)
     }
 
     fn ask(&mut self, now: Micros, session: Session, ticket: u32) {
-        let message = Message::Ask { time: self.time.read(now), ticket, session }.write();
-        let others = self.homes.first(session, ASKED).into_iter().filter(|h| *h != self.name);
-        self.out.extend(others.map(|home| (home.to_owned(), message.clone())));
+        let message = Message::Ask {
+            time: self.time.read(now),
+            ticket,
+            session,
+        }
+        .write();
+        let others = self
+            .homes
+            .first(session, ASKED)
+            .into_iter()
+            .filter(|h| *h != self.name);
+        self.out
+            .extend(others.map(|home| (home.to_owned(), message.clone())));
     }
 
     /// A session that nobody knows.
     fn place(&mut self, now: Micros, pool: usize, session: Session, at: Option<WorkerId>) -> Found {
         let there = at.filter(|at| self.pools[pool].position(*at).is_some());
         let chosen = there.or_else(|| self.choose(pool, session, None));
-        let Some(worker) = chosen else { return Found::Nowhere };
-        let birth = Birth { seconds: self.time.read(now), by: self.by };
-        let placement = Placement { worker, birth, moves: 0, version: self.version };
+        let Some(worker) = chosen else {
+            return Found::Nowhere;
+        };
+        let birth = Birth {
+            seconds: self.time.read(now),
+            by: self.by,
+        };
+        let placement = Placement {
+            worker,
+            birth,
+            moves: 0,
+            version: self.version,
+        };
         self.pools[pool].moves.placed += u64::from(session & KEY == 0);
         self.table.join(now, session, placement, 0);
         self.tell(now, session, placement);
@@ -226,25 +263,37 @@
     /// A worker that is well, or any that takes sessions where none of these is.
     fn choose(&self, pool: usize, session: Session, not: Option<WorkerId>) -> Option<WorkerId> {
         let state = &self.pools[pool];
-        let well = choose(session, &state.workers, |w| Some(w) == not || state.is_out(w));
+        let well = choose(session, &state.workers, |w| {
+            Some(w) == not || state.is_out(w)
+        });
         well.or_else(|| choose(session, &state.workers, |w| Some(w) == not))
     }
 
     /// Where a session is that lives there: there, unless it has to move.
-    fn settle(&mut self, now: Micros, pool: usize, session: Session, placement: Placement) -> Found {
+    fn settle(
+        &mut self,
+        now: Micros,
+        pool: usize,
+        session: Session,
+        placement: Placement,
+    ) -> Found {
         let state = &mut self.pools[pool];
         let cause = match state.leaves(now, placement.worker) {
             None => return Found::At(placement.worker),
-            // Under a version that this node has not taken yet there is such a worker. It is, any moment; if not, its side goes on.
+            // Under a version that this node has not taken yet there is such a worker. It is, any
+            // moment; if not, its side goes on.
             Some(Cause::Removed) if placement.after(self.version) => {
                 return match state.unknown(now, placement.worker) {
                     true => Found::Nowhere,
-                    false => self.choose(pool, session, None).map_or(Found::Nowhere, Found::At),
+                    false => self
+                        .choose(pool, session, None)
+                        .map_or(Found::Nowhere, Found::At),
                 };
             }
             Some(cause) => cause,
         };
-        self.shift(now, pool, session, placement, cause).map_or(Found::Nowhere, Found::At)
+        self.shift(now, pool, session, placement, cause)
+            .map_or(Found::Nowhere, Found::At)
     }
 
     /// It moves, if there is anywhere to go.
@@ -267,7 +316,8 @@
         Some(worker)
     }
 
-    /// A run of a session never began, as its worker could not be reached: it moves at once. Where to, if anywhere else.
+    /// A run of a session never began, as its worker could not be reached: it moves at once. Where
+    /// to, if anywhere else.
     pub fn unreachable(
         &mut self,
         now: Micros,
@@ -277,9 +327,9 @@
     ) -> Option<WorkerId> {
         let (session, _) = what.id(self.pools.get(pool)?.id);
         match self.table.get(now, session) {
-            Some((p, _)) if p.worker == worker => {
-                self.shift(now, pool, session, p, Cause::Unreachable).filter(|w| *w != worker)
-            }
+            Some((p, _)) if p.worker == worker => self
+                .shift(now, pool, session, p, Cause::Unreachable)
+                .filter(|w| *w != worker),
             // It has moved meanwhile.
             Some((p, _)) => Some(p.worker),
             None => self.choose(pool, session, Some(worker)),
@@ -289,30 +339,57 @@
     /// Its homes hear where it lives, and those that will be its homes.
     fn tell(&mut self, now: Micros, session: Session, placement: Placement) {
         let mut to = self.homes.first(session, COPIES);
-        to.extend(self.coming.first(session, COPIES).into_iter().filter(|n| !self.homes.has(session, n)));
-        let to: Vec<String> = to.into_iter().filter(|n| *n != self.name).map(str::to_owned).collect();
+        to.extend(
+            self.coming
+                .first(session, COPIES)
+                .into_iter()
+                .filter(|n| !self.homes.has(session, n)),
+        );
+        let to: Vec<String> = to
+            .into_iter()
+            .filter(|n| *n != self.name)
+            .map(str::to_owned)
+            .collect();
         self.tell_these(now, session, placement, &to);
         self.owed.told(now, session, to);
     }
 
     fn tell_these(&mut self, now: Micros, session: Session, placement: Placement, to: &[String]) {
         let entries = vec![(session, placement, 0)];
-        let message = Message::Tell { time: self.time.read(now), entries, owed: true }.write();
-        self.out.extend(to.iter().map(|n| (n.clone(), message.clone())));
+        let message = Message::Tell {
+            time: self.time.read(now),
+            entries,
+            owed: true,
+        }
+        .write();
+        self.out
+            .extend(to.iter().map(|n| (n.clone(), message.clone())));
     }
 
     /// What homes have not said that they have, in bunches.
     fn tell_again(&mut self, now: Micros) {
         let mut owed: BTreeMap<String, Vec<Entry>> = BTreeMap::new();
         for (session, homes) in self.owed.again(now) {
-            let Some((placement, _)) = self.table.get(now, session) else { continue };
-            homes.into_iter().for_each(|home| owed.entry(home).or_default().push((session, placement, 0)));
+            let Some((placement, _)) = self.table.get(now, session) else {
+                continue;
+            };
+            homes
+                .into_iter()
+                .for_each(|home| owed.entry(home).or_default().push((session, placement, 0)));
         }
         let time = self.time.read(now);
         for (home, entries) in owed {
             let bunches = entries.chunks(MOST).map(<[Entry]>::to_vec);
-            let messages = bunches.map(|entries| Message::Tell { time, entries, owed: true }.write());
-            self.out.extend(messages.map(|message| (home.clone(), message)));
+            let messages = bunches.map(|entries| {
+                Message::Tell {
+                    time,
+                    entries,
+                    owed: true,
+                }
+                .write()
+            });
+            self.out
+                .extend(messages.map(|message| (home.clone(), message)));
         }
     }
 
@@ -329,8 +406,14 @@
             self.settled(now, settled);
         }
         for (ticket, session, homes) in self.questions.again(now) {
-            let message = Message::Ask { time: self.time.read(now), ticket, session }.write();
-            self.out.extend(homes.into_iter().map(|home| (home, message.clone())));
+            let message = Message::Ask {
+                time: self.time.read(now),
+                ticket,
+                session,
+            }
+            .write();
+            self.out
+                .extend(homes.into_iter().map(|home| (home, message.clone())));
         }
         self.tell_again(now);
         self.filling(now);
@@ -353,7 +436,12 @@
     /// When it wants to be woken.
     pub fn due(&self) -> Micros {
         let piece = (!self.jobs.is_empty()).then_some(self.next_piece);
-        let all = [self.questions.next(), self.owed.next(), piece, self.fill.next()];
+        let all = [
+            self.questions.next(),
+            self.owed.next(),
+            piece,
+            self.fill.next(),
+        ];
         all.into_iter().flatten().fold(self.next_sweep, Micros::min)
     }
 
@@ -389,14 +477,22 @@
 
     /// What is known here of a session, for tests and for operators.
     pub fn placement(&self, now: Micros, pool: usize, what: What) -> Option<Placement> {
-        self.table.get(now, what.id(self.pools.get(pool)?.id).0).map(|(p, _)| p)
+        self.table
+            .get(now, what.id(self.pools.get(pool)?.id).0)
+            .map(|(p, _)| p)
     }
 
     /// Sessions by worker, in one pool.
     pub fn counts(&self, pool: usize) -> BTreeMap<String, usize> {
-        let Some(state) = self.pools.get(pool) else { return BTreeMap::new() };
+        let Some(state) = self.pools.get(pool) else {
+            return BTreeMap::new();
+        };
         let count = |id| self.table.counts().get(&id).copied().unwrap_or_default();
-        state.names.iter().map(|(id, name)| (name.clone(), count(*id))).collect()
+        state
+            .names
+            .iter()
+            .map(|(id, name)| (name.clone(), count(*id)))
+            .collect()
     }
 }
 
--- a/crates/session-affinity/src/node/pieces.rs
+++ b/crates/session-affinity/src/node/pieces.rs
@@ -1,4 +1,5 @@
-//! Many sessions on their way to other nodes: all that is remembered is looked through piece by piece, as requests wait meanwhile.
+//! Many sessions on their way to other nodes: all that is remembered is looked through piece by
+//! piece, as requests wait meanwhile.
 
 use super::Node;
 use crate::homes::{Homes, COPIES};
@@ -47,7 +48,8 @@
         self.jobs.push_back(Job { errand, sessions });
     }
 
-    /// The homes have changed: those that are new hear what they are to remember, each from one that had it.
+    /// The homes have changed: those that are new hear what they are to remember, each from one
+    /// that had it.
     pub(super) fn spread(&mut self, now: Micros, before: Homes) {
         if !self.table.is_empty() {
             self.send_all(now, Errand::Spread(before));
@@ -59,15 +61,21 @@
         if now < self.next_piece {
             return;
         }
-        let Some(mut job) = self.jobs.pop_front() else { return };
+        let Some(mut job) = self.jobs.pop_front() else {
+            return;
+        };
         self.next_piece = now + PAUSE;
         let mut to: BTreeMap<String, Vec<Entry>> = BTreeMap::new();
         let (mut looked, mut sent) = (0, 0);
         while looked < LOOKED && sent < SENT * MOST {
-            let Some(session) = job.sessions.pop() else { break };
+            let Some(session) = job.sessions.pop() else {
+                break;
+            };
             looked += 1;
             // It may have been forgotten meanwhile.
-            let Some(entry) = self.table.entry(now, session) else { continue };
+            let Some(entry) = self.table.entry(now, session) else {
+                continue;
+            };
             for home in self.owes(&job.errand, session) {
                 sent += 1;
                 to.entry(home).or_default().push(entry);
@@ -76,8 +84,14 @@
         let time = self.time.read(now);
         for (home, entries) in to {
             for entries in entries.chunks(MOST) {
-                entries.iter().for_each(|e| self.owed.told(now, e.0, vec![home.clone()]));
-                let message = Message::Tell { time, entries: entries.to_vec(), owed: true };
+                entries
+                    .iter()
+                    .for_each(|e| self.owed.told(now, e.0, vec![home.clone()]));
+                let message = Message::Tell {
+                    time,
+                    entries: entries.to_vec(),
+                    owed: true,
+                };
                 self.out.push((home.clone(), message.write()));
             }
         }
@@ -91,21 +105,24 @@
     /// Who is to be told of a session on an errand.
     fn owes(&self, errand: &Errand, session: Session) -> Vec<String> {
         match errand {
-            // Another home of a session sends it as well: that is for losses on the way. And it may be that the view here has the
-            // newcomer not yet.
+            // Another home of a session sends it as well: that is for losses on the way. And it may
+            // be that the view here has the newcomer not yet.
             Errand::Fill { to, .. } => {
                 let wanted = self.coming.has(session, to) || !self.coming.holds(to);
                 wanted.then(|| to.clone()).into_iter().collect()
             }
             Errand::Spread(before) => {
                 let had = before.first(session, COPIES);
-                // Of those that had it the first one that is left says so; if none is, whoever has it for its own clients.
+                // Of those that had it the first one that is left says so; if none is, whoever has
+                // it for its own clients.
                 let left = had.iter().find(|h| self.homes.holds(h));
                 if left.is_some_and(|h| *h != self.name) {
                     return Vec::new();
                 }
                 let have = self.homes.first(session, COPIES).into_iter();
-                have.filter(|h| !had.contains(h) && *h != self.name).map(str::to_owned).collect()
+                have.filter(|h| !had.contains(h) && *h != self.name)
+                    .map(str::to_owned)
+                    .collect()
             }
         }
     }
--- a/crates/session-affinity/src/node/pools.rs
+++ b/crates/session-affinity/src/node/pools.rs
@@ -1,4 +1,5 @@
-//! A pool's workers, as far as sessions go: who takes them, who keeps them, and since when one fails.
+//! A pool's workers, as far as sessions go: who takes them, who keeps them, and since when one
+//! fails.
 
 use crate::choose::Worker;
 use crate::{mix, Micros, WorkerId};
@@ -96,24 +97,57 @@
         let worker_id = |name: &str| mix(id, digest(name.as_bytes())) as WorkerId;
         let worker = |s: &Server| {
             let (id, keeps) = (worker_id(&s.name), s.takes || s.drains);
-            Worker { id, weight: s.weight, takes: s.takes, keeps }
+            Worker {
+                id,
+                weight: s.weight,
+                takes: s.takes,
+                keeps,
+            }
         };
         let workers: Vec<Worker> = pool.workers.iter().map(worker).collect();
-        let names = pool.workers.iter().map(|s| (worker_id(&s.name), s.name.clone())).collect();
+        let names = pool
+            .workers
+            .iter()
+            .map(|s| (worker_id(&s.name), s.name.clone()))
+            .collect();
         let old = before.iter().find(|b| b.id == id);
-        let since = |worker: &Worker| old.and_then(|o| o.drains.get(&worker.id)).copied().unwrap_or(now);
-        let drains = workers.iter().filter(|w| w.keeps && !w.takes).map(|w| (w.id, since(w))).collect();
+        let since = |worker: &Worker| {
+            old.and_then(|o| o.drains.get(&worker.id))
+                .copied()
+                .unwrap_or(now)
+        };
+        let drains = workers
+            .iter()
+            .filter(|w| w.keeps && !w.takes)
+            .map(|w| (w.id, since(w)))
+            .collect();
         let out = old.map(|o| o.out.clone()).unwrap_or_default();
         let moves = old.map(|o| o.moves).unwrap_or_default();
         let idle = pool.idle;
-        PoolState { pool, moves, id, idle, workers, names, drains, out, unknown: BTreeMap::new() }
+        PoolState {
+            pool,
+            moves,
+            id,
+            idle,
+            workers,
+            names,
+            drains,
+            out,
+            unknown: BTreeMap::new(),
+        }
     }
 
     /// Whether a session has to leave a worker, and why.
     pub(super) fn leaves(&self, now: Micros, worker: WorkerId) -> Option<Cause> {
         let keeps = self.workers.iter().any(|w| w.id == worker && w.keeps);
-        let lingered = self.drains.get(&worker).is_some_and(|since| now - since >= self.pool.linger);
-        let failed = self.out.get(&worker).is_some_and(|since| now - since >= self.pool.patience);
+        let lingered = self
+            .drains
+            .get(&worker)
+            .is_some_and(|since| now - since >= self.pool.linger);
+        let failed = self
+            .out
+            .get(&worker)
+            .is_some_and(|since| now - since >= self.pool.patience);
         match () {
             () if !keeps || lingered => Some(Cause::Removed),
             () if failed => Some(Cause::Failed),
--- a/crates/session-affinity/src/owed.rs
+++ b/crates/session-affinity/src/owed.rs
@@ -1,5 +1,5 @@
-//! What homes were told of sessions and have not said that they have: a word may be lost, and a placement that nobody else knows
-//! would be made anew by the next node.
+//! What homes were told of sessions and have not said that they have: a word may be lost, and a
+//! placement that nobody else knows would be made anew by the next node.
 
 use crate::{Micros, Session};
 use std::collections::BTreeMap;
@@ -28,11 +28,25 @@
 impl Owed {
     /// These were told.
     pub fn told(&mut self, now: Micros, session: Session, to: Vec<String>) {
-        let before = self.all.get(&session).map_or(Vec::new(), |debt| debt.to.clone());
-        let to: Vec<String> = before.into_iter().filter(|n| !to.contains(n)).chain(to.clone()).collect();
+        let before = self
+            .all
+            .get(&session)
+            .map_or(Vec::new(), |debt| debt.to.clone());
+        let to: Vec<String> = before
+            .into_iter()
+            .filter(|n| !to.contains(n))
+            .chain(to.clone())
+            .collect();
         self.forget(session);
         if !to.is_empty() && self.all.len() < MOST {
-            self.all.insert(session, Debt { to, next: now + FIRST, times: 1 });
+            self.all.insert(
+                session,
+                Debt {
+                    to,
+                    next: now + FIRST,
+                    times: 1,
+                },
+            );
             self.due.insert((now + FIRST, session), ());
         }
     }
@@ -56,9 +70,13 @@
     /// Those that are told again by now, and whom.
     pub fn again(&mut self, now: Micros) -> Vec<(Session, Vec<String>)> {
         let mut again = Vec::new();
-        while let Some((&(at, session), ())) = self.due.first_key_value().filter(|((at, _), _)| *at <= now) {
+        while let Some((&(at, session), ())) =
+            self.due.first_key_value().filter(|((at, _), _)| *at <= now)
+        {
             self.due.remove(&(at, session));
-            let Some(debt) = self.all.get_mut(&session) else { continue };
+            let Some(debt) = self.all.get_mut(&session) else {
+                continue;
+            };
             if debt.times >= TIMES {
                 self.all.remove(&session);
                 continue;
--- a/crates/session-affinity/src/placement.rs
+++ b/crates/session-affinity/src/placement.rs
@@ -1,5 +1,6 @@
-//! Where a session lives, and which of two placements holds. Placements of one session are a join semilattice: news may come in any
-//! order, twice or late, and all who have heard the same hold the same.
+//! Where a session lives, and which of two placements holds. Placements of one session are a join
+//! semilattice: news may come in any order, twice or late, and all who have heard the same hold the
+//! same.
 
 use crate::stamp::Birth;
 use crate::WorkerId;
@@ -14,14 +15,16 @@
     pub birth: Birth,
     /// How often it had to move since.
     pub moves: u8,
-    /// The version, its lower bits, under which it came to this worker: a node that acts on an older one may not know that worker yet.
+    /// The version, its lower bits, under which it came to this worker: a node that acts on an
+    /// older one may not know that worker yet.
     pub version: u16,
 }
 
 impl Placement {
-    /// Whether this one holds over another of the same session. Placed by two nodes that did not hear each other, the older one does.
-    /// Of one and the same the one that has moved further does: a move has a cause, and is not taken back. Of two such moves the one
-    /// under the later version does.
+    /// Whether this one holds over another of the same session. Placed by two nodes that did not
+    /// hear each other, the older one does. Of one and the same the one that has moved further
+    /// does: a move has a cause, and is not taken back. Of two such moves the one under the later
+    /// version does.
     pub fn holds_over(&self, other: &Placement) -> bool {
         let key = |p: &Placement| (p.birth, u8::MAX - p.moves, u16::MAX - p.version, p.worker);
         key(self) < key(other)
@@ -29,7 +32,12 @@
 
     /// It lives with another worker from now on.
     pub fn moved(self, worker: WorkerId, version: u16) -> Placement {
-        Placement { worker, version, moves: self.moves.saturating_add(1), ..self }
+        Placement {
+            worker,
+            version,
+            moves: self.moves.saturating_add(1),
+            ..self
+        }
     }
 
     /// Whether it came to its worker under a later version than this one.
@@ -44,9 +52,14 @@
     use proptest::prelude::*;
 
     fn any() -> impl Strategy<Value = Placement> {
-        (0u32..3, 0u32..3, 0u16..2, 0u8..3, 0u16..3).prop_map(|(worker, seconds, by, moves, version)| {
-            Placement { worker, birth: Birth { seconds, by }, moves, version }
-        })
+        (0u32..3, 0u32..3, 0u16..2, 0u8..3, 0u16..3).prop_map(
+            |(worker, seconds, by, moves, version)| Placement {
+                worker,
+                birth: Birth { seconds, by },
+                moves,
+                version,
+            },
+        )
     }
 
     fn join(a: Placement, b: Placement) -> Placement {
--- a/crates/session-affinity/src/stamp.rs
+++ b/crates/session-affinity/src/stamp.rs
@@ -1,6 +1,7 @@
-//! The fleet's time: seconds that go on with each node's own clock and leap to the latest that was heard (Lamport 1978, driven by the
-//! time that passes). No two clocks have to agree: a process begins with what its machine holds to be the date, and whatever that
-//! is, a stamp is part of what it stamps, so all nodes put two of them in the same order.
+//! The fleet's time: seconds that go on with each node's own clock and leap to the latest that was
+//! heard (Lamport 1978, driven by the time that passes). No two clocks have to agree: a process
+//! begins with what its machine holds to be the date, and whatever that is, a stamp is part of what
+//! it stamps, so all nodes put two of them in the same order.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -27,7 +28,10 @@
 impl Time {
     /// Begins with a date, in seconds.
     pub fn new(seconds: u32, now: Micros) -> Time {
-        Time { base: seconds.min(MOST), at: now }
+        Time {
+            base: seconds.min(MOST),
+            at: now,
+        }
     }
 
     /// What it is.
--- a/crates/session-affinity/src/table.rs
+++ b/crates/session-affinity/src/table.rs
@@ -1,5 +1,5 @@
-//! What a node remembers of sessions: those that it is a home of, and those of its own clients. Bounded: what is idle goes, and
-//! where there is no room nothing more is taken in.
+//! What a node remembers of sessions: those that it is a home of, and those of its own clients.
+//! Bounded: what is idle goes, and where there is no room nothing more is taken in.
 
 use crate::placement::Placement;
 use crate::stamp::Birth;
@@ -16,17 +16,27 @@
     seconds: u32,
     by: u16,
     version: u16,
-    /// When it was last wanted, in steps of some seconds since the table began, without the higher bits.
+    /// When it was last wanted, in steps of some seconds since the table began, without the higher
+    /// bits.
     seen: u16,
     moves: u8,
-    /// The second in which it was last held against what its homes have, without its higher bits: it matters only whether it is this one or the one before.
+    /// The second in which it was last held against what its homes have, without its higher bits:
+    /// it matters only whether it is this one or the one before.
     checked: u8,
 }
 
 impl Entry {
     fn placement(&self) -> Placement {
-        let birth = Birth { seconds: self.seconds, by: self.by };
-        Placement { worker: self.worker, birth, moves: self.moves, version: self.version }
+        let birth = Birth {
+            seconds: self.seconds,
+            by: self.by,
+        };
+        Placement {
+            worker: self.worker,
+            birth,
+            moves: self.moves,
+            version: self.version,
+        }
     }
 
     /// For how many seconds it was not wanted.
@@ -101,17 +111,26 @@
 impl Table {
     /// An empty one for so many sessions.
     pub fn new(most: usize, now: Micros) -> Table {
-        Table { all: HashMap::default(), most, begun: now, counts: BTreeMap::new(), turned_down: 0 }
+        Table {
+            all: HashMap::default(),
+            most,
+            begun: now,
+            counts: BTreeMap::new(),
+            turned_down: 0,
+        }
     }
 
     fn second(&self, now: Micros) -> u32 {
         ((now - self.begun).max(0) / 1_000_000) as u32
     }
 
-    /// Where a session lives, as far as this node knows; and whether that was held against its homes a second ago at the most.
+    /// Where a session lives, as far as this node knows; and whether that was held against its
+    /// homes a second ago at the most.
     pub fn get(&self, now: Micros, session: Session) -> Option<(Placement, bool)> {
         let second = self.second(now);
-        self.all.get(&key(session)).map(|e| (e.placement(), (second as u8).wrapping_sub(e.checked) < 2))
+        self.all
+            .get(&key(session))
+            .map(|e| (e.placement(), (second as u8).wrapping_sub(e.checked) < 2))
     }
 
     /// It is wanted.
@@ -131,10 +150,21 @@
     }
 
     /// A session lives there, as somebody has it; it was last wanted so many seconds ago.
-    pub fn join(&mut self, now: Micros, session: Session, placement: Placement, idle: u32) -> Joined {
+    pub fn join(
+        &mut self,
+        now: Micros,
+        session: Session,
+        placement: Placement,
+        idle: u32,
+    ) -> Joined {
         let second = self.second(now);
         let seen = step(second).wrapping_sub(step(idle.min(MOST_IDLE)));
-        let Placement { worker, birth: Birth { seconds, by }, moves, version } = placement;
+        let Placement {
+            worker,
+            birth: Birth { seconds, by },
+            moves,
+            version,
+        } = placement;
         let count = self.all.len();
         match self.all.entry(key(session)) {
             hashbrown::hash_map::Entry::Occupied(mut held) => {
@@ -158,7 +188,15 @@
                     self.turned_down += 1;
                     return Joined::NoRoom;
                 }
-                room.insert(Entry { worker, seconds, by, version, seen, moves, checked: second as u8 });
+                room.insert(Entry {
+                    worker,
+                    seconds,
+                    by,
+                    version,
+                    seen,
+                    moves,
+                    checked: second as u8,
+                });
             }
         }
         *self.counts.entry(worker).or_default() += 1;
@@ -196,14 +234,20 @@
     /// One as it is told: where it lives, and for how many seconds it was not wanted.
     pub fn entry(&self, now: Micros, session: Session) -> Option<(Session, Placement, u32)> {
         let second = self.second(now);
-        self.all.get(&key(session)).map(|e| (session, e.placement(), e.idle(second)))
+        self.all
+            .get(&key(session))
+            .map(|e| (session, e.placement(), e.idle(second)))
     }
 
     /// All sessions, with where each lives and for how many seconds it was not wanted.
     pub fn iter(&self, now: Micros) -> impl Iterator<Item = (Session, Placement, u32)> + '_ {
         let second = self.second(now);
         self.all.iter().map(move |((high, low), e)| {
-            (u64::from(*high) << 32 | u64::from(*low), e.placement(), e.idle(second))
+            (
+                u64::from(*high) << 32 | u64::from(*low),
+                e.placement(),
+                e.idle(second),
+            )
         })
     }
 
@@ -236,7 +280,12 @@
     const S: Micros = 1_000_000;
 
     fn at(worker: u32, seconds: u32) -> Placement {
-        Placement { worker, birth: Birth { seconds, by: 0 }, moves: 0, version: 0 }
+        Placement {
+            worker,
+            birth: Birth { seconds, by: 0 },
+            moves: 0,
+            version: 0,
+        }
     }
 
     #[test]
@@ -246,7 +295,14 @@
         assert_eq!(table.join(0, 5, at(1, 9), 0), Joined::Known);
         assert_eq!(table.join(0, 5, at(2, 10), 0), Joined::Older(at(1, 9)));
         assert_eq!(table.join(0, 5, at(2, 8), 0), Joined::New);
-        assert_eq!(table.counts().iter().map(|(w, n)| (*w, *n)).collect::<Vec<_>>(), [(2, 1)]);
+        assert_eq!(
+            table
+                .counts()
+                .iter()
+                .map(|(w, n)| (*w, *n))
+                .collect::<Vec<_>>(),
+            [(2, 1)]
+        );
         table.join(0, 6, at(1, 1), 0);
         table.touch(50 * S, 5);
         table.sweep(60 * S, |_, idle| idle < 30);
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! Messages and choices of session affinity, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test compatibility`): nodes of both builds have to place each
-//! session alike.
+//! Messages and choices of session affinity, compared with fixtures written by the build of commit
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test
+//! compatibility`): nodes of both builds have to place each session alike.
 
 use pipitlever_session_affinity::choose::{choose, Worker};
 use pipitlever_session_affinity::homes::{Homes, ASKED};
@@ -14,20 +14,73 @@
 const SESSIONS: u64 = 64;
 
 fn placement() -> Placement {
-    Placement { worker: 70_000, birth: Birth { seconds: 1_700_000_000, by: 515 }, moves: 3, version: 260 }
+    Placement {
+        worker: 70_000,
+        birth: Birth {
+            seconds: 1_700_000_000,
+            by: 515,
+        },
+        moves: 3,
+        version: 260,
+    }
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
     let session = 0x0102_0304_0506_0708;
     let entries = vec![(session, placement(), 90_000)];
     vec![
-        ("ask", Message::Ask { time: 100_001, ticket: 200, session }),
-        ("answer", Message::Answer { time: 100_002, ticket: 201, session, placement: Some(placement()) }),
-        ("answer-unknown", Message::Answer { time: 100_003, ticket: 202, session, placement: None }),
-        ("tell", Message::Tell { time: 100_004, entries, owed: true }),
-        ("have", Message::Have { sessions: vec![session, 9] }),
-        ("fill", Message::Fill { token: 0x1112_1314_1516_1718 }),
-        ("filled", Message::Filled { token: 0x2122_2324_2526_2728 }),
+        (
+            "ask",
+            Message::Ask {
+                time: 100_001,
+                ticket: 200,
+                session,
+            },
+        ),
+        (
+            "answer",
+            Message::Answer {
+                time: 100_002,
+                ticket: 201,
+                session,
+                placement: Some(placement()),
+            },
+        ),
+        (
+            "answer-unknown",
+            Message::Answer {
+                time: 100_003,
+                ticket: 202,
+                session,
+                placement: None,
+            },
+        ),
+        (
+            "tell",
+            Message::Tell {
+                time: 100_004,
+                entries,
+                owed: true,
+            },
+        ),
+        (
+            "have",
+            Message::Have {
+                sessions: vec![session, 9],
+            },
+        ),
+        (
+            "fill",
+            Message::Fill {
+                token: 0x1112_1314_1516_1718,
+            },
+        ),
+        (
+            "filled",
+            Message::Filled {
+                token: 0x2122_2324_2526_2728,
+            },
+        ),
     ]
 }
 
@@ -50,7 +103,11 @@
     let names = ["n1", "n2", "n3", "n4", "n5", "n6"];
     let homes = Homes::new(names.into_iter());
     let of = |session| homes.first(mix(session, 2), ASKED).concat();
-    (0..SESSIONS).map(of).collect::<Vec<_>>().join(" ").into_bytes()
+    (0..SESSIONS)
+        .map(of)
+        .collect::<Vec<_>>()
+        .join(" ")
+        .into_bytes()
 }
 
 #[test]
--- a/crates/session-affinity/tests/model.rs
+++ b/crates/session-affinity/tests/model.rs
@@ -1,6 +1,7 @@
-//! All orders of a small world: three nodes that remember sessions, one session, clients that come to any of them, a version that takes its
-//! worker away and reaches each at its own time, and messages that come in any order or not at all. From each state that is
-//! reached, once faults stop, all nodes say the same; and a session whose worker stays has moved nowhere.
+//! All orders of a small world: three nodes that remember sessions, one session, clients that come
+//! to any of them, a version that takes its worker away and reaches each at its own time, and
+//! messages that come in any order or not at all. From each state that is reached, once faults
+//! stop, all nodes say the same; and a session whose worker stays has moved nowhere.
 
 use pipitlever_session_affinity::message::Message;
 use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
@@ -62,15 +63,28 @@
     losses: u8,
     /// Whoever waits may have waited for long enough.
     late: bool,
-    /// The version takes away the worker that the session would be placed with, or one that it would not.
+    /// The version takes away the worker that the session would be placed with, or one that it
+    /// would not.
     takes_its_worker: bool,
     versions: bool,
 }
 
 fn pool(workers: &[&str]) -> Pool {
-    let server = |name: &&str| Server { name: (*name).into(), weight: 1.0, takes: true, drains: false };
+    let server = |name: &&str| Server {
+        name: (*name).into(),
+        weight: 1.0,
+        takes: true,
+        drains: false,
+    };
     let workers = workers.iter().map(server).collect();
-    Pool { name: "p".into(), was: Vec::new(), workers, idle: 3600, patience: 5_000_000, linger: 0 }
+    Pool {
+        name: "p".into(),
+        was: Vec::new(),
+        workers,
+        idle: 3600,
+        patience: 5_000_000,
+        linger: 0,
+    }
 }
 
 fn settle(world: &mut World) {
@@ -124,12 +138,31 @@
     /// The worker of the session as it is first placed, and the workers that the version leaves.
     fn left(&self) -> (WorkerId, Vec<&'static str>) {
         let all = ["a", "b", "c"];
-        let mut node = Node::new("n0", Settings { wait: WAIT, most: 10 }, vec![pool(&all)], 0, 0, 0);
+        let mut node = Node::new(
+            "n0",
+            Settings {
+                wait: WAIT,
+                most: 10,
+            },
+            vec![pool(&all)],
+            0,
+            0,
+            0,
+        );
         node.view(0, Vec::new(), true);
-        let Found::At(worker) = node.want(0, 0, KEY, 0) else { panic!("nobody else is asked") };
+        let Found::At(worker) = node.want(0, 0, KEY, 0) else {
+            panic!("nobody else is asked")
+        };
         let at = node.pools()[0].position(worker).expect("it is in the file");
-        let gone = if self.takes_its_worker { at } else { (at + 1) % 3 };
-        (worker, (0..3).filter(|i| *i != gone).map(|i| all[i]).collect())
+        let gone = if self.takes_its_worker {
+            at
+        } else {
+            (at + 1) % 3
+        };
+        (
+            worker,
+            (0..3).filter(|i| *i != gone).map(|i| all[i]).collect(),
+        )
     }
 }
 
@@ -139,9 +172,19 @@
 
     fn init_states(&self) -> Vec<World> {
         let names: Vec<String> = (0..NODES).map(|i| format!("n{i}")).collect();
-        let settings = Settings { wait: WAIT, most: 10 };
+        let settings = Settings {
+            wait: WAIT,
+            most: 10,
+        };
         let peers = |me: &String| -> Vec<Peer> {
-            names.iter().filter(|n| *n != me).map(|n| Peer { name: n.clone(), filled: true }).collect()
+            names
+                .iter()
+                .filter(|n| *n != me)
+                .map(|n| Peer {
+                    name: n.clone(),
+                    filled: true,
+                })
+                .collect()
         };
         let node = |name: &String| {
             let mut node = Node::new(name, settings, vec![pool(&["a", "b", "c"])], 0, 0, 0);
@@ -209,50 +252,94 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always("once faults stop all say the same", |m: &Orders, w: &World| {
-            let (first, left) = m.left();
-            let mut w = w.clone();
-            settle(&mut w);
-            (0..NODES).filter(|_| m.versions).for_each(|i| take(&mut w, i, &left));
-            // Each once, by which whoever has to has moved it; then once more a second later.
-            for i in 0..NODES {
-                says(&mut w, i);
-            }
-            settle(&mut w);
-            w.now += 3_000_000;
-            let said: Vec<Option<WorkerId>> = (0..NODES).map(|i| says(&mut w, i)).collect();
-            let stays = !(m.versions && m.takes_its_worker);
-            said[0].is_some() && said.iter().all(|s| *s == said[0]) && (said[0] == Some(first)) == stays
-        })]
+        vec![Property::always(
+            "once faults stop all say the same",
+            |m: &Orders, w: &World| {
+                let (first, left) = m.left();
+                let mut w = w.clone();
+                settle(&mut w);
+                (0..NODES)
+                    .filter(|_| m.versions)
+                    .for_each(|i| take(&mut w, i, &left));
+                // Each once, by which whoever has to has moved it; then once more a second later.
+                for i in 0..NODES {
+                    says(&mut w, i);
+                }
+                settle(&mut w);
+                w.now += 3_000_000;
+                let said: Vec<Option<WorkerId>> = (0..NODES).map(|i| says(&mut w, i)).collect();
+                let stays = !(m.versions && m.takes_its_worker);
+                said[0].is_some()
+                    && said.iter().all(|s| *s == said[0])
+                    && (said[0] == Some(first)) == stays
+            },
+        )]
     }
 }
 
 fn check(orders: Orders) {
     let (start, most) = (Instant::now(), Duration::from_secs(100));
     let checker = orders.checker().threads(4).timeout(most).spawn_bfs().join();
-    println!("{} states in {:?}", checker.unique_state_count(), start.elapsed());
-    assert!(start.elapsed() < most, "not all states were reached in time");
+    println!(
+        "{} states in {:?}",
+        checker.unique_state_count(),
+        start.elapsed()
+    );
+    assert!(
+        start.elapsed() < most,
+        "not all states were reached in time"
+    );
     checker.assert_properties();
 }
 
 #[test]
 fn clients_that_come_to_two_nodes_at_once_find_one_place() {
-    check(Orders { asks: 2, losses: 0, late: false, takes_its_worker: false, versions: false });
+    check(Orders {
+        asks: 2,
+        losses: 0,
+        late: false,
+        takes_its_worker: false,
+        versions: false,
+    });
 }
 
 #[test]
 #[ignore = "600,000 states take most of a minute"]
 fn clients_that_waited_for_long_enough_find_one_place() {
-    check(Orders { asks: 2, losses: 0, late: true, takes_its_worker: false, versions: false });
+    check(Orders {
+        asks: 2,
+        losses: 0,
+        late: true,
+        takes_its_worker: false,
+        versions: false,
+    });
 }
 
 #[test]
 fn a_lost_message_parts_nobody() {
-    check(Orders { asks: 1, losses: 2, late: true, takes_its_worker: false, versions: false });
+    check(Orders {
+        asks: 1,
+        losses: 2,
+        late: true,
+        takes_its_worker: false,
+        versions: false,
+    });
 }
 
 #[test]
 fn a_version_moves_those_of_the_worker_that_goes_and_no_others() {
-    check(Orders { asks: 1, losses: 0, late: true, takes_its_worker: true, versions: true });
-    check(Orders { asks: 1, losses: 0, late: true, takes_its_worker: false, versions: true });
+    check(Orders {
+        asks: 1,
+        losses: 0,
+        late: true,
+        takes_its_worker: true,
+        versions: true,
+    });
+    check(Orders {
+        asks: 1,
+        losses: 0,
+        late: true,
+        takes_its_worker: false,
+        versions: true,
+    });
 }
--- a/crates/settings/src/any.rs
+++ b/crates/settings/src/any.rs
@@ -1,5 +1,5 @@
-//! Valid settings over their whole domain, for tests: any deployment may be one of these. It makes the JSON that a platform hands out, so that
-//! what reads it is tried as well.
+//! Valid settings over their whole domain, for tests: any deployment may be one of these. It makes
+//! the JSON that a platform hands out, so that what reads it is tried as well.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -11,7 +11,11 @@
 fn category() -> impl Strategy<Value = Value> {
     let kind = select(vec!["free", "guarded", "single_shot"]);
     let times = (50i64..5000, 1.0f64..8.0, 0i64..60_000);
-    let worths = (0.0f64..10.0, select(vec![0.0, 0.2, 1.0]), select(vec![0.0, 0.0, 3.0, 20.0]));
+    let worths = (
+        0.0f64..10.0,
+        select(vec![0.0, 0.2, 1.0]),
+        select(vec![0.0, 0.0, 3.0, 20.0]),
+    );
     (kind, times, worths).prop_map(|(kind, (target, stretch, span), (worth, late, aim))| {
         let deadline = (target as f64 * stretch) as i64 * MS;
         json!({"idempotency": kind, "target": target * MS, "deadline": deadline.max(100 * MS),
@@ -25,9 +29,25 @@
         select(vec!["silent", "threshold", "window", "share_of"]),
         select(vec!["silent", "abort", "suspend"]),
     );
-    let machine = (1u32..17, 1.0f64..16.0, 2_000.0f64..200_000.0, 0.0f64..50.0, any::<bool>());
-    let below = (0.1f64..40.0, 200i64..8000, 0i64..500, select(vec![0.0, 0.0, 0.5]));
-    let rest = (vec(any::<bool>(), classes), any::<bool>(), 0u32..12, 1i64..60);
+    let machine = (
+        1u32..17,
+        1.0f64..16.0,
+        2_000.0f64..200_000.0,
+        0.0f64..50.0,
+        any::<bool>(),
+    );
+    let below = (
+        0.1f64..40.0,
+        200i64..8000,
+        0i64..500,
+        select(vec![0.0, 0.0, 0.5]),
+    );
+    let rest = (
+        vec(any::<bool>(), classes),
+        any::<bool>(),
+        0u32..12,
+        1i64..60,
+    );
     (words, machine, below, rest).prop_map(|(words, machine, below, rest)| {
         let (calls, passes, upstreams, keepalive) = rest;
         let degraded: Vec<f64> = calls.iter().map(|_| below.3).collect();
@@ -39,7 +59,8 @@
     })
 }
 
-/// Settings of some deployment: one to six classes of any kind, no tenants to four, each word that the pages allow.
+/// Settings of some deployment: one to six classes of any kind, no tenants to four, each word that
+/// the pages allow.
 pub fn settings() -> impl Strategy<Value = Value> {
     let classes = vec(category(), 1..7);
     classes.prop_flat_map(|classes| {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,8 @@
 
 /// The most classes of a configuration.
 const MOST_CLASSES: usize = 64;
-/// The longest time, in microseconds: a day. Sums of some of them must stay far from the end of the numbers.
+/// The longest time, in microseconds: a day. Sums of some of them must stay far from the end of the
+/// numbers.
 const MOST_TIME: Micros = 86_400_000_000;
 
 #[derive(Deserialize)]
@@ -157,16 +158,23 @@
     /// Whether nobody can be harmed by them: what is read as a number is also one that makes sense.
     pub fn check(&self) -> Result<(), String> {
         if self.categories.is_empty() || self.categories.len() > MOST_CLASSES {
-            return Err(format!("{} classes, not from 1 to {MOST_CLASSES}", self.categories.len()));
+            return Err(format!(
+                "{} classes, not from 1 to {MOST_CLASSES}",
+                self.categories.len()
+            ));
         }
         for (i, c) in self.categories.iter().enumerate() {
             let wrong = |what: &str| Err(format!("class {} ({i}): {what}", c.name));
-            // The processor's commands are lines of words, and the figures' lines end a name with a colon.
+            // The processor's commands are lines of words, and the figures' lines end a name with a
+            // colon.
             let word = |b: u8| b.is_ascii_graphic() && !b":|".contains(&b);
             if c.name.is_empty() || c.name.len() > 64 || !c.name.bytes().all(word) {
                 return wrong("its name is no word of 1 to 64 letters without ':' and '|'");
             }
-            if self.categories[..i].iter().any(|other| other.name == c.name) {
+            if self.categories[..i]
+                .iter()
+                .any(|other| other.name == c.name)
+            {
                 return wrong("there are two of this name");
             }
             for (what, time) in [("deadline", c.deadline), ("target", c.target)] {
@@ -175,14 +183,24 @@
                 }
             }
             if !(0..=MOST_TIME).contains(&c.memory_span) {
-                return wrong(&format!("memorySpan {} is not from 0 to {MOST_TIME}", c.memory_span));
+                return wrong(&format!(
+                    "memorySpan {} is not from 0 to {MOST_TIME}",
+                    c.memory_span
+                ));
             }
-            if [c.worth, c.late_worth, c.aim_stretch].iter().any(|v| *v < 0.0) {
+            if [c.worth, c.late_worth, c.aim_stretch]
+                .iter()
+                .any(|v| *v < 0.0)
+            {
                 return wrong("worth, lateWorth or aimStretch below 0");
             }
         }
         let info = &self.family_info;
-        let above = [("cpus", info.cpus), ("heapKb", info.heap_kb), ("blowup", info.blowup)];
+        let above = [
+            ("cpus", info.cpus),
+            ("heapKb", info.heap_kb),
+            ("blowup", info.blowup),
+        ];
         if let Some((name, value)) = above.into_iter().find(|(_, v)| *v <= 0.0) {
             return Err(format!("{name} {value} is not above 0"));
         }
@@ -198,7 +216,10 @@
             ("fresh", info.fresh),
             ("round", self.round),
         ];
-        match times.into_iter().find(|(_, time)| !(0..=MOST_TIME).contains(time)) {
+        match times
+            .into_iter()
+            .find(|(_, time)| !(0..=MOST_TIME).contains(time))
+        {
             Some((name, time)) => Err(format!("{name} {time} is not from 0 to {MOST_TIME}")),
             None => Ok(()),
         }
@@ -226,8 +247,19 @@
             })
         };
         Ok(Settings {
-            classes: self.categories.iter().enumerate().map(class).collect::<Result<_, String>>()?,
-            tenants: self.tenants.iter().map(|t| Tenant { quota_rps: t.quota_rps }).collect(),
+            classes: self
+                .categories
+                .iter()
+                .enumerate()
+                .map(class)
+                .collect::<Result<_, String>>()?,
+            tenants: self
+                .tenants
+                .iter()
+                .map(|t| Tenant {
+                    quota_rps: t.quota_rps,
+                })
+                .collect(),
             replicas: self.replicas_of_me,
             callers: info.upstreams,
             cores: info.cpus,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -41,7 +41,9 @@
     }
 
     fn step(&mut self, now: i64) {
-        let Some(instance) = &mut self.instance else { return };
+        let Some(instance) = &mut self.instance else {
+            return;
+        };
         let controller = &mut instance.controller;
         let (events, actions) = (&self.events, &mut self.actions);
         let stepped = catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions)));
@@ -53,13 +55,18 @@
         }
         let read = self.events.iter().filter_map(Event::request);
         let named = self.actions.iter().filter_map(Action::request);
-        self.ended.extend(read.chain(named).filter(|&id| !controller.knows(id)));
+        self.ended
+            .extend(read.chain(named).filter(|&id| !controller.knows(id)));
     }
 
     fn steps(&self) -> impl Iterator<Item = Step<'_>> {
-        let panicked = self.panicked.iter().map(|text| Step::panic(&self.who, text));
+        let panicked = self
+            .panicked
+            .iter()
+            .map(|text| Step::panic(&self.who, text));
         let actions = self.instance.iter().filter(|_| self.panicked.is_none());
-        let actions = actions.flat_map(|i| self.actions.iter().map(|a| Step::new(&self.who, a, &i.ids)));
+        let actions =
+            actions.flat_map(|i| self.actions.iter().map(|a| Step::new(&self.who, a, &i.ids)));
         panicked.chain(actions)
     }
 }
@@ -98,7 +105,10 @@
                     });
                 }
                 Kind::Stop => {
-                    place.instance.take().ok_or_else(|| format!("no instance {}", item.who))?;
+                    place
+                        .instance
+                        .take()
+                        .ok_or_else(|| format!("no instance {}", item.who))?;
                     place.events.clear();
                     if let Some(turn) = place.turn.take() {
                         self.order[turn] = None;
@@ -106,9 +116,13 @@
                     continue;
                 }
                 _ => {
-                    let instance =
-                        place.instance.as_mut().ok_or_else(|| format!("no instance {}", item.who))?;
-                    place.events.push(item.event(&instance.names, &mut instance.ids)?);
+                    let instance = place
+                        .instance
+                        .as_mut()
+                        .ok_or_else(|| format!("no instance {}", item.who))?;
+                    place
+                        .events
+                        .push(item.event(&instance.names, &mut instance.ids)?);
                 }
             }
             if place.turn.is_none() {
@@ -120,12 +134,17 @@
             self.places[at].step(batch.t);
         }
         let places = self.order.iter().flatten().map(|&at| &self.places[at]);
-        Ok(Reply { steps: places.flat_map(Place::steps).collect() })
+        Ok(Reply {
+            steps: places.flat_map(Place::steps).collect(),
+        })
     }
 
     fn add(&mut self, who: &str) -> usize {
         self.by_name.insert(who.to_owned(), self.places.len());
-        self.places.push(Place { who: who.to_owned(), ..Place::default() });
+        self.places.push(Place {
+            who: who.to_owned(),
+            ..Place::default()
+        });
         self.places.len() - 1
     }
 }
@@ -143,7 +162,10 @@
                 Ok(reply) => serde_json::to_writer(&mut output, &reply)
                     .map_err(|e| e.to_string())
                     .and_then(|()| {
-                        output.write_all(b"\n").and_then(|()| output.flush()).map_err(|e| e.to_string())
+                        output
+                            .write_all(b"\n")
+                            .and_then(|()| output.flush())
+                            .map_err(|e| e.to_string())
                     })
                     .err(),
                 Err(trouble) => Some(trouble),
@@ -151,7 +173,10 @@
             Err(error) => Some(error.to_string()),
         };
         if let Some(trouble) = trouble {
-            eprintln!("pipitlever-adapter: line {number}: {}", trouble.replace('\n', " "));
+            eprintln!(
+                "pipitlever-adapter: line {number}: {}",
+                trouble.replace('\n', " ")
+            );
             std::process::exit(1);
         }
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -163,7 +163,8 @@
 impl Names {
     /// The names in these settings.
     pub fn new(config: &Config) -> Names {
-        let index = |names: Vec<String>| names.into_iter().enumerate().map(|(i, n)| (n, i)).collect();
+        let index =
+            |names: Vec<String>| names.into_iter().enumerate().map(|(i, n)| (n, i)).collect();
         Names {
             classes: index(config.class_names()),
             tenants: index(config.tenant_names()),
@@ -189,9 +190,13 @@
         number
     }
 
-    /// The number of a request read before; one that has ended and been freed gets a number nothing answers to.
+    /// The number of a request read before; one that has ended and been freed gets a number nothing
+    /// answers to.
     fn find(&mut self, word: &str) -> RequestId {
-        self.numbers.get(word).copied().unwrap_or_else(|| self.unused())
+        self.numbers
+            .get(word)
+            .copied()
+            .unwrap_or_else(|| self.unused())
     }
 
     fn unused(&mut self) -> RequestId {
@@ -213,13 +218,22 @@
         let missing = |field: &str| format!("no {field} in {:?}", self.kind);
         let op_id = || self.op_id.as_deref().ok_or_else(|| missing("opId"));
         let took = || self.cost_time.ok_or_else(|| missing("costTime"));
-        let outcome = || self.result.map(Outcome::from).ok_or_else(|| missing("result"));
+        let outcome = || {
+            self.result
+                .map(Outcome::from)
+                .ok_or_else(|| missing("result"))
+        };
         Ok(match self.kind {
-            Kind::NewInstance | Kind::Stop => return Err("a life's start or end is no event".into()),
+            Kind::NewInstance | Kind::Stop => {
+                return Err("a life's start or end is no event".into())
+            }
             Kind::WorkItem => {
                 let service = self.service.as_deref().ok_or_else(|| missing("service"))?;
                 Event::Arrived(Request {
-                    class: *names.classes.get(service).ok_or_else(|| format!("no class {service}"))?,
+                    class: *names
+                        .classes
+                        .get(service)
+                        .ok_or_else(|| format!("no class {service}"))?,
                     tenant: self.owner.0.and_then(|o| names.tenants.get(&*o).copied()),
                     has_key: self.object.is_some(),
                     patience: self.expires_in.filter(|_| names.passes_deadline),
@@ -234,7 +248,11 @@
                 })
             }
             Kind::Leaving => Event::Leaving(self.expires_in.ok_or_else(|| missing("expiresIn"))?),
-            Kind::Finished => Event::Finished { id: ids.find(op_id()?), took: took()?, outcome: outcome()? },
+            Kind::Finished => Event::Finished {
+                id: ids.find(op_id()?),
+                took: took()?,
+                outcome: outcome()?,
+            },
             Kind::Lapsed => Event::Gone(ids.find(op_id()?)),
             Kind::StalledOnCall => Event::NeedsCall(ids.find(op_id()?)),
             Kind::Wakeup => Event::Timer {
@@ -244,7 +262,11 @@
                 memory_use: self.load.heap_share,
                 connections: self.load.links,
             },
-            Kind::CallDone => Event::CallEnded { id: ids.find(op_id()?), took: took()?, outcome: outcome()? },
+            Kind::CallDone => Event::CallEnded {
+                id: ids.find(op_id()?),
+                took: took()?,
+                outcome: outcome()?,
+            },
         })
     }
 }
@@ -265,7 +287,11 @@
 }
 
 #[derive(Serialize)]
-#[serde(tag = "type", rename_all = "camelCase", rename_all_fields = "camelCase")]
+#[serde(
+    tag = "type",
+    rename_all = "camelCase",
+    rename_all_fields = "camelCase"
+)]
 enum Verb<'a> {
     Start {
         op_id: &'a str,
@@ -325,17 +351,32 @@
         let verb = match *action {
             Action::Run(id) => Verb::Start { op_id: op(id) },
             Action::Reuse(id) => Verb::Echo { op_id: op(id) },
-            Action::Refuse { id, backoff, no_retry } => {
-                Verb::Busy { op_id: op(id), backoff, dont_retry: no_retry }
-            }
+            Action::Refuse {
+                id,
+                backoff,
+                no_retry,
+            } => Verb::Busy {
+                op_id: op(id),
+                backoff,
+                dont_retry: no_retry,
+            },
             Action::Fail(id) => Verb::Surrender { op_id: op(id) },
-            Action::Keep(id, lifetime) => Verb::Pin { op_id: op(id), lifetime },
+            Action::Keep(id, lifetime) => Verb::Pin {
+                op_id: op(id),
+                lifetime,
+            },
             Action::Forget(id) => Verb::DropKey { op_id: op(id) },
-            Action::Call(id, within) => Verb::Invoke { op_id: op(id), within },
+            Action::Call(id, within) => Verb::Invoke {
+                op_id: op(id),
+                within,
+            },
             Action::SkipCall(id) => Verb::Skip { op_id: op(id) },
             Action::Halt(id) => Verb::Interrupt { op_id: op(id) },
             Action::Level(amount) => Verb::Say { amount },
-            Action::Health(enable) => Verb::Readiness { enable, cached: true },
+            Action::Health(enable) => Verb::Readiness {
+                enable,
+                cached: true,
+            },
             Action::CloseIdle(lifetime) => Verb::Idle { lifetime },
             Action::Timer(from_now, tag) => Verb::Defer { from_now, tag },
         };
@@ -344,6 +385,9 @@
 
     /// The report that the decision code failed.
     pub fn panic(who: &'a str, words: &'a str) -> Self {
-        Step { who, verb: Verb::Panic { words } }
+        Step {
+            who,
+            verb: Verb::Panic { words },
+        }
     }
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -49,11 +49,18 @@
     ];
     let out = host(&lines);
     assert!(out.status.success());
-    let replies: Vec<&str> = std::str::from_utf8(&out.stdout).expect("text").lines().collect();
+    let replies: Vec<&str> = std::str::from_utf8(&out.stdout)
+        .expect("text")
+        .lines()
+        .collect();
     assert_eq!(replies.len(), 3);
     assert_eq!(replies[0], r#"{"steps":[]}"#);
     assert!(replies[1].contains(r#""type":"readiness","enable":true,"cached":true"#));
-    assert!(replies[2].contains(r#"{"who":"server-1","type":"start","opId":"a"}"#), "{}", replies[2]);
+    assert!(
+        replies[2].contains(r#"{"who":"server-1","type":"start","opId":"a"}"#),
+        "{}",
+        replies[2]
+    );
 }
 
 #[test]
@@ -96,15 +103,21 @@
 
 #[test]
 fn a_large_batch_is_answered() {
-    let items: Vec<String> = (0..20_000).map(|i| work("server-1", &format!("r{i}"))).collect();
+    let items: Vec<String> = (0..20_000)
+        .map(|i| work("server-1", &format!("r{i}")))
+        .collect();
     let out = host(&[batch(1, &[start("server-1")]), batch(2, &items)]);
     assert!(out.status.success());
-    assert_eq!(String::from_utf8(out.stdout).expect("text").lines().count(), 2);
+    assert_eq!(
+        String::from_utf8(out.stdout).expect("text").lines().count(),
+        2
+    );
 }
 
 #[test]
 fn events_on_requests_that_ended_and_were_freed_are_harmless() {
-    let finished = r#"{"type":"finished","who":"server-1","opId":"a","costTime":5,"result":"done"}"#;
+    let finished =
+        r#"{"type":"finished","who":"server-1","opId":"a","costTime":5,"result":"done"}"#;
     let lapsed = r#"{"type":"lapsed","who":"server-1","opId":"a"}"#;
     let repeat = work("server-1", "b").replace("\"memKb\"", "\"sameAs\":\"a\",\"memKb\"");
     let lines = [
@@ -114,18 +127,32 @@
         batch(8, &[repeat]),
     ];
     let out = host(&lines);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let text = String::from_utf8(out.stdout).expect("text");
     let replies: Vec<&str> = text.lines().collect();
     assert_eq!(replies[1..3], [r#"{"steps":[]}"#, r#"{"steps":[]}"#]);
-    assert!(replies[3].contains(r#""type":"echo","opId":"b""#), "{}", replies[3]);
+    assert!(
+        replies[3].contains(r#""type":"echo","opId":"b""#),
+        "{}",
+        replies[3]
+    );
 }
 
 #[test]
 fn a_missing_field_is_named() {
     let item = r#"{"type":"finished","who":"server-1","opId":"a","result":"done"}"#;
-    let out = host(&[batch(1, &[start("server-1")]), batch(2, &[item.to_string()])]);
+    let out = host(&[
+        batch(1, &[start("server-1")]),
+        batch(2, &[item.to_string()]),
+    ]);
     assert!(!out.status.success());
     let error = String::from_utf8(out.stderr).expect("text");
-    assert!(error.starts_with("pipitlever-adapter: line 2: ") && error.contains("costTime"), "{error}");
+    assert!(
+        error.starts_with("pipitlever-adapter: line 2: ") && error.contains("costTime"),
+        "{error}"
+    );
 }
--- a/crates/subsetting/src/demand.rs
+++ b/crates/subsetting/src/demand.rs
@@ -1,5 +1,5 @@
-//! What a node tells of its load: the runs that it wants a second, on a scale of half doublings, and no oftener than a fleet of
-//! its size can bear.
+//! What a node tells of its load: the runs that it wants a second, on a scale of half doublings,
+//! and no oftener than a fleet of its size can bear.
 
 use crate::Micros;
 
@@ -26,7 +26,9 @@
 
 /// The level of so many runs a second.
 pub fn level(rate: f64) -> u8 {
-    ((1.0 + rate.max(0.0)).log2() * 2.0).round().min(f64::from(MOST)) as u8
+    ((1.0 + rate.max(0.0)).log2() * 2.0)
+        .round()
+        .min(f64::from(MOST)) as u8
 }
 
 /// Counts the runs that are wanted.
@@ -41,7 +43,12 @@
 impl Meter {
     /// One that has seen nothing.
     pub fn new(now: Micros) -> Meter {
-        Meter { wanted: 0, since: now, rate: 0.0, told: 0 }
+        Meter {
+            wanted: 0,
+            since: now,
+            rate: 0.0,
+            told: 0,
+        }
     }
 
     /// So many more are wanted.
@@ -88,7 +95,10 @@
 impl Leave {
     /// A full one.
     pub fn new(now: Micros) -> Leave {
-        Leave { tokens: SAVED, filled: now }
+        Leave {
+            tokens: SAVED,
+            filled: now,
+        }
     }
 
     /// Whether a word may be said now, among so many nodes; if so it is counted.
@@ -129,10 +139,16 @@
             times.filter(said).collect()
         };
         let said = play(0, 20, 100);
-        assert!(said[0] <= S && said.len() <= 4 && said.iter().all(|t| *t < 5 * S), "{said:?}");
+        assert!(
+            said[0] <= S && said.len() <= 4 && said.iter().all(|t| *t < 5 * S),
+            "{said:?}"
+        );
         assert!(play(20, 40, 90).is_empty(), "a tenth less is no news");
         let said = play(40, 50, 0);
-        assert!(said[0] <= 41 * S && said.iter().all(|t| *t < 46 * S), "{said:?}");
+        assert!(
+            said[0] <= 41 * S && said.iter().all(|t| *t < 46 * S),
+            "{said:?}"
+        );
     }
 
     #[test]
@@ -141,7 +157,11 @@
             let mut leave = Leave::new(0);
             // Not what was saved up.
             assert!((0..9).filter(|_| leave.take(0, nodes)).count() < 9);
-            (0..60_000).filter(|t| leave.take(t * 100_000, nodes)).count() as f64 / 6_000.0 * nodes as f64
+            (0..60_000)
+                .filter(|t| leave.take(t * 100_000, nodes))
+                .count() as f64
+                / 6_000.0
+                * nodes as f64
         };
         // Words a second of all, each passed on 4 x log10(nodes) times by each.
         for nodes in [10, 100, 1_000] {
@@ -149,6 +169,10 @@
             assert!(bytes < 1.2 * BYTES, "{nodes}: {bytes} B/s");
         }
         let mut leave = Leave::new(0);
-        assert_eq!((0..10).filter(|_| leave.take(0, 1_000)).count(), 4, "some at once, where it matters");
+        assert_eq!(
+            (0..10).filter(|_| leave.take(0, 1_000)).count(),
+            4,
+            "some at once, where it matters"
+        );
     }
 }
--- a/crates/subsetting/src/grant.rs
+++ b/crates/subsetting/src/grant.rs
@@ -1,10 +1,13 @@
-//! A part of a bound that all nodes share. What a node is to have follows from its view, and views change at different times: so
-//! less holds at once, and more only once every other node has had the time to hear of the same and to let go.
+//! A part of a bound that all nodes share. What a node is to have follows from its view, and views
+//! change at different times: so less holds at once, and more only once every other node has had
+//! the time to hear of the same and to let go.
 //!
-//! [`Seen`] does so where all nodes use all workers: a node reckons with the least that it has told of itself, and the most that it has heard of each other
-//! one, within the last `hold`. If news takes no longer than that, and nobody tells two things within it, then at any time t there is
-//! one set of loads, those told at t - hold, of which each node takes no more for itself and no less for the others: so parts add up to no
-//! more than the bound. [`Part`] is for pools of which each node uses some: there the part is the least of all that came out within the last `hold`.
+//! [`Seen`] does so where all nodes use all workers: a node reckons with the least that it has told
+//! of itself, and the most that it has heard of each other one, within the last `hold`. If news
+//! takes no longer than that, and nobody tells two things within it, then at any time t there is
+//! one set of loads, those told at t - hold, of which each node takes no more for itself and no
+//! less for the others: so parts add up to no more than the bound. [`Part`] is for pools of which
+//! each node uses some: there the part is the least of all that came out within the last `hold`.
 
 use crate::apportion::{apportion, shares, whole};
 use crate::demand::load;
@@ -24,7 +27,9 @@
 impl Seen {
     /// A process that has just started: nobody has heard of it.
     pub fn new(now: Micros) -> Seen {
-        Seen { held: VecDeque::from([(Levels::new(), now), (Levels::new(), Micros::MAX)]) }
+        Seen {
+            held: VecDeque::from([(Levels::new(), now), (Levels::new(), Micros::MAX)]),
+        }
     }
 
     /// It is this from now on.
@@ -40,7 +45,11 @@
 
     /// Lets go of what was so longer ago than `hold`. Whether anything has changed since.
     pub fn quiet(&mut self, now: Micros, hold: Micros) -> bool {
-        while self.held.front().is_some_and(|(_, until)| until.saturating_add(hold) < now) {
+        while self
+            .held
+            .front()
+            .is_some_and(|(_, until)| until.saturating_add(hold) < now)
+        {
             self.held.pop_front();
         }
         self.held.len() == 1
@@ -48,14 +57,19 @@
 
     /// What a node has of a bound. Call [`Seen::quiet`] before.
     pub fn part(&self, me: &str, bound: usize, ties: impl Fn(&str) -> u64) -> usize {
-        let Some((now, _)) = self.held.back() else { return 1 };
-        let Some(own) = now.keys().position(|name| name == me) else { return 1 };
+        let Some((now, _)) = self.held.back() else {
+            return 1;
+        };
+        let Some(own) = now.keys().position(|name| name == me) else {
+            return 1;
+        };
         if self.held.len() == 1 {
             let loads: Vec<f64> = now.values().map(|l| load(*l)).collect();
             let ties: Vec<u64> = now.keys().map(|name| ties(name)).collect();
             return apportion(bound, &loads, 1, bound, &ties)[own];
         }
-        // The least of itself, nothing where it was not there yet; and the most of each other, gone or not.
+        // The least of itself, nothing where it was not there yet; and the most of each other, gone
+        // or not.
         let mut loads: BTreeMap<&str, f64> = BTreeMap::new();
         for (levels, _) in &self.held {
             for (name, level) in levels.iter().filter(|(name, _)| *name != me) {
@@ -63,9 +77,15 @@
                 *most = most.max(load(*level));
             }
         }
-        let least = self.held.iter().map(|(levels, _)| levels.get(me).map_or(0.0, |l| load(*l)));
+        let least = self
+            .held
+            .iter()
+            .map(|(levels, _)| levels.get(me).map_or(0.0, |l| load(*l)));
         loads.insert(me, least.fold(f64::MAX, f64::min));
-        let at = loads.keys().position(|name| *name == me).unwrap_or_default();
+        let at = loads
+            .keys()
+            .position(|name| *name == me)
+            .unwrap_or_default();
         let loads: Vec<f64> = loads.into_values().collect();
         whole(shares(bound, &loads, 1, bound)[at])
     }
@@ -79,9 +99,12 @@
 }
 
 impl Part {
-    /// A part of one that has just come: the others don't know of it yet, so it is the least that there is.
+    /// A part of one that has just come: the others don't know of it yet, so it is the least that
+    /// there is.
     pub fn new(least: usize, now: Micros) -> Part {
-        Part { held: VecDeque::from([(least, now), (usize::MAX, Micros::MAX)]) }
+        Part {
+            held: VecDeque::from([(least, now), (usize::MAX, Micros::MAX)]),
+        }
     }
 
     /// From now on it is to be this.
@@ -102,7 +125,10 @@
     /// What it is.
     pub fn get(&mut self, now: Micros, hold: Micros) -> usize {
         while self.held.len() > 1
-            && self.held.front().is_some_and(|(_, until)| until.saturating_add(hold) < now)
+            && self
+                .held
+                .front()
+                .is_some_and(|(_, until)| until.saturating_add(hold) < now)
         {
             self.held.pop_front();
         }
@@ -123,7 +149,11 @@
         };
         let mut seen = Seen::new(0);
         seen.set(0, levels(4));
-        assert_eq!((part(&mut seen, 10), part(&mut seen, 11)), (1, 5), "it has just come");
+        assert_eq!(
+            (part(&mut seen, 10), part(&mut seen, 11)),
+            (1, 5),
+            "it has just come"
+        );
         seen.set(20, levels(0));
         assert_eq!((part(&mut seen, 30), part(&mut seen, 31)), (5, 8));
         // What another wants counts at once.
