--- a/crates/subsetting/src/node.rs
+++ b/crates/subsetting/src/node.rs
@@ -1,4 +1,5 @@
-//! One node's part: it is told what the view has and what its pools do, and says what it uses, what it tells, and whose turn it is.
+//! One node's part: it is told what the view has and what its pools do, and says what it uses, what
+//! it tells, and whose turn it is.
 
 use crate::demand::{Leave, Meter};
 use crate::grant::{Levels, Part, Seen};
@@ -81,7 +82,8 @@
 }
 
 impl Node {
-    /// One that has just started. It has the least of each bound until the others have had the time to hear of it.
+    /// One that has just started. It has the least of each bound until the others have had the time
+    /// to hear of it.
     pub fn new(name: &str, times: Times, pools: Vec<Pool>, now: Micros) -> Node {
         let mut node = Node {
             name: name.to_owned(),
@@ -106,9 +108,14 @@
     pub fn set_pools(&mut self, now: Micros, pools: Vec<Pool>) {
         let mut before = std::mem::take(&mut self.entries);
         for pool in pools.into_iter().take(MOST_POOLS) {
-            let old = before.iter().position(|e| e.pool.name == pool.name).map(|i| before.swap_remove(i));
+            let old = before
+                .iter()
+                .position(|e| e.pool.name == pool.name)
+                .map(|i| before.swap_remove(i));
             let part = |w: &Worker| {
-                let same = old.as_ref().and_then(|o| o.pool.workers.iter().position(|b| b.name == w.name));
+                let same = old
+                    .as_ref()
+                    .and_then(|o| o.pool.workers.iter().position(|b| b.name == w.name));
                 match (same, &old) {
                     (Some(i), Some(old)) => old.parts[i].clone(),
                     _ => Part::new(1, now),
@@ -118,9 +125,18 @@
             let meter = old.as_ref().map_or(Meter::new(now), |o| o.meter.clone());
             let seen = old.map_or(Seen::new(now), |o| o.seen);
             let (plan, divided) = (Vec::new(), None);
-            self.entries.push(Entry { pool, meter, parts, seen, divided, plan, part: 1.0 });
+            self.entries.push(Entry {
+                pool,
+                meter,
+                parts,
+                seen,
+                divided,
+                plan,
+                part: 1.0,
+            });
         }
-        // Whoever looks at the pools next says anew which workers are left out, by their new places.
+        // Whoever looks at the pools next says anew which workers are left out, by their new
+        // places.
         self.out.clear();
         self.told.out.clear();
         self.tell_now();
@@ -139,7 +155,10 @@
     /// Takes in what the others have left out, and what they have found to be well.
     fn listen(&mut self, members: &[Member]) {
         let mut outs: BTreeMap<u16, Vec<String>> = BTreeMap::new();
-        for member in members.iter().filter(|m| m.down.is_none() && m.name != self.name) {
+        for member in members
+            .iter()
+            .filter(|m| m.down.is_none() && m.name != self.name)
+        {
             for worker in member.told.iter().flat_map(|t| &t.out) {
                 outs.entry(*worker).or_default().push(member.name.clone());
             }
@@ -148,7 +167,12 @@
         for &(pool, worker) in &self.out {
             let word = self.word(pool, worker);
             let before = self.outs.get(&word).map_or(&[][..], Vec::as_slice);
-            let now: Vec<&str> = outs.get(&word).into_iter().flatten().map(String::as_str).collect();
+            let now: Vec<&str> = outs
+                .get(&word)
+                .into_iter()
+                .flatten()
+                .map(String::as_str)
+                .collect();
             if turn::found_well(before.iter().map(String::as_str), &now, here) {
                 self.well.push((pool, worker));
             }
@@ -164,10 +188,15 @@
     fn plan(&mut self, now: Micros) {
         self.stale = false;
         let gone = now - self.times.reserve;
-        let counts =
-            |m: &&Member| m.told.is_some() && m.down.is_none_or(|since| since > gone) || m.name == self.name;
+        let counts = |m: &&Member| {
+            m.told.is_some() && m.down.is_none_or(|since| since > gone) || m.name == self.name
+        };
         let there: Vec<&Member> = self.members.iter().filter(counts).collect();
-        self.lapses = there.iter().filter_map(|m| m.down).map(|since| since + self.times.reserve).min();
+        self.lapses = there
+            .iter()
+            .filter_map(|m| m.down)
+            .map(|since| since + self.times.reserve)
+            .min();
         for entry in &mut self.entries {
             let pool = short(&[&entry.pool.name]);
             let level = |m: &&Member| match m.name == self.name {
@@ -175,13 +204,24 @@
                 true => self.told.level(pool),
                 false => m.told.as_ref().map_or(0, |t| t.level(pool)),
             };
-            let peer = |m: &&Member| Peer { name: m.name.clone(), zone: m.zone.clone(), level: level(m) };
+            let peer = |m: &&Member| Peer {
+                name: m.name.clone(),
+                zone: m.zone.clone(),
+                level: level(m),
+            };
             let peers: Vec<Peer> = there.iter().map(peer).collect();
-            (entry.plan, entry.part) = plan(&self.name, &peers, &entry.pool.workers, entry.pool.subset);
+            (entry.plan, entry.part) =
+                plan(&self.name, &peers, &entry.pool.workers, entry.pool.subset);
             for (part, one) in entry.parts.iter_mut().zip(&entry.plan) {
                 part.set(now, if one.inside { one.most_runs } else { 1 });
             }
-            entry.seen.set(now, peers.into_iter().map(|p| (p.name, p.level)).collect::<Levels>());
+            entry.seen.set(
+                now,
+                peers
+                    .into_iter()
+                    .map(|p| (p.name, p.level))
+                    .collect::<Levels>(),
+            );
             entry.divided = None;
         }
     }
@@ -196,7 +236,11 @@
     /// Time has passed.
     pub fn tick(&mut self, now: Micros) {
         let mut new = self.stale || self.lapses.is_some_and(|at| at <= now);
-        let news: Vec<_> = self.entries.iter_mut().map(|e| (e.meter.tick(now), e.meter.news()).1).collect();
+        let news: Vec<_> = self
+            .entries
+            .iter_mut()
+            .map(|e| (e.meter.tick(now), e.meter.news()).1)
+            .collect();
         // Nobody tells two things within the time that news takes: the others would miss the first.
         let may = now > self.told_at.saturating_add(self.times.hold);
         if may && news.iter().any(Option::is_some) && self.leave.take(now, self.members.len()) {
@@ -225,24 +269,44 @@
     /// What it uses of a pool, in the order of its workers; with what it may have at once by now.
     pub fn uses(&mut self, now: Micros, pool: usize) -> Vec<Use> {
         let (hold, alone) = (self.times.hold, self.alone);
-        let Some(entry) = self.entries.get_mut(pool) else { return Vec::new() };
-        let Entry { pool, parts, seen, divided, plan, .. } = entry;
+        let Some(entry) = self.entries.get_mut(pool) else {
+            return Vec::new();
+        };
+        let Entry {
+            pool,
+            parts,
+            seen,
+            divided,
+            plan,
+            ..
+        } = entry;
         let quiet = seen.quiet(now, hold);
         let one = |w: &Worker| match all_use(pool, w.tier) {
             // The loads are the same for all its workers.
             true => seen.part(&self.name, w.most_runs, |name| hash(&[name, &w.name])),
             false => 0,
         };
-        let all = divided.take().unwrap_or_else(|| pool.workers.iter().map(one).collect());
+        let all = divided
+            .take()
+            .unwrap_or_else(|| pool.workers.iter().map(one).collect());
         let of = |(((one, part), worker), all): (((&Use, &mut Part), &Worker), &usize)| {
             let most_runs = match () {
                 () if alone => 1,
                 () if all_use(pool, worker.tier) => *all,
                 () => part.get(now, hold),
             };
-            Use { most_runs: most_runs.max(1), ..*one }
+            Use {
+                most_runs: most_runs.max(1),
+                ..*one
+            }
         };
-        let uses = plan.iter().zip(parts).zip(&pool.workers).zip(&all).map(of).collect();
+        let uses = plan
+            .iter()
+            .zip(parts)
+            .zip(&pool.workers)
+            .zip(&all)
+            .map(of)
+            .collect();
         // While something has changed of late it changes with the time alone.
         *divided = quiet.then_some(all);
         uses
@@ -263,7 +327,11 @@
         }
         let words: BTreeSet<u16> = self.out.iter().map(|&(p, w)| self.word(p, w)).collect();
         // Beyond the most none of them waits for a turn, so none is told.
-        self.told.out = if words.len() <= MOST_OUT { words.into_iter().collect() } else { Vec::new() };
+        self.told.out = if words.len() <= MOST_OUT {
+            words.into_iter().collect()
+        } else {
+            Vec::new()
+        };
     }
 
     /// Whose turn it is to try a worker that is left out here.
@@ -272,8 +340,17 @@
             return Turn::Mine;
         }
         let word = self.word(pool, worker);
-        let others = self.outs.get(&word).into_iter().flatten().map(String::as_str);
-        turn::of(&self.name, &self.entries[pool].pool.workers[worker].name, others)
+        let others = self
+            .outs
+            .get(&word)
+            .into_iter()
+            .flatten()
+            .map(String::as_str);
+        turn::of(
+            &self.name,
+            &self.entries[pool].pool.workers[worker].name,
+            others,
+        )
     }
 
     /// Workers that somebody has found to be well since the last call.
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -1,8 +1,10 @@
-//! Who uses whom: each node some of the workers, each worker nodes in proportion to its weight, its own zone first.
+//! Who uses whom: each node some of the workers, each worker nodes in proportion to its weight, its
+//! own zone first.
 //!
-//! Weighted rendezvous with a bound on both sides: all pairs of a node and a worker in the order of a hash of their two names,
-//! pairs of one zone before the others, each taken while both have room. Who comes or goes changes the room of few, and what a
-//! pair is worth depends on nobody else, so few pairs move. Where the order leaves a node short, it gets a place by an exchange.
+//! Weighted rendezvous with a bound on both sides: all pairs of a node and a worker in the order of
+//! a hash of their two names, pairs of one zone before the others, each taken while both have room.
+//! Who comes or goes changes the room of few, and what a pair is worth depends on nobody else, so
+//! few pairs move. Where the order leaves a node short, it gets a place by an exchange.
 
 use crate::apportion::apportion;
 use crate::hash;
@@ -71,7 +73,10 @@
 
 impl Uses {
     fn new(peers: usize, workers: usize) -> Uses {
-        Uses { workers, used: vec![false; peers * workers] }
+        Uses {
+            workers,
+            used: vec![false; peers * workers],
+        }
     }
 
     fn has(&self, j: usize, i: usize) -> bool {
@@ -82,7 +87,8 @@
         self.used[j * self.workers + i] = true;
     }
 
-    /// A node that lacks one, where only workers that it uses have room: another node leaves it one and takes such a place.
+    /// A node that lacks one, where only workers that it uses have room: another node leaves it one
+    /// and takes such a place.
     fn exchange(&mut self, j: usize, places: &mut [usize], pairs: &[(u64, u32, u32)]) -> bool {
         let open: Vec<usize> = (0..self.workers).filter(|&i| places[i] > 0).collect();
         // The pair that goes is the one that is worth least.
@@ -103,7 +109,13 @@
     }
 
     fn lists(&self) -> Vec<Vec<usize>> {
-        let list = |used: &[bool]| used.iter().enumerate().filter(|(_, u)| **u).map(|(i, _)| i).collect();
+        let list = |used: &[bool]| {
+            used.iter()
+                .enumerate()
+                .filter(|(_, u)| **u)
+                .map(|(i, _)| i)
+                .collect()
+        };
         self.used.chunks(self.workers.max(1)).map(list).collect()
     }
 }
--- a/crates/subsetting/src/subset/tests.rs
+++ b/crates/subsetting/src/subset/tests.rs
@@ -6,13 +6,24 @@
 }
 
 fn peers<'a>(names: &'a [String], zones: &[&'a str], pairs: usize) -> Vec<Peer<'a>> {
-    let peer = |(i, name): (usize, &'a String)| Peer { name, zone: zones[i % zones.len()], pairs };
+    let peer = |(i, name): (usize, &'a String)| Peer {
+        name,
+        zone: zones[i % zones.len()],
+        pairs,
+    };
     names.iter().enumerate().map(peer).collect()
 }
 
-fn workers<'a>(names: &'a [String], zones: &[&'a str], weight: impl Fn(usize) -> f64) -> Vec<Worker<'a>> {
-    let worker =
-        |(i, name): (usize, &'a String)| Worker { name, zone: zones[i % zones.len()], weight: weight(i) };
+fn workers<'a>(
+    names: &'a [String],
+    zones: &[&'a str],
+    weight: impl Fn(usize) -> f64,
+) -> Vec<Worker<'a>> {
+    let worker = |(i, name): (usize, &'a String)| Worker {
+        name,
+        zone: zones[i % zones.len()],
+        weight: weight(i),
+    };
     names.iter().enumerate().map(worker).collect()
 }
 
@@ -36,7 +47,10 @@
         // What the newcomer uses has to come from those that use it now, no more.
         let joined = assign(&ps, &ws[..count]);
         let pairs = moved(&before, &joined);
-        assert!(pairs <= 2 * d + 4, "{nodes}/{count}: {pairs} moved for a node that came");
+        assert!(
+            pairs <= 2 * d + 4,
+            "{nodes}/{count}: {pairs} moved for a node that came"
+        );
         let added = assign(&ps[..nodes], &ws);
         let (pairs, fewest) = (moved(&before, &added), nodes * d / (count + 1));
         assert!(
@@ -50,10 +64,21 @@
 fn zones_are_left_only_as_far_as_they_can_not_bear_it() {
     let (p, w) = (names("n", 30), names("w", 12));
     // As many nodes as workers bear, in each zone.
-    let uses = assign(&peers(&p, &["a", "b", "c"], 4), &workers(&w, &["a", "b", "c"], |_| 1.0));
-    assert!(uses.iter().enumerate().all(|(j, u)| u.iter().all(|i| i % 3 == j % 3)), "{uses:?}");
+    let uses = assign(
+        &peers(&p, &["a", "b", "c"], 4),
+        &workers(&w, &["a", "b", "c"], |_| 1.0),
+    );
+    assert!(
+        uses.iter()
+            .enumerate()
+            .all(|(j, u)| u.iter().all(|i| i % 3 == j % 3)),
+        "{uses:?}"
+    );
     // All nodes in one zone that has a third of the workers: they bear their third, and no more.
-    let uses = assign(&peers(&p, &["a"], 4), &workers(&w, &["a", "b", "c"], |_| 1.0));
+    let uses = assign(
+        &peers(&p, &["a"], 4),
+        &workers(&w, &["a", "b", "c"], |_| 1.0),
+    );
     let near: usize = uses.iter().flatten().filter(|i| *i % 3 == 0).count();
     assert_eq!(near, 40);
     assert!(borne(&uses, 12).iter().all(|&b| b == 10));
@@ -63,14 +88,20 @@
 fn a_zone_without_workers_is_borne_by_the_others() {
     let (p, w) = (names("n", 30), names("w", 12));
     let nodes = peers(&p, &["a", "b", "c"], 4);
-    let left: Vec<Worker> =
-        workers(&w, &["a", "b", "c"], |_| 1.0).into_iter().filter(|w| w.zone != "a").collect();
+    let left: Vec<Worker> = workers(&w, &["a", "b", "c"], |_| 1.0)
+        .into_iter()
+        .filter(|w| w.zone != "a")
+        .collect();
     let uses = assign(&nodes, &left);
-    assert!(uses.iter().all(|u| u.len() == 4) && borne(&uses, 8).iter().all(|&b| b == 15), "{uses:?}");
+    assert!(
+        uses.iter().all(|u| u.len() == 4) && borne(&uses, 8).iter().all(|&b| b == 15),
+        "{uses:?}"
+    );
     // Those that have workers of their own keep to them as far as these have room.
     let away = |zone: &str| -> usize {
         let of = nodes.iter().zip(&uses).filter(|(n, _)| n.zone == zone);
-        of.map(|(_, u)| u.iter().filter(|i| left[**i].zone != zone).count()).sum()
+        of.map(|(_, u)| u.iter().filter(|i| left[**i].zone != zone).count())
+            .sum()
     };
     assert_eq!((away("a"), away("b"), away("c")), (40, 0, 0));
 }
--- a/crates/subsetting/src/told.rs
+++ b/crates/subsetting/src/told.rs
@@ -1,5 +1,6 @@
-//! What each node tells with the view: its load in each pool that is shared, and which workers it has left out. It is a few bytes,
-//! bounded, and whatever a stranger sends is read as something or not at all.
+//! What each node tells with the view: its load in each pool that is shared, and which workers it
+//! has left out. It is a few bytes, bounded, and whatever a stranger sends is read as something or
+//! not at all.
 
 use crate::hash;
 
@@ -10,7 +11,8 @@
 /// The most workers that are named as left out: beyond it, trials are taken without turns.
 pub const MOST_OUT: usize = 14;
 
-/// What a pool or a worker is called on the way: two of one name harm nothing but the evenness of turns.
+/// What a pool or a worker is called on the way: two of one name harm nothing but the evenness of
+/// turns.
 pub fn short(names: &[&str]) -> u16 {
     hash(names) as u16
 }
@@ -35,7 +37,8 @@
             bytes.push(*level);
         }
         bytes.push(out.len() as u8);
-        out.iter().for_each(|worker| bytes.extend(worker.to_le_bytes()));
+        out.iter()
+            .for_each(|worker| bytes.extend(worker.to_le_bytes()));
         bytes
     }
 
@@ -44,18 +47,25 @@
         let (&pools, rest) = bytes.split_first()?;
         let (loads, rest) = rest.split_at_checked(pools as usize * 3)?;
         let (&outs, out) = rest.split_first()?;
-        let fits =
-            pools as usize <= MOST_POOLS && outs as usize <= MOST_OUT && out.len() == outs as usize * 2;
+        let fits = pools as usize <= MOST_POOLS
+            && outs as usize <= MOST_OUT
+            && out.len() == outs as usize * 2;
         let word = |b: &[u8]| u16::from_le_bytes([b[0], b[1]]);
         fits.then(|| Told {
-            loads: loads.chunks_exact(3).map(|c| (word(c), c[2].min(crate::demand::MOST))).collect(),
+            loads: loads
+                .chunks_exact(3)
+                .map(|c| (word(c), c[2].min(crate::demand::MOST)))
+                .collect(),
             out: out.chunks_exact(2).map(word).collect(),
         })
     }
 
     /// Its level in a pool.
     pub fn level(&self, pool: u16) -> u8 {
-        self.loads.iter().find(|(p, _)| *p == pool).map_or(0, |(_, level)| *level)
+        self.loads
+            .iter()
+            .find(|(p, _)| *p == pool)
+            .map_or(0, |(_, level)| *level)
     }
 }
 
@@ -66,7 +76,10 @@
 
     #[test]
     fn the_most_that_is_told_fits() {
-        let told = Told { loads: vec![(1, 2); 9], out: vec![7; 99] };
+        let told = Told {
+            loads: vec![(1, 2); 9],
+            out: vec![7; 99],
+        };
         let bytes = told.write();
         assert!(bytes.len() <= MOST, "{}", bytes.len());
         let read = Told::read(&bytes).unwrap();
--- a/crates/subsetting/tests/compatibility.rs
+++ b/crates/subsetting/tests/compatibility.rs
@@ -1,5 +1,6 @@
-//! Load reports and assignments of shared pools, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-subsetting --test compatibility`): nodes of both builds have to choose alike.
+//! Load reports and assignments of shared pools, compared with fixtures written by the build of
+//! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-subsetting --test
+//! compatibility`): nodes of both builds have to choose alike.
 
 use pipitlever_subsetting::hash;
 use pipitlever_subsetting::subset::{assign, Peer, Worker};
@@ -15,23 +16,37 @@
     let peers: Vec<Peer> = nodes
         .iter()
         .enumerate()
-        .map(|(i, name)| Peer { name, zone: zones[i % 3], pairs: 2 + i % 2 })
+        .map(|(i, name)| Peer {
+            name,
+            zone: zones[i % 3],
+            pairs: 2 + i % 2,
+        })
         .collect();
     let workers: Vec<Worker> = names
         .iter()
         .enumerate()
-        .map(|(i, name)| Worker { name, zone: zones[i % 2], weight: 1.0 + (i % 3) as f64 })
+        .map(|(i, name)| Worker {
+            name,
+            zone: zones[i % 2],
+            weight: 1.0 + (i % 3) as f64,
+        })
         .collect();
     format!("{:?}", assign(&peers, &workers)).into_bytes()
 }
 
 #[test]
 fn reports_and_assignments_are_those_of_the_earlier_build() {
-    let told = Told { loads: vec![(300, 7), (40_000, 60)], out: vec![258, 65_000] };
+    let told = Told {
+        loads: vec![(300, 7), (40_000, 60)],
+        out: vec![258, 65_000],
+    };
     assert_eq!(Told::read(&told.write()), Some(told.clone()));
     let samples = [
         ("load-report", told.write()),
-        ("short-name", short(&["pool", "worker"]).to_be_bytes().to_vec()),
+        (
+            "short-name",
+            short(&["pool", "worker"]).to_be_bytes().to_vec(),
+        ),
         ("hash", hash(&["node", "worker"]).to_be_bytes().to_vec()),
         ("assignment", assigned()),
     ];
--- a/crates/subsetting/tests/model.rs
+++ b/crates/subsetting/tests/model.rs
@@ -1,5 +1,6 @@
-//! Parts of a bound never add up to more than it, in all orders of a small world: three nodes whose loads change, and news that takes up to
-//! as long as is reckoned with. And where news takes longer, by how much.
+//! Parts of a bound never add up to more than it, in all orders of a small world: three nodes whose
+//! loads change, and news that takes up to as long as is reckoned with. And where news takes
+//! longer, by how much.
 
 use pipitlever_subsetting::grant::{Levels, Seen};
 use stateright::{Checker, Model, Property};
@@ -53,13 +54,18 @@
     /// What a node may have now, as the product reckons it.
     fn part(&self, node: usize, sets: &[(i64, [u8; NODES])], now: i64) -> usize {
         let mut seen = Seen::new(-9 * HOLD);
-        sets.iter().for_each(|(at, loads)| seen.set(*at, levels(loads)));
+        sets.iter()
+            .for_each(|(at, loads)| seen.set(*at, levels(loads)));
         seen.quiet(now, if self.at_once { -1 } else { HOLD });
         seen.part(&name(node), BOUND, |name| name.bytes().map(u64::from).sum())
     }
 
     fn sum(&self, w: &World) -> usize {
-        w.sets.iter().enumerate().map(|(i, sets)| self.part(i, sets, w.now)).sum()
+        w.sets
+            .iter()
+            .enumerate()
+            .map(|(i, sets)| self.part(i, sets, w.now))
+            .sum()
     }
 
     fn look(w: &mut World, node: usize) {
@@ -83,7 +89,13 @@
     fn init_states(&self) -> Vec<World> {
         let sets = vec![vec![(-4 * HOLD, [0; NODES])]; NODES];
         let heard = [[0; NODES]; NODES];
-        vec![World { now: 0, told: [(0, -9); NODES], heard, sets, changes: 0 }]
+        vec![World {
+            now: 0,
+            told: [(0, -9); NODES],
+            heard,
+            sets,
+            changes: 0,
+        }]
     }
 
     fn actions(&self, w: &World, actions: &mut Vec<Action>) {
@@ -97,7 +109,10 @@
             let known = (0..NODES).all(|n| w.heard[n][node] == w.told[node].0);
             if w.changes < CHANGES && known {
                 actions.extend(
-                    [1u8, 5].into_iter().filter(|l| *l != w.told[node].0).map(|l| Action::Load(node, l)),
+                    [1u8, 5]
+                        .into_iter()
+                        .filter(|l| *l != w.told[node].0)
+                        .map(|l| Action::Load(node, l)),
                 );
             }
         }
@@ -129,9 +144,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("within the bound", |m: &Orders, w: &World| m.sum(w) <= BOUND),
+            Property::always("within the bound", |m: &Orders, w: &World| {
+                m.sum(w) <= BOUND
+            }),
             Property::sometimes("one has most of it", |m: &Orders, w: &World| {
-                w.sets.iter().enumerate().any(|(i, sets)| m.part(i, sets, w.now) > BOUND / 2)
+                w.sets
+                    .iter()
+                    .enumerate()
+                    .any(|(i, sets)| m.part(i, sets, w.now) > BOUND / 2)
             }),
         ]
     }
@@ -141,24 +161,54 @@
 fn broken(orders: Orders) -> Vec<&'static str> {
     let (start, most) = (Instant::now(), Duration::from_secs(120));
     let checker = orders.checker().threads(4).timeout(most).spawn_bfs().join();
-    assert!(start.elapsed() < most, "not all states were reached in time");
-    println!("{} states in {:?}", checker.unique_state_count(), start.elapsed());
+    assert!(
+        start.elapsed() < most,
+        "not all states were reached in time"
+    );
+    println!(
+        "{} states in {:?}",
+        checker.unique_state_count(),
+        start.elapsed()
+    );
     for p in ["within the bound"] {
         if let Some(path) = checker.discovery(p) {
             println!("{p}: {:#?}", path.into_actions());
         }
     }
-    assert!(checker.discovery("one has most of it").is_some(), "the world is too small");
-    checker.discovery("within the bound").map(|_| "within the bound").into_iter().collect()
+    assert!(
+        checker.discovery("one has most of it").is_some(),
+        "the world is too small"
+    );
+    checker
+        .discovery("within the bound")
+        .map(|_| "within the bound")
+        .into_iter()
+        .collect()
 }
 
 #[test]
 fn in_no_order_do_parts_add_up_to_more_than_the_bound() {
-    assert!(broken(Orders { news: HOLD, at_once: false }).is_empty());
+    assert!(broken(Orders {
+        news: HOLD,
+        at_once: false
+    })
+    .is_empty());
 }
 
 #[test]
 fn where_news_is_late_or_nobody_waits_the_model_finds_it() {
-    assert_eq!(broken(Orders { news: HOLD, at_once: true }), ["within the bound"]);
-    assert_eq!(broken(Orders { news: STEPS, at_once: false }), ["within the bound"]);
+    assert_eq!(
+        broken(Orders {
+            news: HOLD,
+            at_once: true
+        }),
+        ["within the bound"]
+    );
+    assert_eq!(
+        broken(Orders {
+            news: STEPS,
+            at_once: false
+        }),
+        ["within the bound"]
+    );
 }
--- a/crates/test-fixtures/src/lib.rs
+++ b/crates/test-fixtures/src/lib.rs
@@ -1,8 +1,9 @@
 //! Compares encoded values with fixture files that an earlier build wrote.
 //!
-//! A fixture file has one line per sample, `NAME HEX`. The compatibility tests build each sample from named fields, encode it
-//! with the current code and compare the bytes, so a renamed field, a swapped pair of fields or a changed hash input shows up
-//! as a difference. With `PIPITLEVER_WRITE_FIXTURES=1` in the environment the files are written instead of compared; the
+//! A fixture file has one line per sample, `NAME HEX`. The compatibility tests build each sample
+//! from named fields, encode it with the current code and compare the bytes, so a renamed field, a
+//! swapped pair of fields or a changed hash input shows up as a difference. With
+//! `PIPITLEVER_WRITE_FIXTURES=1` in the environment the files are written instead of compared; the
 //! fixtures in the repository were written this way by the build of commit 5f02f56.
 
 use std::fmt::Write as _;
@@ -45,5 +46,10 @@
     for (number, (expected, actual)) in expected.lines().zip(text.lines()).enumerate() {
         assert_eq!(actual, expected, "{}: line {}", path.display(), number + 1);
     }
-    assert_eq!(text.lines().count(), expected.lines().count(), "{}: number of lines", path.display());
+    assert_eq!(
+        text.lines().count(),
+        expected.lines().count(),
+        "{}: number of lines",
+        path.display()
+    );
 }
--- a/crates/wire/src/control.rs
+++ b/crates/wire/src/control.rs
@@ -1,4 +1,5 @@
-//! The operators' door: HTTP/1.1 (RFC 9112), one call a connection. Fed bytes, it yields the call once and no more.
+//! The operators' door: HTTP/1.1 (RFC 9112), one call a connection. Fed bytes, it yields the call
+//! once and no more.
 
 use std::io::Write;
 
@@ -89,7 +90,8 @@
 }
 
 impl Caller {
-    /// Takes in what was read. The call once it is whole, or why it is none: said once, whatever comes behind.
+    /// Takes in what was read. The call once it is whole, or why it is none: said once, whatever
+    /// comes behind.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Asked, Wrong>> {
         if self.over {
             return None;
@@ -118,7 +120,8 @@
         // Never more than the longest head and what came with its end.
         self.bytes.extend_from_slice(bytes);
         let too_long = self.bytes.len() > MOST_HEAD;
-        // A head ends with a line; read anew at each byte, one that comes byte by byte would cost its square.
+        // A head ends with a line; read anew at each byte, one that comes byte by byte would cost
+        // its square.
         if !bytes.contains(&b'\n') && !too_long {
             return None;
         }
@@ -142,7 +145,8 @@
 /// The number behind the beginning of a path.
 fn numbered(path: &str, start: &str) -> Option<u64> {
     let digits = path.strip_prefix(start)?;
-    (!digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit())).then(|| digits.parse().ok())?
+    (!digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit()))
+        .then(|| digits.parse().ok())?
 }
 
 /// The call that a head is, where its body begins, and how much of that is waited for.
@@ -156,16 +160,25 @@
         Err(httparse::Error::Version) => return Err(Wrong::Version),
         Err(_) => return Err(Wrong::BadRequest),
     };
-    let (method, target) = (request.method.unwrap_or_default(), request.path.unwrap_or_default());
+    let (method, target) = (
+        request.method.unwrap_or_default(),
+        request.path.unwrap_or_default(),
+    );
     let named = |name: &'static str| {
-        let fields = request.headers.iter().filter(move |f| f.name.eq_ignore_ascii_case(name));
+        let fields = request
+            .headers
+            .iter()
+            .filter(move |f| f.name.eq_ignore_ascii_case(name));
         fields.map(|f| f.value.trim_ascii())
     };
     let mut length = None;
     for value in named("content-length") {
         // Digits alone: `parse` would take a sign. Two that differ are how calls are smuggled.
         let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-        let value = std::str::from_utf8(value).ok().filter(|_| digits).ok_or(Wrong::BadRequest)?;
+        let value = std::str::from_utf8(value)
+            .ok()
+            .filter(|_| digits)
+            .ok_or(Wrong::BadRequest)?;
         let value = value.parse::<usize>().map_err(|_| Wrong::TooLong)?;
         if length.replace(value).is_some_and(|before| before != value) {
             return Err(Wrong::BadRequest);
@@ -188,12 +201,14 @@
         "/standby" => (Call::Standby, "POST"),
         "/active" => (Call::Active, "POST"),
         "/fleet/publish" => (Call::Publish, "POST"),
-        _ if numbered(path, "/fleet/close/").is_some() => {
-            (Call::Close(numbered(path, "/fleet/close/").unwrap_or(0)), "POST")
-        }
-        _ if numbered(path, "/fleet/accept-floor/").is_some() => {
-            (Call::AcceptFloor(numbered(path, "/fleet/accept-floor/").unwrap_or(0)), "POST")
-        }
+        _ if numbered(path, "/fleet/close/").is_some() => (
+            Call::Close(numbered(path, "/fleet/close/").unwrap_or(0)),
+            "POST",
+        ),
+        _ if numbered(path, "/fleet/accept-floor/").is_some() => (
+            Call::AcceptFloor(numbered(path, "/fleet/accept-floor/").unwrap_or(0)),
+            "POST",
+        ),
         _ => return Err(Wrong::NotFound),
     };
     if !allow.split(", ").any(|m| m == method) {
@@ -207,24 +222,55 @@
     }
     // Who waits to be told to go on may be answered at once: no call reads its body.
     let waits = named("expect").next().is_some();
-    let body = if waits && call != Call::Publish { 0 } else { length.unwrap_or(0) };
-    Ok(Some((Asked { call, head: method == "HEAD" }, start, body)))
+    let body = if waits && call != Call::Publish {
+        0
+    } else {
+        length.unwrap_or(0)
+    };
+    Ok(Some((
+        Asked {
+            call,
+            head: method == "HEAD",
+        },
+        start,
+        body,
+    )))
 }
 
 /// An answer, which ends its connection: yes or not now, and what there is to say.
 pub fn answer(out: &mut Vec<u8>, yes: bool, head: bool, text: &str) {
-    let status = if yes { "200 OK" } else { "503 Service Unavailable" };
-    respond(out, status, ["", PLAIN], text.len(), if head { "" } else { text });
+    let status = if yes {
+        "200 OK"
+    } else {
+        "503 Service Unavailable"
+    };
+    respond(
+        out,
+        status,
+        ["", PLAIN],
+        text.len(),
+        if head { "" } else { text },
+    );
 }
 
 /// An answer that is JSON.
 pub fn json(out: &mut Vec<u8>, head: bool, text: &str) {
-    respond(out, "200 OK", ["", "application/json"], text.len(), if head { "" } else { text });
+    respond(
+        out,
+        "200 OK",
+        ["", "application/json"],
+        text.len(),
+        if head { "" } else { text },
+    );
 }
 
 /// The answer to what is no call.
 pub fn wrong(out: &mut Vec<u8>, wrong: Wrong) {
-    let allow = if let Wrong::Method(allow) = wrong { format!("Allow: {allow}\r\n") } else { String::new() };
+    let allow = if let Wrong::Method(allow) = wrong {
+        format!("Allow: {allow}\r\n")
+    } else {
+        String::new()
+    };
     let text = format!("{}\n", wrong.status());
     respond(out, wrong.status(), [&allow, PLAIN], text.len(), &text);
 }
@@ -249,47 +295,94 @@
     fn calls_are_read_whole_and_in_pieces() {
         let ok = |call| Some(Ok(Asked { call, head: false }));
         let wrong = |wrong| Some(Err(wrong));
-        let many = format!("GET /status HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(MOST_FIELDS + 1));
+        let many = format!(
+            "GET /status HTTP/1.1\r\n{}\r\n",
+            "a: b\r\n".repeat(MOST_FIELDS + 1)
+        );
         let long = format!("GET /status HTTP/1.1\r\na: {}", "b".repeat(MOST_HEAD));
         let cases = [
             ("GET /status HTTP/1.1\r\nHost: a\r\n\r\n", ok(Call::Status)),
             ("\r\nGET /status HTTP/1.0\r\n\r\n", ok(Call::Status)),
-            ("GET /status/metrics?a=b HTTP/1.1\r\n\r\n", ok(Call::Metrics)),
-            ("POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n", ok(Call::Standby)),
-            ("POST /active HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc", ok(Call::Active)),
+            (
+                "GET /status/metrics?a=b HTTP/1.1\r\n\r\n",
+                ok(Call::Metrics),
+            ),
+            (
+                "POST /standby HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
+                ok(Call::Standby),
+            ),
+            (
+                "POST /active HTTP/1.1\r\ncontent-length: 3\r\n\r\nabc",
+                ok(Call::Active),
+            ),
             ("POST /active HTTP/1.1\r\ncontent-length: 3\r\n\r\nab", None),
-            ("POST /active HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n", ok(Call::Active)),
+            (
+                "POST /active HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 3\r\n\r\n",
+                ok(Call::Active),
+            ),
             ("GET http://a:1/status HTTP/1.1\r\n\r\n", ok(Call::Status)),
-            ("HEAD /status HTTP/1.1\r\n\r\n", Some(Ok(Asked { call: Call::Status, head: true }))),
+            (
+                "HEAD /status HTTP/1.1\r\n\r\n",
+                Some(Ok(Asked {
+                    call: Call::Status,
+                    head: true,
+                })),
+            ),
             ("GET /status HTTP/1.1\r\nHost: a\r\n", None),
             ("", None),
-            ("GET /standby HTTP/1.1\r\n\r\n", wrong(Wrong::Method("POST"))),
-            ("POST /status HTTP/1.1\r\n\r\n", wrong(Wrong::Method("GET, HEAD"))),
+            (
+                "GET /standby HTTP/1.1\r\n\r\n",
+                wrong(Wrong::Method("POST")),
+            ),
+            (
+                "POST /status HTTP/1.1\r\n\r\n",
+                wrong(Wrong::Method("GET, HEAD")),
+            ),
             ("GET /status/ HTTP/1.1\r\n\r\n", wrong(Wrong::NotFound)),
             ("GET http://status HTTP/1.1\r\n\r\n", wrong(Wrong::NotFound)),
             ("GET /status HTTP/2.0\r\n\r\n", wrong(Wrong::Version)),
             ("hello there\r\n\r\n", wrong(Wrong::BadRequest)),
             ("\0\u{1}\u{2}\r\n\r\n", wrong(Wrong::BadRequest)),
-            ("POST /active HTTP/1.1\r\nContent-Length: -1\r\n\r\n", wrong(Wrong::BadRequest)),
-            ("POST /active HTTP/1.1\r\nContent-Length: +1\r\n\r\na", wrong(Wrong::BadRequest)),
+            (
+                "POST /active HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+                wrong(Wrong::BadRequest),
+            ),
+            (
+                "POST /active HTTP/1.1\r\nContent-Length: +1\r\n\r\na",
+                wrong(Wrong::BadRequest),
+            ),
             (
                 "POST /active HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\na",
                 wrong(Wrong::BadRequest),
             ),
-            ("POST /active HTTP/1.1\r\nContent-Length: 3000000000\r\n\r\n", wrong(Wrong::TooLong)),
+            (
+                "POST /active HTTP/1.1\r\nContent-Length: 3000000000\r\n\r\n",
+                wrong(Wrong::TooLong),
+            ),
             (
                 "POST /active HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
                 wrong(Wrong::TooLong),
             ),
-            ("POST /active HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", wrong(Wrong::Coding)),
+            (
+                "POST /active HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                wrong(Wrong::Coding),
+            ),
             (&many, wrong(Wrong::HeadTooLong)),
             (&long, wrong(Wrong::HeadTooLong)),
         ];
         for (text, expected) in cases {
-            assert_eq!(Caller::default().feed(text.as_bytes()), expected, "{text:?}");
+            assert_eq!(
+                Caller::default().feed(text.as_bytes()),
+                expected,
+                "{text:?}"
+            );
             let mut caller = Caller::default();
             let said: Vec<_> = text.bytes().filter_map(|b| caller.feed(&[b])).collect();
-            assert_eq!(said, expected.into_iter().collect::<Vec<_>>(), "{text:?} in pieces");
+            assert_eq!(
+                said,
+                expected.into_iter().collect::<Vec<_>>(),
+                "{text:?} in pieces"
+            );
         }
     }
 
@@ -297,7 +390,13 @@
     fn a_call_is_said_once() {
         let mut caller = Caller::default();
         let text = b"POST /standby HTTP/1.1\r\n\r\nPOST /active HTTP/1.1\r\n\r\n";
-        assert_eq!(caller.feed(text), Some(Ok(Asked { call: Call::Standby, head: false })));
+        assert_eq!(
+            caller.feed(text),
+            Some(Ok(Asked {
+                call: Call::Standby,
+                head: false
+            }))
+        );
         assert_eq!(caller.feed(text), None);
     }
 
@@ -310,7 +409,10 @@
         let text = String::from_utf8(out).unwrap();
         let heads: Vec<&str> = text.split("HTTP/1.1 ").skip(1).collect();
         assert!(heads[0].starts_with("200 OK\r\n") && heads[0].ends_with("\r\n\r\na\n"));
-        assert!(heads[0].contains("Content-Length: 2\r\n") && heads[0].contains("Connection: close\r\n"));
+        assert!(
+            heads[0].contains("Content-Length: 2\r\n")
+                && heads[0].contains("Connection: close\r\n")
+        );
         assert!(heads[1].starts_with("405 ") && heads[1].contains("Allow: POST\r\n"));
         assert!(heads[2].starts_with("503 ") && heads[2].contains("Content-Length: 2\r\n"));
         assert!(heads[2].ends_with("\r\n\r\n"));
--- a/crates/wire/src/jsonrpc.rs
+++ b/crates/wire/src/jsonrpc.rs
@@ -122,7 +122,8 @@
     id: serde_json::Value,
     #[serde(borrow)]
     method: Option<Text<'a>>,
-    // As it stands: it is read once its class of message is known, and nothing of it is copied before.
+    // As it stands: it is read once its class of message is known, and nothing of it is copied
+    // before.
     #[serde(borrow, default)]
     params: Option<&'a RawValue>,
 }
@@ -156,7 +157,8 @@
     id: serde_json::Value,
 }
 
-/// What a health check may say. Whatever else stands there is no error: it is answered all the same.
+/// What a health check may say. Whatever else stands there is no error: it is answered all the
+/// same.
 #[derive(Deserialize)]
 struct Check {
     #[serde(default)]
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Whether the connection can't be read any further: its last message was an error and nothing follows.
+    /// Whether the connection can't be read any further: its last message was an error and nothing
+    /// follows.
     pub fn broken(&self) -> bool {
         self.broken
     }
@@ -204,11 +207,16 @@
         if self.broken {
             return None;
         }
-        let found = self.buffer[self.searched..].iter().position(|&b| b == b'\n');
+        let found = self.buffer[self.searched..]
+            .iter()
+            .position(|&b| b == b'\n');
         let end = found.map_or(self.buffer.len(), |at| self.searched + at);
         if end - self.used > MOST_LINE {
             // Where its end lies is not worth looking for.
-            *self = Gateway { broken: true, ..Gateway::default() };
+            *self = Gateway {
+                broken: true,
+                ..Gateway::default()
+            };
             return Some(Message::Bad(None, Code::Request));
         }
         self.searched = end;
@@ -231,7 +239,12 @@
             let json = serde_json::from_slice::<serde::de::IgnoredAny>(line).is_ok();
             return Message::Bad(None, if json { Code::Request } else { Code::Parse });
         };
-        let Envelope { jsonrpc, id, method, params } = value;
+        let Envelope {
+            jsonrpc,
+            id,
+            method,
+            params,
+        } = value;
         let numbered = whole_number(&id).filter(|&id| id > self.last_id);
         let (true, Some(Text(method))) = (jsonrpc.is_some_and(|v| v.0 == "2.0"), method) else {
             return Message::Bad(numbered, Code::Request);
@@ -241,16 +254,23 @@
             let cancelled = named.and_then(|p| serde_json::from_str::<Cancelled>(p).ok());
             return match (&*method, cancelled.and_then(|c| whole_number(&c.id))) {
                 ("cancelRequest", Some(cancelled)) => Message::Cancel(cancelled),
-                // Whoever asks for something without a number gets to know that it will not be done.
+                // Whoever asks for something without a number gets to know that it will not be
+                // done.
                 _ => Message::Bad(None, Code::Request),
             };
         }
-        // Numbers count up from 1 and are new on their connection; another one could name an open request.
-        let Some(id) = numbered else { return Message::Bad(None, Code::Request) };
+        // Numbers count up from 1 and are new on their connection; another one could name an open
+        // request.
+        let Some(id) = numbered else {
+            return Message::Bad(None, Code::Request);
+        };
         self.last_id = id;
         if method == "alive" {
             let asked = params.and_then(|p| serde_json::from_str::<Check>(p.get()).ok());
-            return Message::Alive { id, inner: asked.is_some_and(|check| check.inner) };
+            return Message::Alive {
+                id,
+                inner: asked.is_some_and(|check| check.inner),
+            };
         }
         match work(id, params, || class(&method), tenant) {
             Ok(work) => Message::Work(work),
@@ -262,7 +282,9 @@
 /// A whole number, in any form that JSON has for it: 7, 7.0 and 7e0 are the same.
 fn whole_number(value: &serde_json::Value) -> Option<u64> {
     let exact = |v: &f64| v.fract() == 0.0 && (0.0..=MOST_EXACT).contains(v);
-    value.as_u64().or_else(|| value.as_f64().filter(exact).map(|v| v as u64))
+    value
+        .as_u64()
+        .or_else(|| value.as_f64().filter(exact).map(|v| v as u64))
 }
 
 fn work(
@@ -282,11 +304,15 @@
         && p.class_rank >= 0.0
         && p.class_rank < 1.0
         && p.dup.is_none_or(|v| v == 0.0 || v == 1.0)
-        && p.replay.as_ref().is_none_or(|k| (1..=MOST_KEY).contains(&k.0.len()));
+        && p.replay
+            .as_ref()
+            .is_none_or(|k| (1..=MOST_KEY).contains(&k.0.len()));
     // Longer ones need not be decoded to be seen as too long; the others have room here.
     let mut room = [0; MOST_BODY + 2];
     let short = p.doc.len() <= MOST_BODY.div_ceil(3) * 4;
-    let length = (right && short).then(|| STANDARD.decode_slice(&*p.doc, &mut room).ok()).flatten();
+    let length = (right && short)
+        .then(|| STANDARD.decode_slice(&*p.doc, &mut room).ok())
+        .flatten();
     let length = length.filter(|&n| n <= MOST_BODY).ok_or(Code::Params)?;
     let reference = reference(&p.reference).ok_or(Code::Params)?;
     // Out of base64, and into what is shared.
@@ -330,7 +356,9 @@
     out.extend_from_slice(b"\"result\":{\"doc\":\"");
     let start = out.len();
     out.resize(start + result.len().div_ceil(3) * 4, 0);
-    let written = STANDARD.encode_slice(result, &mut out[start..]).unwrap_or(0);
+    let written = STANDARD
+        .encode_slice(result, &mut out[start..])
+        .unwrap_or(0);
     crate::copied(written);
     debug_assert_eq!(start + written, out.len(), "base64 has a known length");
     out.push(b'"');
@@ -347,7 +375,11 @@
         let _ = write!(out, "{comma}\"cooldown\":{cooldown}");
     }
     if nowhere {
-        let comma = if level.is_some() || cooldown > 0 { "," } else { "" };
+        let comma = if level.is_some() || cooldown > 0 {
+            ","
+        } else {
+            ""
+        };
         let _ = write!(out, "{comma}\"nowhere\":1");
     }
     out.extend_from_slice(b"}}}\n");
@@ -364,7 +396,10 @@
 fn error(out: &mut Vec<u8>, id: Option<u64>, code: Code) {
     let (number, message) = code.parts();
     head(out, id);
-    let _ = write!(out, "\"error\":{{\"code\":{number},\"message\":\"{message}\",\"data\":{{");
+    let _ = write!(
+        out,
+        "\"error\":{{\"code\":{number},\"message\":\"{message}\",\"data\":{{"
+    );
 }
 
 /// The answer to a health check.
@@ -398,11 +433,15 @@
     fn lines_are_read_whole_or_in_pieces() {
         use Code::*;
         let bad = Message::Bad;
-        // Errors of whole requests are in tests/rules.rs; here are those of lines, ids and notifications.
+        // Errors of whole requests are in tests/rules.rs; here are those of lines, ids and
+        // notifications.
         let cases: [(&str, Vec<Message>); 12] = [
             (
                 "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\r\n",
-                vec![Message::Alive { id: 1, inner: false }],
+                vec![Message::Alive {
+                    id: 1,
+                    inner: false,
+                }],
             ),
             (
                 "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\",\"params\":{\"inner\":true}}\n",
@@ -412,15 +451,36 @@
                 "{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{\"id\":3}}\n",
                 vec![Message::Cancel(3)],
             ),
-            ("{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":[3]}\n", vec![bad(None, Request)]),
-            ("{\"jsonrpc\":\"2.0\",\"method\":\"other\"}\n", vec![bad(None, Request)]),
+            (
+                "{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":[3]}\n",
+                vec![bad(None, Request)],
+            ),
+            (
+                "{\"jsonrpc\":\"2.0\",\"method\":\"other\"}\n",
+                vec![bad(None, Request)],
+            ),
             ("\n", vec![bad(None, Parse)]),
             ("{\"id\":1\n", vec![bad(None, Parse)]),
-            ("[{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}]\n", vec![bad(None, Request)]),
-            ("{\"jsonrpc\":\"2.0\",\"id\":1}\n", vec![bad(Some(1), Request)]),
-            ("{\"jsonrpc\":\"2.0\",\"id\":-1,\"method\":\"alive\"}\n", vec![bad(None, Request)]),
-            ("{\"jsonrpc\":\"2.0\",\"id\":1.5,\"method\":\"alive\"}\n", vec![bad(None, Request)]),
-            ("{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}", vec![]),
+            (
+                "[{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}]\n",
+                vec![bad(None, Request)],
+            ),
+            (
+                "{\"jsonrpc\":\"2.0\",\"id\":1}\n",
+                vec![bad(Some(1), Request)],
+            ),
+            (
+                "{\"jsonrpc\":\"2.0\",\"id\":-1,\"method\":\"alive\"}\n",
+                vec![bad(None, Request)],
+            ),
+            (
+                "{\"jsonrpc\":\"2.0\",\"id\":1.5,\"method\":\"alive\"}\n",
+                vec![bad(None, Request)],
+            ),
+            (
+                "{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}",
+                vec![],
+            ),
         ];
         for (text, expected) in cases {
             assert_eq!(messages(text.as_bytes()), expected, "{text:?}");
@@ -439,14 +499,20 @@
         let text = [alive(1), alive(1), alive(7), alive(3)].concat();
         let wrong = Message::Bad(None, Code::Request);
         let alive = |id| Message::Alive { id, inner: false };
-        assert_eq!(messages(text.as_bytes()), [alive(1), wrong.clone(), alive(7), wrong]);
+        assert_eq!(
+            messages(text.as_bytes()),
+            [alive(1), wrong.clone(), alive(7), wrong]
+        );
     }
 
     #[test]
     fn a_line_too_long_ends_the_reading() {
         let mut gateway = Gateway::default();
         gateway.feed(&[b' '; MOST_LINE + 1]);
-        assert_eq!(gateway.next(none, none), Some(Message::Bad(None, Code::Request)));
+        assert_eq!(
+            gateway.next(none, none),
+            Some(Message::Bad(None, Code::Request))
+        );
         gateway.feed(b"\n{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n");
         assert!(gateway.broken() && gateway.next(none, none).is_none());
     }
@@ -459,7 +525,10 @@
             out
         };
         let cases = [
-            (text(&|out| served(out, 7, b"a", None)), r#"{"jsonrpc":"2.0","id":7,"result":{"doc":"YQ=="}}"#),
+            (
+                text(&|out| served(out, 7, b"a", None)),
+                r#"{"jsonrpc":"2.0","id":7,"result":{"doc":"YQ=="}}"#,
+            ),
             (
                 text(&|out| served(out, 7, b"", Some(0.25))),
                 r#"{"jsonrpc":"2.0","id":7,"result":{"doc":"","pressure":0.25}}"#,
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -38,7 +38,9 @@
     /// The next reply: the request, how its call ended, and what came back.
     pub fn take(&mut self) -> Result<Option<(u64, CallEnd, Vec<u8>)>, Malformed> {
         let has_body = |line: &str| line.split(' ').nth(1) == Some("posted");
-        let Some((line, body)) = self.framed.next(has_body)? else { return Ok(None) };
+        let Some((line, body)) = self.framed.next(has_body)? else {
+            return Ok(None);
+        };
         let mut words = line.split(' ');
         let id = words.next().and_then(reference).ok_or(Malformed)?;
         let end = match words.next() {
@@ -56,7 +58,11 @@
 /// Place a call that is waited for this many milliseconds.
 pub fn post(id: u64, ms: u64, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(64 + body.len());
-    with_body(&mut out, format_args!("post {id:016x} {ms} {}", body.len()), body);
+    with_body(
+        &mut out,
+        format_args!("post {id:016x} {ms} {}", body.len()),
+        body,
+    );
     out
 }
 
@@ -69,8 +75,14 @@
         let id = 0x9b1f03aa5c7e2d41;
         let ok = |end, body: &[u8]| Ok(Some((id, end, body.to_vec())));
         let cases = [
-            ("9b1f03aa5c7e2d41 posted 3\r\n\r\n!\r\n", ok(CallEnd::Posted, b"\r\n!")),
-            ("9b1f03aa5c7e2d41 queue_full\r\n", ok(CallEnd::QueueFull, b"")),
+            (
+                "9b1f03aa5c7e2d41 posted 3\r\n\r\n!\r\n",
+                ok(CallEnd::Posted, b"\r\n!"),
+            ),
+            (
+                "9b1f03aa5c7e2d41 queue_full\r\n",
+                ok(CallEnd::QueueFull, b""),
+            ),
             ("9b1f03aa5c7e2d41 error\r\n", ok(CallEnd::Error, b"")),
             ("9b1f03aa5c7e2d41 expired\r\n", ok(CallEnd::Expired, b"")),
             ("9b1f03aa5c7e2d41 moot\r\n", ok(CallEnd::Moot, b"")),
@@ -86,6 +98,9 @@
             replies.feed(text.as_bytes());
             assert_eq!(replies.take(), expected, "{text:?}");
         }
-        assert_eq!(post(id, 250, b"ab"), b"post 9b1f03aa5c7e2d41 250 2\r\nab\r\n");
+        assert_eq!(
+            post(id, 250, b"ab"),
+            b"post 9b1f03aa5c7e2d41 250 2\r\nab\r\n"
+        );
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,5 @@
-//! What is spoken: one state machine a protocol, fed bytes and yielding messages. No socket, no clock.
+//! What is spoken: one state machine a protocol, fed bytes and yielding messages. No socket, no
+//! clock.
 
 pub mod control;
 pub mod jsonrpc;
@@ -7,9 +8,9 @@
 pub mod processor;
 pub mod uwsgi;
 
-/// Bytes that were copied on the way of requests: from what was read into a connection's buffer, to what is shared,
-/// to the batch, and back into the answer. What the system copies is not among them. Counted with the feature
-/// `count` alone.
+/// Bytes that were copied on the way of requests: from what was read into a connection's buffer, to
+/// what is shared, to the batch, and back into the answer. What the system copies is not among
+/// them. Counted with the feature `count` alone.
 #[cfg(feature = "count")]
 pub static COPIED: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
@@ -24,7 +25,9 @@
 /// A name of 16 lower-case hex digits, as a number.
 pub fn reference(word: &str) -> Option<u64> {
     let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    (word.len() == 16 && word.bytes().all(hex)).then(|| u64::from_str_radix(word, 16).ok()).flatten()
+    (word.len() == 16 && word.bytes().all(hex))
+        .then(|| u64::from_str_radix(word, 16).ok())
+        .flatten()
 }
 
 /// A peer that broke its protocol: its connection has to end.
@@ -62,11 +65,16 @@
         self.used == self.buffer.len()
     }
 
-    /// The next whole message: its line, and its body where `has_body` says that such a line has one.
+    /// The next whole message: its line, and its body where `has_body` says that such a line has
+    /// one.
     pub fn next(&mut self, has_body: fn(&str) -> bool) -> Result<Option<Message<'_>>, Malformed> {
         let rest = &self.buffer[self.used..];
         let Some(end) = rest.iter().take(MOST_LINE).position(|&b| b == b'\n') else {
-            return if rest.len() >= MOST_LINE { Err(Malformed) } else { Ok(None) };
+            return if rest.len() >= MOST_LINE {
+                Err(Malformed)
+            } else {
+                Ok(None)
+            };
         };
         let line = rest[..end].strip_suffix(b"\r").ok_or(Malformed)?;
         let line = std::str::from_utf8(line).map_err(|_| Malformed)?;
@@ -77,7 +85,9 @@
             if length > MOST_BODY {
                 return Err(Malformed);
             }
-            let Some((whole, _)) = rest[used..].split_at_checked(length + 2) else { return Ok(None) };
+            let Some((whole, _)) = rest[used..].split_at_checked(length + 2) else {
+                return Ok(None);
+            };
             body = whole.strip_suffix(b"\r\n").ok_or(Malformed)?;
             used += length + 2;
         }
@@ -86,7 +96,8 @@
     }
 }
 
-/// Drops what was taken out of a buffer, which moves what is left of it, and the memory that a burst made it take.
+/// Drops what was taken out of a buffer, which moves what is left of it, and the memory that a
+/// burst made it take.
 fn take_out(buffer: &mut Vec<u8>, used: &mut usize) {
     crate::copied(buffer.len() - *used);
     buffer.drain(..std::mem::take(used));
@@ -97,5 +108,7 @@
 
 /// A plain decimal number, of digits alone.
 pub fn number(word: &str) -> Option<u64> {
-    (!word.is_empty() && word.bytes().all(|b| b.is_ascii_digit())).then(|| word.parse().ok()).flatten()
+    (!word.is_empty() && word.bytes().all(|b| b.is_ascii_digit()))
+        .then(|| word.parse().ok())
+        .flatten()
 }
--- a/crates/wire/src/processor.rs
+++ b/crates/wire/src/processor.rs
@@ -56,7 +56,8 @@
         /// What it asks.
         body: Rc<[u8]>,
     },
-    /// The gauges, in the order of the settings, and the number of the question that asked for them.
+    /// The gauges, in the order of the settings, and the number of the question that asked for
+    /// them.
     Used {
         /// The question.
         question: Option<u64>,
@@ -115,9 +116,11 @@
         self.framed.feed(bytes);
     }
 
-    /// The next notice. One that was seen before is skipped: a new link repeats what it is not sure of.
+    /// The next notice. One that was seen before is skipped: a new link repeats what it is not sure
+    /// of.
     pub fn take(&mut self) -> Result<Option<Notice>, Malformed> {
-        // Only some notices carry a body: a run that ended otherwise than well may come without its length.
+        // Only some notices carry a body: a run that ended otherwise than well may come without its
+        // length.
         let has_body = |line: &str| match line.split(' ').next() {
             Some("complete") => line.split(' ').count() == 6,
             first => first == Some("ask"),
@@ -125,7 +128,10 @@
         while let Some((line, body)) = self.framed.next(has_body)? {
             // No notice but `used` has more than six words, and that one's are taken one by one.
             let mut words = [None; 6];
-            words.iter_mut().zip(line.split(' ')).for_each(|(place, word)| *place = Some(word));
+            words
+                .iter_mut()
+                .zip(line.split(' '))
+                .for_each(|(place, word)| *place = Some(word));
             let word = |at: usize| words.get(at).copied().flatten();
             let first = word(0).unwrap_or_default();
             let numbered = matches!(first, "complete" | "ask" | "remark");
@@ -149,7 +155,10 @@
                         Some("running") => false,
                         _ => return Err(Malformed),
                     };
-                    Notice::Hi { cold, ms: figure(2)? }
+                    Notice::Hi {
+                        cold,
+                        ms: figure(2)?,
+                    }
                 }
                 "complete" => {
                     let end = match word(3) {
@@ -159,15 +168,26 @@
                         Some("late") => RunEnd::Late,
                         _ => return Err(Malformed),
                     };
-                    Notice::Complete { id: id(2)?, end, ms: figure(4)?, result: shared(body) }
+                    Notice::Complete {
+                        id: id(2)?,
+                        end,
+                        ms: figure(4)?,
+                        result: shared(body),
+                    }
                 }
-                "ask" => Notice::Ask { id: id(2)?, body: shared(body) },
+                "ask" => Notice::Ask {
+                    id: id(2)?,
+                    body: shared(body),
+                },
                 "used" => {
                     let mut gauges = Figures::default();
                     for word in line.split(' ').skip(2) {
                         gauges.push(word.parse::<f64>().map_err(|_| Malformed)?);
                     }
-                    Notice::Used { question: number(word(1).ok_or(Malformed)?), gauges }
+                    Notice::Used {
+                        question: number(word(1).ok_or(Malformed)?),
+                        gauges,
+                    }
                 }
                 "reject" => {
                     // A reject that names no request of ours concerns none.
@@ -176,7 +196,10 @@
                         "interrupt" => Command::Interrupt,
                         _ => Command::Other,
                     };
-                    Notice::Reject { command, id: id(2).unwrap_or(0) }
+                    Notice::Reject {
+                        command,
+                        id: id(2).unwrap_or(0),
+                    }
                 }
                 "remark" => continue,
                 _ => return Err(Malformed),
@@ -193,7 +216,11 @@
 
 /// Run a request.
 pub fn begin(out: &mut Vec<u8>, id: u64, class: &str, body: &[u8]) {
-    with_body(out, format_args!("begin {id:016x} {class} {}", body.len()), body);
+    with_body(
+        out,
+        format_args!("begin {id:016x} {class} {}", body.len()),
+        body,
+    );
 }
 
 /// The reply to the call that a run waits for.
@@ -230,7 +257,12 @@
     const ID: u64 = 0x821b2d98a3d2e319;
 
     fn complete(end: RunEnd, ms: f64, result: &[u8]) -> Notice {
-        Notice::Complete { id: ID, end, ms, result: Rc::from(result) }
+        Notice::Complete {
+            id: ID,
+            end,
+            ms,
+            result: Rc::from(result),
+        }
     }
 
     #[test]
@@ -242,8 +274,20 @@
         };
         // Times with a fraction once broke the link: `complete 40 ... broken_off 1655.661 0`.
         let cases: [(&str, Result<Option<Notice>, Malformed>); 20] = [
-            ("hi running 12.5\r\n", Ok(Some(Notice::Hi { cold: false, ms: 12.5 }))),
-            ("hi starting 0\r\n", Ok(Some(Notice::Hi { cold: true, ms: 0.0 }))),
+            (
+                "hi running 12.5\r\n",
+                Ok(Some(Notice::Hi {
+                    cold: false,
+                    ms: 12.5,
+                })),
+            ),
+            (
+                "hi starting 0\r\n",
+                Ok(Some(Notice::Hi {
+                    cold: true,
+                    ms: 0.0,
+                })),
+            ),
             (
                 "complete 1 821b2d98a3d2e319 broken_off 1655.661 0\r\n\r\n",
                 Ok(Some(complete(RunEnd::BrokenOff, 1655.661, b""))),
@@ -252,25 +296,58 @@
                 "complete 1 821b2d98a3d2e319 fine 7 4\r\na\r\nb\r\n",
                 Ok(Some(complete(RunEnd::Fine, 7.0, b"a\r\nb"))),
             ),
-            ("complete 1 821b2d98a3d2e319 fault 7\r\n", Ok(Some(complete(RunEnd::Fault, 7.0, b"")))),
-            ("complete 1 821b2d98a3d2e319 late 0 0\r\n\r\n", Ok(Some(complete(RunEnd::Late, 0.0, b"")))),
-            ("ask 2 821b2d98a3d2e319 1\r\nx\r\n", Ok(Some(Notice::Ask { id: ID, body: Rc::from(*b"x") }))),
-            ("used t 0.5 3 0.1 12\r\n", Ok(Some(used(None, &[0.5, 3.0, 0.1, 12.0])))),
+            (
+                "complete 1 821b2d98a3d2e319 fault 7\r\n",
+                Ok(Some(complete(RunEnd::Fault, 7.0, b""))),
+            ),
+            (
+                "complete 1 821b2d98a3d2e319 late 0 0\r\n\r\n",
+                Ok(Some(complete(RunEnd::Late, 0.0, b""))),
+            ),
+            (
+                "ask 2 821b2d98a3d2e319 1\r\nx\r\n",
+                Ok(Some(Notice::Ask {
+                    id: ID,
+                    body: Rc::from(*b"x"),
+                })),
+            ),
+            (
+                "used t 0.5 3 0.1 12\r\n",
+                Ok(Some(used(None, &[0.5, 3.0, 0.1, 12.0]))),
+            ),
             ("used 7 0.5\r\n", Ok(Some(used(Some(7), &[0.5])))),
             (
                 "reject begin 821b2d98a3d2e319\r\n",
-                Ok(Some(Notice::Reject { command: Command::Begin, id: ID })),
+                Ok(Some(Notice::Reject {
+                    command: Command::Begin,
+                    id: ID,
+                })),
             ),
             (
                 "reject interrupt 821b2d98a3d2e319\r\n",
-                Ok(Some(Notice::Reject { command: Command::Interrupt, id: ID })),
+                Ok(Some(Notice::Reject {
+                    command: Command::Interrupt,
+                    id: ID,
+                })),
             ),
             ("remark 3 hello there 4\r\n", Ok(None)),
             ("complete 1 821b2d98a3d2e319 fine 7 4\r\nabc", Ok(None)),
-            ("complete 1 821b2d98a3d2e319 fine 7 1\r\nabcd", Err(Malformed)),
-            ("complete 1 821b2d98a3d2e319 fine -7 0\r\n\r\n", Err(Malformed)),
-            ("complete 1 821b2d98a3d2e319 well 7 0\r\n\r\n", Err(Malformed)),
-            ("complete x 821b2d98a3d2e319 fine 7 0\r\n\r\n", Err(Malformed)),
+            (
+                "complete 1 821b2d98a3d2e319 fine 7 1\r\nabcd",
+                Err(Malformed),
+            ),
+            (
+                "complete 1 821b2d98a3d2e319 fine -7 0\r\n\r\n",
+                Err(Malformed),
+            ),
+            (
+                "complete 1 821b2d98a3d2e319 well 7 0\r\n\r\n",
+                Err(Malformed),
+            ),
+            (
+                "complete x 821b2d98a3d2e319 fine 7 0\r\n\r\n",
+                Err(Malformed),
+            ),
             ("ask 2 821B2D98A3D2E319 0\r\n\r\n", Err(Malformed)),
             ("ask 2 821b2d98a3d2e319 99999999\r\n", Err(Malformed)),
             ("hi running 1\n", Err(Malformed)),
@@ -284,7 +361,10 @@
                 pieces.feed(&[b]);
                 pieces.take()
             });
-            let found = found.into_iter().find(|f| *f != Ok(None)).unwrap_or(Ok(None));
+            let found = found
+                .into_iter()
+                .find(|f| *f != Ok(None))
+                .unwrap_or(Ok(None));
             assert_eq!(found, expected, "{text:?} in pieces");
         }
     }
@@ -301,12 +381,22 @@
         let mut processor = Processor::default();
         assert_eq!(processor.hello(), b"hello 0\r\n");
         processor.feed(b"complete 1 821b2d98a3d2e319 fine 7 1\r\na\r\nask 2 821b");
-        assert_eq!(processor.take(), Ok(Some(complete(RunEnd::Fine, 7.0, b"a"))));
+        assert_eq!(
+            processor.take(),
+            Ok(Some(complete(RunEnd::Fine, 7.0, b"a")))
+        );
         assert_eq!(processor.take(), Ok(None));
         // What the old link left unfinished is forgotten; what it brought whole is not taken again.
         assert_eq!(processor.hello(), b"hello 1\r\n");
-        processor.feed(b"complete 1 821b2d98a3d2e319 fine 7 1\r\na\r\nask 2 821b2d98a3d2e319 0\r\n\r\n");
-        assert_eq!(processor.take(), Ok(Some(Notice::Ask { id: ID, body: Rc::from([]) })));
+        processor
+            .feed(b"complete 1 821b2d98a3d2e319 fine 7 1\r\na\r\nask 2 821b2d98a3d2e319 0\r\n\r\n");
+        assert_eq!(
+            processor.take(),
+            Ok(Some(Notice::Ask {
+                id: ID,
+                body: Rc::from([])
+            }))
+        );
         assert_eq!(processor.take(), Ok(None));
     }
 }
--- a/crates/wire/src/uwsgi.rs
+++ b/crates/wire/src/uwsgi.rs
@@ -1,5 +1,5 @@
-//! The uwsgi protocol, both sides: a packet is a 4-byte header, variables and a body of CONTENT_LENGTH; what
-//! comes back is raw HTTP.
+//! The uwsgi protocol, both sides: a packet is a 4-byte header, variables and a body of
+//! CONTENT_LENGTH; what comes back is raw HTTP.
 
 use std::io::Write;
 
@@ -58,7 +58,9 @@
     /// A variable's value; an empty one counts as absent, as in CGI.
     pub fn var(&self, name: &str) -> Option<&[u8]> {
         let found = self.vars.iter().find(|(n, _)| n == name);
-        found.map(|(_, value)| value.as_slice()).filter(|v| !v.is_empty())
+        found
+            .map(|(_, value)| value.as_slice())
+            .filter(|v| !v.is_empty())
     }
 
     /// The path that routes go by.
@@ -69,15 +71,24 @@
 
     /// The key that all tries of one request share.
     pub fn key(&self) -> Result<Option<&str>, Status> {
-        let Some(key) = self.var("HTTP_IDEMPOTENCY_KEY") else { return Ok(None) };
-        let key = std::str::from_utf8(key).ok().filter(|k| k.len() <= MOST_KEY);
+        let Some(key) = self.var("HTTP_IDEMPOTENCY_KEY") else {
+            return Ok(None);
+        };
+        let key = std::str::from_utf8(key)
+            .ok()
+            .filter(|k| k.len() <= MOST_KEY);
         key.map(Some).ok_or(Status::BadRequest)
     }
 
     /// How long its caller waits, in milliseconds, if it says.
     pub fn allow(&self) -> Result<Option<u64>, Status> {
-        let Some(text) = self.var("HTTP_X_ALLOW_MS") else { return Ok(None) };
-        let value = std::str::from_utf8(text).ok().and_then(super::number).filter(|&ms| ms <= 3_600_000);
+        let Some(text) = self.var("HTTP_X_ALLOW_MS") else {
+            return Ok(None);
+        };
+        let value = std::str::from_utf8(text)
+            .ok()
+            .and_then(super::number)
+            .filter(|&ms| ms <= 3_600_000);
         value.map(Some).ok_or(Status::BadRequest)
     }
 
@@ -102,10 +113,14 @@
 impl Client {
     /// A connection whose packet may have a body of this length.
     pub fn new(most_body: usize) -> Client {
-        Client { buffer: Vec::new(), most_body }
+        Client {
+            buffer: Vec::new(),
+            most_body,
+        }
     }
 
-    /// Takes in what was read; the packet once it is whole, or what is wrong with it as soon as that shows.
+    /// Takes in what was read; the packet once it is whole, or what is wrong with it as soon as
+    /// that shows.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Packet, Status>> {
         self.buffer.extend_from_slice(bytes);
         self.packet().transpose()
@@ -127,14 +142,21 @@
         if size > MOST_VARS {
             return Err(Status::TooLarge);
         }
-        let Some(block) = self.buffer.get(4..4 + size) else { return Ok(None) };
+        let Some(block) = self.buffer.get(4..4 + size) else {
+            return Ok(None);
+        };
         let vars = variables(block).ok_or(Status::BadRequest)?;
-        let length = vars.iter().find(|(name, value)| name == "CONTENT_LENGTH" && !value.is_empty());
+        let length = vars
+            .iter()
+            .find(|(name, value)| name == "CONTENT_LENGTH" && !value.is_empty());
         let length = match length {
             None => 0,
             Some((_, text)) => {
                 let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
-                let text = std::str::from_utf8(text).ok().filter(|_| digits).ok_or(Status::BadRequest)?;
+                let text = std::str::from_utf8(text)
+                    .ok()
+                    .filter(|_| digits)
+                    .ok_or(Status::BadRequest)?;
                 // Digits that no number holds are a length too large.
                 text.parse().unwrap_or(usize::MAX)
             }
@@ -148,7 +170,11 @@
         }
         let mut bytes = std::mem::take(&mut self.buffer);
         bytes.truncate(end);
-        Ok(Some(Packet { vars, body_at: 4 + size, bytes }))
+        Ok(Some(Packet {
+            vars,
+            body_at: 4 + size,
+            bytes,
+        }))
     }
 }
 
@@ -160,8 +186,8 @@
     Some(word)
 }
 
-/// Names and values, each behind its length. A name that stands twice could mean one thing here and another
-/// to the worker, so it is an error.
+/// Names and values, each behind its length. A name that stands twice could mean one thing here and
+/// another to the worker, so it is an error.
 fn variables(mut block: &[u8]) -> Option<Vec<(String, Vec<u8>)>> {
     let mut vars: Vec<(String, Vec<u8>)> = Vec::new();
     while !block.is_empty() {
@@ -201,11 +227,22 @@
 
 /// An answer of the front's own. A refusal says when to come back, in whole seconds.
 pub fn response(out: &mut Vec<u8>, status: Status, retry_after: Option<u64>, body: &[u8]) {
-    let kind = if status == Status::Ok { "application/octet-stream" } else { "text/plain" };
-    let text = if status == Status::Ok { body } else { status.line().as_bytes() };
+    let kind = if status == Status::Ok {
+        "application/octet-stream"
+    } else {
+        "text/plain"
+    };
+    let text = if status == Status::Ok {
+        body
+    } else {
+        status.line().as_bytes()
+    };
     let (line, length) = (status.line(), text.len());
     // A vector takes all that is written to it.
-    let _ = write!(out, "HTTP/1.1 {line}\r\nContent-Type: {kind}\r\nContent-Length: {length}\r\n");
+    let _ = write!(
+        out,
+        "HTTP/1.1 {line}\r\nContent-Type: {kind}\r\nContent-Length: {length}\r\n"
+    );
     if let Some(seconds) = retry_after {
         let _ = write!(out, "Retry-After: {}\r\n", seconds.max(1));
     }
@@ -238,11 +275,16 @@
 impl Response {
     /// For a request with this method; a response longer than `most` is an error.
     pub fn new(method: Option<&[u8]>, most: usize) -> Response {
-        Response { bytes: Vec::new(), head: Head::Unread, most, bodiless: method == Some(b"HEAD") }
+        Response {
+            bytes: Vec::new(),
+            head: Head::Unread,
+            most,
+            bodiless: method == Some(b"HEAD"),
+        }
     }
 
-    /// Takes in what was read. True once the response is whole by its own account; an error if it is no HTTP
-    /// or too long.
+    /// Takes in what was read. True once the response is whole by its own account; an error if it
+    /// is no HTTP or too long.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<bool, super::Malformed> {
         self.bytes.extend_from_slice(bytes);
         if self.bytes.len() > self.most {
@@ -251,7 +293,12 @@
         if self.head == Head::Unread {
             self.read_head()?;
         }
-        let Head::Read { whole: Some(whole), .. } = self.head else { return Ok(false) };
+        let Head::Read {
+            whole: Some(whole), ..
+        } = self.head
+        else {
+            return Ok(false);
+        };
         self.bytes.truncate(whole);
         Ok(self.bytes.len() == whole)
     }
@@ -265,7 +312,12 @@
             _ => return Err(super::Malformed),
         };
         let status = response.code.ok_or(super::Malformed)?;
-        let field = |name: &str| response.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        let field = |name: &str| {
+            response
+                .headers
+                .iter()
+                .find(|h| h.name.eq_ignore_ascii_case(name))
+        };
         let chunked = field("Transfer-Encoding").is_some();
         let length = match field("Content-Length") {
             _ if self.bodiless || status == 204 || status == 304 => Some(0),
@@ -279,7 +331,12 @@
         if length.is_some_and(|l| l > self.most) {
             return Err(super::Malformed);
         }
-        self.head = Head::Read { body_at, status, whole: length.map(|l| body_at + l), chunked };
+        self.head = Head::Read {
+            body_at,
+            status,
+            whole: length.map(|l| body_at + l),
+            chunked,
+        };
         Ok(())
     }
 
@@ -287,7 +344,9 @@
     pub fn ended(self) -> Option<Vec<u8>> {
         match self.head {
             Head::Unread => None,
-            Head::Read { whole: Some(whole), .. } => (self.bytes.len() == whole).then_some(self.bytes),
+            Head::Read {
+                whole: Some(whole), ..
+            } => (self.bytes.len() == whole).then_some(self.bytes),
             Head::Read { .. } => Some(self.bytes),
         }
     }
@@ -297,7 +356,12 @@
         let mut response = Response::new(None, usize::MAX);
         response.feed(bytes).ok()?;
         match response.head {
-            Head::Read { body_at, status: 200..=299, chunked: false, .. } => bytes.get(body_at..),
+            Head::Read {
+                body_at,
+                status: 200..=299,
+                chunked: false,
+                ..
+            } => bytes.get(body_at..),
             _ => None,
         }
     }
@@ -310,13 +374,24 @@
 
     #[test]
     fn a_packet_is_read_in_pieces_as_it_was_written() {
-        let vars = [("REQUEST_METHOD", "POST"), ("PATH_INFO", "/a"), ("CONTENT_LENGTH", "3"), ("EMPTY", "")];
+        let vars = [
+            ("REQUEST_METHOD", "POST"),
+            ("PATH_INFO", "/a"),
+            ("CONTENT_LENGTH", "3"),
+            ("EMPTY", ""),
+        ];
         let bytes = packet(&vars, b"\0ab").unwrap();
         let mut client = Client::new(3);
         let mut found = bytes.iter().filter_map(|b| client.feed(&[*b]));
         let whole = found.next().unwrap().unwrap();
-        assert_eq!((whole.bytes(), whole.body(), whole.path()), (&*bytes, &b"\0ab"[..], Ok("/a")));
-        assert_eq!((whole.var("EMPTY"), whole.key(), whole.allow()), (None, Ok(None), Ok(None)));
+        assert_eq!(
+            (whole.bytes(), whole.body(), whole.path()),
+            (&*bytes, &b"\0ab"[..], Ok("/a"))
+        );
+        assert_eq!(
+            (whole.var("EMPTY"), whole.key(), whole.allow()),
+            (None, Ok(None), Ok(None))
+        );
         assert_eq!(variable(&bytes, "REQUEST_METHOD"), Some(&b"POST"[..]));
         assert!(found.next().is_none());
         // What is wrong with packets on the wire is a table in tests/uwsgi.rs.
@@ -325,17 +400,48 @@
 
     #[test]
     fn a_response_is_whole_by_its_length_or_by_the_end() {
-        // Method, what comes, whether it is whole at once, and what there is at the end of the connection.
+        // Method, what comes, whether it is whole at once, and what there is at the end of the
+        // connection.
         let cases: [(&str, &str, Result<bool, Malformed>, bool); 10] = [
-            ("GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", Ok(true), true),
-            ("GET", "HTTP/1.1 404 No\r\ncontent-length: 3\r\n\r\nab", Ok(false), false),
+            (
+                "GET",
+                "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
+                Ok(true),
+                true,
+            ),
+            (
+                "GET",
+                "HTTP/1.1 404 No\r\ncontent-length: 3\r\n\r\nab",
+                Ok(false),
+                false,
+            ),
             ("GET", "HTTP/1.1 200 OK\r\n\r\nab", Ok(false), true),
-            ("GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", Ok(false), true),
-            ("HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", Ok(true), true),
+            (
+                "GET",
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                Ok(false),
+                true,
+            ),
+            (
+                "HEAD",
+                "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n",
+                Ok(true),
+                true,
+            ),
             ("GET", "HTTP/1.1 204 None\r\n\r\n", Ok(true), true),
             ("GET", "HTTP/1.1 200 O", Ok(false), false),
-            ("GET", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n", Err(Malformed), false),
-            ("GET", "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n", Err(Malformed), false),
+            (
+                "GET",
+                "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n",
+                Err(Malformed),
+                false,
+            ),
+            (
+                "GET",
+                "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n",
+                Err(Malformed),
+                false,
+            ),
             ("GET", "Status: 200\r\n\r\n", Err(Malformed), false),
         ];
         for (method, text, whole, ended) in cases {
@@ -345,7 +451,10 @@
                 assert_eq!(response.ended(), ended.then(|| text.into()), "{text:?}");
             }
         }
-        assert_eq!(Response::plain_body(b"HTTP/1.1 200 OK\r\n\r\nab"), Some(&b"ab"[..]));
+        assert_eq!(
+            Response::plain_body(b"HTTP/1.1 200 OK\r\n\r\nab"),
+            Some(&b"ab"[..])
+        );
         assert_eq!(Response::plain_body(b"HTTP/1.1 500 No\r\n\r\nab"), None);
     }
 }
--- a/crates/wire/tests/forms.rs
+++ b/crates/wire/tests/forms.rs
@@ -9,8 +9,9 @@
     let (first, second) = text.as_bytes().split_at(cut);
     for piece in [first, second] {
         gateway.feed(piece);
-        found
-            .extend(std::iter::from_fn(|| gateway.next(|name| (name == "rota-view").then_some(0), |_| None)));
+        found.extend(std::iter::from_fn(|| {
+            gateway.next(|name| (name == "rota-view").then_some(0), |_| None)
+        }));
     }
     assert!(!gateway.unfinished(), "{text:?} cut at {cut}");
     found
@@ -43,7 +44,9 @@
         .to_owned(),
     ];
     let expected = messages(plain, 0);
-    assert!(matches!(&expected[..], [Message::Work(work)] if work.id == 7 && *work.body == [0xff, 0xef]));
+    assert!(
+        matches!(&expected[..], [Message::Work(work)] if work.id == 7 && *work.body == [0xff, 0xef])
+    );
     for form in &forms {
         for cut in 0..=form.len() {
             assert_eq!(messages(form, cut), expected, "{form:?} cut at {cut}");
@@ -54,13 +57,18 @@
 #[test]
 fn a_request_is_taken_back_in_every_form_of_its_number() {
     for number in ["3", "3.0", "3e0", "30e-1"] {
-        let text =
-            format!("{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n");
+        let text = format!(
+            "{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n"
+        );
         assert_eq!(messages(&text, 0), [Message::Cancel(3)], "{number}");
     }
     for number in ["3.5", "-3", "\"3\"", "1e300", "null"] {
-        let text =
-            format!("{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n");
-        assert!(matches!(messages(&text, 0)[..], [Message::Bad(None, _)]), "{number}");
+        let text = format!(
+            "{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n"
+        );
+        assert!(
+            matches!(messages(&text, 0)[..], [Message::Bad(None, _)]),
+            "{number}"
+        );
     }
 }
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -1,5 +1,5 @@
-//! Whatever a stranger sends to the fleet's port: bytes as they are, and messages that pass the checksum. A node neither panics, nor
-//! grows beyond its bound, nor loses those who were there.
+//! Whatever a stranger sends to the fleet's port: bytes as they are, and messages that pass the
+//! checksum. A node neither panics, nor grows beyond its bound, nor loses those who were there.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/sessions.rs
+++ b/fuzz/fuzz_targets/sessions.rs
@@ -1,5 +1,5 @@
-//! Whatever members say about sessions, in any order: a node neither panics nor grows beyond its bound, goes on to place a session, and says
-//! nothing that is longer than a datagram.
+//! Whatever members say about sessions, in any order: a node neither panics nor grows beyond its
+//! bound, goes on to place a session, and says nothing that is longer than a datagram.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/store.rs
+++ b/fuzz/fuzz_targets/store.rs
@@ -1,6 +1,8 @@
-//! The store's reader on bytes that nobody wrote: no panic, and nothing beyond what the bytes can hold.
+//! The store's reader on bytes that nobody wrote: no panic, and nothing beyond what the bytes can
+//! hold.
 //!
-//! The first byte cuts the input into two segments, so that an opening of one can speak of the other.
+//! The first byte cuts the input into two segments, so that an opening of one can speak of the
+//! other.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/words.rs
+++ b/fuzz/fuzz_targets/words.rs
@@ -1,4 +1,5 @@
-//! What else comes from members and from disks: what they tell of their load, words about versions, and the files of an elector and of a floor.
+//! What else comes from members and from disks: what they tell of their load, words about versions,
+//! and the files of an elector and of a floor.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
