--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/closing.rs
@@ -6,7 +6,7 @@
 //!
 //! 1. a gateway hears `goaway`, and what it had sent before it heard that is read and answered;
 //! 2. once nothing is open, nothing waits to be written and nothing has arrived, this side stops
-//!   writing (half-close);
+//!    writing (half-close);
 //! 3. what still arrives is read and dropped, until the peer closes as well or a bound is reached.
 //!
 //! Nothing that is read after the half-close is acted on: its answer could not be written any more.
