--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -4,7 +4,7 @@
 
 impl Core {
     /// A run cannot go on without a call.
-    pub fn asked(&mut self, now: Micros, reference: Reference, body: Rc<[u8]>) {
+    pub fn handle_call_requested(&mut self, now: Micros, reference: Reference, body: Rc<[u8]>) {
         let Some(&id) = self.by_reference.get(&reference) else {
             return;
         };
@@ -43,15 +43,15 @@
         let deadline = (self.now + within.clamp(0, 3_600_000_000)).min(attempt.due.max(self.now));
         call.placed = Some((self.now, deadline + CALL_GRACE));
         self.wakes.insert((deadline + CALL_GRACE, Wake::Call(id)));
-        self.effects.push(Effect::Call(
-            attempt.incoming.reference,
+        self.effects.push(Effect::PlaceCall {
+            reference: attempt.incoming.reference,
             deadline,
-            call.body.clone(),
-        ));
+            body: call.body.clone(),
+        });
     }
 
     /// A call ended; with a reply if it went well.
-    pub fn call_ended(
+    pub fn handle_call_finished(
         &mut self,
         now: Micros,
         reference: Reference,
@@ -71,8 +71,11 @@
         self.wakes.remove(&(given_up, Wake::Call(id)));
         if outcome == Outcome::Done {
             *call = None;
-            self.counters.calls_fine += 1;
-            self.effects.push(Effect::Reply(reference, reply));
+            self.counters.calls_completed += 1;
+            self.effects.push(Effect::SendReply {
+                reference,
+                body: reply,
+            });
         }
         // The module asks again at once, and a layer below that says no within a millisecond, or
         // breaks off, made that a loop of 30,000 calls a second. It is told a round later, as often
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -1,93 +1,103 @@
-//! What the node has taken in, sent and answered; printed on request (SIGUSR1) and at exit.
+//! Counters since the start of the process. They are logged on SIGUSR1 and at exit.
 
-/// Plain counts since the start.
+use std::fmt;
+
+/// Counts of what the node received, sent and answered.
+///
+/// The keys of [`fmt::Display`] are read by tools and differ from the field names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Requests read whole from either front.
+    /// Requests read whole, on all listeners.
     pub requests: u64,
-    /// Repeats of a key that joined or reused another try.
-    pub repeats: u64,
+    /// Requests with the key of another attempt, answered with that attempt's outcome.
+    pub duplicates: u64,
     /// Answers with a result.
     pub served: u64,
-    /// Answers that promise that the try never ran.
-    pub refused: u64,
+    /// Answers that promise that the attempt never ran.
+    pub rejected: u64,
     /// Answers without that promise.
     pub failed: u64,
-    /// Requests whose caller left before its answer.
-    pub gone: u64,
-    /// Answers that were given up, as their connection's peer does not read.
+    /// Requests whose caller left before the answer.
+    pub abandoned: u64,
+    /// Answers discarded since the peer of their connection does not read.
     pub undelivered: u64,
-    /// Runs begun.
+    /// Runs started.
     pub runs: u64,
-    /// Runs that ended well.
-    pub runs_fine: u64,
-    /// Runs that nobody waited for any more and that were told to stop.
-    pub interrupted: u64,
+    /// Runs that returned a result.
+    pub runs_completed: u64,
+    /// Stop commands for runs whose request was answered or abandoned.
+    pub runs_stopped: u64,
     /// Calls placed with the layer below.
     pub calls: u64,
-    /// Calls that went well.
-    pub calls_fine: u64,
+    /// Calls that returned a reply.
+    pub calls_completed: u64,
     /// Commands that the processor rejected.
-    pub rejected: u64,
-    /// Messages that broke the protocol, all parties together.
+    pub rejected_commands: u64,
+    /// Messages that broke the protocol, of all peers.
     pub malformed: u64,
     /// Connections accepted.
-    pub accepted: u64,
-    /// Times that accepting a connection failed.
+    pub connections_accepted: u64,
+    /// Failed attempts to accept a connection.
     pub accept_errors: u64,
-    /// Connections closed to make room for others.
-    pub crowded_out: u64,
-    /// Links to the processor that were set up.
-    pub links: u64,
+    /// Idle connections closed in favour of new ones.
+    pub connections_evicted: u64,
+    /// Connections to the processor that were set up.
+    pub processor_connections: u64,
 }
 
-/// What became of the requests of one class, counted where it is decided.
+/// Answers and runs of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ByClass {
-    /// Served.
-    pub fulfilled: u64,
-    /// Refused.
-    pub throttled: u64,
-    /// Failed.
-    pub faulted: u64,
-    /// Runs handed on.
-    pub relayed: u64,
+pub struct ClassCounters {
+    /// Answers with a result.
+    pub served: u64,
+    /// Answers that promise that the attempt never ran.
+    pub rejected: u64,
+    /// Answers without that promise.
+    pub failed: u64,
+    /// Runs started.
+    pub forwarded: u64,
 }
 
-/// Configuration files that came with SIGHUP.
+/// Configuration files that were read on SIGHUP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Files {
-    /// Taken.
+pub struct ConfigFileCounters {
+    /// Files in force since.
     pub accepted: u64,
-    /// Turned down.
-    pub invalid: u64,
+    /// Files rejected as invalid.
+    pub rejected: u64,
 }
 
-impl std::fmt::Display for Counters {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        let c = self;
+impl fmt::Display for Counters {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            formatter,
+            "requests={} repeats={} served={} refused={} failed={} gone={} undelivered={} ",
+            self.requests,
+            self.duplicates,
+            self.served,
+            self.rejected,
+            self.failed,
+            self.abandoned,
+            self.undelivered,
+        )?;
+        write!(
+            formatter,
+            "runs={} runs_fine={} interrupted={} calls={} calls_fine={} rejected={} ",
+            self.runs,
+            self.runs_completed,
+            self.runs_stopped,
+            self.calls,
+            self.calls_completed,
+            self.rejected_commands,
+        )?;
         write!(
-            f,
-            "requests={} repeats={} served={} refused={} failed={} gone={} undelivered={} runs={} runs_fine={} interrupted={} \
-             calls={} calls_fine={} rejected={} malformed={} accepted={} accept_errors={} crowded_out={} links={}",
-            c.requests,
-            c.repeats,
-            c.served,
-            c.refused,
-            c.failed,
-            c.gone,
-            c.undelivered,
-            c.runs,
-            c.runs_fine,
-            c.interrupted,
-            c.calls,
-            c.calls_fine,
-            c.rejected,
-            c.malformed,
-            c.accepted,
-            c.accept_errors,
-            c.crowded_out,
-            c.links
+            formatter,
+            "malformed={} accepted={} accept_errors={} crowded_out={} links={}",
+            self.malformed,
+            self.connections_accepted,
+            self.accept_errors,
+            self.connections_evicted,
+            self.processor_connections,
         )
     }
 }
--- a/crates/core/src/deployments.rs
+++ b/crates/core/src/deployments.rs
@@ -39,16 +39,19 @@
     fn carry_out(&mut self) {
         for effect in self.core.effects() {
             match effect {
-                Effect::Answer(origin, answer) => {
-                    let fate = self.fates.get_mut(&origin.number).expect("of a request");
+                Effect::Answer { origin, answer } => {
+                    let fate = self
+                        .fates
+                        .get_mut(&origin.request_number)
+                        .expect("of a request");
                     let late = self.now > fate.due + self.settings.safety.answer_slack;
                     assert!(
                         !late,
                         "{} answered at {}, due {}",
-                        origin.number, self.now, fate.due
+                        origin.request_number, self.now, fate.due
                     );
                     assert!(
-                        !(fate.begun && matches!(answer, Answer::Refused { .. })),
+                        !(fate.begun && matches!(answer, Answer::Rejected { .. })),
                         "refused after its run"
                     );
                     fate.answers.push(answer);
@@ -56,11 +59,13 @@
                         fate.answers.len(),
                         1,
                         "{}: {:?}",
-                        origin.number,
+                        origin.request_number,
                         fate.answers
                     );
                 }
-                Effect::Begin(reference, class, _, _) => {
+                Effect::StartRun {
+                    reference, class, ..
+                } => {
                     let fate = self.fates.get_mut(&reference).expect("of a request");
                     assert!(!fate.begun && fate.class == class, "begun twice");
                     fate.begun = true;
@@ -76,7 +81,7 @@
                     }
                     self.running.push(reference);
                 }
-                Effect::Interrupt(reference, _) => {
+                Effect::StopRun { reference, .. } => {
                     assert_ne!(
                         self.settings.halt,
                         HaltMode::Never,
@@ -86,19 +91,19 @@
                     // It may cross the run's end.
                     if let Some(at) = self.running.iter().position(|r| *r == reference) {
                         self.running.swap_remove(at);
-                        self.core.run_ended(
+                        self.core.handle_run_finished(
                             self.now,
                             reference,
-                            End::BrokenOff,
+                            RunOutcome::Aborted,
                             5 * MS,
                             Rc::from([]),
                         );
                     }
                 }
-                Effect::Call(reference, ..) => self.calling.push(reference),
-                Effect::Abandon(reference) => self.calling.retain(|r| *r != reference),
-                Effect::Reply(reference, _) => self.running.push(reference),
-                Effect::Gauges => {}
+                Effect::PlaceCall { reference, .. } => self.calling.push(reference),
+                Effect::CancelCall { reference } => self.calling.retain(|r| *r != reference),
+                Effect::SendReply { reference, .. } => self.running.push(reference),
+                Effect::QueryGauges => {}
             }
         }
     }
@@ -127,7 +132,7 @@
         7,
         2000,
         4096,
-        Bounds::within(64 << 20, 100),
+        MemoryLimits::for_process(64 << 20, 100),
     );
     let mut rng = Rng::with_seed(seed.into());
     let mut day = Day {
@@ -141,12 +146,12 @@
         now: 1000 * MS,
     };
     let cold = day.settings.cold;
-    day.told(|core, now| core.up(now, now, cold));
+    day.told(|core, now| core.start(now, now, cold));
     let mut next = 0;
     for tick in 0..1600 {
         day.now += 5 * MS;
-        if day.core.next_wake().is_some_and(|at| at <= day.now) {
-            day.told(|core, now| core.wake(now));
+        if day.core.next_wakeup().is_some_and(|at| at <= day.now) {
+            day.told(|core, now| core.handle_wakeup(now));
         }
         let stands = (600..800).contains(&tick);
         for at in (0..day.running.len()).rev() {
@@ -157,14 +162,20 @@
                 day.running.swap_remove(at);
                 let calls = day.settings.below != Below::Nothing && rng.u32(..4) == 0;
                 day.told(|core, now| match calls {
-                    true => core.asked(now, reference, Rc::from([])),
+                    true => core.handle_call_requested(now, reference, Rc::from([])),
                     false => {
                         let end = if rng.u32(..8) == 0 {
-                            End::Fault
+                            RunOutcome::Failed
                         } else {
-                            End::Fine
+                            RunOutcome::Completed
                         };
-                        core.run_ended(now, reference, end, 40 * MS, Rc::from(*b"result"));
+                        core.handle_run_finished(
+                            now,
+                            reference,
+                            end,
+                            40 * MS,
+                            Rc::from(*b"result"),
+                        );
                     }
                 });
             }
@@ -183,11 +194,13 @@
                     Outcome::Reset,
                 ];
                 let outcome = outcomes[rng.usize(..outcomes.len())];
-                day.told(|core, now| core.call_ended(now, reference, outcome, Rc::from([])));
+                day.told(|core, now| {
+                    core.handle_call_finished(now, reference, outcome, Rc::from([]))
+                });
             }
         }
         if tick == 1200 {
-            day.told(|core, now| core.leaving(now, 1500 * MS));
+            day.told(|core, now| core.begin_shutdown(now, 1500 * MS));
         }
         let most = if (300..600).contains(&tick) { 3 } else { 1 };
         for _ in 0..if tick < 1450 { rng.u32(..=most) } else { 0 } {
@@ -212,22 +225,22 @@
                 ..Fate::default()
             };
             day.fates.insert(next, fate);
-            let new = Incoming {
+            let new = IncomingRequest {
                 class,
-                arrived,
-                due,
+                arrived_at: arrived,
+                deadline: due,
                 tenant,
-                key,
-                retry: rng.bool(),
-                rank: rng.f64(),
+                idempotency_key: key,
+                is_retry: rng.bool(),
+                priority: rng.f64(),
                 memory_kb: day.settings.memory_kb / 400.0,
                 ..incoming(next, day.now, None)
             };
-            day.told(|core, now| core.arrived(now, new));
+            day.told(|core, now| core.handle_request(now, new));
             if rng.u32(..30) == 0 {
                 let reference = 1 + rng.u64(..next);
                 day.fates.get_mut(&reference).expect("of a request").gone = true;
-                day.told(|core, now| core.gone(now, reference));
+                day.told(|core, now| core.handle_abandoned(now, reference));
             }
         }
     }
@@ -237,10 +250,16 @@
         .chain(std::mem::take(&mut day.calling))
     {
         day.told(|core, now| {
-            core.run_ended(now, reference, End::Fine, 40 * MS, Rc::from(*b"result"))
+            core.handle_run_finished(
+                now,
+                reference,
+                RunOutcome::Completed,
+                40 * MS,
+                Rc::from(*b"result"),
+            )
         });
     }
-    assert_eq!(day.core.owed(), 0, "seed {seed}: {json}");
+    assert_eq!(day.core.unanswered(), 0, "seed {seed}: {json}");
     for (reference, fate) in &day.fates {
         let one = fate.answers.len() == 1 || (fate.gone && fate.answers.is_empty());
         assert!(
@@ -257,7 +276,7 @@
     let refused = day
         .fates
         .values()
-        .filter(|f| matches!(f.answers[..], [Answer::Refused { .. }]))
+        .filter(|f| matches!(f.answers[..], [Answer::Rejected { .. }]))
         .count();
     (served, refused, day.interrupted)
 }
--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -13,7 +13,7 @@
 
 /// What the core keeps beside the store's gate.
 #[derive(Debug)]
-pub struct Durable {
+pub struct RunStore {
     gate: Gate,
     /// From the node's clock to the machine's count since its start.
     up: Micros,
@@ -29,11 +29,11 @@
     events: Vec<gate::Event>,
 }
 
-impl Durable {
+impl RunStore {
     /// `up` leads from the node's clock to the machine's count since its start; with `wait` answers
     /// wait until their outcome is on the disk; until `suspect` keyed requests are refused.
-    pub fn new(gate: Gate, up: Micros, wait: bool, suspect: Option<Micros>) -> Durable {
-        Durable {
+    pub fn new(gate: Gate, up: Micros, wait: bool, suspect: Option<Micros>) -> RunStore {
+        RunStore {
             gate,
             up,
             wait,
@@ -55,7 +55,7 @@
 impl Core {
     /// From now on keyed runs are remembered by a store, which has brought these keys over the
     /// restart; the ends of their windows are on the node's clock. Before anything arrives.
-    pub fn remember(&mut self, mut durable: Durable, found: Vec<Recovered>) {
+    pub fn attach_store(&mut self, mut durable: RunStore, found: Vec<Recovered>) {
         for Recovered {
             intent,
             until,
@@ -114,12 +114,16 @@
             // The gate's to give.
             id: 0,
             reference: incoming.reference,
-            key: incoming.key.as_deref().unwrap_or_default().to_owned(),
+            key: incoming
+                .idempotency_key
+                .as_deref()
+                .unwrap_or_default()
+                .to_owned(),
             class: self.classes.name(incoming.class).to_owned(),
-            payload: incoming.payload,
-            arrived: incoming.arrived,
+            payload: incoming.payload_digest,
+            arrived: incoming.arrived_at,
             window,
-            over: incoming.arrived + window + linger + durable.up,
+            over: incoming.arrived_at + window + linger + durable.up,
             linger,
         };
         durable.gate.intent(self.now, intent, &mut durable.events);
@@ -140,7 +144,7 @@
                     let Some(&id) = self.by_reference.get(&reference) else {
                         continue;
                     };
-                    self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
+                    self.ended(id, RunOutcome::NotStarted, 0, Rc::from([]), By::Store);
                 }
                 gate::Event::Kept(reference) => {
                     let durable = self.durable.as_mut().expect("as above");
@@ -150,7 +154,7 @@
                     let Some(&id) = self.by_reference.get(&reference) else {
                         continue;
                     };
-                    self.ended(id, End::Fine, took, result, By::Run);
+                    self.ended(id, RunOutcome::Completed, took, result, By::Run);
                 }
             }
         }
@@ -175,7 +179,11 @@
                 .gate
                 .void(reference);
         };
-        let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
+        let key = attempt
+            .incoming
+            .idempotency_key
+            .clone()
+            .unwrap_or_else(|| Rc::from(""));
         let wanted = attempt.origin.is_some()
             || self
                 .keys
@@ -189,14 +197,14 @@
             .expect("it said so")
             .gate
             .void(reference);
-        self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
+        self.ended(id, RunOutcome::NotStarted, 0, Rc::from([]), By::Store);
     }
 
     /// A keyed run ended: what is written of it, and whether its answer has to wait for that.
     pub(super) fn outcome(
         &mut self,
         reference: Reference,
-        end: End,
+        end: RunOutcome,
         took: Micros,
         result: &Rc<[u8]>,
     ) -> bool {
@@ -207,11 +215,13 @@
             return true;
         }
         let kept = match end {
-            End::NeverRan => {
+            RunOutcome::NotStarted => {
                 durable.gate.void(reference);
                 return false;
             }
-            End::Fine if result.len() <= self.most_result => Kept::Served(result.clone()),
+            RunOutcome::Completed if result.len() <= self.most_result => {
+                Kept::Served(result.clone())
+            }
             _ => Kept::Failed,
         };
         let waits = durable.wait && matches!(kept, Kept::Served(_));
@@ -223,7 +233,12 @@
     }
 
     /// A run ended that a process before this one began: its key's repeats learn of it.
-    pub(super) fn earlier_ended(&mut self, reference: Reference, end: End, result: &Rc<[u8]>) {
+    pub(super) fn earlier_ended(
+        &mut self,
+        reference: Reference,
+        end: RunOutcome,
+        result: &Rc<[u8]>,
+    ) {
         let Some(durable) = &mut self.durable else {
             return;
         };
@@ -231,11 +246,11 @@
             return;
         };
         match end {
-            End::NeverRan => {
+            RunOutcome::NotStarted => {
                 durable.gate.void(reference);
                 self.keys.remove(&key);
             }
-            End::Fine if result.len() <= self.most_result => {
+            RunOutcome::Completed if result.len() <= self.most_result => {
                 let kept = Kept::Served(result.clone());
                 durable.gate.outcome(reference, written(&kept));
                 self.keys.learned(&key, kept);
@@ -255,17 +270,17 @@
     }
 
     /// Whether keyed runs are remembered by a store.
-    pub fn remembers(&self) -> bool {
+    pub fn has_store(&self) -> bool {
         self.durable.is_some()
     }
 
     /// The next batch for the store's writer, if it is to have one now.
-    pub fn batch(&mut self, now: Micros) -> Option<Batch> {
+    pub fn next_store_batch(&mut self, now: Micros) -> Option<Batch> {
         self.durable.as_mut()?.gate.batch(now)
     }
 
     /// The store's writer is done with its batch.
-    pub fn stored(&mut self, now: Micros, result: Result<u64, String>) {
+    pub fn handle_store_result(&mut self, now: Micros, result: Result<u64, String>) {
         self.now = self.now.max(now);
         let Some(durable) = &mut self.durable else {
             return;
@@ -294,20 +309,24 @@
     }
 
     /// A line for the log, whenever the store takes keys again or no longer.
-    pub fn store_note(&mut self, now: Micros) -> Option<String> {
+    pub fn store_status_change(&mut self, now: Micros) -> Option<String> {
         self.durable.as_mut()?.gate.note(now)
     }
 
     /// Whether all that is to be on the disk is there.
-    pub fn store_idle(&self) -> bool {
+    pub fn is_store_idle(&self) -> bool {
         self.durable.as_ref().is_none_or(|d| d.gate.idle())
     }
 
     /// Bytes that the store takes on the disk, those promised beside, and records that are not
     /// there yet; nothing without a store.
-    pub fn store_room(&self) -> Option<(u64, u64, usize)> {
+    pub fn store_usage(&self) -> Option<StoreUsage> {
         let gate = &self.durable.as_ref()?.gate;
         let (used, reserved) = gate.room();
-        Some((used, reserved, gate.waiting()))
+        Some(StoreUsage {
+            used_bytes: used,
+            reserved_bytes: reserved,
+            waiting_records: gate.waiting(),
+        })
     }
 }
--- a/crates/core/src/handed.rs
+++ b/crates/core/src/handed.rs
@@ -2,10 +2,10 @@
 //! meanwhile.
 
 use super::keys::Kept;
-use super::{Answer, Bounds, Core};
+use super::{Answer, Core, MemoryLimits};
 use pipitlever_admission::{Micros, Settings};
-use pipitlever_hot_restart::message::{Key, Message, State, MOST_RESULT};
-use pipitlever_hot_restart::trust::{Trust, Verdict};
+use pipitlever_hot_restart::key_authority::{KeyAuthority, UnknownKeyDecision};
+use pipitlever_hot_restart::message::{KeyEntry, KeyState, Message, MAX_RESULT_BYTES};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub struct Handed {
     /// What may be thought of keys that are not known here.
-    trust: Trust,
+    authority: KeyAuthority,
     /// Keys that are held or run in the process before this one.
     open: BTreeSet<Rc<str>>,
     /// The other process is there: the share of the processor's memory that this one may take.
@@ -24,19 +24,19 @@
 
 impl Core {
     /// Another process asks for the keys: those that are not known here are its own from now on.
-    pub fn freeze(&mut self) {
-        self.handed.trust.elsewhere(true);
+    pub fn freeze_keys(&mut self) {
+        self.handed.authority.set_remote(true);
         self.keys.tell(true);
     }
 
     /// It is gone without having served.
-    pub fn thaw(&mut self) {
-        self.handed.trust.elsewhere(false);
+    pub fn unfreeze_keys(&mut self) {
+        self.handed.authority.set_remote(false);
         self.keys.tell(false);
     }
 
     /// It is gone, and keys that it has run are not known here.
-    pub fn doubt_keys(&mut self, now: Micros) {
+    pub fn distrust_unknown_keys(&mut self, now: Micros) {
         self.keys.tell(false);
         let window = self
             .settings
@@ -46,63 +46,69 @@
             .max()
             .unwrap_or(0);
         // A repeat that came within a window may be read as late as its caller waits.
-        self.handed.trust.lost(now + window + self.keys.reading());
+        self.handed
+            .authority
+            .handle_keys_lost(now + window + self.keys.reading());
     }
 
     /// Why a try with a key that is not known here is not taken, if it isn't.
     pub(super) fn doubts(&self, now: Micros, retry: bool) -> Option<Answer> {
-        match self.handed.trust.unknown(now, retry, self.marked) {
-            Verdict::Take => None,
-            Verdict::Refuse => Some(Answer::Refused {
-                cooldown: 0,
-                nowhere: false,
+        match self
+            .handed
+            .authority
+            .decide(now, retry, self.retries_are_marked)
+        {
+            UnknownKeyDecision::Accept => None,
+            UnknownKeyDecision::Reject => Some(Answer::Rejected {
+                retry_after: 0,
+                no_retry: false,
             }),
-            Verdict::Fail => Some(Answer::Failed { expired: false }),
+            UnknownKeyDecision::Fail => Some(Answer::Failed { timed_out: false }),
         }
     }
 
     /// The next thing that the process that takes over is to hear of the keys, with times moved on
     /// to Unix time by this.
-    pub fn next_news(&mut self, to_unix: Micros) -> Option<Message> {
+    pub fn next_key_update(&mut self, to_unix: Micros) -> Option<Message> {
         let (key, entry) = self.keys.next_news()?;
         let Some(entry) = entry else {
-            return Some(Message::Free(key.to_string()));
+            return Some(Message::KeyReleased(key.to_string()));
         };
         let state = match &entry.kept {
-            None => State::Open,
-            Some(Kept::Served(result)) if result.len() <= MOST_RESULT => {
-                State::Served(result.to_vec())
+            None => KeyState::InProgress,
+            Some(Kept::Served(result)) if result.len() <= MAX_RESULT_BYTES => {
+                KeyState::Served(result.to_vec())
             }
             // Its repeats fail at the other process; never does it run again.
-            Some(Kept::Served(_)) => State::Failed,
-            Some(Kept::Failed) => State::Failed,
-            Some(Kept::Unknown(_)) => State::Unknown,
+            Some(Kept::Served(_)) => KeyState::Failed,
+            Some(Kept::Failed) => KeyState::Failed,
+            Some(Kept::Unknown(_)) => KeyState::Unknown,
         };
         let until = entry.until.saturating_add(to_unix);
-        Some(Message::Key(Key {
+        Some(Message::Key(KeyEntry {
             key: key.to_string(),
-            payload: entry.payload,
-            until,
+            payload_digest: entry.payload,
+            window_end: until,
             state,
         }))
     }
 
     /// Whether the process that takes over has not heard all.
-    pub fn has_news(&self) -> bool {
+    pub fn has_key_updates(&self) -> bool {
         self.keys.has_news()
     }
 
     /// The process before this one says how a key stands; `until` is on this node's clock.
-    pub fn enter(&mut self, now: Micros, key: Key, until: Micros) {
+    pub fn apply_transferred_key(&mut self, now: Micros, key: KeyEntry, until: Micros) {
         let name: Rc<str> = Rc::from(&*key.key);
         let kept = match key.state {
-            State::Open => None,
+            KeyState::InProgress => None,
             // A result too long to be passed on can't be kept either.
-            State::Served(result) if result.len() <= self.most_result => {
+            KeyState::Served(result) if result.len() <= self.most_result => {
                 Some(Kept::Served(Rc::from(result)))
             }
-            State::Served(_) | State::Failed => Some(Kept::Failed),
-            State::Unknown => Some(Kept::Unknown(until)),
+            KeyState::Served(_) | KeyState::Failed => Some(Kept::Failed),
+            KeyState::Unknown => Some(Kept::Unknown(until)),
         };
         let open = self.handed.open.contains(&name);
         match (open, kept) {
@@ -116,14 +122,14 @@
                     self.handed.open.insert(name.clone());
                 }
                 self.keys
-                    .recover(&name, self.next_id, key.payload, until, kept);
+                    .recover(&name, self.next_id, key.payload_digest, until, kept);
             }
         }
     }
 
     /// No run of a key began in the process before this one, and none will: its repeats are
     /// requests of their own.
-    pub fn freed(&mut self, now: Micros, key: &str) {
+    pub fn release_transferred_key(&mut self, now: Micros, key: &str) {
         if let Some(key) = self.handed.open.take(key) {
             self.now = self.now.max(now);
             let waiting = self
@@ -137,7 +143,7 @@
     }
 
     /// The process before this one has ended: how its open keys came out is not known to anybody.
-    pub fn orphaned(&mut self, now: Micros) {
+    pub fn resolve_orphaned_keys(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.handed.open) {
             let until = self
                 .keys
@@ -162,7 +168,7 @@
 
     /// Another process of this node is there, and this one may take so much of the processor's
     /// memory, and half of the runs that its cores survive; or it is alone again.
-    pub fn share_room(&mut self, share: Option<f64>, bounds: Bounds) {
+    pub fn set_memory_share(&mut self, share: Option<f64>, bounds: MemoryLimits) {
         self.handed.share = share;
         self.most_taken = bounds.requests;
         self.keys.bound(bounds.keys);
@@ -170,7 +176,7 @@
         if let Some(module) = &mut self.module {
             let in_force: Vec<_> = self
                 .classes
-                .in_force()
+                .active()
                 .into_iter()
                 .map(|at| (at, Some(at)))
                 .collect();
@@ -193,7 +199,7 @@
 
     /// The share of the processor's memory that this process needs beside another one: half, or
     /// what it has already taken.
-    pub fn share_wanted(&self) -> f64 {
+    pub fn required_memory_share(&self) -> f64 {
         let used = self.module.as_ref().map_or(0.0, |m| m.view().memory_kb);
         // The module leaves a tenth of what it may take.
         (used / 0.9 / self.settings.memory_kb).clamp(0.5, 1.0)
@@ -201,10 +207,10 @@
 
     /// The notice to leave, while the node goes on in another process: what the node tells its
     /// callers, its health and its level, is that one's now.
-    pub fn superseded(&mut self, now: Micros, left: Micros) {
+    pub fn begin_superseded_shutdown(&mut self, now: Micros, left: Micros) {
         let told = (self.level, self.healthy);
         self.handed.superseded = true;
-        self.leaving(now, left);
+        self.begin_shutdown(now, left);
         (self.level, self.healthy) = told;
     }
 
@@ -219,10 +225,10 @@
     }
 
     /// Whether a keyed run goes on whose outcome is not known yet.
-    pub fn keyed_runs(&self) -> bool {
+    pub fn has_keyed_runs(&self) -> bool {
         let runs = |a: &super::Attempt| matches!(a.stage, super::Stage::Running { .. });
         self.attempts
             .values()
-            .any(|a| a.incoming.key.is_some() && runs(a))
+            .any(|a| a.incoming.idempotency_key.is_some() && runs(a))
     }
 }
--- a/crates/core/src/interleavings.rs
+++ b/crates/core/src/interleavings.rs
@@ -7,7 +7,7 @@
 use super::*;
 use pipitlever_hot_restart::message::Message;
 use pipitlever_hot_restart::predecessor::{self, Predecessor};
-use pipitlever_hot_restart::successor::{self, Lost, Successor};
+use pipitlever_hot_restart::successor::{self, ConnectionLoss, Successor};
 
 const SECOND: Micros = 1_000_000;
 /// Tries of the key, one after the other; the first has no mark.
@@ -101,20 +101,22 @@
     /// key waits there.
     fn new(held: bool) -> World {
         let mut old = core();
-        old.marked = true;
+        old.retries_are_marked = true;
         if held {
             busy(&mut old);
         }
         let mut new = core();
-        new.marked = true;
-        let (mut predecessor, mut successor) = (Predecessor::default(), Successor::greeting());
-        assert!(predecessor.met());
+        new.retries_are_marked = true;
+        let (mut predecessor, mut successor) = (Predecessor::default(), Successor::connecting());
+        assert!(predecessor.handle_connect());
         let welcome = pipitlever_hot_restart::message::Welcome {
-            name: "n".into(),
-            listening: vec![],
+            node_name: "n".into(),
+            sockets: vec![],
             salt: [0; 2],
         };
-        successor.heard(Message::Welcome(welcome));
+        successor
+            .handle_message(Message::Welcome(welcome))
+            .expect("the first message");
         World {
             now: SECOND,
             old: Process::new(old),
@@ -136,8 +138,8 @@
 
     fn serves(&self) -> bool {
         matches!(
-            self.successor.stage(),
-            successor::Stage::Serving | successor::Stage::Alone
+            self.successor.phase(),
+            successor::Phase::Mirror | successor::Phase::Standalone
         )
     }
 
@@ -151,23 +153,21 @@
             Step::EndNew => self.new.alive && !self.new.running.is_empty(),
             Step::Gone => self.old.alive && self.old.gone.is_empty() && !self.old.read.is_empty(),
             Step::Ready => {
-                self.new.alive
-                    && !self.alone
-                    && self.successor.stage() == successor::Stage::Preparing
+                self.new.alive && !self.alone && self.successor.phase() == successor::Phase::Prepare
             }
             Step::Say => {
                 let asked = matches!(
-                    self.predecessor.stage(),
-                    predecessor::Stage::Frozen | predecessor::Stage::Yielded
+                    self.predecessor.phase(),
+                    predecessor::Phase::Freeze | predecessor::Phase::Mirror
                 );
-                carried && asked && (self.old.core.has_news() || !self.ended)
+                carried && asked && (self.old.core.has_key_updates() || !self.ended)
             }
             // What was said before a death is heard after it, and then the death.
             Step::HearOld => {
                 let heard = self.dropped != Some(Step::DropOld) && !self.to_old.is_empty();
                 // Where it has yielded it waits for the other one's death.
                 let over =
-                    !self.new.alive || (self.dropped.is_some() && !self.predecessor.awaits_death());
+                    !self.new.alive || (self.dropped.is_some() && !self.predecessor.has_yielded());
                 self.old.alive && !self.parted && (heard || over)
             }
             Step::HearNew => {
@@ -180,7 +180,7 @@
             Step::DieOld | Step::DieNew => both,
             Step::DropOld => carried,
             // It drops only a predecessor that it has taken over from; before, it ends instead.
-            Step::DropNew => carried && self.successor.stage() == successor::Stage::Serving,
+            Step::DropNew => carried && self.successor.phase() == successor::Phase::Mirror,
         }
     }
 
@@ -201,10 +201,10 @@
                 };
                 at.read.push((reference, Vec::new()));
                 let retry = reference > 1;
-                at.core.arrived(
+                at.core.handle_request(
                     now,
-                    Incoming {
-                        retry,
+                    IncomingRequest {
+                        is_retry: retry,
                         ..incoming(reference, now, Some("k"))
                     },
                 );
@@ -216,25 +216,30 @@
                     &mut self.new
                 };
                 let reference = at.running.remove(0);
-                at.core
-                    .run_ended(now, reference, super::End::Fine, 10, Rc::from(*b"result"));
+                at.core.handle_run_finished(
+                    now,
+                    reference,
+                    super::RunOutcome::Completed,
+                    10,
+                    Rc::from(*b"result"),
+                );
             }
             Step::Gone => {
                 let reference = self.old.read[0].0;
                 self.old.gone.push(reference);
-                self.old.core.gone(now, reference);
+                self.old.core.handle_abandoned(now, reference);
             }
             Step::Ready => {
-                assert!(self.successor.ready());
+                assert!(self.successor.handle_ready());
                 self.to_old.push_back(Message::Freeze);
             }
-            Step::Say => match self.old.core.next_news(0) {
+            Step::Say => match self.old.core.next_key_update(0) {
                 Some(message) => self.to_new.push_back(message),
                 None => {
                     self.ended = true;
-                    self.to_new.push_back(Message::End {
-                        standby: false,
-                        share: 0.5,
+                    self.to_new.push_back(Message::SnapshotComplete {
+                        is_standby: false,
+                        memory_share: 0.5,
                     });
                 }
             },
@@ -243,22 +248,22 @@
                 .pop_front()
                 .filter(|_| self.dropped != Some(Step::DropOld))
             {
-                Some(message) => match self.predecessor.heard(&message) {
-                    predecessor::Act::Freeze => self.old.core.freeze(),
+                Some(message) => match self.predecessor.handle_message(&message) {
+                    predecessor::Action::FreezeKeys => self.old.core.freeze_keys(),
                     act => {
-                        assert_eq!(act, predecessor::Act::Yield);
+                        assert_eq!(act, predecessor::Action::Yield);
                         self.yielded = true;
-                        self.to_new.push_back(Message::Yielded { member: None });
+                        self.to_new.push_back(Message::Yielded { membership: None });
                     }
                 },
                 None => {
                     self.parted = true;
-                    for act in self.predecessor.lost() {
+                    for act in self.predecessor.handle_disconnect() {
                         match act {
-                            predecessor::Act::Thaw => self.old.core.thaw(),
-                            predecessor::Act::Resume => {
+                            predecessor::Action::UnfreezeKeys => self.old.core.unfreeze_keys(),
+                            predecessor::Action::Resume => {
                                 assert!(!self.new.alive, "it accepts beside one that serves");
-                                self.old.core.doubt_keys(now);
+                                self.old.core.distrust_unknown_keys(now);
                             }
                             _ => {}
                         }
@@ -270,24 +275,28 @@
                 .pop_front()
                 .filter(|_| self.dropped != Some(Step::DropNew))
             {
-                Some(message) => match self.successor.heard(message) {
-                    successor::Act::Enter(key) => {
-                        let until = key.until;
-                        self.new.core.enter(now, key, until);
+                Some(message) => match self.successor.handle_message(message).expect("in turn") {
+                    successor::Action::ApplyKey(key) => {
+                        let until = key.window_end;
+                        self.new.core.apply_transferred_key(now, key, until);
+                    }
+                    successor::Action::ReleaseKey(key) => {
+                        self.new.core.release_transferred_key(now, &key)
+                    }
+                    successor::Action::ConfirmSnapshot { .. } => {
+                        self.to_old.push_back(Message::SnapshotReceived)
                     }
-                    successor::Act::Free(key) => self.new.core.freed(now, &key),
-                    successor::Act::Take { .. } => self.to_old.push_back(Message::Taken),
-                    act => assert_eq!(act, successor::Act::Serve(None)),
+                    act => assert_eq!(act, successor::Action::Serve { membership: None }),
                 },
                 None => {
                     self.alone = true;
-                    match self.successor.lost(!self.old.alive) {
-                        Lost::GiveUp => self.new.alive = false,
+                    match self.successor.handle_disconnect(!self.old.alive) {
+                        ConnectionLoss::Abort => self.new.alive = false,
                         lost => {
-                            if lost != Lost::Settled {
-                                self.new.core.doubt_keys(now);
+                            if lost != ConnectionLoss::KeysComplete {
+                                self.new.core.distrust_unknown_keys(now);
                             }
-                            self.new.core.orphaned(now);
+                            self.new.core.resolve_orphaned_keys(now);
                         }
                     }
                 }
@@ -303,12 +312,18 @@
         for at in [&mut self.old, &mut self.new] {
             for effect in at.core.effects() {
                 match effect {
-                    Effect::Begin(reference, 1, ..) => {
+                    Effect::StartRun {
+                        reference,
+                        class: 1,
+                        ..
+                    } => {
                         self.begun += 1;
                         at.running.push(reference);
                     }
-                    Effect::Answer(origin, answer) => {
-                        if let Some(read) = at.read.iter_mut().find(|r| r.0 == origin.number) {
+                    Effect::Answer { origin, answer } => {
+                        if let Some(read) =
+                            at.read.iter_mut().find(|r| r.0 == origin.request_number)
+                        {
                             read.1.push(answer);
                         }
                     }
@@ -326,7 +341,7 @@
             for answer in answers {
                 match answer {
                     Answer::Served(result) => assert!(self.begun == 1 && **result == *b"result"),
-                    Answer::Refused { .. } => {
+                    Answer::Rejected { .. } => {
                         assert!(
                             !self.late.contains(reference),
                             "{reference} was turned away after the run"
@@ -383,7 +398,7 @@
         // Where the new process never served, the old one is what it was.
         if self.old.alive
             && !self.new.alive
-            && self.predecessor.stage() == predecessor::Stage::Alone
+            && self.predecessor.phase() == predecessor::Phase::Standalone
             && !self.yielded
         {
             assert!(
@@ -394,7 +409,7 @@
         for _ in 0..8 {
             self.now += SECOND;
             for at in [&mut self.old, &mut self.new] {
-                at.core.wake(self.now);
+                at.core.handle_wakeup(self.now);
             }
             self.note();
         }
--- a/crates/core/src/keys.rs
+++ b/crates/core/src/keys.rs
@@ -24,7 +24,7 @@
 pub struct Entry {
     /// The try that is held, runs, or ran.
     pub holder: RequestId,
-    /// What its tries carry, as [`super::Incoming::payload`] has it.
+    /// What its tries carry, as [`super::IncomingRequest::payload`] has it.
     pub payload: u64,
     /// Tries that reach the machine up to this time are repeats.
     pub until: Micros,
@@ -262,11 +262,6 @@
         }
     }
 
-    /// Whether there is none.
-    pub fn is_empty(&self) -> bool {
-        self.len() == 0
-    }
-
     /// Entries in the table.
     pub fn len(&self) -> usize {
         self.entries.len()
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -5,26 +5,29 @@
 //! list of effects to carry out. It decides no admission, no order and no run limit; that is the
 //! module's.
 
-mod bounds;
 mod calls;
-pub mod classes;
-pub mod counters;
-pub mod durable;
-pub mod handed;
-pub mod keys;
+mod class_table;
+mod counters;
+mod durable;
+mod handed;
+mod keys;
 mod lost;
+mod memory_limits;
 mod messages;
 mod repeats;
 mod runs;
 mod status;
 mod timers;
 
-pub use bounds::Bounds;
-pub use messages::{Answer, Effect, End, Gauges, Incoming, Origin, Reference, Rejected};
+pub use class_table::{ClassAssignment, ClassTable, TooManyClasses, MAX_CLASSES};
+pub use counters::{ClassCounters, ConfigFileCounters, Counters};
+pub use durable::RunStore;
+pub use memory_limits::MemoryLimits;
+pub use messages::{
+    Answer, Effect, Gauges, IncomingRequest, Origin, Reference, RejectedCommand, RunOutcome,
+};
+pub use status::{StoreUsage, TableSizes};
 
-use classes::{Classes, Seat};
-use counters::Counters;
-use durable::Durable;
 use handed::Handed;
 use keys::{Kept, Keys};
 use pipitlever_admission::*;
@@ -72,7 +75,7 @@
 /// One request, owned by the table of requests alone from its arrival to its close.
 #[derive(Debug)]
 struct Attempt {
-    incoming: Incoming,
+    incoming: IncomingRequest,
     due: Micros,
     /// Set while an answer is owed; taken by the answer.
     origin: Option<Origin>,
@@ -132,15 +135,15 @@
     /// Where all that the module is told and says is kept, if it is.
     tap: Option<Tap>,
     /// Callers mark each further try.
-    pub marked: bool,
+    pub retries_are_marked: bool,
     /// What another process of this node means for this one.
     handed: Handed,
     /// Keyed runs are remembered over a restart, if they are.
-    durable: Option<Box<Durable>>,
+    durable: Option<Box<RunStore>>,
     /// Counts since the start.
     pub counters: Counters,
     /// The classes by place, and the same by their names.
-    pub classes: Classes,
+    pub classes: ClassTable,
 }
 
 impl Core {
@@ -152,11 +155,9 @@
         seed: u64,
         round: Micros,
         most_result: usize,
-        bounds: Bounds,
+        bounds: MemoryLimits,
     ) -> Core {
-        let mut classes = Classes::default();
-        let seats: Vec<Seat> = (0..names.len()).map(|at| Seat { at, was: None }).collect();
-        classes.take(names, &seats);
+        let classes = ClassTable::new(names);
         let longest = settings
             .classes
             .iter()
@@ -189,7 +190,7 @@
             until: Micros::MAX,
             gauges: (Micros::MIN / 2, Gauges::default()),
             tap: None,
-            marked: false,
+            retries_are_marked: false,
             handed: Handed::default(),
             durable: None,
             counters: Counters::default(),
@@ -199,13 +200,13 @@
 
     /// All work goes to workers: the node is up at once, and how busy they are shows in the runs
     /// they have.
-    pub fn up_without_processor(&mut self, now: Micros) {
+    pub fn start_without_processor(&mut self, now: Micros) {
         self.counted = true;
-        self.up(now, now, false);
+        self.start(now, now, false);
     }
 
     /// The processor came up at this time, cold or warm. Later links to it change nothing.
-    pub fn up(&mut self, now: Micros, started: Micros, cold: bool) {
+    pub fn start(&mut self, now: Micros, started: Micros, cold: bool) {
         if self.module.is_some() {
             return;
         }
@@ -225,7 +226,7 @@
     pub fn longest_deadline(&self) -> Micros {
         let classes = self
             .classes
-            .in_force()
+            .active()
             .into_iter()
             .map(|at| self.settings.classes[at].deadline);
         classes.max().unwrap_or(0)
@@ -237,26 +238,26 @@
     }
 
     /// Whether requests of the class at a place are open, held or running.
-    pub fn class_in_use(&self, class: usize) -> bool {
+    pub fn is_class_in_use(&self, class: usize) -> bool {
         self.attempts.values().any(|a| a.incoming.class == class)
     }
 
     /// Other settings from now on, with the classes of these names, in their order, where they were
     /// seated. What is open ends under the class that it came with. Whether anything has changed
     /// for the module.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         mut settings: Settings,
         round: Micros,
         names: &[Rc<str>],
-        seats: &[Seat],
+        seats: &[ClassAssignment],
     ) -> bool {
-        let before = (self.settings.clone(), self.classes.in_force());
-        self.classes.take(names, seats);
+        let before = (self.settings.clone(), self.classes.active());
+        self.classes.apply(names, seats);
         let new = std::mem::take(&mut settings.classes);
         let mut classes = std::mem::take(&mut self.settings.classes);
         for (class, seat) in new.into_iter().zip(seats) {
-            match classes.get_mut(seat.at) {
+            match classes.get_mut(seat.index) {
                 Some(place) => *place = class,
                 None => classes.push(class),
             }
@@ -269,10 +270,10 @@
             ..settings
         };
         self.round = round.max(LEAST_ROUND);
-        if (&self.settings, self.classes.in_force()) == (&before.0, before.1) {
+        if (&self.settings, self.classes.active()) == (&before.0, before.1) {
             return false;
         }
-        let in_force: Vec<_> = seats.iter().map(|s| (s.at, s.was)).collect();
+        let in_force: Vec<_> = seats.iter().map(|s| (s.index, s.previous)).collect();
         let settings = self.shared(&self.settings);
         if let Some(module) = &mut self.module {
             module.retune(settings, &in_force);
@@ -281,7 +282,7 @@
     }
 
     /// From now on all that the module is told and says is kept, or no longer.
-    pub fn capture(&mut self, tap: Option<Tap>) {
+    pub fn set_capture(&mut self, tap: Option<Tap>) {
         self.tap = tap;
     }
 
@@ -298,28 +299,34 @@
     }
 
     /// Whether a request of this name is in memory, or a run of it may still go on.
-    pub fn knows(&self, reference: Reference) -> bool {
+    pub fn contains_request(&self, reference: Reference) -> bool {
         self.by_reference.contains_key(&reference) || self.store_knows(reference)
     }
 
     /// A request was read. It is answered once from here on, unless its caller leaves.
-    pub fn arrived(&mut self, now: Micros, incoming: Incoming) {
+    pub fn handle_request(&mut self, now: Micros, incoming: IncomingRequest) {
         self.counters.requests += 1;
         let deadline = self.settings.classes[incoming.class].deadline;
-        let due = incoming.due.unwrap_or(incoming.arrived + deadline) - DUE_MARGIN;
+        let due = incoming.deadline.unwrap_or(incoming.arrived_at + deadline) - DUE_MARGIN;
         let taken = self.taken + incoming.bytes();
         let full = taken > self.most_taken;
         let new_key = incoming
-            .key
+            .idempotency_key
             .as_ref()
-            .is_some_and(|k| self.keys.repeated(k, incoming.arrived).is_none());
+            .is_some_and(|k| self.keys.repeated(k, incoming.arrived_at).is_none());
         let no_place = new_key && self.keys.full();
-        if let Some(answer) = new_key.then(|| self.doubts(now, incoming.retry)).flatten() {
+        if let Some(answer) = new_key
+            .then(|| self.doubts(now, incoming.is_retry))
+            .flatten()
+        {
             // Another process may have run it. Never offered, never run here.
             self.now = self.now.max(now);
             note(&mut self.tap, self.now, &incoming, &answer, By::Elsewhere);
             self.answered_as(incoming.class, &answer);
-            self.effects.push(Effect::Answer(incoming.origin, answer));
+            self.effects.push(Effect::Answer {
+                origin: incoming.origin,
+                answer,
+            });
             return;
         }
         let store = if new_key {
@@ -327,7 +334,7 @@
         } else {
             None
         };
-        let barred = self.barred(now);
+        let barred = self.is_configuration_expired(now);
         if self.module.is_none() || barred || full || no_place || store.is_some() {
             // Nothing may be forgotten to make room, so new work has to wait. Never offered, never
             // run.
@@ -338,14 +345,17 @@
                 (Some(_), _) if no_place => (By::KeysFull, FULL_COOLDOWN),
                 (Some(_), store) => store.expect("nothing else is left"),
             };
-            let answer = Answer::Refused {
-                cooldown: self.keep_away(cooldown),
-                nowhere: false,
+            let answer = Answer::Rejected {
+                retry_after: self.keep_away(cooldown),
+                no_retry: false,
             };
             self.now = self.now.max(now);
             note(&mut self.tap, self.now, &incoming, &answer, by);
             self.answered_as(incoming.class, &answer);
-            self.effects.push(Effect::Answer(incoming.origin, answer));
+            self.effects.push(Effect::Answer {
+                origin: incoming.origin,
+                answer,
+            });
             return;
         }
         self.owed += 1;
@@ -369,7 +379,7 @@
     }
 
     /// The caller of this request has gone: no answer is owed any more.
-    pub fn gone(&mut self, now: Micros, reference: Reference) {
+    pub fn handle_abandoned(&mut self, now: Micros, reference: Reference) {
         let Some(&id) = self.by_reference.get(&reference) else {
             return;
         };
@@ -378,7 +388,7 @@
             return;
         }
         self.owed -= 1;
-        self.counters.gone += 1;
+        self.counters.abandoned += 1;
         if matches!(attempt.stage, Stage::Held) {
             self.close(id);
         }
@@ -386,7 +396,7 @@
     }
 
     /// The notice to leave: the process stops after `left`.
-    pub fn leaving(&mut self, now: Micros, left: Micros) {
+    pub fn begin_shutdown(&mut self, now: Micros, left: Micros) {
         self.tell(now, Event::Leaving(left));
         self.healthy = false;
     }
@@ -444,9 +454,9 @@
         let id = self.next_id;
         let incoming = &attempt.incoming;
         let repeated = incoming
-            .key
+            .idempotency_key
             .as_ref()
-            .and_then(|k| self.keys.repeated(k, incoming.arrived));
+            .and_then(|k| self.keys.repeated(k, incoming.arrived_at));
         attempt.repeats = repeated.map(|e| e.holder);
         let request = Request {
             id,
@@ -456,10 +466,10 @@
             patience: Some(attempt.due - now),
             cost: incoming.cost,
             memory_kb: incoming.memory_kb,
-            rank: incoming.rank,
-            retry: incoming.retry,
-            write: incoming.key.is_some(),
-            queued: (now - incoming.arrived).max(0),
+            rank: incoming.priority,
+            retry: incoming.is_retry,
+            write: incoming.idempotency_key.is_some(),
+            queued: (now - incoming.arrived_at).max(0),
             same_as: attempt.repeats,
         };
         if let Some(tap) = &mut self.tap {
@@ -490,9 +500,9 @@
                     let cooldown = self.keep_away(backoff);
                     self.answer(
                         id,
-                        Answer::Refused {
-                            cooldown,
-                            nowhere: no_retry,
+                        Answer::Rejected {
+                            retry_after: cooldown,
+                            no_retry: no_retry,
                         },
                         By::Module,
                     );
@@ -506,9 +516,11 @@
                 let Some(attempt) = self.attempts.get(&id) else {
                     return;
                 };
-                if let Some(key) = &attempt.incoming.key {
-                    let Incoming {
-                        payload, arrived, ..
+                if let Some(key) = &attempt.incoming.idempotency_key {
+                    let IncomingRequest {
+                        payload_digest: payload,
+                        arrived_at: arrived,
+                        ..
                     } = attempt.incoming;
                     self.keys
                         .keep(key, id, payload, arrived, self.now + lifetime);
@@ -537,7 +549,7 @@
         };
         let held = matches!(attempt.stage, Stage::Held);
         let expired = self.now >= attempt.due;
-        self.answer(id, Answer::Failed { expired }, By::Module);
+        self.answer(id, Answer::Failed { timed_out: expired }, By::Module);
         if held {
             self.close(id);
         }
@@ -555,17 +567,17 @@
         self.owed -= 1;
         let class = attempt.incoming.class;
         self.answered_as(class, &answer);
-        self.effects.push(Effect::Answer(origin, answer));
+        self.effects.push(Effect::Answer { origin, answer });
     }
 
     /// Counts an outcome: the one place where that is done.
     fn answered_as(&mut self, class: usize, answer: &Answer) {
-        let class = self.classes.count(class);
+        let class = self.classes.counters_mut(class);
         let (all, of_class) = match answer {
-            Answer::Served(_) => (&mut self.counters.served, &mut class.fulfilled),
-            Answer::Refused { .. } => (&mut self.counters.refused, &mut class.throttled),
+            Answer::Served(_) => (&mut self.counters.served, &mut class.served),
+            Answer::Rejected { .. } => (&mut self.counters.rejected, &mut class.rejected),
             Answer::Failed { .. } | Answer::Unknown { .. } => {
-                (&mut self.counters.failed, &mut class.faulted)
+                (&mut self.counters.failed, &mut class.failed)
             }
         };
         *all += 1;
@@ -589,7 +601,7 @@
         {
             self.wakes.remove(&(given_up, Wake::Call(id)));
         }
-        if let (Some(key), Some(holder)) = (&attempt.incoming.key, attempt.repeats) {
+        if let (Some(key), Some(holder)) = (&attempt.incoming.idempotency_key, attempt.repeats) {
             if let Some(entry) = self.keys.held_by(key, holder) {
                 entry.waiting.retain(|&w| w != id);
             }
@@ -599,7 +611,7 @@
 }
 
 /// A final answer, for the capture.
-fn note(tap: &mut Option<Tap>, now: Micros, incoming: &Incoming, answer: &Answer, by: By) {
+fn note(tap: &mut Option<Tap>, now: Micros, incoming: &IncomingRequest, answer: &Answer, by: By) {
     if let Some(tap) = tap {
         tap.answer(
             now,
--- a/crates/core/src/lost.rs
+++ b/crates/core/src/lost.rs
@@ -5,7 +5,7 @@
 impl Core {
     /// Whether a run that is no longer wanted may go on for all that is known: it is to be stopped
     /// once more.
-    pub fn may_interrupt_again(&self, reference: Reference) -> bool {
+    pub fn may_resend_stop(&self, reference: Reference) -> bool {
         let attempt = self
             .by_reference
             .get(&reference)
@@ -16,7 +16,7 @@
     /// Whether a start that may not have been read may go out again: nothing was heard of the run,
     /// and somebody waits for it. All notices so far are known. Safe classes alone, as the run may
     /// end just now.
-    pub fn may_begin_again(&self, reference: Reference) -> bool {
+    pub fn may_resend_start(&self, reference: Reference) -> bool {
         let attempt = self
             .by_reference
             .get(&reference)
@@ -30,7 +30,7 @@
     /// Whether the reply to a call may go out again that may not have been read: the run has
     /// neither ended nor asked for more. If it was read after all, the processor rejects the second
     /// one, which then means nothing.
-    pub fn may_answer_again(&mut self, reference: Reference) -> bool {
+    pub fn may_resend_reply(&mut self, reference: Reference) -> bool {
         let Some(id) = self.by_reference.get(&reference) else {
             return false;
         };
@@ -50,12 +50,17 @@
     /// The processor did not carry out a command for this request. A start that it rejects never
     /// ran: it goes out a second time only in classes where that makes no difference. A stop that
     /// it rejects came too late.
-    pub fn rejected(&mut self, now: Micros, reference: Reference, command: Rejected) {
-        self.counters.rejected += 1;
-        if command == Rejected::Interrupt {
+    pub fn handle_command_rejected(
+        &mut self,
+        now: Micros,
+        reference: Reference,
+        command: RejectedCommand,
+    ) {
+        self.counters.rejected_commands += 1;
+        if command == RejectedCommand::Stop {
             return;
         }
-        let start = command == Rejected::Begin;
+        let start = command == RejectedCommand::Start;
         let Some(&id) = self.by_reference.get(&reference) else {
             return;
         };
@@ -68,16 +73,16 @@
             return;
         };
         if start {
-            self.run_ended(
+            self.handle_run_finished(
                 now,
                 reference,
-                End::NeverRan,
+                RunOutcome::NotStarted,
                 (now - since).max(0),
                 Rc::from([]),
             );
         } else if !answered_again {
             self.now = self.now.max(now);
-            self.answer(id, Answer::Failed { expired: false }, By::Rejected);
+            self.answer(id, Answer::Failed { timed_out: false }, By::Rejected);
             self.tell(now, Event::Gone(id));
         }
     }
--- a/crates/core/src/messages.rs
+++ b/crates/core/src/messages.rs
@@ -1,62 +1,63 @@
-//! What the core is told of requests and runs, and what it has done outside.
+//! Requests and results that drivers pass to the core, and the effects that they carry out for it.
 
-use super::bounds::REQUEST;
 use super::*;
+use crate::memory_limits::REQUEST_BYTES;
 
-/// Names a request to the outside: its `ref`, new with every try.
+/// Identifies one attempt of a request to the outside: its `ref` on the wire, new with every
+/// attempt.
 pub type Reference = u64;
 
-/// Where the answer goes. The core only carries it.
+/// Where the answer of a request goes. The core passes it through unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
-    /// The connection that the request came on.
+    /// The connection that the request was read from.
     pub connection: u64,
     /// The request's number on that connection.
-    pub number: u64,
+    pub request_number: u64,
 }
 
-/// A request as a front read it.
+/// A request as a listener decoded it.
 #[derive(Clone, Debug)]
-pub struct Incoming {
-    /// Its name, new with every try.
+pub struct IncomingRequest {
+    /// Identifies this attempt, new with every attempt.
     pub reference: Reference,
-    /// The gateway that sent it, where the wire says.
+    /// The gateway that sent it, where the protocol says.
     pub sender: Option<u64>,
-    /// Its tenant, by position in the settings, where the wire names one that is there.
+    /// Its tenant, by index in the settings, where the protocol names a known one.
     pub tenant: Option<usize>,
     /// Where its answer goes.
     pub origin: Origin,
-    /// Its class, by position in the settings.
+    /// Its class, by index in the class table.
     pub class: usize,
-    /// When it came to the machine.
-    pub arrived: Micros,
-    /// When its caller stops waiting; the class's deadline after the arrival if it doesn't say.
-    pub due: Option<Micros>,
-    /// The work to expect, in microseconds on one core.
+    /// When it reached the machine.
+    pub arrived_at: Micros,
+    /// When its caller stops waiting; the class's deadline after the arrival if unset.
+    pub deadline: Option<Micros>,
+    /// The expected work, in microseconds on one core.
     pub cost: Option<f64>,
-    /// The memory booked while it is held.
+    /// The memory reserved while it is queued, in kilobytes.
     pub memory_kb: f64,
-    /// Its rank.
-    pub rank: f64,
-    /// A further try or a second copy.
-    pub retry: bool,
-    /// The same for all tries of one request, in keyed classes.
-    pub key: Option<Rc<str>>,
-    /// The body, as it came.
+    /// Its priority, from 0 to under 1; higher is more important.
+    pub priority: f64,
+    /// Whether it is marked as a retry or a hedged copy.
+    pub is_retry: bool,
+    /// The same for all attempts of one request, in keyed classes.
+    pub idempotency_key: Option<Rc<str>>,
+    /// The body, as it was received.
     pub body: Rc<[u8]>,
-    /// Stands for class and body: the same for all tries of one request, on both fronts.
-    pub payload: u64,
+    /// Digest of class and body: the same for all attempts of one request, on every listener.
+    pub payload_digest: u64,
 }
 
-impl Incoming {
-    /// What it takes of the memory.
+impl IncomingRequest {
+    /// The memory that the request takes in all tables, in bytes.
     pub(super) fn bytes(&self) -> usize {
-        REQUEST + self.body.len()
+        REQUEST_BYTES + self.body.len()
     }
 
-    /// What a capture calls it.
+    /// The record that identifies the request in a capture.
     pub(super) fn name(&self, id: RequestId) -> Name {
-        let key = self.key.as_deref().map(digest);
+        let key = self.idempotency_key.as_deref().map(digest);
         Name {
             id,
             reference: self.reference,
@@ -66,97 +67,136 @@
     }
 }
 
-/// The one final answer of a request.
+/// The final answer of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
     /// The result, unchanged.
     Served(Rc<[u8]>),
-    /// This try never ran.
-    Refused {
-        /// How long the caller should keep away; 0 for no advice.
-        cooldown: Micros,
-        /// No other node should be tried.
-        nowhere: bool,
+    /// This attempt never ran.
+    Rejected {
+        /// How long the caller should wait before it retries here, in microseconds; 0 for no
+        /// advice.
+        retry_after: Micros,
+        /// The caller should not retry at another node.
+        no_retry: bool,
     },
-    /// It may have run.
+    /// The attempt may have run.
     Failed {
-        /// It failed because its time was up.
-        expired: bool,
+        /// The deadline passed before an outcome was known.
+        timed_out: bool,
     },
-    /// It may have run, before a restart, and its end is not known.
+    /// A run of this key began before a restart, and its outcome is not known.
     Unknown {
-        /// After so long a further try of its key may run.
-        back: Micros,
+        /// When a retry of the key may run, in microseconds from now.
+        retry_after: Micros,
     },
 }
 
 impl Answer {
-    /// As a capture has it.
+    /// The answer as a capture records it.
     pub(super) fn told(&self) -> Told {
         match self {
             Answer::Served(result) => Told::Served(result.len() as u32),
-            Answer::Refused { cooldown, nowhere } => Told::Refused {
-                cooldown: *cooldown,
-                nowhere: *nowhere,
+            Answer::Rejected {
+                retry_after,
+                no_retry,
+            } => Told::Refused {
+                cooldown: *retry_after,
+                nowhere: *no_retry,
+            },
+            Answer::Failed { timed_out } => Told::Failed {
+                expired: *timed_out,
             },
-            Answer::Failed { expired } => Told::Failed { expired: *expired },
             Answer::Unknown { .. } => Told::Failed { expired: false },
         }
     }
 }
 
-/// Something to be done outside.
+/// Something that a driver has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Give this answer.
-    Answer(Origin, Answer),
-    /// Start the run of a request of this class, with its body as it came. Nobody wants its result
-    /// after the time given.
-    Begin(Reference, usize, Micros, Rc<[u8]>),
-    /// Pass on the reply to the call that the run waits for.
-    Reply(Reference, Rc<[u8]>),
-    /// Stop the run of a request of this class, which nobody waits for any more.
-    Interrupt(Reference, usize),
-    /// Place a call, given up at this time.
-    Call(Reference, Micros, Rc<[u8]>),
-    /// Give up a call.
-    Abandon(Reference),
-    /// Ask the processor for its gauges.
-    Gauges,
+    /// Send an answer.
+    Answer {
+        /// Where the answer goes.
+        origin: Origin,
+        /// The answer.
+        answer: Answer,
+    },
+    /// Start the run of a request.
+    StartRun {
+        /// The request.
+        reference: Reference,
+        /// Its class, by index.
+        class: usize,
+        /// The result is of no use after this time.
+        result_deadline: Micros,
+        /// The body, as it was received.
+        body: Rc<[u8]>,
+    },
+    /// Pass the reply of a call on to the run that waits for it.
+    SendReply {
+        /// The request.
+        reference: Reference,
+        /// The reply.
+        body: Rc<[u8]>,
+    },
+    /// Stop a run whose request is answered or abandoned.
+    StopRun {
+        /// The request.
+        reference: Reference,
+        /// Its class, by index.
+        class: usize,
+    },
+    /// Place a call to the layer below.
+    PlaceCall {
+        /// The request whose run waits for the call.
+        reference: Reference,
+        /// The call times out at this time.
+        deadline: Micros,
+        /// The body of the call.
+        body: Rc<[u8]>,
+    },
+    /// Cancel a call.
+    CancelCall {
+        /// The request whose run waits for the call.
+        reference: Reference,
+    },
+    /// Query the processor's gauges.
+    QueryGauges,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Well, with a result.
-    Fine,
+pub enum RunOutcome {
+    /// It returned a result.
+    Completed,
     /// It failed.
-    Fault,
+    Failed,
     /// It was stopped, or ended at a call since its request was over.
-    BrokenOff,
-    /// It never started.
-    NeverRan,
+    Aborted,
+    /// It was never started.
+    NotStarted,
 }
 
-/// Which command the processor did not carry out.
+/// The kind of a command that the processor rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rejected {
-    /// To start a run.
-    Begin,
-    /// To stop one.
-    Interrupt,
-    /// The reply to a call, or one that is not ours.
+pub enum RejectedCommand {
+    /// The start of a run.
+    Start,
+    /// The stop of a run.
+    Stop,
+    /// The reply of a call, or a command that this node did not send.
     Other,
 }
 
-/// The processor's gauges, as far as it has them.
+/// The processor's gauges, as far as it reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Busy share of the cores.
+    /// Busy share of the cores, from 0 to 1.
     pub core_use: Option<f64>,
-    /// All that needs a core.
+    /// Number of runs that use or wait for a core.
     pub on_cores: Option<f64>,
-    /// Share of memory in use.
+    /// Share of memory in use, from 0 to 1.
     pub memory_use: Option<f64>,
     /// Open connections.
     pub connections: Option<f64>,
--- a/crates/core/src/repeats.rs
+++ b/crates/core/src/repeats.rs
@@ -6,7 +6,7 @@
     /// Whether this key stands for another body or class. That is its client's error: the outcome
     /// of the other request is not this one's, and a second run under the key would break its
     /// promise.
-    pub fn conflicts(&self, key: &str, arrived: Micros, payload: u64) -> bool {
+    pub fn is_key_conflict(&self, key: &str, arrived: Micros, payload: u64) -> bool {
         self.keys
             .repeated(key, arrived)
             .is_some_and(|e| e.payload != payload)
@@ -17,8 +17,12 @@
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        self.counters.repeats += 1;
-        let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
+        self.counters.duplicates += 1;
+        let key = attempt
+            .incoming
+            .idempotency_key
+            .clone()
+            .unwrap_or_else(|| Rc::from(""));
         let holder = attempt.repeats.unwrap_or_default();
         let kept = match self.keys.held_by(&key, holder) {
             Some(entry) if entry.kept.is_none() => return entry.waiting.push(id),
@@ -32,10 +36,10 @@
     pub(super) fn share(&mut self, id: RequestId, kept: &Kept) {
         let (answer, outcome) = match kept {
             Kept::Served(result) => (Answer::Served(result.clone()), Outcome::Done),
-            Kept::Failed => (Answer::Failed { expired: false }, Outcome::Error),
+            Kept::Failed => (Answer::Failed { timed_out: false }, Outcome::Error),
             Kept::Unknown(until) => (
                 Answer::Unknown {
-                    back: (until - self.now).max(0),
+                    retry_after: (until - self.now).max(0),
                 },
                 Outcome::Error,
             ),
--- a/crates/core/src/runs.rs
+++ b/crates/core/src/runs.rs
@@ -4,7 +4,7 @@
 
 impl Core {
     pub(super) fn run(&mut self, id: RequestId) {
-        if self.barred(self.now) {
+        if self.is_configuration_expired(self.now) {
             return self.unrun(id);
         }
         let Some(attempt) = self.attempts.get_mut(&id) else {
@@ -14,7 +14,11 @@
         if keyed {
             // No run without the entry that tells its repeats apart, and none on another try's
             // entry.
-            let key = attempt.incoming.key.as_deref().unwrap_or_default();
+            let key = attempt
+                .incoming
+                .idempotency_key
+                .as_deref()
+                .unwrap_or_default();
             let Some(entry) = self.keys.held_by(key, id).filter(|e| !e.begun) else {
                 let ended = Event::Finished {
                     id,
@@ -22,7 +26,7 @@
                     outcome: Outcome::Moot,
                 };
                 self.pending.push_back(Pending::Event(ended));
-                self.answer(id, Answer::Failed { expired: false }, By::NoKey);
+                self.answer(id, Answer::Failed { timed_out: false }, By::NoKey);
                 self.close(id);
                 return;
             };
@@ -44,10 +48,10 @@
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let key = attempt.incoming.key.clone();
-        let answer = Answer::Refused {
-            cooldown: self.keep_away(FULL_COOLDOWN),
-            nowhere: false,
+        let key = attempt.incoming.idempotency_key.clone();
+        let answer = Answer::Rejected {
+            retry_after: self.keep_away(FULL_COOLDOWN),
+            no_retry: false,
         };
         self.answer(id, answer.clone(), By::Floor);
         self.close(id);
@@ -68,21 +72,21 @@
         };
         let incoming = &attempt.incoming;
         self.counters.runs += 1;
-        self.classes.count(incoming.class).relayed += 1;
-        let keyed = incoming.key.is_some();
+        self.classes.counters_mut(incoming.class).forwarded += 1;
+        let keyed = incoming.idempotency_key.is_some();
         // A repeat may still want the outcome of a keyed run when its first caller does not.
         let class = &self.settings.classes[incoming.class];
         let until = if keyed {
-            attempt.due.max(incoming.arrived + class.window)
+            attempt.due.max(incoming.arrived_at + class.window)
         } else {
             attempt.due
         };
-        let begin = Effect::Begin(
-            incoming.reference,
-            incoming.class,
-            until,
-            incoming.body.clone(),
-        );
+        let begin = Effect::StartRun {
+            reference: incoming.reference,
+            class: incoming.class,
+            result_deadline: until,
+            body: incoming.body.clone(),
+        };
         self.effects.push(begin);
     }
 
@@ -93,20 +97,20 @@
             return;
         };
         if attempt.origin.is_none() && matches!(attempt.stage, Stage::Running { .. }) {
-            self.counters.interrupted += 1;
-            let Incoming {
+            self.counters.runs_stopped += 1;
+            let IncomingRequest {
                 reference, class, ..
             } = attempt.incoming;
-            self.effects.push(Effect::Interrupt(reference, class));
+            self.effects.push(Effect::StopRun { reference, class });
         }
     }
 
     /// A run ended. `took` runs from its start, waits included.
-    pub fn run_ended(
+    pub fn handle_run_finished(
         &mut self,
         now: Micros,
         reference: Reference,
-        end: End,
+        end: RunOutcome,
         took: Micros,
         result: Rc<[u8]>,
     ) {
@@ -118,10 +122,11 @@
             return;
         }
         self.now = self.now.max(now);
-        if attempt.incoming.key.is_some() && self.outcome(reference, end, took, &result) {
+        if attempt.incoming.idempotency_key.is_some() && self.outcome(reference, end, took, &result)
+        {
             return;
         }
-        let by = if end == End::NeverRan {
+        let by = if end == RunOutcome::NotStarted {
             By::Rejected
         } else {
             By::Run
@@ -135,7 +140,7 @@
     pub(super) fn ended(
         &mut self,
         id: RequestId,
-        end: End,
+        end: RunOutcome,
         took: Micros,
         result: Rc<[u8]>,
         by: By,
@@ -148,39 +153,39 @@
         };
         let reference = attempt.incoming.reference;
         if call.as_ref().is_some_and(|c| c.placed.is_some()) {
-            self.effects.push(Effect::Abandon(reference));
+            self.effects.push(Effect::CancelCall { reference });
         }
-        let key = attempt.incoming.key.clone();
+        let key = attempt.incoming.idempotency_key.clone();
         // A result too long to be passed on can't be kept either.
-        let end = if end == End::Fine && result.len() > self.most_result {
-            End::Fault
+        let end = if end == RunOutcome::Completed && result.len() > self.most_result {
+            RunOutcome::Failed
         } else {
             end
         };
         let (outcome, answer, kept) = match end {
-            End::Fine => {
-                self.counters.runs_fine += 1;
+            RunOutcome::Completed => {
+                self.counters.runs_completed += 1;
                 (
                     Outcome::Done,
                     Answer::Served(result.clone()),
                     Some(Kept::Served(result)),
                 )
             }
-            End::Fault => (
+            RunOutcome::Failed => (
                 Outcome::Error,
-                Answer::Failed { expired: false },
+                Answer::Failed { timed_out: false },
                 Some(Kept::Failed),
             ),
-            End::BrokenOff => (
+            RunOutcome::Aborted => (
                 Outcome::Cancelled,
-                Answer::Failed { expired: false },
+                Answer::Failed { timed_out: false },
                 Some(Kept::Failed),
             ),
-            End::NeverRan => (
+            RunOutcome::NotStarted => (
                 Outcome::Moot,
-                Answer::Refused {
-                    cooldown: FULL_COOLDOWN,
-                    nowhere: false,
+                Answer::Rejected {
+                    retry_after: FULL_COOLDOWN,
+                    no_retry: false,
                 },
                 None,
             ),
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -1,6 +1,6 @@
 //! The core alone: events in, effects out, no socket and no clock.
 
-use super::bounds::{CONNECTION, PROCESS, REQUEST};
+use super::memory_limits::{CONNECTION_BYTES, PROCESS_BYTES, REQUEST_BYTES};
 use super::*;
 
 const SECOND: Micros = 1_000_000;
@@ -26,38 +26,38 @@
         7,
         2000,
         4096,
-        Bounds::within(192 << 20, 960),
+        MemoryLimits::for_process(192 << 20, 960),
     );
-    core.up(SECOND, 0, false);
+    core.start(SECOND, 0, false);
     core
 }
 
 /// A request that arrives now and is waited for five seconds.
-pub fn incoming(reference: Reference, now: Micros, key: Option<&str>) -> Incoming {
-    Incoming {
+pub fn incoming(reference: Reference, now: Micros, key: Option<&str>) -> IncomingRequest {
+    IncomingRequest {
         reference,
         tenant: None,
         sender: None,
         origin: Origin {
             connection: 1,
-            number: reference,
+            request_number: reference,
         },
         class: usize::from(key.is_some()),
-        arrived: now,
-        due: Some(now + 5 * SECOND),
+        arrived_at: now,
+        deadline: Some(now + 5 * SECOND),
         cost: None,
         memory_kb: 10.0,
-        rank: 0.9,
-        retry: false,
-        key: key.map(Rc::from),
+        priority: 0.9,
+        is_retry: false,
+        idempotency_key: key.map(Rc::from),
         body: Rc::from(*b"body"),
-        payload: 1,
+        payload_digest: 1,
     }
 }
 
 fn begun(effects: &[Effect]) -> Vec<Reference> {
     let begin = |e: &Effect| {
-        if let Effect::Begin(r, ..) = e {
+        if let Effect::StartRun { reference: r, .. } = e {
             Some(*r)
         } else {
             None
@@ -68,8 +68,12 @@
 
 fn answers(effects: &[Effect]) -> Vec<(Reference, Answer)> {
     let answer = |e: &Effect| {
-        if let Effect::Answer(o, a) = e {
-            Some((o.number, a.clone()))
+        if let Effect::Answer {
+            origin: o,
+            answer: a,
+        } = e
+        {
+            Some((o.request_number, a.clone()))
         } else {
             None
         }
@@ -81,9 +85,9 @@
 pub fn busy(core: &mut Core) {
     let mut reference = 1000;
     loop {
-        core.arrived(SECOND, incoming(reference, SECOND, None));
+        core.handle_request(SECOND, incoming(reference, SECOND, None));
         if begun(&core.effects()).is_empty() {
-            return core.gone(SECOND, reference);
+            return core.handle_abandoned(SECOND, reference);
         }
         reference += 1;
     }
@@ -94,21 +98,21 @@
 fn the_module_hears_of_a_call_that_was_turned_away_a_round_later() {
     for outcome in [Outcome::Busy, Outcome::Unreachable, Outcome::Reset] {
         let mut core = core();
-        core.arrived(SECOND, incoming(1, SECOND, None));
-        core.asked(SECOND, 1, Rc::from([]));
+        core.handle_request(SECOND, incoming(1, SECOND, None));
+        core.handle_call_requested(SECOND, 1, Rc::from([]));
         let call = |core: &mut Core| {
             core.effects()
                 .iter()
-                .filter(|e| matches!(e, Effect::Call(..)))
+                .filter(|e| matches!(e, Effect::PlaceCall { .. }))
                 .count()
         };
         assert_eq!(call(&mut core), 1);
-        core.call_ended(SECOND + 100, 1, outcome, Rc::from([]));
+        core.handle_call_finished(SECOND + 100, 1, outcome, Rc::from([]));
         assert_eq!(call(&mut core), 0);
-        core.wake(SECOND + 2099);
+        core.handle_wakeup(SECOND + 2099);
         assert_eq!(call(&mut core), 0);
-        assert!(core.next_wake().is_some_and(|at| at == SECOND + 2100));
-        core.wake(SECOND + 2100);
+        assert!(core.next_wakeup().is_some_and(|at| at == SECOND + 2100));
+        core.handle_wakeup(SECOND + 2100);
         assert_eq!(call(&mut core), 1, "{outcome:?}");
     }
 }
@@ -118,53 +122,65 @@
 fn a_repeat_of_a_try_that_is_dropped_unrun_stands_on_its_own() {
     let mut core = core();
     busy(&mut core);
-    core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-    core.arrived(SECOND, incoming(2, SECOND, Some("k")));
-    core.arrived(SECOND, incoming(3, SECOND, Some("k")));
-    core.gone(SECOND, 1);
+    core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+    core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
+    core.handle_request(SECOND, incoming(3, SECOND, Some("k")));
+    core.handle_abandoned(SECOND, 1);
     assert_eq!(answers(&core.effects()), []);
     let mut runs: Vec<Reference> = Vec::new();
     for reference in 1000.. {
-        if !core.knows(reference) {
+        if !core.contains_request(reference) {
             break;
         }
-        core.run_ended(SECOND + 10, reference, End::Fine, 10, Rc::from([]));
+        core.handle_run_finished(
+            SECOND + 10,
+            reference,
+            RunOutcome::Completed,
+            10,
+            Rc::from([]),
+        );
         runs.extend(begun(&core.effects()));
     }
     // One of the two runs, and both get its result.
     assert_eq!(runs, [2]);
-    core.run_ended(SECOND + 20, 2, End::Fine, 10, Rc::from(*b"once"));
+    core.handle_run_finished(
+        SECOND + 20,
+        2,
+        RunOutcome::Completed,
+        10,
+        Rc::from(*b"once"),
+    );
     let once = Answer::Served(Rc::from(*b"once"));
     assert_eq!(answers(&core.effects()), [(2, once.clone()), (3, once)]);
 }
 
 #[test]
 fn a_key_runs_once_within_its_window_whatever_became_of_the_run() {
-    let failed = Answer::Failed { expired: false };
+    let failed = Answer::Failed { timed_out: false };
     let served = Answer::Served(Rc::from(*b"r"));
-    let refused = Answer::Refused {
-        cooldown: FULL_COOLDOWN,
-        nowhere: false,
+    let refused = Answer::Rejected {
+        retry_after: FULL_COOLDOWN,
+        no_retry: false,
     };
     let cases = [
-        (End::Fine, served, false),
-        (End::Fault, failed.clone(), false),
-        (End::BrokenOff, failed, false),
-        (End::NeverRan, refused, true),
+        (RunOutcome::Completed, served, false),
+        (RunOutcome::Failed, failed.clone(), false),
+        (RunOutcome::Aborted, failed, false),
+        (RunOutcome::NotStarted, refused, true),
     ];
     for (end, answer, runs_again) in cases {
         let mut core = core();
-        core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-        core.run_ended(SECOND + 10, 1, end, 10, Rc::from(*b"r"));
+        core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+        core.handle_run_finished(SECOND + 10, 1, end, 10, Rc::from(*b"r"));
         assert_eq!(answers(&core.effects()), [(1, answer.clone())]);
         // To the end of the window, counted from the arrival of the try that ran; then anew.
-        core.wake(21 * SECOND);
-        core.arrived(21 * SECOND, incoming(2, 21 * SECOND, Some("k")));
+        core.handle_wakeup(21 * SECOND);
+        core.handle_request(21 * SECOND, incoming(2, 21 * SECOND, Some("k")));
         let effects = core.effects();
         assert_eq!(begun(&effects).len(), usize::from(runs_again), "{end:?}");
         assert_eq!(answers(&effects).len(), usize::from(!runs_again), "{end:?}");
-        core.wake(42 * SECOND);
-        core.arrived(42 * SECOND, incoming(3, 42 * SECOND, Some("k")));
+        core.handle_wakeup(42 * SECOND);
+        core.handle_request(42 * SECOND, incoming(3, 42 * SECOND, Some("k")));
         assert_eq!(begun(&core.effects()), [3], "{end:?}");
     }
 }
@@ -172,16 +188,16 @@
 #[test]
 fn a_repeat_read_late_still_counts_by_when_it_came() {
     let mut core = core();
-    core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-    core.run_ended(SECOND + 10, 1, End::Fine, 10, Rc::from(*b"r"));
+    core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+    core.handle_run_finished(SECOND + 10, 1, RunOutcome::Completed, 10, Rc::from(*b"r"));
     core.effects();
     // It came within the window, and is read a second after.
-    core.wake(22 * SECOND);
-    let late = Incoming {
-        arrived: 20 * SECOND,
+    core.handle_wakeup(22 * SECOND);
+    let late = IncomingRequest {
+        arrived_at: 20 * SECOND,
         ..incoming(2, 22 * SECOND, Some("k"))
     };
-    core.arrived(22 * SECOND, late);
+    core.handle_request(22 * SECOND, late);
     assert_eq!(
         answers(&core.effects()),
         [(2, Answer::Served(Rc::from(*b"r")))]
@@ -193,16 +209,16 @@
     let mut core = core();
     // Room for one entry, once its result is there.
     core.keys = keys::Keys::new(512 + 4096, 4096, SECOND);
-    core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-    core.run_ended(SECOND + 10, 1, End::Fine, 10, Rc::from(*b"r"));
+    core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+    core.handle_run_finished(SECOND + 10, 1, RunOutcome::Completed, 10, Rc::from(*b"r"));
     core.effects();
-    core.arrived(2 * SECOND, incoming(2, 2 * SECOND, Some("other")));
-    core.arrived(2 * SECOND, incoming(3, 2 * SECOND, Some("k")));
-    core.arrived(2 * SECOND, incoming(4, 2 * SECOND, None));
+    core.handle_request(2 * SECOND, incoming(2, 2 * SECOND, Some("other")));
+    core.handle_request(2 * SECOND, incoming(3, 2 * SECOND, Some("k")));
+    core.handle_request(2 * SECOND, incoming(4, 2 * SECOND, None));
     let effects = core.effects();
-    let refused = Answer::Refused {
-        cooldown: FULL_COOLDOWN,
-        nowhere: false,
+    let refused = Answer::Rejected {
+        retry_after: FULL_COOLDOWN,
+        no_retry: false,
     };
     assert_eq!(
         answers(&effects),
@@ -214,27 +230,27 @@
 #[test]
 fn each_request_is_answered_once_and_everything_is_given_back() {
     let mut core = core();
-    core.arrived(SECOND, incoming(1, SECOND, None));
-    core.arrived(SECOND, incoming(2, SECOND, Some("k")));
+    core.handle_request(SECOND, incoming(1, SECOND, None));
+    core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
     core.effects();
-    core.wake(6 * SECOND);
+    core.handle_wakeup(6 * SECOND);
     let due = answers(&core.effects());
     assert_eq!(due.len(), 2, "both are due: {due:?}");
     assert!(
         due.iter()
-            .all(|(_, a)| *a == Answer::Failed { expired: true }),
+            .all(|(_, a)| *a == Answer::Failed { timed_out: true }),
         "{due:?}"
     );
     // The runs end later, and a caller that leaves later still changes nothing.
-    core.gone(6 * SECOND, 1);
-    core.run_ended(7 * SECOND, 1, End::Fine, 10, Rc::from([]));
-    core.run_ended(7 * SECOND, 2, End::Fine, 10, Rc::from([]));
-    core.run_ended(7 * SECOND, 2, End::Fine, 10, Rc::from([]));
+    core.handle_abandoned(6 * SECOND, 1);
+    core.handle_run_finished(7 * SECOND, 1, RunOutcome::Completed, 10, Rc::from([]));
+    core.handle_run_finished(7 * SECOND, 2, RunOutcome::Completed, 10, Rc::from([]));
+    core.handle_run_finished(7 * SECOND, 2, RunOutcome::Completed, 10, Rc::from([]));
     assert_eq!(answers(&core.effects()), []);
     assert_eq!(
         (
-            core.owed(),
-            core.sizes().0,
+            core.unanswered(),
+            core.table_sizes().requests,
             core.taken,
             core.by_reference.len()
         ),
@@ -260,37 +276,46 @@
         (128 << 20, 448),
         (192 << 20, 960),
     ] {
-        let Bounds {
+        let MemoryLimits {
             requests,
             keys,
             answers,
-        } = Bounds::within(memory, connections);
-        let all = PROCESS + connections * CONNECTION + requests + keys + answers;
+        } = MemoryLimits::for_process(memory, connections);
+        let all = PROCESS_BYTES + connections * CONNECTION_BYTES + requests + keys + answers;
         assert!(all <= memory && all > memory * 8 / 10, "{all} of {memory}");
     }
     let mut core = core();
-    (core.most_taken, core.keys) = (2 * (REQUEST + 4), keys::Keys::new(8 << 10, 4096, SECOND));
+    (core.most_taken, core.keys) = (
+        2 * (REQUEST_BYTES + 4),
+        keys::Keys::new(8 << 10, 4096, SECOND),
+    );
     for reference in 1..=3 {
-        core.arrived(SECOND, incoming(reference, SECOND, None));
+        core.handle_request(SECOND, incoming(reference, SECOND, None));
     }
-    let refused = Answer::Refused {
-        cooldown: FULL_COOLDOWN,
-        nowhere: false,
+    let refused = Answer::Rejected {
+        retry_after: FULL_COOLDOWN,
+        no_retry: false,
     };
     assert_eq!(answers(&core.effects()), [(3, refused.clone())]);
-    core.run_ended(SECOND, 1, End::Fine, 10, Rc::from([]));
-    core.run_ended(SECOND, 2, End::Fine, 10, Rc::from([]));
+    core.handle_run_finished(SECOND, 1, RunOutcome::Completed, 10, Rc::from([]));
+    core.handle_run_finished(SECOND, 2, RunOutcome::Completed, 10, Rc::from([]));
     core.effects();
     // Small results leave room for more keys; those whose results aren't there yet may still be
     // long.
     let mut taken = 0;
     for reference in 10.. {
         let key = reference.to_string();
-        core.arrived(SECOND, incoming(reference, SECOND, Some(&key)));
+        core.handle_request(SECOND, incoming(reference, SECOND, Some(&key)));
         if answers(&core.effects()) == [(reference, refused.clone())] {
             break;
         }
-        core.run_ended(SECOND, reference, End::Fine, 10, Rc::from([7; 100]));
+        core.handle_run_finished(
+            SECOND,
+            reference,
+            RunOutcome::Completed,
+            10,
+            Rc::from([7; 100]),
+        );
         assert_eq!(
             answers(&core.effects()),
             [(reference, Answer::Served(Rc::from([7; 100])))]
@@ -299,8 +324,8 @@
     }
     assert_eq!(taken, ((8 << 10) - 512 - 4096) / 612 + 1);
     // All of it is given back with the window.
-    core.wake(60 * SECOND);
-    assert!(core.keys.is_empty() && !core.keys.full() && core.taken == 0);
+    core.handle_wakeup(60 * SECOND);
+    assert!(core.keys.len() == 0 && !core.keys.full() && core.taken == 0);
 }
 
 mod store {
@@ -319,7 +344,7 @@
             each: false,
         };
         let gate = Gate::new(rules, 0, suspect, 1 << 32);
-        core.remember(Durable::new(gate, 1000 * SECOND, wait, suspect), found);
+        core.attach_store(RunStore::new(gate, 1000 * SECOND, wait, suspect), found);
         core
     }
 
@@ -349,126 +374,156 @@
     #[test]
     fn a_run_begins_once_its_intent_is_on_the_disk() {
         let mut core = stored(false, None, vec![]);
-        core.arrived(SECOND, incoming(1, SECOND, Some("k")));
+        core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
         // A read waits for nothing.
-        core.arrived(SECOND, incoming(2, SECOND, None));
+        core.handle_request(SECOND, incoming(2, SECOND, None));
         assert_eq!(begun(&core.effects()), [2]);
-        let batch = core.batch(SECOND).expect("its intent");
+        let batch = core.next_store_batch(SECOND).expect("its intent");
         assert_eq!(batch.marks.len(), 1);
-        core.stored(SECOND + 500, Ok(400));
+        core.handle_store_result(SECOND + 500, Ok(400));
         assert_eq!(begun(&core.effects()), [1]);
-        core.run_ended(2 * SECOND, 1, End::Fine, SECOND, Rc::from(*b"done"));
+        core.handle_run_finished(
+            2 * SECOND,
+            1,
+            RunOutcome::Completed,
+            SECOND,
+            Rc::from(*b"done"),
+        );
         assert_eq!(answers(&core.effects()), [(1, served(b"done"))]);
-        assert_eq!(core.batch(2 * SECOND).expect("its outcome").marks.len(), 1);
-        core.stored(2 * SECOND, Ok(500));
-        assert!(core.store_idle());
+        assert_eq!(
+            core.next_store_batch(2 * SECOND)
+                .expect("its outcome")
+                .marks
+                .len(),
+            1
+        );
+        core.handle_store_result(2 * SECOND, Ok(500));
+        assert!(core.is_store_idle());
     }
 
     #[test]
     fn an_answer_waits_for_its_outcome_where_that_is_asked() {
         let mut core = stored(true, None, vec![]);
-        core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-        core.batch(SECOND);
-        core.stored(SECOND, Ok(400));
+        core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+        core.next_store_batch(SECOND);
+        core.handle_store_result(SECOND, Ok(400));
         core.effects();
-        core.run_ended(2 * SECOND, 1, End::Fine, SECOND, Rc::from(*b"done"));
+        core.handle_run_finished(
+            2 * SECOND,
+            1,
+            RunOutcome::Completed,
+            SECOND,
+            Rc::from(*b"done"),
+        );
         // Told twice by the processor's new link: the same end.
-        core.run_ended(2 * SECOND, 1, End::Fine, SECOND, Rc::from(*b"done"));
-        core.arrived(2 * SECOND, incoming(2, 2 * SECOND, Some("k")));
+        core.handle_run_finished(
+            2 * SECOND,
+            1,
+            RunOutcome::Completed,
+            SECOND,
+            Rc::from(*b"done"),
+        );
+        core.handle_request(2 * SECOND, incoming(2, 2 * SECOND, Some("k")));
         assert_eq!(answers(&core.effects()), []);
-        assert_eq!(core.batch(2 * SECOND).expect("its outcome").marks.len(), 1);
-        core.stored(2 * SECOND, Ok(500));
+        assert_eq!(
+            core.next_store_batch(2 * SECOND)
+                .expect("its outcome")
+                .marks
+                .len(),
+            1
+        );
+        core.handle_store_result(2 * SECOND, Ok(500));
         assert_eq!(
             answers(&core.effects()),
             [(1, served(b"done")), (2, served(b"done"))]
         );
-        assert_eq!(core.sizes().0, 0);
+        assert_eq!(core.table_sizes().requests, 0);
     }
 
     #[test]
     fn a_disk_that_fails_refuses_keys_and_no_reads() {
         let mut core = stored(false, None, vec![]);
-        core.arrived(SECOND, incoming(1, SECOND, Some("a")));
-        core.batch(SECOND);
-        core.arrived(SECOND, incoming(2, SECOND, Some("b")));
+        core.handle_request(SECOND, incoming(1, SECOND, Some("a")));
+        core.next_store_batch(SECOND);
+        core.handle_request(SECOND, incoming(2, SECOND, Some("b")));
         core.effects();
-        core.stored(SECOND, Err("no space".into()));
-        let refused = Answer::Refused {
-            cooldown: FULL_COOLDOWN,
-            nowhere: false,
+        core.handle_store_result(SECOND, Err("no space".into()));
+        let refused = Answer::Rejected {
+            retry_after: FULL_COOLDOWN,
+            no_retry: false,
         };
         assert_eq!(
             answers(&core.effects()),
             [(1, refused.clone()), (2, refused.clone())]
         );
-        core.arrived(SECOND, incoming(3, SECOND, Some("c")));
-        core.arrived(SECOND, incoming(4, SECOND, None));
+        core.handle_request(SECOND, incoming(3, SECOND, Some("c")));
+        core.handle_request(SECOND, incoming(4, SECOND, None));
         let effects = core.effects();
         assert_eq!(
             (answers(&effects), begun(&effects)),
             (vec![(3, refused)], vec![4])
         );
         assert_eq!(
-            core.store_note(SECOND).unwrap(),
+            core.store_status_change(SECOND).unwrap(),
             "store: keyed requests are refused: failing: no space"
         );
         // It is tried again, at a time that the core asks to be woken for.
         let mut at = SECOND;
-        while core.batch(at).is_none() {
-            at = core.next_wake().expect("it is tried again");
-            core.wake(at);
+        while core.next_store_batch(at).is_none() {
+            at = core.next_wakeup().expect("it is tried again");
+            core.handle_wakeup(at);
             assert!(at < 2 * SECOND);
         }
-        core.stored(at, Ok(100));
+        core.handle_store_result(at, Ok(100));
         core.effects();
-        core.arrived(at, incoming(5, at, Some("a")));
-        core.batch(at);
-        core.stored(at, Ok(200));
+        core.handle_request(at, incoming(5, at, Some("a")));
+        core.next_store_batch(at);
+        core.handle_store_result(at, Ok(200));
         assert_eq!(begun(&core.effects()), [5]);
     }
 
     #[test]
     fn nobody_waits_for_a_slow_disk() {
         let mut core = stored(false, None, vec![]);
-        core.arrived(SECOND, incoming(1, SECOND, Some("k")));
-        core.batch(SECOND);
+        core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
+        core.next_store_batch(SECOND);
         // A repeat that joined it gets what it gets.
-        core.arrived(SECOND, incoming(2, SECOND, Some("k")));
+        core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
         core.effects();
         let late = SECOND + PATIENCE;
-        assert!(core.next_wake().unwrap() <= late);
-        core.wake(late);
-        let refused = Answer::Refused {
-            cooldown: FULL_COOLDOWN,
-            nowhere: false,
+        assert!(core.next_wakeup().unwrap() <= late);
+        core.handle_wakeup(late);
+        let refused = Answer::Rejected {
+            retry_after: FULL_COOLDOWN,
+            no_retry: false,
         };
         assert_eq!(
             answers(&core.effects()),
             [(1, refused.clone()), (2, refused)]
         );
-        core.stored(late + 1, Ok(400));
+        core.handle_store_result(late + 1, Ok(400));
         assert!(begun(&core.effects()).is_empty());
         // That it never began is owed to the disk.
-        assert_eq!(core.batch(late + 1).unwrap().marks.len(), 1);
+        assert_eq!(core.next_store_batch(late + 1).unwrap().marks.len(), 1);
     }
 
     #[test]
     fn a_run_that_nobody_wants_any_more_never_begins() {
         let mut core = stored(false, None, vec![]);
         for (reference, key) in [(1, "a"), (2, "b")] {
-            core.arrived(SECOND, incoming(reference, SECOND, Some(key)));
+            core.handle_request(SECOND, incoming(reference, SECOND, Some(key)));
         }
-        core.arrived(SECOND, incoming(3, SECOND, Some("b")));
-        core.batch(SECOND);
-        core.gone(SECOND, 1);
+        core.handle_request(SECOND, incoming(3, SECOND, Some("b")));
+        core.next_store_batch(SECOND);
+        core.handle_abandoned(SECOND, 1);
         // The second's first caller has gone, and a repeat still waits for it.
-        core.gone(SECOND, 2);
+        core.handle_abandoned(SECOND, 2);
         core.effects();
-        core.stored(SECOND, Ok(400));
+        core.handle_store_result(SECOND, Ok(400));
         assert_eq!(begun(&core.effects()), [2]);
-        core.arrived(SECOND, incoming(4, SECOND, Some("a")));
-        core.batch(SECOND);
-        core.stored(SECOND, Ok(500));
+        core.handle_request(SECOND, incoming(4, SECOND, Some("a")));
+        core.next_store_batch(SECOND);
+        core.handle_store_result(SECOND, Ok(500));
         assert_eq!(begun(&core.effects()), [4]);
     }
 
@@ -481,21 +536,26 @@
             ),
             (
                 Some(record::Kept::Failed),
-                Answer::Failed { expired: false },
+                Answer::Failed { timed_out: false },
+            ),
+            (
+                None,
+                Answer::Unknown {
+                    retry_after: 19 * SECOND,
+                },
             ),
-            (None, Answer::Unknown { back: 19 * SECOND }),
         ];
         for (kept, wanted) in cases {
             let mut core = stored(false, None, vec![found(7, kept)]);
-            assert!(core.conflicts("k", SECOND, 2) && !core.conflicts("k", SECOND, 1));
-            core.arrived(SECOND, incoming(1, SECOND, Some("k")));
+            assert!(core.is_key_conflict("k", SECOND, 2) && !core.is_key_conflict("k", SECOND, 1));
+            core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
             assert_eq!(answers(&core.effects()), [(1, wanted)]);
             // Past its window it is a request like any other.
             let late = 21 * SECOND;
-            core.wake(late);
-            core.arrived(late, incoming(2, late, Some("k")));
-            core.batch(late);
-            core.stored(late, Ok(400));
+            core.handle_wakeup(late);
+            core.handle_request(late, incoming(2, late, Some("k")));
+            core.next_store_batch(late);
+            core.handle_store_result(late, Ok(400));
             assert_eq!(begun(&core.effects()), [2]);
         }
     }
@@ -503,24 +563,39 @@
     #[test]
     fn the_end_of_an_earlier_run_is_learned() {
         let cases = [
-            (End::Fine, Some(served(b"done"))),
-            (End::Fault, Some(Answer::Failed { expired: false })),
+            (RunOutcome::Completed, Some(served(b"done"))),
+            (
+                RunOutcome::Failed,
+                Some(Answer::Failed { timed_out: false }),
+            ),
             // The processor says that it never began: the repeat is the first to run.
-            (End::NeverRan, None),
+            (RunOutcome::NotStarted, None),
         ];
         for (end, wanted) in cases {
             let mut core = stored(false, None, vec![found(7, None)]);
-            core.run_ended(SECOND, 7, end, SECOND, Rc::from(*b"done"));
-            assert_eq!(core.batch(SECOND).expect("it is kept").marks.len(), 1);
-            core.stored(SECOND, Ok(100));
+            core.handle_run_finished(SECOND, 7, end, SECOND, Rc::from(*b"done"));
+            assert_eq!(
+                core.next_store_batch(SECOND)
+                    .expect("it is kept")
+                    .marks
+                    .len(),
+                1
+            );
+            core.handle_store_result(SECOND, Ok(100));
             // Once.
-            core.run_ended(SECOND, 7, End::Fine, SECOND, Rc::from(*b"again"));
-            core.arrived(SECOND, incoming(1, SECOND, Some("k")));
+            core.handle_run_finished(
+                SECOND,
+                7,
+                RunOutcome::Completed,
+                SECOND,
+                Rc::from(*b"again"),
+            );
+            core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
             match wanted {
                 Some(wanted) => assert_eq!(answers(&core.effects()), [(1, wanted)]),
                 None => {
-                    core.batch(SECOND);
-                    core.stored(SECOND, Ok(200));
+                    core.next_store_batch(SECOND);
+                    core.handle_store_result(SECOND, Ok(200));
                     assert_eq!(begun(&core.effects()), [1]);
                 }
             }
@@ -534,20 +609,20 @@
             Some(20 * SECOND),
             vec![found(7, Some(record::Kept::Failed))],
         );
-        core.arrived(SECOND, incoming(1, SECOND, Some("other")));
-        let [(1, Answer::Refused { cooldown, .. })] = answers(&core.effects())[..] else {
+        core.handle_request(SECOND, incoming(1, SECOND, Some("other")));
+        let [(1, Answer::Rejected { retry_after, .. })] = answers(&core.effects())[..] else {
             panic!("refused")
         };
-        assert!(cooldown >= FULL_COOLDOWN);
+        assert!(retry_after >= FULL_COOLDOWN);
         // What is known for certain is told.
-        core.arrived(SECOND, incoming(2, SECOND, Some("k")));
+        core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
         assert_eq!(
             answers(&core.effects()),
-            [(2, Answer::Failed { expired: false })]
+            [(2, Answer::Failed { timed_out: false })]
         );
-        core.arrived(20 * SECOND, incoming(3, 20 * SECOND, Some("other")));
-        core.batch(20 * SECOND);
-        core.stored(20 * SECOND, Ok(200));
+        core.handle_request(20 * SECOND, incoming(3, 20 * SECOND, Some("other")));
+        core.next_store_batch(20 * SECOND);
+        core.handle_store_result(20 * SECOND, Ok(200));
         assert_eq!(begun(&core.effects()), [3]);
     }
 }
@@ -571,13 +646,13 @@
         7,
         2000,
         4096,
-        Bounds::within(192 << 20, 960),
+        MemoryLimits::for_process(192 << 20, 960),
     );
-    core.up(SECOND, 0, false);
+    core.start(SECOND, 0, false);
     let mut worth = |reference, tenant| {
-        core.arrived(
+        core.handle_request(
             SECOND,
-            Incoming {
+            IncomingRequest {
                 tenant,
                 ..incoming(reference, SECOND, None)
             },
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -3,20 +3,20 @@
 use super::*;
 
 impl Core {
-    /// When [`Core::wake`] is next wanted.
-    pub fn next_wake(&self) -> Option<Micros> {
+    /// When [`Core::handle_wakeup`] is next wanted.
+    pub fn next_wakeup(&self) -> Option<Micros> {
         let own = self.wakes.first().map(|w| w.0);
         [own, self.store_next()].into_iter().flatten().min()
     }
 
     /// Does what is due by now.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn handle_wakeup(&mut self, now: Micros) {
         self.keys.expire(now);
         self.store_wake(now);
         while let Some(&(at, wake)) = self.wakes.first().filter(|w| w.0 <= now) {
             self.wakes.pop_first();
             match wake {
-                Wake::Gauges => self.effects.push(Effect::Gauges),
+                Wake::Gauges => self.effects.push(Effect::QueryGauges),
                 Wake::Timer(tag) => {
                     let known = now - self.gauges.0 <= GAUGE_AGE;
                     let g = match known {
@@ -55,8 +55,13 @@
                     };
                     if call.placed.is_some() {
                         let reference = a.incoming.reference;
-                        self.effects.push(Effect::Abandon(reference));
-                        self.call_ended(at.max(now), reference, Outcome::TimedOut, Rc::from([]));
+                        self.effects.push(Effect::CancelCall { reference });
+                        self.handle_call_finished(
+                            at.max(now),
+                            reference,
+                            Outcome::TimedOut,
+                            Rc::from([]),
+                        );
                     }
                 }
             }
@@ -65,7 +70,7 @@
 
     /// Each worker serves one request at a time, so the runs in their hands are the cores in use.
     pub(super) fn counted_gauges(&self) -> Gauges {
-        let runs = self.sizes().1 as f64;
+        let runs = self.table_sizes().running as f64;
         let core_use = Some((runs / self.settings.cores.max(1.0)).min(1.0));
         Gauges {
             core_use,
@@ -75,7 +80,7 @@
     }
 
     /// The processor's gauges.
-    pub fn gauges(&mut self, now: Micros, gauges: Gauges) {
+    pub fn update_gauges(&mut self, now: Micros, gauges: Gauges) {
         self.gauges = (now, gauges);
     }
 
@@ -90,7 +95,7 @@
             return;
         };
         let held = matches!(attempt.stage, Stage::Held);
-        self.answer(id, Answer::Failed { expired: true }, By::Overdue);
+        self.answer(id, Answer::Failed { timed_out: true }, By::Overdue);
         if held {
             self.close(id);
         }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,13 +1,17 @@
-//! How one process of a node takes over from another one under load: the messages between them, the
-//! steps, and which keys may be run in which of the two meanwhile. It does no I/O and has no clock:
-//! it is fed bytes and told times.
+//! Hot restart: one process of a node takes over from another one under load.
 //!
-//! `docs/handover.md` has the steps and why they are these.
+//! The package has the messages between the two processes, a state machine for each side, and the
+//! rule for which of the two may run a request of an idempotency key that it does not know. It does
+//! no I/O and reads no clock: callers pass received bytes and the time.
+//!
+//! The phases are [`Connect`](predecessor::Phase::Connect), [`Freeze`](predecessor::Phase::Freeze),
+//! [`Transfer`](successor::Phase::Transfer), [`Mirror`](predecessor::Phase::Mirror) and
+//! [`Retire`](predecessor::Phase::Retire); `docs/hot-restart.md` describes them.
 
+pub mod key_authority;
 pub mod message;
 pub mod predecessor;
 pub mod successor;
-pub mod trust;
 
-/// A reading of a clock, or a span of it, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,202 +1,223 @@
-//! What the two processes say to each other: a greeting that stays the same in all versions, then
-//! frames of postcard, each behind its length.
+//! Messages between the two processes of a hot restart, and their encoding.
+//!
+//! Each side first sends a greeting, whose format is the same in every version. Frames follow: a
+//! length of four bytes, little endian, then a [`Message`] in postcard. Postcard is positional, so
+//! the order and types of fields and variants here must not change without a new [`VERSION`].
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// The version spoken here. Another one is not understood.
+/// The protocol version. A peer of another version is rejected.
 pub const VERSION: u16 = 3;
-/// How each side greets the other, before its version (two bytes, little endian).
-const GREETING: &[u8; 6] = b"plhand";
-/// The longest frame, in bytes: a key, a result and some.
-pub const MOST_FRAME: usize = 1 << 20;
-/// The longest key, in bytes; the fronts read far shorter ones. A longer one would end the
-/// handover, never be left out.
-pub const MOST_KEY: usize = 4096;
-/// The longest that is passed on of the fleet, in bytes: the node's own record, and some addresses.
-pub const MOST_MEMBER: usize = 16 << 10;
-/// The longest result that is passed on, in bytes: it fits into a frame with its key.
-pub const MOST_RESULT: usize = MOST_FRAME - MOST_KEY - 1024;
-
-/// How the run of a key came out, as far as it has.
+/// Start of a greeting; the version follows (two bytes, little endian).
+const GREETING_MAGIC: &[u8; 6] = b"plhand";
+/// Size of a greeting, in bytes.
+const GREETING_BYTES: usize = GREETING_MAGIC.len() + size_of::<u16>();
+/// Size of the length before a frame, in bytes.
+const LENGTH_BYTES: usize = size_of::<u32>();
+/// Limit on a frame, in bytes: a key with its result and some overhead.
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Limit on an idempotency key, in bytes. Listeners accept far shorter ones only; a longer one ends
+/// the hot restart rather than being left out.
+pub const MAX_KEY_BYTES: usize = 4096;
+/// Limit on the membership state of a node, in bytes: its own record and some addresses.
+pub const MAX_MEMBERSHIP_BYTES: usize = 16 << 10;
+/// Limit on a result, in bytes: it fits into a frame with its key.
+pub const MAX_RESULT_BYTES: usize = MAX_FRAME_BYTES - MAX_KEY_BYTES - 1024;
+
+/// The outcome of a key's run, as far as it is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
-    /// A try of it is held or runs in the process that says so.
-    Open,
-    /// It was served with this result.
+pub enum KeyState {
+    /// An attempt is queued or runs in the sending process.
+    InProgress,
+    /// The run returned this result.
     Served(Vec<u8>),
-    /// It failed and may have had its effect.
+    /// The run failed and may have taken effect.
     Failed,
-    /// Nobody knows.
+    /// The outcome is not known to any process.
     Unknown,
 }
 
-/// One key that the predecessor remembers.
+/// The entry of one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Key {
-    /// The key.
+pub struct KeyEntry {
+    /// The idempotency key.
     pub key: String,
-    /// Stands for class and body of its tries, by the salt of [`Welcome`].
-    pub payload: u64,
-    /// Tries that reach the machine up to this time are repeats, in Unix microseconds.
-    pub until: Micros,
-    /// How its run came out.
-    pub state: State,
+    /// Digest of class and body of its attempts, with the salt of [`Welcome`].
+    pub payload_digest: u64,
+    /// Attempts that reach the machine up to this time are duplicates, in Unix microseconds.
+    pub window_end: Micros,
+    /// The outcome of its run.
+    pub state: KeyState,
 }
 
-/// A socket that is passed along with [`Welcome`], in the order of these.
+/// A listening socket that is passed with [`Welcome`], in the same order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listening {
-    /// The protocol spoken there.
+pub struct ListeningSocket {
+    /// Name of the protocol that is spoken on it.
     pub protocol: String,
-    /// Its address.
-    pub at: SocketAddr,
+    /// Its local address.
+    pub address: SocketAddr,
 }
 
-/// What the predecessor says of itself; the listening sockets come with it.
+/// The predecessor's identity; its listening sockets are passed along (`SCM_RIGHTS`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// The node's name.
-    pub name: String,
-    /// The sockets.
-    pub listening: Vec<Listening>,
-    /// What makes the digests of bodies the node's own.
+    pub node_name: String,
+    /// The passed sockets.
+    pub sockets: Vec<ListeningSocket>,
+    /// Salt of the node's payload digests.
     pub salt: [u64; 2],
 }
 
-/// What is said, by whom is in the name's description.
+/// A message of either side.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Predecessor: who it is.
+    /// Predecessor, phase `Connect`: its identity and sockets.
     Welcome(Welcome),
-    /// Successor: it is ready, and wants the keys.
+    /// Successor, start of phase `Freeze`: it is ready and requests the keys.
     Freeze,
-    /// Predecessor: how a key stands, anew each time that changes.
-    Key(Key),
-    /// Predecessor: a key that was open is free again, as no run of it began.
-    Free(String),
-    /// Predecessor: these were all keys; what follows are changes. Whether operators have it in
-    /// standby, and the share of the processor's memory that it may still take.
-    End {
-        /// Health checks hear bad.
-        standby: bool,
-        /// From 0 to 1.
-        share: f64,
+    /// Predecessor: the entry of a key, sent again whenever it changes.
+    Key(KeyEntry),
+    /// Predecessor: a key that was in progress is free again, since no run of it was started.
+    KeyReleased(String),
+    /// Predecessor, start of phase `Transfer`: all keys were sent, and changes follow.
+    SnapshotComplete {
+        /// Operators have set the node to standby: health checks fail.
+        is_standby: bool,
+        /// The share of the processor's memory that the predecessor may still use, from 0 to 1.
+        memory_share: f64,
     },
     /// Successor: it has all keys.
-    Taken,
-    /// Predecessor: it accepts nothing more, and the other one is the authority for keys. It is so
-    /// until that one's death.
+    SnapshotReceived,
+    /// Predecessor, start of phase `Mirror`: it accepts no connections any more, and the successor
+    /// has the authority over keys until the successor's end.
     Yielded {
-        /// The node's part in the fleet, which is the other one's from now on; nothing if it has
-        /// none.
-        member: Option<Vec<u8>>,
+        /// The node's membership state, which passes to the successor; none without a fleet.
+        membership: Option<Vec<u8>>,
     },
 }
 
-/// Why a peer can't be understood; its connection has to end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    /// It doesn't speak this protocol at all.
-    Stranger,
-    /// It speaks another version.
-    Version(u16),
-    /// It speaks this one wrongly.
-    Malformed,
-}
-
-impl std::fmt::Display for Broken {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+impl Message {
+    /// Whether all sizes and numbers are within their limits.
+    fn is_within_limits(&self) -> bool {
         match self {
-            Broken::Stranger => write!(f, "it speaks another protocol"),
-            Broken::Version(version) => write!(f, "it speaks version {version}, this is {VERSION}"),
-            Broken::Malformed => write!(f, "a message of its can't be read"),
+            Message::Key(entry) => entry.key.len() <= MAX_KEY_BYTES,
+            Message::KeyReleased(key) => key.len() <= MAX_KEY_BYTES,
+            Message::Yielded {
+                membership: Some(membership),
+            } => membership.len() <= MAX_MEMBERSHIP_BYTES,
+            Message::SnapshotComplete { memory_share, .. } => (0.0..=1.0).contains(memory_share),
+            _ => true,
         }
     }
 }
 
-/// The first bytes that each side sends.
+/// A peer's bytes cannot be decoded; its connection has to be closed.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum DecodeError {
+    /// The bytes do not start with a greeting of this protocol.
+    #[error("the peer does not speak the hot restart protocol")]
+    UnknownProtocol,
+    /// The greeting has another version.
+    #[error("the peer speaks version {0}, this process version {VERSION}")]
+    UnsupportedVersion(u16),
+    /// A frame is too long, or is no message of this version.
+    #[error("a message of the peer is malformed")]
+    Malformed,
+}
+
+/// The greeting that each side sends first.
 pub fn greeting() -> Vec<u8> {
-    let mut bytes = GREETING.to_vec();
+    let mut bytes = GREETING_MAGIC.to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
     bytes
 }
 
-/// Appends a message.
-pub fn write(message: &Message, out: &mut Vec<u8>) {
+/// Appends the frame of a message.
+pub fn encode(message: &Message, out: &mut Vec<u8>) {
     let start = out.len();
-    out.extend_from_slice(&[0; 4]);
-    // Nothing here has a form that postcard can't write, and a vector takes all.
-    *out = postcard::to_extend(message, std::mem::take(out)).expect("messages can be written");
-    let length = (out.len() - start - 4) as u32;
-    out[start..start + 4].copy_from_slice(&length.to_le_bytes());
+    out.extend_from_slice(&[0; LENGTH_BYTES]);
+    // Postcard fails on types that it can't represent, which a message has none of, or on a full
+    // buffer, which a vector never is.
+    *out = postcard::to_extend(message, std::mem::take(out)).expect("a message can be encoded");
+    let length = (out.len() - start - LENGTH_BYTES) as u32;
+    out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
 }
 
-/// Takes a peer's bytes apart.
+/// Decodes a peer's greeting and messages from the bytes that it sent.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct Decoder {
     bytes: Vec<u8>,
-    read: usize,
-    greeted: bool,
+    consumed: usize,
+    is_greeted: bool,
 }
 
-impl Reader {
-    /// Takes in what was read.
+impl Decoder {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.read);
-        self.read = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Whether the peer has greeted.
-    pub fn greeted(&self) -> bool {
-        self.greeted
+    /// Whether the peer's greeting was decoded.
+    pub fn is_greeted(&self) -> bool {
+        self.is_greeted
+    }
+
+    /// The next message; none until more bytes arrive.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError`] if the peer speaks another protocol or version, or sent a malformed frame.
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
+        if !self.is_greeted && !self.decode_greeting()? {
+            return Ok(None);
+        }
+        self.decode_frame()
     }
 
-    /// The next message, once it is whole.
-    pub fn message(&mut self) -> Result<Option<Message>, Broken> {
-        if !self.greeted {
-            let rest = &self.bytes[self.read..];
-            let known = rest.len().min(GREETING.len());
-            if rest[..known] != GREETING[..known] {
-                return Err(Broken::Stranger);
-            }
-            let Some(version) = rest.get(GREETING.len()..GREETING.len() + 2) else {
-                return Ok(None);
-            };
-            let version = u16::from_le_bytes([version[0], version[1]]);
-            if version != VERSION {
-                return Err(Broken::Version(version));
-            }
-            self.greeted = true;
-            self.read += GREETING.len() + 2;
+    /// Decodes the greeting; whether it is complete.
+    fn decode_greeting(&mut self) -> Result<bool, DecodeError> {
+        let rest = &self.bytes[self.consumed..];
+        let compared = rest.len().min(GREETING_MAGIC.len());
+        if rest[..compared] != GREETING_MAGIC[..compared] {
+            return Err(DecodeError::UnknownProtocol);
+        }
+        let Some(version) = rest.get(GREETING_MAGIC.len()..GREETING_BYTES) else {
+            return Ok(false);
+        };
+        let version = u16::from_le_bytes([version[0], version[1]]);
+        if version != VERSION {
+            return Err(DecodeError::UnsupportedVersion(version));
         }
-        let rest = &self.bytes[self.read..];
-        let Some(length) = rest.first_chunk::<4>() else {
+        self.is_greeted = true;
+        self.consumed += GREETING_BYTES;
+        Ok(true)
+    }
+
+    fn decode_frame(&mut self) -> Result<Option<Message>, DecodeError> {
+        let rest = &self.bytes[self.consumed..];
+        let Some(length) = rest.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > MOST_FRAME {
-            return Err(Broken::Malformed);
+        if length > MAX_FRAME_BYTES {
+            return Err(DecodeError::Malformed);
         }
-        let Some(frame) = rest.get(4..4 + length) else {
+        let Some(frame) = rest.get(LENGTH_BYTES..LENGTH_BYTES + length) else {
             return Ok(None);
         };
-        let (message, behind) = postcard::take_from_bytes(frame).map_err(|_| Broken::Malformed)?;
-        let sane = match &message {
-            Message::Key(key) => key.key.len() <= MOST_KEY,
-            Message::Free(key) => key.len() <= MOST_KEY,
-            Message::Yielded {
-                member: Some(member),
-            } => member.len() <= MOST_MEMBER,
-            Message::End { share, .. } => (0.0..=1.0).contains(share),
-            _ => true,
-        };
-        if !behind.is_empty() || !sane {
-            return Err(Broken::Malformed);
+        let (message, trailing): (Message, _) =
+            postcard::take_from_bytes(frame).map_err(|_| DecodeError::Malformed)?;
+        if !trailing.is_empty() || !message.is_within_limits() {
+            return Err(DecodeError::Malformed);
         }
-        self.read += 4 + length;
+        self.consumed += LENGTH_BYTES + length;
         Ok(Some(message))
     }
 }
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -1,112 +1,126 @@
-//! The side of the process that is there: what it does about one that comes to take over.
+//! State machine of the predecessor: the running process that is replaced.
 
 use crate::message::Message;
 
-/// How far a successor has come.
+/// The phase of the hot restart, as the predecessor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// There is none.
-    Alone,
-    /// It has the sockets and gets ready.
-    Met,
-    /// It has asked for the keys: this process begins no run of one that it doesn't know.
-    Frozen,
-    /// It serves, and is the authority for keys.
-    Yielded,
+pub enum Phase {
+    /// No successor is connected.
+    Standalone,
+    /// A successor has the sockets and prepares.
+    Connect,
+    /// The successor has requested the keys: this process starts no run of a key that it does not
+    /// know. All keys are sent.
+    Freeze,
+    /// The successor serves and has the authority over keys. Changes of keys that are in progress
+    /// here are sent to it.
+    Mirror,
+    /// As `Mirror`, and this process is shutting down: it does not resume if the successor dies.
+    Retire,
 }
 
-/// What is to be done.
+/// Something that the driver has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
-    /// Room is shared with nobody any more.
-    Unshare,
-    /// Tell it all keys, `End`, and from then on what changes; unknown keys are its own.
-    Freeze,
-    /// Unknown keys are this process's again: none was run elsewhere.
-    Thaw,
-    /// Stop accepting, have those who are connected go over, and say `Yielded`.
+pub enum Action {
+    /// Use all limits alone again: none is shared with a successor any more.
+    RestoreLimits,
+    /// Send all keys, then [`Message::SnapshotComplete`], then changes. Unknown keys belong to the
+    /// successor.
+    FreezeKeys,
+    /// Unknown keys belong to this process again: no run of them was started elsewhere.
+    UnfreezeKeys,
+    /// Stop accepting, ask connected peers to reconnect, and send [`Message::Yielded`].
     Yield,
-    /// Accept again, though keys that are not known may have been run by the one that died.
+    /// Accept again. Runs of unknown keys may have been started by the successor that died.
     Resume,
-    /// It doesn't keep to the protocol: its connection has to end.
-    Drop,
+    /// Close the connection: the successor violates the protocol.
+    Disconnect,
 }
 
-/// The steps of the predecessor.
+/// The predecessor's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Predecessor {
-    stage: Stage,
-    leaving: bool,
+    phase: Phase,
+    is_shutting_down: bool,
 }
 
 impl Default for Predecessor {
     fn default() -> Self {
         Predecessor {
-            stage: Stage::Alone,
-            leaving: false,
+            phase: Phase::Standalone,
+            is_shutting_down: false,
         }
     }
 }
 
 impl Predecessor {
-    /// How far a successor has come.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    /// The current phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
     }
 
-    /// A successor has connected; whether it may stay. There is one at a time, and none takes over
-    /// from a process that has been told to leave: its end would be the end of what the successor
-    /// was promised.
-    pub fn met(&mut self) -> bool {
-        let may = self.stage == Stage::Alone && !self.leaving;
-        if may {
-            self.stage = Stage::Met;
+    /// Handles the connection of a successor; whether it is accepted.
+    ///
+    /// There is one successor at a time, and none for a process that is shutting down: its exit
+    /// would end what the successor was promised.
+    pub fn handle_connect(&mut self) -> bool {
+        let is_accepted = self.phase == Phase::Standalone && !self.is_shutting_down;
+        if is_accepted {
+            self.phase = Phase::Connect;
         }
-        may
+        is_accepted
     }
 
-    /// It said something.
-    pub fn heard(&mut self, message: &Message) -> Act {
-        match (self.stage, message) {
-            (Stage::Met, Message::Freeze) => {
-                self.stage = Stage::Frozen;
-                Act::Freeze
+    /// Handles a message of the successor.
+    pub fn handle_message(&mut self, message: &Message) -> Action {
+        match (self.phase, message) {
+            (Phase::Connect, Message::Freeze) => {
+                self.phase = Phase::Freeze;
+                Action::FreezeKeys
             }
-            (Stage::Frozen, Message::Taken) => {
-                self.stage = Stage::Yielded;
-                Act::Yield
+            (Phase::Freeze, Message::SnapshotReceived) => {
+                self.phase = if self.is_shutting_down {
+                    Phase::Retire
+                } else {
+                    Phase::Mirror
+                };
+                Action::Yield
             }
-            _ => Act::Drop,
+            _ => Action::Disconnect,
         }
     }
 
-    /// Whether the end of its connection is not enough: it may live and serve, so that its death
-    /// has to be seen before [`Predecessor::lost`].
-    pub fn awaits_death(&self) -> bool {
-        self.stage == Stage::Yielded
+    /// Whether the successor may serve. The end of its connection proves nothing then: its process
+    /// has to exit before [`Predecessor::handle_disconnect`] is called.
+    pub fn has_yielded(&self) -> bool {
+        matches!(self.phase, Phase::Mirror | Phase::Retire)
     }
 
-    /// Its connection has ended. What it had said came before.
-    pub fn lost(&mut self) -> &'static [Act] {
-        let before = std::mem::replace(&mut self.stage, Stage::Alone);
-        match before {
-            Stage::Alone => &[],
-            Stage::Met => &[Act::Unshare],
-            // It serves only once it has heard `Yielded`.
-            Stage::Frozen => &[Act::Thaw, Act::Unshare],
-            // On the way out there is nobody left to accept for.
-            Stage::Yielded if self.leaving => {
-                self.stage = Stage::Yielded;
-                &[]
+    /// Handles the end of the successor's connection, after all messages that it sent.
+    pub fn handle_disconnect(&mut self) -> &'static [Action] {
+        match self.phase {
+            Phase::Standalone | Phase::Retire => &[],
+            Phase::Connect => self.return_to_standalone(&[Action::RestoreLimits]),
+            // It serves only after it has received `Yielded`.
+            Phase::Freeze => {
+                self.return_to_standalone(&[Action::UnfreezeKeys, Action::RestoreLimits])
             }
-            Stage::Yielded => &[Act::Resume, Act::Unshare],
+            Phase::Mirror => self.return_to_standalone(&[Action::Resume, Action::RestoreLimits]),
+        }
+    }
+
+    /// Starts the shutdown of this process; whether a successor serves in its place, so that the
+    /// node continues.
+    pub fn begin_shutdown(&mut self) -> bool {
+        self.is_shutting_down = true;
+        if self.phase == Phase::Mirror {
+            self.phase = Phase::Retire;
         }
+        self.phase == Phase::Retire
     }
 
-    /// This process is told to leave; whether another one serves in its place, so that the node
-    /// goes on.
-    pub fn leave(&mut self) -> bool {
-        self.leaving = true;
-        self.stage == Stage::Yielded
+    fn return_to_standalone(&mut self, actions: &'static [Action]) -> &'static [Action] {
+        self.phase = Phase::Standalone;
+        actions
     }
 }
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,136 +1,161 @@
-//! The side of the process that comes: when it may serve.
+//! State machine of the successor: the new process, and when it may serve.
 
-use crate::message::{Key, Message, Welcome};
+use crate::message::{KeyEntry, Message, Welcome};
+use thiserror::Error;
 
-/// How far it has come.
+/// The phase of the hot restart, as the successor sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// It has greeted, and waits to be welcomed.
-    Greeting,
-    /// It has the sockets, and gets its own things ready.
-    Preparing,
-    /// It has asked for the keys.
-    Freezing,
-    /// It has all keys and has said so.
-    Taking,
-    /// It serves; its predecessor answers what it has read, and tells what becomes of its keys.
-    Serving,
-    /// There is no predecessor, or none any more.
-    Alone,
+pub enum Phase {
+    /// It has sent its greeting and waits for [`Message::Welcome`].
+    Connect,
+    /// It has the sockets and prepares its own connections.
+    Prepare,
+    /// It has requested the keys and receives them.
+    Freeze,
+    /// It has confirmed all keys and waits for [`Message::Yielded`].
+    Transfer,
+    /// It serves. The predecessor answers the requests that it has read, and sends changes of their
+    /// keys.
+    Mirror,
+    /// No predecessor is connected.
+    Standalone,
 }
 
-/// What is to be done.
+/// Something that the driver has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// Take over the sockets that came with this.
-    Sockets(Welcome),
-    /// Enter a key, or how it stands now.
-    Enter(Key),
-    /// No run of this key began.
-    Free(String),
-    /// Say `Taken`; health and share as it was told.
-    Take {
-        /// Health checks hear bad.
-        standby: bool,
-        /// The share of the processor's memory that the predecessor may still take.
-        share: f64,
+pub enum Action {
+    /// Take over the sockets that were passed with this message.
+    AdoptSockets(Welcome),
+    /// Enter a key, or its new state.
+    ApplyKey(KeyEntry),
+    /// Remove a key: no run of it was started.
+    ReleaseKey(String),
+    /// Send [`Message::SnapshotReceived`] and adopt the predecessor's standby state and memory
+    /// share.
+    ConfirmSnapshot {
+        /// Operators have set the node to standby: health checks fail.
+        is_standby: bool,
+        /// The share of the processor's memory that the predecessor may still use, from 0 to 1.
+        memory_share: f64,
+    },
+    /// Accept connections, with the membership state that the predecessor passed on.
+    Serve {
+        /// The node's membership state; none without a fleet.
+        membership: Option<Vec<u8>>,
     },
-    /// Accept, and say yes to operators. What the predecessor passes on of the fleet.
-    Serve(Option<Vec<u8>>),
-    /// The predecessor doesn't keep to the protocol, and lives: end, so that it serves on as if
-    /// nothing had been.
-    GiveUp(&'static str),
 }
 
-/// What the end of the connection means.
+/// The predecessor sent a message that does not belong to the phase.
+///
+/// A successor that does not serve yet has to exit, so that the predecessor continues alone.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("unexpected message in phase {0:?}")]
+pub struct UnexpectedMessage(pub Phase);
+
+/// The consequence of the connection's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
-    /// There is no predecessor: start as if there had never been one.
-    Nobody,
-    /// It died before all keys were here: those that aren't may have been run.
-    Doubtful,
-    /// It ended with all keys here. Those that it held or ran are at an end that nobody knows.
-    Settled,
-    /// It lives and has not yielded: end, so that it serves on.
-    GiveUp,
+pub enum ConnectionLoss {
+    /// There is no predecessor: start without one.
+    NoPredecessor,
+    /// The predecessor died before all keys were received: a run of an unknown key may have been
+    /// started.
+    KeysIncomplete,
+    /// The predecessor died after all keys were received. The outcome of keys that were in progress
+    /// there is unknown.
+    KeysComplete,
+    /// The predecessor is alive and has not yielded: exit, so that it continues alone.
+    Abort,
 }
 
-/// The steps of the successor.
+/// The successor's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Successor {
-    stage: Stage,
+    phase: Phase,
 }
 
 impl Successor {
-    /// It has greeted a predecessor.
-    pub fn greeting() -> Successor {
+    /// A process that has sent its greeting to a predecessor.
+    pub fn connecting() -> Successor {
         Successor {
-            stage: Stage::Greeting,
+            phase: Phase::Connect,
         }
     }
 
-    /// There is no predecessor.
-    pub fn alone() -> Successor {
+    /// A process without a predecessor.
+    pub fn standalone() -> Successor {
         Successor {
-            stage: Stage::Alone,
+            phase: Phase::Standalone,
         }
     }
 
-    /// How far it has come.
-    pub fn stage(&self) -> Stage {
-        self.stage
+    /// The current phase.
+    pub fn phase(&self) -> Phase {
+        self.phase
     }
 
-    /// Its own link to the processor is up; whether the keys are to be asked for.
-    pub fn ready(&mut self) -> bool {
-        let ask = self.stage == Stage::Preparing;
-        if ask {
-            self.stage = Stage::Freezing;
+    /// Handles the end of the preparations: the connection to the processor is up. Whether
+    /// [`Message::Freeze`] has to be sent.
+    pub fn handle_ready(&mut self) -> bool {
+        let requests_keys = self.phase == Phase::Prepare;
+        if requests_keys {
+            self.phase = Phase::Freeze;
         }
-        ask
+        requests_keys
     }
 
-    /// The predecessor said something.
-    pub fn heard(&mut self, message: Message) -> Act {
-        match (self.stage, message) {
-            (Stage::Greeting, Message::Welcome(welcome)) => {
-                self.stage = Stage::Preparing;
-                Act::Sockets(welcome)
+    /// Handles a message of the predecessor.
+    ///
+    /// # Errors
+    ///
+    /// [`UnexpectedMessage`] if the message does not belong to the phase.
+    pub fn handle_message(&mut self, message: Message) -> Result<Action, UnexpectedMessage> {
+        match (self.phase, message) {
+            (Phase::Connect, Message::Welcome(welcome)) => {
+                self.phase = Phase::Prepare;
+                Ok(Action::AdoptSockets(welcome))
             }
-            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Key(key)) => {
-                Act::Enter(key)
+            (Phase::Freeze | Phase::Transfer | Phase::Mirror, Message::Key(entry)) => {
+                Ok(Action::ApplyKey(entry))
             }
-            (Stage::Freezing | Stage::Taking | Stage::Serving, Message::Free(key)) => {
-                Act::Free(key)
+            (Phase::Freeze | Phase::Transfer | Phase::Mirror, Message::KeyReleased(key)) => {
+                Ok(Action::ReleaseKey(key))
             }
-            (Stage::Freezing, Message::End { standby, share }) => {
-                self.stage = Stage::Taking;
-                Act::Take { standby, share }
+            (
+                Phase::Freeze,
+                Message::SnapshotComplete {
+                    is_standby,
+                    memory_share,
+                },
+            ) => {
+                self.phase = Phase::Transfer;
+                Ok(Action::ConfirmSnapshot {
+                    is_standby,
+                    memory_share,
+                })
             }
-            (Stage::Taking, Message::Yielded { member }) => {
-                self.stage = Stage::Serving;
-                Act::Serve(member)
+            (Phase::Transfer, Message::Yielded { membership }) => {
+                self.phase = Phase::Mirror;
+                Ok(Action::Serve { membership })
             }
-            _ => Act::GiveUp("it said something that is not its turn to say"),
+            (phase, _) => Err(UnexpectedMessage(phase)),
         }
     }
 
-    /// Whether the end of the connection is not enough: the predecessor may live and serve, which
-    /// has to be known for [`Successor::lost`].
-    pub fn asks_for_death(&self) -> bool {
-        matches!(
-            self.stage,
-            Stage::Preparing | Stage::Freezing | Stage::Taking
-        )
+    /// Whether the predecessor may be alive and serve after its connection has ended, so that its
+    /// process has to be looked at for [`Successor::handle_disconnect`].
+    pub fn must_check_exit(&self) -> bool {
+        matches!(self.phase, Phase::Prepare | Phase::Freeze | Phase::Transfer)
     }
 
-    /// The connection has ended, and the predecessor is dead or not.
-    pub fn lost(&mut self, dead: bool) -> Lost {
-        match std::mem::replace(&mut self.stage, Stage::Alone) {
-            Stage::Greeting | Stage::Alone => Lost::Nobody,
-            Stage::Preparing | Stage::Freezing | Stage::Taking if !dead => Lost::GiveUp,
-            Stage::Preparing | Stage::Freezing => Lost::Doubtful,
-            Stage::Taking | Stage::Serving => Lost::Settled,
+    /// Handles the end of the connection, given whether the predecessor's process has exited.
+    pub fn handle_disconnect(&mut self, has_exited: bool) -> ConnectionLoss {
+        match std::mem::replace(&mut self.phase, Phase::Standalone) {
+            Phase::Connect | Phase::Standalone => ConnectionLoss::NoPredecessor,
+            Phase::Prepare | Phase::Freeze | Phase::Transfer if !has_exited => {
+                ConnectionLoss::Abort
+            }
+            Phase::Prepare | Phase::Freeze => ConnectionLoss::KeysIncomplete,
+            Phase::Transfer | Phase::Mirror => ConnectionLoss::KeysComplete,
         }
     }
 }
--- a/crates/hot-restart/tests/compatibility.rs
+++ b/crates/hot-restart/tests/compatibility.rs
@@ -3,54 +3,53 @@
 //! process of either build replaces one of the other.
 
 use pipitlever_hot_restart::message::{
-    greeting, write, Key, Listening, Message, Reader, State, Welcome,
+    encode, greeting, Decoder, KeyEntry, KeyState, ListeningSocket, Message, Welcome,
 };
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
-fn key(state: State) -> Message {
-    let (payload, until) = (0x0102_0304_0506_0708, 1_700_000_000_123_456);
-    Message::Key(Key {
+fn key(state: KeyState) -> Message {
+    Message::Key(KeyEntry {
         key: "key one".into(),
-        payload,
-        until,
+        payload_digest: 0x0102_0304_0506_0708,
+        window_end: 1_700_000_000_123_456,
         state,
     })
 }
 
 fn messages() -> Vec<(&'static str, Message)> {
-    let listening = Listening {
+    let socket = ListeningSocket {
         protocol: "rpc".into(),
-        at: "127.0.0.2:1002".parse().unwrap(),
+        address: "127.0.0.2:1002".parse().unwrap(),
     };
     let welcome = Welcome {
-        name: "n1".into(),
-        listening: vec![listening],
+        node_name: "n1".into(),
+        sockets: vec![socket],
         salt: [600, 700],
     };
     vec![
         ("welcome", Message::Welcome(welcome)),
         ("freeze", Message::Freeze),
-        ("key-open", key(State::Open)),
-        ("key-served", key(State::Served(vec![1, 2, 3]))),
-        ("key-failed", key(State::Failed)),
-        ("key-unknown", key(State::Unknown)),
-        ("free", Message::Free("key two".into())),
+        ("key-open", key(KeyState::InProgress)),
+        ("key-served", key(KeyState::Served(vec![1, 2, 3]))),
+        ("key-failed", key(KeyState::Failed)),
+        ("key-unknown", key(KeyState::Unknown)),
+        ("free", Message::KeyReleased("key two".into())),
         (
             "end",
-            Message::End {
-                standby: true,
-                share: 0.375,
+            Message::SnapshotComplete {
+                is_standby: true,
+                memory_share: 0.375,
             },
         ),
-        ("taken", Message::Taken),
+        ("taken", Message::SnapshotReceived),
         (
             "yielded",
             Message::Yielded {
-                member: Some(vec![4, 5, 6]),
+                membership: Some(vec![4, 5, 6]),
             },
         ),
-        ("yielded-alone", Message::Yielded { member: None }),
+        ("yielded-alone", Message::Yielded { membership: None }),
     ]
 }
 
@@ -59,11 +58,11 @@
     let mut samples = vec![("greeting", greeting())];
     for (name, message) in messages() {
         let mut bytes = Vec::new();
-        write(&message, &mut bytes);
-        let mut reader = Reader::default();
-        reader.feed(&greeting());
-        reader.feed(&bytes);
-        assert_eq!(reader.message(), Ok(Some(message)), "{name}");
+        encode(&message, &mut bytes);
+        let mut decoder = Decoder::default();
+        decoder.feed(&greeting());
+        decoder.feed(&bytes);
+        assert_eq!(decoder.next_message(), Ok(Some(message)), "{name}");
         samples.push((name, bytes));
     }
     pipitlever_test_fixtures::assert_bytes(FIXTURES, &samples);
--- a/crates/hot-restart/tests/protocol.rs
+++ b/crates/hot-restart/tests/protocol.rs
@@ -1,212 +1,290 @@
-//! Messages in pieces, spoilt and foreign; the steps in every order.
+//! Decoding of split, malformed and foreign bytes; both state machines over all phases.
 
-use pipitlever_hot_restart::message::*;
+use pipitlever_hot_restart::message::{
+    encode, greeting, DecodeError, Decoder, KeyEntry, KeyState, ListeningSocket, Message, Welcome,
+    MAX_KEY_BYTES,
+};
 use pipitlever_hot_restart::predecessor::{self, Predecessor};
-use pipitlever_hot_restart::successor::{self, Lost, Successor};
-use proptest::prelude::*;
+use pipitlever_hot_restart::successor::{self, ConnectionLoss, Successor, UnexpectedMessage};
+use proptest::prelude::{any, proptest};
 
-fn all() -> Vec<Message> {
-    let listening = vec![Listening {
+fn key(state: KeyState) -> Message {
+    Message::Key(KeyEntry {
+        key: "k".into(),
+        payload_digest: 7,
+        window_end: -1,
+        state,
+    })
+}
+
+/// One message of each kind.
+fn all_messages() -> Vec<Message> {
+    let sockets = vec![ListeningSocket {
         protocol: "json-rpc".into(),
-        at: "127.0.0.1:5050".parse().unwrap(),
+        address: "127.0.0.1:5050".parse().unwrap(),
     }];
-    let key = |state| {
-        Message::Key(Key {
-            key: "k".into(),
-            payload: 7,
-            until: -1,
-            state,
-        })
-    };
     vec![
         Message::Welcome(Welcome {
-            name: "n1".into(),
-            listening,
+            node_name: "n1".into(),
+            sockets,
             salt: [1, u64::MAX],
         }),
         Message::Freeze,
-        key(State::Open),
-        key(State::Served(vec![0; 5000])),
-        key(State::Failed),
-        key(State::Unknown),
-        Message::Free("k".into()),
-        Message::End {
-            standby: true,
-            share: 0.5,
+        key(KeyState::InProgress),
+        key(KeyState::Served(vec![0; 5000])),
+        key(KeyState::Failed),
+        key(KeyState::Unknown),
+        Message::KeyReleased("k".into()),
+        Message::SnapshotComplete {
+            is_standby: true,
+            memory_share: 0.5,
         },
-        Message::Taken,
+        Message::SnapshotReceived,
         Message::Yielded {
-            member: Some(vec![7; 40]),
+            membership: Some(vec![7; 40]),
         },
     ]
 }
 
-fn said(pieces: &[&[u8]]) -> Result<Vec<Message>, Broken> {
-    let (mut reader, mut messages) = (Reader::default(), Vec::new());
-    for piece in pieces {
-        reader.feed(piece);
-        while let Some(message) = reader.message()? {
+/// Decodes bytes that arrive in these chunks.
+fn decode(chunks: &[&[u8]]) -> Result<Vec<Message>, DecodeError> {
+    let (mut decoder, mut messages) = (Decoder::default(), Vec::new());
+    for chunk in chunks {
+        decoder.feed(chunk);
+        while let Some(message) = decoder.next_message()? {
             messages.push(message);
         }
     }
     Ok(messages)
 }
 
+fn greeting_and_frame(frame: &[u8]) -> Vec<u8> {
+    let length = (frame.len() as u32).to_le_bytes();
+    [&greeting()[..], &length, frame].concat()
+}
+
+fn greeting_and_message(message: &Message) -> Vec<u8> {
+    let mut bytes = greeting();
+    encode(message, &mut bytes);
+    bytes
+}
+
 #[test]
-fn messages_come_as_they_went_in_whatever_pieces() {
+fn messages_are_decoded_whatever_the_chunks() {
     let mut bytes = greeting();
-    all().iter().for_each(|m| write(m, &mut bytes));
+    for message in &all_messages() {
+        encode(message, &mut bytes);
+    }
     for size in [1, 3, 7, 64, bytes.len()] {
-        assert_eq!(
-            said(&bytes.chunks(size).collect::<Vec<_>>()),
-            Ok(all()),
-            "{size}"
-        );
+        let chunks: Vec<_> = bytes.chunks(size).collect();
+        assert_eq!(decode(&chunks), Ok(all_messages()), "{size}");
     }
 }
 
 #[test]
-fn strangers_other_versions_and_nonsense_are_told_apart() {
-    let frame = |bytes: &[u8]| {
-        [
-            greeting(),
-            (bytes.len() as u32).to_le_bytes().to_vec(),
-            bytes.to_vec(),
-        ]
-        .concat()
-    };
-    let message = |message: &Message| {
-        let mut bytes = greeting();
-        write(message, &mut bytes);
-        bytes
-    };
+fn foreign_protocols_other_versions_and_malformed_frames_are_distinguished() {
     let cases = [
-        (b"GET / HTTP/1.1".to_vec(), Err(Broken::Stranger)),
-        (b"x".to_vec(), Err(Broken::Stranger)),
-        (b"plhand\x01\x00".to_vec(), Err(Broken::Version(1))),
+        (
+            b"GET / HTTP/1.1".to_vec(),
+            Err(DecodeError::UnknownProtocol),
+        ),
+        (b"x".to_vec(), Err(DecodeError::UnknownProtocol)),
+        (
+            b"plhand\x01\x00".to_vec(),
+            Err(DecodeError::UnsupportedVersion(1)),
+        ),
         (b"plhan".to_vec(), Ok(vec![])),
-        (frame(&[250]), Err(Broken::Malformed)),
-        // A frame that is longer than its message, and one that is longer than any.
-        (frame(&[1, 0]), Err(Broken::Malformed)),
+        (greeting_and_frame(&[250]), Err(DecodeError::Malformed)),
+        // A frame with trailing bytes, and one beyond the limit.
+        (greeting_and_frame(&[1, 0]), Err(DecodeError::Malformed)),
         (
             [greeting(), u32::MAX.to_le_bytes().to_vec()].concat(),
-            Err(Broken::Malformed),
+            Err(DecodeError::Malformed),
         ),
         (
-            message(&Message::End {
-                standby: false,
-                share: f64::NAN,
+            greeting_and_message(&Message::SnapshotComplete {
+                is_standby: false,
+                memory_share: f64::NAN,
             }),
-            Err(Broken::Malformed),
+            Err(DecodeError::Malformed),
         ),
         (
-            message(&Message::End {
-                standby: false,
-                share: 1.5,
+            greeting_and_message(&Message::SnapshotComplete {
+                is_standby: false,
+                memory_share: 1.5,
             }),
-            Err(Broken::Malformed),
+            Err(DecodeError::Malformed),
         ),
         (
-            message(&Message::Free("k".repeat(MOST_KEY + 1))),
-            Err(Broken::Malformed),
+            greeting_and_message(&Message::KeyReleased("k".repeat(MAX_KEY_BYTES + 1))),
+            Err(DecodeError::Malformed),
         ),
     ];
     for (bytes, expected) in cases {
-        assert_eq!(said(&[&bytes]), expected, "{bytes:?}");
+        assert_eq!(decode(&[&bytes]), expected, "{bytes:?}");
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_are_more_than_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        let _ = said(&[&[greeting(), bytes].concat()]);
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        let _ = decode(&[&[greeting(), bytes].concat()]);
     }
 }
 
 #[test]
-fn the_predecessor_yields_only_after_it_froze_and_resumes_only_after_it_yielded() {
-    use predecessor::{Act, Stage};
-    let mut p = Predecessor::default();
-    assert_eq!(p.heard(&Message::Taken), Act::Drop);
-    assert!(p.met());
-    assert!(!p.met(), "one at a time");
-    assert_eq!(
-        p.heard(&Message::Taken),
-        Act::Drop,
-        "without the keys it serves nobody"
-    );
-    assert_eq!(p.lost(), [Act::Unshare]);
-    p.met();
-    assert_eq!(p.heard(&Message::Freeze), Act::Freeze);
-    assert_eq!(p.heard(&Message::Freeze), Act::Drop);
-    assert!(!p.awaits_death(), "it has not yielded");
-    assert_eq!(p.lost(), [Act::Thaw, Act::Unshare]);
-    p.met();
-    p.heard(&Message::Freeze);
-    assert_eq!(p.heard(&Message::Taken), Act::Yield);
-    assert!(p.awaits_death(), "the other one may serve");
-    assert_eq!(p.lost(), [Act::Resume, Act::Unshare]);
-    assert_eq!(p.stage(), Stage::Alone);
-    // Told to leave, with nobody in its place and with somebody.
-    assert!(!p.leave() && !p.met());
-    let mut p = Predecessor::default();
-    p.met();
-    p.heard(&Message::Freeze);
-    p.heard(&Message::Taken);
-    assert!(p.leave());
-    assert_eq!(p.lost(), []);
+fn predecessor_yields_only_after_freeze_and_resumes_only_after_yielding() {
+    use predecessor::{Action, Phase};
+    let mut predecessor = Predecessor::default();
+    assert_eq!(
+        predecessor.handle_message(&Message::SnapshotReceived),
+        Action::Disconnect
+    );
+    assert!(predecessor.handle_connect());
+    assert!(!predecessor.handle_connect(), "one successor at a time");
+    assert_eq!(
+        predecessor.handle_message(&Message::SnapshotReceived),
+        Action::Disconnect,
+        "a successor without the keys can't serve"
+    );
+    assert_eq!(predecessor.handle_disconnect(), [Action::RestoreLimits]);
+    predecessor.handle_connect();
+    assert_eq!(
+        predecessor.handle_message(&Message::Freeze),
+        Action::FreezeKeys
+    );
+    assert_eq!(
+        predecessor.handle_message(&Message::Freeze),
+        Action::Disconnect
+    );
+    assert!(!predecessor.has_yielded());
+    assert_eq!(
+        predecessor.handle_disconnect(),
+        [Action::UnfreezeKeys, Action::RestoreLimits]
+    );
+    predecessor.handle_connect();
+    predecessor.handle_message(&Message::Freeze);
+    assert_eq!(
+        predecessor.handle_message(&Message::SnapshotReceived),
+        Action::Yield
+    );
+    assert_eq!(predecessor.phase(), Phase::Mirror);
+    assert!(predecessor.has_yielded(), "the successor may serve");
+    assert_eq!(
+        predecessor.handle_disconnect(),
+        [Action::Resume, Action::RestoreLimits]
+    );
+    assert_eq!(predecessor.phase(), Phase::Standalone);
+}
+
+#[test]
+fn predecessor_that_shuts_down_accepts_no_successor_and_does_not_resume() {
+    use predecessor::Phase;
+    let mut predecessor = Predecessor::default();
+    assert!(!predecessor.begin_shutdown() && !predecessor.handle_connect());
+    let mut predecessor = Predecessor::default();
+    predecessor.handle_connect();
+    predecessor.handle_message(&Message::Freeze);
+    predecessor.handle_message(&Message::SnapshotReceived);
+    assert!(predecessor.begin_shutdown());
+    assert_eq!(predecessor.phase(), Phase::Retire);
+    assert_eq!(predecessor.handle_disconnect(), []);
+    assert!(predecessor.has_yielded());
     assert!(
-        p.leave(),
-        "the end of the successor on the way out brings nobody back"
+        predecessor.begin_shutdown(),
+        "the successor's death during the shutdown does not bring this process back"
     );
 }
 
 #[test]
-fn the_successor_serves_only_with_all_keys_and_knows_what_a_loss_means() {
-    use successor::Act;
-    let [welcome, _, open, .., end, _, yielded] = &all()[..] else {
-        panic!("as above")
+fn successor_serves_only_with_all_keys_and_classifies_a_loss_by_phase() {
+    use successor::{Action, Phase};
+    let [welcome, _, in_progress, .., snapshot_complete, _, yielded] = &all_messages()[..] else {
+        panic!("all messages are in the list")
     };
-    let mut s = Successor::greeting();
-    assert!(!s.ready(), "no sockets yet");
-    assert!(matches!(s.heard(end.clone()), Act::GiveUp(_)));
-    assert_eq!(s.lost(false), Lost::Nobody);
-    let mut s = Successor::greeting();
-    assert!(matches!(s.heard(welcome.clone()), Act::Sockets(_)));
-    assert!(
-        matches!(s.heard(end.clone()), Act::GiveUp(_)),
-        "not asked for"
+    let mut successor = Successor::connecting();
+    assert!(!successor.handle_ready(), "no sockets yet");
+    assert_eq!(
+        successor.handle_message(snapshot_complete.clone()),
+        Err(UnexpectedMessage(Phase::Connect))
+    );
+    assert_eq!(
+        successor.handle_disconnect(false),
+        ConnectionLoss::NoPredecessor
+    );
+    let mut successor = Successor::connecting();
+    assert!(matches!(
+        successor.handle_message(welcome.clone()),
+        Ok(Action::AdoptSockets(_))
+    ));
+    assert_eq!(
+        successor.handle_message(snapshot_complete.clone()),
+        Err(UnexpectedMessage(Phase::Prepare)),
+        "the keys were not requested"
     );
-    assert!(s.ready() && !s.ready(), "asked for once");
-    assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
     assert!(
-        matches!(s.heard(yielded.clone()), Act::GiveUp(_)),
-        "not all keys are here"
+        successor.handle_ready() && !successor.handle_ready(),
+        "requested once"
     );
-    assert!(s.asks_for_death());
+    assert!(matches!(
+        successor.handle_message(in_progress.clone()),
+        Ok(Action::ApplyKey(_))
+    ));
     assert_eq!(
-        [{ s }.lost(true), { s }.lost(false)],
-        [Lost::Doubtful, Lost::GiveUp]
+        successor.handle_message(yielded.clone()),
+        Err(UnexpectedMessage(Phase::Freeze)),
+        "not all keys were received"
     );
+    assert!(successor.must_check_exit());
     assert_eq!(
-        s.heard(end.clone()),
-        Act::Take {
-            standby: true,
-            share: 0.5
-        }
+        [
+            { successor }.handle_disconnect(true),
+            { successor }.handle_disconnect(false)
+        ],
+        [ConnectionLoss::KeysIncomplete, ConnectionLoss::Abort]
     );
-    assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
-    assert!(matches!(s.heard(end.clone()), Act::GiveUp(_)));
     assert_eq!(
-        [{ s }.lost(true), { s }.lost(false)],
-        [Lost::Settled, Lost::GiveUp]
+        successor.handle_message(snapshot_complete.clone()),
+        Ok(Action::ConfirmSnapshot {
+            is_standby: true,
+            memory_share: 0.5
+        })
+    );
+    assert!(matches!(
+        successor.handle_message(in_progress.clone()),
+        Ok(Action::ApplyKey(_))
+    ));
+    assert_eq!(
+        successor.handle_message(snapshot_complete.clone()),
+        Err(UnexpectedMessage(Phase::Transfer))
     );
-    assert_eq!(s.heard(yielded.clone()), Act::Serve(Some(vec![7; 40])));
-    assert!(matches!(s.heard(open.clone()), Act::Enter(_)));
+    assert_eq!(
+        [
+            { successor }.handle_disconnect(true),
+            { successor }.handle_disconnect(false)
+        ],
+        [ConnectionLoss::KeysComplete, ConnectionLoss::Abort]
+    );
+    assert_eq!(
+        successor.handle_message(yielded.clone()),
+        Ok(Action::Serve {
+            membership: Some(vec![7; 40])
+        })
+    );
+    assert!(matches!(
+        successor.handle_message(in_progress.clone()),
+        Ok(Action::ApplyKey(_))
+    ));
     assert!(
-        !s.asks_for_death(),
-        "it serves, whatever becomes of the other one"
+        !successor.must_check_exit(),
+        "it serves, whether the predecessor is alive or not"
+    );
+    assert_eq!(
+        successor.handle_disconnect(false),
+        ConnectionLoss::KeysComplete
+    );
+    assert_eq!(
+        successor.handle_disconnect(true),
+        ConnectionLoss::NoPredecessor
     );
-    assert_eq!(s.lost(false), Lost::Settled);
-    assert_eq!(s.lost(true), Lost::Nobody);
 }
--- a/crates/node/src/life/capture.rs
+++ b/crates/node/src/life/capture.rs
@@ -60,7 +60,7 @@
             run,
             classes: hub.class_names(),
             seed: self.seed,
-            fresh: hub.core.fresh(),
+            fresh: hub.core.is_starting(),
         };
         let (tap, spool) = queue(about, self.queue);
         let limits = Limits {
@@ -70,7 +70,7 @@
         let keeper = Keeper::new(Disk::new(&wanted.folder), limits, &self.node);
         match Thread::start(keeper, spool, |note| log(&note.to_string())) {
             Ok(thread) => {
-                hub.core.capture(Some(tap));
+                hub.core.set_capture(Some(tap));
                 self.now = Some((wanted, thread));
             }
             Err(error) => log(&format!("capture: stopped: no thread: {error}")),
@@ -82,7 +82,7 @@
         let Some((_, thread)) = self.now.take() else {
             return;
         };
-        hub.borrow_mut().core.capture(None);
+        hub.borrow_mut().core.set_capture(None);
         if !thread.ended(PATIENCE) {
             log("capture: stopped: the last records are not on the disk yet");
         }
--- a/crates/node/src/life/reload.rs
+++ b/crates/node/src/life/reload.rs
@@ -54,7 +54,7 @@
                 log("reload: done");
             }
             Err(trouble) => {
-                hub.borrow_mut().files.invalid += 1;
+                hub.borrow_mut().files.rejected += 1;
                 log(&format!(
                     "reload: not done, the old configuration stays: {trouble}"
                 ));
--- a/crates/node/src/life/serve.rs
+++ b/crates/node/src/life/serve.rs
@@ -15,6 +15,7 @@
 };
 use async_executor::LocalExecutor;
 use futures_lite::future;
+use pipitlever_core::TableSizes;
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_reactor::{block_on, Async, Timer};
 use std::cell::RefCell;
@@ -148,7 +149,7 @@
     let salt = Salt::random().map_err(|e| format!("random numbers: {e}"))?;
     let salt = met.as_ref().map_or(salt, |met| met.salt);
     let mut hub = Hub::new(tuning, seed, salt, limits.bounds(false));
-    let most_result = hub.core.most_result();
+    let most_result = hub.core.max_result_bytes();
     hub.bound(limits);
     if met.is_some() {
         hub.share(Some(0.5));
@@ -167,7 +168,7 @@
         // Without a processor all work goes to workers, and the node is up at once.
         false => hub
             .borrow_mut()
-            .tell(|core, now| core.up_without_processor(now)),
+            .tell(|core, now| core.start_without_processor(now)),
     }
     executor
         .spawn(ledger::calls(executor.clone(), hub.clone()))
@@ -201,7 +202,7 @@
     let (acts, to_act) = async_channel::unbounded();
     if config.fleet.as_ref().is_some_and(|f| f.versions.is_some()) {
         // Until it is known that the disk's version is not one that this node has left.
-        hub.borrow_mut().core.allow(None);
+        hub.borrow_mut().core.set_configuration_expiry(None);
     }
     let member = RefCell::new(config.fleet.zip(fleet_sockets));
     let versioned = RefCell::new(Some(fleet::Versioned {
@@ -281,7 +282,7 @@
             Wanted::Signal(Signal::Leave) => break,
         }
     }
-    let superseded = hub.borrow_mut().predecessor.leave();
+    let superseded = hub.borrow_mut().predecessor.begin_shutdown();
     match superseded {
         true => hand_over(&hub).await,
         false => {
@@ -378,23 +379,28 @@
 
 fn print_counters(hub: &Shared) {
     let hub = hub.borrow();
-    let (requests, running, keys) = hub.core.sizes();
+    let TableSizes {
+        requests,
+        running,
+        keys,
+    } = hub.core.table_sizes();
     let connections = hub.places.taken();
     log(&format!("counters: {}", hub.core.counters));
-    let open = hub.core.owed();
+    let open = hub.core.unanswered();
     log(&format!(
         "now: requests={requests} running={running} keys={keys} connections={connections} open={open}"
     ));
-    if !hub.core.balanced() {
+    if !hub.core.is_balanced() {
         log("accounting: requests are not what was answered, has gone and is open: report this with the counters");
     }
     hub.pools
         .report(hub.clock.now())
         .iter()
         .for_each(|line| log(line));
-    if let Some((used, reserved, waiting)) = hub.core.store_room() {
+    if let Some(usage) = hub.core.store_usage() {
         log(&format!(
-            "store: used={used} reserved={reserved} waiting={waiting}"
+            "store: used={} reserved={} waiting={}",
+            usage.used_bytes, usage.reserved_bytes, usage.waiting_records
         ));
     }
 }
@@ -406,7 +412,7 @@
     let close = ahead(grace_ms.saturating_sub(LATE_MS).min(stop_ms / 2));
     log(&format!(
         "draining: stop_ms={stop_ms} owed={}",
-        hub.borrow().core.owed()
+        hub.borrow().core.unanswered()
     ));
     // The module keeps two ticks back from this for its last answers.
     hub.borrow_mut()
@@ -431,7 +437,7 @@
     let stop = ahead(left);
     log(&format!(
         "leaving: stop_ms={stop_ms} owed={}, another process serves",
-        hub.borrow().core.owed()
+        hub.borrow().core.unanswered()
     ));
     hub.borrow_mut().superseded((left * 1000) as i64);
     Timer::at(ahead(CROSSING_MS).min(stop)).await;
@@ -452,7 +458,7 @@
     if !hub.borrow().settled() {
         log(&format!(
             "draining: stopped with owed={}",
-            hub.borrow().core.owed()
+            hub.borrow().core.unanswered()
         ));
     }
 }
--- a/crates/node/src/life/store.rs
+++ b/crates/node/src/life/store.rs
@@ -6,7 +6,7 @@
 use crate::net::store;
 use async_executor::LocalExecutor;
 use pipitlever_admission::Micros;
-use pipitlever_core::durable::Durable;
+use pipitlever_core::RunStore;
 use pipitlever_idempotency_store::disk::{Disk, Thread};
 use pipitlever_idempotency_store::gate::{Gate, Rules};
 use pipitlever_idempotency_store::log::{Found, Limits, Log};
@@ -85,7 +85,7 @@
                 (!self.found.damage.is_empty()).then(|| now + self.found.longest.max(self.window));
             let gate = Gate::new(rules, used, suspect, first);
             let wait = self.settings.wait;
-            let durable = Durable::new(gate, machine.up - now, wait, suspect);
+            let durable = RunStore::new(gate, machine.up - now, wait, suspect);
             for key in &mut self.found.keys {
                 key.until = hub.clock.of_unix(key.until);
             }
--- a/crates/node/src/net/control.rs
+++ b/crates/node/src/net/control.rs
@@ -128,8 +128,8 @@
         let (yes, text) = match call {
             Call::Status => match () {
                 () if self.draining() => (false, "draining\n".into()),
-                () if self.core.fresh() || !self.taking => (false, "starting\n".into()),
-                () if self.core.standing_by() => (true, "standby\n".into()),
+                () if self.core.is_starting() || !self.taking => (false, "starting\n".into()),
+                () if self.core.is_standby() => (true, "standby\n".into()),
                 () => (true, "active\n".into()),
             },
             Call::Metrics => (true, self.figures()),
@@ -152,7 +152,7 @@
     }
 
     fn stand_by(&mut self, stand_by: bool) {
-        if self.core.stand_by(stand_by) {
+        if self.core.set_standby(stand_by) {
             log(if stand_by {
                 "control: standby"
             } else {
@@ -165,21 +165,21 @@
     fn figures(&self) -> String {
         use std::fmt::Write;
         let mut text = String::new();
-        for (name, c) in self.core.classes.counts() {
+        for (name, c) in self.core.classes.counters() {
             for (figure, count) in [
-                ("fulfilled", c.fulfilled),
-                ("throttled", c.throttled),
-                ("faulted", c.faulted),
-                ("relayed", c.relayed),
+                ("fulfilled", c.served),
+                ("throttled", c.rejected),
+                ("faulted", c.failed),
+                ("relayed", c.forwarded),
             ] {
                 // A string takes all that is written to it.
                 let _ = writeln!(text, "edge.operations.{name}.{figure}:{count}|c");
             }
         }
         let files = self.files;
-        let _ = writeln!(text, "edge.open_requests:{}|g", self.core.owed());
+        let _ = writeln!(text, "edge.open_requests:{}|g", self.core.unanswered());
         let _ = writeln!(text, "edge.cfg_accepted:{}|c", files.accepted);
-        let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.invalid);
+        let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.rejected);
         self.callers
             .fleet
             .iter()
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/fleet/mod.rs
@@ -439,11 +439,14 @@
         let hub = self.hub.borrow();
         match () {
             () if hub.draining() => Standing::Draining,
-            () if hub.core.fresh() || !hub.taking || hub.core.barred(self.clock.now()) => {
+            () if hub.core.is_starting()
+                || !hub.taking
+                || hub.core.is_configuration_expired(self.clock.now()) =>
+            {
                 Standing::Starting
             }
-            () if hub.core.standing_by() => Standing::Standby,
-            () if hub.core.crowded() => Standing::Overloaded,
+            () if hub.core.is_standby() => Standing::Standby,
+            () if hub.core.is_overloaded() => Standing::Overloaded,
             () => Standing::Serving,
         }
     }
--- a/crates/node/src/net/handover/mod.rs
+++ b/crates/node/src/net/handover/mod.rs
@@ -16,7 +16,7 @@
 use crate::log::log;
 use async_executor::LocalExecutor;
 use futures_lite::future;
-use pipitlever_hot_restart::message::{self, Listening, Message, Reader, Welcome};
+use pipitlever_hot_restart::message::{self, Decoder, ListeningSocket, Message, Welcome};
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_reactor::{Async, Timer};
 use rustix::event::{PollFd, PollFlags, Timespec};
--- a/crates/node/src/net/handover/predecessor.rs
+++ b/crates/node/src/net/handover/predecessor.rs
@@ -2,7 +2,7 @@
 //! yields.
 
 use super::*;
-use pipitlever_hot_restart::predecessor::{Act, Stage as Step};
+use pipitlever_hot_restart::predecessor::{Action, Phase};
 
 /// The place where a successor finds this process.
 pub struct Offer {
@@ -93,16 +93,16 @@
 /// One that has come to take over, from its first word to its end.
 async fn welcome(offer: Rc<Offer>, stream: Async<UnixStream>, peer: Peer) {
     let hub = &offer.hub;
-    let mut reader = Reader::default();
+    let mut reader = Decoder::default();
     let greeted = async {
         let mut bytes = [0; 512];
-        while !reader.greeted() {
+        while !reader.is_greeted() {
             match stream.read(&mut bytes).await {
                 Ok(n) if n > 0 => reader.feed(&bytes[..n]),
                 _ => return Err("it left without a word".to_owned()),
             }
             // There is nothing for it to say yet.
-            match reader.message() {
+            match reader.next_message() {
                 Ok(None) => {}
                 Ok(Some(_)) => return Err("it spoke out of turn".into()),
                 Err(broken) => return Err(broken.to_string()),
@@ -116,19 +116,19 @@
         let _ = stream.write(&message::greeting()).await;
         return log(&format!("handover: a process was turned away: {why}"));
     }
-    if !hub.borrow_mut().predecessor.met() {
+    if !hub.borrow_mut().predecessor.handle_connect() {
         return log("handover: a process was turned away: another one takes over already");
     }
     log("handover: a process has come to take over");
     let why = future::or(write(&offer, &stream), read(&offer, &mut reader, &stream)).await;
     // Whoever still reads at the other end is to see that this is over.
     drop(stream);
-    let yielded = hub.borrow().predecessor.awaits_death();
+    let yielded = hub.borrow().predecessor.has_yielded();
     if yielded {
         // As long as it lives it may serve, and two must not.
         peer.died(None).await;
     }
-    let acts = hub.borrow_mut().predecessor.lost();
+    let acts = hub.borrow_mut().predecessor.handle_disconnect();
     if !yielded {
         log(&format!(
             "handover: not done, this process serves on: {why}"
@@ -144,29 +144,29 @@
 /// Tells the successor what there is, until it can't be told; why not.
 async fn write(offer: &Offer, stream: &Async<UnixStream>) -> String {
     let (hub, sockets) = (&offer.hub, offer.fronts.sockets());
-    let listening = sockets.iter().map(|(front, at, _)| Listening {
+    let listening = sockets.iter().map(|(front, at, _)| ListeningSocket {
         protocol: front.word().into(),
-        at: *at,
+        address: *at,
     });
-    let mut listening: Vec<Listening> = listening.collect();
+    let mut listening: Vec<ListeningSocket> = listening.collect();
     let part = hub.borrow().callers.fleet.clone();
     let member = part.as_ref().map(|part| part.sockets());
     if let Some((udp, tcp)) = member {
         let at = [udp.local_addr(), tcp.local_addr()];
         let named = FLEET.into_iter().zip(at);
         listening.extend(named.filter_map(|(protocol, at)| {
-            Some(Listening {
+            Some(ListeningSocket {
                 protocol: protocol.into(),
-                at: at.ok()?,
+                address: at.ok()?,
             })
         }));
     }
     let Salt(salt) = hub.borrow().salt;
     let mut bytes = message::greeting();
-    message::write(
+    message::encode(
         &Message::Welcome(Welcome {
-            name: offer.name.clone(),
-            listening,
+            node_name: offer.name.clone(),
+            sockets: listening,
             salt,
         }),
         &mut bytes,
@@ -215,39 +215,45 @@
     let mut hub = hub.borrow_mut();
     let to_unix = hub.clock.ahead_to_unix();
     while piece.len() < PIECE {
-        let Some(message) = hub.core.next_news(to_unix) else {
+        let Some(message) = hub.core.next_key_update(to_unix) else {
             break;
         };
-        message::write(&message, piece);
+        message::encode(&message, piece);
     }
-    let stage = hub.predecessor.stage();
-    if stage == Step::Yielded && !std::mem::replace(&mut said.yielded, true) {
+    let stage = hub.predecessor.phase();
+    if hub.predecessor.has_yielded() && !std::mem::replace(&mut said.yielded, true) {
         let member = hub.callers.fleet.as_ref().map(|part| part.pass_on());
-        message::write(&Message::Yielded { member }, piece);
+        message::encode(&Message::Yielded { membership: member }, piece);
     }
-    if piece.is_empty() && !said.end && stage == Step::Frozen {
+    if piece.is_empty() && !said.end && stage == Phase::Freeze {
         said.end = true;
-        let (standby, share) = (hub.core.standing_by(), hub.core.share_wanted());
+        let (standby, share) = (hub.core.is_standby(), hub.core.required_memory_share());
         // What this process has taken of the memory beyond its half, its successor leaves to it.
         hub.share(Some(share));
-        message::write(&Message::End { standby, share }, piece);
+        message::encode(
+            &Message::SnapshotComplete {
+                is_standby: standby,
+                memory_share: share,
+            },
+            piece,
+        );
     }
     hub.telling = piece.len();
     !piece.is_empty()
 }
 
 /// Listens to the successor until its end, or until it says what it may not; which.
-async fn read(offer: &Rc<Offer>, reader: &mut Reader, stream: &Async<UnixStream>) -> String {
+async fn read(offer: &Rc<Offer>, reader: &mut Decoder, stream: &Async<UnixStream>) -> String {
     let mut bytes = [0; 512];
     loop {
         loop {
-            let said = match reader.message() {
+            let said = match reader.next_message() {
                 Ok(Some(said)) => said,
                 Ok(None) => break,
                 Err(broken) => return broken.to_string(),
             };
-            let act = offer.hub.borrow_mut().predecessor.heard(&said);
-            if act == Act::Drop {
+            let act = offer.hub.borrow_mut().predecessor.handle_message(&said);
+            if act == Action::Disconnect {
                 return "it spoke out of turn".into();
             }
             act_on(offer, act);
@@ -259,17 +265,17 @@
     }
 }
 
-fn act_on(offer: &Rc<Offer>, act: Act) {
+fn act_on(offer: &Rc<Offer>, act: Action) {
     let hub = &offer.hub;
     match act {
-        Act::Unshare => hub.borrow_mut().share(None),
-        Act::Freeze => {
+        Action::RestoreLimits => hub.borrow_mut().share(None),
+        Action::FreezeKeys => {
             let mut hub = hub.borrow_mut();
-            hub.core.freeze();
+            hub.core.freeze_keys();
             hub.news.give();
         }
-        Act::Thaw => hub.borrow_mut().core.thaw(),
-        Act::Yield => {
+        Action::UnfreezeKeys => hub.borrow_mut().core.unfreeze_keys(),
+        Action::Yield => {
             log("handover: done, the other process serves");
             offer.fronts.pause();
             hub.borrow()
@@ -280,8 +286,9 @@
             offer.pass_on();
             hub.borrow().news.give();
         }
-        Act::Resume => {
-            hub.borrow_mut().tell(|core, now| core.doubt_keys(now));
+        Action::Resume => {
+            hub.borrow_mut()
+                .tell(|core, now| core.distrust_unknown_keys(now));
             // Before the fronts: what it acts on may be stale by now, and nobody is to be let in
             // before that is known.
             let part = hub.borrow().callers.fleet.clone();
@@ -289,6 +296,6 @@
             offer.fronts.open();
             offer.open();
         }
-        Act::Drop => {}
+        Action::Disconnect => {}
     }
 }
--- a/crates/node/src/net/handover/successor.rs
+++ b/crates/node/src/net/handover/successor.rs
@@ -2,13 +2,13 @@
 //! its place.
 
 use super::*;
-use pipitlever_hot_restart::successor::{Act, Lost, Stage, Successor};
+use pipitlever_hot_restart::successor::{Action, ConnectionLoss, Phase, Successor};
 
 /// A predecessor that has passed its sockets on.
 pub struct Met {
     stream: Async<UnixStream>,
     peer: Peer,
-    reader: Reader,
+    reader: Decoder,
     machine: Successor,
     /// What makes the digests of bodies the node's own.
     pub salt: Salt,
@@ -69,10 +69,10 @@
     }
 }
 
-type Welcomed = (Successor, Reader, Welcome, Vec<OwnedFd>);
+type Welcomed = (Successor, Decoder, Welcome, Vec<OwnedFd>);
 
 async fn welcomed(stream: &Async<UnixStream>) -> Result<Option<Welcomed>, String> {
-    let (mut machine, mut reader) = (Successor::greeting(), Reader::default());
+    let (mut machine, mut reader) = (Successor::connecting(), Decoder::default());
     if stream.write_all(&message::greeting()).await.is_err() {
         return Ok(None);
     }
@@ -82,13 +82,15 @@
             Ok(n) if n > 0 => reader.feed(&bytes[..n]),
             _ => return Ok(None),
         }
-        match reader.message().map_err(|broken| broken.to_string())? {
+        match reader.next_message().map_err(|broken| broken.to_string())? {
             None => {}
             Some(said) => {
-                return match machine.heard(said) {
-                    Act::Sockets(welcome) => Ok(Some((machine, reader, welcome, passed))),
-                    Act::GiveUp(why) => Err(why.into()),
-                    _ => Err("it does not say who it is".into()),
+                return match machine.handle_message(said) {
+                    Ok(Action::AdoptSockets(welcome)) => {
+                        Ok(Some((machine, reader, welcome, passed)))
+                    }
+                    Err(unexpected) => Err(unexpected.to_string()),
+                    Ok(_) => Err("it does not say who it is".into()),
                 }
             }
         }
@@ -109,14 +111,17 @@
     listen: SocketAddr,
 ) -> Result<TakenOver, String> {
     let wrong = |what: String| Err(format!("handover: the process that is there {what}"));
-    if welcome.name != name {
-        return wrong(format!("is of node {}, this one is {name}", welcome.name));
+    if welcome.node_name != name {
+        return wrong(format!(
+            "is of node {}, this one is {name}",
+            welcome.node_name
+        ));
     }
-    if welcome.listening.len() != passed.len() {
+    if welcome.sockets.len() != passed.len() {
         return wrong("passes other sockets than it says".into());
     }
     let (mut sockets, mut udp, mut tcp) = (Vec::new(), None, None);
-    for (said, passed) in welcome.listening.iter().zip(passed) {
+    for (said, passed) in welcome.sockets.iter().zip(passed) {
         if said.protocol == FLEET[0] {
             udp = Some(UdpSocket::from(passed));
             continue;
@@ -132,7 +137,7 @@
         let at = listener
             .local_addr()
             .map_err(|e| format!("handover: no listening socket came: {e}"))?;
-        if at != said.at || (front == Front::Gateway && at != listen) {
+        if at != said.address || (front == Front::Gateway && at != listen) {
             return wrong(format!("listens on {at}"));
         }
         sockets.push((
@@ -154,16 +159,20 @@
     ) -> Result<(), String> {
         self.follow(hub, &serve).await?;
         // A connection can end while both live, and two must not serve.
-        let dead = !self.machine.asks_for_death() || self.peer.died(Some(ahead(DYING_MS))).await;
-        match self.machine.lost(dead) {
-            Lost::GiveUp => return Err("handover: the process that is there has broken off".into()),
-            Lost::Settled => log("handover: the process before this one has ended"),
-            Lost::Doubtful | Lost::Nobody => {
+        let dead = !self.machine.must_check_exit() || self.peer.died(Some(ahead(DYING_MS))).await;
+        match self.machine.handle_disconnect(dead) {
+            ConnectionLoss::Abort => {
+                return Err("handover: the process that is there has broken off".into())
+            }
+            ConnectionLoss::KeysComplete => log("handover: the process before this one has ended"),
+            ConnectionLoss::KeysIncomplete | ConnectionLoss::NoPredecessor => {
                 log("handover: the process before this one died before its keys were here: unknown keys wait for a window");
-                hub.borrow_mut().tell(|core, now| core.doubt_keys(now));
+                hub.borrow_mut()
+                    .tell(|core, now| core.distrust_unknown_keys(now));
             }
         }
-        hub.borrow_mut().tell(|core, now| core.orphaned(now));
+        hub.borrow_mut()
+            .tell(|core, now| core.resolve_orphaned_keys(now));
         hub.borrow_mut().share(None);
         if !hub.borrow().taking {
             serve(None);
@@ -179,7 +188,7 @@
     ) -> Result<(), String> {
         let mut bytes = vec![0; PIECE];
         let ready = async {
-            while hub.borrow().core.fresh() {
+            while hub.borrow().core.is_starting() {
                 Timer::at(ahead(5)).await;
             }
             None
@@ -192,9 +201,9 @@
             }
             Some(_) => return Ok(()),
         }
-        self.machine.ready();
+        self.machine.handle_ready();
         let mut out = Vec::new();
-        message::write(&Message::Freeze, &mut out);
+        message::encode(&Message::Freeze, &mut out);
         let until = ahead(PATIENCE_MS);
         loop {
             if !out.is_empty() {
@@ -203,8 +212,8 @@
                 let _ = by(ahead(PATIENCE_MS), self.stream.write_all(&out)).await;
                 out.clear();
             }
-            let read = match self.machine.stage() {
-                Stage::Serving => Some(self.stream.read(&mut bytes).await),
+            let read = match self.machine.phase() {
+                Phase::Mirror => Some(self.stream.read(&mut bytes).await),
                 _ => by(until, self.stream.read(&mut bytes)).await,
             };
             match read {
@@ -215,35 +224,37 @@
                 }
             }
             loop {
-                let serving = self.machine.stage() == Stage::Serving;
-                let act = match self.reader.message() {
+                let serving = self.machine.phase() == Phase::Mirror;
+                let act = match self.reader.next_message() {
                     Ok(None) => break,
-                    Ok(Some(said)) => self.machine.heard(said),
-                    Err(_) => Act::GiveUp("it can't be understood"),
+                    Ok(Some(said)) => self.machine.handle_message(said).map_err(|e| e.to_string()),
+                    Err(error) => Err(error.to_string()),
                 };
                 match act {
                     // It serves by now, and must not end for what another process says.
-                    Act::GiveUp(_) if serving => return Ok(()),
-                    Act::GiveUp(why) => {
-                        return Err(format!("handover: the process that is there: {why}"))
-                    }
-                    Act::Sockets(_) => {}
-                    Act::Enter(key) => {
+                    Err(_) if serving => return Ok(()),
+                    Err(why) => return Err(format!("handover: the process that is there: {why}")),
+                    Ok(Action::AdoptSockets(_)) => {}
+                    Ok(Action::ApplyKey(key)) => {
                         let mut hub = hub.borrow_mut();
-                        let until = hub.clock.of_unix(key.until);
-                        hub.tell(|core, now| core.enter(now, key, until));
+                        let until = hub.clock.of_unix(key.window_end);
+                        hub.tell(|core, now| core.apply_transferred_key(now, key, until));
                     }
-                    Act::Free(key) => {
-                        hub.borrow_mut().tell(|core, now| core.freed(now, &key));
+                    Ok(Action::ReleaseKey(key)) => {
+                        hub.borrow_mut()
+                            .tell(|core, now| core.release_transferred_key(now, &key));
                     }
-                    Act::Take { standby, share } => {
+                    Ok(Action::ConfirmSnapshot {
+                        is_standby: standby,
+                        memory_share: share,
+                    }) => {
                         let mut hub = hub.borrow_mut();
-                        hub.core.stand_by(standby);
+                        hub.core.set_standby(standby);
                         // Something is left for this one even if the other one has it all.
                         hub.share(Some((1.0 - share).max(0.05)));
-                        message::write(&Message::Taken, &mut out);
+                        message::encode(&Message::SnapshotReceived, &mut out);
                     }
-                    Act::Serve(member) => {
+                    Ok(Action::Serve { membership: member }) => {
                         log("handover: taken over, this process serves");
                         serve(member);
                     }
