--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -11,10 +11,9 @@
 use super::routes::{Backend, Named, Uwsgi};
 use crate::log::log;
 use pipitlever_admission::{Idempotency, Micros, Outcome, Settings};
-use pipitlever_core::counters::Files;
-use pipitlever_core::durable::Durable;
 use pipitlever_core::{
-    Answer, Bounds, Core, Effect, End, Gauges, Incoming, Origin, Reference, Rejected,
+    Answer, ConfigFileCounters, Core, Effect, Gauges, IncomingRequest, MemoryLimits, Origin,
+    Reference, RejectedCommand, RunOutcome, RunStore,
 };
 use pipitlever_hot_restart::predecessor::Predecessor;
 use pipitlever_idempotency_store::record::Salt;
@@ -64,7 +63,7 @@
     /// The operators' door.
     pub callers: Callers,
     /// Configuration files that came with SIGHUP.
-    pub files: Files,
+    pub files: ConfigFileCounters,
     /// The notice to leave has come.
     pub leaving: Nudge,
     /// The uwsgi front's settings.
@@ -107,7 +106,7 @@
 
 impl Hub {
     /// A hub for these settings.
-    pub fn new(tuning: Tuning, seed: u64, salt: Salt, bounds: Bounds) -> Hub {
+    pub fn new(tuning: Tuning, seed: u64, salt: Salt, bounds: MemoryLimits) -> Hub {
         let classes = classes(&tuning);
         let Tuning {
             settings,
@@ -127,7 +126,7 @@
         };
         let clock = Clock::start();
         let mut core = Core::new(settings, &names, seed, round, most_result, bounds);
-        core.marked = marked;
+        core.retries_are_marked = marked;
         Hub {
             sockets: usize::MAX,
             limits: Limits::default(),
@@ -152,7 +151,7 @@
             woken: Nudge::new(),
             places: Places::new(bounds.answers),
             callers: Callers::default(),
-            files: Files::default(),
+            files: ConfigFileCounters::default(),
             leaving: Nudge::new(),
             classes,
             gauge_names,
@@ -168,7 +167,7 @@
     /// Tells the core something and carries out what comes of it.
     pub fn tell(&mut self, tell: impl FnOnce(&mut Core, Micros)) {
         tell(&mut self.core, self.clock.now());
-        debug_assert!(self.core.balanced(), "{}", self.core.counters);
+        debug_assert!(self.core.is_balanced(), "{}", self.core.counters);
         // Two lists change places, and are kept: one is filled while the other is worked off.
         let mut effects = std::mem::take(&mut self.effects);
         loop {
@@ -181,15 +180,15 @@
         // Not what a burst made of it.
         effects.shrink_to(256);
         self.effects = effects;
-        if self.core.remembers() {
+        if self.core.has_store() {
             self.storing.give();
             let now = self.clock.now();
-            self.core.store_note(now).inspect(|note| log(note));
+            self.core.store_status_change(now).inspect(|note| log(note));
         }
-        if self.core.has_news() {
+        if self.core.has_key_updates() {
             self.news.give();
         }
-        let next = self.core.next_wake();
+        let next = self.core.next_wakeup();
         if next != self.next_wake {
             self.next_wake = next;
             self.woken.give();
@@ -198,10 +197,13 @@
 
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Answer(origin, answer) => self.answer(origin, answer),
-            Effect::Begin(reference, class, until, packet)
-                if self.classes[class].workers_path.is_some() =>
-            {
+            Effect::Answer { origin, answer } => self.answer(origin, answer),
+            Effect::StartRun {
+                reference,
+                class,
+                result_deadline,
+                body,
+            } if self.classes[class].workers_path.is_some() => {
                 let Class {
                     keyed,
                     pool: (pool, sticky),
@@ -212,26 +214,35 @@
                     safe: !keyed,
                     pool,
                     sticky,
-                    packet,
-                    until,
+                    packet: body,
+                    until: result_deadline,
                 });
             }
-            Effect::Begin(reference, class, _, body) => {
+            Effect::StartRun {
+                reference,
+                class,
+                body,
+                ..
+            } => {
                 let Class { keyed, name, .. } = &self.classes[class];
                 self.link
                     .command(Told::Begin(reference, *keyed, name.clone()), body);
             }
-            Effect::Reply(reference, body) => {
+            Effect::SendReply { reference, body } => {
                 self.link.command(Told::Answer(reference), body);
             }
             // A worker knows no way to be stopped but the end of its connection, which says nothing
             // of the run.
-            Effect::Interrupt(_, class) if self.classes[class].workers_path.is_some() => {}
-            Effect::Interrupt(reference, _) => {
+            Effect::StopRun { class, .. } if self.classes[class].workers_path.is_some() => {}
+            Effect::StopRun { reference, .. } => {
                 self.link.command(Told::Interrupt(reference), Rc::from([]))
             }
-            Effect::Gauges => self.link.ask(),
-            Effect::Call(reference, deadline, body) => {
+            Effect::QueryGauges => self.link.ask(),
+            Effect::PlaceCall {
+                reference,
+                deadline,
+                body,
+            } => {
                 if self.calls.address.is_some() {
                     self.calls.place(ToPost {
                         reference,
@@ -240,17 +251,21 @@
                     });
                 } else {
                     // Not 'never ran': the module would place it again at once, and for ever.
-                    self.core
-                        .call_ended(self.clock.now(), reference, Outcome::Error, Rc::from([]));
+                    self.core.handle_call_finished(
+                        self.clock.now(),
+                        reference,
+                        Outcome::Error,
+                        Rc::from([]),
+                    );
                 }
             }
-            Effect::Abandon(reference) => self.calls.abandon(reference),
+            Effect::CancelCall { reference } => self.calls.abandon(reference),
         }
     }
 
     /// A connection was accepted, and takes a place until [`Hub::disconnected`].
     pub fn connected(&mut self, front: Front) -> Place {
-        self.core.counters.accepted += 1;
+        self.core.counters.connections_accepted += 1;
         let place = self.places.add(self.clock.now(), front);
         if (self.closing || !self.taking) && front == Front::Gateway {
             self.places.send(place.id, jsonrpc::goaway);
@@ -261,7 +276,7 @@
     /// A connection ended: its callers are taken to have gone.
     pub fn disconnected(&mut self, id: u64) {
         for reference in self.places.remove(id) {
-            self.tell(|core, now| core.gone(now, reference));
+            self.tell(|core, now| core.handle_abandoned(now, reference));
         }
     }
 
@@ -271,7 +286,8 @@
         let excess =
             (self.places.taken() + self.pools.in_flight() + spare).saturating_sub(self.sockets);
         if excess > 0 && self.places.leaving() < excess {
-            self.core.counters.crowded_out += u64::from(self.places.make_room(self.clock.now()));
+            self.core.counters.connections_evicted +=
+                u64::from(self.places.make_room(self.clock.now()));
         }
     }
 
@@ -292,7 +308,7 @@
 
     /// When a connection has been idle for too long; nothing while a request is open on it.
     pub fn idle_at(&self, id: u64) -> Option<Micros> {
-        self.places.idle_at(id, self.core.idle())
+        self.places.idle_at(id, self.core.idle_timeout())
     }
 
     /// A connection brought bytes; whether a part of a message is left of them.
@@ -303,7 +319,7 @@
 
     /// The class of this name, by position.
     pub fn class(&self, name: &str) -> Option<usize> {
-        self.core.classes.named(name)
+        self.core.classes.index_of(name)
     }
 
     /// The tenant of this name, by position.
@@ -311,14 +327,14 @@
         self.tenants.iter().position(|t| t == name)
     }
 
-    fn take(&mut self, incoming: Incoming) {
+    fn take(&mut self, incoming: IncomingRequest) {
         self.places.opened(
             incoming.origin,
             self.clock.now(),
             incoming.reference,
             incoming.class,
         );
-        self.tell(|core, now| core.arrived(now, incoming));
+        self.tell(|core, now| core.handle_request(now, incoming));
     }
 
     /// What tells the bodies of a key's tries apart.
@@ -328,15 +344,15 @@
     }
 
     /// Keyed runs are remembered by a store from now on, which has brought these keys.
-    pub fn remember(&mut self, durable: Durable, found: Vec<Recovered>, salt: Salt) {
+    pub fn remember(&mut self, durable: RunStore, found: Vec<Recovered>, salt: Salt) {
         self.salt = salt;
-        self.core.remember(durable, found);
+        self.core.attach_store(durable, found);
     }
 
     /// A call ended, one way or another.
     pub fn called(&mut self, reference: Reference, outcome: Outcome, reply: Vec<u8>) {
         self.calls.ended(reference);
-        self.tell(|core, now| core.call_ended(now, reference, outcome, Rc::from(reply)));
+        self.tell(|core, now| core.handle_call_finished(now, reference, outcome, Rc::from(reply)));
     }
 
     /// A place for a run, where there is one.
--- a/crates/node/src/net/hub/answers.rs
+++ b/crates/node/src/net/hub/answers.rs
@@ -5,13 +5,16 @@
 impl Hub {
     /// Gives a request its one answer, on the connection that it came on.
     pub(super) fn answer(&mut self, origin: Origin, answer: Answer) {
-        let (level, now) = (self.core.level(), self.clock.now());
+        let (level, now) = (self.core.load_level(), self.clock.now());
         let Some((front, class)) = self.places.answered(origin, now) else {
             self.core.counters.undelivered += 1;
             return;
         };
         let worked = self.classes[class].workers_path.is_some();
-        let Origin { connection, number } = origin;
+        let Origin {
+            connection,
+            request_number: number,
+        } = origin;
         let sent = self.places.send(connection, |out| match front {
             Front::Gateway => to_gateway(out, number, answer, worked, level),
             Front::Uwsgi => to_uwsgi_client(out, answer, worked),
@@ -37,19 +40,26 @@
                 None => jsonrpc::failed(out, Some(number), Code::Failed, level),
             }
         }
-        Answer::Refused { cooldown, nowhere } => {
+        Answer::Rejected {
+            retry_after,
+            no_retry,
+        } => {
             jsonrpc::refused(
                 out,
                 number,
-                (cooldown as u64).div_ceil(1000),
-                nowhere,
+                (retry_after as u64).div_ceil(1000),
+                no_retry,
                 level,
             );
         }
         // On this wire only a refusal has a field for when to come back.
         Answer::Unknown { .. } => jsonrpc::failed(out, Some(number), Code::Failed, level),
-        Answer::Failed { expired } => {
-            let code = if expired { Code::Expired } else { Code::Failed };
+        Answer::Failed { timed_out } => {
+            let code = if timed_out {
+                Code::Expired
+            } else {
+                Code::Failed
+            };
             jsonrpc::failed(out, Some(number), code, level);
         }
     }
@@ -63,14 +73,24 @@
             out.extend_from_slice(&result);
         }
         Answer::Served(result) => uwsgi::response(out, Status::Ok, None, &result),
-        Answer::Refused { cooldown, .. } => {
-            uwsgi::response(out, Status::Unavailable, Some(whole_seconds(cooldown)), b"");
+        Answer::Rejected { retry_after, .. } => {
+            uwsgi::response(
+                out,
+                Status::Unavailable,
+                Some(whole_seconds(retry_after)),
+                b"",
+            );
         }
-        Answer::Unknown { back } => {
-            uwsgi::response(out, Status::BadGateway, Some(whole_seconds(back)), b"")
+        Answer::Unknown { retry_after } => uwsgi::response(
+            out,
+            Status::BadGateway,
+            Some(whole_seconds(retry_after)),
+            b"",
+        ),
+        Answer::Failed { timed_out: true } => {
+            uwsgi::response(out, Status::GatewayTimeout, None, b"")
         }
-        Answer::Failed { expired: true } => uwsgi::response(out, Status::GatewayTimeout, None, b""),
-        Answer::Failed { expired: false } => uwsgi::response(out, Status::BadGateway, None, b""),
+        Answer::Failed { timed_out: false } => uwsgi::response(out, Status::BadGateway, None, b""),
     }
 }
 
--- a/crates/node/src/net/hub/clients.rs
+++ b/crates/node/src/net/hub/clients.rs
@@ -16,7 +16,11 @@
         }
     }
 
-    fn uwsgi_incoming(&mut self, connection: u64, packet: &Packet) -> Result<Incoming, Status> {
+    fn uwsgi_incoming(
+        &mut self,
+        connection: u64,
+        packet: &Packet,
+    ) -> Result<IncomingRequest, Status> {
         let route = self.uwsgi.route(packet.path()?).ok_or(Status::NotFound)?;
         let class = self.class(&route.class).ok_or(Status::NotFound)?;
         let Class { keyed, rank, .. } = self.classes[class];
@@ -38,28 +42,28 @@
         // The body alone: how long a client still waits stands in the variables and differs from
         // try to try.
         let payload = self.payload(class, packet.body());
-        if key.is_some_and(|k| self.core.conflicts(k, arrived, payload)) {
+        if key.is_some_and(|k| self.core.is_key_conflict(k, arrived, payload)) {
             return Err(Status::BadRequest);
         }
         let (key, body, memory_kb) = (key.map(Rc::from), Rc::from(body), self.uwsgi.room_kb);
-        Ok(Incoming {
+        Ok(IncomingRequest {
             reference: self.new_name(),
             tenant: None,
             sender: None,
             origin: Origin {
                 connection,
-                number: 1,
+                request_number: 1,
             },
             class,
-            arrived,
-            due: Some(arrived + (allow * 1000) as Micros),
+            arrived_at: arrived,
+            deadline: Some(arrived + (allow * 1000) as Micros),
             cost: None,
             memory_kb,
-            rank,
-            retry: false,
-            key,
+            priority: rank,
+            is_retry: false,
+            idempotency_key: key,
             body,
-            payload,
+            payload_digest: payload,
         })
     }
 
@@ -72,7 +76,7 @@
             z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
             z ^= z >> 31;
-            if !self.core.knows(z) {
+            if !self.core.contains_request(z) {
                 return z;
             }
         }
--- a/crates/node/src/net/hub/gateways.rs
+++ b/crates/node/src/net/hub/gateways.rs
@@ -5,7 +5,7 @@
 impl Hub {
     /// A gateway said something.
     pub fn gateway(&mut self, id: u64, message: Message) {
-        let level = self.core.level();
+        let level = self.core.load_level();
         let Some(open) = self.places.open(id) else {
             return;
         };
@@ -22,21 +22,21 @@
             }
             Message::Alive { id: number, inner } => {
                 self.places.heard(id, self.clock.now());
-                let healthy = self.core.healthy() && !(inner && self.core.stands_still());
+                let healthy = self.core.is_healthy() && !(inner && self.core.is_stalled());
                 self.places
                     .send(id, |out| jsonrpc::health(out, number, healthy, level));
             }
             Message::Cancel(number) => {
                 if let Some(reference) = self.places.cancelled(Origin {
                     connection: id,
-                    number,
+                    request_number: number,
                 }) {
                     // No answer is owed, but a caller that only ever takes back would never hear a
                     // word.
                     self.places.send(id, |out| {
                         jsonrpc::failed(out, Some(number), Code::Cancelled, level)
                     });
-                    self.tell(|core, now| core.gone(now, reference));
+                    self.tell(|core, now| core.handle_abandoned(now, reference));
                 }
             }
             Message::Bad(number, code) => self.malformed(id, number, code),
@@ -45,16 +45,16 @@
 
     fn malformed(&mut self, id: u64, number: Option<u64>, code: Code) {
         self.core.counters.malformed += 1;
-        let level = self.core.level();
+        let level = self.core.load_level();
         self.places
             .send(id, |out| jsonrpc::failed(out, number, code, level));
         self.places.erred(id);
     }
 
-    fn incoming(&self, connection: u64, work: Work) -> Result<Incoming, Code> {
+    fn incoming(&self, connection: u64, work: Work) -> Result<IncomingRequest, Code> {
         let class = work.class;
         let keyed = self.classes[class].keyed;
-        if self.core.knows(work.reference) || (keyed && work.replay.is_none()) {
+        if self.core.contains_request(work.reference) || (keyed && work.replay.is_none()) {
             return Err(Code::Params);
         }
         let since = self.clock.of_unix((work.since * 1e3) as Micros);
@@ -64,7 +64,7 @@
         let payload = self.payload(class, &work.body);
         if key
             .as_ref()
-            .is_some_and(|k| self.core.conflicts(k, arrived, payload))
+            .is_some_and(|k| self.core.is_key_conflict(k, arrived, payload))
         {
             return Err(Code::Params);
         }
@@ -89,24 +89,24 @@
                 Rc::from(uwsgi::packet(&vars, &work.body).ok_or(Code::Params)?)
             }
         };
-        Ok(Incoming {
+        Ok(IncomingRequest {
             reference: work.reference,
             sender: work.sender,
             tenant: work.tenant,
             origin: Origin {
                 connection,
-                number: work.id,
+                request_number: work.id,
             },
             class,
-            arrived,
-            due: work.allow.map(|ms| since + (ms * 1e3) as Micros),
+            arrived_at: arrived,
+            deadline: work.allow.map(|ms| since + (ms * 1e3) as Micros),
             cost: work.effort.map(|ms| ms * 1e3),
             memory_kb: work.room,
-            rank: work.class_rank,
-            retry: work.dup,
-            key,
+            priority: work.class_rank,
+            is_retry: work.dup,
+            idempotency_key: key,
             body,
-            payload,
+            payload_digest: payload,
         })
     }
 }
--- a/crates/node/src/net/hub/leaving.rs
+++ b/crates/node/src/net/hub/leaving.rs
@@ -8,15 +8,15 @@
         self.draining = true;
         self.leaving.give();
         // The level that keeps callers away is told once nothing new is taken.
-        let before = self.core.level();
-        self.tell(|core, now| core.leaving(now, left));
-        self.last_level = self.core.tell_level(before);
+        let before = self.core.load_level();
+        self.tell(|core, now| core.begin_shutdown(now, left));
+        self.last_level = self.core.replace_load_level(before);
     }
 
     /// From now on no gateway is to send anything new.
     pub fn close(&mut self) {
         self.closing = true;
-        self.core.tell_level(self.last_level);
+        self.core.replace_load_level(self.last_level);
         for id in self.places.gateways() {
             self.places.send(id, jsonrpc::goaway);
         }
@@ -27,7 +27,7 @@
     pub fn superseded(&mut self, left: Micros) {
         (self.draining, self.superseded) = (true, true);
         self.leaving.give();
-        self.tell(|core, now| core.superseded(now, left));
+        self.tell(|core, now| core.begin_superseded_shutdown(now, left));
     }
 
     /// Whether the node goes on in another process after this one.
@@ -65,7 +65,10 @@
     pub fn settled(&self) -> bool {
         // What its successor does not hear of a keyed run nobody will know.
         let told = !self.superseded
-            || !(self.core.keyed_runs() || self.core.has_news() || self.telling > 0);
-        self.core.owed() == 0 && self.places.queued() == 0 && self.core.store_idle() && told
+            || !(self.core.has_keyed_runs() || self.core.has_key_updates() || self.telling > 0);
+        self.core.unanswered() == 0
+            && self.places.queued() == 0
+            && self.core.is_store_idle()
+            && told
     }
 }
--- a/crates/node/src/net/hub/notices.rs
+++ b/crates/node/src/net/hub/notices.rs
@@ -5,7 +5,7 @@
 impl Hub {
     /// A link to the processor was set up.
     pub fn linked(&mut self) {
-        self.core.counters.links += 1;
+        self.core.counters.processor_connections += 1;
     }
 
     /// The processor said something.
@@ -13,7 +13,7 @@
         match notice {
             Notice::Hi { cold, ms } => {
                 self.link.hi();
-                self.tell(|core, now| core.up(now, now - (ms * 1e3) as Micros, cold));
+                self.tell(|core, now| core.start(now, now - (ms * 1e3) as Micros, cold));
             }
             Notice::Complete {
                 id,
@@ -22,15 +22,17 @@
                 result,
             } => {
                 let end = match end {
-                    RunEnd::Fine => End::Fine,
-                    RunEnd::Fault => End::Fault,
-                    RunEnd::BrokenOff => End::BrokenOff,
-                    RunEnd::Late => End::NeverRan,
+                    RunEnd::Fine => RunOutcome::Completed,
+                    RunEnd::Fault => RunOutcome::Failed,
+                    RunEnd::BrokenOff => RunOutcome::Aborted,
+                    RunEnd::Late => RunOutcome::NotStarted,
                 };
                 let took = (ms * 1e3) as Micros;
-                self.tell(|core, now| core.run_ended(now, id, end, took, result));
+                self.tell(|core, now| core.handle_run_finished(now, id, end, took, result));
+            }
+            Notice::Ask { id, body } => {
+                self.tell(|core, now| core.handle_call_requested(now, id, body))
             }
-            Notice::Ask { id, body } => self.tell(|core, now| core.asked(now, id, body)),
             Notice::Used { question, gauges } => {
                 let named = |name: &str| {
                     let at = self.gauge_names.iter().position(|n| n == name)?;
@@ -42,17 +44,17 @@
                     memory_use: named("heap_share"),
                     connections: named("links"),
                 };
-                self.tell(|core, now| core.gauges(now, gauges));
+                self.tell(|core, now| core.update_gauges(now, gauges));
                 self.link
                     .answered(self.clock.now(), question, &mut self.core);
             }
             Notice::Reject { command, id } => {
                 let command = match command {
-                    Command::Begin => Rejected::Begin,
-                    Command::Interrupt => Rejected::Interrupt,
-                    Command::Other => Rejected::Other,
+                    Command::Begin => RejectedCommand::Start,
+                    Command::Interrupt => RejectedCommand::Stop,
+                    Command::Other => RejectedCommand::Other,
                 };
-                self.tell(|core, now| core.rejected(now, id, command));
+                self.tell(|core, now| core.handle_command_rejected(now, id, command));
             }
         }
     }
--- a/crates/node/src/net/hub/tuning.rs
+++ b/crates/node/src/net/hub/tuning.rs
@@ -2,7 +2,7 @@
 //! place while the node runs.
 
 use super::*;
-use pipitlever_core::classes::Seat;
+use pipitlever_core::ClassAssignment;
 
 /// A class of work, by its place in the core.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,8 +52,8 @@
     }
 
     /// The shares of the memory.
-    pub fn bounds(&self, shared: bool) -> Bounds {
-        Bounds::within(
+    pub fn bounds(&self, shared: bool) -> MemoryLimits {
+        MemoryLimits::for_process(
             self.memory / if shared { 2 } else { 1 },
             self.connections(shared),
         )
@@ -80,7 +80,7 @@
 }
 
 /// Classes of a configuration, their names, and their places.
-type Seated = (Vec<Class>, Vec<Rc<str>>, Vec<Seat>);
+type Seated = (Vec<Class>, Vec<Rc<str>>, Vec<ClassAssignment>);
 
 /// The classes of a configuration, in its order.
 pub(super) fn classes(tuning: &Tuning) -> Vec<Class> {
@@ -134,7 +134,8 @@
         };
         let seats = core
             .classes
-            .seat(&names, same, |at| core.class_in_use(at))?;
+            .assign(&names, same, |at| core.is_class_in_use(at))
+            .map_err(|e| e.to_string())?;
         Ok((wanted, names, seats))
     }
 
@@ -143,7 +144,7 @@
     pub fn retune(&mut self, new: Tuning) -> Result<bool, String> {
         let (wanted, names, seats) = self.seated(&new)?;
         for (class, seat) in wanted.into_iter().zip(&seats) {
-            match self.classes.get_mut(seat.at) {
+            match self.classes.get_mut(seat.index) {
                 Some(place) => *place = class,
                 None => self.classes.push(class),
             }
@@ -151,8 +152,10 @@
         self.uwsgi.routes = new.uwsgi.routes;
         self.gauge_names = new.gauges;
         self.tenants = new.tenants;
-        self.core.marked = new.marked;
-        Ok(self.core.retune(new.settings, new.round, &names, &seats))
+        self.core.retries_are_marked = new.marked;
+        Ok(self
+            .core
+            .reconfigure(new.settings, new.round, &names, &seats))
     }
 
     /// The parties are where this says from now on. What is out with the old ones may still come
@@ -177,6 +180,6 @@
         let bounds = self.limits.bounds(share.is_some());
         self.sockets = self.limits.connections(share.is_some());
         self.places.bound(bounds.answers);
-        self.core.share_room(share, bounds);
+        self.core.set_memory_share(share, bounds);
     }
 }
--- a/crates/node/src/net/link.rs
+++ b/crates/node/src/net/link.rs
@@ -150,9 +150,9 @@
     fn caught_up(&mut self, core: &mut Core) {
         for command in std::mem::take(&mut self.doubtful).into_iter().rev() {
             let again = match &command.told {
-                Told::Begin(reference, once, _) => !once && core.may_begin_again(*reference),
-                Told::Answer(reference) => core.may_answer_again(*reference),
-                Told::Interrupt(reference) => core.may_interrupt_again(*reference),
+                Told::Begin(reference, once, _) => !once && core.may_resend_start(*reference),
+                Told::Answer(reference) => core.may_resend_reply(*reference),
+                Told::Interrupt(reference) => core.may_resend_stop(*reference),
             };
             if again {
                 self.commands.push_front(command);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -48,11 +48,11 @@
     loop {
         let next = {
             let hub = hub.borrow();
-            hub.core.next_wake().map(|at| hub.clock.instant(at))
+            hub.core.next_wakeup().map(|at| hub.clock.instant(at))
         };
         match next {
             Some(at) if at <= Instant::now() => {
-                hub.borrow_mut().tell(|core, now| core.wake(now));
+                hub.borrow_mut().tell(|core, now| core.handle_wakeup(now));
                 // Other tasks have their turn even if the core always wants to be woken.
                 future::yield_now().await;
             }
--- a/crates/node/src/net/places.rs
+++ b/crates/node/src/net/places.rs
@@ -302,7 +302,7 @@
     pub fn opened(&mut self, origin: Origin, now: Micros, reference: Reference, class: usize) {
         self.heard(origin.connection, now);
         if let Some(c) = self.all.get_mut(&origin.connection) {
-            c.open.insert(origin.number, (reference, class));
+            c.open.insert(origin.request_number, (reference, class));
             c.chosen = false;
         }
     }
@@ -310,7 +310,7 @@
     /// It has its answer: which front that goes to, and its class. Nothing if nobody waits for it.
     pub fn answered(&mut self, origin: Origin, now: Micros) -> Option<(Front, usize)> {
         let connection = self.all.get_mut(&origin.connection)?;
-        let (_, class) = connection.open.remove(&origin.number)?;
+        let (_, class) = connection.open.remove(&origin.request_number)?;
         connection.active = now;
         Some((connection.front, class))
     }
@@ -320,7 +320,7 @@
         let connection = self.all.get_mut(&origin.connection)?;
         connection
             .open
-            .remove(&origin.number)
+            .remove(&origin.request_number)
             .map(|(reference, _)| reference)
     }
 
--- a/crates/node/src/net/store.rs
+++ b/crates/node/src/net/store.rs
@@ -10,7 +10,7 @@
     loop {
         let batch = {
             let hub = &mut *hub.borrow_mut();
-            hub.core.batch(hub.clock.now())
+            hub.core.next_store_batch(hub.clock.now())
         };
         let Some(batch) = batch else {
             nudge.wait().await;
@@ -24,6 +24,7 @@
             .recv()
             .await
             .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
-        hub.borrow_mut().tell(|core, now| core.stored(now, result));
+        hub.borrow_mut()
+            .tell(|core, now| core.handle_store_result(now, result));
     }
 }
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/versions/mod.rs
@@ -214,7 +214,7 @@
             May::Act(until) => Some(until),
             _ => None,
         };
-        if hub.core.allow(until) {
+        if hub.core.set_configuration_expiry(until) {
             log(&format!(
                 "versions: {}",
                 if until.is_some() {
@@ -276,7 +276,7 @@
         node.resume(now, kept, saved.map_or(0, |saved| saved.floor));
         self.offered.set(node.acting());
         self.told.set(None);
-        self.hub.borrow_mut().core.allow(None);
+        self.hub.borrow_mut().core.set_configuration_expiry(None);
     }
 
     /// A version was taken as a whole, or can't be.
--- a/crates/node/src/net/workers.rs
+++ b/crates/node/src/net/workers.rs
@@ -7,7 +7,7 @@
 use super::sessions::Looked;
 use async_executor::LocalExecutor;
 use pipitlever_capture::record::digest_bytes as digest;
-use pipitlever_core::End;
+use pipitlever_core::RunOutcome;
 use pipitlever_load_balancing::pool;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::uwsgi::{variable, Response};
@@ -110,14 +110,15 @@
         }
     };
     let (end, result) = match response {
-        Some(response) => (End::Fine, response),
+        Some(response) => (RunOutcome::Completed, response),
         // Not a byte of it went out to anybody, so it cannot have run.
-        None if !ran => (End::NeverRan, Vec::new()),
-        None => (End::Fault, Vec::new()),
+        None if !ran => (RunOutcome::NotStarted, Vec::new()),
+        None => (RunOutcome::Failed, Vec::new()),
     };
     let took = started.elapsed().as_micros() as i64;
-    hub.borrow_mut()
-        .tell(|core, now| core.run_ended(now, job.reference, end, took, Rc::from(result)));
+    hub.borrow_mut().tell(|core, now| {
+        core.handle_run_finished(now, job.reference, end, took, Rc::from(result))
+    });
 }
 
 /// The response, if a whole one came. `sent` tells whether the worker may have seen the packet.
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pipitlever_hot_restart::message::{self, Listening, Message, Reader, Welcome};
+use pipitlever_hot_restart::message::{self, Decoder, ListeningSocket, Message, Welcome};
 use rustix::fd::AsFd;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use serde_json::{json, Value};
@@ -283,10 +283,10 @@
 }
 
 /// What a peer says next, until it says what is waited for.
-fn hear(stream: &mut UnixStream, reader: &mut Reader, wanted: impl Fn(&Message) -> bool) {
+fn hear(stream: &mut UnixStream, reader: &mut Decoder, wanted: impl Fn(&Message) -> bool) {
     let mut bytes = [0; 4096];
     loop {
-        while let Some(message) = reader.message().expect("a message") {
+        while let Some(message) = reader.next_message().expect("a message") {
             if wanted(&message) {
                 return;
             }
@@ -299,7 +299,7 @@
 
 fn say(stream: &mut UnixStream, message: &Message) {
     let mut bytes = Vec::new();
-    message::write(message, &mut bytes);
+    message::encode(message, &mut bytes);
     stream.write_all(&bytes).unwrap();
 }
 
@@ -312,15 +312,15 @@
     let mut stream = UnixStream::connect(place.socket()).unwrap();
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     stream.write_all(&message::greeting()).unwrap();
-    let mut reader = Reader::default();
+    let mut reader = Decoder::default();
     hear(&mut stream, &mut reader, |m| {
         matches!(m, Message::Welcome(_))
     });
     say(&mut stream, &Message::Freeze);
     hear(&mut stream, &mut reader, |m| {
-        matches!(m, Message::End { .. })
+        matches!(m, Message::SnapshotComplete { .. })
     });
-    say(&mut stream, &Message::Taken);
+    say(&mut stream, &Message::SnapshotReceived);
     hear(&mut stream, &mut reader, |m| {
         matches!(m, Message::Yielded { .. })
     });
@@ -351,15 +351,15 @@
     let predecessor = std::thread::spawn(move || {
         let mut stream = offer.accept().unwrap().0;
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        let listening = vec![Listening {
+        let listening = vec![ListeningSocket {
             protocol: "json-rpc".into(),
-            at,
+            address: at,
         }];
         let mut bytes = message::greeting();
-        message::write(
+        message::encode(
             &Message::Welcome(Welcome {
-                name: "n1".into(),
-                listening,
+                node_name: "n1".into(),
+                sockets: listening,
                 salt: [1, 2],
             }),
             &mut bytes,
@@ -375,7 +375,7 @@
             SendFlags::empty(),
         )
         .unwrap();
-        hear(&mut stream, &mut Reader::default(), |m| {
+        hear(&mut stream, &mut Decoder::default(), |m| {
             *m == Message::Freeze
         });
     });
