--- a/crates/admission/tests/known_red.rs
+++ b/crates/repository-checks/tests/known_red.rs
@@ -19,13 +19,13 @@
 "#;
 
 /// A folder with the stand-in and a list.
-struct Played {
+struct ScriptRun {
     folder: PathBuf,
     output: Output,
 }
 
-impl Played {
-    fn new(test: &str, list: Option<&str>, rest_fails: bool) -> Played {
+impl ScriptRun {
+    fn new(test: &str, list: Option<&str>, rest_fails: bool) -> ScriptRun {
         let folder = std::env::temp_dir().join(format!(
             "pipitlever-known-red-{}-{test}",
             std::process::id()
@@ -46,14 +46,14 @@
             .env("CARGO", &cargo)
             .env("REST", if rest_fails { "101" } else { "0" });
         let output = command.output().unwrap();
-        Played { folder, output }
+        ScriptRun { folder, output }
     }
 
-    fn passed(&self) -> bool {
+    fn succeeded(&self) -> bool {
         self.output.status.success()
     }
 
-    fn said(&self) -> String {
+    fn output_text(&self) -> String {
         let Output { stdout, stderr, .. } = &self.output;
         format!(
             "{}{}",
@@ -68,7 +68,7 @@
     }
 }
 
-impl Drop for Played {
+impl Drop for ScriptRun {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
@@ -77,69 +77,89 @@
 #[test]
 fn without_a_list_all_tests_run() {
     for (name, list) in [("none", None), ("empty", Some(""))] {
-        let played = Played::new(name, list, false);
-        assert!(played.passed(), "{}", played.said());
-        assert_eq!(played.calls(), ["cargo test --workspace --locked"]);
+        let run = ScriptRun::new(name, list, false);
+        assert!(run.succeeded(), "{}", run.output_text());
+        assert_eq!(run.calls(), ["cargo test --workspace --locked"]);
     }
 }
 
 #[test]
-fn listed_tests_are_left_out_by_their_exact_names_and_run_after() {
-    let played = Played::new("listed", Some("red | the clock jumps | 29\n"), false);
-    assert!(played.passed(), "{}", played.said());
+fn listed_tests_are_skipped_by_exact_name_and_run_afterwards() {
+    let run = ScriptRun::new(
+        "listed",
+        Some("red | cargo test red, seed 7 | the clock jumps | 29\n"),
+        false,
+    );
+    assert!(run.succeeded(), "{}", run.output_text());
     let expected = [
         "cargo test --workspace --locked -- --exact --skip red",
         "cargo test --workspace --locked --no-fail-fast -- --exact red",
     ];
-    assert_eq!(played.calls(), expected);
+    assert_eq!(run.calls(), expected);
     assert!(
-        played
-            .said()
-            .contains("red: fails. Cause: the clock jumps. Issue 29."),
+        run.output_text()
+            .contains("red: fails. Seen: the clock jumps. Run: cargo test red, seed 7. Issue 29."),
         "{}",
-        played.said()
+        run.output_text()
     );
 }
 
 #[test]
 fn a_listed_test_that_passes_is_named_and_changes_nothing() {
-    let played = Played::new("passes", Some("green | rare | 3\n"), false);
+    let run = ScriptRun::new("passes", Some("green | cargo test | rare | 3\n"), false);
     assert!(
-        played.passed() && played.said().contains("green: passed this time"),
+        run.succeeded() && run.output_text().contains("green: passed this time"),
         "{}",
-        played.said()
+        run.output_text()
     );
 }
 
 #[test]
-fn the_others_still_have_to_pass() {
-    assert!(!Played::new("others", Some("red | cause | 1"), true).passed());
+fn unlisted_tests_still_have_to_pass() {
+    assert!(!ScriptRun::new("others", Some("red | cargo test | cause | 1"), true).succeeded());
 }
 
 #[test]
-fn a_wrong_list_fails_before_anything_runs() {
-    let four = "red | a | 1\ngreen | b | 2\nmod::red | c | 3\nother | d | 4\n";
+fn a_malformed_list_fails_before_any_test_runs() {
+    let four = "red | x | a | 1\ngreen | x | b | 2\nmod::red | x | c | 3\nother | x | d | 4\n";
     let cases = [
         ("fields", "red | cause\n", "not of the form"),
-        ("issue", "red | cause | soon\n", "not of the form"),
-        ("name", " | cause | 1\n", "not of the form"),
-        ("blank", "red | cause | 1\n\n", "not of the form"),
+        ("command", "red | cause | 1\n", "not of the form"),
+        (
+            "issue",
+            "red | cargo test | cause | soon\n",
+            "not of the form",
+        ),
+        ("name", " | cargo test | cause | 1\n", "not of the form"),
+        (
+            "blank",
+            "red | cargo test | cause | 1\n\n",
+            "not of the form",
+        ),
         ("fourth", four, "4 entries"),
-        ("unknown", "re | cause | 1\n", "0 tests are called re"),
+        (
+            "unknown",
+            "re | cargo test | cause | 1\n",
+            "0 tests are called re",
+        ),
         (
             "ambiguous",
-            "twice | cause | 1\n",
+            "twice | cargo test | cause | 1\n",
             "2 tests are called twice",
         ),
-        ("repeated", "red | a | 1\nred | b | 1\n", "listed twice"),
+        (
+            "repeated",
+            "red | x | a | 1\nred | x | b | 1\n",
+            "listed twice",
+        ),
     ];
     for (name, list, why) in cases {
-        let played = Played::new(name, Some(list), false);
+        let run = ScriptRun::new(name, Some(list), false);
         assert!(
-            !played.passed() && played.said().contains(why),
+            !run.succeeded() && run.output_text().contains(why),
             "{name}: {}",
-            played.said()
+            run.output_text()
         );
-        assert_eq!(played.calls(), [""; 0], "{name}");
+        assert_eq!(run.calls(), [""; 0], "{name}");
     }
 }
