--- a/crates/node/src/life/doors.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -35,7 +35,7 @@
     pub versions: Option<Versions>,
     /// Where long-lived sessions live, if any stay with their workers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub sessions: Option<super::sessions::Sessions>,
+    pub sessions: Option<crate::cli::sessions::Sessions>,
 }
 
 /// How a node stands to the versions of the fleet's settings.
@@ -98,7 +98,7 @@
     let content: serde_json::Value =
         serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
     // Whole or not at all, and here rather than at each node.
-    super::versions::Content::read(text.as_bytes()).map_err(|e| format!("{file}: {e}"))?;
+    crate::config::versions::Content::read(text.as_bytes()).map_err(|e| format!("{file}: {e}"))?;
     let versions = || {
         ask(door)?
             .versions
--- a/crates/node/src/life/import.rs
+++ b/crates/node/src/cli/import.rs
@@ -1,7 +1,7 @@
 //! Turns mod_jk's `workers.properties` and Apache's balancer sections into the operator's file's
 //! section on uwsgi, and names with file and line what it can't carry over.
 
-use crate::net::routes::Uwsgi;
+use crate::net::workers::routes::Uwsgi;
 use pipitlever_load_balancing::pool::{Member, Use};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -494,7 +494,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::life::operator::Operator;
+    use crate::config::operator::Operator;
 
     fn import(name: &str, text: &str) -> (Vec<String>, Option<u64>, Vec<String>, Vec<String>) {
         let mut import = Import::default();
--- a/crates/node/src/life/command.rs
+++ b/crates/node/src/cli/mod.rs
@@ -1,12 +1,15 @@
 //! The command line.
 
-use super::config::Config;
-use super::doors;
-use super::explain;
-use super::import::Import;
-use super::serve::serve;
-use super::sessions;
-use super::stored::{self, Task};
+mod fleet;
+mod import;
+mod pools;
+mod sessions;
+mod store;
+
+use crate::cli::import::Import;
+use crate::cli::store::Task;
+use crate::config::platform::Config;
+use crate::lifecycle::serve::serve;
 use lexopt::prelude::*;
 
 const HELP: &str = "\
@@ -149,23 +152,23 @@
             Ok(if import.notes.is_empty() { 0 } else { PARTLY })
         }
         "pools" => {
-            explain::pools(&read(None)?.tuning.uwsgi).iter().for_each(|line| println!("{line}"));
+            pools::pools(&read(None)?.tuning.uwsgi).iter().for_each(|line| println!("{line}"));
             Ok(0)
         }
         "store" => match &files[..] {
             [task, folder] if Task::named(task).is_some() => {
-                stored::run(Task::named(task).expect("seen above"), folder, json).map(|()| 0)
+                store::run(Task::named(task).expect("seen above"), folder, json).map(|()| 0)
             }
             _ => Err("store: say check, list or compact, and a folder".into()),
         },
         "fleet" => match (&files[..], &doors[..]) {
-            ([task, file], [door]) if task == "publish" => doors::publish(door, file, why.as_deref()),
+            ([task, file], [door]) if task == "publish" => fleet::publish(door, file, why.as_deref()),
             ([task, number], [door]) if task == "close" || task == "accept-floor" => {
-                doors::order(door, task, number)
+                fleet::order(door, task, number)
             }
             ([task], [door]) if task == "sessions" => sessions::run(door, worker.as_deref(), json),
-            ([task], [door]) if task == "status" => doors::status(door, json, watch),
-            ([task], [_, _, ..]) if task == "compare" => doors::compare(&doors),
+            ([task], [door]) if task == "status" => fleet::status(door, json, watch),
+            ([task], [_, _, ..]) if task == "compare" => fleet::compare(&doors),
             _ => Err("fleet: say publish FILE --why WHY --at DOOR, close N or accept-floor N, status or sessions and --at DOOR, or compare and --at for two doors or more".into()),
         },
         "version" => {
--- a/crates/node/src/life/explain.rs
+++ b/crates/node/src/cli/pools.rs
@@ -1,6 +1,6 @@
 //! `pipitlever pools`: what each pool would do, said from the file alone.
 
-use crate::net::routes::{Backend, Named, Uwsgi};
+use crate::net::workers::routes::{Backend, Named, Uwsgi};
 use pipitlever_load_balancing::pool::{Member, Use};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::life::operator::Operator;
+    use crate::config::operator::Operator;
 
     #[test]
     fn shares_turns_and_oddities_are_told() {
--- a/crates/node/src/life/sessions.rs
+++ b/crates/node/src/cli/sessions.rs
@@ -1,6 +1,6 @@
 //! `pipitlever fleet sessions`: where long-lived sessions live, as one node remembers them.
 
-use super::doors::ask;
+use crate::cli::fleet::ask;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
--- a/crates/node/src/life/fleet.rs
+++ b/crates/node/src/config/fleet.rs
@@ -1,9 +1,9 @@
 //! `[fleet]` of the operator's file.
 
-use super::text::{line, within};
-use super::versions::VersionsSection;
-use crate::net::fleet::Settings;
-use crate::net::share::Apart;
+use crate::config::text::{line, within};
+use crate::config::versions::VersionsSection;
+use crate::net::membership::Settings;
+use crate::net::subsetting::Apart;
 use pipitlever_membership::record::MOST_NAME;
 use pipitlever_membership::rules::Rules;
 use serde::Deserialize;
@@ -149,7 +149,7 @@
 
 #[cfg(test)]
 mod tests {
-    use crate::life::operator::Operator;
+    use crate::config::operator::Operator;
 
     #[test]
     fn what_is_wrong_with_a_fleet_is_named_with_its_line() {
--- a/crates/node/src/life/operator.rs
+++ b/crates/node/src/config/operator.rs
@@ -1,11 +1,11 @@
 //! The operator's file: one TOML file with a section for each subsystem, read strictly. An unknown
 //! key or a bad value is an error that names its line.
 
-use super::fleet::FleetSection;
-use super::pools::{labelled, members, pools, PoolSection, WorkerEntry};
-use super::text::{line, within};
-use crate::net::fleet;
-use crate::net::routes::{Backend, Named, Route, Uwsgi};
+use crate::config::fleet::FleetSection;
+use crate::config::pools::{labelled, members, pools, PoolSection, WorkerEntry};
+use crate::config::text::{line, within};
+use crate::net::membership;
+use crate::net::workers::routes::{Backend, Named, Route, Uwsgi};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -96,7 +96,7 @@
     /// The store of keyed requests, if there is to be one.
     pub store: Option<Store>,
     /// The node's part in a fleet, if it is in one.
-    pub fleet: Option<fleet::Settings>,
+    pub fleet: Option<membership::Settings>,
 }
 
 #[derive(Deserialize)]
--- a/crates/node/src/life/config.rs
+++ b/crates/node/src/config/platform.rs
@@ -1,10 +1,10 @@
 //! The node's configuration, read at the start, and for its parties' addresses on SIGHUP.
 
-use super::operator::{Capture, Operator, Store};
-use super::versions::Content;
-use crate::net::fleet;
+use crate::config::operator::{Capture, Operator, Store};
+use crate::config::versions::Content;
 use crate::net::hub::{Parties, Tuning};
-use crate::net::routes::{Backend, Uwsgi};
+use crate::net::membership;
+use crate::net::workers::routes::{Backend, Uwsgi};
 use pipitlever_settings::Config as SettingsConfig;
 use serde::Deserialize;
 use serde_json::Value;
@@ -87,7 +87,7 @@
     /// The store of keyed requests, if there is to be one.
     pub store: Option<Store>,
     /// The node's part in a fleet, if it is in one.
-    pub fleet: Option<fleet::Settings>,
+    pub fleet: Option<membership::Settings>,
 }
 
 /// The first key that a file has and another lacks, with its path. A file that was cut and mended,
--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/config/pools.rs
@@ -1,7 +1,7 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
-use super::text::{line, within};
-use crate::net::routes::{Label, Named, Sessions, Shared};
+use crate::config::text::{line, within};
+use crate::net::workers::routes::{Label, Named, Sessions, Shared};
 use pipitlever_load_balancing::pool::{Member, Use};
 use pipitlever_membership::record::MOST_NAME;
 use pipitlever_session_affinity::table::MOST_IDLE;
--- a/crates/node/src/life/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -1,10 +1,10 @@
 //! `[fleet.versions]` of the operator's file, and what a version holds.
 
-use super::config::Config;
-use super::text::{line, within};
+use crate::config::platform::Config;
+use crate::config::text::{line, within};
 use crate::log::log;
-use crate::net::versions::disk::{load, ACTING};
-use crate::net::versions::{usual, Settings};
+use crate::net::config_versions::disk::{load, ACTING};
+use crate::net::config_versions::{usual, Settings};
 use pipitlever_config_versions::floor::{Saved, Unknown};
 use pipitlever_config_versions::node::Without;
 use pipitlever_config_versions::version::check_electors;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,9 @@
 //! The rota node: pipitlever's decisions on real sockets. A library only so that a program that
 //! counts can hold it.
 
-mod life;
+mod cli;
+mod config;
+mod lifecycle;
 mod log;
 mod net;
 
@@ -11,7 +13,7 @@
 
 /// Does what the command line says; the code to end with.
 pub fn run() -> std::process::ExitCode {
-    match life::command::run() {
+    match cli::run() {
         Ok(code) => code.into(),
         Err(trouble) => {
             eprintln!("pipitlever: {trouble}");
--- a/crates/node/src/life/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -1,6 +1,6 @@
 //! Switches the capture on and off: at the start, on SIGHUP, at the end.
 
-use super::operator::Capture;
+use crate::config::operator::Capture;
 use crate::log::log;
 use crate::net::hub::Shared;
 use pipitlever_capture::disk::{Disk, Thread};
--- a/crates/node/src/life/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -1,12 +1,12 @@
 //! SIGHUP: another configuration takes over, as a whole or not at all.
 
-use super::capture::Capturing;
-use super::config::Config;
-use super::operator::Store;
+use crate::config::operator::Store;
+use crate::config::platform::Config;
+use crate::lifecycle::capture::Capturing;
 use crate::log::log;
+use crate::net::config_versions::Act;
 use crate::net::hub::Shared;
-use crate::net::routes::Named;
-use crate::net::versions::Act;
+use crate::net::workers::routes::Named;
 use serde_json::Value;
 
 /// Whether the fleet decides what this node acts on.
--- a/crates/node/src/life/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -1,18 +1,16 @@
 //! Serves until told to stop, then leaves in order.
 
-use super::capture::{self, Capturing};
-use super::config::Config;
-use super::reload::Reload;
-use super::signals::{Signal, Signals};
+use crate::config::platform::Config;
+use crate::lifecycle::capture::{self, Capturing};
+use crate::lifecycle::reload::Reload;
+use crate::lifecycle::signals::{Signal, Signals};
 use crate::log::log;
+use crate::net::config_versions::Act;
+use crate::net::connections::Front;
 use crate::net::front::Fronts;
-use crate::net::handover::{self, Offer, Trouble};
+use crate::net::hot_restart::{self, Offer, Trouble};
 use crate::net::hub::{Hub, Limits, Shared};
-use crate::net::places::Front;
-use crate::net::versions::Act;
-use crate::net::{
-    ahead, by, callers, calls, control, fleet, ledger, membership, processor, timers, workers,
-};
+use crate::net::{ahead, by, control, ledger, membership, processor, registry, timers, workers};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_idempotency_store::record::Salt;
@@ -30,7 +28,7 @@
 /// one; the socket for reports; a connection for each call; listening sockets and what they have
 /// just accepted; the handover's; files that are read again. The operators' door and the fleet have
 /// their own beside these.
-const KEPT_BACK: usize = 3 + 3 + 7 + 2 + 1 + calls::MOST_CALLS + 2 * 2 + 4 + 2;
+const KEPT_BACK: usize = 3 + 3 + 7 + 2 + 1 + ledger::calls::MOST_CALLS + 2 * 2 + 4 + 2;
 /// The process ends this long before it would be killed, in milliseconds.
 const SPARE_MS: u64 = 150;
 /// After `goaway`, requests that were already on their way are waited for this long, in
@@ -75,10 +73,10 @@
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(), String> {
-    let (config, saved) = super::versions::begin(config, &read)?;
+    let (config, saved) = crate::config::versions::begin(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     // A store is of one process at a time, and a port that the system picks has nobody before.
-    let place = handover::place(config.listen).filter(|_| config.store.is_none());
+    let place = hot_restart::place(config.listen).filter(|_| config.store.is_none());
     let opened = async { Some(Opened::open(&config, place.as_deref()).await) };
     let told_to_leave = async {
         signals.leave().await;
@@ -108,7 +106,7 @@
     // Each caller's, and the listener's; those whose answer is on its way take no place among
     // callers any more.
     let for_door = if door.is_some() {
-        2 * callers::MOST_CALLERS
+        2 * control::connections::MOST_CALLERS
     } else {
         0
     };
@@ -119,7 +117,7 @@
         0
     };
     let for_fleet = if config.fleet.is_some() {
-        fleet::DESCRIPTORS
+        membership::DESCRIPTORS
     } else {
         0
     };
@@ -143,7 +141,7 @@
     };
     let window = longest(|c| c.window) + longest(|c| c.deadline);
     let opened = store
-        .map(|store| super::store::open(store, window))
+        .map(|store| crate::lifecycle::store::open(store, window))
         .transpose()?;
     let salt = Salt::random().map_err(|e| format!("random numbers: {e}"))?;
     let salt = met.as_ref().map_or(salt, |met| met.salt);
@@ -173,7 +171,7 @@
         .spawn(ledger::calls(executor.clone(), hub.clone()))
         .detach();
     executor
-        .spawn(membership::reports(hub.clone(), config.name.clone()))
+        .spawn(registry::reports(hub.clone(), config.name.clone()))
         .detach();
     executor
         .spawn(workers::runs(executor.clone(), hub.clone()))
@@ -188,7 +186,7 @@
     }
     let fronts = Fronts::new(executor.clone(), hub.clone(), sockets);
     // Under the address that the system has picked, if it has.
-    let place = place.and_then(|_| handover::place(at));
+    let place = place.and_then(|_| hot_restart::place(at));
     let offer = place.map(|place| {
         Offer::new(
             executor.clone(),
@@ -204,7 +202,7 @@
         hub.borrow_mut().core.allow(None);
     }
     let member = RefCell::new(config.fleet.zip(fleet_sockets));
-    let versioned = RefCell::new(Some(fleet::Versioned {
+    let versioned = RefCell::new(Some(membership::Versioned {
         saved,
         acts: Some(acts),
     }));
@@ -216,7 +214,7 @@
                 return;
             };
             let versioned = versioned.take().unwrap_or_default();
-            let begun = fleet::Part::begin(
+            let begun = membership::Part::begin(
                 executor.clone(),
                 hub.clone(),
                 &name,
@@ -297,9 +295,9 @@
 /// What a process has before it serves: its sockets, and the process that it takes over from, if
 /// there is one.
 struct Opened {
-    met: Option<handover::Met>,
+    met: Option<hot_restart::Met>,
     sockets: Vec<(Front, SocketAddr, Async<TcpListener>)>,
-    fleet: Option<fleet::Sockets>,
+    fleet: Option<membership::Sockets>,
 }
 
 impl Opened {
@@ -308,7 +306,7 @@
     async fn open(config: &Config, place: Option<&Path>) -> Result<Opened, String> {
         let mut met = match place {
             Some(place) if config.listen.port() != 0 => {
-                handover::meet(place, &config.name, config.listen).await?
+                hot_restart::meet(place, &config.name, config.listen).await?
             }
             _ => None,
         };
@@ -323,7 +321,7 @@
                 Some(passed)
             }
             (Some(f), _) => {
-                let bound = bind(|| fleet::Sockets::bind(f.bind)).await;
+                let bound = bind(|| membership::Sockets::bind(f.bind)).await;
                 Some(bound.map_err(|e| format!("fleet: cannot listen on {}: {e}", f.bind))?)
             }
             (None, _) => None,
--- a/crates/node/src/life/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -1,9 +1,9 @@
 //! Opens the store at the start, and has the core take over what it holds.
 
-use super::operator::{OnDamage, Store};
+use crate::config::operator::{OnDamage, Store};
 use crate::log::log;
 use crate::net::hub::Shared;
-use crate::net::store;
+use crate::net::idempotency_store;
 use async_executor::LocalExecutor;
 use pipitlever_admission::Micros;
 use pipitlever_core::durable::Durable;
@@ -92,7 +92,7 @@
             hub.remember(durable, self.found.keys, salt);
         }
         executor
-            .spawn(store::batches(hub.clone(), writer, done))
+            .spawn(idempotency_store::batches(hub.clone(), writer, done))
             .detach();
         Ok(())
     }
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod disk;
 
-use super::hub::Shared;
 use crate::log::log;
+use crate::net::hub::Shared;
 use async_channel::{Receiver, Sender};
 use disk::{Done, Job};
 use pipitlever_config_versions::floor::{Saved, Unknown};
--- a/crates/node/src/net/places.rs
+++ b/crates/node/src/net/connections.rs
@@ -1,8 +1,8 @@
 //! The fronts' connections, as far as they are kept in memory: who is connected, what is open, what
 //! waits to be written. Places are few, and everything that waits is bounded.
 
-use super::closing::Rest;
-use super::nudge::Nudge;
+use crate::net::graceful_close::Rest;
+use crate::net::notify::Nudge;
 use pipitlever_admission::Micros;
 use pipitlever_core::{Origin, Reference};
 use std::cell::RefCell;
--- a/crates/node/src/net/callers.rs
+++ b/crates/node/src/net/control/connections.rs
@@ -1,8 +1,8 @@
 //! The operators' door as it is kept in memory: who calls, and who has to go when there are too
 //! many.
 
-use super::fleet::Part;
-use super::nudge::Nudge;
+use crate::net::membership::Part;
+use crate::net::notify::Nudge;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/node/src/net/control.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -1,9 +1,11 @@
 //! The operators' door: who calls, and what they are answered.
 
-use super::hub::{Hub, Shared};
-use super::nudge::Nudge;
-use super::{ahead, by, closing};
+pub mod connections;
+
 use crate::log::log;
+use crate::net::hub::{Hub, Shared};
+use crate::net::notify::Nudge;
+use crate::net::{ahead, by, graceful_close};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
@@ -73,7 +75,7 @@
     if matches!(written, Some(Ok(()))) && hub.borrow_mut().callers.may_linger() {
         // What is unread at the close would reset the connection, and could take the answer with
         // it.
-        closing::linger(&stream, LEAVE_MS).await;
+        graceful_close::linger(&stream, LEAVE_MS).await;
         hub.borrow_mut().callers.left();
     }
 }
@@ -103,7 +105,7 @@
         let Asked { call, head } = asked;
         if call == Call::Fleet {
             return match &self.callers.fleet {
-                Some(part) => control::json(out, head, &super::fleet::view(part)),
+                Some(part) => control::json(out, head, &crate::net::membership::view(part)),
                 None => control::wrong(out, Wrong::NotFound),
             };
         }
@@ -183,7 +185,7 @@
         self.callers
             .fleet
             .iter()
-            .for_each(|part| super::fleet::figures(part, &mut text));
+            .for_each(|part| crate::net::membership::figures(part, &mut text));
         text
     }
 }
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,11 +1,11 @@
 //! The fronts: accept connections and carry what is said on them, lines of gateways or uwsgi
 //! packets.
 
-use super::closing::{self, End};
-use super::hub::Shared;
-use super::nudge::Nudge;
-use super::places::{Front, Outbox, Place};
-use super::{ahead, by};
+use crate::net::connections::{Front, Outbox, Place};
+use crate::net::graceful_close::{self, End};
+use crate::net::hub::Shared;
+use crate::net::notify::Nudge;
+use crate::net::{ahead, by};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
@@ -107,21 +107,21 @@
         while hub.borrow().places.in_use(id) && !hub.borrow().closing() {
             future::or(wanted.wait(), idle(&hub, id)).await;
         }
-        closing::retire(&hub, id, &stream).await
+        graceful_close::retire(&hub, id, &stream).await
     };
     // The idle one first: it closes what the writer waits for, and knows that the peer has read
     // all.
     let end = future::or(unused, future::or(reading, writing)).await;
     let bound_ms = match end {
-        End::Said => Some(closing::LINGER_MS),
-        End::Idle => Some(closing::LINGER_IDLE_MS),
+        End::Said => Some(graceful_close::LINGER_MS),
+        End::Idle => Some(graceful_close::LINGER_IDLE_MS),
         End::Peer | End::Stuck => None,
     };
     let lingering =
         bound_ms.and_then(|bound_ms| Some((hub.borrow_mut().places.linger(id)?, bound_ms)));
     hub.borrow_mut().disconnected(id);
     if let Some((lingering, bound_ms)) = lingering {
-        closing::linger(&stream, bound_ms).await;
+        graceful_close::linger(&stream, bound_ms).await;
         drop(stream);
         hub.borrow_mut().places.lingered(lingering);
     }
--- a/crates/node/src/net/closing.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -11,8 +11,8 @@
 //!
 //! Nothing that is read after the half-close is acted on: its answer could not be written any more.
 
-use super::hub::Shared;
-use super::{ahead, by};
+use crate::net::hub::Shared;
+use crate::net::{ahead, by};
 use pipitlever_reactor::{Async, Timer};
 use std::io::ErrorKind;
 use std::net::{Shutdown, TcpStream};
--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -1,15 +1,15 @@
 //! Where the drivers meet the core: who is connected, what is to be written, what the core is told.
 
-use super::callers::Callers;
-use super::calls::{Calls, ToPost};
-use super::clock::Clock;
-use super::closing::Rest;
-use super::link::{Link, Told};
-use super::nudge::Nudge;
-use super::places::{Front, Place, Places};
-use super::pools::{Job, Pools, Put};
-use super::routes::{Backend, Named, Uwsgi};
 use crate::log::log;
+use crate::net::clock::Clock;
+use crate::net::connections::{Front, Place, Places};
+use crate::net::control::connections::Callers;
+use crate::net::graceful_close::Rest;
+use crate::net::ledger::calls::{Calls, ToPost};
+use crate::net::notify::Nudge;
+use crate::net::processor::connection::{Link, Told};
+use crate::net::workers::pools::{Job, Pools, Put};
+use crate::net::workers::routes::{Backend, Named, Uwsgi};
 use pipitlever_admission::{Idempotency, Micros, Outcome, Settings};
 use pipitlever_core::counters::Files;
 use pipitlever_core::durable::Durable;
--- a/crates/node/src/net/store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -1,6 +1,6 @@
 //! Carries batches to the store's writer, one at a time, and what comes of them back.
 
-use super::hub::Shared;
+use crate::net::hub::Shared;
 use async_channel::Receiver;
 use pipitlever_idempotency_store::disk::Thread;
 
--- a/crates/node/src/net/calls.rs
+++ b/crates/node/src/net/ledger/calls.rs
@@ -1,6 +1,6 @@
 //! The calls to the ledger, as far as they are kept in memory.
 
-use super::nudge::Nudge;
+use crate::net::notify::Nudge;
 use pipitlever_admission::Micros;
 use pipitlever_core::Reference;
 use pipitlever_reactor::Async;
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -1,9 +1,11 @@
 //! Calls to the layer below: a small pool of connections, each with one call at a time, so that a
 //! spoilt reply costs the call that it belongs to and no other.
 
-use super::calls::{Idle, ToPost};
-use super::hub::Shared;
-use super::{ahead, by};
+pub mod calls;
+
+use crate::net::hub::Shared;
+use crate::net::ledger::calls::{Idle, ToPost};
+use crate::net::{ahead, by};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_admission::Outcome;
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -1,14 +1,14 @@
 //! The node's part in the fleet: datagrams, connections and timers for what `pipitlever-fleet`
 //! decides. Only with `[fleet]`.
 
-use super::clock::Clock;
-use super::hub::Shared;
-use super::nudge::Nudge;
-use super::sessions::{Looked, Sessions};
-use super::share::{Apart, Sharing};
-use super::versions::{self, Act, Versions};
-use super::{ahead, by};
 use crate::log::log;
+use crate::net::clock::Clock;
+use crate::net::config_versions::{self, Act, Versions};
+use crate::net::hub::Shared;
+use crate::net::notify::Nudge;
+use crate::net::session_affinity::{Looked, Sessions};
+use crate::net::subsetting::{Apart, Sharing};
+use crate::net::{ahead, by};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
@@ -28,11 +28,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-mod door;
+mod control;
 mod loops;
 mod settings;
 
-pub use door::{figures, view};
+pub use control::{figures, view};
 use loops::{connections, datagrams, dials, wakes};
 pub use settings::{Settings, Sockets};
 
--- a/crates/node/src/net/fleet/settings.rs
+++ b/crates/node/src/net/membership/settings.rs
@@ -18,7 +18,7 @@
     /// Times and bounds.
     pub rules: Rules,
     /// Versions of the settings, if the fleet decides them.
-    pub versions: Option<versions::Settings>,
+    pub versions: Option<config_versions::Settings>,
     /// What a node keeps to of a pool that is shared while it may be cut off.
     pub apart: Apart,
 }
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,27 +1,22 @@
 //! Thin drivers on smol's executor and the reactor: they read, write and wait; what it means is
 //! decided in `wire` and `core`.
 
-pub mod callers;
-pub mod calls;
 pub mod clock;
-pub mod closing;
+pub mod config_versions;
+pub mod connections;
 pub mod control;
-pub mod fleet;
 pub mod front;
-pub mod handover;
+pub mod graceful_close;
+pub mod hot_restart;
 pub mod hub;
+pub mod idempotency_store;
 pub mod ledger;
-pub mod link;
 pub mod membership;
-pub mod nudge;
-pub mod places;
-pub mod pools;
+pub mod notify;
 pub mod processor;
-pub mod routes;
-pub mod sessions;
-pub mod share;
-pub mod store;
-pub mod versions;
+pub mod registry;
+pub mod session_affinity;
+pub mod subsetting;
 pub mod workers;
 
 use futures_lite::future;
--- a/crates/node/src/net/link.rs
+++ b/crates/node/src/net/processor/connection.rs
@@ -1,7 +1,7 @@
 //! The link to the processor, as far as it is kept in memory: what waits, what is written, what may
 //! be lost.
 
-use super::nudge::Nudge;
+use crate::net::notify::Nudge;
 use pipitlever_admission::Micros;
 use pipitlever_core::{Core, Reference};
 use pipitlever_wire::processor;
--- a/crates/node/src/net/processor.rs
+++ b/crates/node/src/net/processor/mod.rs
@@ -1,8 +1,10 @@
 //! The link to the processor: held open, set up again whenever it breaks.
 
-use super::hub::Shared;
-use super::{ahead, by};
+pub mod connection;
+
 use crate::log::log;
+use crate::net::hub::Shared;
+use crate::net::{ahead, by};
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::processor::Processor;
--- a/crates/node/src/net/membership.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,7 +1,7 @@
 //! Reports to the membership service, well inside the 3 s after which it drops a silent node.
 
-use super::hub::Shared;
-use super::{ahead, by};
+use crate::net::hub::Shared;
+use crate::net::{ahead, by};
 use pipitlever_wire::membership::report;
 use std::net::{SocketAddr, UdpSocket};
 
--- a/crates/node/src/net/sessions.rs
+++ b/crates/node/src/net/session_affinity.rs
@@ -2,9 +2,9 @@
 //! and what `pipitlever-affinity` decides travels in the fleet's datagrams. Only with
 //! `[pool.affinity]`.
 
-use super::hub::Shared;
-use super::routes::Named;
 use crate::log::log;
+use crate::net::hub::Shared;
+use crate::net::workers::routes::Named;
 use async_channel::Sender;
 use pipitlever_load_balancing::pool::Use;
 use pipitlever_membership::Fleet;
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -2,10 +2,10 @@
 //! what `pipitlever-share` decides, and what comes of it to the pools. Only with `share = true` on
 //! a pool.
 
-use super::hub::Shared;
-use super::pools::{divided, Parts};
-use super::routes::Named;
 use crate::log::log;
+use crate::net::hub::Shared;
+use crate::net::workers::pools::{divided, Parts};
+use crate::net::workers::routes::Named;
 use pipitlever_membership::record::State;
 use pipitlever_membership::Fleet;
 use pipitlever_subsetting::node::{Member, Node, Pool, Times};
@@ -58,7 +58,7 @@
         .filter(|(m, _)| divided(m));
     let worker = |(m, label): (
         &pipitlever_load_balancing::pool::Member<SocketAddr>,
-        &super::routes::Label,
+        &crate::net::workers::routes::Label,
     )| Worker {
         name: label.name.clone(),
         zone: label.zone.clone(),
--- a/crates/node/src/net/workers.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -1,10 +1,13 @@
 //! Runs on uwsgi workers: a connection a run, closed by its end. The pool says which worker, and
 //! whether a run may be tried on another one.
 
-use super::by;
-use super::hub::Shared;
-use super::pools::Job;
-use super::sessions::Looked;
+pub mod pools;
+pub mod routes;
+
+use crate::net::by;
+use crate::net::hub::Shared;
+use crate::net::session_affinity::Looked;
+use crate::net::workers::pools::Job;
 use async_executor::LocalExecutor;
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::End;
--- a/crates/node/src/net/pools.rs
+++ b/crates/node/src/net/workers/pools.rs
@@ -1,9 +1,9 @@
 //! The pools of workers as the node has them: their names, which takes over for which, the runs
 //! that wait for their driver.
 
-use super::nudge::Nudge;
-use super::routes::{Label, Named};
 use crate::log::log;
+use crate::net::notify::Nudge;
+use crate::net::workers::routes::{Label, Named};
 use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::Reference;
