--- a/crates/subsetting/mutants.sh
+++ b/crates/subsetting/mutants.sh
@@ -21,6 +21,6 @@
 mutant 'who died found it well' $src/turn.rs '!now.contains(&name) && here(name)' '!now.contains(&name)' $unit
 mutant 'two things are told at once' $src/node.rs 'let may = now > self.told_at' 'let may = true || now > self.told_at' $unit
 mutant 'a word costs nothing' $src/demand.rs 'self.tokens -= 1.0;' '' $unit
-mutant 'a process that stood still goes on' crates/node/src/net/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
-mutant 'nobody waits for its turn' crates/node/src/net/share.rs 'node.turn(i, worker) == Turn::Behind' 'false' $processes subsets
+mutant 'a process that stood still goes on' crates/node/src/net/workers/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
+mutant 'nobody waits for its turn' crates/node/src/net/subsetting.rs 'node.turn(i, worker) == Turn::Behind' 'false' $processes subsets
 exit "$missed"
