--- a/crates/hot-restart/tests/protocol.rs
+++ b/crates/hot-restart/tests/protocol.rs
@@ -196,29 +196,52 @@
     );
 }
 
+/// A successor that has received the sockets, the keys and the right to serve, as far as `phase`.
+fn successor_in(phase: successor::Phase) -> Successor {
+    let mut successor = Successor::connecting();
+    for message in all_messages() {
+        if successor.phase() == successor::Phase::Prepare && phase != successor::Phase::Prepare {
+            successor.handle_ready();
+        }
+        if successor.phase() == phase {
+            break;
+        }
+        // Messages of other phases and of the other side are rejected.
+        let _ = successor.handle_message(message);
+    }
+    assert_eq!(successor.phase(), phase);
+    successor
+}
+
+fn snapshot_complete() -> Message {
+    Message::SnapshotComplete {
+        is_standby: true,
+        memory_share: 0.5,
+    }
+}
+
+fn yielded() -> Message {
+    Message::Yielded {
+        membership: Some(vec![7; 40]),
+    }
+}
+
 #[test]
-fn successor_serves_only_with_all_keys_and_classifies_a_loss_by_phase() {
+fn successor_serves_only_with_all_keys() {
     use successor::{Action, Phase};
-    let [welcome, _, in_progress, .., snapshot_complete, _, yielded] = &all_messages()[..] else {
-        panic!("all messages are in the list")
-    };
     let mut successor = Successor::connecting();
     assert!(!successor.handle_ready(), "no sockets yet");
     assert_eq!(
-        successor.handle_message(snapshot_complete.clone()),
+        successor.handle_message(snapshot_complete()),
         Err(UnexpectedMessage(Phase::Connect))
     );
-    assert_eq!(
-        successor.handle_disconnect(false),
-        ConnectionLoss::NoPredecessor
-    );
-    let mut successor = Successor::connecting();
+    let welcome = all_messages().swap_remove(0);
     assert!(matches!(
-        successor.handle_message(welcome.clone()),
+        successor.handle_message(welcome),
         Ok(Action::AdoptSockets(_))
     ));
     assert_eq!(
-        successor.handle_message(snapshot_complete.clone()),
+        successor.handle_message(snapshot_complete()),
         Err(UnexpectedMessage(Phase::Prepare)),
         "the keys were not requested"
     );
@@ -226,65 +249,62 @@
         successor.handle_ready() && !successor.handle_ready(),
         "requested once"
     );
-    assert!(matches!(
-        successor.handle_message(in_progress.clone()),
-        Ok(Action::ApplyKey(_))
-    ));
     assert_eq!(
-        successor.handle_message(yielded.clone()),
+        successor.handle_message(yielded()),
         Err(UnexpectedMessage(Phase::Freeze)),
         "not all keys were received"
     );
-    assert!(successor.must_check_exit());
-    assert_eq!(
-        [
-            { successor }.handle_disconnect(true),
-            { successor }.handle_disconnect(false)
-        ],
-        [ConnectionLoss::KeysIncomplete, ConnectionLoss::Abort]
-    );
     assert_eq!(
-        successor.handle_message(snapshot_complete.clone()),
+        successor.handle_message(snapshot_complete()),
         Ok(Action::ConfirmSnapshot {
             is_standby: true,
             memory_share: 0.5
         })
     );
-    assert!(matches!(
-        successor.handle_message(in_progress.clone()),
-        Ok(Action::ApplyKey(_))
-    ));
     assert_eq!(
-        successor.handle_message(snapshot_complete.clone()),
+        successor.handle_message(snapshot_complete()),
         Err(UnexpectedMessage(Phase::Transfer))
     );
     assert_eq!(
-        [
-            { successor }.handle_disconnect(true),
-            { successor }.handle_disconnect(false)
-        ],
-        [ConnectionLoss::KeysComplete, ConnectionLoss::Abort]
-    );
-    assert_eq!(
-        successor.handle_message(yielded.clone()),
+        successor.handle_message(yielded()),
         Ok(Action::Serve {
             membership: Some(vec![7; 40])
         })
     );
-    assert!(matches!(
-        successor.handle_message(in_progress.clone()),
-        Ok(Action::ApplyKey(_))
-    ));
-    assert!(
-        !successor.must_check_exit(),
-        "it serves, whether the predecessor is alive or not"
-    );
-    assert_eq!(
-        successor.handle_disconnect(false),
-        ConnectionLoss::KeysComplete
-    );
-    assert_eq!(
-        successor.handle_disconnect(true),
-        ConnectionLoss::NoPredecessor
-    );
+    assert_eq!(successor.phase(), Phase::Mirror);
+}
+
+#[test]
+fn successor_applies_key_changes_from_freeze_on() {
+    use successor::{Action, Phase};
+    for phase in [Phase::Freeze, Phase::Transfer, Phase::Mirror] {
+        let mut successor = successor_in(phase);
+        assert!(matches!(
+            successor.handle_message(key(KeyState::InProgress)),
+            Ok(Action::ApplyKey(_))
+        ));
+        assert_eq!(successor.phase(), phase);
+    }
+}
+
+#[test]
+fn successor_classifies_the_loss_of_its_predecessor_by_phase() {
+    use successor::Phase;
+    use ConnectionLoss::{Abort, KeysComplete, KeysIncomplete, NoPredecessor};
+    let cases = [
+        (Phase::Connect, false, [NoPredecessor, NoPredecessor]),
+        (Phase::Prepare, true, [KeysIncomplete, Abort]),
+        (Phase::Freeze, true, [KeysIncomplete, Abort]),
+        (Phase::Transfer, true, [KeysComplete, Abort]),
+        // It serves, whether the predecessor is alive or not.
+        (Phase::Mirror, false, [KeysComplete, KeysComplete]),
+    ];
+    for (phase, must_check_exit, [exited, alive]) in cases {
+        let mut successor = successor_in(phase);
+        assert_eq!(successor.must_check_exit(), must_check_exit, "{phase:?}");
+        assert_eq!({ successor }.handle_disconnect(false), alive, "{phase:?}");
+        assert_eq!(successor.handle_disconnect(true), exited, "{phase:?}");
+        assert_eq!(successor.phase(), Phase::Standalone);
+        assert_eq!(successor.handle_disconnect(true), NoPredecessor);
+    }
 }
