--- /dev/null
+++ b/crates/core/src/availability.rs
@@ -0,0 +1,55 @@
+//! What the node advertises: health, load level, standby, and how long its configuration is valid.
+
+use pipitlever_admission::Micros;
+
+/// The advertised state of a node.
+#[derive(Debug)]
+pub(crate) struct Availability {
+    /// The load level sent with every answer, once the controller has given one.
+    pub(crate) load_level: Option<f64>,
+    /// The controller's result for health checks.
+    pub(crate) is_healthy: bool,
+    /// Operators have set the node to standby: health checks fail, requests are still served.
+    pub(crate) is_standby: bool,
+    /// The version of the settings may be stale from this time on: no request is admitted or
+    /// started.
+    pub(crate) configuration_expiry: Micros,
+    /// How long a connection may be idle, in microseconds.
+    pub(crate) idle_timeout: Micros,
+    /// The node continues in another process: the shutdown of this one is not the node's.
+    pub(crate) is_superseded: bool,
+}
+
+impl Availability {
+    /// The state before the controller has started.
+    pub(crate) fn new(idle_timeout: Micros) -> Availability {
+        Availability {
+            load_level: None,
+            is_healthy: false,
+            is_standby: false,
+            configuration_expiry: Micros::MAX,
+            idle_timeout,
+            is_superseded: false,
+        }
+    }
+
+    /// Whether the configuration may be stale, so that no request may be admitted or started.
+    pub(crate) fn is_configuration_expired(&self, now: Micros) -> bool {
+        now >= self.configuration_expiry
+    }
+
+    /// The result of health checks.
+    pub(crate) fn passes_health_checks(&self, now: Micros) -> bool {
+        self.is_healthy && !self.is_standby && !self.is_configuration_expired(now)
+    }
+
+    /// The delay to advise to a rejected caller. A process whose node continues in another one
+    /// advises none.
+    pub(crate) fn advised_delay(&self, delay: Micros) -> Micros {
+        if self.is_superseded {
+            0
+        } else {
+            delay
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/configuration.rs
@@ -0,0 +1,137 @@
+//! Start of the controller, and changes of its settings, classes and limits.
+
+use crate::class_table::ClassAssignment;
+use crate::core::{Core, MIN_CALL_INTERVAL};
+use crate::gauges::GaugeSource;
+use crate::memory_limits::MemoryLimits;
+use pipitlever_admission::{Class, Micros, Settings};
+use std::rc::Rc;
+
+impl Core {
+    /// Starts the controller of a node without a processor: all runs go to workers.
+    pub fn start_without_processor(&mut self, now: Micros) {
+        self.gauges = GaugeSource::RunCount;
+        self.start(now, now, false);
+    }
+
+    /// Starts the controller, given when the processor started and whether it is cold. Later
+    /// connections to the processor have no effect.
+    pub fn start(&mut self, now: Micros, processor_started_at: Micros, is_cold: bool) {
+        if self.admission.is_started() {
+            return;
+        }
+        self.settings.is_cold |= is_cold;
+        self.admission.start(self.controller_settings());
+        // The controller counts the warm-up time from its first step.
+        self.step(processor_started_at.min(now), &[]);
+        self.step(now, &[]);
+    }
+
+    /// Replaces the settings; whether anything has changed for the controller.
+    ///
+    /// The classes have these names and the indexes of [`crate::ClassTable::assign`]. Open requests
+    /// keep the class that they arrived with. `call_interval` is as in [`Core::new`].
+    pub fn reconfigure(
+        &mut self,
+        mut settings: Settings,
+        call_interval: Micros,
+        class_names: &[Rc<str>],
+        assignments: &[ClassAssignment],
+    ) -> bool {
+        let previous = (self.settings.clone(), self.classes.active());
+        self.classes.apply(class_names, assignments);
+        let new_classes = std::mem::take(&mut settings.classes);
+        let mut classes = std::mem::take(&mut self.settings.classes);
+        for (class, assignment) in new_classes.into_iter().zip(assignments) {
+            match classes.get_mut(assignment.index) {
+                Some(existing) => *existing = class,
+                None => classes.push(class),
+            }
+        }
+        let deadlines = classes.iter().map(|class| class.deadline);
+        self.keys.raise_read_delay(deadlines.max().unwrap_or(0));
+        self.settings = Settings {
+            classes,
+            is_cold: self.settings.is_cold,
+            ..settings
+        };
+        self.call_interval = call_interval.max(MIN_CALL_INTERVAL);
+        if (&self.settings, self.classes.active()) == (&previous.0, previous.1) {
+            return false;
+        }
+        let active: Vec<_> = assignments
+            .iter()
+            .map(|assignment| (assignment.index, assignment.previous))
+            .collect();
+        self.reconfigure_controller(&active);
+        true
+    }
+
+    /// Sets the limits of this process beside another one of the node, which leaves it this share
+    /// of the processor's memory and half of the concurrency; none if there is no other process.
+    pub fn set_memory_share(&mut self, share: Option<f64>, limits: MemoryLimits) {
+        self.key_transfer.memory_share = share;
+        self.requests.set_max_bytes(limits.requests);
+        self.keys.set_max_bytes(limits.keys);
+        let active: Vec<_> = self
+            .classes
+            .active()
+            .into_iter()
+            .map(|index| (index, Some(index)))
+            .collect();
+        self.reconfigure_controller(&active);
+    }
+
+    /// The time after the shutdown notice in which arriving requests may still be run, in
+    /// microseconds.
+    pub fn drain_grace(&self) -> Micros {
+        self.settings.safety.drain_grace.max(0)
+    }
+
+    /// The longest deadline of the active classes, in microseconds.
+    pub fn longest_deadline(&self) -> Micros {
+        let deadlines = self
+            .classes
+            .active()
+            .into_iter()
+            .map(|index| self.settings.classes[index].deadline);
+        deadlines.max().unwrap_or(0)
+    }
+
+    /// The definition of the class at an index.
+    pub fn class(&self, index: usize) -> &Class {
+        &self.settings.classes[index]
+    }
+
+    /// Whether requests of the class at an index are open.
+    pub fn is_class_in_use(&self, index: usize) -> bool {
+        self.requests
+            .iter()
+            .any(|request| request.incoming.class == index)
+    }
+
+    /// Passes the settings to the controller, with the indexes of the active classes and of the
+    /// classes that they replace.
+    fn reconfigure_controller(&mut self, active: &[(usize, Option<usize>)]) {
+        let settings = self.controller_settings();
+        if let Some(controller) = self.admission.controller_mut() {
+            controller.reconfigure(settings, active);
+        }
+    }
+
+    /// The settings as the controller gets them: this process's share of the node's.
+    fn controller_settings(&self) -> Settings {
+        let mut settings = self.settings.clone();
+        // There is no command to continue a run without its call, so the controller must not skip
+        // one.
+        for class in &mut settings.classes {
+            class.skip_call_weight = 0.0;
+        }
+        if let Some(share) = self.key_transfer.memory_share {
+            settings.memory_kb *= share;
+            let concurrency = &mut settings.safety.max_concurrency_per_core;
+            *concurrency = (*concurrency / 2.0).max(1.0);
+        }
+        settings
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/durability.rs
@@ -0,0 +1,296 @@
+//! Keyed runs of a node with a store: a run starts once its intent is on the disk, and its outcome
+//! is written.
+//!
+//! The decisions are those of [`pipitlever_idempotency_store::gate`] and
+//! [`pipitlever_idempotency_store::recovery`].
+
+use crate::core::runs::FinishedRun;
+use crate::core::{Core, OVERLOAD_RETRY_AFTER};
+use crate::effect::RunOutcome;
+use crate::idempotency_table::{CachedOutcome, RestoredKey};
+use crate::request::Reference;
+use crate::run_store::{EndedRun, RunStore, StoreUsage};
+use pipitlever_admission::{Micros, RequestId};
+use pipitlever_capture::record::By;
+use pipitlever_idempotency_store::gate;
+use pipitlever_idempotency_store::log::Batch;
+use pipitlever_idempotency_store::record::{self, Intent};
+use pipitlever_idempotency_store::recovery::Recovered;
+use std::rc::Rc;
+
+/// A stored entry outlasts its window and the read delay by this time, in which the last reader
+/// answers.
+const STORE_LINGER: Micros = 1_000_000;
+/// Capacity that the buffer of gate events keeps after a burst.
+const RETAINED_EVENTS: usize = 256;
+
+impl Core {
+    /// Connects a store, with the keys that it has brought over a restart; their windows end on the
+    /// node's clock. To be called before any request arrives.
+    pub fn attach_store(&mut self, mut store: RunStore, recovered: Vec<Recovered>) {
+        for key in recovered {
+            self.restore_recovered(&mut store, key);
+        }
+        self.store = Some(Box::new(store));
+    }
+
+    fn restore_recovered(&mut self, store: &mut RunStore, recovered: Recovered) {
+        let Recovered {
+            intent,
+            until: window_end,
+            kept,
+        } = recovered;
+        let key: Rc<str> = Rc::from(&*intent.key);
+        let outcome = match kept {
+            Some(record::Kept::Served(result)) => CachedOutcome::Served(Rc::from(result)),
+            Some(record::Kept::Failed) => CachedOutcome::Failed,
+            None => {
+                // A processor that outlived the process may still report the end of the run.
+                let linger = self.keys.read_delay() + STORE_LINGER;
+                let uptime = window_end + linger + store.uptime_offset;
+                if store.gate.adopt(intent.reference, intent.id, uptime) {
+                    store.earlier_runs.insert(intent.reference, key.clone());
+                }
+                CachedOutcome::Unknown { window_end }
+            }
+        };
+        // The owner's number is not known to the controller, which is fine: a duplicate is answered
+        // from the table whatever became of its original.
+        let owner = self.requests.allocate_id();
+        self.keys.restore(RestoredKey {
+            key: &key,
+            owner,
+            payload_digest: intent.payload,
+            window_end,
+            outcome: Some(outcome),
+        });
+    }
+
+    /// Whether the store rejects new keys: the reason for a capture, and the delay to advise, in
+    /// microseconds.
+    pub(super) fn check_store(&self, now: Micros) -> Option<(By, Micros)> {
+        let store = self.store.as_ref()?;
+        let rejection = match store.gate.refuses(now)? {
+            gate::Why::Full => (By::StoreFull, OVERLOAD_RETRY_AFTER),
+            gate::Why::Failing | gate::Why::Slow => (By::Store, OVERLOAD_RETRY_AFTER),
+            gate::Why::Damaged => {
+                let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
+                let remaining = store.damage_ends_at - now;
+                (By::Store, remaining.clamp(OVERLOAD_RETRY_AFTER, longest))
+            }
+        };
+        Some(rejection)
+    }
+
+    /// Writes the intent of a keyed run, which is dispatched once that is on the disk. Returns
+    /// whether there is a store.
+    pub(super) fn write_intent(&mut self, id: RequestId) -> bool {
+        let (Some(store), Some(request)) = (&mut self.store, self.requests.get(id)) else {
+            return false;
+        };
+        let incoming = &request.incoming;
+        let linger = self.keys.read_delay() + STORE_LINGER;
+        let window = self.settings.classes[incoming.class].idempotency_window;
+        let intent = Intent {
+            // The gate assigns it.
+            id: 0,
+            reference: incoming.reference,
+            key: incoming.idempotency_key.as_deref().unwrap_or("").to_owned(),
+            class: self.classes.name(incoming.class).to_owned(),
+            payload: incoming.payload_digest,
+            arrived: incoming.arrived_at,
+            window,
+            over: incoming.arrived_at + window + linger + store.uptime_offset,
+            linger,
+        };
+        store.gate.intent(self.now, intent, &mut store.events);
+        true
+    }
+
+    /// Handles the events of the gate. What follows for the controller is left pending.
+    pub(super) fn process_store_events(&mut self) {
+        loop {
+            let Some(store) = &mut self.store else {
+                return;
+            };
+            if store.events.is_empty() {
+                return;
+            }
+            let mut events = std::mem::take(&mut store.events);
+            for event in events.drain(..) {
+                self.handle_store_event(event);
+            }
+            events.shrink_to(RETAINED_EVENTS);
+            if let Some(store) = &mut self.store {
+                // Handling the events may have led to further ones.
+                events.append(&mut store.events);
+                store.events = events;
+            }
+        }
+    }
+
+    fn handle_store_event(&mut self, event: gate::Event) {
+        match event {
+            gate::Event::Begin(reference) => self.handle_intent_written(reference),
+            gate::Event::Never(reference) => {
+                if let Some(id) = self.requests.id_of(reference) {
+                    self.finish_run(id, FinishedRun::not_started(), By::Store);
+                }
+            }
+            gate::Event::Kept(reference) => {
+                let store = self.store.as_mut();
+                let ended = store.and_then(|store| store.ended_runs.remove(&reference));
+                let (Some(ended), Some(id)) = (ended, self.requests.id_of(reference)) else {
+                    return;
+                };
+                let run = FinishedRun {
+                    outcome: RunOutcome::Completed,
+                    elapsed: ended.elapsed,
+                    result: ended.result,
+                };
+                self.finish_run(id, run, By::Run);
+            }
+        }
+    }
+
+    /// Dispatches a run whose intent is on the disk, if its outcome is still of use.
+    fn handle_intent_written(&mut self, reference: Reference) {
+        let id = self.requests.id_of(reference);
+        let request = id.and_then(|id| self.requests.get(id));
+        let (Some(id), Some(request)) = (id, request) else {
+            return self.void_intent(reference);
+        };
+        let key = request.incoming.idempotency_key.as_deref();
+        let entry = self.keys.owned_entry(key.unwrap_or_default(), id);
+        let has_waiting = entry.is_some_and(|entry| !entry.waiting.is_empty());
+        if request.origin.is_some() || has_waiting {
+            return self.dispatch_run(id);
+        }
+        self.void_intent(reference);
+        self.finish_run(id, FinishedRun::not_started(), By::Store);
+    }
+
+    fn void_intent(&mut self, reference: Reference) {
+        if let Some(store) = &mut self.store {
+            store.gate.void(reference);
+        }
+    }
+
+    /// Writes the outcome of a keyed run; whether its answer has to wait for that.
+    pub(super) fn write_outcome(&mut self, reference: Reference, run: &FinishedRun) -> bool {
+        let Some(store) = &mut self.store else {
+            return false;
+        };
+        if store.ended_runs.contains_key(&reference) {
+            return true;
+        }
+        let outcome = match run.outcome {
+            RunOutcome::NotStarted => {
+                store.gate.void(reference);
+                return false;
+            }
+            RunOutcome::Completed if run.result.len() <= self.keys.max_result_bytes() => {
+                CachedOutcome::Served(run.result.clone())
+            }
+            _ => CachedOutcome::Failed,
+        };
+        let answer_waits = store.write_outcome(reference, &outcome);
+        if answer_waits {
+            let ended = EndedRun {
+                elapsed: run.elapsed,
+                result: run.result.clone(),
+            };
+            store.ended_runs.insert(reference, ended);
+        }
+        answer_waits
+    }
+
+    /// Handles the end of a run that an earlier process started: duplicates of its key get the
+    /// outcome from now on.
+    pub(super) fn finish_earlier_run(
+        &mut self,
+        reference: Reference,
+        outcome: RunOutcome,
+        result: &Rc<[u8]>,
+    ) {
+        let Some(store) = &mut self.store else {
+            return;
+        };
+        let Some(key) = store.earlier_runs.remove(&reference) else {
+            return;
+        };
+        let outcome = match outcome {
+            RunOutcome::NotStarted => {
+                store.gate.void(reference);
+                self.keys.remove(&key);
+                return;
+            }
+            RunOutcome::Completed if result.len() <= self.keys.max_result_bytes() => {
+                CachedOutcome::Served(result.clone())
+            }
+            _ => CachedOutcome::Failed,
+        };
+        store.write_outcome(reference, &outcome);
+        self.keys.replace_outcome(&key, outcome);
+    }
+
+    /// Whether the store has a run of this reference whose end it does not know.
+    pub(super) fn store_contains(&self, reference: Reference) -> bool {
+        self.store
+            .as_ref()
+            .is_some_and(|store| store.gate.knows(reference))
+    }
+
+    /// Whether a store remembers keyed runs.
+    pub fn has_store(&self) -> bool {
+        self.store.is_some()
+    }
+
+    /// The next batch for the store's writer, if it should write one now.
+    pub fn next_store_batch(&mut self, now: Micros) -> Option<Batch> {
+        self.store.as_mut()?.gate.batch(now)
+    }
+
+    /// Handles the result of the writer's last batch: the bytes in use on the disk, or an error.
+    pub fn handle_store_result(&mut self, now: Micros, result: Result<u64, String>) {
+        self.advance_to(now);
+        let Some(store) = &mut self.store else {
+            return;
+        };
+        store.gate.done(now, result, &mut store.events);
+        self.process_store_events();
+        self.process_pending(now);
+    }
+
+    /// Rejects requests that have waited for the store for too long.
+    pub(super) fn handle_store_timeouts(&mut self, now: Micros) {
+        self.advance_to(now);
+        let Some(store) = &mut self.store else {
+            return;
+        };
+        let uptime = now + store.uptime_offset;
+        store.gate.tick(now, uptime, &mut store.events);
+        self.process_store_events();
+        self.process_pending(now);
+    }
+
+    /// When [`Core::handle_store_timeouts`] is next due.
+    pub(super) fn next_store_timeout(&self) -> Option<Micros> {
+        self.store.as_ref()?.gate.next_wake(self.now)
+    }
+
+    /// A log line, whenever the store has started or stopped to accept keys.
+    pub fn store_status_change(&mut self, now: Micros) -> Option<String> {
+        self.store.as_mut()?.gate.note(now)
+    }
+
+    /// Whether all records are on the disk.
+    pub fn is_store_idle(&self) -> bool {
+        self.store.as_ref().is_none_or(|store| store.gate.idle())
+    }
+
+    /// The disk usage of the store, if there is one.
+    pub fn store_usage(&self) -> Option<StoreUsage> {
+        self.store.as_ref().map(|store| store.usage())
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/hot_restart.rs
@@ -0,0 +1,168 @@
+//! Transfer of idempotency keys between two processes of a node, and the limits that they share.
+//!
+//! `docs/hot-restart.md` describes the phases.
+
+use crate::core::Core;
+use crate::effect::Answer;
+use crate::idempotency_table::{CachedOutcome, RestoredKey};
+use pipitlever_admission::Micros;
+use pipitlever_hot_restart::key_authority::UnknownKeyDecision;
+use pipitlever_hot_restart::message::{KeyEntry, KeyState, Message, MAX_RESULT_BYTES};
+use std::rc::Rc;
+
+/// The share of its memory that the controller reserves at most.
+const RESERVABLE_SHARE: f64 = 0.9;
+/// The share of the processor's memory that a process keeps beside another one at the least.
+const MIN_MEMORY_SHARE: f64 = 0.5;
+
+impl Core {
+    /// Starts the transfer of keys to a successor, which has the authority over unknown keys from
+    /// now on.
+    pub fn freeze_keys(&mut self) {
+        self.key_transfer.authority.set_remote(true);
+        self.keys.record_updates(true);
+    }
+
+    /// Ends the transfer, after the successor has exited without having served.
+    pub fn unfreeze_keys(&mut self) {
+        self.key_transfer.authority.set_remote(false);
+        self.keys.record_updates(false);
+    }
+
+    /// Handles the death of the other process with keys that are not known here: until their
+    /// windows end, runs of unknown keys may have been started there.
+    pub fn distrust_unknown_keys(&mut self, now: Micros) {
+        self.keys.record_updates(false);
+        let windows = self.settings.classes.iter().map(|c| c.idempotency_window);
+        let longest_window = windows.max().unwrap_or(0);
+        // A duplicate that arrived within a window may be read as late as its caller waits.
+        let until = now + longest_window + self.keys.read_delay();
+        self.key_transfer.authority.handle_keys_lost(until);
+    }
+
+    /// Whether requests of unknown keys are accepted here.
+    pub fn has_key_authority(&self, now: Micros) -> bool {
+        !self.key_transfer.authority.is_uncertain(now)
+    }
+
+    /// The answer to a request whose key is not known, unless it is handled as a new one.
+    pub(super) fn check_unknown_key(&self, now: Micros, is_retry: bool) -> Option<Answer> {
+        let authority = &self.key_transfer.authority;
+        match authority.decide(now, is_retry, self.retries_are_marked) {
+            UnknownKeyDecision::Accept => None,
+            UnknownKeyDecision::Reject => Some(Answer::rejected(0)),
+            UnknownKeyDecision::Fail => Some(Answer::Failed { timed_out: false }),
+        }
+    }
+
+    /// The next key update for the successor, if there is one. `to_unix` leads from the node's
+    /// clock to Unix time, in microseconds.
+    pub fn next_key_update(&mut self, to_unix: Micros) -> Option<Message> {
+        let (key, entry) = self.keys.next_update()?;
+        let Some(entry) = entry else {
+            return Some(Message::KeyReleased(key.to_string()));
+        };
+        let state = match &entry.outcome {
+            None => KeyState::InProgress,
+            Some(CachedOutcome::Served(result)) if result.len() <= MAX_RESULT_BYTES => {
+                KeyState::Served(result.to_vec())
+            }
+            // Without the result duplicates fail at the successor, and the key is not run again.
+            Some(CachedOutcome::Served(_) | CachedOutcome::Failed) => KeyState::Failed,
+            Some(CachedOutcome::Unknown { .. }) => KeyState::Unknown,
+        };
+        Some(Message::Key(KeyEntry {
+            key: key.to_string(),
+            payload_digest: entry.payload_digest,
+            window_end: entry.window_end.saturating_add(to_unix),
+            state,
+        }))
+    }
+
+    /// Whether there are key updates that the successor has not received.
+    pub fn has_key_updates(&self) -> bool {
+        self.keys.has_updates()
+    }
+
+    /// Applies a key update of the predecessor; `window_end` is on this node's clock.
+    pub fn apply_transferred_key(&mut self, now: Micros, entry: KeyEntry, window_end: Micros) {
+        let key: Rc<str> = Rc::from(&*entry.key);
+        let outcome = match entry.state {
+            KeyState::InProgress => None,
+            KeyState::Served(result) if result.len() <= self.keys.max_result_bytes() => {
+                Some(CachedOutcome::Served(Rc::from(result)))
+            }
+            // A result beyond the limit can be neither passed on nor cached.
+            KeyState::Served(_) | KeyState::Failed => Some(CachedOutcome::Failed),
+            KeyState::Unknown => Some(CachedOutcome::Unknown { window_end }),
+        };
+        if self.key_transfer.in_progress.contains(&key) {
+            if let Some(outcome) = outcome {
+                self.finish_transferred_key(now, &key, outcome);
+            }
+            return;
+        }
+        // An entry of this process, or one whose outcome is known, is not replaced.
+        if self.keys.window_end(&key).is_some() {
+            return;
+        }
+        if outcome.is_none() {
+            self.key_transfer.in_progress.insert(key.clone());
+        }
+        let owner = self.requests.allocate_id();
+        self.keys.restore(RestoredKey {
+            key: &key,
+            owner,
+            payload_digest: entry.payload_digest,
+            window_end,
+            outcome,
+        });
+    }
+
+    /// Handles a key of the predecessor whose run was never started there, and will not be: its
+    /// duplicates become requests of their own.
+    pub fn release_transferred_key(&mut self, now: Micros, key: &str) {
+        let Some(key) = self.key_transfer.in_progress.take(key) else {
+            return;
+        };
+        self.advance_to(now);
+        let entry = self.keys.remove(&key);
+        let waiting = entry.map(|entry| entry.waiting).unwrap_or_default();
+        self.release_waiting(waiting, None);
+        self.process_pending(now);
+    }
+
+    /// Handles the exit of the predecessor: the outcome of keys that were in progress there stays
+    /// unknown.
+    pub fn resolve_orphaned_keys(&mut self, now: Micros) {
+        for key in std::mem::take(&mut self.key_transfer.in_progress) {
+            let window_end = self.keys.window_end(&key).unwrap_or(now);
+            self.finish_transferred_key(now, &key, CachedOutcome::Unknown { window_end });
+        }
+    }
+
+    /// The share of the processor's memory that this process needs beside another one: half, or
+    /// what it already uses.
+    pub fn required_memory_share(&self) -> f64 {
+        let controller = self.admission.controller();
+        let used_kb = controller.map_or(0.0, |controller| controller.status().memory_kb);
+        (used_kb / RESERVABLE_SHARE / self.settings.memory_kb).clamp(MIN_MEMORY_SHARE, 1.0)
+    }
+
+    /// Whether a keyed run goes on whose outcome is not yet known.
+    pub fn has_keyed_runs(&self) -> bool {
+        self.requests
+            .iter()
+            .any(|request| request.incoming.idempotency_key.is_some() && request.is_running())
+    }
+
+    fn finish_transferred_key(&mut self, now: Micros, key: &Rc<str>, outcome: CachedOutcome) {
+        self.key_transfer.in_progress.remove(key);
+        self.advance_to(now);
+        if self.keys.window_end(key).is_none() {
+            return;
+        }
+        self.cache_and_answer_waiting(key, outcome);
+        self.process_pending(now);
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/resend.rs
@@ -0,0 +1,76 @@
+//! Commands to the processor that a lost connection may have swallowed, and rejected commands.
+
+use crate::core::Core;
+use crate::effect::{Answer, RejectedCommand, RunOutcome};
+use crate::request::Reference;
+use pipitlever_admission::{Event, Idempotency, Micros};
+use pipitlever_capture::record::By;
+use std::rc::Rc;
+
+impl Core {
+    /// Whether a stop may be sent again: the request is answered or abandoned, and its run may
+    /// still go on.
+    pub fn may_resend_stop(&self, reference: Reference) -> bool {
+        self.requests
+            .by_reference(reference)
+            .is_some_and(|request| request.origin.is_none() && request.is_running())
+    }
+
+    /// Whether a start may be sent again, after all notices of the lost connection were handled:
+    /// none concerned the run, the request is unanswered, and its class is idempotent, as the run
+    /// may end at this very moment.
+    pub fn may_resend_start(&self, reference: Reference) -> bool {
+        self.requests.by_reference(reference).is_some_and(|request| {
+            let class = &self.settings.classes[request.incoming.class];
+            let is_unheard_of = request.run().is_some_and(|run| run.call.is_none());
+            class.idempotency == Idempotency::Idempotent
+                && request.origin.is_some()
+                && is_unheard_of
+        })
+    }
+
+    /// Whether the reply of a call may be sent again: the run has neither ended nor requested
+    /// another call. If the first reply was read after all, the processor rejects the second one,
+    /// and that rejection is ignored.
+    pub fn may_resend_reply(&mut self, reference: Reference) -> bool {
+        let Some(id) = self.requests.id_of(reference) else {
+            return false;
+        };
+        match self.requests.get_mut(id).and_then(|r| r.run_mut()) {
+            Some(run) if run.call.is_none() => {
+                run.is_reply_resent = true;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Handles a command that the processor rejected. The run of a rejected start never ran; a
+    /// rejected stop crossed the end of the run.
+    pub fn handle_command_rejected(
+        &mut self,
+        now: Micros,
+        reference: Reference,
+        command: RejectedCommand,
+    ) {
+        self.counters.rejected_commands += 1;
+        if command == RejectedCommand::Stop {
+            return;
+        }
+        let Some(id) = self.requests.id_of(reference) else {
+            return;
+        };
+        let Some(run) = self.requests.get(id).and_then(|request| request.run()) else {
+            return;
+        };
+        if command == RejectedCommand::Start {
+            let elapsed = (now - run.started_at).max(0);
+            let outcome = RunOutcome::NotStarted;
+            self.handle_run_finished(now, reference, outcome, elapsed, Rc::from([]));
+        } else if !run.is_reply_resent {
+            self.advance_to(now);
+            self.answer(id, Answer::Failed { timed_out: false }, By::Rejected);
+            self.notify_controller(now, Event::Abandoned(id));
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/runs.rs
@@ -0,0 +1,214 @@
+//! Start, stop and end of runs.
+
+use crate::core::{Core, OVERLOAD_RETRY_AFTER};
+use crate::effect::{Answer, Effect, RunOutcome};
+use crate::idempotency_table::CachedOutcome;
+use crate::request::Reference;
+use crate::request_table::{Run, Stage};
+use pipitlever_admission::{Event, Idempotency, Micros, Outcome, RequestId};
+use pipitlever_capture::record::By;
+use std::rc::Rc;
+
+/// The end of a run.
+pub(super) struct FinishedRun {
+    pub(super) outcome: RunOutcome,
+    /// Time since the run's start, waits included, in microseconds.
+    pub(super) elapsed: Micros,
+    pub(super) result: Rc<[u8]>,
+}
+
+impl FinishedRun {
+    /// A run that was never started.
+    pub(super) fn not_started() -> FinishedRun {
+        FinishedRun {
+            outcome: RunOutcome::NotStarted,
+            elapsed: 0,
+            result: Rc::from([]),
+        }
+    }
+}
+
+impl Core {
+    /// Starts the run that the controller has decided on. A keyed run waits for the store, if there
+    /// is one.
+    pub(super) fn start_run(&mut self, id: RequestId) {
+        if self.is_configuration_expired(self.now) {
+            return self.reject_unstarted(id);
+        }
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let class = &self.settings.classes[request.incoming.class];
+        let is_keyed = class.idempotency == Idempotency::Keyed;
+        if is_keyed {
+            // Without an entry duplicates could not be told from new requests, and the entry of
+            // another attempt stands for that attempt's run.
+            let key = request.incoming.idempotency_key.as_deref();
+            let entry = self.keys.owned_entry(key.unwrap_or_default(), id);
+            let Some(entry) = entry.filter(|entry| !entry.is_started) else {
+                return self.fail_without_key(id);
+            };
+            entry.is_started = true;
+        }
+        request.stage = Stage::Running(Run {
+            started_at: self.now,
+            call: None,
+            is_reply_resent: false,
+        });
+        if !is_keyed || !self.write_intent(id) {
+            self.dispatch_run(id);
+        }
+    }
+
+    /// Sends the start of a run.
+    pub(super) fn dispatch_run(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let incoming = &request.incoming;
+        self.counters.runs += 1;
+        self.classes.counters_mut(incoming.class).forwarded += 1;
+        // A duplicate may use the outcome of a keyed run after its first caller's deadline.
+        let result_deadline = if incoming.idempotency_key.is_some() {
+            let window = self.settings.classes[incoming.class].idempotency_window;
+            request.deadline.max(incoming.arrived_at + window)
+        } else {
+            request.deadline
+        };
+        self.effects.push(Effect::StartRun {
+            reference: incoming.reference,
+            class: incoming.class,
+            result_deadline,
+            body: incoming.body.clone(),
+        });
+    }
+
+    /// Stops the run of a request that is answered or abandoned. The request stays open until the
+    /// end of the run is reported, which may be a success that crossed the stop.
+    pub(super) fn stop_run(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if request.origin.is_none() && request.is_running() {
+            self.counters.runs_stopped += 1;
+            self.effects.push(Effect::StopRun {
+                reference: request.incoming.reference,
+                class: request.incoming.class,
+            });
+        }
+    }
+
+    /// Handles the end of a run. `elapsed` counts from its start, waits included, in microseconds.
+    pub fn handle_run_finished(
+        &mut self,
+        now: Micros,
+        reference: Reference,
+        outcome: RunOutcome,
+        elapsed: Micros,
+        result: Rc<[u8]>,
+    ) {
+        let Some(id) = self.requests.id_of(reference) else {
+            return self.finish_earlier_run(reference, outcome, &result);
+        };
+        let Some(request) = self.requests.get(id).filter(|r| r.is_running()) else {
+            return;
+        };
+        let has_key = request.incoming.idempotency_key.is_some();
+        self.advance_to(now);
+        let run = FinishedRun {
+            outcome,
+            elapsed,
+            result,
+        };
+        if has_key && self.write_outcome(reference, &run) {
+            return;
+        }
+        let by = if outcome == RunOutcome::NotStarted {
+            By::Rejected
+        } else {
+            By::Run
+        };
+        self.finish_run(id, run, by);
+        self.process_pending(now);
+    }
+
+    /// Answers and closes a request whose run has ended, or will never be started. The event for
+    /// the controller is left pending.
+    pub(super) fn finish_run(&mut self, id: RequestId, run: FinishedRun, by: By) {
+        let Some(request) = self.requests.get(id).filter(|r| r.is_running()) else {
+            return;
+        };
+        if request.call_expiry().is_some() {
+            let reference = request.incoming.reference;
+            self.effects.push(Effect::CancelCall { reference });
+        }
+        let key = request.incoming.idempotency_key.clone();
+        let (outcome, answer, cached) = self.conclude(run.outcome, run.result);
+        self.answer(id, answer.clone(), by);
+        self.close(id);
+        self.admission.enqueue(Event::Finished {
+            id,
+            elapsed: run.elapsed,
+            outcome,
+        });
+        if let Some(key) = key {
+            self.share_outcome(&key, id, cached, answer);
+        }
+    }
+
+    /// What the end of a run means for the controller, for the caller and for duplicates.
+    fn conclude(
+        &mut self,
+        outcome: RunOutcome,
+        result: Rc<[u8]>,
+    ) -> (Outcome, Answer, Option<CachedOutcome>) {
+        let failed = Answer::Failed { timed_out: false };
+        match outcome {
+            RunOutcome::Completed if result.len() <= self.keys.max_result_bytes() => {
+                self.counters.runs_completed += 1;
+                let cached = CachedOutcome::Served(result.clone());
+                (Outcome::Success, Answer::Served(result), Some(cached))
+            }
+            // A result beyond the limit can be neither passed on nor cached.
+            RunOutcome::Completed | RunOutcome::Failed => {
+                (Outcome::Error, failed, Some(CachedOutcome::Failed))
+            }
+            RunOutcome::Aborted => (Outcome::Cancelled, failed, Some(CachedOutcome::Failed)),
+            RunOutcome::NotStarted => {
+                let rejected = Answer::rejected(OVERLOAD_RETRY_AFTER);
+                (Outcome::NotStarted, rejected, None)
+            }
+        }
+    }
+
+    /// Rejects a queued request since the configuration that admitted it may be stale. It never
+    /// ran, and its key is free again.
+    fn reject_unstarted(&mut self, id: RequestId) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let key = request.incoming.idempotency_key.clone();
+        let answer = Answer::rejected(self.availability.advised_delay(OVERLOAD_RETRY_AFTER));
+        self.answer(id, answer.clone(), By::Floor);
+        self.close(id);
+        self.enqueue_not_started(id);
+        if let Some(key) = key {
+            self.share_outcome(&key, id, None, answer);
+        }
+    }
+
+    /// Fails a keyed request that owns no entry, or whose entry belongs to an earlier run.
+    fn fail_without_key(&mut self, id: RequestId) {
+        self.enqueue_not_started(id);
+        self.answer(id, Answer::Failed { timed_out: false }, By::NoKey);
+        self.close(id);
+    }
+
+    fn enqueue_not_started(&mut self, id: RequestId) {
+        self.admission.enqueue(Event::Finished {
+            id,
+            elapsed: 0,
+            outcome: Outcome::NotStarted,
+        });
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/shutdown.rs
@@ -0,0 +1,23 @@
+//! Shutdown of the process.
+
+use crate::core::Core;
+use pipitlever_admission::{Event, Micros};
+
+impl Core {
+    /// Handles the shutdown notice: the process stops after `remaining` microseconds.
+    pub fn begin_shutdown(&mut self, now: Micros, remaining: Micros) {
+        self.notify_controller(now, Event::ShutdownNotice(remaining));
+        self.availability.is_healthy = false;
+    }
+
+    /// Handles the shutdown notice while the node continues in another process, whose health and
+    /// load level are the node's from now on.
+    pub fn begin_superseded_shutdown(&mut self, now: Micros, remaining: Micros) {
+        let load_level = self.availability.load_level;
+        let is_healthy = self.availability.is_healthy;
+        self.availability.is_superseded = true;
+        self.begin_shutdown(now, remaining);
+        self.availability.load_level = load_level;
+        self.availability.is_healthy = is_healthy;
+    }
+}
--- /dev/null
+++ b/crates/core/src/core/status.rs
@@ -0,0 +1,128 @@
+//! State that drivers and operators read: health, load level, standby, sizes of tables.
+
+use crate::core::Core;
+use crate::request::Reference;
+use pipitlever_admission::{Controller, Micros, Mode, RequestStatus};
+
+/// Sizes of the core's tables.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TableSizes {
+    /// Open requests.
+    pub requests: usize,
+    /// Memory of open requests, in bytes.
+    pub request_bytes: usize,
+    /// References of open requests.
+    pub references: usize,
+    /// Timers of open requests.
+    pub request_timers: usize,
+    /// Open requests whose run may have been started.
+    pub running: usize,
+    /// Idempotency keys.
+    pub keys: usize,
+    /// Memory of idempotency keys with their outcomes, in bytes.
+    pub key_bytes: usize,
+}
+
+impl Core {
+    /// Whether the controller is not started yet.
+    pub fn is_starting(&self) -> bool {
+        !self.admission.is_started()
+    }
+
+    /// The load level to send with every answer, once there is one.
+    pub fn load_level(&self) -> Option<f64> {
+        self.availability.load_level
+    }
+
+    /// Replaces the load level that is sent with every answer, and returns the former one.
+    pub fn replace_load_level(&mut self, level: Option<f64>) -> Option<f64> {
+        std::mem::replace(&mut self.availability.load_level, level)
+    }
+
+    /// The result of health checks.
+    pub fn is_healthy(&self) -> bool {
+        self.availability.passes_health_checks(self.now)
+    }
+
+    /// Sets until when the configuration in force is known to be valid; none if that is not known.
+    /// Returns whether that starts or ends the admission of requests.
+    ///
+    /// The expiry is checked with each request rather than by a timer: a process that was stopped
+    /// past it finds requests in its sockets.
+    pub fn set_configuration_expiry(&mut self, expiry: Option<Micros>) -> bool {
+        let new = expiry.unwrap_or(Micros::MIN);
+        let old = std::mem::replace(&mut self.availability.configuration_expiry, new);
+        (old == Micros::MIN) != (new == Micros::MIN)
+    }
+
+    /// Whether the configuration may be stale, so that no request may be admitted or started.
+    pub fn is_configuration_expired(&self, now: Micros) -> bool {
+        self.availability.is_configuration_expired(now)
+    }
+
+    /// Sets or ends standby, in which health checks fail and requests are served; whether that is a
+    /// change.
+    pub fn set_standby(&mut self, is_standby: bool) -> bool {
+        std::mem::replace(&mut self.availability.is_standby, is_standby) != is_standby
+    }
+
+    /// Whether operators have set the node to standby.
+    pub fn is_standby(&self) -> bool {
+        self.availability.is_standby
+    }
+
+    /// Whether the runs make no progress: all cores are taken, and no run ends.
+    pub fn is_stalled(&self) -> bool {
+        self.admission
+            .controller()
+            .is_some_and(Controller::is_stalled)
+    }
+
+    /// Whether the controller rejects requests of low priority, or all.
+    pub fn is_overloaded(&self) -> bool {
+        self.admission
+            .controller()
+            .is_some_and(|controller| controller.mode() != Mode::Normal)
+    }
+
+    /// How long a connection may be idle, in microseconds.
+    pub fn idle_timeout(&self) -> Micros {
+        self.availability.idle_timeout
+    }
+
+    /// Limit on a result, in bytes.
+    pub fn max_result_bytes(&self) -> usize {
+        self.keys.max_result_bytes()
+    }
+
+    /// The number of requests that are neither answered nor abandoned.
+    pub fn unanswered(&self) -> usize {
+        self.requests.unanswered()
+    }
+
+    /// Whether the counters are consistent: each request is answered, abandoned or unanswered.
+    pub fn is_balanced(&self) -> bool {
+        let counters = &self.counters;
+        let answered = counters.served + counters.rejected + counters.failed;
+        counters.requests == answered + counters.abandoned + self.unanswered() as u64
+    }
+
+    /// The sizes of the tables.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            requests: self.requests.len(),
+            request_bytes: self.requests.bytes(),
+            references: self.requests.references(),
+            request_timers: self.timers.request_timers(),
+            running: self.requests.running(),
+            keys: self.keys.len(),
+            key_bytes: self.keys.bytes(),
+        }
+    }
+
+    /// How the controller sees an open request.
+    pub fn request_status(&self, reference: Reference) -> Option<RequestStatus> {
+        let id = self.requests.id_of(reference)?;
+        self.admission.controller()?.request_status(id)
+    }
+}
--- /dev/null
+++ b/crates/core/src/gauges.rs
@@ -0,0 +1,80 @@
+//! Gauges of the processor, which the admission controller receives with its timers.
+
+use pipitlever_admission::Micros;
+
+/// Gauges older than this are not passed on to the controller.
+const MAX_AGE: Micros = 500_000;
+
+/// The processor's gauges, as far as it reports them.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Gauges {
+    /// Busy share of the cores, from 0 to 1.
+    pub core_use: Option<f64>,
+    /// Number of runs that use or wait for a core.
+    pub on_cores: Option<f64>,
+    /// Share of memory in use, from 0 to 1.
+    pub memory_use: Option<f64>,
+    /// Open connections.
+    pub connections: Option<f64>,
+}
+
+/// Where the gauges come from.
+#[derive(Debug)]
+pub(crate) enum GaugeSource {
+    /// The processor reports them: the last report and its time.
+    Processor {
+        /// When the report was received.
+        received_at: Micros,
+        /// The report.
+        gauges: Gauges,
+    },
+    /// There is no processor. Each worker serves one request at a time, so the number of runs is
+    /// the number of cores in use.
+    RunCount,
+}
+
+impl GaugeSource {
+    /// A processor that has not reported yet.
+    pub(crate) fn processor() -> GaugeSource {
+        GaugeSource::Processor {
+            // Older than any limit, without overflow in a difference.
+            received_at: Micros::MIN / 2,
+            gauges: Gauges::default(),
+        }
+    }
+
+    /// Stores a report of the processor.
+    pub(crate) fn update(&mut self, now: Micros, report: Gauges) {
+        if let GaugeSource::Processor {
+            received_at,
+            gauges,
+        } = self
+        {
+            (*received_at, *gauges) = (now, report);
+        }
+    }
+
+    /// The gauges for the controller, given how to count the started runs, and the number of cores.
+    pub(crate) fn read(
+        &self,
+        now: Micros,
+        count_running: impl FnOnce() -> usize,
+        cores: f64,
+    ) -> Gauges {
+        match self {
+            GaugeSource::RunCount => {
+                let running = count_running() as f64;
+                Gauges {
+                    core_use: Some((running / cores.max(1.0)).min(1.0)),
+                    on_cores: Some(running),
+                    ..Gauges::default()
+                }
+            }
+            GaugeSource::Processor {
+                received_at,
+                gauges,
+            } if now - received_at <= MAX_AGE => *gauges,
+            GaugeSource::Processor { .. } => Gauges::default(),
+        }
+    }
+}
--- a/crates/core/src/memory_limits.rs
+++ b/crates/core/src/memory_limits.rs
@@ -1,11 +1,11 @@
 //! Limits on the process's own memory, beyond which new work is rejected.
 
 /// Memory of a request beside its body, in all tables together, in bytes.
-pub(crate) const REQUEST_BYTES: usize = 1024;
+pub const REQUEST_BYTES: usize = 1024;
 /// Memory of the process without connections and requests, in bytes.
-pub(crate) const PROCESS_BYTES: usize = 8 << 20;
+pub const PROCESS_BYTES: usize = 8 << 20;
 /// Memory of a connection with its buffers, in bytes.
-pub(crate) const CONNECTION_BYTES: usize = 24 << 10;
+pub const CONNECTION_BYTES: usize = 24 << 10;
 /// Lower limit of the memory that is divided: a few requests fit however small the machine is.
 const MIN_DIVIDED_BYTES: usize = 2 << 20;
 
--- /dev/null
+++ b/crates/core/src/run_store.rs
@@ -0,0 +1,101 @@
+//! The connection between the core and the idempotency store, which remembers keyed runs over a
+//! restart.
+//!
+//! The store's [`Gate`] decides when a run may start and when an outcome is durable. This module
+//! keeps what the core needs beside it.
+
+use crate::idempotency_table::CachedOutcome;
+use crate::request::Reference;
+use pipitlever_admission::Micros;
+use pipitlever_idempotency_store::gate::{self, Gate};
+use pipitlever_idempotency_store::record;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// A run that has ended and whose outcome is not yet on the disk.
+#[derive(Debug)]
+pub(crate) struct EndedRun {
+    /// Duration of the run, in microseconds.
+    pub(crate) elapsed: Micros,
+    /// Its result.
+    pub(crate) result: Rc<[u8]>,
+}
+
+/// The state of the store as the core sees it.
+#[derive(Debug)]
+pub struct RunStore {
+    /// The store's commit queue.
+    pub(crate) gate: Gate,
+    /// Offset from the node's clock to the machine's uptime, in microseconds.
+    pub(crate) uptime_offset: Micros,
+    /// Whether an answer with a result waits until the result is on the disk.
+    waits_for_outcome: bool,
+    /// Keyed requests are rejected until then, since damage may hide keys.
+    pub(crate) damage_ends_at: Micros,
+    /// Runs that an earlier process started and did not see the end of, with their key.
+    pub(crate) earlier_runs: HashMap<Reference, Rc<str>>,
+    /// Runs that have ended and whose outcome is not yet on the disk.
+    pub(crate) ended_runs: HashMap<Reference, EndedRun>,
+    /// Buffer for the events of the gate.
+    pub(crate) events: Vec<gate::Event>,
+}
+
+/// Disk usage of the idempotency store.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct StoreUsage {
+    /// Bytes in use.
+    pub used_bytes: u64,
+    /// Bytes reserved for outcomes to come.
+    pub reserved_bytes: u64,
+    /// Records that are not yet on the disk.
+    pub waiting_records: usize,
+}
+
+impl RunStore {
+    /// Connects a store.
+    ///
+    /// `uptime_offset` leads from the node's clock to the machine's uptime, in microseconds. With
+    /// `waits_for_outcome` answers wait until their outcome is on the disk. Until `damage_ends_at`
+    /// keyed requests are rejected.
+    pub fn new(
+        gate: Gate,
+        uptime_offset: Micros,
+        waits_for_outcome: bool,
+        damage_ends_at: Option<Micros>,
+    ) -> RunStore {
+        RunStore {
+            gate,
+            uptime_offset,
+            waits_for_outcome,
+            damage_ends_at: damage_ends_at.unwrap_or(Micros::MIN),
+            earlier_runs: HashMap::new(),
+            ended_runs: HashMap::new(),
+            events: Vec::new(),
+        }
+    }
+
+    /// Writes the outcome of a run; whether its answer has to wait until the outcome is on the
+    /// disk.
+    pub(crate) fn write_outcome(&mut self, reference: Reference, outcome: &CachedOutcome) -> bool {
+        let waits = self.waits_for_outcome && matches!(outcome, CachedOutcome::Served(_));
+        self.gate.outcome(reference, stored_outcome(outcome)) && waits
+    }
+
+    /// Disk usage.
+    pub(crate) fn usage(&self) -> StoreUsage {
+        let (used_bytes, reserved_bytes) = self.gate.room();
+        StoreUsage {
+            used_bytes,
+            reserved_bytes,
+            waiting_records: self.gate.waiting(),
+        }
+    }
+}
+
+/// The outcome as the store records it.
+fn stored_outcome(outcome: &CachedOutcome) -> record::Kept {
+    match outcome {
+        CachedOutcome::Served(result) => record::Kept::Served(result.to_vec()),
+        CachedOutcome::Failed | CachedOutcome::Unknown { .. } => record::Kept::Failed,
+    }
+}
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,104 +1,58 @@
-//! What is due at a time: the module's timers, answers, calls and gauges.
+//! Queue of timers.
 
-use super::*;
+use pipitlever_admission::{Micros, RequestId};
+use std::collections::BTreeSet;
 
-impl Core {
-    /// When [`Core::handle_wakeup`] is next wanted.
-    pub fn next_wakeup(&self) -> Option<Micros> {
-        let own = self.wakes.first().map(|w| w.0);
-        [own, self.store_next()].into_iter().flatten().min()
+/// What happens when a timer expires. Timers of the same time expire in the order of the variants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum Timer {
+    /// Query the gauges ahead of a controller timer.
+    QueryGauges,
+    /// A timer of the admission controller, with its tag.
+    Controller(u64),
+    /// The deadline of a request.
+    Deadline(RequestId),
+    /// The end of the time that a call may take.
+    CallTimeout(RequestId),
+    /// The time at which the controller is notified of a rejected call.
+    CallRejection(RequestId),
+}
+
+/// All timers, by time.
+#[derive(Debug, Default)]
+pub(crate) struct TimerQueue {
+    timers: BTreeSet<(Micros, Timer)>,
+}
+
+impl TimerQueue {
+    /// Adds a timer that expires at this time.
+    pub(crate) fn schedule(&mut self, at: Micros, timer: Timer) {
+        self.timers.insert((at, timer));
     }
 
-    /// Does what is due by now.
-    pub fn handle_wakeup(&mut self, now: Micros) {
-        self.keys.expire(now);
-        self.store_wake(now);
-        while let Some(&(at, wake)) = self.wakes.first().filter(|w| w.0 <= now) {
-            self.wakes.pop_first();
-            match wake {
-                Wake::Gauges => self.effects.push(Effect::QueryGauges),
-                Wake::Timer(tag) => {
-                    let known = now - self.gauges.0 <= GAUGE_AGE;
-                    let g = match known {
-                        _ if self.counted => self.counted_gauges(),
-                        true => self.gauges.1,
-                        false => Gauges::default(),
-                    };
-                    let Gauges {
-                        core_use,
-                        on_cores,
-                        memory_use,
-                        connections,
-                    } = g;
-                    self.tell(
-                        now,
-                        Event::Timer {
-                            tag,
-                            core_use,
-                            on_cores,
-                            memory_use,
-                            connections,
-                        },
-                    );
-                }
-                Wake::Due(id) => self.due(now, id),
-                Wake::TurnedAway(id) => self.turned_away(now, id),
-                Wake::Call(id) => {
-                    let Some(a) = self.attempts.get(&id) else {
-                        continue;
-                    };
-                    let Stage::Running {
-                        call: Some(call), ..
-                    } = &a.stage
-                    else {
-                        continue;
-                    };
-                    if call.placed.is_some() {
-                        let reference = a.incoming.reference;
-                        self.effects.push(Effect::CancelCall { reference });
-                        self.handle_call_finished(
-                            at.max(now),
-                            reference,
-                            Outcome::TimedOut,
-                            Rc::from([]),
-                        );
-                    }
-                }
-            }
-        }
+    /// Removes a timer, given the time that it was scheduled for.
+    pub(crate) fn cancel(&mut self, at: Micros, timer: Timer) {
+        self.timers.remove(&(at, timer));
     }
 
-    /// Each worker serves one request at a time, so the runs in their hands are the cores in use.
-    pub(super) fn counted_gauges(&self) -> Gauges {
-        let runs = self.table_sizes().running as f64;
-        let core_use = Some((runs / self.settings.cores.max(1.0)).min(1.0));
-        Gauges {
-            core_use,
-            on_cores: Some(runs),
-            ..Gauges::default()
-        }
+    /// Takes out the next timer that has expired.
+    pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
+        self.timers.first().filter(|(at, _)| *at <= now)?;
+        self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// The processor's gauges.
-    pub fn update_gauges(&mut self, now: Micros, gauges: Gauges) {
-        self.gauges = (now, gauges);
+    /// When the next timer expires.
+    pub(crate) fn next_expiry(&self) -> Option<Micros> {
+        self.timers.first().map(|(at, _)| *at)
     }
 
-    /// The module answers what is due; should it ever not, the request still gets its answer.
-    pub(super) fn due(&mut self, now: Micros, id: RequestId) {
-        if self.attempts.get(&id).is_none_or(|a| a.origin.is_none()) {
-            return;
-        }
-        self.step(now, &[]);
-        self.pump(now);
-        let Some(attempt) = self.attempts.get(&id).filter(|a| a.origin.is_some()) else {
-            return;
-        };
-        let held = matches!(attempt.stage, Stage::Held);
-        self.answer(id, Answer::Failed { timed_out: true }, By::Overdue);
-        if held {
-            self.close(id);
-        }
-        self.tell(now, Event::Gone(id));
+    /// The number of timers that belong to a request.
+    pub(crate) fn request_timers(&self) -> usize {
+        let is_of_request =
+            |timer: &Timer| !matches!(timer, Timer::QueryGauges | Timer::Controller(_));
+        self.timers
+            .iter()
+            .filter(|(_, timer)| is_of_request(timer))
+            .count()
     }
 }
--- /dev/null
+++ b/crates/core/tests/hot_restart/world.rs
@@ -0,0 +1,483 @@
+//! Model of two processes of one node and the connection between them.
+
+use crate::common::{core, fill_cores, incoming, take_effects, SECOND};
+use pipitlever_admission::Micros;
+use pipitlever_core::{Answer, Core, Effect, IncomingRequest, Reference, RunOutcome};
+use pipitlever_hot_restart::message::{Message, Welcome};
+use pipitlever_hot_restart::predecessor::{self, Predecessor};
+use pipitlever_hot_restart::successor::{self, ConnectionLoss, Successor};
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+/// Attempts of the key, one after the other; the first one is not marked as a retry.
+const MAX_ATTEMPTS: u64 = 3;
+/// Index of the keyed class.
+const KEYED_CLASS: usize = 1;
+const RESULT: &[u8] = b"result";
+const STEP_TIME: Micros = 1000;
+
+/// One step of the model.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Step {
+    /// The next attempt arrives at the predecessor.
+    ArriveAtPredecessor,
+    /// The next attempt arrives at the successor.
+    ArriveAtSuccessor,
+    /// The predecessor's oldest run completes.
+    CompleteAtPredecessor,
+    /// The successor's oldest run completes.
+    CompleteAtSuccessor,
+    /// The caller of the predecessor's oldest attempt leaves.
+    Abandon,
+    /// The successor is ready and requests the keys.
+    Ready,
+    /// The predecessor sends its next key update, or the end of the snapshot.
+    Send,
+    /// The predecessor receives a message, or the end of the connection.
+    PredecessorReceives,
+    /// The successor receives a message, or the end of the connection.
+    SuccessorReceives,
+    /// The predecessor dies.
+    PredecessorDies,
+    /// The successor dies.
+    SuccessorDies,
+    /// The predecessor closes the connection, and both live.
+    PredecessorDisconnects,
+    /// The successor closes the connection, and both live.
+    SuccessorDisconnects,
+}
+
+/// All steps.
+pub const ALL_STEPS: [Step; 13] = [
+    Step::ArriveAtPredecessor,
+    Step::ArriveAtSuccessor,
+    Step::CompleteAtPredecessor,
+    Step::CompleteAtSuccessor,
+    Step::Abandon,
+    Step::Ready,
+    Step::Send,
+    Step::PredecessorReceives,
+    Step::SuccessorReceives,
+    Step::PredecessorDies,
+    Step::SuccessorDies,
+    Step::PredecessorDisconnects,
+    Step::SuccessorDisconnects,
+];
+
+/// An attempt that a process has read, with its answers.
+struct Attempt {
+    reference: Reference,
+    answers: Vec<Answer>,
+}
+
+/// One process, with what its drivers saw.
+struct Process {
+    core: Core,
+    is_alive: bool,
+    running: Vec<Reference>,
+    attempts: Vec<Attempt>,
+    abandoned: Vec<Reference>,
+}
+
+impl Process {
+    fn new() -> Process {
+        let mut core = core();
+        core.retries_are_marked = true;
+        Process {
+            core,
+            is_alive: true,
+            running: Vec::new(),
+            attempts: Vec::new(),
+            abandoned: Vec::new(),
+        }
+    }
+
+    fn arrive(&mut self, now: Micros, reference: Reference) {
+        self.attempts.push(Attempt {
+            reference,
+            answers: Vec::new(),
+        });
+        let request = IncomingRequest {
+            is_retry: reference > 1,
+            ..incoming(reference, now, Some("k"))
+        };
+        self.core.handle_request(now, request);
+    }
+
+    fn complete_oldest_run(&mut self, now: Micros) {
+        let reference = self.running.remove(0);
+        let outcome = RunOutcome::Completed;
+        self.core
+            .handle_run_finished(now, reference, outcome, 10, Rc::from(RESULT));
+    }
+
+    /// Carries out the core's effects; the number of runs that they start.
+    fn carry_out_effects(&mut self) -> u64 {
+        let mut started = 0;
+        for effect in take_effects(&mut self.core) {
+            match effect {
+                Effect::StartRun {
+                    reference,
+                    class: KEYED_CLASS,
+                    ..
+                } => {
+                    started += 1;
+                    self.running.push(reference);
+                }
+                Effect::Answer { origin, answer } => {
+                    let attempts = &mut self.attempts;
+                    let mut attempts = attempts.iter_mut();
+                    if let Some(attempt) =
+                        attempts.find(|attempt| attempt.reference == origin.request_number)
+                    {
+                        attempt.answers.push(answer);
+                    }
+                }
+                _ => {}
+            }
+        }
+        started
+    }
+}
+
+/// The processes, their state machines, and the connection.
+pub struct World {
+    now: Micros,
+    old: Process,
+    new: Process,
+    predecessor: Predecessor,
+    successor: Successor,
+    to_predecessor: VecDeque<Message>,
+    to_successor: VecDeque<Message>,
+    /// The predecessor has sent all keys.
+    is_snapshot_sent: bool,
+    /// The predecessor has seen the end of the connection.
+    has_predecessor_lost: bool,
+    /// The successor has seen the end of the connection.
+    has_successor_lost: bool,
+    has_yielded: bool,
+    /// Who has closed the connection.
+    disconnected_by: Option<Step>,
+    attempts: u64,
+    runs: u64,
+    /// Attempts that arrived after the run had started.
+    late_attempts: Vec<Reference>,
+}
+
+impl World {
+    /// The successor is connected. With `is_queued` the predecessor's cores are busy, so that the
+    /// key waits there.
+    pub fn new(is_queued: bool) -> World {
+        let mut old = Process::new();
+        if is_queued {
+            fill_cores(&mut old.core);
+        }
+        let (mut predecessor, mut successor) = (Predecessor::default(), Successor::connecting());
+        assert!(predecessor.handle_connect());
+        let welcome = Welcome {
+            node_name: "n".into(),
+            sockets: vec![],
+            salt: [0; 2],
+        };
+        successor
+            .handle_message(Message::Welcome(welcome))
+            .expect("the first message");
+        let mut world = World {
+            now: SECOND,
+            old,
+            new: Process::new(),
+            predecessor,
+            successor,
+            to_predecessor: VecDeque::new(),
+            to_successor: VecDeque::new(),
+            is_snapshot_sent: false,
+            has_predecessor_lost: false,
+            has_successor_lost: false,
+            has_yielded: false,
+            disconnected_by: None,
+            attempts: 0,
+            runs: 0,
+            late_attempts: Vec::new(),
+        };
+        world.carry_out_effects();
+        world
+    }
+
+    fn is_successor_serving(&self) -> bool {
+        matches!(
+            self.successor.phase(),
+            successor::Phase::Mirror | successor::Phase::Standalone
+        )
+    }
+
+    fn is_connected(&self) -> bool {
+        self.old.is_alive && self.new.is_alive && self.disconnected_by.is_none()
+    }
+
+    /// Whether a step can happen now.
+    pub fn is_possible(&self, step: Step) -> bool {
+        let both_alive = self.old.is_alive && self.new.is_alive;
+        let has_attempts_left = self.attempts < MAX_ATTEMPTS;
+        match step {
+            Step::ArriveAtPredecessor => self.old.is_alive && has_attempts_left,
+            Step::ArriveAtSuccessor => {
+                self.new.is_alive && self.is_successor_serving() && has_attempts_left
+            }
+            Step::CompleteAtPredecessor => self.old.is_alive && !self.old.running.is_empty(),
+            Step::CompleteAtSuccessor => self.new.is_alive && !self.new.running.is_empty(),
+            Step::Abandon => {
+                self.old.is_alive && self.old.abandoned.is_empty() && !self.old.attempts.is_empty()
+            }
+            Step::Ready => {
+                self.new.is_alive
+                    && !self.has_successor_lost
+                    && self.successor.phase() == successor::Phase::Prepare
+            }
+            Step::Send => self.can_send(),
+            Step::PredecessorReceives => self.can_predecessor_receive(),
+            Step::SuccessorReceives => self.can_successor_receive(),
+            // There is no third process.
+            Step::PredecessorDies | Step::SuccessorDies => both_alive,
+            Step::PredecessorDisconnects => self.is_connected(),
+            // It closes the connection only once it serves; before, it exits instead.
+            Step::SuccessorDisconnects => {
+                self.is_connected() && self.successor.phase() == successor::Phase::Mirror
+            }
+        }
+    }
+
+    fn can_send(&self) -> bool {
+        let is_requested = matches!(
+            self.predecessor.phase(),
+            predecessor::Phase::Freeze | predecessor::Phase::Mirror
+        );
+        let has_message = self.old.core.has_key_updates() || !self.is_snapshot_sent;
+        self.is_connected() && is_requested && has_message
+    }
+
+    /// Messages sent before a death are received after it, and then the end of the connection.
+    fn can_predecessor_receive(&self) -> bool {
+        let has_message = self.disconnected_by != Some(Step::PredecessorDisconnects)
+            && !self.to_predecessor.is_empty();
+        // After it has yielded it waits for the successor's death.
+        let is_disconnected = self.disconnected_by.is_some() && !self.predecessor.has_yielded();
+        let is_over = !self.new.is_alive || is_disconnected;
+        self.old.is_alive && !self.has_predecessor_lost && (has_message || is_over)
+    }
+
+    fn can_successor_receive(&self) -> bool {
+        let has_message = self.disconnected_by != Some(Step::SuccessorDisconnects)
+            && !self.to_successor.is_empty();
+        let is_over = !self.old.is_alive || self.disconnected_by.is_some();
+        self.new.is_alive && !self.has_successor_lost && (has_message || is_over)
+    }
+
+    /// Executes a step, which has to be possible.
+    pub fn execute(&mut self, step: Step) {
+        self.now += STEP_TIME;
+        let now = self.now;
+        match step {
+            Step::ArriveAtPredecessor | Step::ArriveAtSuccessor => self.arrive(step),
+            Step::CompleteAtPredecessor => self.old.complete_oldest_run(now),
+            Step::CompleteAtSuccessor => self.new.complete_oldest_run(now),
+            Step::Abandon => {
+                let reference = self.old.attempts[0].reference;
+                self.old.abandoned.push(reference);
+                self.old.core.handle_abandoned(now, reference);
+            }
+            Step::Ready => {
+                assert!(self.successor.handle_ready());
+                self.to_predecessor.push_back(Message::Freeze);
+            }
+            Step::Send => self.send(),
+            Step::PredecessorReceives => self.predecessor_receives(),
+            Step::SuccessorReceives => self.successor_receives(),
+            Step::PredecessorDies => self.old.is_alive = false,
+            Step::SuccessorDies => self.new.is_alive = false,
+            Step::PredecessorDisconnects | Step::SuccessorDisconnects => {
+                self.disconnected_by = Some(step);
+            }
+        }
+        self.carry_out_effects();
+    }
+
+    fn arrive(&mut self, step: Step) {
+        self.attempts += 1;
+        let reference = self.attempts;
+        if self.runs > 0 {
+            self.late_attempts.push(reference);
+        }
+        let process = if step == Step::ArriveAtPredecessor {
+            &mut self.old
+        } else {
+            &mut self.new
+        };
+        process.arrive(self.now, reference);
+    }
+
+    fn send(&mut self) {
+        let message = self.old.core.next_key_update(0).unwrap_or_else(|| {
+            self.is_snapshot_sent = true;
+            Message::SnapshotComplete {
+                is_standby: false,
+                memory_share: 0.5,
+            }
+        });
+        self.to_successor.push_back(message);
+    }
+
+    fn predecessor_receives(&mut self) {
+        let is_closed = self.disconnected_by == Some(Step::PredecessorDisconnects);
+        let message = self.to_predecessor.pop_front().filter(|_| !is_closed);
+        let Some(message) = message else {
+            return self.predecessor_disconnects();
+        };
+        match self.predecessor.handle_message(&message) {
+            predecessor::Action::FreezeKeys => self.old.core.freeze_keys(),
+            action => {
+                assert_eq!(action, predecessor::Action::Yield);
+                self.has_yielded = true;
+                self.to_successor
+                    .push_back(Message::Yielded { membership: None });
+            }
+        }
+    }
+
+    fn predecessor_disconnects(&mut self) {
+        self.has_predecessor_lost = true;
+        for action in self.predecessor.handle_disconnect() {
+            match action {
+                predecessor::Action::UnfreezeKeys => self.old.core.unfreeze_keys(),
+                predecessor::Action::Resume => {
+                    assert!(
+                        !self.new.is_alive,
+                        "it accepts beside a successor that serves"
+                    );
+                    self.old.core.distrust_unknown_keys(self.now);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn successor_receives(&mut self) {
+        let is_closed = self.disconnected_by == Some(Step::SuccessorDisconnects);
+        let message = self.to_successor.pop_front().filter(|_| !is_closed);
+        let Some(message) = message else {
+            return self.successor_disconnects();
+        };
+        let now = self.now;
+        match self.successor.handle_message(message).expect("in turn") {
+            successor::Action::ApplyKey(entry) => {
+                let window_end = entry.window_end;
+                self.new
+                    .core
+                    .apply_transferred_key(now, entry, window_end);
+            }
+            successor::Action::ReleaseKey(key) => {
+                self.new.core.release_transferred_key(now, &key);
+            }
+            successor::Action::ConfirmSnapshot { .. } => {
+                self.to_predecessor.push_back(Message::SnapshotReceived);
+            }
+            action => assert_eq!(action, successor::Action::Serve { membership: None }),
+        }
+    }
+
+    fn successor_disconnects(&mut self) {
+        self.has_successor_lost = true;
+        match self.successor.handle_disconnect(!self.old.is_alive) {
+            ConnectionLoss::Abort => self.new.is_alive = false,
+            loss => {
+                if loss != ConnectionLoss::KeysComplete {
+                    self.new.core.distrust_unknown_keys(self.now);
+                }
+                self.new.core.resolve_orphaned_keys(self.now);
+            }
+        }
+    }
+
+    fn carry_out_effects(&mut self) {
+        self.runs += self.old.carry_out_effects() + self.new.carry_out_effects();
+    }
+
+    /// Checks what holds at any time.
+    pub fn check(&self) {
+        assert!(self.runs <= 1, "run {} times", self.runs);
+        for attempt in self.old.attempts.iter().chain(&self.new.attempts) {
+            let Attempt { reference, answers } = attempt;
+            assert!(answers.len() <= 1, "{reference} was answered {answers:?}");
+            match answers.first() {
+                Some(Answer::Served(result)) => assert!(self.runs == 1 && **result == *RESULT),
+                Some(Answer::Rejected { .. }) => assert!(
+                    !self.late_attempts.contains(reference),
+                    "{reference} was rejected after the run"
+                ),
+                _ => {}
+            }
+        }
+    }
+
+    /// Lets everything end that may end without a further attempt or death, and checks what holds
+    /// then.
+    pub fn settle(mut self) {
+        let ending_steps = [
+            Step::PredecessorReceives,
+            Step::SuccessorReceives,
+            Step::Send,
+            Step::CompleteAtPredecessor,
+            Step::CompleteAtSuccessor,
+        ];
+        while let Some(step) = ending_steps.into_iter().find(|s| self.is_possible(*s)) {
+            self.execute(step);
+            self.check();
+        }
+        self.check_settled();
+        for _ in 0..8 {
+            self.now += SECOND;
+            self.old.core.handle_wakeup(self.now);
+            self.new.core.handle_wakeup(self.now);
+            self.carry_out_effects();
+        }
+        self.check();
+        let alive = [&self.old, &self.new]
+            .into_iter()
+            .filter(|process| process.is_alive);
+        for process in alive {
+            for Attempt { reference, answers } in &process.attempts {
+                let expected = usize::from(!process.abandoned.contains(reference));
+                assert!(answers.len() >= expected, "{reference} has no answer");
+            }
+        }
+    }
+
+    fn check_settled(&self) {
+        let has_authority =
+            |process: &Process| process.is_alive && process.core.has_key_authority(self.now);
+        assert!(
+            !(has_authority(&self.old) && has_authority(&self.new)) || !self.is_successor_serving(),
+            "both have the authority over keys"
+        );
+        let is_abandoned =
+            |attempt: &Attempt| self.old.abandoned.contains(&attempt.reference);
+        let is_unused_at_predecessor = self.old.attempts.iter().all(is_abandoned);
+        if self.is_connected() && is_unused_at_predecessor && !self.new.attempts.is_empty() {
+            assert_eq!(self.runs, 1, "no process runs a key that is waited for");
+        }
+        if self.is_connected() && self.runs == 1 {
+            let unanswered = self.new.attempts.iter().find(|a| a.answers.is_empty());
+            let reference = unanswered.map(|attempt| attempt.reference);
+            assert!(
+                reference.is_none(),
+                "{reference:?} did not get the outcome of the run"
+            );
+        }
+        let is_standalone = self.predecessor.phase() == predecessor::Phase::Standalone;
+        if self.old.is_alive && !self.new.is_alive && is_standalone && !self.has_yielded {
+            assert!(
+                self.old.core.has_key_authority(self.now),
+                "the successor never served, and its predecessor rejects unknown keys"
+            );
+        }
+    }
+}
