--- a/crates/node/src/net/control/mod.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::control::{self, Asked, Call, Caller, Wrong};
+use pipitlever_wire::control::{self, ControlRequest, Operation, RequestError, RequestReader};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -56,7 +56,7 @@
     let asked = async {
         by(ahead(WHOLE_MS), read(&stream))
             .await
-            .unwrap_or(Some(Err(Wrong::Timeout)))
+            .unwrap_or(Some(Err(RequestError::Timeout)))
     };
     let sent_away = async {
         go.wait().await;
@@ -68,7 +68,7 @@
     match asked {
         None => return,
         Some(Ok((asked, body))) => hub.borrow_mut().called_on(asked, &body, &mut out),
-        Some(Err(wrong)) => control::wrong(&mut out, wrong),
+        Some(Err(wrong)) => control::write_error(&mut out, wrong),
     }
     // An answer fits into the socket's buffer, so that this waits for nobody who reads.
     let written = by(ahead(LEAVE_MS), stream.write_all(&out)).await;
@@ -81,13 +81,15 @@
 }
 
 /// Reads until there is a call; nothing if its caller leaves before.
-async fn read(stream: &Async<TcpStream>) -> Option<Result<(Asked, Vec<u8>), Wrong>> {
-    let mut machine = Caller::default();
+async fn read(
+    stream: &Async<TcpStream>,
+) -> Option<Result<(ControlRequest, Vec<u8>), RequestError>> {
+    let mut machine = RequestReader::default();
     let mut bytes = [0; 2048];
     loop {
         let read = stream.read(&mut bytes).await.ok().filter(|n| *n > 0)?;
         if let Some(asked) = machine.feed(&bytes[..read]) {
-            return Some(asked.map(|asked| (asked, machine.body())));
+            return Some(asked.map(|asked| (asked, machine.into_body())));
         }
         future::yield_now().await;
     }
@@ -101,56 +103,60 @@
 
 impl Hub {
     /// Does what an operator asks for, and answers.
-    fn called_on(&mut self, asked: Asked, body: &[u8], out: &mut Vec<u8>) {
-        let Asked { call, head } = asked;
-        if call == Call::Fleet {
+    fn called_on(&mut self, asked: ControlRequest, body: &[u8], out: &mut Vec<u8>) {
+        let ControlRequest {
+            operation: call,
+            is_head_only: head,
+        } = asked;
+        if call == Operation::Fleet {
             return match &self.callers.fleet {
-                Some(part) => control::json(out, head, &crate::net::membership::view(part)),
-                None => control::wrong(out, Wrong::NotFound),
+                Some(part) => control::write_json(out, head, &crate::net::membership::view(part)),
+                None => control::write_error(out, RequestError::NotFound),
             };
         }
-        if let Call::Publish | Call::Close(_) | Call::AcceptFloor(_) = call {
+        if let Operation::Publish | Operation::RetireBelow(_) | Operation::AcceptMinimum(_) = call {
             let part = self.callers.fleet.clone();
             let Some((part, versions)) =
                 part.as_ref().and_then(|p| Some((p, p.versions.as_ref()?)))
             else {
-                return control::wrong(out, Wrong::NotFound);
+                return control::write_error(out, RequestError::NotFound);
             };
             let now = self.clock.now();
             let (yes, text) = match call {
-                Call::Publish => versions.publish(now, unix_ms(), body),
-                Call::Close(floor) => versions.close(now, floor),
-                Call::AcceptFloor(number) => versions.accept_floor(number),
+                Operation::Publish => versions.publish(now, unix_ms(), body),
+                Operation::RetireBelow(floor) => versions.close(now, floor),
+                Operation::AcceptMinimum(number) => versions.accept_floor(number),
                 _ => return,
             };
             log(&format!("control: fleet: {}", text.trim_end()));
             part.give();
-            return control::answer(out, yes, head, &text);
+            return control::write_text(out, yes, head, &text);
         }
         let (yes, text) = match call {
-            Call::Status => match () {
+            Operation::Status => match () {
                 () if self.draining() => (false, "draining\n".into()),
                 () if self.core.fresh() || !self.taking => (false, "starting\n".into()),
                 () if self.core.standing_by() => (true, "standby\n".into()),
                 () => (true, "active\n".into()),
             },
-            Call::Metrics => (true, self.figures()),
+            Operation::Metrics => (true, self.figures()),
             // Answered above.
-            Call::Fleet | Call::Publish | Call::Close(_) | Call::AcceptFloor(_) => {
-                (false, String::new())
-            }
-            Call::Standby => {
+            Operation::Fleet
+            | Operation::Publish
+            | Operation::RetireBelow(_)
+            | Operation::AcceptMinimum(_) => (false, String::new()),
+            Operation::Standby => {
                 self.stand_by(true);
                 (true, "standby\n".into())
             }
             // The way out has no way back.
-            Call::Active if self.draining() => (false, "draining\n".into()),
-            Call::Active => {
+            Operation::Active if self.draining() => (false, "draining\n".into()),
+            Operation::Active => {
                 self.stand_by(false);
                 (true, "active\n".into())
             }
         };
-        control::answer(out, yes, head, &text);
+        control::write_text(out, yes, head, &text);
     }
 
     fn stand_by(&mut self, stand_by: bool) {
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -9,8 +9,8 @@
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::jsonrpc::Gateway;
-use pipitlever_wire::uwsgi::Client;
+use pipitlever_wire::jsonrpc::GatewayReader;
+use pipitlever_wire::uwsgi::PacketReader;
 use std::cell::RefCell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -129,7 +129,7 @@
 
 /// Reads a gateway's lines until it closes.
 async fn read_lines(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = Gateway::default();
+    let mut machine = GatewayReader::default();
     let mut bytes = vec![0; 8192];
     while let Ok(n) = stream.read(&mut bytes).await {
         if n == 0 {
@@ -141,20 +141,20 @@
             machine.feed(&bytes[..n]);
         }
         while !out.closed() {
-            let message = machine.next(
+            let message = machine.next_message(
                 |name| hub.borrow().class(name),
                 |name| hub.borrow().tenant(name),
             );
             let Some(message) = message else { break };
             hub.borrow_mut().gateway(id, message);
-            if machine.broken() {
+            if machine.is_broken() {
                 hub.borrow_mut().places.finish(id);
             }
         }
         if out.closed() {
             future::pending::<()>().await;
         }
-        hub.borrow_mut().stirred(id, machine.unfinished());
+        hub.borrow_mut().stirred(id, machine.has_partial_message());
         // A peer that always has something to say would otherwise never let the others have their
         // turn.
         future::yield_now().await;
@@ -163,7 +163,7 @@
 
 /// Reads one packet, and then only looks out for the client's leaving.
 async fn read_packet(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = Some(Client::new(hub.borrow().uwsgi.most_body));
+    let mut machine = Some(PacketReader::new(hub.borrow().uwsgi.most_body));
     let mut bytes = vec![0; 8192];
     while let Ok(n) = stream.read(&mut bytes).await {
         if n == 0 {
--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -19,9 +19,9 @@
 use pipitlever_hot_restart::predecessor::Predecessor;
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_idempotency_store::recovery::Recovered;
-use pipitlever_wire::jsonrpc::{self, Code, Message, Work};
-use pipitlever_wire::processor::{Command, Notice, RunEnd};
-use pipitlever_wire::uwsgi::{self, Packet, Response, Status};
+use pipitlever_wire::jsonrpc::{self, ErrorCode, Message, WorkRequest};
+use pipitlever_wire::processor::{CommandKind, Notice, RunOutcome};
+use pipitlever_wire::uwsgi::{self, Packet, ResponseReader, Status};
 use std::cell::RefCell;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -123,7 +123,7 @@
         let most_result = if worked {
             uwsgi.most_response
         } else {
-            jsonrpc::MOST_RESULT
+            jsonrpc::MAX_RESULT
         };
         let clock = Clock::start();
         let mut core = Core::new(settings, &names, seed, round, most_result, bounds);
@@ -253,7 +253,7 @@
         self.core.counters.accepted += 1;
         let place = self.places.add(self.clock.now(), front);
         if (self.closing || !self.taking) && front == Front::Gateway {
-            self.places.send(place.id, jsonrpc::goaway);
+            self.places.send(place.id, jsonrpc::write_goaway);
         }
         place
     }
@@ -280,7 +280,7 @@
     pub fn retire(&mut self, id: u64) -> bool {
         let told = self.places.retire(id) && !self.ending;
         if told && !self.closing {
-            self.places.send(id, jsonrpc::goaway);
+            self.places.send(id, jsonrpc::write_goaway);
         }
         told
     }
--- a/crates/node/src/net/hub/answers.rs
+++ b/crates/node/src/net/hub/answers.rs
@@ -28,17 +28,17 @@
     match answer {
         Answer::Served(result) => {
             let result = if worked {
-                Response::plain_body(&result)
+                ResponseReader::successful_body(&result)
             } else {
                 Some(&*result)
             };
-            match result.filter(|r| r.len() <= jsonrpc::MOST_RESULT) {
-                Some(result) => jsonrpc::served(out, number, result, level),
-                None => jsonrpc::failed(out, Some(number), Code::Failed, level),
+            match result.filter(|r| r.len() <= jsonrpc::MAX_RESULT) {
+                Some(result) => jsonrpc::write_result(out, number, result, level),
+                None => jsonrpc::write_error(out, Some(number), ErrorCode::Failed, level),
             }
         }
         Answer::Refused { cooldown, nowhere } => {
-            jsonrpc::refused(
+            jsonrpc::write_rejection(
                 out,
                 number,
                 (cooldown as u64).div_ceil(1000),
@@ -47,10 +47,14 @@
             );
         }
         // On this wire only a refusal has a field for when to come back.
-        Answer::Unknown { .. } => jsonrpc::failed(out, Some(number), Code::Failed, level),
+        Answer::Unknown { .. } => jsonrpc::write_error(out, Some(number), ErrorCode::Failed, level),
         Answer::Failed { expired } => {
-            let code = if expired { Code::Expired } else { Code::Failed };
-            jsonrpc::failed(out, Some(number), code, level);
+            let code = if expired {
+                ErrorCode::DeadlineExceeded
+            } else {
+                ErrorCode::Failed
+            };
+            jsonrpc::write_error(out, Some(number), code, level);
         }
     }
 }
@@ -59,18 +63,22 @@
 fn to_uwsgi_client(out: &mut Vec<u8>, answer: Answer, worked: bool) {
     match answer {
         Answer::Served(result) if worked => {
-            pipitlever_wire::copied(result.len());
+            pipitlever_wire::count_copied(result.len());
             out.extend_from_slice(&result);
         }
-        Answer::Served(result) => uwsgi::response(out, Status::Ok, None, &result),
+        Answer::Served(result) => uwsgi::write_response(out, Status::Ok, None, &result),
         Answer::Refused { cooldown, .. } => {
-            uwsgi::response(out, Status::Unavailable, Some(whole_seconds(cooldown)), b"");
+            uwsgi::write_response(out, Status::Unavailable, Some(whole_seconds(cooldown)), b"");
         }
         Answer::Unknown { back } => {
-            uwsgi::response(out, Status::BadGateway, Some(whole_seconds(back)), b"")
+            uwsgi::write_response(out, Status::BadGateway, Some(whole_seconds(back)), b"")
+        }
+        Answer::Failed { expired: true } => {
+            uwsgi::write_response(out, Status::GatewayTimeout, None, b"")
+        }
+        Answer::Failed { expired: false } => {
+            uwsgi::write_response(out, Status::BadGateway, None, b"")
         }
-        Answer::Failed { expired: true } => uwsgi::response(out, Status::GatewayTimeout, None, b""),
-        Answer::Failed { expired: false } => uwsgi::response(out, Status::BadGateway, None, b""),
     }
 }
 
--- a/crates/node/src/net/hub/clients.rs
+++ b/crates/node/src/net/hub/clients.rs
@@ -10,7 +10,7 @@
             Err(status) => {
                 self.core.counters.malformed += 1;
                 self.places
-                    .send(id, |out| uwsgi::response(out, status, None, b""));
+                    .send(id, |out| uwsgi::write_response(out, status, None, b""));
                 self.places.finish(id);
             }
         }
@@ -20,16 +20,16 @@
         let route = self.uwsgi.route(packet.path()?).ok_or(Status::NotFound)?;
         let class = self.class(&route.class).ok_or(Status::NotFound)?;
         let Class { keyed, rank, .. } = self.classes[class];
-        let key = packet.key()?.filter(|_| keyed);
+        let key = packet.idempotency_key()?.filter(|_| keyed);
         if keyed && key.is_none() {
             return Err(Status::BadRequest);
         }
         let allow = packet
-            .allow()?
+            .timeout_ms()?
             .unwrap_or(route.deadline_ms.unwrap_or(self.uwsgi.deadline_ms));
         let body = match route.backend {
             Backend::Workers => packet.bytes(),
-            Backend::Processor if packet.body().len() > jsonrpc::MOST_BODY => {
+            Backend::Processor if packet.body().len() > jsonrpc::MAX_BODY => {
                 return Err(Status::TooLarge)
             }
             Backend::Processor => packet.body(),
--- a/crates/node/src/net/hub/gateways.rs
+++ b/crates/node/src/net/hub/gateways.rs
@@ -12,19 +12,22 @@
         match message {
             Message::Work(work) => {
                 let number = work.id;
-                if open >= jsonrpc::MOST_OPEN {
-                    return self.malformed(id, Some(number), Code::Request);
+                if open >= jsonrpc::MAX_OPEN_REQUESTS {
+                    return self.malformed(id, Some(number), ErrorCode::InvalidRequest);
                 }
                 match self.incoming(id, work) {
                     Ok(incoming) => self.take(incoming),
                     Err(code) => self.malformed(id, Some(number), code),
                 }
             }
-            Message::Alive { id: number, inner } => {
+            Message::HealthCheck {
+                id: number,
+                checks_progress,
+            } => {
                 self.places.heard(id, self.clock.now());
-                let healthy = self.core.healthy() && !(inner && self.core.stands_still());
+                let healthy = self.core.healthy() && !(checks_progress && self.core.stands_still());
                 self.places
-                    .send(id, |out| jsonrpc::health(out, number, healthy, level));
+                    .send(id, |out| jsonrpc::write_health(out, number, healthy, level));
             }
             Message::Cancel(number) => {
                 if let Some(reference) = self.places.cancelled(Origin {
@@ -34,39 +37,39 @@
                     // No answer is owed, but a caller that only ever takes back would never hear a
                     // word.
                     self.places.send(id, |out| {
-                        jsonrpc::failed(out, Some(number), Code::Cancelled, level)
+                        jsonrpc::write_error(out, Some(number), ErrorCode::Cancelled, level)
                     });
                     self.tell(|core, now| core.gone(now, reference));
                 }
             }
-            Message::Bad(number, code) => self.malformed(id, number, code),
+            Message::Invalid(number, code) => self.malformed(id, number, code),
         }
     }
 
-    fn malformed(&mut self, id: u64, number: Option<u64>, code: Code) {
+    fn malformed(&mut self, id: u64, number: Option<u64>, code: ErrorCode) {
         self.core.counters.malformed += 1;
         let level = self.core.level();
         self.places
-            .send(id, |out| jsonrpc::failed(out, number, code, level));
+            .send(id, |out| jsonrpc::write_error(out, number, code, level));
         self.places.erred(id);
     }
 
-    fn incoming(&self, connection: u64, work: Work) -> Result<Incoming, Code> {
+    fn incoming(&self, connection: u64, work: WorkRequest) -> Result<Incoming, ErrorCode> {
         let class = work.class;
         let keyed = self.classes[class].keyed;
-        if self.core.knows(work.reference) || (keyed && work.replay.is_none()) {
-            return Err(Code::Params);
+        if self.core.knows(work.reference) || (keyed && work.idempotency_key.is_none()) {
+            return Err(ErrorCode::InvalidParams);
         }
-        let since = self.clock.of_unix((work.since * 1e3) as Micros);
+        let since = self.clock.of_unix((work.arrived_at_ms * 1e3) as Micros);
         // A caller's clock ahead of ours must not stretch the window of its key.
         let arrived = since.min(self.clock.now());
-        let key = work.replay.clone().filter(|_| keyed);
+        let key = work.idempotency_key.clone().filter(|_| keyed);
         let payload = self.payload(class, &work.body);
         if key
             .as_ref()
             .is_some_and(|k| self.core.conflicts(k, arrived, payload))
         {
-            return Err(Code::Params);
+            return Err(ErrorCode::InvalidParams);
         }
         let body = match &self.classes[class].workers_path {
             None => work.body,
@@ -82,16 +85,16 @@
                     ("CONTENT_LENGTH", &length),
                 ];
                 vars.extend(
-                    work.replay
+                    work.idempotency_key
                         .as_deref()
                         .map(|key| ("HTTP_IDEMPOTENCY_KEY", key)),
                 );
-                Rc::from(uwsgi::packet(&vars, &work.body).ok_or(Code::Params)?)
+                Rc::from(uwsgi::encode_packet(&vars, &work.body).ok_or(ErrorCode::InvalidParams)?)
             }
         };
         Ok(Incoming {
             reference: work.reference,
-            sender: work.sender,
+            sender: work.gateway,
             tenant: work.tenant,
             origin: Origin {
                 connection,
@@ -99,11 +102,11 @@
             },
             class,
             arrived,
-            due: work.allow.map(|ms| since + (ms * 1e3) as Micros),
-            cost: work.effort.map(|ms| ms * 1e3),
-            memory_kb: work.room,
-            rank: work.class_rank,
-            retry: work.dup,
+            due: work.timeout_ms.map(|ms| since + (ms * 1e3) as Micros),
+            cost: work.expected_work_ms.map(|ms| ms * 1e3),
+            memory_kb: work.memory_kb,
+            rank: work.priority,
+            retry: work.is_retry,
             key,
             body,
             payload,
--- a/crates/node/src/net/hub/leaving.rs
+++ b/crates/node/src/net/hub/leaving.rs
@@ -18,7 +18,7 @@
         self.closing = true;
         self.core.tell_level(self.last_level);
         for id in self.places.gateways() {
-            self.places.send(id, jsonrpc::goaway);
+            self.places.send(id, jsonrpc::write_goaway);
         }
     }
 
@@ -40,7 +40,7 @@
         self.taking = taking;
         if !taking {
             for id in self.places.gateways() {
-                self.places.send(id, jsonrpc::goaway);
+                self.places.send(id, jsonrpc::write_goaway);
             }
         }
     }
--- a/crates/node/src/net/hub/notices.rs
+++ b/crates/node/src/net/hub/notices.rs
@@ -11,30 +11,32 @@
     /// The processor said something.
     pub fn notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Hi { cold, ms } => {
+            Notice::Hello { is_cold, uptime_ms } => {
                 self.link.hi();
-                self.tell(|core, now| core.up(now, now - (ms * 1e3) as Micros, cold));
+                self.tell(|core, now| core.up(now, now - (uptime_ms * 1e3) as Micros, is_cold));
             }
-            Notice::Complete {
-                id,
-                end,
-                ms,
+            Notice::RunEnded {
+                reference,
+                outcome,
+                duration_ms,
                 result,
             } => {
-                let end = match end {
-                    RunEnd::Fine => End::Fine,
-                    RunEnd::Fault => End::Fault,
-                    RunEnd::BrokenOff => End::BrokenOff,
-                    RunEnd::Late => End::NeverRan,
+                let end = match outcome {
+                    RunOutcome::Succeeded => End::Fine,
+                    RunOutcome::Failed => End::Fault,
+                    RunOutcome::Interrupted => End::BrokenOff,
+                    RunOutcome::NotStarted => End::NeverRan,
                 };
-                let took = (ms * 1e3) as Micros;
-                self.tell(|core, now| core.run_ended(now, id, end, took, result));
+                let took = (duration_ms * 1e3) as Micros;
+                self.tell(|core, now| core.run_ended(now, reference, end, took, result));
             }
-            Notice::Ask { id, body } => self.tell(|core, now| core.asked(now, id, body)),
-            Notice::Used { question, gauges } => {
+            Notice::CallRequested { reference, body } => {
+                self.tell(|core, now| core.asked(now, reference, body))
+            }
+            Notice::Gauges { query, values } => {
                 let named = |name: &str| {
                     let at = self.gauge_names.iter().position(|n| n == name)?;
-                    gauges.get(at).filter(|v| v.is_finite())
+                    values.get(at).filter(|v| v.is_finite())
                 };
                 let gauges = Gauges {
                     core_use: named("core_use"),
@@ -43,16 +45,15 @@
                     connections: named("links"),
                 };
                 self.tell(|core, now| core.gauges(now, gauges));
-                self.link
-                    .answered(self.clock.now(), question, &mut self.core);
+                self.link.answered(self.clock.now(), query, &mut self.core);
             }
-            Notice::Reject { command, id } => {
+            Notice::CommandRejected { command, reference } => {
                 let command = match command {
-                    Command::Begin => Rejected::Begin,
-                    Command::Interrupt => Rejected::Interrupt,
-                    Command::Other => Rejected::Other,
+                    CommandKind::Start => Rejected::Begin,
+                    CommandKind::Interrupt => Rejected::Interrupt,
+                    CommandKind::Other => Rejected::Other,
                 };
-                self.tell(|core, now| core.rejected(now, id, command));
+                self.tell(|core, now| core.rejected(now, reference, command));
             }
         }
     }
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 use pipitlever_admission::Outcome;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::ledger::{post, CallEnd, Replies};
+use pipitlever_wire::ledger::{encode_call, CallOutcome, ReplyReader};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
@@ -98,7 +98,7 @@
     if left <= 0 {
         return (Outcome::TimedOut, Vec::new());
     }
-    let bytes = post(call.reference, (left as u64).div_ceil(1000), &call.body);
+    let bytes = encode_call(call.reference, (left as u64).div_ceil(1000), &call.body);
     if stream.write_all(&bytes).await.is_err() {
         return (Outcome::Reset, Vec::new());
     }
@@ -116,12 +116,12 @@
         );
     }
     let outcome = match end {
-        CallEnd::Posted => Outcome::Done,
-        CallEnd::QueueFull => Outcome::Busy,
+        CallOutcome::Succeeded => Outcome::Done,
+        CallOutcome::Rejected => Outcome::Busy,
         // No run waits for it any more: its end is on its way, and another call would fare the
         // same.
-        CallEnd::Error | CallEnd::Moot => Outcome::Error,
-        CallEnd::Expired => Outcome::TimedOut,
+        CallOutcome::Failed | CallOutcome::Unneeded => Outcome::Error,
+        CallOutcome::TimedOut => Outcome::TimedOut,
     };
     (outcome, reply)
 }
@@ -132,8 +132,8 @@
     hub: &Shared,
     reference: u64,
     stream: &Async<TcpStream>,
-) -> Option<(CallEnd, Vec<u8>, bool)> {
-    let mut machine = Replies::default();
+) -> Option<(CallOutcome, Vec<u8>, bool)> {
+    let mut machine = ReplyReader::default();
     let mut bytes = [0; 4096];
     let mut alone = true;
     let mut whole_by = None;
@@ -144,9 +144,9 @@
         };
         machine.feed(&bytes[..n?.ok().filter(|&n| n > 0)?]);
         loop {
-            match machine.take() {
-                Ok(Some((id, end, reply))) if id == reference => {
-                    return Some((end, reply, alone && machine.is_empty()));
+            match machine.next_reply() {
+                Ok(Some(reply)) if reply.reference == reference => {
+                    return Some((reply.outcome, reply.body, alone && machine.is_empty()));
                 }
                 // A reply that nobody asked for here.
                 Ok(Some(_)) => alone = false,
--- a/crates/node/src/net/processor/connection.rs
+++ b/crates/node/src/net/processor/connection.rs
@@ -121,12 +121,14 @@
         self.questions += 1;
         for Command { told, body } in &self.unread {
             match told {
-                Told::Begin(reference, _, class) => processor::begin(out, *reference, class, body),
-                Told::Answer(reference) => processor::answer(out, *reference, body),
-                Told::Interrupt(reference) => processor::interrupt(out, *reference),
+                Told::Begin(reference, _, class) => {
+                    processor::write_start(out, *reference, class, body)
+                }
+                Told::Answer(reference) => processor::write_call_reply(out, *reference, body),
+                Told::Interrupt(reference) => processor::write_interrupt(out, *reference),
             }
         }
-        processor::usage(out, self.questions);
+        processor::write_gauge_query(out, self.questions);
         true
     }
 
--- a/crates/node/src/net/processor/mod.rs
+++ b/crates/node/src/net/processor/mod.rs
@@ -7,7 +7,7 @@
 use crate::net::{ahead, by};
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::processor::Processor;
+use pipitlever_wire::processor::NoticeReader;
 use std::net::TcpStream;
 
 /// An old link says within this time, in milliseconds, that it has read everything, or is left
@@ -19,7 +19,7 @@
 
 /// Keeps a link for as long as the node runs, to wherever the processor is.
 pub async fn link(hub: Shared) {
-    let mut machine = Processor::default();
+    let mut machine = NoticeReader::default();
     let moved = hub.borrow().link.moved.clone();
     loop {
         let next = ahead(50);
@@ -63,7 +63,7 @@
     }
 }
 
-async fn read(hub: &Shared, machine: &mut Processor, stream: &Async<TcpStream>) {
+async fn read(hub: &Shared, machine: &mut NoticeReader, stream: &Async<TcpStream>) {
     let mut bytes = vec![0; 16384];
     while let Ok(n) = stream.read(&mut bytes).await {
         if n == 0 {
@@ -71,7 +71,7 @@
         }
         machine.feed(&bytes[..n]);
         loop {
-            match machine.take() {
+            match machine.next_notice() {
                 Ok(Some(notice)) => hub.borrow_mut().notice(notice),
                 Ok(None) => break,
                 Err(_) => {
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -2,7 +2,7 @@
 
 use crate::net::hub::Shared;
 use crate::net::{ahead, by};
-use pipitlever_wire::membership::report;
+use pipitlever_wire::service_registry::{heartbeat, Availability};
 use std::net::{SocketAddr, UdpSocket};
 
 /// Time between reports, in milliseconds. Reports get lost: where one in four does, four in a row
@@ -16,7 +16,11 @@
     let (mut socket, mut bound) = (None, None);
     loop {
         let next = ahead(EVERY_MS);
-        let up = !hub.borrow().draining();
+        let availability = match hub.borrow().draining() {
+            true => Availability::Draining,
+            false => Availability::Up,
+        };
+        let up = availability == Availability::Up;
         let members = hub.borrow().members;
         if bound != members {
             // The address may be new, and of the other family.
@@ -36,7 +40,7 @@
         // The node stays where another process of it goes on.
         let say = up || !hub.borrow().is_superseded();
         if let (Some(socket), Some(address), true) = (&socket, members, say) {
-            let _ = socket.send_to(&report(&name, up), address);
+            let _ = socket.send_to(&heartbeat(&name, availability), address);
         }
         if !up {
             return;
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -13,7 +13,7 @@
 use pipitlever_core::End;
 use pipitlever_load_balancing::pool;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::uwsgi::{variable, Response};
+use pipitlever_wire::uwsgi::{find_variable, ResponseReader};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
         (hub.clock.instant(job.until), hub.uwsgi.most_response)
     };
     // A key in the packet is the same in all tries of a request, whichever front they came by.
-    let key = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
+    let key = find_variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
         .filter(|_| job.sticky)
         .map(digest);
     // Where sessions stay with their workers there is one place for it, and no other.
@@ -57,7 +57,7 @@
         _ => None,
     };
     // A repeat goes where the first try went, though its session has moved since.
-    let repeats = variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
+    let repeats = find_variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
         .filter(|_| !job.safe)
         .map(digest);
     if let (Some(Some(at)), Some(part), Some(shown)) = (home, &part, repeats) {
@@ -141,16 +141,16 @@
     let first = stream.write(packet).await.ok()?;
     *sent = true;
     stream.write_all(&packet[first..]).await.ok()?;
-    let mut response = Response::new(method(packet), most);
+    let mut response = ResponseReader::new(method(packet), most);
     let mut bytes = vec![0; 8192];
     loop {
         let n = stream.read(&mut bytes).await.ok()?;
         if n == 0 || response.feed(&bytes[..n]).ok()? {
-            return response.ended();
+            return response.finish();
         }
     }
 }
 
 fn method(packet: &[u8]) -> Option<&[u8]> {
-    variable(packet, "REQUEST_METHOD")
+    find_variable(packet, "REQUEST_METHOD")
 }
--- a/crates/node/src/net/workers/pools.rs
+++ b/crates/node/src/net/workers/pools.rs
@@ -10,7 +10,7 @@
 use pipitlever_load_balancing::pool::{self, Ask, End, Member, Place, Pool, Rules, Run};
 use pipitlever_load_balancing::retry::{Further, Tried};
 use pipitlever_subsetting::plan::Use;
-use pipitlever_wire::uwsgi::variable;
+use pipitlever_wire::uwsgi::find_variable;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -266,7 +266,7 @@
     /// What a run's packet says of its session, where sessions stay with the workers of its pool.
     pub fn session(&self, job: &Job) -> Option<u64> {
         let sessions = self.all[job.pool].file.sessions.as_ref()?;
-        variable(&job.packet, &sessions.variable)
+        find_variable(&job.packet, &sessions.variable)
             .filter(|v| !v.is_empty())
             .map(digest)
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,114 +1,61 @@
-//! What is spoken: one state machine a protocol, fed bytes and yielding messages. No socket, no
-//! clock.
+//! The protocols that a node speaks: one state machine for each, fed bytes and yielding messages.
+//!
+//! Nothing here has a socket or a clock, and nothing decides about admission. The names that a
+//! protocol has on the wire are mapped to the node's terms here and nowhere else.
+//!
+//! | module | protocol |
+//! | --- | --- |
+//! | [`jsonrpc`] | requests of the platform's gateways: JSON-RPC 2.0, one message a line |
+//! | [`uwsgi`] | requests of uwsgi clients, and requests to uwsgi workers |
+//! | [`processor`] | commands to the platform's processor and its notices |
+//! | [`ledger`] | calls to the layer below |
+//! | [`service_registry`] | heartbeats to the service registry |
+//! | [`control`] | the control endpoint, over HTTP/1.1 |
+//! | [`lines`] | the framing that `processor` and `ledger` share |
 
 pub mod control;
 pub mod jsonrpc;
 pub mod ledger;
-pub mod membership;
+pub mod lines;
 pub mod processor;
+pub mod service_registry;
 pub mod uwsgi;
 
-/// Bytes that were copied on the way of requests: from what was read into a connection's buffer, to
-/// what is shared, to the batch, and back into the answer. What the system copies is not among
-/// them. Counted with the feature `count` alone.
+/// Bytes copied on the path of requests: from the read buffer to the connection's buffer, to the
+/// shared body, to the batch of commands, and into the answer. Copies by the system are not
+/// counted. Only with the feature `count`.
 #[cfg(feature = "count")]
 pub static COPIED: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// So many bytes are copied.
+/// Counts copied bytes; does nothing without the feature `count`.
 #[inline]
-pub fn copied(bytes: usize) {
+pub fn count_copied(bytes: usize) {
     #[cfg(feature = "count")]
     COPIED.fetch_add(bytes as u64, std::sync::atomic::Ordering::Relaxed);
     let _ = bytes;
 }
 
-/// A name of 16 lower-case hex digits, as a number.
-pub fn reference(word: &str) -> Option<u64> {
-    let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    (word.len() == 16 && word.bytes().all(hex))
-        .then(|| u64::from_str_radix(word, 16).ok())
-        .flatten()
-}
-
-/// A peer that broke its protocol: its connection has to end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A peer violated its protocol: its connection has to be closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("malformed message")]
 pub struct Malformed;
 
-/// A line of words, and the body behind it.
-pub type Message<'a> = (&'a str, &'a [u8]);
-
-/// Lines of words ending in CR LF, some with a body of the length that their last word states.
-#[derive(Debug, Default)]
-pub struct Framed {
-    buffer: Vec<u8>,
-    /// So much of it has been taken out.
-    used: usize,
-}
-
-/// The longest line of words.
-const MOST_LINE: usize = 1024;
-/// The longest body behind one.
-const MOST_BODY: usize = 1 << 20;
-/// What a buffer keeps of its memory once it is empty.
-const KEPT: usize = 16 << 10;
+/// Length of a request's reference on the wire, in hexadecimal digits.
+const REFERENCE_DIGITS: usize = 16;
 
-impl Framed {
-    /// Takes in what was read.
-    pub fn feed(&mut self, bytes: &[u8]) {
-        take_out(&mut self.buffer, &mut self.used);
-        crate::copied(bytes.len());
-        self.buffer.extend_from_slice(bytes);
-    }
-
-    /// Whether nothing is left of a message that is not whole.
-    pub fn is_empty(&self) -> bool {
-        self.used == self.buffer.len()
-    }
-
-    /// The next whole message: its line, and its body where `has_body` says that such a line has
-    /// one.
-    pub fn next(&mut self, has_body: fn(&str) -> bool) -> Result<Option<Message<'_>>, Malformed> {
-        let rest = &self.buffer[self.used..];
-        let Some(end) = rest.iter().take(MOST_LINE).position(|&b| b == b'\n') else {
-            return if rest.len() >= MOST_LINE {
-                Err(Malformed)
-            } else {
-                Ok(None)
-            };
-        };
-        let line = rest[..end].strip_suffix(b"\r").ok_or(Malformed)?;
-        let line = std::str::from_utf8(line).map_err(|_| Malformed)?;
-        let mut body: &[u8] = &[];
-        let mut used = end + 1;
-        if has_body(line) {
-            let length = line.rsplit(' ').next().and_then(number).ok_or(Malformed)? as usize;
-            if length > MOST_BODY {
-                return Err(Malformed);
-            }
-            let Some((whole, _)) = rest[used..].split_at_checked(length + 2) else {
-                return Ok(None);
-            };
-            body = whole.strip_suffix(b"\r\n").ok_or(Malformed)?;
-            used += length + 2;
-        }
-        self.used += used;
-        Ok(Some((line, body)))
+/// Parses a reference: 16 lower-case hexadecimal digits.
+pub fn parse_reference(word: &str) -> Option<u64> {
+    let is_digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    if word.len() != REFERENCE_DIGITS || !word.bytes().all(is_digit) {
+        return None;
     }
+    u64::from_str_radix(word, 16).ok()
 }
 
-/// Drops what was taken out of a buffer, which moves what is left of it, and the memory that a
-/// burst made it take.
-fn take_out(buffer: &mut Vec<u8>, used: &mut usize) {
-    crate::copied(buffer.len() - *used);
-    buffer.drain(..std::mem::take(used));
-    if buffer.is_empty() {
-        buffer.shrink_to(KEPT);
+/// Parses a decimal number that consists of digits alone; `str::parse` would accept a sign.
+pub fn parse_decimal(word: &str) -> Option<u64> {
+    if word.is_empty() || !word.bytes().all(|b| b.is_ascii_digit()) {
+        return None;
     }
-}
-
-/// A plain decimal number, of digits alone.
-pub fn number(word: &str) -> Option<u64> {
-    (!word.is_empty() && word.bytes().all(|b| b.is_ascii_digit()))
-        .then(|| word.parse().ok())
-        .flatten()
+    word.parse().ok()
 }
--- /dev/null
+++ b/crates/wire/src/processor/mod.rs
@@ -0,0 +1,7 @@
+//! The connection to the platform's processor: commands out, numbered notices in.
+
+mod commands;
+mod notices;
+
+pub use commands::{write_call_reply, write_gauge_query, write_interrupt, write_start};
+pub use notices::{CommandKind, GaugeValues, Notice, NoticeReader, RunOutcome};
--- /dev/null
+++ b/crates/wire/src/uwsgi/packet.rs
@@ -0,0 +1,210 @@
+//! uwsgi packets: read from clients, searched for variables, and made for workers.
+
+use super::Status;
+use crate::parse_decimal;
+
+/// Length of a packet's header, in bytes.
+const HEADER_LENGTH: usize = 4;
+/// Longest block of variables, in bytes.
+const MAX_VARIABLES: usize = 8192;
+/// Longest idempotency key, in bytes.
+const MAX_KEY: usize = 128;
+/// Longest time that a client may wait, in milliseconds: an hour.
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
+
+/// The name and the value of a variable.
+type Variable = (String, Vec<u8>);
+
+/// A complete request.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Packet {
+    /// The variables, in order.
+    variables: Vec<Variable>,
+    /// Where the body begins in `bytes`.
+    body_start: usize,
+    bytes: Vec<u8>,
+}
+
+impl Packet {
+    /// A variable's value; an empty one counts as absent, as in CGI.
+    pub fn variable(&self, name: &str) -> Option<&[u8]> {
+        let (_, value) = self.variables.iter().find(|(n, _)| n == name)?;
+        (!value.is_empty()).then_some(value.as_slice())
+    }
+
+    /// The path that routes are chosen by (`PATH_INFO`).
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Status::BadRequest`] if it is absent or not UTF-8.
+    pub fn path(&self) -> Result<&str, Status> {
+        let path = self.variable("PATH_INFO").ok_or(Status::BadRequest)?;
+        std::str::from_utf8(path).map_err(|_| Status::BadRequest)
+    }
+
+    /// The idempotency key (`HTTP_IDEMPOTENCY_KEY`), if the request has one.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Status::BadRequest`] if it is too long or not UTF-8.
+    pub fn idempotency_key(&self) -> Result<Option<&str>, Status> {
+        let Some(key) = self.variable("HTTP_IDEMPOTENCY_KEY") else {
+            return Ok(None);
+        };
+        let key = std::str::from_utf8(key).map_err(|_| Status::BadRequest)?;
+        if key.len() > MAX_KEY {
+            return Err(Status::BadRequest);
+        }
+        Ok(Some(key))
+    }
+
+    /// How long the client waits, in milliseconds (`HTTP_X_ALLOW_MS`), if it states that.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Status::BadRequest`] if it is not a decimal number or too long.
+    pub fn timeout_ms(&self) -> Result<Option<u64>, Status> {
+        let Some(text) = self.variable("HTTP_X_ALLOW_MS") else {
+            return Ok(None);
+        };
+        let timeout = std::str::from_utf8(text).ok().and_then(parse_decimal);
+        let timeout = timeout.filter(|&ms| ms <= MAX_TIMEOUT_MS);
+        timeout.map(Some).ok_or(Status::BadRequest)
+    }
+
+    /// The body alone.
+    pub fn body(&self) -> &[u8] {
+        &self.bytes[self.body_start..]
+    }
+
+    /// The packet as it was received, for a worker.
+    pub fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+}
+
+/// Reads the one packet of a client's connection.
+#[derive(Debug)]
+pub struct PacketReader {
+    buffer: Vec<u8>,
+    max_body: usize,
+}
+
+impl PacketReader {
+    /// A reader that accepts bodies of up to `max_body` bytes.
+    pub fn new(max_body: usize) -> PacketReader {
+        PacketReader {
+            buffer: Vec::new(),
+            max_body,
+        }
+    }
+
+    /// Appends bytes that were read. Returns the packet once it is complete, or its error as soon as
+    /// that shows.
+    pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Packet, Status>> {
+        self.buffer.extend_from_slice(bytes);
+        self.parse().transpose()
+    }
+
+    fn parse(&mut self) -> Result<Option<Packet>, Status> {
+        let Some(&[modifier, low, high, _]) = self.buffer.first_chunk::<HEADER_LENGTH>() else {
+            // A client of another protocol may never send the other three bytes.
+            return if self.buffer.first().is_some_and(|&m| m != 0) {
+                Err(Status::BadRequest)
+            } else {
+                Ok(None)
+            };
+        };
+        if modifier != 0 {
+            return Err(Status::BadRequest);
+        }
+        let size = usize::from(u16::from_le_bytes([low, high]));
+        if size > MAX_VARIABLES {
+            return Err(Status::TooLarge);
+        }
+        let body_start = HEADER_LENGTH + size;
+        let Some(block) = self.buffer.get(HEADER_LENGTH..body_start) else {
+            return Ok(None);
+        };
+        let variables = parse_variables(block).ok_or(Status::BadRequest)?;
+        let length = content_length(&variables)?;
+        if length > self.max_body {
+            return Err(Status::TooLarge);
+        }
+        let end = body_start + length;
+        if self.buffer.len() < end {
+            return Ok(None);
+        }
+        let mut bytes = std::mem::take(&mut self.buffer);
+        bytes.truncate(end);
+        Ok(Some(Packet {
+            variables,
+            body_start,
+            bytes,
+        }))
+    }
+}
+
+/// The length of the body; 0 if the variables do not state it.
+fn content_length(variables: &[Variable]) -> Result<usize, Status> {
+    let stated = variables
+        .iter()
+        .find(|(name, value)| name == "CONTENT_LENGTH" && !value.is_empty());
+    let Some((_, text)) = stated else {
+        return Ok(0);
+    };
+    if !text.iter().all(u8::is_ascii_digit) {
+        return Err(Status::BadRequest);
+    }
+    let text = std::str::from_utf8(text).map_err(|_| Status::BadRequest)?;
+    // Digits that do not fit a number are a length that is too large.
+    Ok(text.parse().unwrap_or(usize::MAX))
+}
+
+/// Takes the word at the start of the block, behind its length.
+fn take_word<'a>(block: &mut &'a [u8]) -> Option<&'a [u8]> {
+    let (length, rest) = block.split_first_chunk::<2>()?;
+    let (word, rest) = rest.split_at_checked(usize::from(u16::from_le_bytes(*length)))?;
+    *block = rest;
+    Some(word)
+}
+
+/// Names and values, each behind its length. A name that occurs twice could be understood in one
+/// way here and in another by the worker, so it is an error.
+fn parse_variables(mut block: &[u8]) -> Option<Vec<Variable>> {
+    let mut variables: Vec<Variable> = Vec::new();
+    while !block.is_empty() {
+        let name = String::from_utf8(take_word(&mut block)?.to_vec()).ok()?;
+        let value = take_word(&mut block)?.to_vec();
+        if name.is_empty() || variables.iter().any(|(n, _)| *n == name) {
+            return None;
+        }
+        variables.push((name, value));
+    }
+    Some(variables)
+}
+
+/// The value of a variable in the bytes of a complete packet.
+pub fn find_variable<'a>(packet: &'a [u8], name: &str) -> Option<&'a [u8]> {
+    let size = usize::from(u16::from_le_bytes([*packet.get(1)?, *packet.get(2)?]));
+    let mut block = packet.get(HEADER_LENGTH..HEADER_LENGTH + size)?;
+    while !block.is_empty() {
+        let found = take_word(&mut block)?;
+        let value = take_word(&mut block)?;
+        if found == name.as_bytes() {
+            return Some(value);
+        }
+    }
+    None
+}
+
+/// A packet with these variables and this body; none if the variables are too long for one.
+pub fn encode_packet(variables: &[(&str, &str)], body: &[u8]) -> Option<Vec<u8>> {
+    let mut block = Vec::new();
+    for word in variables.iter().flat_map(|(name, value)| [name, value]) {
+        block.extend_from_slice(&u16::try_from(word.len()).ok()?.to_le_bytes());
+        block.extend_from_slice(word.as_bytes());
+    }
+    let [low, high] = u16::try_from(block.len()).ok()?.to_le_bytes();
+    Some([&[0, low, high, 0], block.as_slice(), body].concat())
+}
--- a/crates/wire/tests/forms.rs
+++ b/crates/wire/tests/forms.rs
@@ -1,19 +1,19 @@
-//! One request in the forms that JSON allows for it, whole and cut at every byte.
+//! One request in every form that JSON allows for it, complete and cut at every byte.
 
-use pipitlever_wire::jsonrpc::{Gateway, Message};
+use pipitlever_wire::jsonrpc::{GatewayReader, Message};
 
-/// Messages of bytes that come in pieces of these lengths, the rest at the end.
+/// The messages of a text that is fed in two pieces.
 fn messages(text: &str, cut: usize) -> Vec<Message> {
-    let mut gateway = Gateway::default();
+    let mut gateway = GatewayReader::default();
     let mut found = Vec::new();
     let (first, second) = text.as_bytes().split_at(cut);
     for piece in [first, second] {
         gateway.feed(piece);
         found.extend(std::iter::from_fn(|| {
-            gateway.next(|name| (name == "rota-view").then_some(0), |_| None)
+            gateway.next_message(|name| (name == "rota-view").then_some(0), |_| None)
         }));
     }
-    assert!(!gateway.unfinished(), "{text:?} cut at {cut}");
+    assert!(!gateway.has_partial_message(), "{text:?} cut at {cut}");
     found
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_request_is_taken_back_in_every_form_of_its_number() {
+fn a_request_is_cancelled_by_every_form_of_its_number() {
     for number in ["3", "3.0", "3e0", "30e-1"] {
         let text = format!(
             "{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n"
@@ -67,7 +67,7 @@
             "{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n"
         );
         assert!(
-            matches!(messages(&text, 0)[..], [Message::Bad(None, _)]),
+            matches!(messages(&text, 0)[..], [Message::Invalid(None, _)]),
             "{number}"
         );
     }
