--- a/crates/wire/tests/control.rs
+++ b/crates/wire/tests/control.rs
@@ -6,6 +6,7 @@
 };
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn requests_are_read_complete_and_in_pieces() {
     let ok = |operation| {
         Some(Ok(ControlRequest {
--- a/crates/wire/tests/jsonrpc.rs
+++ b/crates/wire/tests/jsonrpc.rs
@@ -16,6 +16,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn lines_are_read_complete_or_in_pieces() {
     use ErrorCode::{InvalidRequest, Parse};
     let invalid = Message::Invalid;
