--- a/crates/node/src/net/hub/gateways.rs
+++ b/crates/node/src/net/hub/gateways.rs
@@ -5,7 +5,7 @@
 impl Hub {
     /// A gateway said something.
     pub fn gateway(&mut self, id: u64, message: Message) {
-        let level = self.core.level();
+        let level = self.core.load_level();
         let Some(open) = self.places.open(id) else {
             return;
         };
@@ -25,21 +25,22 @@
                 checks_progress,
             } => {
                 self.places.heard(id, self.clock.now());
-                let healthy = self.core.healthy() && !(checks_progress && self.core.stands_still());
+                let healthy =
+                    self.core.is_healthy() && !(checks_progress && self.core.is_stalled());
                 self.places
                     .send(id, |out| jsonrpc::write_health(out, number, healthy, level));
             }
             Message::Cancel(number) => {
                 if let Some(reference) = self.places.cancelled(Origin {
                     connection: id,
-                    number,
+                    request_number: number,
                 }) {
                     // No answer is owed, but a caller that only ever takes back would never hear a
                     // word.
                     self.places.send(id, |out| {
                         jsonrpc::write_error(out, Some(number), ErrorCode::Cancelled, level)
                     });
-                    self.tell(|core, now| core.gone(now, reference));
+                    self.tell(|core, now| core.handle_abandoned(now, reference));
                 }
             }
             Message::Invalid(number, code) => self.malformed(id, number, code),
@@ -48,16 +49,16 @@
 
     fn malformed(&mut self, id: u64, number: Option<u64>, code: ErrorCode) {
         self.core.counters.malformed += 1;
-        let level = self.core.level();
+        let level = self.core.load_level();
         self.places
             .send(id, |out| jsonrpc::write_error(out, number, code, level));
         self.places.erred(id);
     }
 
-    fn incoming(&self, connection: u64, work: WorkRequest) -> Result<Incoming, ErrorCode> {
+    fn incoming(&self, connection: u64, work: WorkRequest) -> Result<IncomingRequest, ErrorCode> {
         let class = work.class;
         let keyed = self.classes[class].keyed;
-        if self.core.knows(work.reference) || (keyed && work.idempotency_key.is_none()) {
+        if self.core.contains_request(work.reference) || (keyed && work.idempotency_key.is_none()) {
             return Err(ErrorCode::InvalidParams);
         }
         let since = self.clock.of_unix((work.arrived_at_ms * 1e3) as Micros);
@@ -67,7 +68,7 @@
         let payload = self.payload(class, &work.body);
         if key
             .as_ref()
-            .is_some_and(|k| self.core.conflicts(k, arrived, payload))
+            .is_some_and(|k| self.core.is_key_conflict(k, arrived, payload))
         {
             return Err(ErrorCode::InvalidParams);
         }
@@ -92,24 +93,24 @@
                 Rc::from(uwsgi::encode_packet(&vars, &work.body).ok_or(ErrorCode::InvalidParams)?)
             }
         };
-        Ok(Incoming {
+        Ok(IncomingRequest {
             reference: work.reference,
             sender: work.gateway,
             tenant: work.tenant,
             origin: Origin {
                 connection,
-                number: work.id,
+                request_number: work.id,
             },
             class,
-            arrived,
-            due: work.timeout_ms.map(|ms| since + (ms * 1e3) as Micros),
+            arrived_at: arrived,
+            deadline: work.timeout_ms.map(|ms| since + (ms * 1e3) as Micros),
             cost: work.expected_work_ms.map(|ms| ms * 1e3),
             memory_kb: work.memory_kb,
-            rank: work.priority,
-            retry: work.is_retry,
-            key,
+            priority: work.priority,
+            is_retry: work.is_retry,
+            idempotency_key: key,
             body,
-            payload,
+            payload_digest: payload,
         })
     }
 }
--- a/crates/node/src/net/hub/notices.rs
+++ b/crates/node/src/net/hub/notices.rs
@@ -5,7 +5,7 @@
 impl Hub {
     /// A link to the processor was set up.
     pub fn linked(&mut self) {
-        self.core.counters.links += 1;
+        self.core.counters.processor_connections += 1;
     }
 
     /// The processor said something.
@@ -13,7 +13,7 @@
         match notice {
             Notice::Hello { is_cold, uptime_ms } => {
                 self.link.hi();
-                self.tell(|core, now| core.up(now, now - (uptime_ms * 1e3) as Micros, is_cold));
+                self.tell(|core, now| core.start(now, now - (uptime_ms * 1e3) as Micros, is_cold));
             }
             Notice::RunEnded {
                 reference,
@@ -22,16 +22,16 @@
                 result,
             } => {
                 let end = match outcome {
-                    RunOutcome::Succeeded => End::Fine,
-                    RunOutcome::Failed => End::Fault,
-                    RunOutcome::Interrupted => End::BrokenOff,
-                    RunOutcome::NotStarted => End::NeverRan,
+                    processor::RunOutcome::Succeeded => RunOutcome::Completed,
+                    processor::RunOutcome::Failed => RunOutcome::Failed,
+                    processor::RunOutcome::Interrupted => RunOutcome::Aborted,
+                    processor::RunOutcome::NotStarted => RunOutcome::NotStarted,
                 };
                 let took = (duration_ms * 1e3) as Micros;
-                self.tell(|core, now| core.run_ended(now, reference, end, took, result));
+                self.tell(|core, now| core.handle_run_finished(now, reference, end, took, result));
             }
             Notice::CallRequested { reference, body } => {
-                self.tell(|core, now| core.asked(now, reference, body))
+                self.tell(|core, now| core.handle_call_requested(now, reference, body))
             }
             Notice::Gauges { query, values } => {
                 let named = |name: &str| {
@@ -44,16 +44,16 @@
                     memory_use: named("heap_share"),
                     connections: named("links"),
                 };
-                self.tell(|core, now| core.gauges(now, gauges));
+                self.tell(|core, now| core.update_gauges(now, gauges));
                 self.link.answered(self.clock.now(), query, &mut self.core);
             }
             Notice::CommandRejected { command, reference } => {
                 let command = match command {
-                    CommandKind::Start => Rejected::Begin,
-                    CommandKind::Interrupt => Rejected::Interrupt,
-                    CommandKind::Other => Rejected::Other,
+                    CommandKind::Start => RejectedCommand::Start,
+                    CommandKind::Interrupt => RejectedCommand::Stop,
+                    CommandKind::Other => RejectedCommand::Other,
                 };
-                self.tell(|core, now| core.rejected(now, reference, command));
+                self.tell(|core, now| core.handle_command_rejected(now, reference, command));
             }
         }
     }
