--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -7,11 +7,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It succeeded.
-    Done,
+    #[serde(rename = "Done")]
+    Success,
     /// It failed and may have taken effect.
     Error,
     /// A call was turned away unseen: it never ran.
-    Busy,
+    #[serde(rename = "Busy")]
+    Rejected,
     /// A call was abandoned and may have taken effect.
     TimedOut,
     /// A call found nobody there: it never ran.
@@ -21,7 +23,8 @@
     /// A run was halted, or ended at a call because its answer was given.
     Cancelled,
     /// Nothing was started: the request had concluded.
-    Moot,
+    #[serde(rename = "Moot")]
+    NotStarted,
 }
 
 /// A request that has been read.
@@ -36,21 +39,27 @@
     /// Whether it names a subject.
     pub has_key: bool,
     /// How long its caller still waits, if told.
-    pub patience: Option<Micros>,
+    #[serde(rename = "patience")]
+    pub timeout: Option<Micros>,
     /// Expected work, if told.
     pub cost: Option<f64>,
     /// Memory while held.
     pub memory_kb: f64,
     /// Rank from 0 to under 1, the more worthy the higher.
-    pub rank: f64,
+    #[serde(rename = "rank")]
+    pub priority: f64,
     /// A further try or a second copy.
-    pub retry: bool,
+    #[serde(rename = "retry")]
+    pub is_retry: bool,
     /// A write.
-    pub write: bool,
+    #[serde(rename = "write")]
+    pub is_write: bool,
     /// Time since it arrived at the machine.
-    pub queued: Micros,
+    #[serde(rename = "queued")]
+    pub queue_time: Micros,
     /// The kept request that this one repeats.
-    pub same_as: Option<RequestId>,
+    #[serde(rename = "same_as")]
+    pub duplicate_of: Option<RequestId>,
 }
 
 /// Something that happened.
@@ -59,18 +68,21 @@
     /// A request was read and is now held.
     Arrived(Request),
     /// The server is to leave; its process stops after this time.
-    Leaving(Micros),
+    #[serde(rename = "Leaving")]
+    ShutdownNotice(Micros),
     /// A run or a reuse ended.
     Finished {
         /// The request.
         id: RequestId,
         /// Time since it was started, waits included.
-        took: Micros,
+        #[serde(rename = "took")]
+        elapsed: Micros,
         /// How it ended.
         outcome: Outcome,
     },
     /// Nobody awaits this request any longer.
-    Gone(RequestId),
+    #[serde(rename = "Gone")]
+    Abandoned(RequestId),
     /// A running request cannot go on without a call.
     NeedsCall(RequestId),
     /// A call ended.
@@ -78,7 +90,8 @@
         /// The request.
         id: RequestId,
         /// Time since the call was placed.
-        took: Micros,
+        #[serde(rename = "took")]
+        elapsed: Micros,
         /// How it ended.
         outcome: Outcome,
     },
@@ -87,11 +100,14 @@
         /// The tag it was set with.
         tag: u64,
         /// Busy share of the cores, lately.
-        core_use: Option<f64>,
+        #[serde(rename = "core_use")]
+        cpu_utilization: Option<f64>,
         /// All that needs a core now, reading included.
-        on_cores: Option<f64>,
+        #[serde(rename = "on_cores")]
+        runnable: Option<f64>,
         /// Share of memory in use.
-        memory_use: Option<f64>,
+        #[serde(rename = "memory_use")]
+        memory_utilization: Option<f64>,
         /// Open connections.
         connections: Option<f64>,
     },
@@ -103,8 +119,8 @@
         match self {
             Event::Arrived(request) => Some(request.id),
             Event::Finished { id, .. } | Event::CallEnded { id, .. } => Some(*id),
-            Event::Gone(id) | Event::NeedsCall(id) => Some(*id),
-            Event::Leaving(_) | Event::Timer { .. } => None,
+            Event::Abandoned(id) | Event::NeedsCall(id) => Some(*id),
+            Event::ShutdownNotice(_) | Event::Timer { .. } => None,
         }
     }
 }
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -7,34 +7,43 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
     /// Safe to repeat.
-    Free,
+    #[serde(rename = "Free")]
+    Idempotent,
     /// Carries a key; runs at most once here within the class's window.
     Keyed,
     /// Must never be run twice and carries no key.
-    Unsafe,
+    #[serde(rename = "Unsafe")]
+    NonIdempotent,
 }
 
 /// A class of request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// An answer within this time of the first try earns full worth.
-    pub aim: Micros,
+    #[serde(rename = "aim")]
+    pub latency_objective: Micros,
     /// How long a client waits in all.
     pub deadline: Micros,
     /// Whether its requests may be repeated.
     pub idempotency: Idempotency,
     /// For keyed classes: how long after an arrival a repeat may come.
-    pub window: Micros,
+    #[serde(rename = "window")]
+    pub idempotency_window: Micros,
     /// Worth of one request, or of one unit of its work.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight: f64,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    #[serde(rename = "aim_stretch")]
+    pub objective_per_cost: f64,
     /// Whether its requests may call the layer below.
-    pub calls: bool,
+    #[serde(rename = "calls")]
+    pub makes_calls: bool,
     /// Share of the worth that is left when a call is skipped; 0 forbids skipping.
-    pub skip_worth: f64,
+    #[serde(rename = "skip_worth")]
+    pub skip_call_weight: f64,
 }
 
 /// A tenant and what it may use.
@@ -46,9 +55,10 @@
 
 /// What lies below this server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Below {
+pub enum Downstream {
     /// Nothing is called.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    None,
     /// One dependency that all servers share.
     Shared,
     /// The servers of a further tier.
@@ -57,9 +67,10 @@
 
 /// What halting a run does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HaltMode {
+pub enum CancellationMode {
     /// Running work cannot be halted.
-    Never,
+    #[serde(rename = "Never")]
+    Unsupported,
     /// The work done is lost.
     Abort,
     /// Progress and memory are retained.
@@ -68,9 +79,10 @@
 
 /// What callers make of the level they are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LevelKind {
+pub enum BackpressureKind {
     /// No level may be told.
-    Never,
+    #[serde(rename = "Never")]
+    Disabled,
     /// Callers send nothing of lower rank.
     Threshold,
     /// Each caller keeps at most this many requests outstanding here.
@@ -85,15 +97,19 @@
     /// How long after its due time an answer still counts.
     pub answer_slack: Micros,
     /// A cold server is warm within this time.
-    pub cold_for: Micros,
+    #[serde(rename = "cold_for")]
+    pub warmup_time: Micros,
     /// The share of full speed that a cold server starts at, at the least.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_speed: f64,
     /// Requests arriving later than this after the notice to leave must not be run.
     pub drain_grace: Micros,
     /// The span over which the crowd on the cores is averaged.
-    pub crowd_span: Micros,
+    #[serde(rename = "crowd_span")]
+    pub concurrency_window: Micros,
     /// Runs on the cores, for each core, that a warm server survives.
-    pub crowd: f64,
+    #[serde(rename = "crowd")]
+    pub max_concurrency_per_core: f64,
 }
 
 /// All that a controller is told at its start.
@@ -112,33 +128,45 @@
     /// Memory for held and running requests and kept keys.
     pub memory_kb: f64,
     /// A running request needs this multiple of its held memory.
-    pub run_factor: f64,
+    #[serde(rename = "run_factor")]
+    pub run_memory_factor: f64,
     /// Memory of one kept key.
     pub key_kb: f64,
     /// The server has only just been started and is slow at first.
-    pub cold: bool,
+    #[serde(rename = "cold")]
+    pub is_cold: bool,
     /// What lies below.
-    pub below: Below,
+    #[serde(rename = "below")]
+    pub downstream: Downstream,
     /// Mean number of calls in the dependency's hands that is this server's share.
     pub call_share: f64,
     /// The span over which that mean is taken.
-    pub call_span: Micros,
+    #[serde(rename = "call_span")]
+    pub call_window: Micros,
     /// How long an abandoned call may stay in the dependency's hands.
-    pub linger: Micros,
+    #[serde(rename = "linger")]
+    pub call_linger: Micros,
     /// How long the answer of a read may serve other reads of the same key; 0 for never.
-    pub fresh: Micros,
+    #[serde(rename = "fresh")]
+    pub read_cache_ttl: Micros,
     /// What halting does.
-    pub halt: HaltMode,
+    #[serde(rename = "halt")]
+    pub cancellation: CancellationMode,
     /// How the level is read by callers.
-    pub level: LevelKind,
+    #[serde(rename = "level")]
+    pub backpressure: BackpressureKind,
     /// Longest idle time of a connection; callers close it after that.
-    pub keepalive_max: Micros,
+    #[serde(rename = "keepalive_max")]
+    pub max_keepalive: Micros,
     /// Longest advice to stay away that callers observe.
-    pub max_backoff: Micros,
+    #[serde(rename = "max_backoff")]
+    pub max_retry_after: Micros,
     /// Worth of a request beyond its tenant's share, as a share of the usual.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     /// Worth is counted by work rather than by request.
-    pub worth_by_work: bool,
+    #[serde(rename = "worth_by_work")]
+    pub is_weighted_by_work: bool,
     /// Limits that must hold.
     pub safety: Safety,
 }
@@ -147,15 +175,15 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 1_000_000,
+            latency_objective: 1_000_000,
             deadline: 5_000_000,
-            idempotency: Idempotency::Free,
-            window: 0,
-            worth: 1.0,
-            late_worth: 0.0,
-            aim_stretch: 0.0,
-            calls: false,
-            skip_worth: 0.0,
+            idempotency: Idempotency::Idempotent,
+            idempotency_window: 0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            objective_per_cost: 0.0,
+            makes_calls: false,
+            skip_call_weight: 0.0,
         }
     }
 }
@@ -164,11 +192,11 @@
     fn default() -> Self {
         Safety {
             answer_slack: 60_000,
-            cold_for: 0,
-            cold_from: 1.0,
+            warmup_time: 0,
+            cold_speed: 1.0,
             drain_grace: 1_000_000,
-            crowd_span: 2_000_000,
-            crowd: 8.0,
+            concurrency_window: 2_000_000,
+            max_concurrency_per_core: 8.0,
         }
     }
 }
@@ -183,20 +211,20 @@
             callers: 1.0,
             cores: 1.0,
             memory_kb: 1e6,
-            run_factor: 4.0,
+            run_memory_factor: 4.0,
             key_kb: 1.0,
-            cold: false,
-            below: Below::Nothing,
+            is_cold: false,
+            downstream: Downstream::None,
             call_share: 0.0,
-            call_span: 1_000_000,
-            linger: 0,
-            fresh: 0,
-            halt: HaltMode::Never,
-            level: LevelKind::Never,
-            keepalive_max: 30_000_000,
-            max_backoff: 0,
-            over_share_worth: 1.0,
-            worth_by_work: false,
+            call_window: 1_000_000,
+            call_linger: 0,
+            read_cache_ttl: 0,
+            cancellation: CancellationMode::Unsupported,
+            backpressure: BackpressureKind::Disabled,
+            max_keepalive: 30_000_000,
+            max_retry_after: 0,
+            over_quota_weight: 1.0,
+            is_weighted_by_work: false,
             safety: Safety::default(),
         }
     }
--- a/crates/admission/src/rules/calls.rs
+++ b/crates/admission/src/rules/calls.rs
@@ -18,10 +18,10 @@
     /// what it does well; a fifth of the share keeps it busy. A tier tells no share: there it lies
     /// from a call a core to as many calls as there may be runs.
     pub(crate) fn bounds(s: &Settings) -> [f64; 2] {
-        match s.below {
-            Below::Tier => [
+        match s.downstream {
+            Downstream::Tier => [
                 s.cores.max(1.0),
-                (0.65 * s.safety.crowd * s.cores).max(s.cores.max(1.0)),
+                (0.65 * s.safety.max_concurrency_per_core * s.cores).max(s.cores.max(1.0)),
             ],
             _ => [0.3 * s.call_share, 0.45 * s.call_share],
         }
@@ -35,7 +35,7 @@
             self.lingering.pop_front();
         }
         let gained = (self.limit - self.in_hand()) * (now - self.at) as f64;
-        self.credit = (self.credit + gained).min(0.2 * self.limit * s.call_span as f64);
+        self.credit = (self.credit + gained).min(0.2 * self.limit * s.call_window as f64);
         self.at = now;
     }
 
@@ -51,7 +51,7 @@
 
     pub(crate) fn room(&self, s: &Settings, ceiling: f64) -> bool {
         let hands = self.in_hand() + 1.0;
-        if s.below != Below::Shared {
+        if s.downstream != Downstream::Shared {
             return hands <= self.limit.min(ceiling);
         }
         hands <= self.bunch() && self.credit > 0.0
@@ -61,12 +61,12 @@
     /// bound and the saved credit leave of nine tenths of the share over the rule's span is what
     /// calls may overspend, lingering included.
     pub(crate) fn patience(&self, s: &Settings) -> Micros {
-        if s.below != Below::Shared {
+        if s.downstream != Downstream::Shared {
             return Micros::MAX;
         }
         let spare = (0.9 * s.call_share - 1.2 * self.limit) / self.bunch();
-        let spare = (spare * s.call_span as f64) as Micros;
-        spare - s.linger.min(spare / 2)
+        let spare = (spare * s.call_window as f64) as Micros;
+        spare - s.call_linger.min(spare / 2)
     }
 
     /// Calls a second that the bound allows. A tier's share is not told, and what its window lets
@@ -75,7 +75,7 @@
         if self.latency.mean == 0.0 {
             return f64::INFINITY;
         }
-        let share = if s.below == Below::Tier {
+        let share = if s.downstream == Downstream::Tier {
             SHORT / LONG
         } else {
             1.0
@@ -85,21 +85,21 @@
 
     pub(crate) fn ended(&mut self, s: &Settings, now: Micros, took: f64, outcome: Outcome) {
         self.placed -= 1.0;
-        if outcome == Outcome::Busy || outcome == Outcome::Unreachable {
+        if outcome == Outcome::Rejected || outcome == Outcome::Unreachable {
             self.credit -= self.latency.mean;
         }
         if outcome == Outcome::TimedOut || outcome == Outcome::Cancelled {
-            self.lingering.push_back(now + s.linger);
+            self.lingering.push_back(now + s.call_linger);
         }
-        if outcome == Outcome::Done || outcome == Outcome::TimedOut {
+        if outcome == Outcome::Success || outcome == Outcome::TimedOut {
             self.latency.learn(took);
         }
         // Latency well over the best means that calls wait in line below: fewer at a time do as
         // much.
-        if outcome != Outcome::Done || self.latency.mean > 1.5 * self.latency.best {
+        if outcome != Outcome::Success || self.latency.mean > 1.5 * self.latency.best {
             self.limit *= 0.95;
-        } else if s.below == Below::Tier
-            || self.credit < 0.5 * 0.2 * self.limit * s.call_span as f64
+        } else if s.downstream == Downstream::Tier
+            || self.credit < 0.5 * 0.2 * self.limit * s.call_window as f64
         {
             self.limit += 0.05 * self.limit;
         }
--- a/crates/admission/src/rules/control.rs
+++ b/crates/admission/src/rules/control.rs
@@ -13,13 +13,15 @@
             e.due = e.due.min(stop);
         }
         out.push(Action::Health(false));
-        if self.s.level != LevelKind::Never {
+        if self.s.backpressure != BackpressureKind::Disabled {
             // The highest threshold, or no window and no share.
-            out.push(Action::Level(if self.s.level == LevelKind::Threshold {
-                1.0
-            } else {
-                0.0
-            }));
+            out.push(Action::Backpressure(
+                if self.s.backpressure == BackpressureKind::Threshold {
+                    1.0
+                } else {
+                    0.0
+                },
+            ));
         }
     }
 
@@ -52,18 +54,18 @@
         } else {
             self.gates[0].cut
         };
-        let level = match self.s.level {
-            LevelKind::Threshold => cut,
-            LevelKind::Share => 1.0 - cut,
-            LevelKind::Window => {
+        let level = match self.s.backpressure {
+            BackpressureKind::Threshold => cut,
+            BackpressureKind::Share => 1.0 - cut,
+            BackpressureKind::Window => {
                 (self.run.limit + self.gates[0].modes.onset) * (1.0 - cut) / self.s.callers.max(1.0)
             }
-            LevelKind::Never => return,
+            BackpressureKind::Disabled => return,
         };
         // Small changes are not worth telling.
         if self.drain.is_none() && (level - self.told).abs() > 0.02 {
             self.told = level;
-            out.push(Action::Level(level));
+            out.push(Action::Backpressure(level));
         }
     }
 
@@ -78,7 +80,7 @@
         } else {
             1.1 * self.idle
         };
-        let idle = idle.max(0.5 * self.aim).min(self.s.keepalive_max as f64);
+        let idle = idle.max(0.5 * self.aim).min(self.s.max_keepalive as f64);
         if idle != self.idle {
             self.idle = idle;
             out.push(Action::CloseIdle(idle as Micros));
--- a/crates/admission/src/rules/limit.rs
+++ b/crates/admission/src/rules/limit.rs
@@ -17,14 +17,14 @@
     /// The crowd that the cores survive at this moment, with a third kept back: the mean is over a
     /// span, and runs come back from calls and disks unbidden.
     pub(crate) fn ceiling(&self, s: &Settings, now: Micros) -> f64 {
-        let cold_for = s.safety.cold_for.max(1) as f64;
-        let age = if s.cold {
+        let cold_for = s.safety.warmup_time.max(1) as f64;
+        let age = if s.is_cold {
             (now - self.started) as f64 / cold_for
         } else {
             1.0
         };
-        let speed = (s.safety.cold_from + (1.0 - s.safety.cold_from) * age).min(1.0);
-        (0.65 * (1.0 + (s.safety.crowd - 1.0) * speed) * s.cores).max(1.0)
+        let speed = (s.safety.cold_speed + (1.0 - s.safety.cold_speed) * age).min(1.0);
+        (0.65 * (1.0 + (s.safety.max_concurrency_per_core - 1.0) * speed) * s.cores).max(1.0)
     }
 
     pub(crate) fn adjust(&mut self, s: &Settings, now: Micros, core_use: f64, grows: bool) {
--- a/crates/admission/src/rules/mod.rs
+++ b/crates/admission/src/rules/mod.rs
@@ -50,7 +50,11 @@
 
 /// The shortest aim of these classes, which the lines and the slow loop go by.
 fn shortest_aim<'a>(classes: impl Iterator<Item = &'a Class>) -> f64 {
-    classes.map(|c| c.aim).min().unwrap_or(1_000_000).max(1) as f64
+    classes
+        .map(|c| c.latency_objective)
+        .min()
+        .unwrap_or(1_000_000)
+        .max(1) as f64
 }
 
 /// Decides for one server.
@@ -128,7 +132,7 @@
                 at: 0,
                 // Calls slow down long before the share is reached; growth starts from less than a
                 // third.
-                limit: if s.below == Below::Tier {
+                limit: if s.downstream == Downstream::Tier {
                     Calls::bounds(&s)[1]
                 } else {
                     0.4 * s.call_share
@@ -142,7 +146,7 @@
             core_use: 0.0,
             aim,
             connections: 0.0,
-            idle: s.keepalive_max as f64,
+            idle: s.max_keepalive as f64,
             why: Vec::new(),
             s,
         }
@@ -151,10 +155,10 @@
     /// Other settings from now on. Requests in hand end under the class that they came with, so
     /// classes keep their places: those in force are at these, each with the place of the class
     /// whose experience it takes over.
-    pub fn retune(&mut self, settings: Settings, in_force: &[(usize, Option<usize>)]) {
+    pub fn reconfigure(&mut self, settings: Settings, in_force: &[(usize, Option<usize>)]) {
         let before = std::mem::take(&mut self.seen);
         self.s = Settings {
-            cold: self.s.cold,
+            is_cold: self.s.is_cold,
             ..settings
         };
         self.seen = (0..self.s.classes.len())
@@ -191,30 +195,36 @@
         for event in events {
             match event {
                 Event::Arrived(r) => self.take_in(r),
-                Event::Leaving(left) => self.leave(*left, out),
-                Event::Finished { id, took, outcome } => self.finished(*id, *took, *outcome),
-                Event::Gone(id) => self.gone(*id, out),
+                Event::ShutdownNotice(left) => self.leave(*left, out),
+                Event::Finished {
+                    id,
+                    elapsed: took,
+                    outcome,
+                } => self.finished(*id, *took, *outcome),
+                Event::Abandoned(id) => self.gone(*id, out),
                 Event::NeedsCall(id) => {
                     self.still.moved(now);
                     if let Some(e) = self.entries.get_mut(id) {
-                        e.state = Stage::Parked;
+                        e.state = Stage::AwaitingCall;
                         e.parked_at = now;
                     }
                 }
-                Event::CallEnded { id, took, outcome } => {
-                    self.call_ended(*id, *took, *outcome, out)
-                }
+                Event::CallEnded {
+                    id,
+                    elapsed: took,
+                    outcome,
+                } => self.call_ended(*id, *took, *outcome, out),
                 Event::Timer {
-                    core_use,
+                    cpu_utilization,
                     connections,
-                    on_cores,
+                    runnable,
                     ..
                 } => {
-                    let reading = on_cores.map_or(0.0, |n| n - self.on_cores());
+                    let reading = runnable.map_or(0.0, |n| n - self.on_cores());
                     self.reading += SMOOTH * (reading - self.reading);
                     ticked = true;
                     self.connections = connections.unwrap_or(self.connections);
-                    self.core_use = core_use.unwrap_or(self.core_use);
+                    self.core_use = cpu_utilization.unwrap_or(self.core_use);
                 }
             }
         }
@@ -270,7 +280,7 @@
         let to_call = self
             .held
             .iter()
-            .filter(|id| self.s.classes[self.entries[id].class].calls);
+            .filter(|id| self.s.classes[self.entries[id].class].makes_calls);
         // Up to the first line's abatement they are an ordinary bunch, which the cores soon start.
         let beyond = (to_call.count() as f64 - self.gates[0].modes.abate).max(0.0);
         beyond + self.parked().count() as f64
@@ -278,7 +288,7 @@
 
     /// Requests that wait for their call to be placed, with their aims.
     fn parked(&self) -> impl Iterator<Item = (Micros, RequestId)> + '_ {
-        let waits = |e: &Entry| e.state == Stage::Parked && !e.answered;
+        let waits = |e: &Entry| e.state == Stage::AwaitingCall && !e.answered;
         self.entries
             .iter()
             .filter(move |(_, e)| waits(e))
--- a/crates/admission/src/rules/requests.rs
+++ b/crates/admission/src/rules/requests.rs
@@ -6,9 +6,10 @@
     /// A request enters the books. From here on it occupies memory and is owed an answer.
     pub(crate) fn take_in(&mut self, r: &Request) {
         let class = self.class(r.class);
-        let arrived = self.now - r.queued;
-        let aim = class.aim + (class.aim_stretch * r.cost.unwrap_or(0.0)) as Micros;
-        let mut due = match r.patience {
+        let arrived = self.now - r.queue_time;
+        let aim =
+            class.latency_objective + (class.objective_per_cost * r.cost.unwrap_or(0.0)) as Micros;
+        let mut due = match r.timeout {
             Some(patience) => self.now + patience,
             None => arrived + class.deadline,
         };
@@ -17,19 +18,19 @@
         }
         let entry = Entry {
             class: r.class,
-            state: Stage::Held,
+            state: Stage::Queued,
             due,
             aim: (arrived + aim).min(due),
             worth: self.rank.worth(&self.s, self.now, r, 2.0 * self.aim),
             cost: r.cost.unwrap_or(0.0),
             memory: r.memory_kb,
-            retry: r.retry,
+            retry: r.is_retry,
             answered: false,
             kept: false,
             off_cores: 0,
             parked_at: 0,
         };
-        self.unread += SMOOTH * (r.queued as f64 - self.unread);
+        self.unread += SMOOTH * (r.queue_time as f64 - self.unread);
         self.memory.requests += r.memory_kb;
         self.entries.insert(r.id, entry);
     }
@@ -41,16 +42,16 @@
             return;
         }
         let keyed = self.class(r.class).idempotency == Idempotency::Keyed;
-        if r.same_as.is_some() {
+        if r.duplicate_of.is_some() {
             // A repeat is answered from the first: running it, or turning it away, could be a
             // second effect.
             let entry = self.entries.get_mut(&r.id).expect("taken in above");
-            entry.state = Stage::Reusing;
-            out.push(Action::Reuse(r.id));
+            entry.state = Stage::AwaitingOriginal;
+            out.push(Action::ReuseOutcome(r.id));
             if self.memory.used(&self.s) > self.s.memory_kb {
-                let cause = Cause::Memory {
+                let cause = Cause::OutOfMemory {
                     used: self.memory.used(&self.s),
-                    more: 0.0,
+                    requested: 0.0,
                 };
                 self.fail(r.id, cause, out);
             }
@@ -59,46 +60,46 @@
         // Looked at once: what was taken before the notice arrived before it too.
         let late = self
             .drain
-            .is_some_and(|d| self.now - r.queued > d.last_arrival);
+            .is_some_and(|d| self.now - r.queue_time > d.last_arrival);
         let key_kb = if keyed { self.s.key_kb } else { 0.0 };
         let worth = self.entries[&r.id].worth;
         let mut cause = late
             .then_some(Cause::AfterGrace)
-            .or(self.still.now.then_some(Cause::Still));
+            .or(self.still.now.then_some(Cause::Stalled));
         for (i, gate) in self.gates.iter_mut().enumerate() {
-            if i == 0 || self.s.classes[r.class].calls {
+            if i == 0 || self.s.classes[r.class].makes_calls {
                 gate.recent.push_back((self.now, worth));
-                let line = Cause::Line {
-                    calls: i == 1,
+                let line = Cause::Shed {
+                    is_call_queue: i == 1,
                     mode: gate.modes.mode,
-                    worth,
-                    cut: gate.cut,
+                    priority: worth,
+                    cutoff: gate.cut,
                 };
                 cause = cause.or((!gate.takes(worth)).then_some(line));
             }
         }
-        let memory = Cause::Memory {
+        let memory = Cause::OutOfMemory {
             used: self.memory.used(&self.s),
-            more: key_kb,
+            requested: key_kb,
         };
         cause = cause.or((!self.memory.room(&self.s, key_kb)).then_some(memory));
         if let Some(cause) = cause {
             return self.refuse(r.id, cause, out);
         }
-        let fresh = self.s.fresh > 0 && r.has_key && !r.write;
-        let share = fresh && self.class(r.class).idempotency == Idempotency::Free;
+        let fresh = self.s.read_cache_ttl > 0 && r.has_key && !r.is_write;
+        let share = fresh && self.class(r.class).idempotency == Idempotency::Idempotent;
         if keyed || (share && self.memory.room(&self.s, self.s.key_kb)) {
             // Kept while held, too, or its repeat would not be known; beyond the window from the
             // arrival.
             let (class, left) = (self.class(r.class), self.entries[&r.id].due - self.now);
             let window = if keyed {
-                class.window.max(left)
+                class.idempotency_window.max(left)
             } else {
-                self.s.fresh + class.aim
+                self.s.read_cache_ttl + class.latency_objective
             };
             self.memory.keep(r.id, self.now + window);
             self.entries.get_mut(&r.id).expect("taken in above").kept = true;
-            out.push(Action::Keep(r.id, window));
+            out.push(Action::RetainKey(r.id, window));
         }
         self.held.insert(r.id);
         self.check();
@@ -108,25 +109,25 @@
         let Some(e) = self.entries.remove(&id) else {
             return;
         };
-        if e.state == Stage::Reusing {
+        if e.state == Stage::AwaitingOriginal {
             self.memory.requests -= e.memory;
             return;
         }
-        self.memory.requests -= e.memory * self.s.run_factor;
-        if e.state == Stage::Calling {
+        self.memory.requests -= e.memory * self.s.run_memory_factor;
+        if e.state == Stage::InCall {
             self.calls
                 .ended(&self.s, self.now, took as f64, Outcome::Cancelled);
         }
-        if outcome == Outcome::Moot {
+        if outcome == Outcome::NotStarted {
             // Nothing was started, so it says nothing of runs, and no repeat can be told from it.
             self.memory.forget(id);
             return;
         }
-        if outcome == Outcome::Done || outcome == Outcome::Error {
+        if outcome == Outcome::Success || outcome == Outcome::Error {
             self.still.moved(self.now);
         }
         let cores = (took - e.off_cores - self.still.total).max(1) as f64;
-        if outcome == Outcome::Done && !e.answered {
+        if outcome == Outcome::Success && !e.answered {
             let seen = &mut self.seen[e.class];
             seen.total.learn(took as f64);
             seen.cores.learn(cores);
@@ -135,7 +136,11 @@
             let ratio = cores / (seen.cores.best * seen.size(e.cost)).max(1.0);
             self.run.stretch += SMOOTH * (ratio - self.run.stretch);
         }
-        let good = if outcome == Outcome::Done { 1.0 } else { 0.0 };
+        let good = if outcome == Outcome::Success {
+            1.0
+        } else {
+            0.0
+        };
         self.run.success += SMOOTH * (good - self.run.success);
         // What fails at once would have the cores look quick, and draw more of the same.
         if outcome != Outcome::Error {
@@ -149,7 +154,7 @@
         };
         e.answered = true;
         match e.state {
-            Stage::Held | Stage::Reusing => self.drop_unrun(id, out),
+            Stage::Queued | Stage::AwaitingOriginal => self.drop_unrun(id, out),
             // Nobody waits, but a repeat may still want the outcome of a keyed one.
             _ if self.s.classes[e.class].idempotency != Idempotency::Keyed => self.halt(id, out),
             _ => {}
@@ -166,28 +171,28 @@
         let Some(e) = self.entries.get_mut(&id) else {
             return;
         };
-        if e.state != Stage::Calling {
+        if e.state != Stage::InCall {
             return;
         }
         self.calls.ended(&self.s, self.now, took as f64, outcome);
         match outcome {
-            Outcome::Done => {
+            Outcome::Success => {
                 e.state = Stage::Running;
                 e.off_cores += self.now - e.parked_at;
             }
             // Proven not to have run: it may be placed again, paid for as if it had.
-            Outcome::Busy | Outcome::Unreachable => e.state = Stage::Parked,
+            Outcome::Rejected | Outcome::Unreachable => e.state = Stage::AwaitingCall,
             // Nobody knows whether it ran; a class that is safe to repeat doesn't care.
-            Outcome::Reset if self.s.classes[e.class].idempotency == Idempotency::Free => {
-                e.state = Stage::Parked;
+            Outcome::Reset if self.s.classes[e.class].idempotency == Idempotency::Idempotent => {
+                e.state = Stage::AwaitingCall;
             }
             _ => {
-                e.state = Stage::Parked;
-                if self.s.classes[e.class].skip_worth > 0.0 {
+                e.state = Stage::AwaitingCall;
+                if self.s.classes[e.class].skip_call_weight > 0.0 {
                     e.state = Stage::Running;
                     out.push(Action::SkipCall(id));
                 } else if !e.answered {
-                    self.fail(id, Cause::Call(outcome), out);
+                    self.fail(id, Cause::CallFailed(outcome), out);
                 }
             }
         }
@@ -199,9 +204,9 @@
             return;
         };
         self.memory.requests -= e.memory;
-        if e.kept && e.state == Stage::Held {
+        if e.kept && e.state == Stage::Queued {
             self.memory.forget(id);
-            out.push(Action::Forget(id));
+            out.push(Action::ReleaseKey(id));
         }
         if self.held.remove(&id) {
             self.check();
@@ -212,25 +217,25 @@
     pub(crate) fn refuse(&mut self, id: RequestId, cause: Cause, out: &mut Vec<Action>) {
         self.why.push((id, cause));
         let e = &self.entries[&id];
-        let hopeless = self.now >= e.aim && self.class(e.class).late_worth == 0.0;
+        let hopeless = self.now >= e.aim && self.class(e.class).late_weight == 0.0;
         // When many arrivals were turned away elsewhere the whole fleet is short: another try only
         // costs a further reading.
         let no_retry = hopeless || !self.still.now && (e.retry || self.rank.retries > 0.2);
         let over =
             (self.line(0) - self.gates[0].modes.abate).max(0.0) / self.rate().max(1e-9) * 1e6;
         let mut backoff = if self.drain.is_some() {
-            self.s.max_backoff
+            self.s.max_retry_after
         } else if self.still.now {
-            (self.s.max_backoff as f64 * (0.5 + 0.5 * self.chance())) as Micros
+            (self.s.max_retry_after as f64 * (0.5 + 0.5 * self.chance())) as Micros
         } else if self.gates[0].modes.mode == Mode::Normal {
             0
         } else {
             (over * (0.5 + self.chance())) as Micros
         };
-        backoff = backoff.clamp(0, self.s.max_backoff.max(0));
-        out.push(Action::Refuse {
+        backoff = backoff.clamp(0, self.s.max_retry_after.max(0));
+        out.push(Action::Reject {
             id,
-            backoff,
+            retry_after: backoff,
             no_retry,
         });
         self.drop_unrun(id, out);
@@ -245,15 +250,15 @@
         e.answered = true;
         out.push(Action::Fail(id));
         match e.state {
-            Stage::Held | Stage::Reusing => self.drop_unrun(id, out),
+            Stage::Queued | Stage::AwaitingOriginal => self.drop_unrun(id, out),
             Stage::Running => self.halt(id, out),
             _ => {}
         }
     }
 
     pub(crate) fn halt(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        if self.s.halt != HaltMode::Never {
-            out.push(Action::Halt(id));
+        if self.s.cancellation != CancellationMode::Unsupported {
+            out.push(Action::Cancel(id));
         }
     }
 }
--- a/crates/admission/src/rules/start.rs
+++ b/crates/admission/src/rules/start.rs
@@ -9,26 +9,28 @@
         let mut ended = Vec::new();
         for (&id, e) in self.entries.iter().filter(|(_, e)| !e.answered) {
             let class = &self.s.classes[e.class];
-            let worthless = class.late_worth == 0.0 && now >= e.aim;
+            let worthless = class.late_weight == 0.0 && now >= e.aim;
             let give_up = match e.state {
-                Stage::Held => worthless || self.still.now,
-                Stage::Reusing => false,
-                _ if class.idempotency == Idempotency::Keyed || self.s.halt == HaltMode::Never => {
+                Stage::Queued => worthless || self.still.now,
+                Stage::AwaitingOriginal => false,
+                _ if class.idempotency == Idempotency::Keyed
+                    || self.s.cancellation == CancellationMode::Unsupported =>
+                {
                     false
                 }
-                Stage::Running if class.idempotency == Idempotency::Free => {
+                Stage::Running if class.idempotency == Idempotency::Idempotent => {
                     worthless || self.still.now
                 }
                 _ => worthless,
             };
             if give_up || now >= e.due {
                 let cause = if worthless {
-                    Cause::PastAim(e.state)
+                    Cause::ObjectiveMissed(e.state)
                 } else {
-                    Cause::Still
+                    Cause::Stalled
                 };
                 let cause = if now >= e.due {
-                    Cause::Due(e.state)
+                    Cause::DeadlineExceeded(e.state)
                 } else {
                     cause
                 };
@@ -37,16 +39,16 @@
         }
         for (id, state, idempotency, cause) in ended {
             match state {
-                Stage::Held => self.refuse(id, cause, out),
-                Stage::Running if idempotency == Idempotency::Free => {
+                Stage::Queued => self.refuse(id, cause, out),
+                Stage::Running if idempotency == Idempotency::Idempotent => {
                     // A read may be turned away while it runs, which lets the caller be told to
                     // stop trying.
                     self.entries.get_mut(&id).expect("swept above").answered = true;
                     self.why.push((id, cause));
-                    out.push(Action::Refuse {
+                    out.push(Action::Reject {
                         id,
-                        backoff: 0,
-                        no_retry: cause != Cause::Still,
+                        retry_after: 0,
+                        no_retry: cause != Cause::Stalled,
                     });
                     self.halt(id, out);
                 }
@@ -66,9 +68,9 @@
             }
             let e = self.entries.get_mut(&id).expect("listed above");
             let left = (e.due - self.now).min(self.calls.patience(&self.s)).max(1);
-            e.state = Stage::Calling;
+            e.state = Stage::InCall;
             self.calls.placed += 1.0;
-            out.push(Action::Call(id, left));
+            out.push(Action::PlaceCall(id, left));
         }
     }
 
@@ -83,7 +85,7 @@
             .max(1.0)
             .floor();
         let mut running = self.on_cores();
-        let unstarted = |e: &&Entry| matches!(e.state, Stage::Held | Stage::Reusing);
+        let unstarted = |e: &&Entry| matches!(e.state, Stage::Queued | Stage::AwaitingOriginal);
         let mut all = (self.entries.len() - self.entries.values().filter(unstarted).count()) as f64;
         loop {
             if self.still.now || running >= limit || all + 1.0 > ceiling {
@@ -105,23 +107,27 @@
             // tried.
             let seen = &self.seen[e.class];
             let expected = 0.7 * seen.total.mean * seen.size(e.cost);
-            let left = if class.late_worth > 0.0 { e.due } else { e.aim } - self.now;
+            let left = if class.late_weight > 0.0 {
+                e.due
+            } else {
+                e.aim
+            } - self.now;
             if expected as Micros > left && all > 0.0 {
                 self.refuse(
                     id,
-                    Cause::TooLate {
+                    Cause::CannotFinishInTime {
                         expected: expected as Micros,
-                        left,
+                        remaining: left,
                     },
                     out,
                 );
                 continue;
             }
-            let more = e.memory * (self.s.run_factor - 1.0);
+            let more = e.memory * (self.s.run_memory_factor - 1.0);
             if !self.memory.room(&self.s, more) {
                 if all == 0.0 {
                     // Nothing runs that could make room: this one will never fit.
-                    self.refuse(id, Cause::NeverFits { more }, out);
+                    self.refuse(id, Cause::ExceedsMemory { requested: more }, out);
                     continue;
                 }
                 return;
--- a/crates/admission/src/view.rs
+++ b/crates/admission/src/view.rs
@@ -2,7 +2,7 @@
 //! `policy`.
 
 use crate::rules::{Controller, Entry, Gate};
-use crate::{Cause, LineView, Mode, RequestId, Stage, Standing, View};
+use crate::{Cause, ControllerStatus, Mode, QueueStatus, RequestId, RequestStatus, Stage};
 
 impl Controller {
     /// The mode that the server is in.
@@ -11,33 +11,33 @@
     }
 
     /// Whether all cores are taken and nothing ends, for longer than chance explains.
-    pub fn stands_still(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         self.still.now
     }
 
     /// Whether actions may still name this request; when not, a host can free what it keeps for it.
-    pub fn knows(&self, id: RequestId) -> bool {
+    pub fn is_tracked(&self, id: RequestId) -> bool {
         self.entries.contains_key(&id)
     }
 
     /// Why requests were turned away or failed in the last step, in order.
-    pub fn why(&self) -> &[(RequestId, Cause)] {
+    pub fn causes(&self) -> &[(RequestId, Cause)] {
         &self.why
     }
 
     /// How a request stands, while actions may still name it.
-    pub fn standing(&self, id: RequestId) -> Option<Standing> {
+    pub fn request_status(&self, id: RequestId) -> Option<RequestStatus> {
         let e = self.entries.get(&id)?;
-        Some(Standing {
+        Some(RequestStatus {
             stage: e.state,
-            aim: e.aim,
-            due: e.due,
-            worth: e.worth,
+            objective_at: e.aim,
+            deadline: e.due,
+            priority: e.worth,
         })
     }
 
     /// What it goes by at the moment.
-    pub fn view(&self) -> View {
+    pub fn status(&self) -> ControllerStatus {
         let line = |i: usize| {
             let Gate {
                 modes: m,
@@ -46,27 +46,27 @@
                 ..
             } = &self.gates[i];
             let thresholds = [m.abate, m.onset, m.discard];
-            LineView {
+            QueueStatus {
                 mode: m.mode,
-                count: self.line(i),
+                length: self.line(i),
                 thresholds,
-                cut: *cut,
-                arriving: *arriving,
+                priority_cutoff: *cut,
+                arrival_rate: *arriving,
             }
         };
-        let at_call = |e: &&Entry| matches!(e.state, Stage::Parked | Stage::Calling);
-        View {
-            lines: [line(0), line(1)],
-            held: self.held.len(),
+        let at_call = |e: &&Entry| matches!(e.state, Stage::AwaitingCall | Stage::InCall);
+        ControllerStatus {
+            queues: [line(0), line(1)],
+            queued: self.held.len(),
             running: self.on_cores() as usize,
             at_call: self.entries.values().filter(at_call).count(),
-            run_limit: self.run.limit,
+            concurrency_limit: self.run.limit,
             reading: self.reading,
-            in_hand: self.calls.in_hand(),
+            calls_in_flight: self.calls.in_hand(),
             call_limit: self.calls.limit,
             memory_kb: self.memory.used(&self.s),
-            rate: self.rate(),
-            leaving: self.drain.is_some(),
+            completion_rate: self.rate(),
+            is_shutting_down: self.drain.is_some(),
         }
     }
 }
--- a/crates/admission/tests/calls.rs
+++ b/crates/admission/tests/calls.rs
@@ -14,14 +14,14 @@
 fn end(outcome: Outcome) -> Event {
     Event::CallEnded {
         id: 1,
-        took: 10_000,
+        elapsed: 10_000,
         outcome,
     }
 }
 
 #[test]
 fn a_call_is_repeated_only_when_proven_not_run() {
-    for outcome in [Outcome::Busy, Outcome::Unreachable] {
+    for outcome in [Outcome::Rejected, Outcome::Unreachable] {
         assert_eq!(
             calls(&step(&mut at_call(settings()), 11_000, &[end(outcome)])),
             1
@@ -39,7 +39,7 @@
 #[test]
 fn a_failed_call_is_left_out_where_that_is_allowed() {
     let mut s = settings();
-    s.classes[2].skip_worth = 0.5;
+    s.classes[2].skip_call_weight = 0.5;
     assert!(step(&mut at_call(s), 11_000, &[end(Outcome::Error)]).contains(&Action::SkipCall(1)));
 }
 
@@ -47,11 +47,11 @@
 fn calls_stop_with_the_time_of_the_request() {
     let mut c = Controller::new(settings(), 1);
     let r = Request {
-        patience: Some(400_000),
+        timeout: Some(400_000),
         ..request(1, 2)
     };
     step(&mut c, 0, &[Event::Arrived(r)]);
-    assert!(step(&mut c, 100_000, &[Event::NeedsCall(1)]).contains(&Action::Call(1, 300_000)));
+    assert!(step(&mut c, 100_000, &[Event::NeedsCall(1)]).contains(&Action::PlaceCall(1, 300_000)));
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let (mut busy, mut open) = (0, None);
     for now in (10_000..=900_000).step_by(10_000) {
         let placed = out.iter().find_map(|a| {
-            if let Action::Call(id, _) = a {
+            if let Action::PlaceCall(id, _) = a {
                 Some(*id)
             } else {
                 None
@@ -100,8 +100,8 @@
         let events = match open {
             Some(id) => vec![Event::CallEnded {
                 id,
-                took: 10_000,
-                outcome: Outcome::Done,
+                elapsed: 10_000,
+                outcome: Outcome::Success,
             }],
             None => vec![ticks(0)],
         };
@@ -125,7 +125,7 @@
         call_share: 1.0,
         ..settings()
     };
-    s.classes[0].calls = false;
+    s.classes[0].makes_calls = false;
     let mut c = Controller::new(s, 1);
     let (mut id, mut open) = (1, Vec::new());
     let (mut calling, mut plain) = (0, 0);
@@ -147,7 +147,7 @@
         }
         let out = step(&mut c, now + 10_000, &events);
         let placed = |a: &Action| {
-            if let Action::Call(id, _) = a {
+            if let Action::PlaceCall(id, _) = a {
                 Some((*id, now + 600_000))
             } else {
                 None
@@ -160,8 +160,8 @@
             .filter(|o| ready(o))
             .map(|o| Event::CallEnded {
                 id: o.0,
-                took: 600_000,
-                outcome: Outcome::Done,
+                elapsed: 600_000,
+                outcome: Outcome::Success,
             })
             .collect();
         open.retain(|o| !ready(o));
@@ -178,11 +178,11 @@
 /// with one call each.
 fn above_a_tier(call: Micros) -> (Controller, Micros) {
     let mut s = Settings {
-        below: Below::Tier,
+        downstream: Downstream::Tier,
         memory_kb: 1e6,
         ..settings()
     };
-    s.classes[2].late_worth = 0.5;
+    s.classes[2].late_weight = 0.5;
     let mut c = Controller::new(s, 1);
     let mut now = 0;
     for id in 1..=300 {
@@ -194,8 +194,8 @@
             now + 2000,
             &[Event::CallEnded {
                 id,
-                took: call,
-                outcome: Outcome::Done,
+                elapsed: call,
+                outcome: Outcome::Success,
             }],
         );
         step(&mut c, now + 3000, &[done(id, 3000), ticks(0)]);
@@ -240,8 +240,8 @@
         for i in 1..=60 {
             let busy = Event::CallEnded {
                 id: 301,
-                took: 1000,
-                outcome: Outcome::Busy,
+                elapsed: 1000,
+                outcome: Outcome::Rejected,
             };
             step(&mut c, now + i * 2000, &[busy]);
         }
@@ -254,7 +254,10 @@
             }
         }
         // Four calls are in hand; the others wait.
-        assert_eq!((c.view().in_hand, c.view().at_call), (4.0, 12 - refusals));
+        assert_eq!(
+            (c.status().calls_in_flight, c.status().at_call),
+            (4.0, 12 - refusals)
+        );
         refusals
     };
     assert_eq!(
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -9,31 +9,31 @@
 /// One server of four cores with a free, a keyed and an unsafe class that all may call.
 pub fn settings() -> Settings {
     let class = |idempotency, worth| Class {
-        aim: 1_000_000,
+        latency_objective: 1_000_000,
         deadline: 4_000_000,
         idempotency,
-        window: 5_000_000,
-        worth,
-        calls: true,
+        idempotency_window: 5_000_000,
+        priority_weight: worth,
+        makes_calls: true,
         ..Class::default()
     };
     Settings {
         classes: vec![
-            class(Idempotency::Free, 1.0),
+            class(Idempotency::Idempotent, 1.0),
             class(Idempotency::Keyed, 2.0),
-            class(Idempotency::Unsafe, 4.0),
+            class(Idempotency::NonIdempotent, 4.0),
         ],
         cores: 4.0,
         memory_kb: 20_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_kb: 20.0,
-        below: Below::Shared,
+        downstream: Downstream::Shared,
         call_share: 5.0,
-        call_span: 5_000_000,
-        linger: 200_000,
-        halt: HaltMode::Abort,
-        level: LevelKind::Threshold,
-        max_backoff: 1_000_000,
+        call_window: 5_000_000,
+        call_linger: 200_000,
+        cancellation: CancellationMode::Abort,
+        backpressure: BackpressureKind::Threshold,
+        max_retry_after: 1_000_000,
         ..Settings::default()
     }
 }
@@ -44,7 +44,7 @@
         id,
         class,
         memory_kb: 20.0,
-        rank: (class as f64 + 0.5) / 3.0,
+        priority: (class as f64 + 0.5) / 3.0,
         ..Request::default()
     }
 }
@@ -52,9 +52,9 @@
 pub fn ticks(id: u64) -> Event {
     Event::Timer {
         tag: id,
-        core_use: Some(1.0),
-        on_cores: None,
-        memory_use: None,
+        cpu_utilization: Some(1.0),
+        runnable: None,
+        memory_utilization: None,
         connections: None,
     }
 }
@@ -62,8 +62,8 @@
 pub fn done(id: RequestId, took: Micros) -> Event {
     Event::Finished {
         id,
-        took,
-        outcome: Outcome::Done,
+        elapsed: took,
+        outcome: Outcome::Success,
     }
 }
 
@@ -88,13 +88,13 @@
 pub fn refused(actions: &[Action], wanted: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { id, .. } if *id == wanted))
+        .any(|a| matches!(a, Action::Reject { id, .. } if *id == wanted))
 }
 
 pub fn calls(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Call(..)))
+        .filter(|a| matches!(a, Action::PlaceCall(..)))
         .count()
 }
 
@@ -148,9 +148,9 @@
         for event in events {
             match event {
                 Event::Arrived(r) => {
-                    let arrived = now - r.queued;
+                    let arrived = now - r.queue_time;
                     let due = r
-                        .patience
+                        .timeout
                         .map_or(arrived + self.s.classes[r.class].deadline, |p| now + p);
                     let book = Book {
                         request: r.clone(),
@@ -168,21 +168,21 @@
                     };
                     self.all.insert(r.id, book);
                 }
-                Event::Leaving(left) => self.leave = Some((now, now + left)),
+                Event::ShutdownNotice(left) => self.leave = Some((now, now + left)),
                 Event::Finished { id, outcome, .. } => {
                     let b = self.all.get_mut(id).expect("known");
                     (b.live, b.on_cores) = (false, false);
-                    b.answered |= matches!(outcome, Outcome::Done | Outcome::Error);
+                    b.answered |= matches!(outcome, Outcome::Success | Outcome::Error);
                 }
-                Event::Gone(id) => self.all.get_mut(id).expect("known").answered = true,
+                Event::Abandoned(id) => self.all.get_mut(id).expect("known").answered = true,
                 Event::NeedsCall(id) => {
                     let b = self.all.get_mut(id).expect("known");
                     (b.on_cores, b.at_call, b.may_repeat) = (false, true, true);
                 }
                 Event::CallEnded { id, outcome, .. } => {
                     let b = self.all.get_mut(id).expect("known");
-                    b.on_cores = *outcome == Outcome::Done;
-                    b.may_repeat = matches!(outcome, Outcome::Busy | Outcome::Unreachable);
+                    b.on_cores = *outcome == Outcome::Success;
+                    b.may_repeat = matches!(outcome, Outcome::Rejected | Outcome::Unreachable);
                 }
                 Event::Timer { .. } => {}
             }
@@ -191,7 +191,13 @@
             self.act(now, action);
         }
         self.keys.retain(|_, until| *until >= now);
-        let held = |b: &Book| if b.started { self.s.run_factor } else { 1.0 };
+        let held = |b: &Book| {
+            if b.started {
+                self.s.run_memory_factor
+            } else {
+                1.0
+            }
+        };
         let requests: f64 = self
             .all
             .values()
@@ -203,7 +209,7 @@
             self.breaches.push(format!("{now}: memory {memory}"));
         }
         let crowd = self.all.values().filter(|b| b.live && b.on_cores).count() as f64;
-        if crowd > self.s.safety.crowd * self.s.cores {
+        if crowd > self.s.safety.max_concurrency_per_core * self.s.cores {
             self.breaches.push(format!("{now}: crowd {crowd}"));
         }
         let late = |b: &&Book| !b.answered && now > b.due + self.s.safety.answer_slack;
@@ -227,7 +233,7 @@
                 let keyed = self.s.classes[b.request.class].idempotency == Idempotency::Keyed;
                 if b.started
                     || b.request
-                        .same_as
+                        .duplicate_of
                         .is_some_and(|s| self.ran_keys.contains(&s))
                 {
                     breach = Some(format!("{id} run twice"));
@@ -246,12 +252,12 @@
                 }
                 (b.started, b.on_cores) = (true, true);
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let b = self.all.get_mut(id).expect("known");
-                let free = self.s.classes[b.request.class].idempotency == Idempotency::Free;
+                let free = self.s.classes[b.request.class].idempotency == Idempotency::Idempotent;
                 let ran = b.started
                     || b.request
-                        .same_as
+                        .duplicate_of
                         .is_some_and(|s| self.ran_keys.contains(&s));
                 if b.answered || (ran && !free) {
                     breach = Some(format!("{id} refused after it ran or was answered"));
@@ -267,30 +273,30 @@
                 b.answered = true;
                 b.live &= b.started;
             }
-            Action::Reuse(id) => {
+            Action::ReuseOutcome(id) => {
                 let b = self.all.get_mut(id).expect("known");
                 b.reusing = true;
-                if b.request.same_as.is_none() {
+                if b.request.duplicate_of.is_none() {
                     breach = Some(format!("{id} repeats nothing"));
                 }
             }
-            Action::Keep(id, lifetime) => {
+            Action::RetainKey(id, lifetime) => {
                 self.keys.insert(*id, now + lifetime);
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 self.keys.remove(id);
             }
-            Action::Call(id, _) => {
+            Action::PlaceCall(id, _) => {
                 let b = self.all.get_mut(id).expect("known");
-                let free = self.s.classes[b.request.class].idempotency == Idempotency::Free;
+                let free = self.s.classes[b.request.class].idempotency == Idempotency::Idempotent;
                 if !b.may_repeat && !free {
                     breach = Some(format!("{id} called again"));
                 }
                 b.may_repeat = false;
                 b.calls += 1;
             }
-            Action::Halt(id) => {
-                if self.s.halt == HaltMode::Never {
+            Action::Cancel(id) => {
+                if self.s.cancellation == CancellationMode::Unsupported {
                     breach = Some(format!("{id} halted where nothing can be"));
                 }
                 let b = self.all.get_mut(id).expect("known");
@@ -299,11 +305,11 @@
             Action::SkipCall(id) => {
                 let b = self.all.get_mut(id).expect("known");
                 b.on_cores = true;
-                if self.s.classes[b.request.class].skip_worth == 0.0 {
+                if self.s.classes[b.request.class].skip_call_weight == 0.0 {
                     breach = Some(format!("{id} skipped a call it needs"));
                 }
             }
-            Action::Level(_) if self.s.level == LevelKind::Never => {
+            Action::Backpressure(_) if self.s.backpressure == BackpressureKind::Disabled => {
                 breach = Some("level told".into())
             }
             _ => {}
@@ -319,7 +325,7 @@
             calling: b.live && b.started && !b.on_cores && b.calls > 0 && !b.may_repeat,
             cancelled: b.live && b.started && !b.on_cores && b.answered,
             reusing: b.live && b.reusing && !b.answered,
-            original: b.request.same_as,
+            original: b.request.duplicate_of,
         };
         self.all
             .iter()
@@ -346,6 +352,6 @@
 
 /// The thresholds in force for the line to start: abatement, onset and discard.
 pub fn thresholds(c: &Controller) -> (f64, f64, f64) {
-    let [abate, onset, discard] = c.view().lines[0].thresholds;
+    let [abate, onset, discard] = c.status().queues[0].thresholds;
     (abate, onset, discard)
 }
--- a/crates/admission/tests/fleets.rs
+++ b/crates/admission/tests/fleets.rs
@@ -26,13 +26,13 @@
             let took: Micros = now - since;
             if took >= length.min(within) {
                 let outcome = if length <= within {
-                    Outcome::Done
+                    Outcome::Success
                 } else {
                     Outcome::TimedOut
                 };
                 events.push(Event::CallEnded {
                     id: call,
-                    took,
+                    elapsed: took,
                     outcome,
                 });
                 events.push(done(call, took));
@@ -52,7 +52,7 @@
             .collect();
         let more = step(&mut c, now, &stalled);
         for action in out.iter().chain(&more) {
-            if let Action::Call(id, within) = action {
+            if let Action::PlaceCall(id, within) = action {
                 assert!(in_hand.is_none(), "one call at a time");
                 in_hand = Some((*id, now, *within));
             }
@@ -79,16 +79,16 @@
     step(&mut c, 10_000, &[]);
     let out = step(&mut c, 20_000, &[Event::NeedsCall(1)]);
     let within = out.iter().find_map(|a| {
-        if let Action::Call(_, w) = a {
+        if let Action::PlaceCall(_, w) = a {
             Some(*w)
         } else {
             None
         }
     });
     let s = small();
-    let spent = within.expect("placed") + s.linger;
+    let spent = within.expect("placed") + s.call_linger;
     assert!(
-        spent as f64 <= 0.9 * s.call_share * s.call_span as f64,
+        spent as f64 <= 0.9 * s.call_share * s.call_window as f64,
         "{spent}"
     );
 }
@@ -106,19 +106,19 @@
     step(&mut c, 20_000, &[Event::NeedsCall(1)]);
     let ended = Event::CallEnded {
         id: 1,
-        took: 50_000,
-        outcome: Outcome::Done,
+        elapsed: 50_000,
+        outcome: Outcome::Success,
     };
     step(&mut c, 70_000, &[ended, done(1, 70_000)]);
     let mut out = step(&mut c, 300_000, &[Event::NeedsCall(2)]);
     let mut placed = 0;
     for now in (301_000..900_000).step_by(1_000) {
-        let call = out.iter().any(|a| matches!(a, Action::Call(2, _)));
+        let call = out.iter().any(|a| matches!(a, Action::PlaceCall(2, _)));
         placed += u32::from(call);
         let busy = Event::CallEnded {
             id: 2,
-            took: 1000,
-            outcome: Outcome::Busy,
+            elapsed: 1000,
+            outcome: Outcome::Rejected,
         };
         out = step(
             &mut c,
@@ -136,8 +136,8 @@
 fn shortest_idle(connections: f64, keepalive_max: Micros) -> Option<Micros> {
     let mut c = Controller::new(
         Settings {
-            keepalive_max,
-            below: Below::Nothing,
+            max_keepalive: keepalive_max,
+            downstream: Downstream::None,
             ..small()
         },
         1,
@@ -147,9 +147,9 @@
         let now = i * 50_000;
         let timer = Event::Timer {
             tag: 0,
-            core_use: Some(0.5),
-            on_cores: None,
-            memory_use: None,
+            cpu_utilization: Some(0.5),
+            runnable: None,
+            memory_utilization: None,
             connections: Some(connections),
         };
         let r = request(i as RequestId + 1, 2);
@@ -201,8 +201,8 @@
             now,
             &[Event::CallEnded {
                 id,
-                took,
-                outcome: Outcome::Done,
+                elapsed: took,
+                outcome: Outcome::Success,
             }],
         );
         step(&mut c, now, &[done(id, took + 1000)]);
@@ -221,7 +221,7 @@
 fn small_thresholds_leave_room_for_chance() {
     let c = Controller::new(
         Settings {
-            below: Below::Nothing,
+            downstream: Downstream::None,
             ..small()
         },
         1,
@@ -232,7 +232,7 @@
     assert_eq!((abate, onset, discard), (1.0, 2.0, 4.0));
     let c = Controller::new(
         Settings {
-            below: Below::Nothing,
+            downstream: Downstream::None,
             cores: 6.0,
             ..small()
         },
--- a/crates/admission/tests/incidents.rs
+++ b/crates/admission/tests/incidents.rs
@@ -11,7 +11,7 @@
 fn long_waits_to_be_read_raise_the_level() {
     let level = |queued: Micros| {
         let s = Settings {
-            below: Below::Nothing,
+            downstream: Downstream::None,
             cores: 1.0,
             ..settings()
         };
@@ -19,7 +19,7 @@
         let mut top: f64 = 0.0;
         for i in 0..200 {
             let r = Request {
-                queued,
+                queue_time: queued,
                 ..request(i, (i % 3) as usize)
             };
             let now = 2_000_000 + i as Micros * 40_000;
@@ -28,7 +28,7 @@
                 out.extend(step(&mut c, now + 30_000, &[done(i, 100_000)]));
             }
             for action in &out {
-                if let Action::Level(l) = action {
+                if let Action::Backpressure(l) = action {
                     top = top.max(*l);
                 }
             }
@@ -60,7 +60,7 @@
         step(&mut c, now, &[Event::Arrived(request(id, 2))]);
         let out = step(&mut c, now + 1000, &[Event::NeedsCall(id)]);
         assert!(
-            out.iter().any(|a| matches!(a, Action::Call(..))),
+            out.iter().any(|a| matches!(a, Action::PlaceCall(..))),
             "call {i} had to wait"
         );
         let took = [10_000, 20_000, 60_000, 90_000, 150_000, 300_000][i % 6];
@@ -70,8 +70,8 @@
             now,
             &[Event::CallEnded {
                 id,
-                took,
-                outcome: Outcome::Done,
+                elapsed: took,
+                outcome: Outcome::Success,
             }],
         );
         step(&mut c, now, &[done(id, took + 1000)]);
@@ -84,7 +84,7 @@
 /// what is held.
 fn standing_still() -> (Controller, Micros, Vec<Action>) {
     let free = Class {
-        aim: 1_000_000,
+        latency_objective: 1_000_000,
         deadline: 4_000_000,
         ..Class::default()
     };
@@ -92,18 +92,22 @@
         free.clone(),
         Class {
             idempotency: Idempotency::Keyed,
-            window: 5_000_000,
+            idempotency_window: 5_000_000,
             ..free
         },
     ];
-    let (below, halt, level) = (Below::Nothing, HaltMode::Abort, LevelKind::Threshold);
+    let (below, halt, level) = (
+        Downstream::None,
+        CancellationMode::Abort,
+        BackpressureKind::Threshold,
+    );
     let s = Settings {
         classes,
         cores: 4.0,
-        max_backoff: 1_000_000,
-        below,
-        halt,
-        level,
+        max_retry_after: 1_000_000,
+        downstream: below,
+        cancellation: halt,
+        backpressure: level,
         ..settings()
     };
     let mut c = Controller::new(s, 1);
@@ -126,9 +130,9 @@
         id += 1;
     }
     assert!(
-        c.view().running >= 4 && c.view().held == 1,
+        c.status().running >= 4 && c.status().queued == 1,
         "{:?}",
-        c.view()
+        c.status()
     );
     let stopped = now;
     while now < stopped + 900_000 {
@@ -146,7 +150,7 @@
     let (mut c, now, all) = standing_still();
     let refused: Vec<&Action> = all
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .collect();
     // The held one and the reads that ran; the keyed run may end yet, and its repeats want its
     // outcome.
@@ -154,7 +158,7 @@
     assert!(
         refused.iter().all(|a| matches!(
             a,
-            Action::Refuse {
+            Action::Reject {
                 no_retry: false,
                 ..
             }
@@ -162,13 +166,16 @@
         "{refused:?}"
     );
     assert!(
-        all.contains(&Action::Level(1.0)),
+        all.contains(&Action::Backpressure(1.0)),
         "callers that heed it send nothing: {all:?}"
     );
-    assert_eq!((c.view().held, c.standing(81).is_some()), (0, true));
+    assert_eq!(
+        (c.status().queued, c.request_status(81).is_some()),
+        (0, true)
+    );
     let out = step(&mut c, now, &[Event::Arrived(request(900, 0))]);
-    let Some(Action::Refuse {
-        backoff,
+    let Some(Action::Reject {
+        retry_after: backoff,
         no_retry: false,
         ..
     }) = out.first()
@@ -186,12 +193,16 @@
 #[test]
 fn cores_that_go_on_are_as_quick_as_before() {
     let (mut c, now, _) = standing_still();
-    let before = c.view().rate;
+    let before = c.status().completion_rate;
     let out = step(&mut c, now, &[done(81, 950_000)]);
     assert!(out.is_empty(), "{out:?}");
     let out = step(&mut c, now, &[Event::Arrived(request(900, 0))]);
     assert!(out.contains(&Action::Run(900)), "{out:?}");
-    assert!(c.view().rate > 0.8 * before, "{} {before}", c.view().rate);
+    assert!(
+        c.status().completion_rate > 0.8 * before,
+        "{} {before}",
+        c.status().completion_rate
+    );
 }
 
 /// Where a run waits for a disk or stands at a call the cores have room, and a few slow runs are no
@@ -199,9 +210,9 @@
 #[test]
 fn few_slow_runs_are_no_standstill() {
     let s = Settings {
-        below: Below::Nothing,
+        downstream: Downstream::None,
         cores: 4.0,
-        halt: HaltMode::Abort,
+        cancellation: CancellationMode::Abort,
         ..settings()
     };
     let mut c = Controller::new(s, 1);
@@ -214,7 +225,7 @@
     }
     assert!(
         !out.iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Halt(_))),
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Cancel(_))),
         "{out:?}"
     );
     assert!(step(&mut c, 800_000, &[Event::Arrived(request(9, 0))]).contains(&Action::Run(9)));
@@ -225,7 +236,7 @@
 #[test]
 fn runs_that_fail_at_once_do_not_make_a_server_look_quick() {
     let s = Settings {
-        below: Below::Nothing,
+        downstream: Downstream::None,
         cores: 4.0,
         ..settings()
     };
@@ -242,12 +253,16 @@
             step(
                 c,
                 id as Micros * 100_000 + took,
-                &[Event::Finished { id, took, outcome }],
+                &[Event::Finished {
+                    id,
+                    elapsed: took,
+                    outcome,
+                }],
             );
         }
-        c.view().rate
+        c.status().completion_rate
     };
-    let healthy = play(&mut c, Outcome::Done, 90_000);
+    let healthy = play(&mut c, Outcome::Success, 90_000);
     let failing = play(&mut c, Outcome::Error, 1_000);
     assert!(failing < 0.1 * healthy, "{failing} {healthy}");
 }
@@ -257,19 +272,19 @@
 #[test]
 fn a_key_lasts_for_as_long_as_its_request_may_be_held() {
     let free = Class {
-        aim: 4_000_000,
+        latency_objective: 4_000_000,
         deadline: 30_000_000,
-        late_worth: 1.0,
+        late_weight: 1.0,
         ..Class::default()
     };
     let keyed = Class {
         idempotency: Idempotency::Keyed,
-        window: 1_000_000,
+        idempotency_window: 1_000_000,
         ..free.clone()
     };
     let s = Settings {
         classes: vec![free, keyed],
-        below: Below::Nothing,
+        downstream: Downstream::None,
         cores: 1.0,
         ..settings()
     };
@@ -277,7 +292,7 @@
     step(&mut c, 0, &[Event::Arrived(request(1, 0)), ticks(0)]);
     let out = step(&mut c, 0, &[Event::Arrived(request(2, 1))]);
     let kept = out.iter().find_map(|a| {
-        if let Action::Keep(2, lifetime) = a {
+        if let Action::RetainKey(2, lifetime) = a {
             Some(*lifetime)
         } else {
             None
--- a/crates/admission/tests/keys.rs
+++ b/crates/admission/tests/keys.rs
@@ -10,7 +10,7 @@
     let out = step(&mut c, 0, &[Event::Arrived(request(1, 1))]);
     let keep = out
         .iter()
-        .position(|a| *a == Action::Keep(1, 5_000_000))
+        .position(|a| *a == Action::RetainKey(1, 5_000_000))
         .expect("kept");
     let run = out.iter().position(|a| *a == Action::Run(1)).expect("run");
     assert!(keep < run);
@@ -21,12 +21,16 @@
     let mut c = Controller::new(settings(), 1);
     step(&mut c, 0, &[Event::Arrived(request(1, 1))]);
     let repeat = Request {
-        same_as: Some(1),
-        retry: true,
+        duplicate_of: Some(1),
+        is_retry: true,
         ..request(2, 1)
     };
     let out = step(&mut c, 1000, &[Event::Arrived(repeat)]);
-    assert!(out.contains(&Action::Reuse(2)) && !refused(&out, 2) && !out.contains(&Action::Run(2)));
+    assert!(
+        out.contains(&Action::ReuseOutcome(2))
+            && !refused(&out, 2)
+            && !out.contains(&Action::Run(2))
+    );
     let late = step(&mut c, 4_001_000, &[ticks(0)]);
     assert!(late.contains(&Action::Fail(2)), "answered at its due time");
 }
@@ -59,9 +63,9 @@
     assert_eq!(runs(&out), 1);
     let out = step(&mut c, 1_000_000, &[ticks(0)]);
     for id in 2..=3 {
-        assert!(refused(&out, id) && out.contains(&Action::Forget(id)));
+        assert!(refused(&out, id) && out.contains(&Action::ReleaseKey(id)));
     }
-    assert!(!out.contains(&Action::Forget(1)));
+    assert!(!out.contains(&Action::ReleaseKey(1)));
 }
 
 #[test]
@@ -73,15 +77,15 @@
     };
     assert!(!step(&mut c, 0, &[Event::Arrived(r.clone())])
         .iter()
-        .any(|a| matches!(a, Action::Keep(..))));
+        .any(|a| matches!(a, Action::RetainKey(..))));
     let mut c = Controller::new(
         Settings {
-            fresh: 500_000,
+            read_cache_ttl: 500_000,
             ..settings()
         },
         1,
     );
     assert!(step(&mut c, 0, &[Event::Arrived(r)])
         .iter()
-        .any(|a| matches!(a, Action::Keep(1, _))));
+        .any(|a| matches!(a, Action::RetainKey(1, _))));
 }
--- a/crates/admission/tests/modes.rs
+++ b/crates/admission/tests/modes.rs
@@ -7,7 +7,7 @@
 /// Four cores are taken up; then requests of low rank come one by one until the mode changes.
 fn full() -> (Controller, RequestId) {
     let s = Settings {
-        below: Below::Nothing,
+        downstream: Downstream::None,
         ..settings()
     };
     let mut c = Controller::new(s, 1);
@@ -20,13 +20,16 @@
 fn onset_comes_at_exactly_the_count() {
     let (mut c, mut id) = full();
     let (_, onset, _) = thresholds(&c);
-    while (c.view().held as f64) < onset - 1.0 {
+    while (c.status().queued as f64) < onset - 1.0 {
         step(&mut c, 1, &[Event::Arrived(request(id, 0))]);
         id += 1;
-        assert_eq!(c.mode(), Mode::Normal, "at {}", c.view().held);
+        assert_eq!(c.mode(), Mode::Normal, "at {}", c.status().queued);
     }
     step(&mut c, 1, &[Event::Arrived(request(id, 0))]);
-    assert_eq!((c.mode(), c.view().held as f64), (Mode::Overload, onset));
+    assert_eq!(
+        (c.mode(), c.status().queued as f64),
+        (Mode::Overload, onset)
+    );
 }
 
 #[test]
@@ -37,10 +40,13 @@
         .map(|i| Event::Arrived(request(i, 2)))
         .collect();
     let out = step(&mut c, 1, &batch);
-    assert_eq!((c.mode(), c.view().held as f64), (Mode::Discard, discard));
+    assert_eq!(
+        (c.mode(), c.status().queued as f64),
+        (Mode::Discard, discard)
+    );
     assert_eq!(
         out.iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count() as f64,
         50.0 - discard
     );
@@ -64,7 +70,7 @@
                 None
             }
         }));
-        let count = c.view().held as f64;
+        let count = c.status().queued as f64;
         let mode = match count {
             n if n > onset => Mode::Discard,
             n if n >= abate => Mode::Overload,
@@ -72,7 +78,7 @@
         };
         assert_eq!(c.mode(), mode, "at {count}");
     }
-    assert_eq!(c.view().held, 0);
+    assert_eq!(c.status().queued, 0);
 }
 
 #[test]
@@ -82,7 +88,7 @@
     for i in 1..=4 {
         let end = Event::Finished {
             id: i,
-            took: 2_000,
+            elapsed: 2_000,
             outcome: Outcome::Error,
         };
         step(&mut c, i as Micros * 1000, &[end]);
@@ -95,7 +101,7 @@
             now + 2_000,
             &[Event::Finished {
                 id: i,
-                took: 900_000,
+                elapsed: 900_000,
                 outcome: Outcome::Error,
             }],
         );
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -36,7 +36,7 @@
             if books.open(|v| v.halted || v.cancelled).contains(&id) {
                 events.push(Event::Finished {
                     id,
-                    took: 1000,
+                    elapsed: 1000,
                     outcome: Outcome::Cancelled,
                 });
             } else if dice.below(pace) == 0 {
@@ -44,7 +44,7 @@
                     0 => Event::NeedsCall(id),
                     1 if dice.below(5) == 0 => Event::Finished {
                         id,
-                        took: 90_000,
+                        elapsed: 90_000,
                         outcome: Outcome::Error,
                     },
                     _ => done(id, 90_000),
@@ -53,16 +53,16 @@
         }
         for id in books.open(|v| v.calling && !v.cancelled) {
             let outcome = match dice.below(80) {
-                0..=8 => Outcome::Done,
+                0..=8 => Outcome::Success,
                 9 => Outcome::Error,
                 10 => Outcome::TimedOut,
-                11 => Outcome::Busy,
+                11 => Outcome::Rejected,
                 12 => Outcome::Unreachable,
                 _ => continue,
             };
             events.push(Event::CallEnded {
                 id,
-                took: 50_000,
+                elapsed: 50_000,
                 outcome,
             });
         }
@@ -70,13 +70,13 @@
             if dice.below(20) == 0 {
                 events.push(Event::Finished {
                     id,
-                    took: 1000,
-                    outcome: Outcome::Done,
+                    elapsed: 1000,
+                    outcome: Outcome::Success,
                 });
             }
         }
         if now == leave_at {
-            events.push(Event::Leaving(1_900_000));
+            events.push(Event::ShutdownNotice(1_900_000));
         }
         let most = if (3_000_000..5_000_000).contains(&now) {
             6
@@ -85,14 +85,14 @@
         };
         for _ in 0..dice.below(most) * u64::from(now < 16_500_000) {
             let mut r = request(next, dice.below(3) as usize);
-            r.queued = dice.below(40_000) as Micros;
-            r.retry = dice.below(5) == 0;
+            r.queue_time = dice.below(40_000) as Micros;
+            r.is_retry = dice.below(5) == 0;
             r.memory_kb = 5.0 + dice.below(60) as f64;
-            r.patience = (dice.below(2) == 0).then(|| 200_000 + dice.below(3_000_000) as Micros);
+            r.timeout = (dice.below(2) == 0).then(|| 200_000 + dice.below(3_000_000) as Micros);
             if r.class == 1 {
                 let known = keyed.last().copied().filter(|&k| books.is_live(k));
-                r.same_as = known.filter(|_| dice.below(4) == 0);
-                if r.same_as.is_none() {
+                r.duplicate_of = known.filter(|_| dice.below(4) == 0);
+                if r.duplicate_of.is_none() {
                     keyed.push(next);
                 }
             }
@@ -110,8 +110,19 @@
 #[test]
 fn rules_hold_on_random_days() {
     for seed in 1..30 {
-        for halt in [HaltMode::Never, HaltMode::Abort, HaltMode::Suspend] {
-            let (breaches, ran) = play(&Settings { halt, ..settings() }, seed, |_| {});
+        for halt in [
+            CancellationMode::Unsupported,
+            CancellationMode::Abort,
+            CancellationMode::Suspend,
+        ] {
+            let (breaches, ran) = play(
+                &Settings {
+                    cancellation: halt,
+                    ..settings()
+                },
+                seed,
+                |_| {},
+            );
             assert!(breaches.is_empty(), "seed {seed} {halt:?}: {breaches:?}");
             assert!(ran > 100, "only {ran} were run");
         }
@@ -122,8 +133,8 @@
 fn rules_hold_where_memory_is_short_and_nothing_is_told() {
     let s = Settings {
         memory_kb: 3_000.0,
-        level: LevelKind::Never,
-        below: Below::Nothing,
+        backpressure: BackpressureKind::Disabled,
+        downstream: Downstream::None,
         ..settings()
     };
     for seed in 1..20 {
@@ -136,27 +147,27 @@
 fn rules_hold_under_other_settings() {
     let tenants = vec![Tenant { quota_rps: 5.0 }, Tenant { quota_rps: 50.0 }];
     let mut skipping = settings();
-    skipping.classes[0].skip_worth = 0.5;
+    skipping.classes[0].skip_call_weight = 0.5;
     let kinds = [
         Settings {
-            level: LevelKind::Window,
+            backpressure: BackpressureKind::Window,
             callers: 3.0,
             ..settings()
         },
         Settings {
-            level: LevelKind::Share,
-            below: Below::Tier,
+            backpressure: BackpressureKind::Share,
+            downstream: Downstream::Tier,
             ..settings()
         },
         Settings {
-            fresh: 300_000,
+            read_cache_ttl: 300_000,
             tenants,
-            over_share_worth: 0.1,
+            over_quota_weight: 0.1,
             ..settings()
         },
         Settings {
             call_share: 0.4,
-            cold: true,
+            is_cold: true,
             cores: 2.0,
             ..settings()
         },
@@ -173,9 +184,9 @@
 #[test]
 fn the_books_find_broken_action_streams() {
     let lost =
-        |a: &mut Vec<Action>| a.retain(|a| !matches!(a, Action::Fail(_) | Action::Refuse { .. }));
+        |a: &mut Vec<Action>| a.retain(|a| !matches!(a, Action::Fail(_) | Action::Reject { .. }));
     assert!(!play(&settings(), 3, lost).0.is_empty());
-    let unkept = |a: &mut Vec<Action>| a.retain(|a| !matches!(a, Action::Keep(..)));
+    let unkept = |a: &mut Vec<Action>| a.retain(|a| !matches!(a, Action::RetainKey(..)));
     assert!(play(&settings(), 3, unkept)
         .0
         .iter()
@@ -212,30 +223,30 @@
 fn running_work_is_answered_by_its_due_time() {
     let mut c = Controller::new(settings(), 1);
     let r = Request {
-        patience: Some(300_000),
+        timeout: Some(300_000),
         ..request(1, 2)
     };
     assert_eq!(runs(&step(&mut c, 0, &[Event::Arrived(r)])), 1);
     assert!(!step(&mut c, 299_999, &[ticks(0)]).contains(&Action::Fail(1)));
     let out = step(&mut c, 300_000, &[ticks(0)]);
-    assert!(out.contains(&Action::Fail(1)) && out.contains(&Action::Halt(1)));
+    assert!(out.contains(&Action::Fail(1)) && out.contains(&Action::Cancel(1)));
 }
 
 #[test]
 fn a_cold_server_crowds_its_cores_less() {
     let cold = Settings {
-        cold: true,
-        below: Below::Nothing,
+        is_cold: true,
+        downstream: Downstream::None,
         safety: Safety {
-            cold_for: 10_000_000,
-            cold_from: 0.2,
-            crowd: 2.0,
+            warmup_time: 10_000_000,
+            cold_speed: 0.2,
+            max_concurrency_per_core: 2.0,
             ..Safety::default()
         },
         ..settings()
     };
     let warm = Settings {
-        cold: false,
+        is_cold: false,
         ..cold.clone()
     };
     let most = |s: Settings| {
--- a/crates/admission/tests/settings.rs
+++ b/crates/admission/tests/settings.rs
@@ -3,8 +3,8 @@
 mod common;
 use common::*;
 use pipitlever_admission::*;
-use pipitlever_settings::any::settings as any_settings;
-use pipitlever_settings::Config;
+use pipitlever_settings::arbitrary::platform_settings;
+use pipitlever_settings::PlatformSettings;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 
@@ -12,11 +12,13 @@
 fn drawn(seed: u8) -> (serde_json::Value, Settings) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(Cases::default(), rng);
-    let json = any_settings().new_tree(&mut runner).unwrap().current();
-    let config: Config =
+    let json = platform_settings().new_tree(&mut runner).unwrap().current();
+    let config: PlatformSettings =
         serde_json::from_value(json.clone()).unwrap_or_else(|e| panic!("{e}: {json}"));
-    config.check().unwrap_or_else(|why| panic!("{why}: {json}"));
-    (json, config.settings().unwrap())
+    config
+        .validate()
+        .unwrap_or_else(|why| panic!("{why}: {json}"));
+    (json, config.controller_settings().unwrap())
 }
 
 /// A day of six seconds: calm, a surge, a standstill, a drain. Returns breaches of the rules, and
@@ -34,17 +36,17 @@
         for id in books.open(|v| v.halted || v.cancelled) {
             events.push(Event::Finished {
                 id,
-                took: 1000,
+                elapsed: 1000,
                 outcome: Outcome::Cancelled,
             });
         }
         for id in books.open(|v| v.running && !v.halted && !v.cancelled) {
             if !stands && rng.u32(..12) == 0 {
                 events.push(match rng.u32(..8) {
-                    0 if s.below != Below::Nothing => Event::NeedsCall(id),
+                    0 if s.downstream != Downstream::None => Event::NeedsCall(id),
                     1 => Event::Finished {
                         id,
-                        took: 20_000,
+                        elapsed: 20_000,
                         outcome: Outcome::Error,
                     },
                     _ => done(id, 90_000),
@@ -53,17 +55,17 @@
         }
         for id in books.open(|v| v.calling && !v.cancelled) {
             let outcome = match rng.u32(..40) {
-                0..=5 => Outcome::Done,
+                0..=5 => Outcome::Success,
                 6 => Outcome::Error,
                 7 => Outcome::TimedOut,
-                8 => Outcome::Busy,
+                8 => Outcome::Rejected,
                 9 => Outcome::Unreachable,
                 10 => Outcome::Reset,
                 _ => continue,
             };
             events.push(Event::CallEnded {
                 id,
-                took: 50_000,
+                elapsed: 50_000,
                 outcome,
             });
         }
@@ -71,13 +73,13 @@
             if rng.u32(..20) == 0 {
                 events.push(Event::Finished {
                     id,
-                    took: 1000,
-                    outcome: Outcome::Done,
+                    elapsed: 1000,
+                    outcome: Outcome::Success,
                 });
             }
         }
         if now == leave_at {
-            events.push(Event::Leaving(1_400_000));
+            events.push(Event::ShutdownNotice(1_400_000));
         }
         let most = if (1_000_000..2_000_000).contains(&now) {
             6
@@ -89,14 +91,14 @@
             let mut r = Request {
                 id: next,
                 class,
-                rank: rng.f64(),
+                priority: rng.f64(),
                 ..Request::default()
             };
-            r.queued = rng.i64(0..40_000);
-            r.retry = rng.u32(..5) == 0;
+            r.queue_time = rng.i64(0..40_000);
+            r.is_retry = rng.u32(..5) == 0;
             // All that may be read at once finds room, as the platform promises.
             r.memory_kb = s.memory_kb / 400.0 * (0.2 + rng.f64());
-            r.patience = rng.bool().then(|| 100_000 + rng.i64(0..3_000_000));
+            r.timeout = rng.bool().then(|| 100_000 + rng.i64(0..3_000_000));
             r.cost = rng.bool().then(|| 1e3 + 1e6 * rng.f64());
             // Some of tenants that the settings don't have.
             r.tenant = rng.bool().then(|| rng.usize(..6));
@@ -105,8 +107,8 @@
                     .iter()
                     .rev()
                     .find(|(of, id)| *of == class && books.is_live(*id));
-                r.same_as = live.map(|(_, id)| *id).filter(|_| rng.u32(..4) == 0);
-                if r.same_as.is_none() {
+                r.duplicate_of = live.map(|(_, id)| *id).filter(|_| rng.u32(..4) == 0);
+                if r.duplicate_of.is_none() {
                     keyed.push((class, next));
                 }
             }
@@ -117,15 +119,20 @@
         ran += runs(&actions);
         turned += actions
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
         for action in &actions {
             match action {
-                Action::Level(level) => assert!(level.is_finite() && *level >= 0.0, "{level}"),
-                Action::Refuse { backoff, .. } => {
-                    assert!((0..=s.max_backoff.max(0)).contains(backoff))
+                Action::Backpressure(level) => {
+                    assert!(level.is_finite() && *level >= 0.0, "{level}")
                 }
-                Action::CloseIdle(idle) => assert!(*idle <= s.keepalive_max, "{idle}"),
+                Action::Reject {
+                    retry_after: backoff,
+                    ..
+                } => {
+                    assert!((0..=s.max_retry_after.max(0)).contains(backoff))
+                }
+                Action::CloseIdle(idle) => assert!(*idle <= s.max_keepalive, "{idle}"),
                 _ => {}
             }
         }
@@ -157,6 +164,6 @@
 /// By hand: `cargo test --release --test settings -- --ignored`.
 #[test]
 #[ignore = "250 days"]
-fn every_rule_holds_under_many_settings() {
+fn every_rule_holds_under_mplatform_settings() {
     days(0..250);
 }
--- a/crates/capture-tools/examples/formats.rs
+++ b/crates/capture-tools/examples/formats.rs
@@ -68,17 +68,25 @@
                             let all = [
                                 Some(r.id as i64),
                                 Some(r.class as i64),
-                                r.patience,
-                                Some(r.queued),
-                                r.same_as.map(|s| s as i64),
-                                Some(i64::from(r.retry)),
-                                Some(i64::from(r.write)),
+                                r.timeout,
+                                Some(r.queue_time),
+                                r.duplicate_of.map(|s| s as i64),
+                                Some(i64::from(r.is_retry)),
+                                Some(i64::from(r.is_write)),
                                 Some(i64::from(r.has_key)),
                             ];
-                            row(3, 0, &all, &[r.cost, Some(r.memory_kb), Some(r.rank)]);
+                            row(3, 0, &all, &[r.cost, Some(r.memory_kb), Some(r.priority)]);
                         }
-                        Event::Finished { id, took, outcome }
-                        | Event::CallEnded { id, took, outcome } => {
+                        Event::Finished {
+                            id,
+                            elapsed: took,
+                            outcome,
+                        }
+                        | Event::CallEnded {
+                            id,
+                            elapsed: took,
+                            outcome,
+                        } => {
                             row(
                                 4,
                                 0,
@@ -87,9 +95,9 @@
                             );
                         }
                         Event::Timer {
-                            core_use,
-                            on_cores,
-                            memory_use,
+                            cpu_utilization: core_use,
+                            runnable: on_cores,
+                            memory_utilization: memory_use,
                             connections,
                             ..
                         } => {
@@ -105,8 +113,13 @@
                 }
                 for action in actions.iter() {
                     let figure = match action {
-                        Action::Keep(_, v) | Action::Call(_, v) | Action::Timer(v, _) => Some(*v),
-                        Action::Refuse { backoff, .. } => Some(*backoff),
+                        Action::RetainKey(_, v) | Action::PlaceCall(_, v) | Action::Timer(v, _) => {
+                            Some(*v)
+                        }
+                        Action::Reject {
+                            retry_after: backoff,
+                            ..
+                        } => Some(*backoff),
                         _ => None,
                     };
                     row(7, 0, &[action.request().map(|id| id as i64), figure], &[]);
--- a/crates/capture-tools/src/diff.rs
+++ b/crates/capture-tools/src/diff.rs
@@ -50,7 +50,7 @@
             || Profile {
                 work: vec![0],
                 calls: vec![],
-                outcome: Some(Outcome::Done),
+                outcome: Some(Outcome::Success),
             },
             |(_, profile)| profile.clone(),
         )
@@ -78,8 +78,8 @@
                 }
                 Event::CallEnded {
                     id,
-                    took,
-                    outcome: Outcome::Done,
+                    elapsed: took,
+                    outcome: Outcome::Success,
                 } => {
                     if let Some((_, since, profile)) = self.open.get_mut(id) {
                         profile.calls.push(*took);
@@ -95,7 +95,7 @@
                         profile.work.push(now - since);
                     }
                     profile.outcome = Some(*outcome);
-                    if *outcome != Outcome::Moot {
+                    if *outcome != Outcome::NotStarted {
                         self.all.insert((self.run, class, *id), profile);
                     }
                 }
@@ -161,9 +161,9 @@
                 self.started = Some((now, *starts));
                 Fate::Ran
             }
-            Action::Refuse { .. } => Fate::Refused,
+            Action::Reject { .. } => Fate::Refused,
             Action::Fail(_) => Fate::Failed,
-            Action::Reuse(_) => Fate::Joined,
+            Action::ReuseOutcome(_) => Fate::Joined,
             _ => return,
         };
         // What ran stays what ran, though it may be failed afterwards.
@@ -266,7 +266,10 @@
     }
 
     fn stage(&self, id: RequestId) -> Option<Stage> {
-        self.controller.as_ref()?.standing(id).map(|s| s.stage)
+        self.controller
+            .as_ref()?
+            .request_status(id)
+            .map(|s| s.stage)
     }
 
     /// This build's own events up to now, each a step of its own.
@@ -293,11 +296,11 @@
         let own = self.own.get_mut(&id)?;
         match (&event, stage) {
             (Event::NeedsCall(_), Stage::Running) => {}
-            (Event::CallEnded { .. }, Stage::Calling) => {
+            (Event::CallEnded { .. }, Stage::InCall) => {
                 own.piece += 1;
                 own.since = at;
             }
-            (Event::Finished { .. }, Stage::Running | Stage::Reusing) => {
+            (Event::Finished { .. }, Stage::Running | Stage::AwaitingOriginal) => {
                 self.own.remove(&id);
             }
             _ => return None,
@@ -313,10 +316,10 @@
         let event = if own.piece < own.profile.calls.len() {
             Event::NeedsCall(id)
         } else {
-            let outcome = own.profile.outcome.unwrap_or(Outcome::Done);
+            let outcome = own.profile.outcome.unwrap_or(Outcome::Success);
             Event::Finished {
                 id,
-                took: at - own.begun,
+                elapsed: at - own.begun,
                 outcome,
             }
         };
@@ -337,8 +340,8 @@
             now + took,
             Event::CallEnded {
                 id,
-                took,
-                outcome: Outcome::Done,
+                elapsed: took,
+                outcome: Outcome::Success,
             },
         );
     }
@@ -356,8 +359,8 @@
                 now,
                 Event::Finished {
                     id,
-                    took: 0,
-                    outcome: Outcome::Done,
+                    elapsed: 0,
+                    outcome: Outcome::Success,
                 },
             ),
         }
@@ -381,8 +384,8 @@
         );
         match self.stage(id) {
             Some(Stage::Running) => self.go_on(id, now),
-            Some(Stage::Calling) => self.call(id, now),
-            Some(Stage::Reusing) => self.join(id, now),
+            Some(Stage::InCall) => self.call(id, now),
+            Some(Stage::AwaitingOriginal) => self.join(id, now),
             _ => {}
         }
     }
@@ -394,10 +397,14 @@
         let Some(key) = self.key_of.get(&r.id) else {
             return r;
         };
-        let holder = |keys: &Keys| keys.get(key).filter(|k| now - r.queued <= k.1).map(|k| k.0);
+        let holder = |keys: &Keys| {
+            keys.get(key)
+                .filter(|k| now - r.queue_time <= k.1)
+                .map(|k| k.0)
+        };
         let [theirs, ours] = [holder(&self.keys[RECORDED]), holder(&self.keys[REPLAYED])];
-        if theirs == r.same_as && ours != theirs {
-            r.same_as = ours;
+        if theirs == r.duplicate_of && ours != theirs {
+            r.duplicate_of = ours;
         }
         r
     }
@@ -428,7 +435,7 @@
                     now,
                     Event::Finished {
                         id: waiting,
-                        took: 0,
+                        elapsed: 0,
                         outcome: *outcome,
                     },
                 );
@@ -461,8 +468,8 @@
                             }
                             self.go_on(id, now);
                         }
-                        Action::Call(..) => self.call(id, now),
-                        Action::Reuse(_) => self.join(id, now),
+                        Action::PlaceCall(..) => self.call(id, now),
+                        Action::ReuseOutcome(_) => self.join(id, now),
                         _ => {}
                     }
                 }
@@ -480,12 +487,12 @@
 
     fn decided(&mut self, side: usize, action: &Action, now: Micros) {
         match action {
-            Action::Keep(id, lifetime) => {
+            Action::RetainKey(id, lifetime) => {
                 if let Some(key) = self.key_of.get(id) {
                     self.keys[side].insert(*key, (*id, now + lifetime));
                 }
             }
-            Action::Forget(id) => {
+            Action::ReleaseKey(id) => {
                 let key = self.key_of.get(id).copied();
                 if let Some(key) =
                     key.filter(|k| self.keys[side].get(k).is_some_and(|h| h.0 == *id))
--- a/crates/capture-tools/src/export.rs
+++ b/crates/capture-tools/src/export.rs
@@ -293,8 +293,8 @@
         else {
             return;
         };
-        let view = seen.replay.controller().view();
-        let [start, calls] = &view.lines;
+        let view = seen.replay.controller().status();
+        let [start, calls] = &view.queues;
         let [abate, onset, discard] = start.thresholds;
         let float = |v: f64| Float(Some(v));
         let count = |v: usize| Unsigned(Some(v as u64));
@@ -307,22 +307,22 @@
             count(events.len()),
             count(actions.len()),
             Text(Some(words::mode(start.mode).into())),
-            float(start.count),
+            float(start.length),
             float(abate),
             float(onset),
             float(discard),
-            float(start.cut),
+            float(start.priority_cutoff),
             Text(Some(words::mode(calls.mode).into())),
-            float(calls.count),
-            count(view.held),
+            float(calls.length),
+            count(view.queued),
             count(view.running),
             count(view.at_call),
-            float(view.run_limit),
+            float(view.concurrency_limit),
             float(view.reading),
-            float(view.in_hand),
+            float(view.calls_in_flight),
             float(view.call_limit),
             float(view.memory_kb),
-            Flag(Some(view.leaving)),
+            Flag(Some(view.is_shutting_down)),
         ]);
     }
 
--- a/crates/capture-tools/src/rows.rs
+++ b/crates/capture-tools/src/rows.rs
@@ -3,7 +3,7 @@
 
 use crate::walk::{Seen, Visitor};
 use pipitlever_admission::{
-    Action, Cause, Controller, Event, Micros, Mode, Outcome, RequestId, View,
+    Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, RequestId,
 };
 use pipitlever_capture::record::{By, Name, Opening, Record, Told};
 use std::collections::{BTreeMap, HashMap};
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug)]
 pub enum Moment {
     /// It came, and this is what the controller went by before it.
-    Came(Event, View),
+    Came(Event, ControllerStatus),
     /// The controller was told of it.
     Told(Event),
     /// The controller said of it.
     Said(Action),
     /// Why it was turned away or failed, and what the controller went by before.
-    Caused(Cause, View),
+    Caused(Cause, ControllerStatus),
     /// Its final answer went out.
     Answered(Told, By),
     /// It was in memory when the capture, or what is there of it, began.
@@ -161,9 +161,9 @@
         }
     }
 
-    fn event(&mut self, seen: &Seen, event: &Event, view: &View) {
+    fn event(&mut self, seen: &Seen, event: &Event, view: &ControllerStatus) {
         let (now, step) = (seen.replay.now(), seen.replay.steps());
-        if let Event::Leaving(_) = event {
+        if let Event::ShutdownNotice(_) = event {
             // It bears on all that is in memory.
             let live: Vec<RequestId> = self.live.keys().copied().collect();
             live.into_iter()
@@ -174,19 +174,23 @@
         if let Event::Arrived(r) = event {
             let row = self.row(seen.opening, id, r.class);
             row.arrived = Some(now);
-            row.queued = Some(r.queued);
-            (row.patience, row.cost, row.memory_kb) = (r.patience, r.cost, Some(r.memory_kb));
-            (row.rank, row.retry, row.repeats) = (Some(r.rank), r.retry, r.same_as);
-            let line = &view.lines[0];
-            row.met = Some((line.mode, view.held, line.cut));
+            row.queued = Some(r.queue_time);
+            (row.patience, row.cost, row.memory_kb) = (r.timeout, r.cost, Some(r.memory_kb));
+            (row.rank, row.retry, row.repeats) = (Some(r.priority), r.is_retry, r.duplicate_of);
+            let line = &view.queues[0];
+            row.met = Some((line.mode, view.queued, line.priority_cutoff));
             return self.tell(id, now, step, || Moment::Came(event.clone(), *view));
         }
         let Some(row) = self.live.get_mut(&id) else {
             return;
         };
         match event {
-            Event::Finished { took, outcome, .. } => row.ended = Some((now, *took, *outcome)),
-            Event::Gone(_) if row.answered.is_none() => row.gone = Some(now),
+            Event::Finished {
+                elapsed: took,
+                outcome,
+                ..
+            } => row.ended = Some((now, *took, *outcome)),
+            Event::Abandoned(_) if row.answered.is_none() => row.gone = Some(now),
             _ => {}
         }
         self.tell(id, now, step, || Moment::Told(event.clone()));
@@ -199,7 +203,7 @@
         };
         match action {
             Action::Run(_) => row.started = Some(now),
-            Action::Call(..) => row.calls += 1,
+            Action::PlaceCall(..) => row.calls += 1,
             _ => {}
         }
         self.touched.push(id);
@@ -229,7 +233,7 @@
             row.answered = Some((now, told, by));
         }
         self.tell(id, now, step, || Moment::Answered(told, by));
-        if !seen.replay.controller().knows(id) {
+        if !seen.replay.controller().is_tracked(id) {
             self.close(id);
         }
     }
@@ -274,9 +278,9 @@
                 let (now, step) = (seen.replay.now(), seen.replay.steps());
                 let view = seen
                     .before
-                    .unwrap_or_else(|| seen.replay.controller().view());
+                    .unwrap_or_else(|| seen.replay.controller().status());
                 events.iter().for_each(|e| self.event(seen, e, &view));
-                for &(id, cause) in seen.replay.controller().why() {
+                for &(id, cause) in seen.replay.controller().causes() {
                     if let Some(row) = self.live.get_mut(&id) {
                         row.decided.get_or_insert((now, cause));
                     }
@@ -285,7 +289,9 @@
                 actions.iter().for_each(|a| self.action(now, step, a));
                 for id in std::mem::take(&mut self.touched) {
                     let over = |r: &Row| r.answered.is_some() || r.gone.is_some();
-                    if self.live.get(&id).is_some_and(over) && !seen.replay.controller().knows(id) {
+                    if self.live.get(&id).is_some_and(over)
+                        && !seen.replay.controller().is_tracked(id)
+                    {
                         self.close(id);
                     }
                 }
--- a/crates/capture-tools/src/walk.rs
+++ b/crates/capture-tools/src/walk.rs
@@ -2,7 +2,7 @@
 
 use crate::source::{self, Run, Trouble};
 use indicatif::{ProgressBar, ProgressStyle};
-use pipitlever_admission::{Controller, Event, View};
+use pipitlever_admission::{Controller, ControllerStatus, Event};
 use pipitlever_capture::record::{End, Lost, Opening, Record};
 use pipitlever_capture::replay::{from_start, Difference, Replay};
 use pipitlever_capture::segment::{Reader, Tail};
@@ -30,7 +30,7 @@
     /// The controller, after it.
     pub replay: &'a Replay,
     /// What the controller went by before it.
-    pub before: Option<View>,
+    pub before: Option<ControllerStatus>,
 }
 
 /// Where a capture is cut off.
--- a/crates/capture-tools/src/words.rs
+++ b/crates/capture-tools/src/words.rs
@@ -1,6 +1,6 @@
 //! What a controller is told, says and goes by, in plain words.
 
-use pipitlever_admission::{Action, Cause, Event, Micros, Mode, Outcome, Stage, View};
+use pipitlever_admission::{Action, Cause, ControllerStatus, Event, Micros, Mode, Outcome, Stage};
 use pipitlever_capture::record::{By, Told};
 
 /// A span in milliseconds.
@@ -29,46 +29,46 @@
 /// How something ended.
 pub fn outcome(outcome: Outcome) -> &'static str {
     match outcome {
-        Outcome::Done => "well",
+        Outcome::Success => "well",
         Outcome::Error => "in an error",
-        Outcome::Busy => "turned away unseen",
+        Outcome::Rejected => "turned away unseen",
         Outcome::TimedOut => "given up",
         Outcome::Unreachable => "nobody there",
         Outcome::Reset => "broken off",
         Outcome::Cancelled => "stopped",
-        Outcome::Moot => "never started",
+        Outcome::NotStarted => "never started",
     }
 }
 
 /// Where a request stands.
 pub fn stage(stage: Stage) -> &'static str {
     match stage {
-        Stage::Held => "held",
-        Stage::Reusing => "waiting for the try that it repeats",
+        Stage::Queued => "held",
+        Stage::AwaitingOriginal => "waiting for the try that it repeats",
         Stage::Running => "running",
-        Stage::Parked => "waiting for its call to be placed",
-        Stage::Calling => "waiting for its call's reply",
+        Stage::AwaitingCall => "waiting for its call to be placed",
+        Stage::InCall => "waiting for its call's reply",
     }
 }
 
 /// Why a request was turned away or failed, with what the controller went by.
-pub fn cause(cause: &Cause, view: &View) -> String {
+pub fn cause(cause: &Cause, view: &ControllerStatus) -> String {
     match cause {
         Cause::AfterGrace => "it arrived too long after the notice to leave to be run".into(),
-        Cause::Line {
-            calls,
+        Cause::Shed {
+            is_call_queue: calls,
             mode: m,
-            worth,
-            cut,
+            priority: worth,
+            cutoff: cut,
         } => {
-            let line = &view.lines[usize::from(*calls)];
+            let line = &view.queues[usize::from(*calls)];
             let what = if *calls {
                 "the line for calls"
             } else {
                 "the line to start"
             };
             let [l, h, r] = line.thresholds;
-            let count = format!("{} waiting, L {l:.0} H {h:.0} R {r:.0}", line.count);
+            let count = format!("{} waiting, L {l:.0} H {h:.0} R {r:.0}", line.length);
             match m {
                 Mode::Discard => format!("{what} was in discard and takes none ({count})"),
                 _ => format!(
@@ -77,28 +77,34 @@
                 ),
             }
         }
-        Cause::Memory { used, more } => {
+        Cause::OutOfMemory {
+            used,
+            requested: more,
+        } => {
             format!("memory: {used:.0} KB in use and {more:.0} KB wanted; a tenth has to stay free")
         }
-        Cause::PastAim(at) => {
+        Cause::ObjectiveMissed(at) => {
             format!(
                 "its aim passed while it was {}, and a later answer earns nothing",
                 stage(*at)
             )
         }
-        Cause::Due(at) => format!("its due time came while it was {}", stage(*at)),
-        Cause::TooLate { expected, left } => {
+        Cause::DeadlineExceeded(at) => format!("its due time came while it was {}", stage(*at)),
+        Cause::CannotFinishInTime {
+            expected,
+            remaining: left,
+        } => {
             format!(
                 "it could not have ended in time: {} expected, {} left",
                 ms(*expected),
                 ms(*left)
             )
         }
-        Cause::NeverFits { more } => {
+        Cause::ExceedsMemory { requested: more } => {
             format!("memory: it needs {more:.0} KB more, and nothing runs")
         }
-        Cause::Still => "the cores stood still: all were taken, and nothing ended".into(),
-        Cause::Call(how) => format!("its call ended: {}", outcome(*how)),
+        Cause::Stalled => "the cores stood still: all were taken, and nothing ended".into(),
+        Cause::CallFailed(how) => format!("its call ended: {}", outcome(*how)),
     }
 }
 
@@ -106,38 +112,44 @@
 pub fn cause_word(cause: &Cause) -> &'static str {
     match cause {
         Cause::AfterGrace => "after-grace",
-        Cause::Line {
-            calls: false,
+        Cause::Shed {
+            is_call_queue: false,
             mode: Mode::Discard,
             ..
         } => "line-discard",
-        Cause::Line { calls: false, .. } => "line-overload",
-        Cause::Line {
-            calls: true,
+        Cause::Shed {
+            is_call_queue: false,
+            ..
+        } => "line-overload",
+        Cause::Shed {
+            is_call_queue: true,
             mode: Mode::Discard,
             ..
         } => "calls-discard",
-        Cause::Line { calls: true, .. } => "calls-overload",
-        Cause::Memory { .. } => "memory",
-        Cause::PastAim(_) => "past-aim",
-        Cause::Due(_) => "due",
-        Cause::TooLate { .. } => "too-late",
-        Cause::NeverFits { .. } => "never-fits",
-        Cause::Still => "still",
-        Cause::Call(_) => "call",
+        Cause::Shed {
+            is_call_queue: true,
+            ..
+        } => "calls-overload",
+        Cause::OutOfMemory { .. } => "memory",
+        Cause::ObjectiveMissed(_) => "past-aim",
+        Cause::DeadlineExceeded(_) => "due",
+        Cause::CannotFinishInTime { .. } => "too-late",
+        Cause::ExceedsMemory { .. } => "never-fits",
+        Cause::Stalled => "still",
+        Cause::CallFailed(_) => "call",
     }
 }
 
 /// What the controller went by.
-pub fn view(view: &View) -> String {
-    let [start, calls] = &view.lines;
-    let line = |l: &pipitlever_admission::LineView| {
+pub fn view(view: &ControllerStatus) -> String {
+    let [start, calls] = &view.queues;
+    let line = |l: &pipitlever_admission::QueueStatus| {
         let [low, high, most] = l.thresholds;
-        let count = l.count;
+        let count = l.length;
         format!(
             "{} with {count:.0} (L {low:.0} H {high:.0} R {most:.0}, cut {:.3})",
             mode(l.mode),
-            l.cut
+            l.priority_cutoff
         )
     };
     format!(
@@ -146,13 +158,13 @@
         line(start),
         line(calls),
         view.running,
-        view.run_limit,
+        view.concurrency_limit,
         view.reading.max(0.0),
         view.at_call,
-        view.in_hand,
+        view.calls_in_flight,
         view.call_limit,
         view.memory_kb,
-        if view.leaving { "; leaving" } else { "" }
+        if view.is_shutting_down { "; leaving" } else { "" }
     )
 }
 
@@ -162,39 +174,39 @@
     match event {
         Event::Arrived(r) => {
             let class = classes.get(r.class).map_or("?", String::as_str);
-            let mut text = format!("arrived #{} {class}, rank {:.3}", r.id, r.rank);
+            let mut text = format!("arrived #{} {class}, rank {:.3}", r.id, r.priority);
             text += &r
-                .patience
+                .timeout
                 .map_or(String::new(), |p| format!(", {} left", ms(p)));
             text += &r.cost.map_or(String::new(), |c| {
                 format!(", cost hint {}", ms(c as Micros))
             });
-            text += &format!(", {:.1} KB, unread for {}", r.memory_kb, ms(r.queued));
-            text += if r.retry { ", a retry" } else { "" };
+            text += &format!(", {:.1} KB, unread for {}", r.memory_kb, ms(r.queue_time));
+            text += if r.is_retry { ", a retry" } else { "" };
             text + &r
-                .same_as
+                .duplicate_of
                 .map_or(String::new(), |id| format!(", repeats #{id}"))
         }
-        Event::Leaving(left) => format!("notice to leave, {} left", ms(*left)),
+        Event::ShutdownNotice(left) => format!("notice to leave, {} left", ms(*left)),
         Event::Finished {
             id,
-            took,
+            elapsed: took,
             outcome: how,
         } => {
             format!("run of #{id} ended {} after {}", outcome(*how), ms(*took))
         }
-        Event::Gone(id) => format!("nobody awaits #{id}"),
+        Event::Abandoned(id) => format!("nobody awaits #{id}"),
         Event::NeedsCall(id) => format!("#{id} needs a call"),
         Event::CallEnded {
             id,
-            took,
+            elapsed: took,
             outcome: how,
         } => {
             format!("call of #{id} ended {} after {}", outcome(*how), ms(*took))
         }
         Event::Timer {
-            core_use,
-            on_cores,
+            cpu_utilization: core_use,
+            runnable: on_cores,
             connections,
             ..
         } => {
@@ -208,10 +220,10 @@
 pub fn action(action: &Action) -> String {
     match action {
         Action::Run(id) => format!("run #{id}"),
-        Action::Reuse(id) => format!("answer #{id} from the one it repeats"),
-        Action::Refuse {
+        Action::ReuseOutcome(id) => format!("answer #{id} from the one it repeats"),
+        Action::Reject {
             id,
-            backoff,
+            retry_after: backoff,
             no_retry,
         } => {
             let away = if *backoff > 0 {
@@ -225,15 +237,15 @@
             )
         }
         Action::Fail(id) => format!("fail #{id}"),
-        Action::Keep(id, span) => format!("keep #{id}'s key for {}", ms(*span)),
-        Action::Forget(id) => format!("forget #{id}'s key"),
-        Action::Call(id, within) => match *within {
+        Action::RetainKey(id, span) => format!("keep #{id}'s key for {}", ms(*span)),
+        Action::ReleaseKey(id) => format!("forget #{id}'s key"),
+        Action::PlaceCall(id, within) => match *within {
             Micros::MAX => format!("place #{id}'s call"),
             within => format!("place #{id}'s call, {} at most", ms(within)),
         },
         Action::SkipCall(id) => format!("#{id} goes on without its call"),
-        Action::Halt(id) => format!("halt #{id}"),
-        Action::Level(level) => format!("level {level:.4}"),
+        Action::Cancel(id) => format!("halt #{id}"),
+        Action::Backpressure(level) => format!("level {level:.4}"),
         Action::Health(good) => format!("health checks hear {good}"),
         Action::CloseIdle(span) => format!("close connections idle for {}", ms(*span)),
         Action::Timer(after, tag) => format!("timer {tag} after {}", ms(*after)),
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -196,7 +196,7 @@
 fn the_first_difference_is_told_with_what_led_to_it() {
     let bytes = rewritten("burst-into-discard", as_it_was, |step, record| {
         if let (30, Record::Step { actions, .. }) = (step, record) {
-            actions.to_mut().push(Action::Level(0.25));
+            actions.to_mut().push(Action::Backpressure(0.25));
         }
     });
     let path = temporary("different.plc", &bytes);
--- a/crates/capture/examples/checkpoint.rs
+++ b/crates/capture/examples/checkpoint.rs
@@ -17,7 +17,7 @@
             let done: usize = (0..50).map(|_| work()).sum();
             (start.elapsed().as_secs_f64() * 1e6 / 50.0, done / 50)
         };
-        let (copied, _) = time(&|| controller.clone().view().held);
+        let (copied, _) = time(&|| controller.clone().status().queued);
         let (written, length) = time(&|| state(&controller).len());
         println!("{path}: copied in {copied:.0} us, written in {written:.0} us to {length} bytes");
     }
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -190,7 +190,7 @@
     fn records_come_back_as_they_were() {
         let request = Request {
             id: 7,
-            patience: Some(-5),
+            timeout: Some(-5),
             cost: Some(f64::INFINITY),
             ..Request::default()
         };
@@ -198,25 +198,25 @@
             Event::Arrived(request),
             Event::Finished {
                 id: 3,
-                took: i64::MIN,
-                outcome: Outcome::Moot,
+                elapsed: i64::MIN,
+                outcome: Outcome::NotStarted,
             },
             Event::Timer {
                 tag: 0,
-                core_use: None,
-                on_cores: Some(2.5),
-                memory_use: None,
+                cpu_utilization: None,
+                runnable: Some(2.5),
+                memory_utilization: None,
                 connections: None,
             },
         ];
         let actions = vec![
             Action::Run(7),
-            Action::Refuse {
+            Action::Reject {
                 id: 8,
-                backoff: 200_000,
+                retry_after: 200_000,
                 no_retry: true,
             },
-            Action::Level(f64::MIN_POSITIVE),
+            Action::Backpressure(f64::MIN_POSITIVE),
         ];
         let name = Name {
             id: 7,
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::record::{Opening, Record};
 use crate::segment;
-use pipitlever_admission::{Action, Cause, Controller, Event, Micros, RequestId, View};
+use pipitlever_admission::{Action, Cause, Controller, ControllerStatus, Event, Micros, RequestId};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// The first place where this build decides otherwise.
@@ -15,7 +15,7 @@
     /// What it was told.
     pub events: Vec<Event>,
     /// What it went by before that.
-    pub before: View,
+    pub before: ControllerStatus,
     /// What the capture has.
     pub recorded: Vec<Action>,
     /// What this build says.
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Played {
     /// What the controller went by before it.
-    pub before: View,
+    pub before: ControllerStatus,
     /// Whether this build said the same.
     pub same: bool,
 }
@@ -101,7 +101,7 @@
                 actions,
             } => (after, events, actions),
         };
-        let before = self.controller.view();
+        let before = self.controller.status();
         self.now = self.now.wrapping_add(*after);
         self.step += 1;
         self.actions.clear();
@@ -145,7 +145,7 @@
             before: *before,
             recorded: actions.to_vec(),
             replayed: self.actions.clone(),
-            why: self.controller.why().to_vec(),
+            why: self.controller.causes().to_vec(),
         })
     }
 
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -14,47 +14,47 @@
 
 pub fn settings(kind: u8) -> Settings {
     let class = |idempotency, worth, late_worth| Class {
-        aim: 300_000,
+        latency_objective: 300_000,
         deadline: 900_000,
         idempotency,
-        window: 2_000_000,
-        worth,
-        late_worth,
-        calls: true,
-        skip_worth: if kind & 4 == 0 { 0.0 } else { 0.5 },
+        idempotency_window: 2_000_000,
+        priority_weight: worth,
+        late_weight: late_worth,
+        makes_calls: true,
+        skip_call_weight: if kind & 4 == 0 { 0.0 } else { 0.5 },
         ..Class::default()
     };
     Settings {
         classes: vec![
-            class(Idempotency::Free, 1.0, 0.0),
+            class(Idempotency::Idempotent, 1.0, 0.0),
             class(Idempotency::Keyed, 5.0, 0.2),
-            class(Idempotency::Unsafe, 2.0, 0.2),
+            class(Idempotency::NonIdempotent, 2.0, 0.2),
         ],
         tenants: vec![Tenant { quota_rps: 20.0 }; 2],
         cores: 3.0,
         memory_kb: 4_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_kb: 20.0,
-        cold: kind & 1 == 1,
-        below: if kind & 2 == 0 {
-            Below::Tier
+        is_cold: kind & 1 == 1,
+        downstream: if kind & 2 == 0 {
+            Downstream::Tier
         } else {
-            Below::Shared
+            Downstream::Shared
         },
         call_share: 4.0,
-        call_span: 2_000_000,
-        linger: 100_000,
-        fresh: if kind & 8 == 0 { 0 } else { 200_000 },
-        halt: if kind & 4 == 0 {
-            HaltMode::Never
+        call_window: 2_000_000,
+        call_linger: 100_000,
+        read_cache_ttl: if kind & 8 == 0 { 0 } else { 200_000 },
+        cancellation: if kind & 4 == 0 {
+            CancellationMode::Unsupported
         } else {
-            HaltMode::Abort
+            CancellationMode::Abort
         },
-        level: LevelKind::Threshold,
-        max_backoff: 1_000_000,
+        backpressure: BackpressureKind::Threshold,
+        max_retry_after: 1_000_000,
         safety: Safety {
-            cold_for: 3_000_000,
-            cold_from: 0.2,
+            warmup_time: 3_000_000,
+            cold_speed: 0.2,
             ..Safety::default()
         },
         ..Settings::default()
@@ -110,13 +110,13 @@
         let outcome = match which % 5 {
             0 => Outcome::Error,
             1 => Outcome::Reset,
-            _ => Outcome::Done,
+            _ => Outcome::Success,
         };
         let tick = Event::Timer {
             tag: 0,
-            core_use: (which % 3 != 0).then_some(f64::from(which % 100) / 99.0),
-            on_cores: (which % 4 != 0).then_some(f64::from(which % 7)),
-            memory_use: None,
+            cpu_utilization: (which % 3 != 0).then_some(f64::from(which % 100) / 99.0),
+            runnable: (which % 4 != 0).then_some(f64::from(which % 7)),
+            memory_utilization: None,
             connections: Some(f64::from(which % 300)),
         };
         match what % 16 {
@@ -133,25 +133,29 @@
                     class,
                     tenant: (which % 3 == 0).then_some(which as usize % 2),
                     has_key: which % 2 == 0,
-                    patience: (which % 9 != 0).then_some(i64::from(which % 900) * 1000),
+                    timeout: (which % 9 != 0).then_some(i64::from(which % 900) * 1000),
                     cost: (which % 5 != 0).then_some(f64::from(which % 50) * 1e3),
                     memory_kb: 8.0 + f64::from(which % 60),
-                    rank: f64::from(which % 97) / 97.0,
-                    retry: which % 6 == 0,
-                    write: class > 0,
-                    queued: i64::from(which % 200) * 1000,
-                    same_as,
+                    priority: f64::from(which % 97) / 97.0,
+                    is_retry: which % 6 == 0,
+                    is_write: class > 0,
+                    queue_time: i64::from(which % 200) * 1000,
+                    duplicate_of: same_as,
                 })
             }
             7..=9 => match self.pick(which, &[Running, Reusing]) {
                 Some(id) => {
                     let took = self.now - self.at.remove(&id).expect("picked").1;
                     let outcome = if which % 31 == 0 {
-                        Outcome::Moot
+                        Outcome::NotStarted
                     } else {
                         outcome
                     };
-                    Event::Finished { id, took, outcome }
+                    Event::Finished {
+                        id,
+                        elapsed: took,
+                        outcome,
+                    }
                 }
                 None => tick,
             },
@@ -164,16 +168,16 @@
             },
             12..=13 => match self.pick(which, &[Calling]) {
                 Some(id) => {
-                    let done = outcome == Outcome::Done;
+                    let done = outcome == Outcome::Success;
                     self.at.get_mut(&id).expect("picked").0 = if done { Running } else { Parked };
                     let outcome = if which % 7 == 0 && !done {
-                        Outcome::Busy
+                        Outcome::Rejected
                     } else {
                         outcome
                     };
                     Event::CallEnded {
                         id,
-                        took: i64::from(which % 300) * 1000,
+                        elapsed: i64::from(which % 300) * 1000,
                         outcome,
                     }
                 }
@@ -185,15 +189,15 @@
                         if matches!(self.at[&id].0, Held | Reusing) {
                             self.at.remove(&id);
                         }
-                        Event::Gone(id)
+                        Event::Abandoned(id)
                     }
                     // A notice that comes after its request has finished.
-                    None => Event::Gone(self.next.saturating_sub(1)),
+                    None => Event::Abandoned(self.next.saturating_sub(1)),
                 }
             }
             15 if which % 400 == 0 && !self.leaving => {
                 self.leaving = true;
-                Event::Leaving(2_000_000)
+                Event::ShutdownNotice(2_000_000)
             }
             _ => tick,
         }
@@ -237,15 +241,15 @@
             Action::Run(id) => {
                 self.at.insert(*id, (Where::Running, self.now));
             }
-            Action::Refuse { id, .. } | Action::Fail(id) => {
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 let unrun = |w: &(Where, Micros)| matches!(w.0, Where::Held | Where::Reusing);
                 let over = self.at.get(id).is_some_and(unrun);
                 over.then(|| self.at.remove(id));
             }
-            Action::Keep(id, _) => self.kept.push(*id),
-            Action::Forget(id) => self.kept.retain(|k| k != id),
-            Action::Call(id, _) | Action::SkipCall(id) => {
-                let to = if matches!(action, Action::Call(..)) {
+            Action::RetainKey(id, _) => self.kept.push(*id),
+            Action::ReleaseKey(id) => self.kept.retain(|k| k != id),
+            Action::PlaceCall(id, _) | Action::SkipCall(id) => {
+                let to = if matches!(action, Action::PlaceCall(..)) {
                     Where::Calling
                 } else {
                     Where::Running
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -19,56 +19,56 @@
         class,
         tenant: Some(1),
         has_key: true,
-        patience: Some(2_000_000),
+        timeout: Some(2_000_000),
         cost: Some(1.5),
         memory_kb: 20.0,
-        rank: 0.25,
-        retry: true,
-        write: false,
-        queued: 300,
-        same_as: None,
+        priority: 0.25,
+        is_retry: true,
+        is_write: false,
+        queue_time: 300,
+        duplicate_of: None,
     }
 }
 
 fn events() -> Vec<Event> {
     let outcomes = [
-        Outcome::Done,
+        Outcome::Success,
         Outcome::Error,
-        Outcome::Busy,
+        Outcome::Rejected,
         Outcome::TimedOut,
         Outcome::Unreachable,
         Outcome::Reset,
         Outcome::Cancelled,
-        Outcome::Moot,
+        Outcome::NotStarted,
     ];
     let mut events = vec![
         Event::Arrived(request(300, 2)),
         Event::Arrived(Request {
-            same_as: Some(300),
-            write: true,
-            retry: false,
+            duplicate_of: Some(300),
+            is_write: true,
+            is_retry: false,
             ..request(301, 1)
         }),
-        Event::Leaving(70_000),
-        Event::Gone(302),
+        Event::ShutdownNotice(70_000),
+        Event::Abandoned(302),
         Event::NeedsCall(303),
         Event::Timer {
             tag: 9,
-            core_use: Some(0.5),
-            on_cores: Some(2.5),
-            memory_use: Some(0.25),
+            cpu_utilization: Some(0.5),
+            runnable: Some(2.5),
+            memory_utilization: Some(0.25),
             connections: Some(12.0),
         },
     ];
     for (i, outcome) in outcomes.into_iter().enumerate() {
         events.push(Event::Finished {
             id: 400 + i as RequestId,
-            took: 80_000,
+            elapsed: 80_000,
             outcome,
         });
         events.push(Event::CallEnded {
             id: 500 + i as RequestId,
-            took: 90_000,
+            elapsed: 90_000,
             outcome,
         });
     }
@@ -78,19 +78,19 @@
 fn actions() -> Vec<Action> {
     vec![
         Action::Run(600),
-        Action::Reuse(601),
-        Action::Refuse {
+        Action::ReuseOutcome(601),
+        Action::Reject {
             id: 602,
-            backoff: 200_000,
+            retry_after: 200_000,
             no_retry: true,
         },
         Action::Fail(603),
-        Action::Keep(604, 300_000),
-        Action::Forget(605),
-        Action::Call(606, 400_000),
+        Action::RetainKey(604, 300_000),
+        Action::ReleaseKey(605),
+        Action::PlaceCall(606, 400_000),
         Action::SkipCall(607),
-        Action::Halt(608),
-        Action::Level(0.75),
+        Action::Cancel(608),
+        Action::Backpressure(0.75),
         Action::Health(true),
         Action::CloseIdle(500_000),
         Action::Timer(20_000, 3),
@@ -145,44 +145,44 @@
 
 fn settings() -> Settings {
     let class = |idempotency, worth: f64| Class {
-        aim: 1_000_000,
+        latency_objective: 1_000_000,
         deadline: 4_000_000,
         idempotency,
-        window: 5_000_000,
-        worth,
-        late_worth: 0.125,
-        aim_stretch: 2.0,
-        calls: true,
-        skip_worth: 0.0,
+        idempotency_window: 5_000_000,
+        priority_weight: worth,
+        late_weight: 0.125,
+        objective_per_cost: 2.0,
+        makes_calls: true,
+        skip_call_weight: 0.0,
     };
     Settings {
         classes: vec![
-            class(Idempotency::Free, 1.0),
+            class(Idempotency::Idempotent, 1.0),
             class(Idempotency::Keyed, 2.0),
-            class(Idempotency::Unsafe, 4.0),
+            class(Idempotency::NonIdempotent, 4.0),
         ],
         tenants: vec![Tenant { quota_rps: 30.0 }, Tenant { quota_rps: 40.0 }],
         replicas: 3.0,
         callers: 5.0,
         cores: 2.0,
         memory_kb: 20_000.0,
-        run_factor: 8.0,
+        run_memory_factor: 8.0,
         key_kb: 20.0,
-        cold: true,
-        below: Below::Shared,
+        is_cold: true,
+        downstream: Downstream::Shared,
         call_share: 5.0,
-        call_span: 5_000_000,
-        linger: 200_000,
-        fresh: 50_000,
-        halt: HaltMode::Abort,
-        level: LevelKind::Threshold,
-        keepalive_max: 30_000_000,
-        max_backoff: 1_000_000,
-        over_share_worth: 0.5,
-        worth_by_work: true,
+        call_window: 5_000_000,
+        call_linger: 200_000,
+        read_cache_ttl: 50_000,
+        cancellation: CancellationMode::Abort,
+        backpressure: BackpressureKind::Threshold,
+        max_keepalive: 30_000_000,
+        max_retry_after: 1_000_000,
+        over_quota_weight: 0.5,
+        is_weighted_by_work: true,
         safety: Safety {
-            cold_for: 3_000_000,
-            cold_from: 0.25,
+            warmup_time: 3_000_000,
+            cold_speed: 0.25,
             ..Safety::default()
         },
     }
@@ -201,21 +201,21 @@
     for id in 0..40 {
         let now = 10_000 * id as Micros;
         let mut events = vec![Event::Arrived(Request {
-            retry: id % 5 == 0,
+            is_retry: id % 5 == 0,
             ..request(id, id as usize % 3)
         })];
         match (id % 4, running.pop(), calling.pop()) {
             (1, Some(run), _) => events.push(Event::NeedsCall(run)),
             (2, Some(run), _) => events.push(Event::Finished {
                 id: run,
-                took: 25_000,
-                outcome: Outcome::Done,
+                elapsed: 25_000,
+                outcome: Outcome::Success,
             }),
             (3, run, Some(call)) => {
                 events.push(Event::CallEnded {
                     id: call,
-                    took: 5_000,
-                    outcome: Outcome::Done,
+                    elapsed: 5_000,
+                    outcome: Outcome::Success,
                 });
                 running.extend(run);
                 running.push(call);
@@ -227,20 +227,23 @@
         }
         events.push(Event::Timer {
             tag: 0,
-            core_use: Some(0.75),
-            on_cores: Some(3.0),
-            memory_use: Some(0.5),
+            cpu_utilization: Some(0.75),
+            runnable: Some(3.0),
+            memory_utilization: Some(0.5),
             connections: Some(9.0),
         });
         for action in step(now, &events) {
             match action {
                 Action::Run(id) => running.push(id),
-                Action::Call(id, _) => calling.push(id),
+                Action::PlaceCall(id, _) => calling.push(id),
                 _ => {}
             }
         }
     }
-    step(405_000, &[Event::Leaving(900_000), Event::Gone(39)]);
+    step(
+        405_000,
+        &[Event::ShutdownNotice(900_000), Event::Abandoned(39)],
+    );
     controller
 }
 
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -52,10 +52,10 @@
         for (after, said) in &steps {
             let actions = world.step(*after, said, None);
             let turned_away = actions.iter().filter_map(|a| match a {
-                Action::Refuse { id, .. } | Action::Fail(id) => Some(*id),
+                Action::Reject { id, .. } | Action::Fail(id) => Some(*id),
                 _ => None,
             });
-            let why: Vec<_> = world.controller.why().iter().map(|w| w.0).collect();
+            let why: Vec<_> = world.controller.causes().iter().map(|w| w.0).collect();
             prop_assert_eq!(turned_away.collect::<Vec<_>>(), why);
         }
     }
@@ -146,13 +146,13 @@
     assert!(rig
         .world
         .controller
-        .standing(*id)
+        .request_status(*id)
         .is_some_and(|s| s.stage == Stage::Running));
     rig.step(300_000, &[(7, 1)]);
     let segments = rig.end();
     assert_eq!(segments.len(), 3);
     let reader = Reader::open(&segments[1]).unwrap();
-    let held = reader.controller().unwrap().standing(*id);
+    let held = reader.controller().unwrap().request_status(*id);
     assert!(held.is_some_and(|s| s.stage == Stage::Running), "{held:?}");
     assert!(matches!(
         replay(&segments),
@@ -196,7 +196,7 @@
     rig.step(0, &[(0, 9)]);
     rig.step(50_000, &[(7, 2)]);
     // Nothing is in memory any more: the notice names the request that has finished.
-    assert!(!rig.world.controller.knows(1));
+    assert!(!rig.world.controller.is_tracked(1));
     let said = rig.step(1_000, &[(14, 1)]);
     assert!(said.iter().all(|a| a.request().is_none()), "{said:?}");
     rig.step(50_000, &[(0, 12), (14, 1)]);
@@ -210,7 +210,7 @@
         };
         gone += events
             .iter()
-            .filter(|e| matches!(e, Event::Gone(1)))
+            .filter(|e| matches!(e, Event::Abandoned(1)))
             .count();
     }
     assert_eq!(gone, 1);
--- a/crates/cluster-testing/src/demand.rs
+++ b/crates/cluster-testing/src/demand.rs
@@ -5,7 +5,8 @@
 use crate::sim::World;
 use fastrand::Rng;
 use pipitlever_admission::{
-    Action, Class, Controller, Event, Idempotency, LevelKind, Micros, Outcome, Request, Settings,
+    Action, BackpressureKind, Class, Controller, Event, Idempotency, Micros, Outcome, Request,
+    Settings,
 };
 use pipitlever_membership::elsewhere::Elsewhere;
 use pipitlever_membership::record::Standing;
@@ -97,11 +98,11 @@
 
 fn settings(cores: f64) -> Settings {
     let class = |aim, deadline, worth| Class {
-        aim,
+        latency_objective: aim,
         deadline,
-        idempotency: Idempotency::Free,
-        worth,
-        late_worth: 0.2,
+        idempotency: Idempotency::Idempotent,
+        priority_weight: worth,
+        late_weight: 0.2,
         ..Class::default()
     };
     Settings {
@@ -112,9 +113,9 @@
         ],
         cores,
         memory_kb: 56_000.0,
-        run_factor: 8.0,
-        level: LevelKind::Threshold,
-        max_backoff: 1_000_000,
+        run_memory_factor: 8.0,
+        backpressure: BackpressureKind::Threshold,
+        max_retry_after: 1_000_000,
         ..Settings::default()
     }
 }
@@ -268,9 +269,9 @@
                 let core_use = Some(servers[i].used);
                 events.push(Event::Timer {
                     tag,
-                    core_use,
-                    on_cores: Some(on),
-                    memory_use: Some(0.1),
+                    cpu_utilization: core_use,
+                    runnable: Some(on),
+                    memory_utilization: Some(0.1),
                     connections: Some(8.0),
                 });
             }
@@ -302,9 +303,9 @@
                                 (asks[t.request].work, true, true, now);
                         }
                     }
-                    Action::Refuse {
+                    Action::Reject {
                         id,
-                        backoff,
+                        retry_after: backoff,
                         no_retry,
                     } => {
                         let Some(t) = servers[i].tries.remove(&id) else {
@@ -334,7 +335,7 @@
                     Action::Timer(after, tag) => {
                         servers[i].timers.insert((now + after, tag), ());
                     }
-                    Action::Level(level) => servers[i].level = level,
+                    Action::Backpressure(level) => servers[i].level = level,
                     _ => {}
                 }
             }
@@ -352,7 +353,10 @@
 fn look(world: &mut World, servers: &mut [Server]) {
     for (i, server) in servers.iter_mut().enumerate().filter(|(_, s)| s.up) {
         // What it measures, not the mode of the moment: modes change several times a second.
-        let cut = (server.module.view().lines[0].cut.clamp(0.0, 1.0) * 255.0) as u8;
+        let cut = (server.module.status().queues[0]
+            .priority_cutoff
+            .clamp(0.0, 1.0)
+            * 255.0) as u8;
         world.tell(i, |fleet, now| {
             fleet.say(Standing::Serving, b"");
             fleet.load(now, cut);
@@ -378,19 +382,19 @@
         if t.running {
             events.push(Event::Finished {
                 id: *id,
-                took: now - t.started,
-                outcome: Outcome::Done,
+                elapsed: now - t.started,
+                outcome: Outcome::Success,
             });
         } else {
             let ask = &asks[t.request];
             events.push(Event::Arrived(Request {
                 id: *id,
                 class: ask.class,
-                patience: Some(2_000_000 - (now - ask.born).min(1_900_000)),
+                timeout: Some(2_000_000 - (now - ask.born).min(1_900_000)),
                 cost: Some(ask.work / 1000.0),
                 memory_kb: 24.5,
-                rank: ask.rank,
-                retry: ask.tried.len() > 1,
+                priority: ask.rank,
+                is_retry: ask.tried.len() > 1,
                 ..Request::default()
             }));
         }
--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -69,7 +69,7 @@
             return;
         };
         self.wakes.remove(&(given_up, Wake::Call(id)));
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Success {
             *call = None;
             self.counters.calls_fine += 1;
             self.effects.push(Effect::Reply(reference, reply));
@@ -77,7 +77,8 @@
         // The module asks again at once, and a layer below that says no within a millisecond, or
         // breaks off, made that a loop of 30,000 calls a second. It is told a round later, as often
         // as it would hear in a simulated day.
-        if let (Outcome::Busy | Outcome::Unreachable | Outcome::Reset, Some(call)) = (outcome, call)
+        if let (Outcome::Rejected | Outcome::Unreachable | Outcome::Reset, Some(call)) =
+            (outcome, call)
         {
             call.turned_away = Some((placed, outcome));
             self.wakes.insert((now + self.round, Wake::TurnedAway(id)));
@@ -87,7 +88,7 @@
             now,
             Event::CallEnded {
                 id,
-                took: (now - placed).max(0),
+                elapsed: (now - placed).max(0),
                 outcome,
             },
         );
@@ -110,7 +111,7 @@
             now,
             Event::CallEnded {
                 id,
-                took: (now - placed).max(0),
+                elapsed: (now - placed).max(0),
                 outcome,
             },
         );
--- a/crates/core/src/deployments.rs
+++ b/crates/core/src/deployments.rs
@@ -5,8 +5,8 @@
 use super::tests::incoming;
 use super::*;
 use fastrand::Rng;
-use pipitlever_settings::any::settings as any_settings;
-use pipitlever_settings::Config;
+use pipitlever_settings::arbitrary::platform_settings;
+use pipitlever_settings::PlatformSettings;
 use proptest::strategy::{Strategy, ValueTree};
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
 
@@ -65,7 +65,7 @@
                     assert!(!fate.begun && fate.class == class, "begun twice");
                     fate.begun = true;
                     if let Some(key) = fate.key.clone() {
-                        let window = self.settings.classes[class].window;
+                        let window = self.settings.classes[class].idempotency_window;
                         let before = self.begun.insert((class, key), fate.arrived);
                         let apart = before.is_none_or(|before| fate.arrived > before + window);
                         assert!(
@@ -78,8 +78,8 @@
                 }
                 Effect::Interrupt(reference, _) => {
                     assert_ne!(
-                        self.settings.halt,
-                        HaltMode::Never,
+                        self.settings.cancellation,
+                        CancellationMode::Unsupported,
                         "there is no such command here"
                     );
                     self.interrupted += 1;
@@ -114,12 +114,15 @@
 fn play(seed: u8) -> (usize, usize, usize) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(Cases::default(), rng);
-    let json = any_settings()
+    let json = platform_settings()
         .new_tree(&mut runner)
         .expect("a tree")
         .current();
-    let config: Config = serde_json::from_value(json.clone()).expect("settings");
-    let (settings, names) = (config.settings().expect("settings"), config.class_names());
+    let config: PlatformSettings = serde_json::from_value(json.clone()).expect("settings");
+    let (settings, names) = (
+        config.controller_settings().expect("settings"),
+        config.class_names(),
+    );
     let names: Vec<Rc<str>> = names.iter().map(|n| n.as_str().into()).collect();
     let core = Core::new(
         settings.clone(),
@@ -140,7 +143,7 @@
         interrupted: 0,
         now: 1000 * MS,
     };
-    let cold = day.settings.cold;
+    let cold = day.settings.is_cold;
     day.told(|core, now| core.up(now, now, cold));
     let mut next = 0;
     for tick in 0..1600 {
@@ -155,7 +158,7 @@
                     continue;
                 };
                 day.running.swap_remove(at);
-                let calls = day.settings.below != Below::Nothing && rng.u32(..4) == 0;
+                let calls = day.settings.downstream != Downstream::None && rng.u32(..4) == 0;
                 day.told(|core, now| match calls {
                     true => core.asked(now, reference, Rc::from([])),
                     false => {
@@ -176,9 +179,9 @@
                 };
                 day.calling.swap_remove(at);
                 let outcomes = [
-                    Outcome::Done,
-                    Outcome::Done,
-                    Outcome::Busy,
+                    Outcome::Success,
+                    Outcome::Success,
+                    Outcome::Rejected,
                     Outcome::Error,
                     Outcome::Reset,
                 ];
@@ -274,7 +277,7 @@
 
 #[test]
 #[ignore = "250 days"]
-fn every_rule_holds_in_the_core_under_many_settings() {
+fn every_rule_holds_in_the_core_under_mplatform_settings() {
     for seed in 0..250 {
         play(seed);
     }
--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -92,7 +92,7 @@
             gate::Why::Full => (By::StoreFull, FULL_COOLDOWN),
             gate::Why::Failing | gate::Why::Slow => (By::Store, FULL_COOLDOWN),
             gate::Why::Damaged => {
-                let most = self.settings.max_backoff.max(FULL_COOLDOWN);
+                let most = self.settings.max_retry_after.max(FULL_COOLDOWN);
                 (
                     By::Store,
                     (durable.suspect - now).clamp(FULL_COOLDOWN, most),
@@ -109,7 +109,7 @@
         };
         let incoming = &self.attempts[&id].incoming;
         let linger = self.keys.reading() + SPARE;
-        let window = self.settings.classes[incoming.class].window;
+        let window = self.settings.classes[incoming.class].idempotency_window;
         let intent = Intent {
             // The gate's to give.
             id: 0,
--- a/crates/core/src/handed.rs
+++ b/crates/core/src/handed.rs
@@ -42,7 +42,7 @@
             .settings
             .classes
             .iter()
-            .map(|c| c.window)
+            .map(|c| c.idempotency_window)
             .max()
             .unwrap_or(0);
         // A repeat that came within a window may be read as late as its caller waits.
@@ -174,7 +174,7 @@
                 .into_iter()
                 .map(|at| (at, Some(at)))
                 .collect();
-            module.retune(settings, &in_force);
+            module.reconfigure(settings, &in_force);
         }
     }
 
@@ -183,10 +183,14 @@
         let mut settings = settings.clone();
         // On sockets no call can be skipped: a module that thought so would leave its run standing
         // at the call.
-        settings.classes.iter_mut().for_each(|c| c.skip_worth = 0.0);
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|c| c.skip_call_weight = 0.0);
         if let Some(share) = self.handed.share {
             settings.memory_kb *= share;
-            settings.safety.crowd = (settings.safety.crowd / 2.0).max(1.0);
+            settings.safety.max_concurrency_per_core =
+                (settings.safety.max_concurrency_per_core / 2.0).max(1.0);
         }
         settings
     }
@@ -194,7 +198,7 @@
     /// The share of the processor's memory that this process needs beside another one: half, or
     /// what it has already taken.
     pub fn share_wanted(&self) -> f64 {
-        let used = self.module.as_ref().map_or(0.0, |m| m.view().memory_kb);
+        let used = self.module.as_ref().map_or(0.0, |m| m.status().memory_kb);
         // The module leaves a tenth of what it may take.
         (used / 0.9 / self.settings.memory_kb).clamp(0.5, 1.0)
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -164,7 +164,7 @@
             .max()
             .unwrap_or(0);
         Core {
-            idle: settings.keepalive_max,
+            idle: settings.max_keepalive,
             settings,
             seed,
             module: None,
@@ -209,7 +209,7 @@
         if self.module.is_some() {
             return;
         }
-        self.settings.cold |= cold;
+        self.settings.is_cold |= cold;
         self.module = Some(Controller::new(self.shared(&self.settings), self.seed));
         // The module counts the time to warm up from its first step.
         self.step(started.min(now), &[]);
@@ -265,7 +265,7 @@
             .read_within(classes.iter().map(|c| c.deadline).max().unwrap_or(0));
         self.settings = Settings {
             classes,
-            cold: self.settings.cold,
+            is_cold: self.settings.is_cold,
             ..settings
         };
         self.round = round.max(LEAST_ROUND);
@@ -275,7 +275,7 @@
         let in_force: Vec<_> = seats.iter().map(|s| (s.at, s.was)).collect();
         let settings = self.shared(&self.settings);
         if let Some(module) = &mut self.module {
-            module.retune(settings, &in_force);
+            module.reconfigure(settings, &in_force);
         }
         true
     }
@@ -382,12 +382,12 @@
         if matches!(attempt.stage, Stage::Held) {
             self.close(id);
         }
-        self.tell(now, Event::Gone(id));
+        self.tell(now, Event::Abandoned(id));
     }
 
     /// The notice to leave: the process stops after `left`.
     pub fn leaving(&mut self, now: Micros, left: Micros) {
-        self.tell(now, Event::Leaving(left));
+        self.tell(now, Event::ShutdownNotice(left));
         self.healthy = false;
     }
 
@@ -453,14 +453,14 @@
             class: incoming.class,
             tenant: incoming.tenant,
             has_key: false,
-            patience: Some(attempt.due - now),
+            timeout: Some(attempt.due - now),
             cost: incoming.cost,
             memory_kb: incoming.memory_kb,
-            rank: incoming.rank,
-            retry: incoming.retry,
-            write: incoming.key.is_some(),
-            queued: (now - incoming.arrived).max(0),
-            same_as: attempt.repeats,
+            priority: incoming.rank,
+            is_retry: incoming.retry,
+            is_write: incoming.key.is_some(),
+            queue_time: (now - incoming.arrived).max(0),
+            duplicate_of: attempt.repeats,
         };
         if let Some(tap) = &mut self.tap {
             tap.named(incoming.name(id));
@@ -475,10 +475,10 @@
     fn act(&mut self, action: Action) {
         match action {
             Action::Run(id) => self.run(id),
-            Action::Reuse(id) => self.reuse(id),
-            Action::Refuse {
+            Action::ReuseOutcome(id) => self.reuse(id),
+            Action::Reject {
                 id,
-                backoff,
+                retry_after: backoff,
                 no_retry,
             } => {
                 let Some(attempt) = self.attempts.get(&id) else {
@@ -502,7 +502,7 @@
                 }
             }
             Action::Fail(id) => self.fail(id),
-            Action::Keep(id, lifetime) => {
+            Action::RetainKey(id, lifetime) => {
                 let Some(attempt) = self.attempts.get(&id) else {
                     return;
                 };
@@ -514,9 +514,9 @@
                         .keep(key, id, payload, arrived, self.now + lifetime);
                 }
             }
-            Action::Forget(id) => self.forget(id),
-            Action::Call(id, within) => self.call(id, within),
-            Action::Level(level) => self.level = Some(level),
+            Action::ReleaseKey(id) => self.forget(id),
+            Action::PlaceCall(id, within) => self.call(id, within),
+            Action::Backpressure(level) => self.level = Some(level),
             Action::Health(healthy) => self.healthy = healthy,
             Action::CloseIdle(idle) => self.idle = idle,
             Action::Timer(after, tag) => {
@@ -524,7 +524,7 @@
                 self.wakes
                     .insert((self.now + after - GAUGE_LEAD, Wake::Gauges));
             }
-            Action::Halt(id) => self.interrupt(id),
+            Action::Cancel(id) => self.interrupt(id),
             // No call can be skipped on sockets: no party has a command for it, and the module's
             // settings say so.
             Action::SkipCall(_) => {}
--- a/crates/core/src/lost.rs
+++ b/crates/core/src/lost.rs
@@ -22,7 +22,8 @@
             .get(&reference)
             .map(|id| &self.attempts[id]);
         attempt.is_some_and(|a| {
-            let free = self.settings.classes[a.incoming.class].idempotency == Idempotency::Free;
+            let free =
+                self.settings.classes[a.incoming.class].idempotency == Idempotency::Idempotent;
             free && a.origin.is_some() && matches!(a.stage, Stage::Running { call: None, .. })
         })
     }
@@ -78,7 +79,7 @@
         } else if !answered_again {
             self.now = self.now.max(now);
             self.answer(id, Answer::Failed { expired: false }, By::Rejected);
-            self.tell(now, Event::Gone(id));
+            self.tell(now, Event::Abandoned(id));
         }
     }
 }
--- a/crates/core/src/repeats.rs
+++ b/crates/core/src/repeats.rs
@@ -31,7 +31,7 @@
     /// Gives a repeat the outcome of the try that it repeats.
     pub(super) fn share(&mut self, id: RequestId, kept: &Kept) {
         let (answer, outcome) = match kept {
-            Kept::Served(result) => (Answer::Served(result.clone()), Outcome::Done),
+            Kept::Served(result) => (Answer::Served(result.clone()), Outcome::Success),
             Kept::Failed => (Answer::Failed { expired: false }, Outcome::Error),
             Kept::Unknown(until) => (
                 Answer::Unknown {
@@ -44,7 +44,7 @@
         self.close(id);
         self.pending.push_back(Pending::Event(Event::Finished {
             id,
-            took: 0,
+            elapsed: 0,
             outcome,
         }));
     }
@@ -89,7 +89,7 @@
         for id in waiting {
             self.pending.push_back(Pending::Event(Event::Finished {
                 id,
-                took: 0,
+                elapsed: 0,
                 outcome: Outcome::Error,
             }));
             if let Some(answer) = &refusal {
--- a/crates/core/src/runs.rs
+++ b/crates/core/src/runs.rs
@@ -18,8 +18,8 @@
             let Some(entry) = self.keys.held_by(key, id).filter(|e| !e.begun) else {
                 let ended = Event::Finished {
                     id,
-                    took: 0,
-                    outcome: Outcome::Moot,
+                    elapsed: 0,
+                    outcome: Outcome::NotStarted,
                 };
                 self.pending.push_back(Pending::Event(ended));
                 self.answer(id, Answer::Failed { expired: false }, By::NoKey);
@@ -53,8 +53,8 @@
         self.close(id);
         self.pending.push_back(Pending::Event(Event::Finished {
             id,
-            took: 0,
-            outcome: Outcome::Moot,
+            elapsed: 0,
+            outcome: Outcome::NotStarted,
         }));
         if let Some(key) = key {
             self.settle(&key, id, None, answer);
@@ -73,7 +73,7 @@
         // A repeat may still want the outcome of a keyed run when its first caller does not.
         let class = &self.settings.classes[incoming.class];
         let until = if keyed {
-            attempt.due.max(incoming.arrived + class.window)
+            attempt.due.max(incoming.arrived + class.idempotency_window)
         } else {
             attempt.due
         };
@@ -161,7 +161,7 @@
             End::Fine => {
                 self.counters.runs_fine += 1;
                 (
-                    Outcome::Done,
+                    Outcome::Success,
                     Answer::Served(result.clone()),
                     Some(Kept::Served(result)),
                 )
@@ -177,7 +177,7 @@
                 Some(Kept::Failed),
             ),
             End::NeverRan => (
-                Outcome::Moot,
+                Outcome::NotStarted,
                 Answer::Refused {
                     cooldown: FULL_COOLDOWN,
                     nowhere: false,
@@ -187,8 +187,11 @@
         };
         self.answer(id, answer.clone(), by);
         self.close(id);
-        self.pending
-            .push_back(Pending::Event(Event::Finished { id, took, outcome }));
+        self.pending.push_back(Pending::Event(Event::Finished {
+            id,
+            elapsed: took,
+            outcome,
+        }));
         if let Some(key) = key {
             self.settle(&key, id, kept, answer);
         }
--- a/crates/core/src/status.rs
+++ b/crates/core/src/status.rs
@@ -45,7 +45,7 @@
 
     /// Whether no work gets done: all cores are taken, and nothing ends.
     pub fn stands_still(&self) -> bool {
-        self.module.as_ref().is_some_and(Controller::stands_still)
+        self.module.as_ref().is_some_and(Controller::is_stalled)
     }
 
     /// Whether the module refuses work of low rank, or all.
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -7,17 +7,17 @@
 
 pub fn core() -> Core {
     let class = |idempotency| Class {
-        aim: 2 * SECOND,
+        latency_objective: 2 * SECOND,
         deadline: 7 * SECOND,
         idempotency,
-        window: 20 * SECOND,
-        calls: true,
+        idempotency_window: 20 * SECOND,
+        makes_calls: true,
         ..Class::default()
     };
     let settings = Settings {
-        classes: vec![class(Idempotency::Free), class(Idempotency::Keyed)],
+        classes: vec![class(Idempotency::Idempotent), class(Idempotency::Keyed)],
         cores: 2.0,
-        below: Below::Tier,
+        downstream: Downstream::Tier,
         ..Settings::default()
     };
     let mut core = Core::new(
@@ -92,7 +92,7 @@
 /// Turned away within a millisecond and asked again at once, calls once came to 30,000 a second.
 #[test]
 fn the_module_hears_of_a_call_that_was_turned_away_a_round_later() {
-    for outcome in [Outcome::Busy, Outcome::Unreachable, Outcome::Reset] {
+    for outcome in [Outcome::Rejected, Outcome::Unreachable, Outcome::Reset] {
         let mut core = core();
         core.arrived(SECOND, incoming(1, SECOND, None));
         core.asked(SECOND, 1, Rc::from([]));
@@ -561,7 +561,7 @@
     let settings = Settings {
         classes,
         tenants,
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         cores: 64.0,
         ..Settings::default()
     };
@@ -586,9 +586,9 @@
         core.module
             .as_ref()
             .unwrap()
-            .standing(id)
+            .request_status(id)
             .expect("the cores take it")
-            .worth
+            .priority
     };
     assert_eq!(worth(1, Some(0)), 0.9, "within its share");
     for reference in 2..30 {
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -34,9 +34,9 @@
                         now,
                         Event::Timer {
                             tag,
-                            core_use,
-                            on_cores,
-                            memory_use,
+                            cpu_utilization: core_use,
+                            runnable: on_cores,
+                            memory_utilization: memory_use,
                             connections,
                         },
                     );
@@ -94,6 +94,6 @@
         if held {
             self.close(id);
         }
-        self.tell(now, Event::Gone(id));
+        self.tell(now, Event::Abandoned(id));
     }
 }
--- a/crates/node/src/net/hub/tuning.rs
+++ b/crates/node/src/net/hub/tuning.rs
@@ -93,7 +93,10 @@
     let all = &settings.classes;
     let class = |(name, class): (&String, &pipitlever_admission::Class)| {
         // Classes have equal bands of rank, in ascending order of worth.
-        let below = all.iter().filter(|c| c.worth < class.worth).count() as f64;
+        let below = all
+            .iter()
+            .filter(|c| c.priority_weight < class.priority_weight)
+            .count() as f64;
         let route = uwsgi
             .routes
             .iter()
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -129,7 +129,7 @@
                     played.actions.extend(actions.into_owned());
                     played
                         .causes
-                        .extend(replay.controller().why().iter().map(|w| w.1));
+                        .extend(replay.controller().causes().iter().map(|w| w.1));
                     played.modes.push(replay.controller().mode());
                 }
             }
@@ -228,7 +228,10 @@
     assert!(answers.iter().all(|a| !a.is_null()), "{answers:?}");
     leave(node);
     let played = folder.played("drain-with-held");
-    assert!(played.events.iter().any(|e| matches!(e, Event::Leaving(_))));
+    assert!(played
+        .events
+        .iter()
+        .any(|e| matches!(e, Event::ShutdownNotice(_))));
     assert_eq!(played.answers.len(), 9);
 }
 
@@ -240,7 +243,7 @@
     // Nothing ends: what is held is let go before the grace is over.
     while gateway.receive()["method"] != "goaway" {}
     // What the drain brought is on the disk; then the machine takes the process away.
-    let leaving = |e: &Event| matches!(e, Event::Leaving(_));
+    let leaving = |e: &Event| matches!(e, Event::ShutdownNotice(_));
     folder.wait_for(|played| played.events.iter().any(leaving));
     node.signal("-KILL");
     node.wait();
@@ -267,7 +270,7 @@
     let reused = played
         .actions
         .iter()
-        .filter(|a| matches!(a, Action::Reuse(_)))
+        .filter(|a| matches!(a, Action::ReuseOutcome(_)))
         .count();
     let repeats = played.answers.iter().filter(|a| a.2 == By::Repeat).count();
     assert_eq!((reused, repeats), (3, 3));
@@ -315,7 +318,7 @@
     let played = folder.played("keys-brought-over");
     let by = |wanted: By| played.answers.iter().filter(|a| a.2 == wanted).count();
     assert_eq!((by(By::Repeat), by(By::Run)), (2, 1));
-    let same = |e: &Event| matches!(e, Event::Arrived(r) if r.same_as.is_some());
+    let same = |e: &Event| matches!(e, Event::Arrived(r) if r.duplicate_of.is_some());
     assert_eq!(played.events.iter().filter(|e| same(e)).count(), 2);
 }
 
@@ -388,15 +391,15 @@
         played.events.iter().filter(is).count()
     };
     assert!(
-        ended(Outcome::Busy) >= 2 && ended(Outcome::Error) == 1,
+        ended(Outcome::Rejected) >= 2 && ended(Outcome::Error) == 1,
         "{} busy",
-        ended(Outcome::Busy)
+        ended(Outcome::Rejected)
     );
     assert!(
         played
             .causes
             .iter()
-            .any(|c| matches!(c, Cause::Call(Outcome::Error))),
+            .any(|c| matches!(c, Cause::CallFailed(Outcome::Error))),
         "{:?}",
         played.causes
     );
@@ -446,7 +449,7 @@
     let discard = |c: &Cause| {
         matches!(
             c,
-            Cause::Line {
+            Cause::Shed {
                 mode: Mode::Discard,
                 ..
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -56,7 +56,7 @@
         let read = self.events.iter().filter_map(Event::request);
         let named = self.actions.iter().filter_map(Action::request);
         self.ended
-            .extend(read.chain(named).filter(|&id| !controller.knows(id)));
+            .extend(read.chain(named).filter(|&id| !controller.is_tracked(id)));
     }
 
     fn steps(&self) -> impl Iterator<Item = Step<'_>> {
@@ -99,7 +99,10 @@
                     let seed = item.prng.ok_or("no prng in NewInstance")?;
                     place.events.clear();
                     place.instance = Some(Instance {
-                        controller: Controller::new(config.settings()?, seed),
+                        controller: Controller::new(
+                            config.controller_settings().map_err(|e| e.to_string())?,
+                            seed,
+                        ),
                         names: wire::Names::new(&config),
                         ids: wire::Ids::default(),
                     });
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's messages, and their translation to and from the library's terms.
 
 use pipitlever_admission::*;
-use pipitlever_settings::Config;
+use pipitlever_settings::PlatformSettings;
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -53,7 +53,7 @@
     /// The seed of a new instance.
     pub prng: Option<u64>,
     /// The settings of a new instance.
-    pub config: Option<Box<Config>>,
+    pub config: Option<Box<PlatformSettings>>,
     #[serde(borrow)]
     op_id: Option<Cow<'a, str>>,
     #[serde(borrow)]
@@ -141,14 +141,14 @@
 impl From<Code> for Outcome {
     fn from(code: Code) -> Outcome {
         match code {
-            Code::Done => Outcome::Done,
+            Code::Done => Outcome::Success,
             Code::Err => Outcome::Error,
-            Code::Busy => Outcome::Busy,
+            Code::Busy => Outcome::Rejected,
             Code::Etimedout => Outcome::TimedOut,
             Code::Econnrefused => Outcome::Unreachable,
             Code::Econnreset => Outcome::Reset,
             Code::Ecanceled => Outcome::Cancelled,
-            Code::Skipped => Outcome::Moot,
+            Code::Skipped => Outcome::NotStarted,
         }
     }
 }
@@ -162,7 +162,7 @@
 
 impl Names {
     /// The names in these settings.
-    pub fn new(config: &Config) -> Names {
+    pub fn new(config: &PlatformSettings) -> Names {
         let index =
             |names: Vec<String>| names.into_iter().enumerate().map(|(i, n)| (n, i)).collect();
         Names {
@@ -236,35 +236,37 @@
                         .ok_or_else(|| format!("no class {service}"))?,
                     tenant: self.owner.0.and_then(|o| names.tenants.get(&*o).copied()),
                     has_key: self.object.is_some(),
-                    patience: self.expires_in.filter(|_| names.passes_deadline),
+                    timeout: self.expires_in.filter(|_| names.passes_deadline),
                     cost: self.predicted,
                     memory_kb: self.mem_kb.ok_or_else(|| missing("memKb"))?,
-                    rank: self.precedence,
-                    retry: self.resent,
-                    write: self.write,
-                    queued: self.queued_for,
-                    same_as: self.same_as.0.map(|word| ids.find(&word)),
+                    priority: self.precedence,
+                    is_retry: self.resent,
+                    is_write: self.write,
+                    queue_time: self.queued_for,
+                    duplicate_of: self.same_as.0.map(|word| ids.find(&word)),
                     id: ids.enter(op_id()?),
                 })
             }
-            Kind::Leaving => Event::Leaving(self.expires_in.ok_or_else(|| missing("expiresIn"))?),
+            Kind::Leaving => {
+                Event::ShutdownNotice(self.expires_in.ok_or_else(|| missing("expiresIn"))?)
+            }
             Kind::Finished => Event::Finished {
                 id: ids.find(op_id()?),
-                took: took()?,
+                elapsed: took()?,
                 outcome: outcome()?,
             },
-            Kind::Lapsed => Event::Gone(ids.find(op_id()?)),
+            Kind::Lapsed => Event::Abandoned(ids.find(op_id()?)),
             Kind::StalledOnCall => Event::NeedsCall(ids.find(op_id()?)),
             Kind::Wakeup => Event::Timer {
                 tag: self.tag.ok_or_else(|| missing("ref"))?,
-                core_use: self.load.core_use,
-                on_cores: self.load.on_cores,
-                memory_use: self.load.heap_share,
+                cpu_utilization: self.load.core_use,
+                runnable: self.load.on_cores,
+                memory_utilization: self.load.heap_share,
                 connections: self.load.links,
             },
             Kind::CallDone => Event::CallEnded {
                 id: ids.find(op_id()?),
-                took: took()?,
+                elapsed: took()?,
                 outcome: outcome()?,
             },
         })
@@ -350,10 +352,10 @@
         let op = |id: RequestId| ids.words.get(&id).map_or("", String::as_str);
         let verb = match *action {
             Action::Run(id) => Verb::Start { op_id: op(id) },
-            Action::Reuse(id) => Verb::Echo { op_id: op(id) },
-            Action::Refuse {
+            Action::ReuseOutcome(id) => Verb::Echo { op_id: op(id) },
+            Action::Reject {
                 id,
-                backoff,
+                retry_after: backoff,
                 no_retry,
             } => Verb::Busy {
                 op_id: op(id),
@@ -361,18 +363,18 @@
                 dont_retry: no_retry,
             },
             Action::Fail(id) => Verb::Surrender { op_id: op(id) },
-            Action::Keep(id, lifetime) => Verb::Pin {
+            Action::RetainKey(id, lifetime) => Verb::Pin {
                 op_id: op(id),
                 lifetime,
             },
-            Action::Forget(id) => Verb::DropKey { op_id: op(id) },
-            Action::Call(id, within) => Verb::Invoke {
+            Action::ReleaseKey(id) => Verb::DropKey { op_id: op(id) },
+            Action::PlaceCall(id, within) => Verb::Invoke {
                 op_id: op(id),
                 within,
             },
             Action::SkipCall(id) => Verb::Skip { op_id: op(id) },
-            Action::Halt(id) => Verb::Interrupt { op_id: op(id) },
-            Action::Level(amount) => Verb::Say { amount },
+            Action::Cancel(id) => Verb::Interrupt { op_id: op(id) },
+            Action::Backpressure(amount) => Verb::Say { amount },
             Action::Health(enable) => Verb::Readiness {
                 enable,
                 cached: true,
