--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -1,9 +1,11 @@
 //! Calls to the layer below: a small pool of connections, each with one call at a time, so that a
 //! spoilt reply costs the call that it belongs to and no other.
 
-use super::calls::{Idle, ToPost};
-use super::hub::Shared;
-use super::{ahead, by};
+pub mod calls;
+
+use crate::net::hub::Shared;
+use crate::net::ledger::calls::{Idle, ToPost};
+use crate::net::{ahead, by};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_admission::Outcome;
@@ -114,8 +116,8 @@
         );
     }
     let outcome = match end {
-        CallEnd::Posted => Outcome::Success,
-        CallEnd::QueueFull => Outcome::Rejected,
+        CallEnd::Posted => Outcome::Done,
+        CallEnd::QueueFull => Outcome::Busy,
         // No run waits for it any more: its end is on its way, and another call would fare the
         // same.
         CallEnd::Error | CallEnd::Moot => Outcome::Error,
