--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -5,7 +5,7 @@
 use crate::net::hub::{Parties, Tuning};
 use crate::net::membership;
 use crate::net::workers::routes::{Backend, Uwsgi};
-use pipitlever_settings::Config as SettingsConfig;
+use pipitlever_settings::PlatformSettings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     stop_ms: u64,
     #[serde(default)]
     limits: Limits,
-    settings: SettingsConfig,
+    settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -183,7 +183,7 @@
         let shape: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         let file: File = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         file.settings
-            .check()
+            .validate()
             .map_err(|e| format!("settings: {e}"))?;
         if file.stop_ms == 0 || file.stop_ms > MOST_STOP_MS {
             return Err(format!(
@@ -229,12 +229,12 @@
                 classes: file.settings.class_names(),
                 tenants: file.settings.tenant_names(),
                 gauges: file.settings.gauge_names().to_vec(),
-                round: file.settings.round(),
-                marked: file.settings.marks_retry(),
+                round: file.settings.decision_interval(),
+                marked: file.settings.marks_retries(),
                 uwsgi: Uwsgi::default(),
                 settings: file
                     .settings
-                    .settings()
+                    .controller_settings()
                     .map_err(|e| format!("settings: {e}"))?,
             },
             shape,
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -139,7 +139,7 @@
     let longest = |of: fn(&pipitlever_admission::Class) -> i64| {
         tuning.settings.classes.iter().map(of).max().unwrap_or(0)
     };
-    let window = longest(|c| c.window) + longest(|c| c.deadline);
+    let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
     let opened = store
         .map(|store| crate::lifecycle::store::open(store, window))
         .transpose()?;
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -116,8 +116,8 @@
         );
     }
     let outcome = match end {
-        CallEnd::Posted => Outcome::Done,
-        CallEnd::QueueFull => Outcome::Busy,
+        CallEnd::Posted => Outcome::Success,
+        CallEnd::QueueFull => Outcome::Rejected,
         // No run waits for it any more: its end is on its way, and another call would fare the
         // same.
         CallEnd::Error | CallEnd::Moot => Outcome::Error,
