--- a/crates/core/src/runs.rs
+++ b/crates/core/src/runs.rs
@@ -22,8 +22,8 @@
             let Some(entry) = self.keys.held_by(key, id).filter(|e| !e.begun) else {
                 let ended = Event::Finished {
                     id,
-                    took: 0,
-                    outcome: Outcome::Moot,
+                    elapsed: 0,
+                    outcome: Outcome::NotStarted,
                 };
                 self.pending.push_back(Pending::Event(ended));
                 self.answer(id, Answer::Failed { timed_out: false }, By::NoKey);
@@ -57,8 +57,8 @@
         self.close(id);
         self.pending.push_back(Pending::Event(Event::Finished {
             id,
-            took: 0,
-            outcome: Outcome::Moot,
+            elapsed: 0,
+            outcome: Outcome::NotStarted,
         }));
         if let Some(key) = key {
             self.settle(&key, id, None, answer);
@@ -77,7 +77,9 @@
         // A repeat may still want the outcome of a keyed run when its first caller does not.
         let class = &self.settings.classes[incoming.class];
         let until = if keyed {
-            attempt.due.max(incoming.arrived_at + class.window)
+            attempt
+                .due
+                .max(incoming.arrived_at + class.idempotency_window)
         } else {
             attempt.due
         };
@@ -166,7 +168,7 @@
             RunOutcome::Completed => {
                 self.counters.runs_completed += 1;
                 (
-                    Outcome::Done,
+                    Outcome::Success,
                     Answer::Served(result.clone()),
                     Some(Kept::Served(result)),
                 )
@@ -182,7 +184,7 @@
                 Some(Kept::Failed),
             ),
             RunOutcome::NotStarted => (
-                Outcome::Moot,
+                Outcome::NotStarted,
                 Answer::Rejected {
                     retry_after: FULL_COOLDOWN,
                     no_retry: false,
@@ -192,8 +194,11 @@
         };
         self.answer(id, answer.clone(), by);
         self.close(id);
-        self.pending
-            .push_back(Pending::Event(Event::Finished { id, took, outcome }));
+        self.pending.push_back(Pending::Event(Event::Finished {
+            id,
+            elapsed: took,
+            outcome,
+        }));
         if let Some(key) = key {
             self.settle(&key, id, kept, answer);
         }
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -116,8 +116,8 @@
         );
     }
     let outcome = match end {
-        CallOutcome::Succeeded => Outcome::Done,
-        CallOutcome::Rejected => Outcome::Busy,
+        CallOutcome::Succeeded => Outcome::Success,
+        CallOutcome::Rejected => Outcome::Rejected,
         // No run waits for it any more: its end is on its way, and another call would fare the
         // same.
         CallOutcome::Failed | CallOutcome::Unneeded => Outcome::Error,
