--- a/crates/cluster-testing/examples/fleet.rs
+++ b/crates/cluster-testing/examples/fleet.rs
@@ -3,16 +3,16 @@
 
 use pipitlever_cluster_testing::parties::memory_mb;
 use pipitlever_cluster_testing::sim::World;
+use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::event::Event;
 use pipitlever_membership::record::State;
-use pipitlever_membership::rules::Rules;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
 const S: i64 = 1_000_000;
 
-fn started(rules: &Rules, size: usize, seed: u64) -> World {
+fn started(rules: &MembershipConfig, size: usize, seed: u64) -> World {
     let mut world = World::new(rules.clone(), size, seed);
     world.record = false;
     for i in 0..size {
@@ -75,7 +75,7 @@
         );
     };
     let (size, seeds): (usize, u64) = (size.parse().unwrap(), seeds.parse().unwrap());
-    let mut rules = Rules::default();
+    let mut rules = MembershipConfig::default();
     // Lifeguard's ideas, one of which may be left out.
     let without = more
         .iter()
@@ -84,9 +84,9 @@
         .map(String::as_str);
     match without {
         None => {}
-        Some("health") => rules.lifeguard.health = false,
-        Some("suspicion") => rules.lifeguard.suspicion = false,
-        Some("buddy") => rules.lifeguard.buddy = false,
+        Some("health") => rules.lifeguard.local_health = false,
+        Some("suspicion") => rules.lifeguard.dynamic_suspicion = false,
+        Some("buddy") => rules.lifeguard.buddy_system = false,
         Some(_) => return eprintln!("without health, suspicion or buddy"),
     }
     match case.as_str() {
@@ -144,7 +144,7 @@
                 let half = |i| {
                     world
                         .fleet(i)
-                        .is_some_and(|f| f.members().taking_part() <= size.div_ceil(2))
+                        .is_some_and(|f| f.members().active_count() <= size.div_ceil(2))
                 };
                 assert!(
                     (0..size).all(half),
@@ -210,10 +210,10 @@
                     world.run(60 * S);
                     for (_, _, event) in world.history.drain(..) {
                         match event {
-                            Event::Changed {
+                            Event::StateChanged {
                                 state: State::Down, ..
                             } => down += 1,
-                            Event::Changed {
+                            Event::StateChanged {
                                 state: State::Suspect,
                                 ..
                             } => suspect += 1,
--- a/crates/cluster-testing/src/crowd.rs
+++ b/crates/cluster-testing/src/crowd.rs
@@ -1,8 +1,8 @@
 //! A simulated fleet around one real process, in real time: what a thousand members cost it.
 
 use crate::sim::World;
-use pipitlever_membership::rules::Rules;
-use pipitlever_membership::sync::Session;
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::sync::SyncSession;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -49,7 +49,7 @@
                 .iter()
                 .for_each(|s| s.set_nonblocking(true).expect("no blocking"));
             listener.set_nonblocking(true).expect("no blocking");
-            let mut world = World::new(Rules::default(), members, 1);
+            let mut world = World::new(MembershipConfig::default(), members, 1);
             world.record = false;
             world.bridge(address, 0, address(0));
             (1..members).for_each(|i| world.start(i, &[1, 2]));
@@ -97,10 +97,10 @@
             while let Ok((length, _)) = socket.recv_from(&mut bytes) {
                 // Where it says that it is: through no relay, as none is asked to hurt it.
                 if let Ok(packet) =
-                    pipitlever_membership::message::Packet::read("rig", &bytes[..length])
+                    pipitlever_membership::message::Packet::decode("rig", &bytes[..length])
                 {
-                    real = Some(packet.from.record.details.address);
-                    world.bridge(address, 0, packet.from.record.details.address);
+                    real = Some(packet.sender.record.details.address);
+                    world.bridge(address, 0, packet.sender.record.details.address);
                 }
                 world.inject(i + 1, bytes[..length].to_vec());
             }
@@ -129,14 +129,14 @@
     stream
         .set_read_timeout(Some(Duration::from_millis(200)))
         .ok()?;
-    let mut session = Session::answer();
+    let mut session = SyncSession::respond();
     let mut bytes = [0; 4096];
-    while !session.over() {
+    while !session.is_complete() {
         let read = stream.read(&mut bytes).ok().filter(|n| *n > 0)?;
         world.tell(place, |fleet, now| {
-            session.feed(fleet, now, &bytes[..read]).ok()
+            session.handle_bytes(fleet, now, &bytes[..read]).ok()
         })??;
-        while let Some(piece) = world.tell(place, |fleet, now| session.piece(fleet, now))? {
+        while let Some(piece) = world.tell(place, |fleet, now| session.next_chunk(fleet, now))? {
             stream.write_all(&piece).ok()?;
         }
     }
--- a/crates/cluster-testing/src/demand.rs
+++ b/crates/cluster-testing/src/demand.rs
@@ -7,9 +7,9 @@
 use pipitlever_admission::{
     Action, Class, Controller, Event, Idempotency, LevelKind, Micros, Outcome, Request, Settings,
 };
-use pipitlever_membership::elsewhere::Elsewhere;
-use pipitlever_membership::record::Standing;
-use pipitlever_membership::rules::Rules;
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::record::ServiceState;
+use pipitlever_membership::spare_capacity::SpareCapacity;
 use std::collections::BTreeMap;
 
 /// One step of the emulation.
@@ -80,7 +80,7 @@
     timers: BTreeMap<(Micros, u64), ()>,
     level: f64,
     used: f64,
-    elsewhere: Elsewhere,
+    elsewhere: SpareCapacity,
     up: bool,
 }
 
@@ -123,7 +123,7 @@
 pub fn play(case: Case, seed: u64) -> Result {
     const CORES: f64 = 6.0;
     let mut rng = Rng::with_seed(seed);
-    let mut world = World::new(Rules::default(), case.nodes, seed);
+    let mut world = World::new(MembershipConfig::default(), case.nodes, seed);
     world.record = false;
     (0..case.nodes).for_each(|i| world.start(i, &[0, 1]));
     world.wait(30_000_000, World::settled);
@@ -133,7 +133,7 @@
         timers: BTreeMap::new(),
         level: 0.0,
         used: 0.0,
-        elsewhere: Elsewhere::default(),
+        elsewhere: SpareCapacity::default(),
         up: true,
     };
     let mut servers: Vec<Server> = (0..case.nodes)
@@ -315,7 +315,7 @@
                         if backoff > 0 {
                             away[i] = away[i].max(now + backoff);
                         }
-                        let nowhere = case.advice && servers[i].elsewhere.nowhere(ask.rank);
+                        let nowhere = case.advice && servers[i].elsewhere.is_exhausted(ask.rank);
                         result.refused += 1;
                         result.told += u64::from(no_retry);
                         result.advised += u64::from(nowhere && !no_retry);
@@ -354,11 +354,14 @@
         // What it measures, not the mode of the moment: modes change several times a second.
         let cut = (server.module.view().lines[0].cut.clamp(0.0, 1.0) * 255.0) as u8;
         world.tell(i, |fleet, now| {
-            fleet.say(Standing::Serving, b"");
-            fleet.load(now, cut);
-            server
-                .elsewhere
-                .see(now, fleet.name(), fleet.members(), fleet.cut_off());
+            fleet.set_service_state(ServiceState::Serving, b"");
+            fleet.report_load(now, cut);
+            server.elsewhere.update(
+                now,
+                fleet.local_name(),
+                fleet.members(),
+                fleet.is_partitioned(),
+            );
         });
     }
 }
--- a/crates/cluster-testing/src/sessions.rs
+++ b/crates/cluster-testing/src/sessions.rs
@@ -3,8 +3,10 @@
 //! each node takes at its own time. The same seed gives the same.
 
 use fastrand::Rng;
+use pipitlever_session_affinity::directory::{
+    DirectorySettings, Peer, Pool, Resolution, SessionDirectory, SessionKey, WorkerSettings,
+};
 use pipitlever_session_affinity::message::Message;
-use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -53,7 +55,7 @@
     pub now: Micros,
     ways: Ways,
     rng: Rng,
-    nodes: Vec<Option<Node>>,
+    nodes: Vec<Option<SessionDirectory>>,
     /// The version that each node acts on.
     acting: Vec<u64>,
     /// Nodes of two groups don't hear each other.
@@ -73,20 +75,20 @@
 
 /// A pool of these workers, each with its name, weight, and whether it takes sessions.
 pub fn pool(workers: &[(u32, f64, bool)], patience: Micros) -> Pool {
-    let server = |(name, weight, takes): &(u32, f64, bool)| Server {
+    let server = |(name, weight, takes): &(u32, f64, bool)| WorkerSettings {
         name: format!("w{name}"),
         weight: *weight,
-        takes: *takes,
-        drains: !takes,
+        accepts_sessions: *takes,
+        is_draining: !takes,
     };
     let workers = workers.iter().map(server).collect();
     Pool {
         name: "p".into(),
-        was: Vec::new(),
+        previous_names: Vec::new(),
         workers,
-        idle: 36 * 3600,
-        patience,
-        linger: 36 * 3600 * S,
+        idle_timeout_seconds: 36 * 3600,
+        failure_grace: patience,
+        drain_grace: 36 * 3600 * S,
     }
 }
 
@@ -124,12 +126,12 @@
     pub fn start(&mut self, i: usize) {
         self.started += 1;
         let version = self.versions.len() as u64 - 1;
-        let settings = Settings {
-            wait: 60_000,
-            most: 4_000_000,
+        let settings = DirectorySettings {
+            lookup_timeout: 60_000,
+            max_sessions: 4_000_000,
         };
         let pools = vec![self.versions[version as usize].clone()];
-        let mut node = Node::new(
+        let mut node = SessionDirectory::new(
             &format!("n{i}"),
             settings,
             Vec::new(),
@@ -214,13 +216,15 @@
                     .position(|s| s.name == format!("w{w}"))
             };
             let out: Vec<u32> = workers.iter().filter_map(|w| state.id(at(w)?)).collect();
-            node.left_out(now, 0, &out);
+            node.set_ejected_workers(now, 0, &out);
         }
     }
 
     /// Whether a node is there, and takes clients with sessions.
     pub fn there(&self, i: usize) -> bool {
-        self.nodes[i].as_ref().is_some_and(Node::ready)
+        self.nodes[i]
+            .as_ref()
+            .is_some_and(SessionDirectory::is_ready)
     }
 
     /// The version that a node acts on.
@@ -230,10 +234,10 @@
 
     /// What each node holds of a session, for whoever looks for a fault.
     pub fn held(&self, key: u64) -> Vec<String> {
-        let held = |(i, n): (usize, &Option<Node>)| {
+        let held = |(i, n): (usize, &Option<SessionDirectory>)| {
             let placement = n
                 .as_ref()
-                .and_then(|n| n.placement(self.now, 0, What::Session(key)));
+                .and_then(|n| n.placement(self.now, 0, SessionKey::Session(key)));
             placement.map(|p| format!("n{i}: {p:?}"))
         };
         self.nodes.iter().enumerate().filter_map(held).collect()
@@ -241,12 +245,15 @@
 
     /// Whether all have what they are to remember.
     pub fn filled(&self) -> bool {
-        self.nodes.iter().flatten().all(Node::filled)
+        self.nodes
+            .iter()
+            .flatten()
+            .all(SessionDirectory::is_bootstrapped)
     }
 
     /// The most that a node remembers, and what all of them take.
     pub fn memory(&self) -> (usize, usize) {
-        let tables = || self.nodes.iter().flatten().map(Node::table);
+        let tables = || self.nodes.iter().flatten().map(SessionDirectory::table);
         (
             tables().map(|t| t.len()).max().unwrap_or_default(),
             tables().map(|t| t.bytes()).sum(),
@@ -278,9 +285,9 @@
                 // Those who have been parted since don't hear it.
                 if self.groups[from] == self.groups[to] {
                     if let (Some(node), Some(message)) =
-                        (&mut self.nodes[to], Message::read(&bytes))
+                        (&mut self.nodes[to], Message::decode(&bytes))
                     {
-                        node.heard(now, &format!("n{from}"), &message);
+                        node.handle_message(now, &format!("n{from}"), &message);
                     }
                 }
                 to
@@ -291,7 +298,7 @@
                 }
                 self.wakes[i] = Micros::MAX;
                 if let Some(node) = &mut self.nodes[i] {
-                    node.tick(now);
+                    node.handle_wakeup(now);
                 }
                 i
             }
@@ -300,7 +307,7 @@
                 let peer = |j: usize| {
                     self.nodes[j].as_ref().map(|_| Peer {
                         name: format!("n{j}"),
-                        filled: self.filled[j],
+                        is_bootstrapped: self.filled[j],
                     })
                 };
                 let peers: Vec<Peer> = (0..self.nodes.len())
@@ -308,7 +315,7 @@
                     .filter_map(peer)
                     .collect();
                 if let Some(node) = &mut self.nodes[i] {
-                    node.view(now, peers, true);
+                    node.handle_membership_change(now, peers, true);
                 }
                 i
             }
@@ -330,9 +337,10 @@
         let Some(node) = &mut self.nodes[i] else {
             return;
         };
-        let out = node.take_out();
-        let due = node.due().max(self.now + 1);
-        let news = std::mem::replace(&mut self.filled[i], node.filled()) != node.filled();
+        let out = node.take_messages();
+        let due = node.next_wakeup().max(self.now + 1);
+        let news = std::mem::replace(&mut self.filled[i], node.is_bootstrapped())
+            != node.is_bootstrapped();
         for (to, bytes) in out {
             self.sent += bytes.len() as u64;
             let to: usize = to[1..].parse().expect("a node's number");
@@ -358,7 +366,7 @@
 
     /// A request of a session comes to a node: where it goes.
     pub fn ask(&mut self, i: usize, key: u64) -> Came {
-        self.look_for(i, What::Session(key))
+        self.look_for(i, SessionKey::Session(key))
     }
 
     /// A keyed request whose session lives with this worker comes to a node: where it goes.
@@ -373,17 +381,17 @@
             .iter()
             .position(|s| s.name == format!("w{worker}"));
         let worker = at.and_then(|at| state.id(at)).expect("it is in the file");
-        self.look_for(i, What::Key(key, worker))
+        self.look_for(i, SessionKey::IdempotencyKey(key, worker))
     }
 
-    fn look_for(&mut self, i: usize, what: What) -> Came {
+    fn look_for(&mut self, i: usize, what: SessionKey) -> Came {
         self.next_request += 1;
         let (start, request) = (self.now, self.next_request);
         let Some(node) = &mut self.nodes[i] else {
             return Came::Nowhere;
         };
-        let mut found = node.want(start, 0, what, request);
-        while found == Found::Asked {
+        let mut found = node.resolve(start, 0, what, request);
+        while found == Resolution::Pending {
             self.carry(i);
             let next = self
                 .events
@@ -394,7 +402,11 @@
                 return Came::Nowhere;
             };
             // Others that wait would be told by the same; here there is one at a time.
-            if let Some((_, said)) = node.take_found().into_iter().find(|(r, _)| *r == request) {
+            if let Some((_, said)) = node
+                .take_resolutions()
+                .into_iter()
+                .find(|(r, _)| *r == request)
+            {
                 found = said;
             }
         }
@@ -403,7 +415,7 @@
             return Came::Nowhere;
         };
         match found {
-            Found::At(worker) => {
+            Resolution::Worker(worker) => {
                 let state = &node.pools()[0];
                 let at = state.position(worker).expect("it is in the file");
                 let number = state.pool.workers[at].name[1..]
@@ -411,7 +423,7 @@
                     .expect("a worker's number");
                 Came::To(number, self.now - start)
             }
-            Found::Asked | Found::Nowhere => Came::Nowhere,
+            Resolution::Pending | Resolution::Unavailable => Came::Nowhere,
         }
     }
 }
--- a/crates/cluster-testing/src/sim.rs
+++ b/crates/cluster-testing/src/sim.rs
@@ -2,12 +2,12 @@
 //! of it is the same each time.
 
 use fastrand::Rng;
+use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::event::Event;
-use pipitlever_membership::own::Own;
-use pipitlever_membership::record::{Standing, State};
-use pipitlever_membership::rules::Rules;
-use pipitlever_membership::sync::Session;
-use pipitlever_membership::{Fleet, Micros};
+use pipitlever_membership::local_member::LocalMember;
+use pipitlever_membership::record::{ServiceState, State};
+use pipitlever_membership::sync::SyncSession;
+use pipitlever_membership::{Membership, Micros};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -69,7 +69,7 @@
 
 struct Node {
     name: String,
-    fleet: Option<Fleet>,
+    fleet: Option<Membership>,
     /// Its clock runs so much faster, and began there.
     rate: f64,
     offset: Micros,
@@ -88,7 +88,7 @@
 struct Stream {
     /// The one that connected, and the other one, each with its process.
     ends: [(usize, u64); 2],
-    sessions: [Session; 2],
+    sessions: [SyncSession; 2],
 }
 
 /// All of it.
@@ -101,7 +101,7 @@
     pub history: Vec<(Micros, usize, Event)>,
     /// Whether that is kept.
     pub record: bool,
-    rules: Rules,
+    rules: MembershipConfig,
     nodes: Vec<Node>,
     places: BTreeMap<SocketAddr, usize>,
     /// A place whose process is a real one, and what is sent there.
@@ -125,7 +125,7 @@
 
 impl World {
     /// So many places for nodes, none of which has started.
-    pub fn new(rules: Rules, places: usize, seed: u64) -> World {
+    pub fn new(rules: MembershipConfig, places: usize, seed: u64) -> World {
         let mut rng = Rng::with_seed(seed);
         let node = |i: usize| Node {
             name: format!("n{i}"),
@@ -188,10 +188,10 @@
     pub fn start_as(&mut self, node: usize, name: &str, seeds: &[usize]) {
         let (token, seed) = (self.rng.u64(..), self.rng.u64(..));
         let now = self.local(node);
-        let own = Own::new(token, (self.address)(node), "");
-        let mut fleet = Fleet::new(self.rules.clone(), self.fleet_name, name, own, seed, now);
-        fleet.seeds(seeds.iter().map(|s| (self.address)(*s)).collect());
-        fleet.say(Standing::Serving, b"");
+        let own = LocalMember::new(token, (self.address)(node), "");
+        let mut fleet = Membership::new(self.rules.clone(), self.fleet_name, name, own, seed, now);
+        fleet.set_seeds(seeds.iter().map(|s| (self.address)(*s)).collect());
+        fleet.set_service_state(ServiceState::Serving, b"");
         let n = &mut self.nodes[node];
         n.life += 1;
         (n.name, n.fleet, n.paused, n.wake) = (name.to_owned(), Some(fleet), false, None);
@@ -265,7 +265,7 @@
     }
 
     /// A node's part in the fleet, if it runs.
-    pub fn fleet(&self, node: usize) -> Option<&Fleet> {
+    pub fn fleet(&self, node: usize) -> Option<&Membership> {
         self.nodes[node].fleet.as_ref()
     }
 
@@ -273,7 +273,7 @@
     pub fn tell<T>(
         &mut self,
         node: usize,
-        tell: impl FnOnce(&mut Fleet, Micros) -> T,
+        tell: impl FnOnce(&mut Membership, Micros) -> T,
     ) -> Option<T> {
         let now = self.local(node);
         let told = tell(self.nodes[node].fleet.as_mut()?, now);
@@ -298,7 +298,7 @@
         self.fleet(at)?
             .members()
             .get(of)
-            .filter(|m| !m.fading)
+            .filter(|m| !m.is_tombstone)
             .map(|m| m.record.state)
     }
 
@@ -312,7 +312,7 @@
         let alive = first
             .members()
             .iter()
-            .filter(|(_, m)| m.record.state == State::Alive && !m.fading)
+            .filter(|(_, m)| m.record.state == State::Alive && !m.is_tombstone)
             .count();
         let right = running
             .iter()
@@ -422,7 +422,7 @@
                 let now = self.local(to);
                 if let Some(fleet) = &mut self.nodes[to].fleet {
                     // What is no message is dropped, as on sockets.
-                    let _ = fleet.datagram(now, &bytes);
+                    let _ = fleet.handle_datagram(now, &bytes);
                 }
                 self.settle(to);
             }
@@ -437,7 +437,7 @@
                 self.nodes[node].wake = None;
                 let now = self.local(node);
                 if let Some(fleet) = &mut self.nodes[node].fleet {
-                    fleet.wake(now);
+                    fleet.handle_wakeup(now);
                 }
                 self.settle(node);
             }
@@ -450,9 +450,9 @@
         let Some(fleet) = &mut self.nodes[node].fleet else {
             return;
         };
-        let (out, sync) = (fleet.take_out(), fleet.take_sync());
+        let (out, sync) = (fleet.take_datagrams(), fleet.take_sync_target());
         let (events, _) = fleet.take_events();
-        let next = fleet.next_wake();
+        let next = fleet.next_wakeup();
         if self.record {
             let now = self.now;
             self.history
@@ -504,7 +504,7 @@
         let Some(fleet) = &self.nodes[from].fleet else {
             return;
         };
-        let sessions = [Session::dial(fleet), Session::answer()];
+        let sessions = [SyncSession::initiate(fleet), SyncSession::respond()];
         let ends = [(from, self.nodes[from].life), (to, self.nodes[to].life)];
         self.last += 1;
         let id = self.last;
@@ -522,12 +522,12 @@
         let now = self.local(node);
         let mut said = Vec::new();
         if let Some(fleet) = &self.nodes[node].fleet {
-            while let Some(piece) = stream.sessions[end].piece(fleet, now) {
+            while let Some(piece) = stream.sessions[end].next_chunk(fleet, now) {
                 said.extend(piece);
             }
         }
         self.nodes[node].sent.streamed += said.len() as u64;
-        let over = stream.sessions.iter().all(Session::over);
+        let over = stream.sessions.iter().all(SyncSession::is_complete);
         if self.cut[node][other] {
             return;
         }
@@ -565,7 +565,10 @@
         let Some(fleet) = &mut self.nodes[node].fleet else {
             return;
         };
-        if stream.sessions[end].feed(fleet, now, bytes).is_err() {
+        if stream.sessions[end]
+            .handle_bytes(fleet, now, bytes)
+            .is_err()
+        {
             return;
         }
         self.streams.insert(id, stream);
--- a/crates/cluster-testing/tests/sim.rs
+++ b/crates/cluster-testing/tests/sim.rs
@@ -2,16 +2,16 @@
 //! several seeds.
 
 use pipitlever_cluster_testing::sim::{address, World};
+use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::event::Event;
+use pipitlever_membership::local_member::LocalMember;
 use pipitlever_membership::message::{Body, Packet, Update};
-use pipitlever_membership::own::Own;
 use pipitlever_membership::record::{Record, State};
-use pipitlever_membership::rules::Rules;
 
 const S: i64 = 1_000_000;
 
 fn world(places: usize, seed: u64) -> World {
-    World::new(Rules::default(), places, seed)
+    World::new(MembershipConfig::default(), places, seed)
 }
 
 /// So many nodes that have found each other, and places for more.
@@ -29,7 +29,11 @@
         for i in w.running() {
             let Some(fleet) = w.fleet(i) else { continue };
             let members = fleet.members().iter().map(|(name, m)| {
-                format!("{name}:{}@{}", m.record.state.word(), m.record.incarnation)
+                format!(
+                    "{name}:{}@{}",
+                    m.record.state.as_str(),
+                    m.record.incarnation
+                )
             });
             all += &format!("n{i}: {}\n", members.collect::<Vec<_>>().join(" "));
         }
@@ -49,7 +53,7 @@
         .history
         .iter()
         .filter_map(|(_, _, event)| match event {
-            Event::Changed {
+            Event::StateChanged {
                 name,
                 state: State::Down,
                 ..
@@ -131,7 +135,7 @@
             world
                 .history
                 .iter()
-                .any(|(_, node, e)| *node == 2 && matches!(e, Event::Late(_))),
+                .any(|(_, node, e)| *node == 2 && matches!(e, Event::LocalDelay(_))),
             "{seed}"
         );
         assert_eq!(
@@ -211,7 +215,7 @@
         let cut_off = |w: &World| {
             w.running()
                 .iter()
-                .filter(|i| w.fleet(**i).unwrap().cut_off())
+                .filter(|i| w.fleet(**i).unwrap().is_partitioned())
                 .count()
         };
         assert_eq!(cut_off(&world), 10, "{seed}: neither half is a majority");
@@ -231,7 +235,7 @@
         wait(&mut world, 10, "after the heal");
         // Each side has held the other one down: nobody comes to hold his own side down for that.
         let down = |e: &Event| match e {
-            Event::Changed {
+            Event::StateChanged {
                 name,
                 state: State::Down,
                 ..
@@ -258,7 +262,11 @@
     for seed in 0..5 {
         let mut world = settled(9, 9, seed);
         // With no seed to ask: it is the dead that are tried.
-        (0..9).for_each(|i| assert!(world.tell(i, |fleet, _| fleet.seeds(Vec::new())).is_some()));
+        (0..9).for_each(|i| {
+            assert!(world
+                .tell(i, |fleet, _| fleet.set_seeds(Vec::new()))
+                .is_some())
+        });
         world.split(|i| i % 3);
         world.run(60 * S);
         // First two of them, then all.
@@ -282,7 +290,7 @@
         world.run(20 * S);
         assert_eq!(world.fleet(8).unwrap().members().len(), 1);
         assert!(
-            !world.fleet(8).unwrap().settled(),
+            !world.fleet(8).unwrap().is_converged(),
             "{seed}: it has met nobody"
         );
         world.start(1, &[2]);
@@ -377,21 +385,21 @@
 fn liar(name: &str, incarnation: u64) -> Update {
     let record = Record {
         incarnation,
-        ..Own::new(7, ([10, 9, 9, 9], 9).into(), "").record
+        ..LocalMember::new(7, ([10, 9, 9, 9], 9).into(), "").record
     };
     Update {
         name: name.into(),
         record,
-        by: None,
-        age_s: 0,
+        suspected_by: None,
+        state_age_seconds: 0,
     }
 }
 
 #[test]
 fn a_liars_thousands_of_names_push_nobody_out() {
-    let rules = Rules {
-        most_members: 50,
-        ..Rules::default()
+    let rules = MembershipConfig {
+        max_members: 50,
+        ..MembershipConfig::default()
     };
     let mut world = World::new(rules, 11, 3);
     (0..10).for_each(|i| world.start(i, &[0, 1]));
@@ -401,13 +409,13 @@
             .map(|k| liar(&format!("x{}", i * 10 + k), 5))
             .collect();
         let packet = Packet {
-            from: liar("liar", 5),
+            sender: liar("liar", 5),
             digest: 0,
-            body: Body::News,
-            news,
-            hint: Vec::new(),
+            body: Body::Gossip,
+            updates: news,
+            piggyback: Vec::new(),
         };
-        world.inject(i % 10, packet.write("sim"));
+        world.inject(i % 10, packet.encode("sim"));
         world.run(2_000);
     }
     for i in 0..10 {
@@ -416,7 +424,7 @@
         assert!(
             (0..10).all(|k| world
                 .held(i, &format!("n{k}"))
-                .is_some_and(State::takes_part)),
+                .is_some_and(State::is_active)),
             "{i}"
         );
     }
@@ -429,12 +437,12 @@
 #[test]
 fn an_old_datagram_that_comes_again_changes_nothing() {
     let mut world = settled(5, 5, 1);
-    let record = world.fleet(3).unwrap().own_record().clone();
+    let record = world.fleet(3).unwrap().local_record().clone();
     let from = Update {
         name: "n3".into(),
         record: record.clone(),
-        by: None,
-        age_s: 0,
+        suspected_by: None,
+        state_age_seconds: 0,
     };
     let down = Update {
         record: Record {
@@ -444,13 +452,13 @@
         ..from.clone()
     };
     let old = Packet {
-        from,
+        sender: from,
         digest: 1,
-        body: Body::Ack { seq: 77 },
-        news: vec![down],
-        hint: Vec::new(),
+        body: Body::Ack { sequence: 77 },
+        updates: vec![down],
+        piggyback: Vec::new(),
     }
-    .write("sim");
+    .encode("sim");
     world.crash(3);
     world.run(10 * S);
     world.start(3, &[0]);
@@ -464,9 +472,9 @@
 
 #[test]
 fn who_is_down_is_forgotten_in_the_end_and_does_not_come_back_by_hearsay() {
-    let rules = Rules {
-        forget: 30 * S,
-        ..Rules::default()
+    let rules = MembershipConfig {
+        retention: 30 * S,
+        ..MembershipConfig::default()
     };
     let mut world = World::new(rules, 6, 4);
     (0..6).for_each(|i| world.start(i, &[0, 1]));
@@ -485,27 +493,27 @@
     let old = Update {
         name: "n5".into(),
         record,
-        by: None,
-        age_s: 0,
+        suspected_by: None,
+        state_age_seconds: 0,
     };
     world.run(20 * S);
     assert!((0..5).all(|i| world.held(i, "n5").is_none()));
     // What somebody said of it long ago comes again.
-    let record = world.fleet(3).unwrap().own_record().clone();
+    let record = world.fleet(3).unwrap().local_record().clone();
     let from = Update {
         name: "n3".into(),
         record,
-        by: None,
-        age_s: 0,
+        suspected_by: None,
+        state_age_seconds: 0,
     };
     let packet = Packet {
-        from,
+        sender: from,
         digest: 1,
-        body: Body::News,
-        news: vec![old],
-        hint: Vec::new(),
+        body: Body::Gossip,
+        updates: vec![old],
+        piggyback: Vec::new(),
     }
-    .write("sim");
+    .encode("sim");
     (0..5)
         .filter(|i| *i != 3)
         .for_each(|i| world.inject(i, packet.clone()));
--- a/crates/membership/src/rules.rs
+++ b/crates/membership/src/config.rs
@@ -4,15 +4,15 @@
 
 /// What the operator's file says, and what follows from it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct MembershipConfig {
     /// Time between two probes of a node that is well.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// Members that are remembered, itself too.
-    pub most_members: usize,
+    pub max_members: usize,
     /// Bytes of a datagram.
-    pub most_datagram: usize,
+    pub max_datagram_bytes: usize,
     /// A member that is down or has left is forgotten after so long.
-    pub forget: Micros,
+    pub retention: Micros,
     /// What Lifeguard adds, to be switched off by measurements alone.
     pub lifeguard: Lifeguard,
 }
@@ -22,56 +22,56 @@
 pub struct Lifeguard {
     /// A node that runs late, or whose own probes get lost, takes more time for the others
     /// (LHA-Probe).
-    pub health: bool,
+    pub local_health: bool,
     /// A suspicion's time shrinks as others confirm it (LHA-Suspicion); without it all have the
     /// shortest.
-    pub suspicion: bool,
+    pub dynamic_suspicion: bool,
     /// Who is suspected is told so with the next probe, and a few who hear of it probe at once (the
     /// buddy system).
-    pub buddy: bool,
+    pub buddy_system: bool,
 }
 
-impl Default for Rules {
+impl Default for MembershipConfig {
     fn default() -> Self {
-        Rules {
-            probe: 500_000,
-            most_members: 1200,
-            most_datagram: 1200,
-            forget: 3_600_000_000,
+        MembershipConfig {
+            probe_interval: 500_000,
+            max_members: 1200,
+            max_datagram_bytes: 1200,
+            retention: 3_600_000_000,
             lifeguard: Lifeguard {
-                health: true,
-                suspicion: true,
-                buddy: true,
+                local_health: true,
+                dynamic_suspicion: true,
+                buddy_system: true,
             },
         }
     }
 }
 
-impl Rules {
+impl MembershipConfig {
     /// Members asked to probe another one.
-    pub const HELPERS: usize = 3;
+    pub const INDIRECT_PROBES: usize = 3;
     /// Confirmations of others after which a suspicion has its shortest time.
-    pub const CONFIRMATIONS: usize = 3;
+    pub const SUSPICION_CONFIRMATIONS: usize = 3;
 
     /// How often one piece of news is sent by each, in a fleet of this size: enough for all to hear
     /// it, and an end.
-    pub fn sendings(&self, members: usize) -> u32 {
+    pub fn max_transmissions(&self, members: usize) -> u32 {
         4 * digits(members).ceil().max(1.0) as u32
     }
 
     /// The shortest time that a suspect has. Its name must reach it and its answer come back, over
     /// some hops.
-    pub fn shortest(&self, members: usize) -> Micros {
-        (self.probe as f64 * (2.0 + digits(members) / 2.0)) as Micros
+    pub fn min_suspicion_timeout(&self, members: usize) -> Micros {
+        (self.probe_interval as f64 * (2.0 + digits(members) / 2.0)) as Micros
     }
 
     /// The time that a suspect has, with so many who have had no answer of it beside the first, of
     /// so many who might.
-    pub fn suspicion(&self, members: usize, confirmed: usize) -> Micros {
-        let shortest = self.shortest(members);
+    pub fn suspicion_timeout(&self, members: usize, confirmed: usize) -> Micros {
+        let shortest = self.min_suspicion_timeout(members);
         // Itself, the suspect and this node: whoever else there is could confirm it.
-        let able = members.saturating_sub(2).min(Self::CONFIRMATIONS);
-        if !self.lifeguard.suspicion {
+        let able = members.saturating_sub(2).min(Self::SUSPICION_CONFIRMATIONS);
+        if !self.lifeguard.dynamic_suspicion {
             return shortest;
         }
         if able == 0 {
@@ -83,8 +83,8 @@
     }
 
     /// Time between two sendings of news that have no other message to travel with.
-    pub fn gossip(&self) -> Micros {
-        self.probe / 5
+    pub fn gossip_interval(&self) -> Micros {
+        self.probe_interval / 5
     }
 }
 
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/dissemination.rs
@@ -5,16 +5,16 @@
 
 /// The names of those that there is news of.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct DisseminationQueue {
     /// By how often it was sent; then the newest first.
     queue: BTreeMap<(u32, std::cmp::Reverse<u64>), String>,
     places: BTreeMap<String, (u32, std::cmp::Reverse<u64>)>,
     last: u64,
 }
 
-impl Spread {
+impl DisseminationQueue {
     /// There is news of a member, in the place of what there was.
-    pub fn add(&mut self, name: &str) {
+    pub fn enqueue(&mut self, name: &str) {
         self.remove(name);
         self.last += 1;
         let place = (0, std::cmp::Reverse(self.last));
@@ -41,7 +41,7 @@
 
     /// Takes what goes with one message: `fits` says whether one more does. What was sent `most`
     /// times is done with.
-    pub fn take(&mut self, most: u32, mut fits: impl FnMut(&str) -> bool) {
+    pub fn take_batch(&mut self, most: u32, mut fits: impl FnMut(&str) -> bool) {
         let mut sent = Vec::new();
         for (place, name) in &self.queue {
             if !fits(name) {
@@ -70,13 +70,13 @@
 
     #[test]
     fn each_goes_so_often_and_the_newest_first() {
-        let mut spread = Spread::default();
-        (0..6).for_each(|i| spread.add(&format!("n{i}")));
+        let mut spread = DisseminationQueue::default();
+        (0..6).for_each(|i| spread.enqueue(&format!("n{i}")));
         let mut sent: BTreeMap<String, u32> = BTreeMap::new();
         let mut first = Vec::new();
         while !spread.is_empty() {
             let mut left = 4;
-            spread.take(3, |name| {
+            spread.take_batch(3, |name| {
                 if left == 0 {
                     return false;
                 }
@@ -91,8 +91,8 @@
             sent.len() == 6 && sent.values().all(|n| *n == 3),
             "{sent:?}"
         );
-        spread.add("a");
-        spread.add("a");
+        spread.enqueue("a");
+        spread.enqueue("a");
         assert_eq!(spread.len(), 1);
         spread.remove("a");
         assert!(spread.is_empty());
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -7,27 +7,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// This node had no answer of it, directly or through these.
-    Missed(Vec<String>),
+    ProbeFailed(Vec<String>),
     /// These had no answer of it, and it did not say otherwise in time.
-    Confirmed(Vec<String>),
+    SuspicionExpired(Vec<String>),
     /// This member told.
-    Told(String),
+    ReportedBy(String),
     /// It said so itself.
-    Itself,
+    SelfReported,
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Cause::Missed(helpers) if helpers.is_empty() => write!(f, "no answer to this node"),
-            Cause::Missed(helpers) => write!(
+            Cause::ProbeFailed(helpers) if helpers.is_empty() => {
+                write!(f, "no answer to this node")
+            }
+            Cause::ProbeFailed(helpers) => write!(
                 f,
                 "no answer to this node, nor through {}",
                 helpers.join(",")
             ),
-            Cause::Confirmed(by) => write!(f, "not refuted in time, no answer to {}", by.join(",")),
-            Cause::Told(by) => write!(f, "told by {by}"),
-            Cause::Itself => write!(f, "by its own word"),
+            Cause::SuspicionExpired(by) => {
+                write!(f, "not refuted in time, no answer to {}", by.join(","))
+            }
+            Cause::ReportedBy(by) => write!(f, "told by {by}"),
+            Cause::SelfReported => write!(f, "by its own word"),
         }
     }
 }
@@ -36,11 +40,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member's state is another one than before; none before if it was not known.
-    Changed {
+    StateChanged {
         /// The member.
         name: String,
         /// How it was.
-        before: Option<State>,
+        previous: Option<State>,
         /// How it is.
         state: State,
         /// Of which incarnation that is said.
@@ -51,14 +55,14 @@
     /// Others held this node to be suspect or down, and it said otherwise.
     Refuted {
         /// What it was held to be.
-        held: State,
+        claimed: State,
         /// Who told.
-        by: String,
+        reported_by: String,
         /// This node's incarnation since.
         incarnation: u64,
     },
     /// Living processes go by one name.
-    Conflict {
+    NameConflict {
         /// The name.
         name: String,
         /// Where the one is whose word holds.
@@ -67,52 +71,52 @@
         rivals: Vec<Rival>,
     },
     /// They don't any more.
-    Resolved {
+    NameConflictResolved {
         /// The name.
         name: String,
     },
     /// This node was not there for so long, in microseconds: stopped, or starved.
-    Late(i64),
+    LocalDelay(i64),
     /// A member is not remembered any more.
     Forgotten {
         /// The member.
         name: String,
         /// It had to make room.
-        crowded: bool,
+        evicted: bool,
     },
     /// This node does not see a majority of those it knows any more, or does again.
-    CutOff(bool),
+    Partitioned(bool),
 }
 
 impl fmt::Display for Event {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Event::Changed {
+            Event::StateChanged {
                 name,
-                before,
+                previous: before,
                 state,
                 incarnation,
                 cause,
             } => {
-                let before = before.map_or("new", State::word);
+                let before = before.map_or("new", State::as_str);
                 write!(
                     f,
                     "member={name} {before} -> {} incarnation={incarnation}: {cause}",
-                    state.word()
+                    state.as_str()
                 )
             }
             Event::Refuted {
-                held,
-                by,
+                claimed: held,
+                reported_by: by,
                 incarnation,
             } => {
                 write!(
                     f,
                     "refuted: held {} by {by}, now incarnation={incarnation}",
-                    held.word()
+                    held.as_str()
                 )
             }
-            Event::Conflict {
+            Event::NameConflict {
                 name,
                 address,
                 rivals,
@@ -124,20 +128,26 @@
                     others.join(",")
                 )
             }
-            Event::Resolved { name } => write!(f, "conflict: member={name} is one process again"),
-            Event::Late(time) => write!(f, "late: this node was not there for {} ms", time / 1000),
+            Event::NameConflictResolved { name } => {
+                write!(f, "conflict: member={name} is one process again")
+            }
+            Event::LocalDelay(time) => {
+                write!(f, "late: this node was not there for {} ms", time / 1000)
+            }
             Event::Forgotten {
                 name,
-                crowded: false,
+                evicted: false,
             } => write!(f, "forgotten: member={name}"),
             Event::Forgotten {
                 name,
-                crowded: true,
+                evicted: true,
             } => {
                 write!(f, "forgotten: member={name}, there was no room")
             }
-            Event::CutOff(true) => write!(f, "cut off: no majority of the known members is seen"),
-            Event::CutOff(false) => write!(
+            Event::Partitioned(true) => {
+                write!(f, "cut off: no majority of the known members is seen")
+            }
+            Event::Partitioned(false) => write!(
                 f,
                 "cut off no more: a majority of the known members is seen"
             ),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -2,7 +2,7 @@
 //! is a member, where, and in which state. It does no I/O and has no clock: it is told times,
 //! handed datagrams and bytes, and yields those to be sent.
 //!
-//! `docs/fleet.md` has the design, what was rejected, and the figures.
+//! `docs/membership.md` has the design, what was rejected, and the figures.
 //!
 //! - `record`: what is said of a member, and how two pieces of news about one are joined.
 //! - `members`: the bounded table of them, its digests, and what is forgotten when.
@@ -15,24 +15,24 @@
 //! - `own`: this node's record: incarnations, refutation, and two processes of one name.
 //! - `node`: all of it together, [`Fleet`].
 
-pub mod elsewhere;
+pub mod config;
+pub mod dissemination;
 pub mod event;
-pub mod health;
+pub mod local_health;
+pub mod local_member;
 pub mod members;
+mod membership;
 pub mod message;
-pub mod news;
-mod node;
-pub mod own;
 mod probe;
+pub mod probe_schedule;
 pub mod record;
-pub mod ring;
-pub mod rules;
-pub mod spread;
-pub mod standing;
+pub mod service_state;
+pub mod spare_capacity;
 pub mod suspicion;
 pub mod sync;
+pub mod update_rules;
 
-pub use node::{Fleet, Heard};
+pub use membership::{ApplicationMessage, Membership};
 
 /// A reading of a clock, or a span of it, in microseconds.
 pub type Micros = i64;
--- a/crates/membership/src/health.rs
+++ b/crates/membership/src/local_health.rs
@@ -8,21 +8,21 @@
 
 /// The score, 0 when all is well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health(u32);
+pub struct LocalHealth(u32);
 
-impl Health {
+impl LocalHealth {
     /// Something went wrong that may be this node's fault.
-    pub fn worse(&mut self, by: u32) {
+    pub fn degrade(&mut self, by: u32) {
         self.0 = (self.0 + by).min(WORST);
     }
 
     /// A probe was answered in time.
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
     /// A time, as long as this node should make it.
-    pub fn stretch(self, time: Micros) -> Micros {
+    pub fn scale(self, time: Micros) -> Micros {
         time * Micros::from(self.0 + 1)
     }
 
--- a/crates/membership/src/own.rs
+++ b/crates/membership/src/local_member.rs
@@ -1,7 +1,7 @@
 //! This node's own record: what it says when others hold it dead, and when another process goes by
 //! its name.
 
-use crate::record::{Details, Record, Rival, Standing, State, MOST_RIVALS};
+use crate::record::{Details, Record, Rival, ServiceState, State, MAX_RIVALS};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 const MOST_OUTBID: usize = 8;
 
 /// Members that a process passes on to the one that goes on in its place.
-pub const MOST_CONTACTS: usize = 32;
+pub const MAX_CONTACTS: usize = 32;
 
 /// What one process of a node passes on to the next, so that the two are one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct ResumeState {
     /// What it said last of itself.
     pub record: Record,
     /// Where some members are.
     pub contacts: Vec<SocketAddr>,
 }
 
-impl Passed {
+impl ResumeState {
     /// As bytes.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Into memory, which takes all that is written to it.
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
     /// What these bytes say, if one may hold it.
-    pub fn read(bytes: &[u8]) -> Option<Passed> {
-        let passed: Passed = postcard::from_bytes(bytes).ok()?;
-        (passed.record.sane() && passed.contacts.len() <= MOST_CONTACTS).then_some(passed)
+    pub fn decode(bytes: &[u8]) -> Option<ResumeState> {
+        let passed: ResumeState = postcard::from_bytes(bytes).ok()?;
+        (passed.record.is_valid() && passed.contacts.len() <= MAX_CONTACTS).then_some(passed)
     }
 }
 
 /// What comes of news about this node's own name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Reply {
+pub enum SelfUpdateOutcome {
     /// It is what this node says itself, or older.
-    Nothing,
+    Unchanged,
     /// It lives: the record has a higher incarnation now, and is to be told.
     Refuted(State),
     /// Another process went by this name before, and this one has out-bid it.
-    Outbid,
+    Superseded,
     /// Another process goes by this name, and lives. This one's record names it.
     Contested,
     /// Another process goes by this name, and its record names this one: both are known to all, and
@@ -53,7 +53,7 @@
 
 /// This node, as it tells the others.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Own {
+pub struct LocalMember {
     /// Its record.
     pub record: Record,
     /// What others hold under this name while another process's word holds.
@@ -65,15 +65,15 @@
     leaving: bool,
 }
 
-impl Own {
+impl LocalMember {
     /// A process that has just started. The token stands for it, and is drawn at random; what
     /// others remember of a process before it is out-bid as soon as it is heard of.
-    pub fn new(token: u64, address: SocketAddr, zone: &str) -> Own {
+    pub fn new(token: u64, address: SocketAddr, zone: &str) -> LocalMember {
         let details = Details {
             revision: 1,
             address,
             zone: zone.to_owned(),
-            standing: Standing::Starting,
+            service_state: ServiceState::Starting,
             payload: Vec::new(),
             rivals: Vec::new(),
         };
@@ -84,7 +84,7 @@
             details,
             load: (0, 0),
         };
-        Own {
+        LocalMember {
             record,
             other: None,
             outbid: Vec::new(),
@@ -94,8 +94,8 @@
     }
 
     /// A process that goes on where the one before it was.
-    pub fn resumed(record: Record) -> Own {
-        Own {
+    pub fn resumed(record: Record) -> LocalMember {
+        LocalMember {
             record,
             other: None,
             outbid: Vec::new(),
@@ -106,17 +106,17 @@
 
     /// The record that holds under this name: this process's, or the one of another that names it
     /// as its rival.
-    pub fn held(&self) -> &Record {
+    pub fn effective_record(&self) -> &Record {
         self.other.as_ref().unwrap_or(&self.record)
     }
 
     /// Whether another process goes by this name.
-    pub fn contested(&self) -> bool {
+    pub fn is_contested(&self) -> bool {
         self.other.is_some() || !self.record.details.rivals.is_empty()
     }
 
     /// Changes what it says of itself; whether that is anything new.
-    pub fn say(&mut self, change: impl FnOnce(&mut Details)) -> bool {
+    pub fn update_details(&mut self, change: impl FnOnce(&mut Details)) -> bool {
         let before = self.record.details.clone();
         change(&mut self.record.details);
         let new = self.record.details != before;
@@ -131,19 +131,19 @@
     }
 
     /// Whether it has said that it leaves.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
     /// A rival gave a sign of its own.
-    pub fn rival_heard(&mut self, token: u64, now: Micros) {
+    pub fn record_rival_contact(&mut self, token: u64, now: Micros) {
         if let Some(heard) = self.heard.iter_mut().find(|(t, _)| *t == token) {
             heard.1 = now;
         }
     }
 
     /// Rivals to be asked whether they are there.
-    pub fn rivals(&self) -> Vec<SocketAddr> {
+    pub fn rival_addresses(&self) -> Vec<SocketAddr> {
         self.record
             .details
             .rivals
@@ -153,7 +153,7 @@
     }
 
     /// Lets go of rivals of which nothing was heard since then; whether there were any.
-    pub fn let_go(&mut self, since: Micros) -> bool {
+    pub fn expire_rivals(&mut self, since: Micros) -> bool {
         let silent: Vec<u64> = self
             .heard
             .iter()
@@ -161,11 +161,11 @@
             .map(|(t, _)| *t)
             .collect();
         self.heard.retain(|(t, _)| !silent.contains(t));
-        self.say(|d| d.rivals.retain(|r| !silent.contains(&r.token)))
+        self.update_details(|d| d.rivals.retain(|r| !silent.contains(&r.token)))
     }
 
     /// What others say of this name.
-    pub fn news(&mut self, now: Micros, said: &Record) -> Reply {
+    pub fn handle_update(&mut self, now: Micros, said: &Record) -> SelfUpdateOutcome {
         if said.token == self.record.token {
             return self.of_this_process(said);
         }
@@ -173,31 +173,35 @@
         if let Some(other) = &mut self.other {
             // The one that holds may say something new, or have died.
             if other.token == said.token {
-                other.join(said);
+                other.merge(said);
             }
         }
-        let held = self.held().clone();
+        let held = self.effective_record().clone();
         if (said.incarnation, said.token) < (held.incarnation, held.token) {
-            return Reply::Nothing;
+            return SelfUpdateOutcome::Unchanged;
         }
         let names_this = said
             .details
             .rivals
             .iter()
             .any(|r| r.token == self.record.token);
-        if said.state.takes_part() && names_this {
+        if said.state.is_active() && names_this {
             let new = self.other.as_ref().is_none_or(|o| o.token != said.token);
             let mut other = self.other.take().unwrap_or_else(|| said.clone());
-            other.join(said);
+            other.merge(said);
             self.other = Some(other);
-            return if new { Reply::Yielded } else { Reply::Nothing };
+            return if new {
+                SelfUpdateOutcome::Yielded
+            } else {
+                SelfUpdateOutcome::Unchanged
+            };
         }
         self.other = None;
         self.record.incarnation = said.incarnation + 1;
-        if !said.state.takes_part() {
+        if !said.state.is_active() {
             // Nobody is left to contest it.
             self.forget_rival(said.token);
-            return Reply::Outbid;
+            return SelfUpdateOutcome::Superseded;
         }
         let again = self.outbid.contains(&said.token);
         if !again {
@@ -207,7 +211,7 @@
             if self.outbid.len() > MOST_OUTBID {
                 self.outbid.remove(0);
             }
-            return Reply::Outbid;
+            return SelfUpdateOutcome::Superseded;
         }
         let own = self.record.token;
         let theirs = std::iter::once(Rival {
@@ -220,10 +224,10 @@
                 self.heard.push((rival.token, now));
             }
         }
-        self.say(|d| {
+        self.update_details(|d| {
             for rival in theirs {
                 let known = d.rivals.iter().any(|r| r.token == rival.token);
-                if rival.token != own && !known && d.rivals.len() < MOST_RIVALS {
+                if rival.token != own && !known && d.rivals.len() < MAX_RIVALS {
                     d.rivals.push(rival);
                 }
             }
@@ -232,25 +236,25 @@
         let named = &self.record.details.rivals;
         self.heard
             .retain(|(t, _)| named.iter().any(|r| r.token == *t));
-        Reply::Contested
+        SelfUpdateOutcome::Contested
     }
 
     fn rival_heard_in(&mut self, said: &Record, now: Micros) {
         // What it says itself is higher than all that others say of it, so a higher one is a sign
         // of its own.
-        if said.state.takes_part()
+        if said.state.is_active()
             && (said.incarnation, said.token) > (self.record.incarnation, self.record.token)
         {
-            self.rival_heard(said.token, now);
+            self.record_rival_contact(said.token, now);
         }
     }
 
     fn forget_rival(&mut self, token: u64) {
         self.heard.retain(|(t, _)| *t != token);
-        self.say(|d| d.rivals.retain(|r| r.token != token));
+        self.update_details(|d| d.rivals.retain(|r| r.token != token));
     }
 
-    fn of_this_process(&mut self, said: &Record) -> Reply {
+    fn of_this_process(&mut self, said: &Record) -> SelfUpdateOutcome {
         let Record {
             incarnation,
             state,
@@ -261,12 +265,12 @@
             // The one that names this process holds, and so do its numbers: to refute what is lower
             // would undo that.
             if (said.incarnation, said.token) < (other.incarnation, other.token) {
-                return Reply::Nothing;
+                return SelfUpdateOutcome::Unchanged;
             }
             self.other = None;
         }
         if *incarnation < self.record.incarnation {
-            return Reply::Nothing;
+            return SelfUpdateOutcome::Unchanged;
         }
         // Said by the process that this one goes on for, or by one that has copied its word.
         let revision = self.record.details.revision.max(details.revision);
@@ -275,13 +279,13 @@
         {
             self.record.incarnation = incarnation + u64::from(*state != self.record.state);
             self.record.details.revision = revision + 1;
-            return Reply::Outbid;
+            return SelfUpdateOutcome::Superseded;
         }
         if *state <= self.record.state || self.leaving {
-            return Reply::Nothing;
+            return SelfUpdateOutcome::Unchanged;
         }
         self.record.incarnation = incarnation + 1;
-        Reply::Refuted(*state)
+        SelfUpdateOutcome::Refuted(*state)
     }
 }
 
@@ -289,8 +293,8 @@
 mod tests {
     use super::*;
 
-    fn own(token: u64) -> Own {
-        Own::new(token, format!("127.0.0.1:{token}").parse().unwrap(), "")
+    fn own(token: u64) -> LocalMember {
+        LocalMember::new(token, format!("127.0.0.1:{token}").parse().unwrap(), "")
     }
 
     #[test]
@@ -298,21 +302,27 @@
         let mut a = own(1);
         let mut held = a.record.clone();
         held.state = State::Suspect;
-        assert_eq!(a.news(0, &held), Reply::Refuted(State::Suspect));
+        assert_eq!(
+            a.handle_update(0, &held),
+            SelfUpdateOutcome::Refuted(State::Suspect)
+        );
         assert_eq!((a.record.incarnation, a.record.state), (2, State::Alive));
         held.state = State::Down;
         assert_eq!(
-            a.news(0, &held),
-            Reply::Nothing,
+            a.handle_update(0, &held),
+            SelfUpdateOutcome::Unchanged,
             "of the incarnation before"
         );
         held.incarnation = 2;
-        assert_eq!(a.news(0, &held), Reply::Refuted(State::Down));
+        assert_eq!(
+            a.handle_update(0, &held),
+            SelfUpdateOutcome::Refuted(State::Down)
+        );
         a.leave();
         held.incarnation = 3;
         assert_eq!(
-            a.news(0, &held),
-            Reply::Nothing,
+            a.handle_update(0, &held),
+            SelfUpdateOutcome::Unchanged,
             "it leaves, and is gone soon"
         );
     }
@@ -321,26 +331,38 @@
     fn a_process_out_bids_the_one_before_it_and_names_none() {
         let (mut new, mut old) = (own(2), own(1));
         old.record.incarnation = 9;
-        assert_eq!(new.news(0, &old.record), Reply::Outbid);
-        assert_eq!((new.record.incarnation, new.contested()), (10, false));
+        assert_eq!(
+            new.handle_update(0, &old.record),
+            SelfUpdateOutcome::Superseded
+        );
+        assert_eq!((new.record.incarnation, new.is_contested()), (10, false));
         // What was on its way still, and what comes of its death.
-        assert_eq!(new.news(0, &old.record), Reply::Nothing);
+        assert_eq!(
+            new.handle_update(0, &old.record),
+            SelfUpdateOutcome::Unchanged
+        );
         old.record.state = State::Down;
-        assert_eq!(new.news(0, &old.record), Reply::Nothing);
+        assert_eq!(
+            new.handle_update(0, &old.record),
+            SelfUpdateOutcome::Unchanged
+        );
     }
 
     /// All news goes round until nobody has any; how often somebody changed its word.
-    fn settle(all: &mut [Own]) -> usize {
+    fn settle(all: &mut [LocalMember]) -> usize {
         let mut changes = 0;
         loop {
             let mut new = false;
             for i in 0..all.len() {
-                let said = all[i].held().clone();
+                let said = all[i].effective_record().clone();
                 for (j, other) in all.iter_mut().enumerate() {
                     if i != j {
-                        let reply = other.news(0, &said);
-                        changes += usize::from(matches!(reply, Reply::Outbid | Reply::Contested));
-                        new |= reply != Reply::Nothing;
+                        let reply = other.handle_update(0, &said);
+                        changes += usize::from(matches!(
+                            reply,
+                            SelfUpdateOutcome::Superseded | SelfUpdateOutcome::Contested
+                        ));
+                        new |= reply != SelfUpdateOutcome::Unchanged;
                     }
                 }
             }
@@ -354,15 +376,18 @@
     #[test]
     fn two_or_more_that_live_under_one_name_are_all_named_and_nobody_fights() {
         for count in 2..=5 {
-            let mut all: Vec<Own> = (1..=count).map(own).collect();
+            let mut all: Vec<LocalMember> = (1..=count).map(own).collect();
             settle(&mut all);
-            let held = all[0].held().clone();
-            assert!(all.iter().all(|o| *o.held() == held), "{count}: {all:#?}");
+            let held = all[0].effective_record().clone();
+            assert!(
+                all.iter().all(|o| *o.effective_record() == held),
+                "{count}: {all:#?}"
+            );
             let mut tokens: Vec<u64> = held.details.rivals.iter().map(|r| r.token).collect();
             tokens.push(held.token);
             tokens.sort();
             assert_eq!(tokens, (1..=count).collect::<Vec<_>>(), "all are named");
-            assert!(all.iter().all(Own::contested));
+            assert!(all.iter().all(LocalMember::is_contested));
             // The one whose word holds dies: the next one's does.
             let dead = all
                 .iter()
@@ -372,12 +397,12 @@
             let mut down = held.clone();
             down.state = State::Down;
             all.iter_mut().for_each(|o| {
-                o.news(0, &down);
+                o.handle_update(0, &down);
             });
             settle(&mut all);
-            let held = all[0].held().clone();
+            let held = all[0].effective_record().clone();
             assert!(
-                held.state == State::Alive && all.iter().all(|o| *o.held() == held),
+                held.state == State::Alive && all.iter().all(|o| *o.effective_record() == held),
                 "{count}"
             );
             assert!(
@@ -396,8 +421,8 @@
             .find(|o| !o.record.details.rivals.is_empty())
             .unwrap();
         let rival = winner.record.details.rivals[0].token;
-        winner.rival_heard(rival, 50);
-        assert!(!winner.let_go(50) && winner.contested());
-        assert!(winner.let_go(51) && !winner.contested());
+        winner.record_rival_contact(rival, 50);
+        assert!(!winner.expire_rivals(50) && winner.is_contested());
+        assert!(winner.expire_rivals(51) && !winner.is_contested());
     }
 }
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Parts that the view is compared by.
-pub const PARTS: usize = 64;
+pub const BUCKETS: usize = 64;
 
 /// One member, as this node sees it.
 #[derive(Clone, Debug)]
@@ -15,21 +15,21 @@
     /// What is said of it.
     pub record: Record,
     /// Since when it is in its state, here.
-    pub since: Micros,
+    pub state_since: Micros,
     /// Who told.
-    pub told_by: String,
+    pub reported_by: String,
     /// When it last answered this node; nothing if it never has. What it says unasked proves
     /// nothing: anybody can use a name.
-    pub heard: Option<Micros>,
+    pub last_ack: Option<Micros>,
     /// When its reading of its load was heard of, here.
-    pub load_at: Micros,
+    pub load_updated_at: Micros,
     /// The suspicion, while it is a suspect.
     pub suspicion: Option<Suspicion>,
     /// How often it was tried since it is down.
-    pub tries: u32,
+    pub reconnect_attempts: u32,
     /// It is about to be forgotten: no part of the view any more, and not told; it is kept so that
     /// old news of others is known to be old.
-    pub fading: bool,
+    pub is_tombstone: bool,
     hash: u64,
 }
 
@@ -37,21 +37,21 @@
 #[derive(Clone, Debug)]
 pub struct Members {
     all: BTreeMap<String, Member>,
-    parts: [u64; PARTS],
+    parts: [u64; BUCKETS],
     taking_part: usize,
     known: usize,
 }
 
 /// The part of the view that a name is in.
-pub fn part(name: &str) -> usize {
-    digest(name.as_bytes()) as usize % PARTS
+pub fn bucket(name: &str) -> usize {
+    digest(name.as_bytes()) as usize % BUCKETS
 }
 
 impl Default for Members {
     fn default() -> Self {
         Members {
             all: BTreeMap::new(),
-            parts: [0; PARTS],
+            parts: [0; BUCKETS],
             taking_part: 0,
             known: 0,
         }
@@ -82,17 +82,17 @@
     }
 
     /// How many are alive or suspect.
-    pub fn taking_part(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.taking_part
     }
 
     /// How many there should be: those that are in the view and have not left.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.known
     }
 
     /// The digest of each part.
-    pub fn parts(&self) -> &[u64; PARTS] {
+    pub fn bucket_digests(&self) -> &[u64; BUCKETS] {
         &self.parts
     }
 
@@ -107,13 +107,13 @@
     pub fn insert(&mut self, name: &str, record: Record, since: Micros, told_by: &str) {
         let member = Member {
             record,
-            since,
-            told_by: told_by.to_owned(),
-            heard: None,
-            load_at: since,
+            state_since: since,
+            reported_by: told_by.to_owned(),
+            last_ack: None,
+            load_updated_at: since,
             suspicion: None,
-            tries: 0,
-            fading: false,
+            reconnect_attempts: 0,
+            is_tombstone: false,
             hash: 0,
         };
         debug_assert!(!self.all.contains_key(name));
@@ -122,7 +122,7 @@
     }
 
     /// Changes one, and keeps digests and counts right.
-    pub fn change<T>(&mut self, name: &str, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
+    pub fn update<T>(&mut self, name: &str, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
         if !self.all.contains_key(name) {
             return None;
         }
@@ -133,7 +133,7 @@
     }
 
     /// Something of one that is no part of digests and counts.
-    pub fn note(&mut self, name: &str, note: impl FnOnce(&mut Member)) {
+    pub fn annotate(&mut self, name: &str, note: impl FnOnce(&mut Member)) {
         if let Some(member) = self.all.get_mut(name) {
             note(member);
         }
@@ -152,16 +152,16 @@
         let Some(member) = self.all.get_mut(name) else {
             return;
         };
-        if member.fading {
+        if member.is_tombstone {
             return;
         }
-        let (state, part) = (member.record.state, part(name));
+        let (state, part) = (member.record.state, bucket(name));
         let (taking_part, known) = (
-            usize::from(state.takes_part()),
+            usize::from(state.is_active()),
             usize::from(state != State::Left),
         );
         if enters {
-            member.hash = member.record.hash(name);
+            member.hash = member.record.content_hash(name);
             self.parts[part] = self.parts[part].wrapping_add(member.hash);
             self.taking_part += taking_part;
             self.known += known;
@@ -176,31 +176,27 @@
     /// down or gone for longest. One that speaks for itself gets the place of the newest of those
     /// who have never answered this node, too; one that is only heard of gets nobody's that takes
     /// part. So a liar's names push out nobody who was here before them.
-    pub fn least_useful(&self, own: &str, itself: bool) -> Option<String> {
+    pub fn eviction_candidate(&self, own: &str, itself: bool) -> Option<String> {
         let others = || self.all.iter().filter(|(name, _)| name.as_str() != own);
-        let done = others().filter(|(_, m)| m.fading || !m.record.state.takes_part());
-        let done = done.min_by_key(|(_, m)| (!m.fading, m.since));
+        let done = others().filter(|(_, m)| m.is_tombstone || !m.record.state.is_active());
+        let done = done.min_by_key(|(_, m)| (!m.is_tombstone, m.state_since));
         let unheard = || {
             others()
-                .filter(|(_, m)| m.heard.is_none())
-                .max_by_key(|(_, m)| m.since)
+                .filter(|(_, m)| m.last_ack.is_none())
+                .max_by_key(|(_, m)| m.state_since)
         };
         done.or_else(|| itself.then(unheard).flatten())
             .map(|(name, _)| name.clone())
     }
 
     /// Those whose time to be told of is over, and those whose time to be kept is over as well.
-    pub fn outlived(&self, now: Micros, forget: Micros) -> (Vec<String>, Vec<String>) {
+    pub fn expired(&self, now: Micros, forget: Micros) -> (Vec<String>, Vec<String>) {
         let (mut fade, mut gone) = (Vec::new(), Vec::new());
-        for (name, m) in self
-            .all
-            .iter()
-            .filter(|(_, m)| !m.record.state.takes_part())
-        {
-            let age = now - m.since;
+        for (name, m) in self.all.iter().filter(|(_, m)| !m.record.state.is_active()) {
+            let age = now - m.state_since;
             if age > forget + forget / 2 {
                 gone.push(name.clone());
-            } else if age > forget && !m.fading {
+            } else if age > forget && !m.is_tombstone {
                 fade.push(name.clone());
             }
         }
@@ -211,13 +207,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::own::Own;
+    use crate::local_member::LocalMember;
 
     fn record(state: State, incarnation: u64) -> Record {
         Record {
             incarnation,
             state,
-            ..Own::new(1, ([127, 0, 0, 1], 1).into(), "").record
+            ..LocalMember::new(1, ([127, 0, 0, 1], 1).into(), "").record
         }
     }
 
@@ -229,17 +225,20 @@
         b.insert("n2", record(State::Down, 7), 5, "n3");
         b.insert("n3", record(State::Alive, 7), 5, "n3");
         assert_ne!(a.digest(), b.digest());
-        b.change("n2", |m| m.record = record(State::Alive, 1));
+        b.update("n2", |m| m.record = record(State::Alive, 1));
         b.remove("n3");
         b.insert("n1", record(State::Alive, 1), 9, "n4");
-        assert_eq!((a.digest(), a.taking_part(), a.known()), (b.digest(), 2, 2));
+        assert_eq!(
+            (a.digest(), a.active_count(), a.known_count()),
+            (b.digest(), 2, 2)
+        );
         // The load is no part of it, the state is.
-        b.change("n1", |m| m.record.load = (9, 9));
+        b.update("n1", |m| m.record.load = (9, 9));
         assert_eq!(a.digest(), b.digest());
-        b.change("n1", |m| m.record.state = State::Left);
+        b.update("n1", |m| m.record.state = State::Left);
         assert_ne!(a.digest(), b.digest());
-        assert_eq!((b.taking_part(), b.known()), (1, 1));
-        b.change("n1", |m| m.fading = true);
+        assert_eq!((b.active_count(), b.known_count()), (1, 1));
+        b.update("n1", |m| m.is_tombstone = true);
         a.remove("n1");
         assert_eq!(
             a.digest(),
@@ -253,7 +252,7 @@
         let mut all = Members::default();
         all.insert("me", record(State::Alive, 1), 0, "me");
         all.insert("real", record(State::Alive, 1), 0, "me");
-        all.note("real", |m| m.heard = Some(1));
+        all.annotate("real", |m| m.last_ack = Some(1));
         all.insert("hearsay-old", record(State::Alive, 1), 10, "x");
         all.insert("hearsay", record(State::Alive, 1), 20, "x");
         all.insert("down", record(State::Down, 1), 30, "x");
@@ -266,7 +265,7 @@
             (true, Some("hearsay-old")),
             (true, None),
         ] {
-            let least = all.least_useful("me", itself);
+            let least = all.eviction_candidate("me", itself);
             assert_eq!(least.as_deref(), gone);
             least.iter().for_each(|name| drop(all.remove(name)));
         }
--- a/crates/membership/src/node/heard.rs
+++ b/crates/membership/src/membership/messages.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// How a member turns, and why.
-pub(super) struct Turn<'a> {
+pub(super) struct Transition<'a> {
     /// What is said of it from now on.
     pub record: Record,
     /// Who told.
@@ -16,29 +16,29 @@
     pub age: Micros,
 }
 
-impl Fleet {
+impl Membership {
     /// A datagram came.
-    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Broken> {
-        let packet = Packet::read(&self.fleet, bytes)?;
+    pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) -> Result<(), DecodeError> {
+        let packet = Packet::decode(&self.fleet, bytes)?;
         self.present(now);
         let Packet {
-            from,
+            sender: from,
             digest,
             body,
-            news,
-            hint,
+            updates: news,
+            piggyback: hint,
         } = packet;
         if from.name == self.name {
             if from.record.token == self.own.record.token {
                 // Its own word, by way of a seed that is this node, or sent again by somebody.
                 return Ok(());
             }
-            self.own.rival_heard(from.record.token, now);
+            self.own.record_rival_contact(from.record.token, now);
         }
         let before = self.members.get(&from.name).map(|m| m.record.state);
-        self.learn(now, &from, &from.name);
+        self.handle_update(now, &from, &from.name);
         for update in &news {
-            self.learn(now, update, &from.name);
+            self.handle_update(now, update, &from.name);
         }
         self.overhear(&from.name, &body, hint);
         self.answer(now, &from, body, before);
@@ -52,12 +52,12 @@
         if self.hint.is_none() || from == self.name {
             return;
         }
-        let said = if let Body::Said(said) = body {
-            Some(Heard::Said(said.clone()))
+        let said = if let Body::Application(said) = body {
+            Some(ApplicationMessage::Direct(said.clone()))
         } else {
             None
         };
-        let hint = (!hint.is_empty()).then_some(Heard::Hint(hint));
+        let hint = (!hint.is_empty()).then_some(ApplicationMessage::Piggyback(hint));
         for heard in hint.into_iter().chain(said) {
             if self.heard.len() < MOST_HEARD {
                 self.heard.push_back((from.to_owned(), heard));
@@ -70,59 +70,78 @@
         let held = self.members.get(&from.name).map(|m| m.record.state);
         // It lives, and is held to be something else: it hears so, and can say otherwise.
         let accused =
-            held.is_some_and(|held| held != State::Alive) && from.record.state.takes_part();
+            held.is_some_and(|held| held != State::Alive) && from.record.state.is_active();
         let first = accused.then_some(from.name.as_str());
         match body {
-            Body::Ping { seq, to: name } => {
+            Body::Ping {
+                sequence: seq,
+                target: name,
+            } => {
                 if name.is_none_or(|name| name == self.name) {
-                    self.send(now, to, Body::Ack { seq }, first);
+                    self.send(now, to, Body::Ack { sequence: seq }, first);
                 }
             }
-            Body::Ask { seq, name, address } => {
+            Body::PingReq {
+                sequence: seq,
+                name,
+                address,
+            } => {
                 if self.help.len() < MOST_HELP {
                     let ours = self.next_seq();
-                    self.help
-                        .push(Help::new(now, self.rules.probe, ours, (seq, to)));
+                    self.help.push(IndirectProbe::new(
+                        now,
+                        self.rules.probe_interval,
+                        ours,
+                        (seq, to),
+                    ));
                     self.ping(now, ours, &name, address);
                 }
             }
-            Body::Ack { seq } => {
+            Body::Ack { sequence: seq } => {
                 let probed = self
                     .probe
                     .as_ref()
-                    .is_some_and(|p| p.seq == seq && p.name == from.name);
+                    .is_some_and(|p| p.sequence == seq && p.name == from.name);
                 if probed || self.reached == Some(seq) {
-                    self.members.note(&from.name, |m| m.heard = Some(now));
+                    self.members
+                        .annotate(&from.name, |m| m.last_ack = Some(now));
                 }
-                if let Some(at) = self.help.iter().position(|h| h.seq == seq) {
+                if let Some(at) = self.help.iter().position(|h| h.sequence == seq) {
                     let help = self.help.swap_remove(at);
-                    self.send(now, help.of.1, Body::Vouch { seq: help.of.0 }, None);
+                    self.send(
+                        now,
+                        help.origin.1,
+                        Body::IndirectAck {
+                            sequence: help.origin.0,
+                        },
+                        None,
+                    );
                 } else if probed {
                     self.answered();
                 }
                 // One that was not known, or held dead: what it knows is worth asking for at once.
-                if before.is_none_or(|state| !state.takes_part()) && now >= self.next_sync {
+                if before.is_none_or(|state| !state.is_active()) && now >= self.next_sync {
                     self.want_sync(now, to);
                 }
             }
-            Body::Vouch { seq } => {
-                if self.probe.as_ref().is_some_and(|p| p.seq == seq) {
+            Body::IndirectAck { sequence: seq } => {
+                if self.probe.as_ref().is_some_and(|p| p.sequence == seq) {
                     self.answered();
                 }
             }
-            Body::Silence { seq } => {
-                if let Some(probe) = self.probe.as_mut().filter(|p| p.seq == seq) {
-                    probe.silent += 1;
+            Body::Nack { sequence: seq } => {
+                if let Some(probe) = self.probe.as_mut().filter(|p| p.sequence == seq) {
+                    probe.nacks += 1;
                 }
             }
-            Body::News if accused => self.send(now, to, Body::News, first),
-            Body::News | Body::Said(_) => {}
+            Body::Gossip if accused => self.send(now, to, Body::Gossip, first),
+            Body::Gossip | Body::Application(_) => {}
         }
     }
 
     pub(super) fn answered(&mut self) {
-        if self.probe.as_mut().is_some_and(Probe::answer) {
-            self.health.better();
+        if self.probe.as_mut().is_some_and(Probe::acknowledge) {
+            self.health.improve();
         }
     }
 
@@ -143,48 +162,49 @@
         let held = self
             .members
             .get(&from.name)
-            .is_some_and(|m| m.record.state.takes_part());
-        if held && now - since > DIFFER * self.rules.probe && now >= self.next_sync {
+            .is_some_and(|m| m.record.state.is_active());
+        if held && now - since > DIFFER * self.rules.probe_interval && now >= self.next_sync {
             self.want_sync(now, from.record.details.address);
         }
     }
 
     pub(super) fn want_sync(&mut self, now: Micros, to: SocketAddr) {
-        self.next_sync = now + self.rules.probe + self.rng.i64(0..self.rules.probe);
+        self.next_sync =
+            now + self.rules.probe_interval + self.rng.i64(0..self.rules.probe_interval);
         self.sync = Some(to);
     }
 
     /// Takes in a piece of news, by way of this member.
-    pub fn learn(&mut self, now: Micros, said: &Update, teller: &str) {
+    pub fn handle_update(&mut self, now: Micros, said: &Update, teller: &str) {
         if said.name == self.name {
             return self.learn_own(now, &said.record, teller);
         }
         let Some(member) = self.members.get(&said.name) else {
             return self.meet(now, said, teller);
         };
-        let weighed = weigh(&member.record, member.fading, &said.record);
+        let weighed = evaluate_update(&member.record, member.is_tombstone, &said.record);
         let told = if said.name == teller {
-            Cause::Itself
+            Cause::SelfReported
         } else {
-            Cause::Told(teller.to_owned())
+            Cause::ReportedBy(teller.to_owned())
         };
         match weighed {
-            Weighed::Nothing => {}
-            Weighed::Accuses => self.accuse(now, said, told),
-            Weighed::Doubted(record) => {
+            UpdateEffect::Ignored => {}
+            UpdateEffect::Suspicion => self.accuse(now, said, told),
+            UpdateEffect::UnconfirmedFailure(record) => {
                 let said = Update {
                     record,
-                    by: Some(teller.to_owned()),
+                    suspected_by: Some(teller.to_owned()),
                     ..said.clone()
                 };
                 self.accuse(now, &said, told);
             }
-            Weighed::Turns(record) => {
-                let age = Micros::from(said.age_s) * 1_000_000;
+            UpdateEffect::Replaced(record) => {
+                let age = Micros::from(said.state_age_seconds) * 1_000_000;
                 self.turn(
                     now,
                     &said.name,
-                    Turn {
+                    Transition {
                         record,
                         teller,
                         cause: told,
@@ -201,28 +221,28 @@
         let Some(member) = self.members.get(&said.name) else {
             return;
         };
-        let by = said.by.clone().unwrap_or_else(|| match &cause {
-            Cause::Told(teller) => teller.clone(),
+        let by = said.suspected_by.clone().unwrap_or_else(|| match &cause {
+            Cause::ReportedBy(teller) => teller.clone(),
             _ => self.name.clone(),
         });
         let mut joined = member.record.clone();
         let same =
             joined.token == said.record.token && joined.incarnation == said.record.incarnation;
-        let new = joined.join(&said.record);
+        let new = joined.merge(&said.record);
         if same && member.record.state == State::Suspect {
             let mut confirmed = false;
-            self.members.note(&said.name, |m| {
+            self.members.annotate(&said.name, |m| {
                 confirmed = m.suspicion.as_mut().is_some_and(|s| s.confirm(&by));
             });
             if confirmed {
                 self.list(&said.name);
-                self.spread.add(&said.name);
+                self.spread.enqueue(&said.name);
             }
             if !new {
                 return;
             }
             let told_by = member_told(&cause, &self.name);
-            let to = Turn {
+            let to = Transition {
                 record: joined,
                 teller: &told_by,
                 cause,
@@ -233,8 +253,8 @@
         }
         if new {
             let told_by = member_told(&cause, &self.name);
-            let heard_of = matches!(cause, Cause::Told(_)) && joined.state == State::Suspect;
-            let to = Turn {
+            let heard_of = matches!(cause, Cause::ReportedBy(_)) && joined.state == State::Suspect;
+            let to = Transition {
                 record: joined,
                 teller: &told_by,
                 cause,
@@ -242,10 +262,10 @@
                 age: 0,
             };
             self.turn(now, &said.name, to);
-            if heard_of && self.rules.lifeguard.buddy {
+            if heard_of && self.rules.lifeguard.buddy_system {
                 // A few of all who hear of it look for themselves: they confirm or clear it by what
                 // they see.
-                let likely = CHECKERS / self.members.taking_part().max(1) as f64;
+                let likely = CHECKERS / self.members.active_count().max(1) as f64;
                 if self.rng.f64() < likely && self.checks.len() < MOST_CHECKS {
                     self.checks.push_back(said.name.clone());
                 }
@@ -254,8 +274,8 @@
     }
 
     /// A member has another record from now on: the one place where one changes.
-    pub(super) fn turn(&mut self, now: Micros, name: &str, to: Turn) {
-        let Turn {
+    pub(super) fn turn(&mut self, now: Micros, name: &str, to: Transition) {
+        let Transition {
             record,
             teller,
             cause,
@@ -281,37 +301,37 @@
             State::Suspect => None,
             _ => Some(None),
         };
-        self.members.change(name, |m| {
+        self.members.update(name, |m| {
             if m.record.load != record.load {
-                m.load_at = now;
+                m.load_updated_at = now;
             }
             m.record = record;
-            m.fading = false;
+            m.is_tombstone = false;
             if before != after {
-                m.since = now - age;
-                m.told_by = teller.to_owned();
-                m.tries = 0;
+                m.state_since = now - age;
+                m.reported_by = teller.to_owned();
+                m.reconnect_attempts = 0;
             }
         });
         if let Some(suspicion) = suspected {
             self.suspect(name, suspicion);
         }
         if before != after {
-            match (before.takes_part(), after.takes_part()) {
-                (false, true) => self.ring.add(name, &mut self.rng),
+            match (before.is_active(), after.is_active()) {
+                (false, true) => self.ring.insert(name, &mut self.rng),
                 (true, false) => {
                     self.ring.remove(name);
                     // Whoever is cut off now should be found soon.
-                    self.reach = REACH_FIRST * self.rules.probe;
+                    self.reach = REACH_FIRST * self.rules.probe_interval;
                     let soon = now + self.reach;
                     self.next_reach = self.next_reach.min(soon);
                 }
                 _ => {}
             }
             let name = name.to_owned();
-            self.event(Event::Changed {
+            self.event(Event::StateChanged {
                 name,
-                before: Some(before),
+                previous: Some(before),
                 state: after,
                 incarnation,
                 cause,
@@ -319,13 +339,13 @@
         }
         match rivals {
             (true, rivals) if !rivals.is_empty() => {
-                self.event(Event::Conflict {
+                self.event(Event::NameConflict {
                     name: name.to_owned(),
                     address,
                     rivals,
                 });
             }
-            (false, rivals) if rivals.is_empty() => self.event(Event::Resolved {
+            (false, rivals) if rivals.is_empty() => self.event(Event::NameConflictResolved {
                 name: name.to_owned(),
             }),
             _ => {}
@@ -333,7 +353,7 @@
         if digest != self.digest() {
             self.agreed.clear();
         }
-        self.spread.add(name);
+        self.spread.enqueue(name);
     }
 
     /// One that was not known.
@@ -341,35 +361,35 @@
         let Update {
             name,
             record,
-            by,
-            age_s,
+            suspected_by: by,
+            state_age_seconds: age_s,
         } = said;
-        let since = match record.state.takes_part() {
+        let since = match record.state.is_active() {
             true => now,
             false => now - Micros::from(*age_s) * 1_000_000,
         };
-        if now - since > self.rules.forget {
+        if now - since > self.rules.retention {
             return;
         }
-        while self.members.len() >= self.rules.most_members {
-            let Some(other) = self.members.least_useful(&self.name, name == teller) else {
+        while self.members.len() >= self.rules.max_members {
+            let Some(other) = self.members.eviction_candidate(&self.name, name == teller) else {
                 return;
             };
             self.suspect(&other, None);
-            let fading = self.members.remove(&other).is_some_and(|m| m.fading);
+            let fading = self.members.remove(&other).is_some_and(|m| m.is_tombstone);
             self.ring.remove(&other);
             self.spread.remove(&other);
             if !fading {
                 self.event(Event::Forgotten {
                     name: other,
-                    crowded: true,
+                    evicted: true,
                 });
             }
         }
-        self.met |= record.state.takes_part();
+        self.met |= record.state.is_active();
         self.members.insert(name, record.clone(), since, teller);
-        if record.state.takes_part() {
-            self.ring.add(name, &mut self.rng);
+        if record.state.is_active() {
+            self.ring.insert(name, &mut self.rng);
         }
         if record.state == State::Suspect {
             self.suspect(
@@ -378,57 +398,59 @@
             );
         }
         let cause = if name == teller {
-            Cause::Itself
+            Cause::SelfReported
         } else {
-            Cause::Told(teller.to_owned())
+            Cause::ReportedBy(teller.to_owned())
         };
         let (state, incarnation) = (record.state, record.incarnation);
-        self.event(Event::Changed {
+        self.event(Event::StateChanged {
             name: name.clone(),
-            before: None,
+            previous: None,
             state,
             incarnation,
             cause,
         });
         if !record.details.rivals.is_empty() {
             let (address, rivals) = (record.details.address, record.details.rivals.clone());
-            self.event(Event::Conflict {
+            self.event(Event::NameConflict {
                 name: name.clone(),
                 address,
                 rivals,
             });
         }
         self.agreed.clear();
-        self.spread.add(name);
+        self.spread.enqueue(name);
     }
 
     /// Somebody speaks of this node.
     pub(super) fn learn_own(&mut self, now: Micros, said: &Record, teller: &str) {
-        let contested = self.own.contested();
-        match self.own.news(now, said) {
-            Reply::Nothing => return self.publish_if_new(),
-            Reply::Refuted(held) => {
-                self.health.worse(1);
+        let contested = self.own.is_contested();
+        match self.own.handle_update(now, said) {
+            SelfUpdateOutcome::Unchanged => return self.publish_if_new(),
+            SelfUpdateOutcome::Refuted(held) => {
+                self.health.degrade(1);
                 let (by, incarnation) = (teller.to_owned(), self.own.record.incarnation);
                 self.event(Event::Refuted {
-                    held,
-                    by,
+                    claimed: held,
+                    reported_by: by,
                     incarnation,
                 });
             }
-            Reply::Outbid | Reply::Contested | Reply::Yielded => {}
+            SelfUpdateOutcome::Superseded
+            | SelfUpdateOutcome::Contested
+            | SelfUpdateOutcome::Yielded => {}
         }
-        match (contested, self.own.contested()) {
+        match (contested, self.own.is_contested()) {
             (false, true) => {
-                let held = self.own.held();
+                let held = self.own.effective_record();
                 let (address, rivals) = (held.details.address, held.details.rivals.clone());
-                self.event(Event::Conflict {
+                self.event(Event::NameConflict {
                     name: self.name.clone(),
                     address,
                     rivals,
                 });
             }
-            (true, false) => self.event(Event::Resolved {
+            (true, false) => self.event(Event::NameConflictResolved {
                 name: self.name.clone(),
             }),
             _ => {}
@@ -440,7 +462,7 @@
         if self
             .members
             .get(&self.name)
-            .is_some_and(|m| m.record != *self.own.held())
+            .is_some_and(|m| m.record != *self.own.effective_record())
         {
             self.publish();
         }
@@ -448,19 +470,19 @@
 
     /// What this node says of itself goes to the others.
     pub(super) fn publish(&mut self) {
-        let (held, name) = (self.own.held().clone(), self.name.clone());
+        let (held, name) = (self.own.effective_record().clone(), self.name.clone());
         let digest = self.digest();
-        self.members.change(&name, |m| m.record = held);
+        self.members.update(&name, |m| m.record = held);
         if digest != self.digest() {
             self.agreed.clear();
         }
-        self.spread.add(&name);
+        self.spread.enqueue(&name);
     }
 }
 
 fn member_told(cause: &Cause, own: &str) -> String {
     match cause {
-        Cause::Told(teller) => teller.clone(),
+        Cause::ReportedBy(teller) => teller.clone(),
         _ => own.to_owned(),
     }
 }
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,28 +1,28 @@
 //! One node's part in the fleet, as one machine: times, datagrams and what the node says of itself
 //! go in; datagrams, wishes for connections and events come out.
 
-use crate::elsewhere;
+use crate::config::MembershipConfig;
+use crate::dissemination::DisseminationQueue;
 use crate::event::{Cause, Event};
-use crate::health::Health;
+use crate::local_health::LocalHealth;
+use crate::local_member::{LocalMember, ResumeState, SelfUpdateOutcome, MAX_CONTACTS};
 use crate::members::Members;
-use crate::message::{length, Body, Broken, Packet, Update};
-use crate::news::{weigh, Weighed};
-use crate::own::{Own, Passed, Reply, MOST_CONTACTS};
-use crate::probe::{Help, Next, Probe};
-use crate::record::{Record, Standing, State};
-use crate::ring::Ring;
-use crate::rules::Rules;
-use crate::spread::Spread;
+use crate::message::{encoded_length, Body, DecodeError, Packet, Update};
+use crate::probe::{IndirectProbe, Probe, ProbeStep};
+use crate::probe_schedule::ProbeSchedule;
+use crate::record::{Record, ServiceState, State};
+use crate::spare_capacity;
 use crate::suspicion::Suspicion;
+use crate::update_rules::{evaluate_update, UpdateEffect};
 use crate::Micros;
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-mod due;
-mod heard;
+mod messages;
+mod timers;
 
-use heard::Turn;
+use messages::Transition;
 
 /// Probes for others at one time.
 const MOST_HELP: usize = 64;
@@ -55,36 +55,36 @@
 
 /// What a member said that is not about the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ApplicationMessage {
     /// What travelled with something else.
-    Hint(Vec<u8>),
+    Piggyback(Vec<u8>),
     /// What it said to this node.
-    Said(Vec<u8>),
+    Direct(Vec<u8>),
 }
 
 /// What was heard and nobody has fetched, at most.
 const MOST_HEARD: usize = 1024;
 
 /// A node's view of the fleet, and all that keeps it.
-pub struct Fleet {
-    rules: Rules,
+pub struct Membership {
+    rules: MembershipConfig,
     fleet: String,
     name: String,
-    own: Own,
+    own: LocalMember,
     members: Members,
     seeds: Vec<SocketAddr>,
     contacts: Vec<SocketAddr>,
     rng: Rng,
     seq: u32,
-    health: Health,
-    ring: Ring,
+    health: LocalHealth,
+    ring: ProbeSchedule,
     probe: Option<Probe>,
     next_probe: Micros,
-    help: Vec<Help>,
+    help: Vec<IndirectProbe>,
     checks: VecDeque<String>,
     /// Ends of suspicions, the first one first.
     deadlines: BTreeSet<(Micros, String)>,
-    spread: Spread,
+    spread: DisseminationQueue,
     next_gossip: Micros,
     reach: Micros,
     next_reach: Micros,
@@ -107,20 +107,27 @@
     /// What travels with everything that is sent, where a part that stands on the view wants that;
     /// and what it is to hear.
     hint: Option<Vec<u8>>,
-    heard: VecDeque<(String, Heard)>,
+    heard: VecDeque<(String, ApplicationMessage)>,
     events: VecDeque<Event>,
     lost_events: u64,
 }
 
-impl Fleet {
+impl Membership {
     /// A node that has just started and knows nobody.
-    pub fn new(rules: Rules, fleet: &str, name: &str, own: Own, seed: u64, now: Micros) -> Fleet {
+    pub fn new(
+        rules: MembershipConfig,
+        fleet: &str,
+        name: &str,
+        own: LocalMember,
+        seed: u64,
+        now: Micros,
+    ) -> Membership {
         let mut rng = Rng::with_seed(seed);
-        let period = rules.probe;
+        let period = rules.probe_interval;
         let first = now + rng.i64(0..period);
         let mut members = Members::default();
-        members.insert(name, own.held().clone(), now, name);
-        Fleet {
+        members.insert(name, own.effective_record().clone(), now, name);
+        Membership {
             fleet: fleet.to_owned(),
             name: name.to_owned(),
             own,
@@ -129,14 +136,14 @@
             contacts: Vec::new(),
             seq: rng.u32(..),
             rng,
-            health: Health::default(),
-            ring: Ring::default(),
+            health: LocalHealth::default(),
+            ring: ProbeSchedule::default(),
             probe: None,
             next_probe: first,
             help: Vec::new(),
             checks: VecDeque::new(),
             deadlines: BTreeSet::new(),
-            spread: Spread::default(),
+            spread: DisseminationQueue::default(),
             next_gossip: now,
             reach: REACH_FIRST * period,
             next_reach: now,
@@ -161,48 +168,48 @@
     }
 
     /// Where others may be met. What is no member's address is asked again and again.
-    pub fn seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
     /// Where some members were a moment ago: asked once.
-    pub fn contacts(&mut self, contacts: Vec<SocketAddr>) {
+    pub fn set_contacts(&mut self, contacts: Vec<SocketAddr>) {
         self.contacts = contacts;
     }
 
     /// What a process goes on with that takes this one's place.
-    pub fn pass_on(&self) -> Passed {
+    pub fn resume_state(&self) -> ResumeState {
         let others = self
             .members
             .iter()
             .filter(|(name, m)| *name != self.name && m.record.state == State::Alive);
         let contacts = others
             .map(|(_, m)| m.record.details.address)
-            .take(MOST_CONTACTS)
+            .take(MAX_CONTACTS)
             .collect();
-        Passed {
+        ResumeState {
             record: self.own.record.clone(),
             contacts,
         }
     }
 
     /// Takes over times and bounds.
-    pub fn set_rules(&mut self, rules: Rules) {
+    pub fn set_config(&mut self, rules: MembershipConfig) {
         self.rules = rules;
     }
 
     /// The rules.
-    pub fn rules(&self) -> &Rules {
+    pub fn config(&self) -> &MembershipConfig {
         &self.rules
     }
 
     /// The fleet's name.
-    pub fn fleet(&self) -> &str {
+    pub fn fleet_name(&self) -> &str {
         &self.fleet
     }
 
     /// This node's name.
-    pub fn name(&self) -> &str {
+    pub fn local_name(&self) -> &str {
         &self.name
     }
 
@@ -212,19 +219,19 @@
     }
 
     /// What this process says of itself, as it would pass it on to one that goes on in its place.
-    pub fn own_record(&self) -> &Record {
+    pub fn local_record(&self) -> &Record {
         &self.own.record
     }
 
     /// How far it trusts itself: 0 when all is well, to 8.
-    pub fn health(&self) -> u32 {
+    pub fn local_health_score(&self) -> u32 {
         self.health.score()
     }
 
     /// Whether this node's view has come to rest: nobody is suspected, and the last ones heard have
     /// the same view.
-    pub fn settled(&self) -> bool {
-        let others = self.members.taking_part().saturating_sub(1);
+    pub fn is_converged(&self) -> bool {
+        let others = self.members.active_count().saturating_sub(1);
         let met = self.met
             || self
                 .seeds
@@ -234,8 +241,9 @@
     }
 
     /// Whether it sees no majority of those it knows.
-    pub fn cut_off(&self) -> bool {
-        self.members.known() > 1 && 2 * self.members.taking_part() <= self.members.known()
+    pub fn is_partitioned(&self) -> bool {
+        self.members.known_count() > 1
+            && 2 * self.members.active_count() <= self.members.known_count()
     }
 
     /// The digest of the view.
@@ -244,7 +252,7 @@
     }
 
     /// What is to be sent.
-    pub fn take_out(&mut self) -> Vec<Datagram> {
+    pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.out)
     }
 
@@ -257,26 +265,26 @@
     }
 
     /// Whether there is a member to be connected to.
-    pub fn wants_sync(&self) -> bool {
+    pub fn has_sync_target(&self) -> bool {
         self.sync.is_some()
     }
 
     /// A member to be connected to, as views differ. The wish is taken with this.
-    pub fn take_sync(&mut self) -> Option<SocketAddr> {
+    pub fn take_sync_target(&mut self) -> Option<SocketAddr> {
         self.sync.take()
     }
 
     /// What the node says of itself.
-    pub fn say(&mut self, standing: Standing, payload: &[u8]) {
+    pub fn set_service_state(&mut self, standing: ServiceState, payload: &[u8]) {
         let same = {
             let d = &self.own.record.details;
-            d.standing == standing && d.payload == payload
+            d.service_state == standing && d.payload == payload
         };
         if same {
             return;
         }
-        let said = self.own.say(|d| {
-            d.standing = standing;
+        let said = self.own.update_details(|d| {
+            d.service_state = standing;
             d.payload = payload.to_vec();
         });
         if said {
@@ -286,12 +294,12 @@
 
     /// The rank below which it refuses, in 255ths. It is told as often as the fleet can bear, and
     /// again while it refuses anything, as old news counts for nothing.
-    pub fn load(&mut self, now: Micros, cut: u8) {
+    pub fn report_load(&mut self, now: Micros, cut: u8) {
         let (reading, before) = self.own.record.load;
         let since = now - self.load_at;
-        let least = LOAD_LEAST.max(self.members.taking_part() as Micros * LOAD_EACH);
+        let least = LOAD_LEAST.max(self.members.active_count() as Micros * LOAD_EACH);
         let again = cut > 0 && since >= LOAD_AGAIN.max(least);
-        if self.members.taking_part() <= elsewhere::MOST
+        if self.members.active_count() <= spare_capacity::MAX_MEMBERS
             && since >= least
             && (cut != before || again)
         {
@@ -305,53 +313,59 @@
     pub fn leave(&mut self, now: Micros) {
         self.own.leave();
         self.publish();
-        for name in self.ring.some(2 * Rules::HELPERS, &[], &mut self.rng) {
+        for name in
+            self.ring
+                .random_members(2 * MembershipConfig::INDIRECT_PROBES, &[], &mut self.rng)
+        {
             self.news_to(now, &name);
         }
     }
 
     /// A part stands on the view: this travels with everything from now on, and what is not about
     /// the view is kept for it.
-    pub fn set_hint(&mut self, hint: Vec<u8>) {
+    pub fn set_piggyback(&mut self, hint: Vec<u8>) {
         self.hint = Some(hint);
     }
 
     /// What members have said to that part.
-    pub fn take_heard(&mut self) -> Option<(String, Heard)> {
+    pub fn take_application_message(&mut self) -> Option<(String, ApplicationMessage)> {
         self.heard.pop_front()
     }
 
     /// Says something of that part to a member; whether it is known.
-    pub fn tell(&mut self, to: &str, said: Vec<u8>) -> bool {
+    pub fn send_application_message(&mut self, to: &str, said: Vec<u8>) -> bool {
         let Some(address) = self.members.get(to).map(|m| m.record.details.address) else {
             return false;
         };
         let (from, digest, hint) = (
-            self.own(),
+            self.local_update(),
             self.digest(),
             self.hint.clone().unwrap_or_default(),
         );
         let packet = Packet {
-            from,
+            sender: from,
             digest,
-            body: Body::Said(said),
-            news: Vec::new(),
-            hint,
+            body: Body::Application(said),
+            updates: Vec::new(),
+            piggyback: hint,
         };
-        self.out.push((address, packet.write(&self.fleet)));
+        self.out.push((address, packet.encode(&self.fleet)));
         true
     }
 
     /// Has what travels with everything go to some members at once.
-    pub fn spread_hint(&mut self, now: Micros) {
-        for name in self.ring.some(Rules::HELPERS, &[], &mut self.rng) {
+    pub fn gossip_piggyback(&mut self, now: Micros) {
+        for name in self
+            .ring
+            .random_members(MembershipConfig::INDIRECT_PROBES, &[], &mut self.rng)
+        {
             self.news_to(now, &name);
         }
     }
 
     /// When it wants to be woken. To be asked after all that it is told: it holds its driver to the
     /// last answer, to know when it was not there.
-    pub fn next_wake(&mut self) -> Micros {
+    pub fn next_wakeup(&mut self) -> Micros {
         let at = self.due();
         self.expected = Some(at.max(self.there));
         at
@@ -361,12 +375,12 @@
         let probe = self
             .probe
             .as_ref()
-            .map_or(self.next_probe, |p| p.due().min(p.end()));
+            .map_or(self.next_probe, |p| p.next_step_at().min(p.period_end()));
         let silent = self
             .help
             .iter()
-            .filter(|h| !h.silent)
-            .map(|h| h.silent_at)
+            .filter(|h| !h.nack_sent)
+            .map(|h| h.nack_at)
             .min();
         let gossip = (!self.spread.is_empty() && !self.ring.is_empty()).then_some(self.next_gossip);
         let deadline = self.deadlines.first().map(|(at, _)| *at);
@@ -381,7 +395,7 @@
     }
 
     /// It is time for something.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn handle_wakeup(&mut self, now: Micros) {
         self.present(now);
         // As before a datagram: what is waiting to be read may be what is waited for.
         self.probes(now);
@@ -399,28 +413,28 @@
         let Some(late) = self.expected.map(|at| now - at) else {
             return;
         };
-        if late <= self.rules.probe / 2 {
+        if late <= self.rules.probe_interval / 2 {
             return;
         }
-        if self.rules.lifeguard.health {
-            self.health.worse(1);
+        if self.rules.lifeguard.local_health {
+            self.health.degrade(1);
         }
         self.expected = Some(now);
-        if late <= self.rules.probe {
+        if late <= self.rules.probe_interval {
             return;
         }
-        self.event(Event::Late(late));
+        self.event(Event::LocalDelay(late));
         // Its own probe says nothing, and suspects have the time again that it was away:
         // refutations may wait to be read.
         if let Some(probe) = self.probe.take() {
             self.checks.push_front(probe.name);
             self.checks.truncate(MOST_CHECKS);
         }
-        self.next_probe = now + self.rules.probe / 2;
+        self.next_probe = now + self.rules.probe_interval / 2;
         for (_, name) in self.deadlines.clone() {
-            self.members.note(&name, |m| {
+            self.members.annotate(&name, |m| {
                 if let Some(suspicion) = &mut m.suspicion {
-                    suspicion.put_off(late);
+                    suspicion.extend(late);
                 }
             });
             self.list(&name);
@@ -430,9 +444,12 @@
 
     /// Lists the end of a member's suspicion, if it is suspected, and of none else.
     fn list(&mut self, name: &str) {
-        let (rules, members, deadlines) =
-            (&self.rules, self.members.taking_part(), &mut self.deadlines);
-        self.members.note(name, |m| {
+        let (rules, members, deadlines) = (
+            &self.rules,
+            self.members.active_count(),
+            &mut self.deadlines,
+        );
+        self.members.annotate(name, |m| {
             if let Some(suspicion) = &mut m.suspicion {
                 deadlines.remove(&(suspicion.listed, name.to_owned()));
                 suspicion.listed = suspicion.deadline(rules, members);
@@ -444,7 +461,7 @@
     /// A member is not suspected any more, or anew.
     fn suspect(&mut self, name: &str, suspicion: Option<Suspicion>) {
         let deadlines = &mut self.deadlines;
-        self.members.note(name, |m| {
+        self.members.annotate(name, |m| {
             if let Some(before) = std::mem::replace(&mut m.suspicion, suspicion) {
                 deadlines.remove(&(before.listed, name.to_owned()));
             }
@@ -462,84 +479,87 @@
 
     /// Says so when the majority is lost or found.
     fn watch(&mut self) {
-        let now = self.cut_off();
+        let now = self.is_partitioned();
         if std::mem::replace(&mut self.cut_off, now) != now {
-            self.event(Event::CutOff(now));
+            self.event(Event::Partitioned(now));
         }
     }
 
     // What is sent.
 
     /// This node's own record, as it is told.
-    pub fn own(&self) -> Update {
+    pub fn local_update(&self) -> Update {
         Update {
             name: self.name.clone(),
             record: self.own.record.clone(),
-            by: None,
-            age_s: 0,
+            suspected_by: None,
+            state_age_seconds: 0,
         }
     }
 
     /// What is told of a member; nothing of one that is not known, or about to be forgotten.
-    pub fn update(&self, now: Micros, name: &str) -> Option<Update> {
-        let m = self.members.get(name).filter(|m| !m.fading)?;
-        let by = m.suspicion.as_ref().and_then(|s| s.by().last().cloned());
-        let age_s = match m.record.state.takes_part() {
+    pub fn update_about(&self, now: Micros, name: &str) -> Option<Update> {
+        let m = self.members.get(name).filter(|m| !m.is_tombstone)?;
+        let by = m
+            .suspicion
+            .as_ref()
+            .and_then(|s| s.reporters().last().cloned());
+        let age_s = match m.record.state.is_active() {
             true => 0,
-            false => u32::try_from((now - m.since).max(0) / 1_000_000).unwrap_or(u32::MAX),
+            false => u32::try_from((now - m.state_since).max(0) / 1_000_000).unwrap_or(u32::MAX),
         };
         Some(Update {
             name: name.to_owned(),
             record: m.record.clone(),
-            by,
-            age_s,
+            suspected_by: by,
+            state_age_seconds: age_s,
         })
     }
 
     /// Sends something with as much news as fits; first that of one member, if there is one.
     fn send(&mut self, now: Micros, to: SocketAddr, body: Body, first: Option<&str>) {
         let mut packet = Packet {
-            from: self.own(),
+            sender: self.local_update(),
             digest: self.digest(),
             body,
-            news: Vec::new(),
-            hint: Vec::new(),
+            updates: Vec::new(),
+            piggyback: Vec::new(),
         };
-        packet.hint = self.hint.clone().unwrap_or_default();
+        packet.piggyback = self.hint.clone().unwrap_or_default();
         let mut room = self
             .rules
-            .most_datagram
-            .saturating_sub(packet.write(&self.fleet).len() + OVERHEAD);
-        if let Some(update) = first.and_then(|name| self.update(now, name)) {
-            room = room.saturating_sub(length(&update));
-            packet.news.push(update);
+            .max_datagram_bytes
+            .saturating_sub(packet.encode(&self.fleet).len() + OVERHEAD);
+        if let Some(update) = first.and_then(|name| self.update_about(now, name)) {
+            room = room.saturating_sub(encoded_length(&update));
+            packet.updates.push(update);
         }
-        let most = self.rules.sendings(self.members.taking_part());
+        let most = self.rules.max_transmissions(self.members.active_count());
         let mut spread = std::mem::take(&mut self.spread);
-        spread.take(most, |name| {
+        spread.take_batch(most, |name| {
             // One that was forgotten meanwhile takes no room.
-            let Some(update) = self.update(now, name) else {
+            let Some(update) = self.update_about(now, name) else {
                 return true;
             };
-            let length = length(&update);
+            let length = encoded_length(&update);
             if length > room {
                 return false;
             }
             room -= length;
             if first != Some(name) {
-                packet.news.push(update);
+                packet.updates.push(update);
             }
             true
         });
         self.spread = spread;
-        self.out.push((to, packet.write(&self.fleet)));
+        self.out.push((to, packet.encode(&self.fleet)));
     }
 
     fn news_to(&mut self, now: Micros, name: &str) {
         let Some(to) = self.members.get(name).map(|m| m.record.details.address) else {
             return;
         };
-        self.send(now, to, Body::News, None);
+        self.send(now, to, Body::Gossip, None);
     }
 
     fn next_seq(&mut self) -> u32 {
@@ -553,22 +573,22 @@
             .members
             .get(name)
             .is_none_or(|m| m.record.state == State::Alive);
-        let first = (!alive && self.rules.lifeguard.buddy).then_some(name);
+        let first = (!alive && self.rules.lifeguard.buddy_system).then_some(name);
         self.send(
             now,
             address,
             Body::Ping {
-                seq,
-                to: Some(name.to_owned()),
+                sequence: seq,
+                target: Some(name.to_owned()),
             },
             first,
         );
     }
 
     /// How many members are in each state, for figures.
-    pub fn states(&self) -> BTreeMap<State, usize> {
+    pub fn count_by_state(&self) -> BTreeMap<State, usize> {
         let mut states = BTreeMap::new();
-        for (_, m) in self.members.iter().filter(|(_, m)| !m.fading) {
+        for (_, m) in self.members.iter().filter(|(_, m)| !m.is_tombstone) {
             *states.entry(m.record.state).or_default() += 1;
         }
         states
--- a/crates/membership/src/node/due.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -3,27 +3,29 @@
 
 use super::*;
 
-impl Fleet {
+impl Membership {
     pub(super) fn probes(&mut self, now: Micros) {
         if let Some(mut probe) = self.probe.take() {
-            match probe.next(now) {
-                Next::Wait if now < probe.end() => return self.probe = Some(probe),
-                Next::Wait => {}
-                Next::Again => {
-                    self.ping(now, probe.seq, &probe.name, probe.address);
+            match probe.next_step(now) {
+                ProbeStep::Wait if now < probe.period_end() => return self.probe = Some(probe),
+                ProbeStep::Wait => {}
+                ProbeStep::Retry => {
+                    self.ping(now, probe.sequence, &probe.name, probe.address);
                     return self.probe = Some(probe);
                 }
-                Next::Ask => {
-                    probe.helpers = self
-                        .ring
-                        .some(Rules::HELPERS, &[&probe.name], &mut self.rng);
+                ProbeStep::PingReq => {
+                    probe.helpers = self.ring.random_members(
+                        MembershipConfig::INDIRECT_PROBES,
+                        &[&probe.name],
+                        &mut self.rng,
+                    );
                     for helper in probe.helpers.clone() {
                         let Some(to) = self.members.get(&helper).map(|m| m.record.details.address)
                         else {
                             continue;
                         };
-                        let body = Body::Ask {
-                            seq: probe.seq,
+                        let body = Body::PingReq {
+                            sequence: probe.sequence,
                             name: probe.name.clone(),
                             address: probe.address,
                         };
@@ -31,7 +33,7 @@
                     }
                     return self.probe = Some(probe);
                 }
-                Next::Failed => self.missed(now, &probe),
+                ProbeStep::Failed => self.missed(now, &probe),
             }
         }
         if now < self.next_probe {
@@ -41,16 +43,16 @@
         let wanted = check.take(MOST_CHECKS).find(|name| {
             self.members
                 .get(name)
-                .is_some_and(|m| m.record.state.takes_part())
+                .is_some_and(|m| m.record.state.is_active())
                 && *name != self.name
         });
-        let Some(name) = wanted.or_else(|| self.ring.next(&mut self.rng)) else {
-            self.next_probe = now + self.rules.probe;
+        let Some(name) = wanted.or_else(|| self.ring.next_target(&mut self.rng)) else {
+            self.next_probe = now + self.rules.probe_interval;
             return;
         };
-        let period = match self.rules.lifeguard.health {
-            true => self.health.stretch(self.rules.probe),
-            false => self.rules.probe,
+        let period = match self.rules.lifeguard.local_health {
+            true => self.health.scale(self.rules.probe_interval),
+            false => self.rules.probe_interval,
         };
         self.next_probe = now + period;
         let Some(address) = self.members.get(&name).map(|m| m.record.details.address) else {
@@ -65,13 +67,13 @@
     pub(super) fn missed(&mut self, now: Micros, probe: &Probe) {
         // Helpers that said nothing at all were not reached, or could not reach this node: it may
         // be its own doing.
-        let unheard = probe.helpers.len().saturating_sub(probe.silent) as u32;
+        let unheard = probe.helpers.len().saturating_sub(probe.nacks) as u32;
         self.health
-            .worse(if probe.helpers.is_empty() { 1 } else { unheard });
+            .degrade(if probe.helpers.is_empty() { 1 } else { unheard });
         let Some(member) = self.members.get(&probe.name) else {
             return;
         };
-        if !member.record.state.takes_part() {
+        if !member.record.state.is_active() {
             return;
         }
         let record = Record {
@@ -82,10 +84,10 @@
         let said = Update {
             name: probe.name.clone(),
             record,
-            by,
-            age_s: 0,
+            suspected_by: by,
+            state_age_seconds: 0,
         };
-        self.accuse(now, &said, Cause::Missed(probe.helpers.clone()));
+        self.accuse(now, &said, Cause::ProbeFailed(probe.helpers.clone()));
     }
 
     pub(super) fn helps(&mut self, now: Micros) {
@@ -93,14 +95,14 @@
         for help in self
             .help
             .iter_mut()
-            .filter(|h| !h.silent && h.silent_at <= now)
+            .filter(|h| !h.nack_sent && h.nack_at <= now)
         {
-            help.silent = true;
-            silent.push(help.of);
+            help.nack_sent = true;
+            silent.push(help.origin);
         }
-        self.help.retain(|h| h.until > now);
+        self.help.retain(|h| h.expires_at > now);
         for (seq, to) in silent {
-            self.send(now, to, Body::Silence { seq }, None);
+            self.send(now, to, Body::Nack { sequence: seq }, None);
         }
     }
 
@@ -116,16 +118,16 @@
             let by = member
                 .suspicion
                 .as_ref()
-                .map_or(Vec::new(), |s| s.by().to_vec());
+                .map_or(Vec::new(), |s| s.reporters().to_vec());
             let record = Record {
                 state: State::Down,
                 ..member.record.clone()
             };
             let told_by = self.name.clone();
-            let to = Turn {
+            let to = Transition {
                 record,
                 teller: &told_by,
-                cause: Cause::Confirmed(by),
+                cause: Cause::SuspicionExpired(by),
                 by: None,
                 age: 0,
             };
@@ -140,13 +142,13 @@
             return;
         }
         self.next_reach = now + self.reach / 2 + self.rng.i64(0..=self.reach / 2);
-        self.reach = (self.reach + self.reach / 4).min(REACH_MOST * self.rules.probe);
+        self.reach = (self.reach + self.reach / 4).min(REACH_MOST * self.rules.probe_interval);
         let seq = self.next_seq();
         self.reached = Some(seq);
         let addresses: BTreeSet<SocketAddr> = self
             .members
             .iter()
-            .filter(|(_, m)| m.record.state.takes_part())
+            .filter(|(_, m)| m.record.state.is_active())
             .map(|(_, m)| m.record.details.address)
             .collect();
         let asked: Vec<SocketAddr> = std::mem::take(&mut self.contacts)
@@ -155,37 +157,59 @@
             .collect();
         for seed in asked {
             if !addresses.contains(&seed) {
-                self.send(now, seed, Body::Ping { seq, to: None }, None);
+                self.send(
+                    now,
+                    seed,
+                    Body::Ping {
+                        sequence: seq,
+                        target: None,
+                    },
+                    None,
+                );
             }
         }
-        for rival in self.own.rivals() {
-            self.send(now, rival, Body::Ping { seq, to: None }, None);
+        for rival in self.own.rival_addresses() {
+            self.send(
+                now,
+                rival,
+                Body::Ping {
+                    sequence: seq,
+                    target: None,
+                },
+                None,
+            );
         }
         if self
             .own
-            .let_go(now - 3 * self.rules.suspicion(self.members.taking_part(), 0))
+            .expire_rivals(now - 3 * self.rules.suspicion_timeout(self.members.active_count(), 0))
         {
             self.publish();
         }
         let down = self
             .members
             .iter()
-            .filter(|(_, m)| m.record.state == State::Down && !m.fading);
+            .filter(|(_, m)| m.record.state == State::Down && !m.is_tombstone);
         // The ones that were tried least; at random among these, or all would try the same.
         let mut least: Vec<(u32, String)> = Vec::new();
         for (name, m) in down {
-            if least.first().is_none_or(|(tries, _)| m.tries <= *tries) {
-                if least.first().is_some_and(|(tries, _)| m.tries < *tries) {
+            if least
+                .first()
+                .is_none_or(|(tries, _)| m.reconnect_attempts <= *tries)
+            {
+                if least
+                    .first()
+                    .is_some_and(|(tries, _)| m.reconnect_attempts < *tries)
+                {
                     least.clear();
                 }
-                least.push((m.tries, name.to_owned()));
+                least.push((m.reconnect_attempts, name.to_owned()));
             }
         }
         if least.is_empty() {
             return;
         }
         let (_, name) = least.swap_remove(self.rng.usize(..least.len()));
-        self.members.note(&name, |m| m.tries += 1);
+        self.members.annotate(&name, |m| m.reconnect_attempts += 1);
         let address = self.members.get(&name).map(|m| m.record.details.address);
         if let Some(address) = address {
             // It is told what it is held to be, whatever else is switched off: else it can't say
@@ -194,8 +218,8 @@
                 now,
                 address,
                 Body::Ping {
-                    seq,
-                    to: Some(name.clone()),
+                    sequence: seq,
+                    target: Some(name.clone()),
                 },
                 Some(&name),
             );
@@ -206,8 +230,11 @@
         if self.spread.is_empty() || now < self.next_gossip {
             return;
         }
-        self.next_gossip = now + self.rules.gossip();
-        for name in self.ring.some(Rules::HELPERS, &[], &mut self.rng) {
+        self.next_gossip = now + self.rules.gossip_interval();
+        for name in self
+            .ring
+            .random_members(MembershipConfig::INDIRECT_PROBES, &[], &mut self.rng)
+        {
             if self.spread.is_empty() {
                 return;
             }
@@ -220,15 +247,15 @@
             return;
         }
         // Often: until the last one has forgotten a member, views differ.
-        self.next_tidy = now + 2 * self.rules.probe;
-        let (fade, gone) = self.members.outlived(now, self.rules.forget);
+        self.next_tidy = now + 2 * self.rules.probe_interval;
+        let (fade, gone) = self.members.expired(now, self.rules.retention);
         for name in fade {
-            self.members.change(&name, |m| m.fading = true);
+            self.members.update(&name, |m| m.is_tombstone = true);
             self.spread.remove(&name);
             self.agreed.clear();
             self.event(Event::Forgotten {
                 name,
-                crowded: false,
+                evicted: false,
             });
         }
         for name in gone {
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -16,13 +16,13 @@
 
 /// What is to be done about a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum ProbeStep {
     /// Nothing yet.
     Wait,
     /// Ping it once more.
-    Again,
+    Retry,
     /// Ask others to.
-    Ask,
+    PingReq,
     /// Nobody had an answer.
     Failed,
 }
@@ -35,11 +35,11 @@
     /// Where.
     pub address: SocketAddr,
     /// Its number.
-    pub seq: u32,
+    pub sequence: u32,
     /// Who was asked to help.
     pub helpers: Vec<String>,
     /// How many of them said that they had no answer either.
-    pub silent: usize,
+    pub nacks: usize,
     start: Micros,
     period: Micros,
     pinged: u32,
@@ -53,9 +53,9 @@
         Probe {
             name,
             address,
-            seq,
+            sequence: seq,
             helpers,
-            silent,
+            nacks: silent,
             start: now,
             period,
             pinged: 1,
@@ -64,12 +64,12 @@
     }
 
     /// It answered, one way or another; whether that is new.
-    pub fn answer(&mut self) -> bool {
+    pub fn acknowledge(&mut self) -> bool {
         !std::mem::replace(&mut self.answered, true)
     }
 
     /// When something is to be done about it, if it is not answered by then.
-    pub fn due(&self) -> Micros {
+    pub fn next_step_at(&self) -> Micros {
         let after = match self.pinged {
             _ if self.answered => self.period,
             1 => share(self.period, AGAIN),
@@ -80,48 +80,48 @@
     }
 
     /// What is to be done now.
-    pub fn next(&mut self, now: Micros) -> Next {
-        if now < self.due() || self.answered {
-            return Next::Wait;
+    pub fn next_step(&mut self, now: Micros) -> ProbeStep {
+        if now < self.next_step_at() || self.answered {
+            return ProbeStep::Wait;
         }
         self.pinged += 1;
         match self.pinged {
-            2 => Next::Again,
-            3 => Next::Ask,
-            _ => Next::Failed,
+            2 => ProbeStep::Retry,
+            3 => ProbeStep::PingReq,
+            _ => ProbeStep::Failed,
         }
     }
 
     /// When the next probe begins.
-    pub fn end(&self) -> Micros {
+    pub fn period_end(&self) -> Micros {
         self.start + self.period
     }
 }
 
 /// A probe for another member.
 #[derive(Clone, Debug)]
-pub struct Help {
+pub struct IndirectProbe {
     /// This node's number of it.
-    pub seq: u32,
+    pub sequence: u32,
     /// The other's number, and where it is to be told.
-    pub of: (u32, SocketAddr),
+    pub origin: (u32, SocketAddr),
     /// When it is told that there was no answer yet.
-    pub silent_at: Micros,
+    pub nack_at: Micros,
     /// It was.
-    pub silent: bool,
+    pub nack_sent: bool,
     /// When an answer is of no use any more.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
-impl Help {
+impl IndirectProbe {
     /// One that begins now.
-    pub fn new(now: Micros, period: Micros, seq: u32, of: (u32, SocketAddr)) -> Help {
-        Help {
-            seq,
-            of,
-            silent_at: now + share(period, SILENT),
-            silent: false,
-            until: now + 4 * period,
+    pub fn new(now: Micros, period: Micros, seq: u32, of: (u32, SocketAddr)) -> IndirectProbe {
+        IndirectProbe {
+            sequence: seq,
+            origin: of,
+            nack_at: now + share(period, SILENT),
+            nack_sent: false,
+            expires_at: now + 4 * period,
         }
     }
 }
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/probe_schedule.rs
@@ -5,15 +5,15 @@
 
 /// The members to be probed, and where this node is on its way through them.
 #[derive(Clone, Debug, Default)]
-pub struct Ring {
+pub struct ProbeSchedule {
     names: Vec<String>,
     next: usize,
 }
 
-impl Ring {
+impl ProbeSchedule {
     /// A member is to be probed from now on: at a random place, or all newcomers would be probed at
     /// once.
-    pub fn add(&mut self, name: &str, rng: &mut Rng) {
+    pub fn insert(&mut self, name: &str, rng: &mut Rng) {
         if self.names.iter().any(|n| n == name) {
             return;
         }
@@ -31,7 +31,7 @@
     }
 
     /// The next one. After the last all are shuffled.
-    pub fn next(&mut self, rng: &mut Rng) -> Option<String> {
+    pub fn next_target(&mut self, rng: &mut Rng) -> Option<String> {
         if self.next >= self.names.len() {
             rng.shuffle(&mut self.names);
             self.next = 0;
@@ -42,7 +42,7 @@
     }
 
     /// Some others, at random, but not these.
-    pub fn some(&self, count: usize, not: &[&str], rng: &mut Rng) -> Vec<String> {
+    pub fn random_members(&self, count: usize, not: &[&str], rng: &mut Rng) -> Vec<String> {
         let mut picked = Vec::new();
         if self.names.len() <= 4 * (count + not.len()) {
             let others = self.names.iter().filter(|n| !not.contains(&n.as_str()));
@@ -78,29 +78,29 @@
     #[test]
     fn each_has_its_turn_once_a_round_whoever_comes_and_goes() {
         let mut rng = Rng::with_seed(1);
-        let mut ring = Ring::default();
-        assert_eq!(ring.next(&mut rng), None);
-        (0..20).for_each(|i| ring.add(&format!("n{i}"), &mut rng));
-        ring.add("n3", &mut rng);
+        let mut ring = ProbeSchedule::default();
+        assert_eq!(ring.next_target(&mut rng), None);
+        (0..20).for_each(|i| ring.insert(&format!("n{i}"), &mut rng));
+        ring.insert("n3", &mut rng);
         assert_eq!(ring.len(), 20);
         for round in 0..5 {
-            let mut seen: Vec<_> = (0..20).filter_map(|_| ring.next(&mut rng)).collect();
+            let mut seen: Vec<_> = (0..20).filter_map(|_| ring.next_target(&mut rng)).collect();
             seen.sort();
             seen.dedup();
             assert_eq!(seen.len(), 20, "round {round}");
         }
         // One that goes on the way takes nobody's turn with it.
-        let mut seen: Vec<_> = (0..10).filter_map(|_| ring.next(&mut rng)).collect();
+        let mut seen: Vec<_> = (0..10).filter_map(|_| ring.next_target(&mut rng)).collect();
         let (gone, first) = (seen[0].clone(), seen.len());
         ring.remove(&gone);
-        seen.extend((first..20).filter_map(|_| ring.next(&mut rng)));
+        seen.extend((first..20).filter_map(|_| ring.next_target(&mut rng)));
         seen.sort();
         seen.dedup();
         assert_eq!(seen.len(), 20);
-        let some = ring.some(3, &["n1"], &mut rng);
+        let some = ring.random_members(3, &["n1"], &mut rng);
         assert!(some.len() == 3 && !some.contains(&"n1".to_owned()) && !some.contains(&gone));
         assert_eq!(
-            ring.some(50, &["n1"], &mut rng).len(),
+            ring.random_members(50, &["n1"], &mut rng).len(),
             if gone == "n1" { 19 } else { 18 }
         );
     }
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -8,11 +8,11 @@
 use std::net::SocketAddr;
 
 /// The longest name of a member or zone, in bytes.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// The longest payload, in bytes.
-pub const MOST_PAYLOAD: usize = 64;
+pub const MAX_PAYLOAD_BYTES: usize = 64;
 /// The most other processes of one name that are named.
-pub const MOST_RIVALS: usize = 4;
+pub const MAX_RIVALS: usize = 4;
 
 /// How a member is, in rising order within one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -29,12 +29,12 @@
 
 impl State {
     /// Whether it takes part: it is probed, and is told news.
-    pub fn takes_part(self) -> bool {
+    pub fn is_active(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 
     /// What it is called in the log and on the door.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Alive => "alive",
             State::Suspect => "suspect",
@@ -46,7 +46,7 @@
 
 /// What a member says of its own service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ServiceState {
     /// Its processor is not up yet.
     Starting,
     /// It takes work.
@@ -59,15 +59,15 @@
     Draining,
 }
 
-impl Standing {
+impl ServiceState {
     /// What it is called on the door.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Starting => "starting",
-            Standing::Serving => "serving",
-            Standing::Overloaded => "overloaded",
-            Standing::Standby => "standby",
-            Standing::Draining => "draining",
+            ServiceState::Starting => "starting",
+            ServiceState::Serving => "serving",
+            ServiceState::Overloaded => "overloaded",
+            ServiceState::Standby => "standby",
+            ServiceState::Draining => "draining",
         }
     }
 }
@@ -91,7 +91,7 @@
     /// Where it stands, for those who spread over zones; may be empty.
     pub zone: String,
     /// How its service is.
-    pub standing: Standing,
+    pub service_state: ServiceState,
     /// For later parts, such as the version that it acts on.
     pub payload: Vec<u8>,
     /// Living processes that go by the same name.
@@ -118,7 +118,7 @@
     /// Takes in what else is said of the same member; whether that brought anything new. The one of
     /// the higher incarnation holds; within one the worse state does, as only the member itself can
     /// better it, by a higher incarnation.
-    pub fn join(&mut self, other: &Record) -> bool {
+    pub fn merge(&mut self, other: &Record) -> bool {
         match (other.incarnation, other.token).cmp(&(self.incarnation, self.token)) {
             std::cmp::Ordering::Less => false,
             std::cmp::Ordering::Greater => {
@@ -142,18 +142,18 @@
     }
 
     /// Whether one may hold it: what a stranger sends is bounded.
-    pub fn sane(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let d = &self.details;
         self.incarnation < u64::MAX / 2
             && d.revision < u64::MAX / 2
-            && d.zone.len() <= MOST_NAME
-            && d.payload.len() <= MOST_PAYLOAD
-            && d.rivals.len() <= MOST_RIVALS
+            && d.zone.len() <= MAX_NAME_BYTES
+            && d.payload.len() <= MAX_PAYLOAD_BYTES
+            && d.rivals.len() <= MAX_RIVALS
             && d.address.port() != 0
     }
 
     /// Stands for the record under its name; the load is no part of it.
-    pub fn hash(&self, name: &str) -> u64 {
+    pub fn content_hash(&self, name: &str) -> u64 {
         let held = (
             name,
             self.incarnation,
--- a/crates/membership/src/elsewhere.rs
+++ b/crates/membership/src/spare_capacity.rs
@@ -11,7 +11,7 @@
 /// News older than this says nothing of now: the member may take anything.
 const STALE: Micros = 4_000_000;
 /// Beyond so many members readings can't be told often enough to be of use.
-pub const MOST: usize = 60;
+pub const MAX_MEMBERS: usize = 60;
 /// Ranks are told apart in so many bands.
 const BANDS: usize = 16;
 /// There is nowhere to go once fewer than this share of the others would take a request, and
@@ -21,7 +21,7 @@
 
 /// What is seen of the others.
 #[derive(Clone, Debug, Default)]
-pub struct Elsewhere {
+pub struct SpareCapacity {
     nowhere: [bool; BANDS],
 }
 
@@ -30,21 +30,21 @@
     ((band + 1) * 255 / BANDS) as u8
 }
 
-impl Elsewhere {
+impl SpareCapacity {
     /// Looks at the others, some times a second.
-    pub fn see(&mut self, now: Micros, own: &str, members: &Members, cut_off: bool) {
+    pub fn update(&mut self, now: Micros, own: &str, members: &Members, cut_off: bool) {
         let others: Vec<u8> = members
             .iter()
             .filter(|(name, m)| *name != own && m.record.state == State::Alive)
             .map(|(_, m)| {
-                if now - m.load_at <= STALE {
+                if now - m.load_updated_at <= STALE {
                     m.record.load.1
                 } else {
                     0
                 }
             })
             .collect();
-        let blind = cut_off || others.is_empty() || members.taking_part() > MOST;
+        let blind = cut_off || others.is_empty() || members.active_count() > MAX_MEMBERS;
         for (band, nowhere) in self.nowhere.iter_mut().enumerate() {
             let open = others.iter().filter(|cut| **cut < top(band)).count();
             let share = open as f64 / others.len().max(1) as f64;
@@ -53,7 +53,7 @@
     }
 
     /// Whether nobody else would take a request of this rank, from 0 to under 1.
-    pub fn nowhere(&self, rank: f64) -> bool {
+    pub fn is_exhausted(&self, rank: f64) -> bool {
         self.nowhere[((rank * BANDS as f64) as usize).min(BANDS - 1)]
     }
 }
@@ -61,12 +61,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::own::Own;
+    use crate::local_member::LocalMember;
 
     fn members(cuts: &[u8], at: Micros) -> Members {
         let mut members = Members::default();
         for (i, cut) in cuts.iter().enumerate() {
-            let mut record = Own::new(1, ([127, 0, 0, 1], 1).into(), "").record;
+            let mut record = LocalMember::new(1, ([127, 0, 0, 1], 1).into(), "").record;
             record.load = (1, *cut);
             members.insert(&format!("n{i}"), record, at, "n0");
         }
@@ -75,35 +75,38 @@
 
     #[test]
     fn what_the_others_refuse_has_nowhere_to_go_and_only_while_that_is_news() {
-        let mut seen = Elsewhere::default();
+        let mut seen = SpareCapacity::default();
         let mut cuts = [128; 21];
-        seen.see(0, "n0", &members(&cuts, 0), false);
-        assert!(seen.nowhere(0.3) && !seen.nowhere(0.7));
+        seen.update(0, "n0", &members(&cuts, 0), false);
+        assert!(seen.is_exhausted(0.3) && !seen.is_exhausted(0.7));
         // One of the twenty others takes it: not worth a search. Three: it is.
         cuts[1] = 0;
-        seen.see(0, "n0", &members(&cuts, 0), false);
-        assert!(seen.nowhere(0.3));
+        seen.update(0, "n0", &members(&cuts, 0), false);
+        assert!(seen.is_exhausted(0.3));
         cuts[2..5].fill(0);
-        seen.see(0, "n0", &members(&cuts, 0), false);
-        assert!(seen.nowhere(0.3), "a share between the two changes nothing");
+        seen.update(0, "n0", &members(&cuts, 0), false);
+        assert!(
+            seen.is_exhausted(0.3),
+            "a share between the two changes nothing"
+        );
         cuts[5..9].fill(0);
-        seen.see(0, "n0", &members(&cuts, 0), false);
-        assert!(!seen.nowhere(0.3));
+        seen.update(0, "n0", &members(&cuts, 0), false);
+        assert!(!seen.is_exhausted(0.3));
         cuts[6..9].fill(255);
-        seen.see(0, "n0", &members(&cuts, 0), false);
-        assert!(!seen.nowhere(0.3), "nor from the other side");
+        seen.update(0, "n0", &members(&cuts, 0), false);
+        assert!(!seen.is_exhausted(0.3), "nor from the other side");
         let all = [255; 21];
-        seen.see(0, "n0", &members(&all, 0), false);
-        assert!(seen.nowhere(0.99));
-        seen.see(STALE + 1, "n0", &members(&all, 0), false);
-        assert!(!seen.nowhere(0.0), "old news says nothing");
-        seen.see(0, "n0", &members(&all, 0), true);
-        assert!(!seen.nowhere(0.0), "nor does a node that is cut off");
-        seen.see(0, "n0", &members(&[255], 0), false);
-        assert!(!seen.nowhere(0.0), "nor one that is alone");
-        seen.see(0, "n0", &members(&[255; MOST + 1], 0), false);
+        seen.update(0, "n0", &members(&all, 0), false);
+        assert!(seen.is_exhausted(0.99));
+        seen.update(STALE + 1, "n0", &members(&all, 0), false);
+        assert!(!seen.is_exhausted(0.0), "old news says nothing");
+        seen.update(0, "n0", &members(&all, 0), true);
+        assert!(!seen.is_exhausted(0.0), "nor does a node that is cut off");
+        seen.update(0, "n0", &members(&[255], 0), false);
+        assert!(!seen.is_exhausted(0.0), "nor one that is alone");
+        seen.update(0, "n0", &members(&[255; MAX_MEMBERS + 1], 0), false);
         assert!(
-            !seen.nowhere(0.0),
+            !seen.is_exhausted(0.0),
             "nor in a fleet too large to tell in time"
         );
     }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -2,9 +2,11 @@
 //! each part of its view, the other one says which differ and tells its members of these, and gets
 //! back what it had not, all in pieces.
 
-use crate::members::{part, PARTS};
-use crate::message::{frame, length, Broken, Frame, Frames, Update, MOST_FRAME};
-use crate::node::Fleet;
+use crate::members::{bucket, BUCKETS};
+use crate::membership::Membership;
+use crate::message::{
+    encode_frame, encoded_length, DecodeError, Frame, FrameDecoder, Update, MAX_FRAME_BYTES,
+};
 use crate::record::Record;
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
@@ -22,11 +24,11 @@
 }
 
 /// One connection, at either end.
-pub struct Session {
+pub struct SyncSession {
     /// It is the end that was connected to.
     answers: bool,
     stage: Stage,
-    frames: Frames,
+    frames: FrameDecoder,
     /// Who is at the other end.
     peer: Option<String>,
     parts: u64,
@@ -39,14 +41,14 @@
     heard: usize,
 }
 
-impl Session {
-    fn new(stage: Stage) -> Session {
+impl SyncSession {
+    fn new(stage: Stage) -> SyncSession {
         let (told, left, out) = (BTreeMap::new(), VecDeque::new(), Vec::new());
         let answers = stage == Stage::Waiting;
-        Session {
+        SyncSession {
             answers,
             stage,
-            frames: Frames::default(),
+            frames: FrameDecoder::default(),
             peer: None,
             parts: 0,
             told,
@@ -58,14 +60,14 @@
     }
 
     /// The end that connects.
-    pub fn dial(fleet: &Fleet) -> Session {
-        let mut session = Session::new(Stage::Asked);
-        let digests = fleet.members().parts().to_vec();
-        frame(
+    pub fn initiate(fleet: &Membership) -> SyncSession {
+        let mut session = SyncSession::new(Stage::Asked);
+        let digests = fleet.members().bucket_digests().to_vec();
+        encode_frame(
             &mut session.out,
-            fleet.fleet(),
-            &Frame::Parts {
-                from: fleet.own(),
+            fleet.fleet_name(),
+            &Frame::BucketDigests {
+                sender: fleet.local_update(),
                 digests,
             },
         );
@@ -73,8 +75,8 @@
     }
 
     /// The other end.
-    pub fn answer() -> Session {
-        Session::new(Stage::Waiting)
+    pub fn respond() -> SyncSession {
+        SyncSession::new(Stage::Waiting)
     }
 
     /// Who is at the other end, once it has said so.
@@ -84,26 +86,42 @@
 
     /// Takes in what was read. After an error the connection is to end; what was learned before
     /// stays.
-    pub fn feed(&mut self, fleet: &mut Fleet, now: Micros, bytes: &[u8]) -> Result<(), Broken> {
-        self.frames.feed(bytes);
-        while let Some(said) = self.frames.next(fleet.fleet())? {
+    pub fn handle_bytes(
+        &mut self,
+        fleet: &mut Membership,
+        now: Micros,
+        bytes: &[u8],
+    ) -> Result<(), DecodeError> {
+        self.frames.push(bytes);
+        while let Some(said) = self.frames.next_frame(fleet.fleet_name())? {
             self.heard(fleet, now, said)?;
         }
         Ok(())
     }
 
-    fn heard(&mut self, fleet: &mut Fleet, now: Micros, said: Frame) -> Result<(), Broken> {
+    fn heard(
+        &mut self,
+        fleet: &mut Membership,
+        now: Micros,
+        said: Frame,
+    ) -> Result<(), DecodeError> {
         match (self.stage, said) {
-            (Stage::Waiting, Frame::Parts { from, digests }) if digests.len() == PARTS => {
-                let ours = fleet.members().parts();
-                let differ = (0..PARTS).filter(|i| ours[*i] != digests[*i]);
+            (
+                Stage::Waiting,
+                Frame::BucketDigests {
+                    sender: from,
+                    digests,
+                },
+            ) if digests.len() == BUCKETS => {
+                let ours = fleet.members().bucket_digests();
+                let differ = (0..BUCKETS).filter(|i| ours[*i] != digests[*i]);
                 self.parts = differ.fold(0, |bits, i| bits | 1 << i);
-                frame(
+                encode_frame(
                     &mut self.out,
-                    fleet.fleet(),
-                    &Frame::Differ {
-                        from: fleet.own(),
-                        parts: self.parts,
+                    fleet.fleet_name(),
+                    &Frame::DifferingBuckets {
+                        sender: fleet.local_update(),
+                        buckets: self.parts,
                     },
                 );
                 self.tell(fleet);
@@ -111,19 +129,25 @@
                 // Behind the choice of what to tell: it must hold for what the other one had.
                 self.met(fleet, now, from);
             }
-            (Stage::Asked, Frame::Differ { from, parts }) => {
+            (
+                Stage::Asked,
+                Frame::DifferingBuckets {
+                    sender: from,
+                    buckets: parts,
+                },
+            ) => {
                 self.parts = parts;
                 self.stage = Stage::Told;
                 self.met(fleet, now, from);
             }
             (Stage::Told, Frame::Members(members)) => {
                 self.heard += members.len();
-                if self.heard > 2 * fleet.rules().most_members {
-                    return Err(Broken::Malformed);
+                if self.heard > 2 * fleet.config().max_members {
+                    return Err(DecodeError::Malformed);
                 }
                 let peer = self.peer.clone().unwrap_or_default();
                 for update in members {
-                    fleet.learn(now, &update, &peer);
+                    fleet.handle_update(now, &update, &peer);
                     self.told.insert(update.name, update.record);
                 }
             }
@@ -134,35 +158,37 @@
                     self.tell(fleet);
                 }
             }
-            _ => return Err(Broken::Malformed),
+            _ => return Err(DecodeError::Malformed),
         }
         Ok(())
     }
 
-    fn met(&mut self, fleet: &mut Fleet, now: Micros, from: Update) {
-        fleet.learn(now, &from, &from.name);
+    fn met(&mut self, fleet: &mut Membership, now: Micros, from: Update) {
+        fleet.handle_update(now, &from, &from.name);
         self.peer = Some(from.name);
     }
 
     /// Has the members of the parts that differ told, but for those that the other end has told
     /// alike.
-    fn tell(&mut self, fleet: &Fleet) {
-        let differs = |name: &str| self.parts >> part(name) & 1 == 1;
+    fn tell(&mut self, fleet: &Membership) {
+        let differs = |name: &str| self.parts >> bucket(name) & 1 == 1;
         let all = fleet.members().iter().filter(|(name, m)| {
-            !m.fading && differs(name) && self.told.get(*name).is_none_or(|told| *told != m.record)
+            !m.is_tombstone
+                && differs(name)
+                && self.told.get(*name).is_none_or(|told| *told != m.record)
         });
         self.left = all.map(|(name, _)| name.to_owned()).collect();
         self.end = true;
     }
 
     /// What is to be written next, in pieces; nothing while it is the other end's turn.
-    pub fn piece(&mut self, fleet: &Fleet, now: Micros) -> Option<Vec<u8>> {
+    pub fn next_chunk(&mut self, fleet: &Membership, now: Micros) -> Option<Vec<u8>> {
         if self.out.is_empty() && self.end {
             let (mut members, mut size) = (Vec::new(), 0);
             while let Some(name) = self.left.front() {
-                if let Some(update) = fleet.update(now, name) {
-                    size += length(&update);
-                    if size > MOST_FRAME / 2 {
+                if let Some(update) = fleet.update_about(now, name) {
+                    size += encoded_length(&update);
+                    if size > MAX_FRAME_BYTES / 2 {
                         break;
                     }
                     members.push(update);
@@ -171,16 +197,16 @@
             }
             if members.is_empty() {
                 self.end = false;
-                frame(&mut self.out, fleet.fleet(), &Frame::End);
+                encode_frame(&mut self.out, fleet.fleet_name(), &Frame::End);
             } else {
-                frame(&mut self.out, fleet.fleet(), &Frame::Members(members));
+                encode_frame(&mut self.out, fleet.fleet_name(), &Frame::Members(members));
             }
         }
         (!self.out.is_empty()).then(|| std::mem::take(&mut self.out))
     }
 
     /// Whether all was heard and said.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.stage == Stage::Over && !self.end && self.out.is_empty()
     }
 }
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -2,14 +2,14 @@
 //! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-membership --test
 //! compatibility`): nodes of both builds form one fleet.
 
-use pipitlever_membership::message::{frame, Body, Frame, Frames, Packet, Update};
-use pipitlever_membership::own::Passed;
-use pipitlever_membership::record::{digest, Details, Record, Rival, Standing, State};
+use pipitlever_membership::local_member::ResumeState;
+use pipitlever_membership::message::{encode_frame, Body, Frame, FrameDecoder, Packet, Update};
+use pipitlever_membership::record::{digest, Details, Record, Rival, ServiceState, State};
 
 const FLEET: &str = "fleet-one";
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
-fn record(state: State, standing: Standing) -> Record {
+fn record(state: State, standing: ServiceState) -> Record {
     let rival = Rival {
         token: 0x0102_0304_0506_0708,
         address: "127.0.0.9:1009".parse().unwrap(),
@@ -18,7 +18,7 @@
         revision: 300,
         address: "127.0.0.2:1002".parse().unwrap(),
         zone: "east".into(),
-        standing,
+        service_state: standing,
         payload: vec![7, 8, 9],
         rivals: vec![rival],
     };
@@ -31,33 +31,33 @@
     }
 }
 
-fn update(state: State, standing: Standing) -> Update {
+fn update(state: State, standing: ServiceState) -> Update {
     Update {
         name: "n1".into(),
         record: record(state, standing),
-        by: Some("n2".into()),
-        age_s: 4_000,
+        suspected_by: Some("n2".into()),
+        state_age_seconds: 4_000,
     }
 }
 
 fn packet(body: Body, hint: Vec<u8>) -> Packet {
     let news = vec![
-        update(State::Suspect, Standing::Overloaded),
-        update(State::Left, Standing::Draining),
+        update(State::Suspect, ServiceState::Overloaded),
+        update(State::Left, ServiceState::Draining),
     ];
     Packet {
-        from: update(State::Alive, Standing::Serving),
+        sender: update(State::Alive, ServiceState::Serving),
         digest: 0xfeed_f00d,
         body,
-        news,
-        hint,
+        updates: news,
+        piggyback: hint,
     }
 }
 
 fn packets() -> Vec<(&'static str, Packet)> {
     let plain = |body| packet(body, Vec::new());
-    let ask = Body::Ask {
-        seq: 7,
+    let ask = Body::PingReq {
+        sequence: 7,
         name: "n3".into(),
         address: "[::1]:1003".parse().unwrap(),
     };
@@ -65,41 +65,47 @@
         (
             "ping",
             plain(Body::Ping {
-                seq: 3,
-                to: Some("n3".into()),
+                sequence: 3,
+                target: Some("n3".into()),
             }),
         ),
-        ("ping-anyone", plain(Body::Ping { seq: 4, to: None })),
-        ("ack", plain(Body::Ack { seq: 5 })),
+        (
+            "ping-anyone",
+            plain(Body::Ping {
+                sequence: 4,
+                target: None,
+            }),
+        ),
+        ("ack", plain(Body::Ack { sequence: 5 })),
         ("ask", plain(ask)),
-        ("vouch", plain(Body::Vouch { seq: 8 })),
-        ("silence", plain(Body::Silence { seq: 9 })),
-        ("news", plain(Body::News)),
-        ("said", plain(Body::Said(vec![1, 2, 3]))),
-        ("hint", packet(Body::News, vec![4, 5, 6])),
+        ("vouch", plain(Body::IndirectAck { sequence: 8 })),
+        ("silence", plain(Body::Nack { sequence: 9 })),
+        ("news", plain(Body::Gossip)),
+        ("said", plain(Body::Application(vec![1, 2, 3]))),
+        ("hint", packet(Body::Gossip, vec![4, 5, 6])),
     ]
 }
 
 fn frames() -> Vec<(&'static str, Frame)> {
-    let from = update(State::Down, Standing::Standby);
+    let from = update(State::Down, ServiceState::Standby);
     vec![
         (
             "parts",
-            Frame::Parts {
-                from: from.clone(),
+            Frame::BucketDigests {
+                sender: from.clone(),
                 digests: vec![1, u64::MAX],
             },
         ),
         (
             "differ",
-            Frame::Differ {
-                from: from.clone(),
-                parts: 0b1011,
+            Frame::DifferingBuckets {
+                sender: from.clone(),
+                buckets: 0b1011,
             },
         ),
         (
             "members",
-            Frame::Members(vec![from, update(State::Alive, Standing::Starting)]),
+            Frame::Members(vec![from, update(State::Alive, ServiceState::Starting)]),
         ),
         ("end", Frame::End),
     ]
@@ -109,29 +115,29 @@
 fn messages_and_hashes_are_those_of_the_earlier_build() {
     let mut samples = Vec::new();
     for (name, packet) in packets() {
-        let bytes = packet.write(FLEET);
-        assert_eq!(Packet::read(FLEET, &bytes), Ok(packet), "{name}");
+        let bytes = packet.encode(FLEET);
+        assert_eq!(Packet::decode(FLEET, &bytes), Ok(packet), "{name}");
         samples.push((name, bytes));
     }
     for (name, sent) in frames() {
         let mut bytes = Vec::new();
-        frame(&mut bytes, FLEET, &sent);
-        let mut frames = Frames::default();
-        frames.feed(&bytes);
-        assert_eq!(frames.next(FLEET), Ok(Some(sent)), "{name}");
+        encode_frame(&mut bytes, FLEET, &sent);
+        let mut frames = FrameDecoder::default();
+        frames.push(&bytes);
+        assert_eq!(frames.next_frame(FLEET), Ok(Some(sent)), "{name}");
         samples.push((name, bytes));
     }
     let contacts = vec![
         "127.0.0.4:1004".parse().unwrap(),
         "127.0.0.5:1005".parse().unwrap(),
     ];
-    let passed = Passed {
-        record: record(State::Alive, Standing::Serving),
+    let passed = ResumeState {
+        record: record(State::Alive, ServiceState::Serving),
         contacts,
     };
-    assert_eq!(Passed::read(&passed.write()), Some(passed.clone()));
-    samples.push(("passed", passed.write()));
-    let hash = record(State::Suspect, Standing::Standby).hash("n1");
+    assert_eq!(ResumeState::decode(&passed.encode()), Some(passed.clone()));
+    samples.push(("passed", passed.encode()));
+    let hash = record(State::Suspect, ServiceState::Standby).content_hash("n1");
     samples.push(("record-hash", hash.to_be_bytes().to_vec()));
     samples.push(("name-digest", digest(b"n1").to_be_bytes().to_vec()));
     pipitlever_test_fixtures::assert_bytes(FIXTURES, &samples);
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -2,9 +2,9 @@
 //! processes of one name, and messages that are late, lost or come again. From every state that can
 //! be reached, once faults stop, all views become equal and right.
 
-use pipitlever_membership::news::{weigh, Weighed};
-use pipitlever_membership::own::Own;
+use pipitlever_membership::local_member::LocalMember;
 use pipitlever_membership::record::{Record, State};
+use pipitlever_membership::update_rules::{evaluate_update, UpdateEffect};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Place {
     /// The process, while it lives.
-    own: Option<Own>,
+    own: Option<LocalMember>,
     /// What it holds of each name.
     table: BTreeMap<usize, Record>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Fleet {
+struct Membership {
     places: Vec<Place>,
     net: Vec<(usize, usize, Record)>,
     cut: bool,
@@ -61,47 +61,47 @@
 }
 
 impl Bounds {
-    fn start(&self, fleet: &mut Fleet, place: usize) {
+    fn start(&self, fleet: &mut Membership, place: usize) {
         fleet.starts += 1;
         let token = if self.falling {
             100 - fleet.starts
         } else {
             fleet.starts
         };
-        let own = Own::new(token, ([127, 0, 0, 1], place as u16 + 1).into(), "");
+        let own = LocalMember::new(token, ([127, 0, 0, 1], place as u16 + 1).into(), "");
         fleet.places[place] = Place {
             table: [(self.names[place], own.record.clone())].into(),
             own: Some(own),
         };
     }
 
-    fn apart(&self, fleet: &Fleet, a: usize, b: usize) -> bool {
+    fn apart(&self, fleet: &Membership, a: usize, b: usize) -> bool {
         fleet.cut && (a == 0) != (b == 0)
     }
 
-    fn hear(&self, fleet: &mut Fleet, place: usize, name: usize, said: &Record, now: i64) {
+    fn hear(&self, fleet: &mut Membership, place: usize, name: usize, said: &Record, now: i64) {
         let of_itself = self.names[place] == name;
         let Place { own, table } = &mut fleet.places[place];
         let Some(own) = own else { return };
         if of_itself {
-            own.news(now, said);
-            table.insert(name, own.held().clone());
+            own.handle_update(now, said);
+            table.insert(name, own.effective_record().clone());
             return;
         }
         let Some(held) = table.get_mut(&name) else {
             table.insert(name, said.clone());
             return;
         };
-        match weigh(held, false, said) {
-            Weighed::Nothing => {}
-            Weighed::Accuses => drop(held.join(said)),
-            Weighed::Doubted(record) => drop(held.join(&record)),
-            Weighed::Turns(record) => *held = record,
+        match evaluate_update(held, false, said) {
+            UpdateEffect::Ignored => {}
+            UpdateEffect::Suspicion => drop(held.merge(said)),
+            UpdateEffect::UnconfirmedFailure(record) => drop(held.merge(&record)),
+            UpdateEffect::Replaced(record) => *held = record,
         }
     }
 
     /// What becomes of it when nothing goes wrong any more; what is wrong with that, if anything.
-    fn settles(&self, fleet: &Fleet) -> Result<(), String> {
+    fn settles(&self, fleet: &Membership) -> Result<(), String> {
         let mut fleet = fleet.clone();
         fleet.cut = false;
         // What was late comes now.
@@ -138,7 +138,7 @@
                 let Place { own, table } = &mut fleet.places[at];
                 for (name, held) in table.iter_mut().filter(|(n, _)| **n != self.names[at]) {
                     let lives = living.iter().any(|i| self.names[*i] == *name);
-                    if held.state.takes_part() && (!lives || !tokens.contains(&held.token)) {
+                    if held.state.is_active() && (!lives || !tokens.contains(&held.token)) {
                         held.state = if held.state == State::Alive {
                             State::Suspect
                         } else {
@@ -147,9 +147,11 @@
                     }
                 }
                 if let Some(own) = own {
-                    tokens.iter().for_each(|t| own.rival_heard(*t, i64::MAX));
-                    own.let_go(i64::MAX);
-                    table.insert(self.names[at], own.held().clone());
+                    tokens
+                        .iter()
+                        .for_each(|t| own.record_rival_contact(*t, i64::MAX));
+                    own.expire_rivals(i64::MAX);
+                    table.insert(self.names[at], own.effective_record().clone());
                 }
             }
             if fleet == before {
@@ -168,13 +170,13 @@
             }
         }
         for (name, held) in &fleet.places[*first].table {
-            let of: Vec<&Own> = living
+            let of: Vec<&LocalMember> = living
                 .iter()
                 .filter(|i| self.names[**i] == *name)
                 .filter_map(|i| fleet.places[*i].own.as_ref())
                 .collect();
             let mut tokens: Vec<u64> = of.iter().map(|o| o.record.token).collect();
-            let left = of.iter().all(|o| o.leaving());
+            let left = of.iter().all(|o| o.is_leaving());
             tokens.sort();
             let mut named: Vec<u64> = held
                 .details
@@ -185,10 +187,10 @@
                 .collect();
             named.sort();
             let right = match of.len() {
-                0 => !held.state.takes_part(),
+                0 => !held.state.is_active(),
                 _ if left => held.state == State::Left,
                 // One that leaves is not asked any more.
-                _ if of.iter().any(|o| o.leaving()) => true,
+                _ if of.iter().any(|o| o.is_leaving()) => true,
                 _ => held.state == State::Alive && named == tokens,
             };
             if !right {
@@ -200,10 +202,10 @@
 }
 
 impl Model for Bounds {
-    type State = Fleet;
+    type State = Membership;
     type Action = Act;
 
-    fn init_states(&self) -> Vec<Fleet> {
+    fn init_states(&self) -> Vec<Membership> {
         let places = vec![
             Place {
                 own: None,
@@ -211,7 +213,7 @@
             };
             self.names.len()
         ];
-        let mut fleet = Fleet {
+        let mut fleet = Membership {
             places,
             net: Vec::new(),
             cut: false,
@@ -231,7 +233,7 @@
         vec![fleet]
     }
 
-    fn actions(&self, fleet: &Fleet, acts: &mut Vec<Act>) {
+    fn actions(&self, fleet: &Membership, acts: &mut Vec<Act>) {
         for (i, place) in fleet.places.iter().enumerate() {
             let Some(own) = &place.own else {
                 if fleet.starts < self.starts {
@@ -242,7 +244,7 @@
             if fleet.crashes < self.crashes {
                 acts.push(Act::Crash(i));
             }
-            if self.leaves && !own.leaving() {
+            if self.leaves && !own.is_leaving() {
                 acts.push(Act::Leave(i));
             }
             for (&name, held) in &place.table {
@@ -271,7 +273,7 @@
         }
     }
 
-    fn next_state(&self, last: &Fleet, act: Act) -> Option<Fleet> {
+    fn next_state(&self, last: &Membership, act: Act) -> Option<Membership> {
         let mut fleet = last.clone();
         match act {
             Act::Start(i) => self.start(&mut fleet, i),
@@ -286,7 +288,7 @@
                 let Place { own, table } = &mut fleet.places[i];
                 let own = own.as_mut()?;
                 own.leave();
-                table.insert(self.names[i], own.held().clone());
+                table.insert(self.names[i], own.effective_record().clone());
             }
             Act::Cut(cut) => {
                 fleet.cuts += usize::from(cut);
@@ -319,7 +321,7 @@
             ),
             Property::sometimes(
                 "somebody is held down that lives",
-                |model: &Bounds, fleet: &Fleet| {
+                |model: &Bounds, fleet: &Membership| {
                     fleet.places.iter().any(|p| {
                         p.table.iter().any(|(name, held)| {
                             held.state == State::Down
--- a/crates/node/src/life/fleet.rs
+++ b/crates/node/src/life/fleet.rs
@@ -4,8 +4,8 @@
 use super::versions::VersionsSection;
 use crate::net::fleet::Settings;
 use crate::net::share::Apart;
-use pipitlever_membership::record::MOST_NAME;
-use pipitlever_membership::rules::Rules;
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::record::MAX_NAME_BYTES;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -45,10 +45,10 @@
     pub fn read(self, text: &str) -> Result<Settings, String> {
         let wrong = |at: usize, what: &str| Err(line(text, at, what));
         let name = |key: &str, name: &Spanned<String>| match name.get_ref() {
-            n if n.is_empty() || n.len() > MOST_NAME => Err(line(
+            n if n.is_empty() || n.len() > MAX_NAME_BYTES => Err(line(
                 text,
                 name.span().start,
-                &format!("{key}: it has 1 to {MOST_NAME} bytes"),
+                &format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes"),
             )),
             n => Ok(n.clone()),
         };
@@ -87,29 +87,29 @@
             let what = "an address that is not loopback: say trusted_network = true if nobody but the fleet reaches it";
             return wrong(far.span().start, what);
         }
-        let usual = Rules::default();
+        let usual = MembershipConfig::default();
         let probe = within(
             text,
             "probe_ms",
             self.probe_ms,
-            usual.probe as u64 / 1000,
+            usual.probe_interval as u64 / 1000,
             [50, 60_000],
         )?;
         let forget = within(
             text,
             "forget_s",
             self.forget_s,
-            usual.forget as u64 / 1_000_000,
+            usual.retention as u64 / 1_000_000,
             [60, 604_800],
         )?;
-        let rules = Rules {
-            probe: probe as i64 * 1000,
-            forget: forget as i64 * 1_000_000,
-            most_members: within(
+        let rules = MembershipConfig {
+            probe_interval: probe as i64 * 1000,
+            retention: forget as i64 * 1_000_000,
+            max_members: within(
                 text,
                 "most_members",
                 self.most_members,
-                usual.most_members,
+                usual.max_members,
                 [2, 10_000],
             )?,
             ..usual
@@ -227,6 +227,9 @@
             .unwrap()
             .fleet
             .unwrap();
-        assert_eq!((read.advertise, read.rules.forget), (read.bind, 60_000_000));
+        assert_eq!(
+            (read.advertise, read.rules.retention),
+            (read.bind, 60_000_000)
+        );
     }
 }
--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/life/pools.rs
@@ -3,8 +3,8 @@
 use super::text::{line, within};
 use crate::net::routes::{Label, Named, Sessions, Shared};
 use pipitlever_load_balancing::pool::{Member, Use};
-use pipitlever_membership::record::MOST_NAME;
-use pipitlever_session_affinity::table::MOST_IDLE;
+use pipitlever_membership::record::MAX_NAME_BYTES;
+use pipitlever_session_affinity::table::MAX_IDLE_SECONDS;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -48,7 +48,13 @@
         }
         Ok(Sessions {
             variable: self.session.into_inner(),
-            idle_s: within(text, "idle_s", self.idle_s, 8 * 3600, [60, MOST_IDLE])?,
+            idle_s: within(
+                text,
+                "idle_s",
+                self.idle_s,
+                8 * 3600,
+                [60, MAX_IDLE_SECONDS],
+            )?,
             patience: within(text, "patience_ms", self.patience_ms, 5_000, [0, 3_600_000])? * 1000,
             linger: within(text, "linger_s", self.linger_s, 3600, [0, 30 * 86_400])? * 1_000_000,
         })
@@ -150,11 +156,11 @@
             .name
             .as_ref()
             .map_or(entry.address.span().start, |n| n.span().start);
-        if name.is_empty() || name.len() > MOST_NAME {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
             return Err(line(
                 text,
                 at,
-                &format!("name: it has 1 to {MOST_NAME} bytes"),
+                &format!("name: it has 1 to {MAX_NAME_BYTES} bytes"),
             ));
         }
         if all.iter().any(|l| l.name == name) {
--- a/crates/node/src/net/fleet/door.rs
+++ b/crates/node/src/net/fleet/door.rs
@@ -7,19 +7,19 @@
 /// The view, as the door tells it.
 pub fn view(part: &Part) -> String {
     part.look(|fleet, now| {
-        let members = fleet.members().iter().filter(|(_, m)| !m.fading).map(|(name, m)| {
+        let members = fleet.members().iter().filter(|(_, m)| !m.is_tombstone).map(|(name, m)| {
             let d = &m.record.details;
             let rivals: Vec<String> = d.rivals.iter().map(|r| r.address.to_string()).collect();
             json!({
                 "name": name, "address": d.address.to_string(), "zone": d.zone,
-                "state": m.record.state.word(), "incarnation": m.record.incarnation,
-                "standing": d.standing.word(), "since_ms": (now - m.since).max(0) / 1000, "told_by": m.told_by,
+                "state": m.record.state.as_str(), "incarnation": m.record.incarnation,
+                "standing": d.service_state.as_str(), "since_ms": (now - m.state_since).max(0) / 1000, "told_by": m.reported_by,
                 "conflict": rivals, "acting": acting(&d.payload),
             })
         });
         let mut view = json!({
-            "self": fleet.name(), "fleet": fleet.fleet(), "settled": fleet.settled(), "cut_off": fleet.cut_off(),
-            "health": fleet.health(), "digest": format!("{:016x}", fleet.digest()),
+            "self": fleet.local_name(), "fleet": fleet.fleet_name(), "settled": fleet.is_converged(), "cut_off": fleet.is_partitioned(),
+            "health": fleet.local_health_score(), "digest": format!("{:016x}", fleet.digest()),
             "members": members.collect::<Vec<_>>(),
         });
         if let Some(versions) = &part.versions {
@@ -39,13 +39,13 @@
 pub fn figures(part: &Part, text: &mut String) {
     use std::fmt::Write;
     part.look(|fleet, _| {
-        let states = fleet.states();
+        let states = fleet.count_by_state();
         let gauges = [State::Alive, State::Suspect, State::Down, State::Left]
-            .map(|s| (s.word(), states.get(&s).copied().unwrap_or(0) as u64));
+            .map(|s| (s.as_str(), states.get(&s).copied().unwrap_or(0) as u64));
         let more = [
-            ("settled", u64::from(fleet.settled())),
-            ("cut_off", u64::from(fleet.cut_off())),
-            ("health", u64::from(fleet.health())),
+            ("settled", u64::from(fleet.is_converged())),
+            ("cut_off", u64::from(fleet.is_partitioned())),
+            ("health", u64::from(fleet.local_health_score())),
         ];
         for (name, value) in gauges.into_iter().chain(more) {
             // A string takes all that is written to it.
--- a/crates/node/src/net/fleet/loops.rs
+++ b/crates/node/src/net/fleet/loops.rs
@@ -10,7 +10,7 @@
             match part.udp.receive(&mut bytes).await {
                 Ok((length, _)) => {
                     part.count(|c| c.heard += 1);
-                    let read = part.turn(|fleet, now| fleet.datagram(now, &bytes[..length]));
+                    let read = part.turn(|fleet, now| fleet.handle_datagram(now, &bytes[..length]));
                     let _ = read.map_err(|why| part.misunderstood("a datagram", &why));
                 }
                 // Word of a datagram that reached nobody, or no memory for one.
@@ -26,7 +26,7 @@
 pub(super) async fn wakes(part: Rc<Part>) {
     loop {
         let seen = part.standing();
-        let standing = part.steady.borrow_mut().see(part.clock.now(), seen);
+        let standing = part.steady.borrow_mut().observe(part.clock.now(), seen);
         let until = part.parts_until();
         part.turn(|fleet, now| {
             part.sharing
@@ -47,9 +47,9 @@
                 sessions.look(now);
                 sessions.note(now);
             }
-            fleet.say(standing, &payload);
-            if fleet.next_wake() <= now {
-                fleet.wake(now);
+            fleet.set_service_state(standing, &payload);
+            if fleet.next_wakeup() <= now {
+                fleet.handle_wakeup(now);
             }
         });
         let next = part.clock.instant(part.next.get()).min(ahead(LOOK_MS));
@@ -72,7 +72,7 @@
                 let session = part.clone();
                 let answering = async move {
                     session
-                        .settle("a connection", stream, Session::answer())
+                        .settle("a connection", stream, SyncSession::respond())
                         .await;
                     session.sessions.set(session.sessions.get() - 1);
                 };
@@ -89,13 +89,13 @@
 pub(super) async fn dials(part: Rc<Part>) {
     loop {
         part.dial.wait().await;
-        let Some(to) = part.turn(|fleet, _| fleet.take_sync()) else {
+        let Some(to) = part.turn(|fleet, _| fleet.take_sync_target()) else {
             continue;
         };
         let from = (!part.from.ip().is_unspecified()).then(|| part.from.ip());
         match by(ahead(READ_MS), Async::<TcpStream>::connect_from(from, to)).await {
             Some(Ok(stream)) => {
-                let session = Session::dial(&part.fleet.borrow());
+                let session = SyncSession::initiate(&part.fleet.borrow());
                 part.settle("a member", stream, session).await;
             }
             _ => part.count(|c| c.broken += 1),
@@ -105,16 +105,16 @@
 
 impl Part {
     /// Makes two views equal over a connection, in pieces, and not for longer than it may take.
-    async fn settle(&self, what: &str, stream: Async<TcpStream>, mut session: Session) {
+    async fn settle(&self, what: &str, stream: Async<TcpStream>, mut session: SyncSession) {
         let _ = stream.get_ref().set_nodelay(true);
         let mut bytes = vec![0; 16 << 10];
         let settled = by(ahead(SESSION_MS), async {
             loop {
-                while let Some(piece) = self.turn(|fleet, now| session.piece(fleet, now)) {
+                while let Some(piece) = self.turn(|fleet, now| session.next_chunk(fleet, now)) {
                     by(ahead(READ_MS), stream.write_all(&piece)).await?.ok()?;
                     future::yield_now().await;
                 }
-                if session.over() {
+                if session.is_complete() {
                     return Some(());
                 }
                 let read = by(ahead(READ_MS), stream.read(&mut bytes))
@@ -124,7 +124,7 @@
                 if !self.active() {
                     return None;
                 }
-                let fed = self.turn(|fleet, now| session.feed(fleet, now, &bytes[..read]));
+                let fed = self.turn(|fleet, now| session.handle_bytes(fleet, now, &bytes[..read]));
                 fed.map_err(|why| self.misunderstood(what, &why)).ok()?;
                 future::yield_now().await;
             }
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/fleet/mod.rs
@@ -13,13 +13,13 @@
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
 use pipitlever_config_versions::floor::Saved;
-use pipitlever_membership::own::Own;
-use pipitlever_membership::own::Passed;
-use pipitlever_membership::record::Standing;
-use pipitlever_membership::rules::Rules;
-use pipitlever_membership::standing::Steady;
-use pipitlever_membership::sync::Session;
-use pipitlever_membership::{Fleet, Heard};
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::local_member::LocalMember;
+use pipitlever_membership::local_member::ResumeState;
+use pipitlever_membership::record::ServiceState;
+use pipitlever_membership::service_state::ServiceStateFilter;
+use pipitlever_membership::sync::SyncSession;
+use pipitlever_membership::{ApplicationMessage, Membership};
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_subsetting::node::Times;
 use std::cell::{Cell, RefCell};
@@ -69,7 +69,7 @@
 
 /// The node's part.
 pub struct Part {
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<Membership>,
     /// Versions of the settings, if the fleet decides them.
     pub versions: Option<Versions>,
     /// Its part of pools that are shared, if any is.
@@ -77,7 +77,7 @@
     apart: Apart,
     /// Its part in sessions that stay with their workers, if any do.
     pub affinity: Option<Sessions>,
-    steady: RefCell<Steady>,
+    steady: RefCell<ServiceStateFilter>,
     clock: Clock,
     hub: Shared,
     executor: Rc<LocalExecutor<'static>>,
@@ -142,22 +142,22 @@
         if advertise.port() == 0 {
             advertise.set_port(at.port());
         }
-        let passed = passed.and_then(|bytes| Passed::read(&bytes));
+        let passed = passed.and_then(|bytes| ResumeState::decode(&bytes));
         let contacts = passed.as_ref().map_or(Vec::new(), |p| p.contacts.clone());
         let handed = passed
             .as_ref()
             .and_then(|p| acting(&p.record.details.payload));
         let own = match passed {
-            Some(passed) => Own::resumed(passed.record),
+            Some(passed) => LocalMember::resumed(passed.record),
             // Not from the seed: two processes must never have the same.
-            None => Own::new(
+            None => LocalMember::new(
                 RandomState::new().hash_one(std::process::id()),
                 advertise,
                 &zone,
             ),
         };
         let now = clock.now();
-        let mut decisions = Fleet::new(
+        let mut decisions = Membership::new(
             rules,
             &fleet,
             name,
@@ -165,8 +165,8 @@
             RandomState::new().hash_one(now),
             now,
         );
-        decisions.seeds(seeds);
-        decisions.contacts(contacts);
+        decisions.set_seeds(seeds);
+        decisions.set_contacts(contacts);
         log(&format!(
             "fleet: serving: fleet={fleet} member={name} bind={at} advertise={advertise}"
         ));
@@ -179,7 +179,7 @@
                     Versions::begin(hub.clone(), name, &settings, saved, acts, seed, now)?;
                 handed.inspect(|number| versions.handed(*number));
                 // From here on it hears what is not about the view.
-                decisions.set_hint(Vec::new());
+                decisions.set_piggyback(Vec::new());
                 done = Some(written);
                 Some(versions)
             }
@@ -189,7 +189,7 @@
         let sessions = Sessions::begin(&hub, name, RandomState::new().hash_one(now), now);
         if sessions.is_some() && versions.is_none() {
             // From here on it hears what is not about the view.
-            decisions.set_hint(Vec::new());
+            decisions.set_piggyback(Vec::new());
         }
         let part = Rc::new(Part {
             fleet: RefCell::new(decisions),
@@ -197,7 +197,7 @@
             sharing,
             apart,
             affinity: sessions,
-            steady: RefCell::new(Steady::new(now)),
+            steady: RefCell::new(ServiceStateFilter::new(now)),
             clock,
             hub,
             executor,
@@ -267,7 +267,7 @@
 
     /// What that process goes on with.
     pub fn pass_on(&self) -> Vec<u8> {
-        self.fleet.borrow().pass_on().write()
+        self.fleet.borrow().resume_state().encode()
     }
 
     /// Whether this process is the member.
@@ -283,8 +283,8 @@
     /// Takes over what may change while the node runs.
     pub fn retune(&self, settings: &Settings) {
         self.turn(|fleet, _| {
-            fleet.seeds(settings.seeds.clone());
-            fleet.set_rules(settings.rules.clone());
+            fleet.set_seeds(settings.seeds.clone());
+            fleet.set_config(settings.rules.clone());
         });
     }
 
@@ -301,7 +301,7 @@
     }
 
     /// Looks at the view.
-    pub fn look<T>(&self, look: impl FnOnce(&Fleet, i64) -> T) -> T {
+    pub fn look<T>(&self, look: impl FnOnce(&Membership, i64) -> T) -> T {
         look(&self.fleet.borrow(), self.clock.now())
     }
 
@@ -312,14 +312,15 @@
     }
 
     /// Tells the decisions something, and carries out what comes of it.
-    fn turn<T>(&self, tell: impl FnOnce(&mut Fleet, i64) -> T) -> T {
+    fn turn<T>(&self, tell: impl FnOnce(&mut Membership, i64) -> T) -> T {
         let mut fleet = self.fleet.borrow_mut();
         let told = tell(&mut fleet, self.clock.now());
         let now = self.clock.now();
         let mut heard = Vec::new();
-        while let Some((from, said)) = fleet.take_heard() {
+        while let Some((from, said)) = fleet.take_application_message() {
             match (&self.affinity, &said) {
-                (Some(sessions), Heard::Said(bytes)) if sessions.heard(now, &from, bytes) => {}
+                (Some(sessions), ApplicationMessage::Direct(bytes))
+                    if sessions.heard(now, &from, bytes) => {}
                 _ => heard.push((from, said)),
             }
         }
@@ -330,7 +331,7 @@
             sessions.turn(&mut fleet, now, self.acting());
         }
         let mut unsent = 0;
-        let out = fleet.take_out();
+        let out = fleet.take_datagrams();
         for (to, bytes) in &out {
             // One that the system does not take is like one that is lost on its way.
             unsent += u64::from(self.udp.get_ref().send_to(bytes, to).is_err());
@@ -345,7 +346,7 @@
         if lost > 0 {
             log(&format!("fleet: {lost} lines were left out"));
         }
-        if fleet.wants_sync() {
+        if fleet.has_sync_target() {
             self.dial.give();
         }
         if self
@@ -360,7 +361,7 @@
             .affinity
             .as_ref()
             .map_or(parts, |sessions| sessions.due().min(parts));
-        let next = parts.min(fleet.next_wake());
+        let next = parts.min(fleet.next_wakeup());
         if next < self.next.replace(next) {
             self.woken.give();
         }
@@ -385,7 +386,7 @@
         self.woken.give();
     }
 
-    fn misunderstood(&self, what: &str, why: &pipitlever_membership::message::Broken) {
+    fn misunderstood(&self, what: &str, why: &pipitlever_membership::message::DecodeError) {
         self.count(|c| c.malformed += 1);
         let now = Instant::now();
         if self.named.get().is_none_or(|at| at + NAMED <= now) {
@@ -435,16 +436,16 @@
     }
 
     /// How the node is.
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> ServiceState {
         let hub = self.hub.borrow();
         match () {
-            () if hub.draining() => Standing::Draining,
+            () if hub.draining() => ServiceState::Draining,
             () if hub.core.fresh() || !hub.taking || hub.core.barred(self.clock.now()) => {
-                Standing::Starting
+                ServiceState::Starting
             }
-            () if hub.core.standing_by() => Standing::Standby,
-            () if hub.core.crowded() => Standing::Overloaded,
-            () => Standing::Serving,
+            () if hub.core.standing_by() => ServiceState::Standby,
+            () if hub.core.crowded() => ServiceState::Overloaded,
+            () => ServiceState::Serving,
         }
     }
 }
--- a/crates/node/src/net/fleet/settings.rs
+++ b/crates/node/src/net/fleet/settings.rs
@@ -16,7 +16,7 @@
     /// Where it stands; may be empty.
     pub zone: String,
     /// Times and bounds.
-    pub rules: Rules,
+    pub rules: MembershipConfig,
     /// Versions of the settings, if the fleet decides them.
     pub versions: Option<versions::Settings>,
     /// What a node keeps to of a pool that is shared while it may be cut off.
@@ -27,7 +27,7 @@
     /// News reaches all within the first, as a rule; what a node had that is gone is nobody's for
     /// the second.
     pub(super) fn times(&self) -> Times {
-        let hold = 2 * self.rules.probe + 2 * LOOK_MS as i64 * 1000;
+        let hold = 2 * self.rules.probe_interval + 2 * LOOK_MS as i64 * 1000;
         // From the last word that one that is cut off had of a majority until its lease is over, by
         // any clock.
         let reserve = self
--- a/crates/node/src/net/sessions.rs
+++ b/crates/node/src/net/sessions.rs
@@ -7,9 +7,12 @@
 use crate::log::log;
 use async_channel::Sender;
 use pipitlever_load_balancing::pool::Use;
-use pipitlever_membership::Fleet;
+use pipitlever_membership::Membership;
+use pipitlever_session_affinity::directory::{
+    DirectorySettings, Peer, PlacementCounters, Pool, Resolution, SessionDirectory, SessionKey,
+    WorkerSettings,
+};
 use pipitlever_session_affinity::message::Message;
-use pipitlever_session_affinity::node::{Found, Moves, Node, Peer, Pool, Server, Settings, What};
 use pipitlever_session_affinity::WorkerId;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -31,14 +34,14 @@
 
 /// The part.
 pub struct Sessions {
-    node: RefCell<Node>,
+    node: RefCell<SessionDirectory>,
     /// The pools as they were last read, with each one's place among the hub's.
     files: RefCell<Vec<(usize, Named)>>,
     generation: Cell<u64>,
     seen: Cell<(u64, bool)>,
-    waiting: RefCell<HashMap<u64, Sender<Found>>>,
+    waiting: RefCell<HashMap<u64, Sender<Resolution>>>,
     /// Moves as they were last told of in the log, and when.
-    told: RefCell<(Vec<Moves>, i64)>,
+    told: RefCell<(Vec<PlacementCounters>, i64)>,
     last: Cell<u64>,
     /// Another process of this node is the member: nothing is said or heard here any more.
     paused: Cell<bool>,
@@ -61,21 +64,21 @@
         .members
         .iter()
         .zip(&file.labels)
-        .map(|(m, label)| Server {
+        .map(|(m, label)| WorkerSettings {
             name: label.name.clone(),
             weight: m.weight,
             // Who stands by for others has no sessions of his own.
-            takes: m.usage == Use::On && !m.spare,
-            drains: m.usage == Use::Draining,
+            accepts_sessions: m.usage == Use::On && !m.spare,
+            is_draining: m.usage == Use::Draining,
         });
     let (idle, patience, linger) = (sessions.idle_s, sessions.patience, sessions.linger);
     Some(Pool {
         name: file.name.clone(),
-        was: file.was.clone(),
+        previous_names: file.was.clone(),
         workers: workers.collect(),
-        idle,
-        patience,
-        linger,
+        idle_timeout_seconds: idle,
+        failure_grace: patience,
+        drain_grace: linger,
     })
 }
 
@@ -90,11 +93,11 @@
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_secs() as u32);
         let pools = files.iter().filter_map(|(_, f)| pool(f)).collect();
-        let node = Node::new(
+        let node = SessionDirectory::new(
             name,
-            Settings {
-                wait: WAIT,
-                most: MOST,
+            DirectorySettings {
+                lookup_timeout: WAIT,
+                max_sessions: MOST,
             },
             pools,
             unix,
@@ -116,14 +119,14 @@
 
     /// What a member said, if it is about sessions.
     pub fn heard(&self, now: i64, from: &str, bytes: &[u8]) -> bool {
-        let message = Message::read(bytes);
+        let message = Message::decode(bytes);
         message
-            .inspect(|message| self.node.borrow_mut().heard(now, from, message))
+            .inspect(|message| self.node.borrow_mut().handle_message(now, from, message))
             .is_some()
     }
 
     /// Takes over another version or file, if there is one.
-    fn renew(&self, node: &mut Node, now: i64, version: u64) {
+    fn renew(&self, node: &mut SessionDirectory, now: i64, version: u64) {
         let generation = self
             .hub
             .try_borrow()
@@ -140,19 +143,19 @@
     }
 
     /// Does what is due, and says what comes of it.
-    pub fn turn(&self, fleet: &mut Fleet, now: i64, version: u64) {
+    pub fn turn(&self, fleet: &mut Membership, now: i64, version: u64) {
         let mut node = self.node.borrow_mut();
         self.renew(&mut node, now, version);
-        let seen = (fleet.digest(), fleet.settled());
+        let seen = (fleet.digest(), fleet.is_converged());
         if self.seen.replace(seen) != seen {
-            node.view(now, peers(fleet), seen.1);
+            node.handle_membership_change(now, peers(fleet), seen.1);
         }
-        node.tick(now);
-        for (to, bytes) in node.take_out() {
-            fleet.tell(&to, bytes);
+        node.handle_wakeup(now);
+        for (to, bytes) in node.take_messages() {
+            fleet.send_application_message(&to, bytes);
         }
         let mut waiting = self.waiting.borrow_mut();
-        for (request, found) in node.take_found() {
+        for (request, found) in node.take_resolutions() {
             if let Some(sender) = waiting.remove(&request) {
                 // Whoever waited may have been given up.
                 let _ = sender.try_send(found);
@@ -172,7 +175,7 @@
             let id =
                 |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
             let out: Vec<WorkerId> = out.iter().filter_map(id).collect();
-            node.left_out(now, i, &out);
+            node.set_ejected_workers(now, i, &out);
         }
     }
 
@@ -180,13 +183,13 @@
     pub fn note(&self, now: i64) {
         let node = self.node.borrow();
         let mut told = self.told.borrow_mut();
-        let moves: Vec<Moves> = node.pools().iter().map(|p| p.moves).collect();
+        let moves: Vec<PlacementCounters> = node.pools().iter().map(|p| p.moves).collect();
         if now < told.1 + NOTED {
             return;
         }
         for (i, (state, new)) in node.pools().iter().zip(&moves).enumerate() {
             let old = told.0.get(i).copied().unwrap_or_default();
-            let since = |of: fn(&Moves) -> u64| of(new).saturating_sub(of(&old));
+            let since = |of: fn(&PlacementCounters) -> u64| of(new).saturating_sub(of(&old));
             let (removed, failed) = (since(|m| m.removed), since(|m| m.failed));
             let unreachable = since(|m| m.unreachable);
             if removed + failed + unreachable > 0 {
@@ -202,13 +205,13 @@
 
     /// When it wants to be woken.
     pub fn due(&self) -> i64 {
-        self.node.borrow().due()
+        self.node.borrow().next_wakeup()
     }
 
     /// Flags that travel with the view.
     pub fn told(&self) -> u8 {
         TAKES_PART
-            | if self.node.borrow().filled() {
+            | if self.node.borrow().is_bootstrapped() {
                 FILLED
             } else {
                 0
@@ -236,12 +239,12 @@
             return Ok(None);
         };
         if self.paused.get() {
-            let found = node.recall(now, number, what);
+            let found = node.resolve_locally(now, number, what);
             return Ok(self.address(&node, number, found));
         }
         self.last.set(self.last.get() + 1);
-        match node.want(now, number, what, self.last.get()) {
-            Found::Asked => {
+        match node.resolve(now, number, what, self.last.get()) {
+            Resolution::Pending => {
                 let (sender, receiver) = async_channel::bounded(1);
                 self.waiting.borrow_mut().insert(self.last.get(), sender);
                 Err(Waiting {
@@ -254,7 +257,7 @@
         }
     }
 
-    fn worker(&self, node: &Node, number: usize, at: SocketAddr) -> Option<WorkerId> {
+    fn worker(&self, node: &SessionDirectory, number: usize, at: SocketAddr) -> Option<WorkerId> {
         let position = self.files.borrow()[number]
             .1
             .members
@@ -263,16 +266,24 @@
         node.pools()[number].id(position?)
     }
 
-    fn what(&self, node: &Node, number: usize, looked: Looked) -> Option<What> {
+    fn what(&self, node: &SessionDirectory, number: usize, looked: Looked) -> Option<SessionKey> {
         match looked {
-            Looked::Session(shown) => Some(What::Session(shown)),
-            Looked::Key(shown, at) => Some(What::Key(shown, self.worker(node, number, at)?)),
+            Looked::Session(shown) => Some(SessionKey::Session(shown)),
+            Looked::Key(shown, at) => Some(SessionKey::IdempotencyKey(
+                shown,
+                self.worker(node, number, at)?,
+            )),
         }
     }
 
     /// Where a worker is.
-    fn address(&self, node: &Node, number: usize, found: Found) -> Option<SocketAddr> {
-        let Found::At(worker) = found else {
+    fn address(
+        &self,
+        node: &SessionDirectory,
+        number: usize,
+        found: Resolution,
+    ) -> Option<SocketAddr> {
+        let Resolution::Worker(worker) = found else {
             return None;
         };
         let at = node.pools()[number].position(worker)?;
@@ -292,7 +303,7 @@
         } = waiting;
         let came = receiver.recv().await;
         let node = self.node.borrow();
-        let found = came.unwrap_or_else(|_| node.recall(now(), number, what));
+        let found = came.unwrap_or_else(|_| node.resolve_locally(now(), number, what));
         self.address(&node, number, found)
     }
 
@@ -315,21 +326,23 @@
         let number = self.number(pool)?;
         let worker = self.worker(&node, number, at)?;
         let what = self.what(&node, number, looked)?;
-        let next = node.unreachable(now, number, what, worker)?;
-        self.address(&node, number, Found::At(next))
+        let next = node.handle_unreachable(now, number, what, worker)?;
+        self.address(&node, number, Resolution::Worker(next))
     }
 
     /// Counts and what is remembered, for the door's figures.
     pub fn figures(&self, text: &mut String) {
         use std::fmt::Write;
         let node = self.node.borrow();
-        let sum = |of: fn(&Moves) -> u64| node.pools().iter().map(|p| of(&p.moves)).sum::<u64>();
+        let sum = |of: fn(&PlacementCounters) -> u64| {
+            node.pools().iter().map(|p| of(&p.moves)).sum::<u64>()
+        };
         let counts = [
             ("placed", sum(|m| m.placed)),
             ("moved_removed", sum(|m| m.removed)),
             ("moved_failed", sum(|m| m.failed)),
             ("moved_unreachable", sum(|m| m.unreachable)),
-            ("turned_down", node.table().turned_down),
+            ("turned_down", node.table().rejected),
         ];
         for (name, value) in counts {
             // A string takes all that is written to it.
@@ -344,14 +357,14 @@
         let pools = node.pools().iter().enumerate().map(|(i, state)| {
             let m = state.moves;
             json!({
-                "pool": state.pool.name, "workers": node.counts(i), "placed": m.placed, "moved_removed": m.removed,
+                "pool": state.pool.name, "workers": node.sessions_by_worker(i), "placed": m.placed, "moved_removed": m.removed,
                 "moved_failed": m.failed, "moved_unreachable": m.unreachable,
             })
         });
         let (table, pools) = (node.table(), pools.collect::<Vec<_>>());
         json!({
-            "filled": node.filled(), "remembered": table.len(), "bytes": table.bytes(),
-            "turned_down": table.turned_down, "pools": pools,
+            "filled": node.is_bootstrapped(), "remembered": table.len(), "bytes": table.bytes(),
+            "turned_down": table.rejected, "pools": pools,
         })
     }
 }
@@ -369,22 +382,22 @@
 /// A request that waits for word of its session.
 pub struct Waiting {
     number: usize,
-    what: What,
-    receiver: async_channel::Receiver<Found>,
+    what: SessionKey,
+    receiver: async_channel::Receiver<Resolution>,
 }
 
 /// The others that take part. One that is suspected still does.
-fn peers(fleet: &Fleet) -> Vec<Peer> {
+fn peers(fleet: &Membership) -> Vec<Peer> {
     let there = fleet
         .members()
         .iter()
-        .filter(|(name, m)| m.record.state.takes_part() && *name != fleet.name());
+        .filter(|(name, m)| m.record.state.is_active() && *name != fleet.local_name());
     let flags = |payload: &[u8]| payload.get(8).copied().unwrap_or(0);
     let peer = |(name, m): (&str, &pipitlever_membership::members::Member)| {
         let flags = flags(&m.record.details.payload);
         (flags & TAKES_PART != 0).then(|| Peer {
             name: name.to_owned(),
-            filled: flags & FILLED != 0,
+            is_bootstrapped: flags & FILLED != 0,
         })
     };
     there.filter_map(peer).collect()
