--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/share.rs
@@ -7,7 +7,7 @@
 use super::routes::Named;
 use crate::log::log;
 use pipitlever_membership::record::State;
-use pipitlever_membership::Fleet;
+use pipitlever_membership::Membership;
 use pipitlever_subsetting::node::{Member, Node, Pool, Times};
 use pipitlever_subsetting::plan::{Use, Worker};
 use pipitlever_subsetting::told::Told;
@@ -106,13 +106,13 @@
     }
 
     /// Whether the view has changed since it was last looked at.
-    pub fn stale(&self, fleet: &Fleet) -> bool {
+    pub fn stale(&self, fleet: &Membership) -> bool {
         fleet.digest() != self.seen.get().0
     }
 
     /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until`
     /// others may have it.
-    pub fn turn(&self, fleet: &Fleet, now: i64, until: i64) {
+    pub fn turn(&self, fleet: &Membership, now: i64, until: i64) {
         let alone = until <= now;
         // What is not looked at again by then is not known to be right: the process stood still.
         let until = until.min(now + self.hold);
@@ -229,16 +229,16 @@
 }
 
 /// The members, by name. Who has left has no part; who is down has, for a while.
-fn members(fleet: &Fleet) -> Vec<Member> {
+fn members(fleet: &Membership) -> Vec<Member> {
     let there = fleet
         .members()
         .iter()
-        .filter(|(_, m)| !m.fading && m.record.state != State::Left);
+        .filter(|(_, m)| !m.is_tombstone && m.record.state != State::Left);
     let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
         told: told(&m.record.details.payload),
-        down: (m.record.state == State::Down).then_some(m.since),
+        down: (m.record.state == State::Down).then_some(m.state_since),
     };
     there.map(member).collect()
 }
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/versions/mod.rs
@@ -14,7 +14,7 @@
 use pipitlever_config_versions::publisher::Outcome;
 use pipitlever_config_versions::version::Version;
 use pipitlever_config_versions::word::Word;
-use pipitlever_membership::{Fleet, Heard};
+use pipitlever_membership::{ApplicationMessage, Membership};
 use serde::Deserialize;
 use serde_json::{json, value::RawValue, Value};
 use std::cell::{Cell, RefCell};
@@ -105,16 +105,16 @@
     }
 
     /// Takes in what members have said, does what is due, and says what comes of it.
-    pub fn turn(&self, fleet: &mut Fleet, now: i64, heard: Vec<(String, Heard)>) {
+    pub fn turn(&self, fleet: &mut Membership, now: i64, heard: Vec<(String, ApplicationMessage)>) {
         let mut node = self.node.borrow_mut();
         for (from, heard) in heard {
             match heard {
-                Heard::Hint(bytes) => {
+                ApplicationMessage::Piggyback(bytes) => {
                     if let Some(hint) = Hint::read(&bytes) {
                         node.heard_hint(now, &hint);
                     }
                 }
-                Heard::Said(bytes) => match Word::read(&bytes) {
+                ApplicationMessage::Direct(bytes) => match Word::read(&bytes) {
                     Some(Word::Register(bytes)) => {
                         Message::read(&bytes).inspect(|message| node.heard(now, &from, message));
                     }
@@ -122,7 +122,7 @@
                         let piece = node.piece(digest, at as usize);
                         let all = piece.as_ref().map(|(_, all)| *all as u32);
                         let bytes = piece.map_or(Vec::new(), |(bytes, _)| bytes);
-                        fleet.tell(
+                        fleet.send_application_message(
                             &from,
                             Word::Piece {
                                 digest,
@@ -156,13 +156,13 @@
             let there = fleet
                 .members()
                 .iter()
-                .filter(|(_, m)| m.record.state.takes_part());
+                .filter(|(_, m)| m.record.state.is_active());
             let others: Vec<&str> = there
                 .map(|(name, _)| name)
-                .filter(|name| *name != fleet.name())
+                .filter(|name| *name != fleet.local_name())
                 .collect();
             if let Some((digest, at, of)) = node.take_fetch(now, &others) {
-                fleet.tell(
+                fleet.send_application_message(
                     &of,
                     Word::Want {
                         digest,
@@ -173,7 +173,7 @@
             }
         }
         for (to, message) in node.take_out() {
-            fleet.tell(&to, Word::register(&message).write());
+            fleet.send_application_message(&to, Word::register(&message).write());
         }
         if let Some((version, content)) =
             node.offer().filter(|(v, _)| v.number > self.offered.get())
@@ -189,9 +189,9 @@
             spread |= matches!(event, Event::Heard(..));
             log(&format!("versions: {}", line(&event)));
         }
-        fleet.set_hint(node.hint().write());
+        fleet.set_piggyback(node.hint().write());
         if spread {
-            fleet.spread_hint(now);
+            fleet.gossip_piggyback(now);
         }
         let may = node.may_act(now);
         drop(node);
--- a/crates/session-affinity/src/node/pieces.rs
+++ b/crates/session-affinity/src/directory/chunked_scan.rs
@@ -1,9 +1,9 @@
 //! Many sessions on their way to other nodes: all that is remembered is looked through piece by
 //! piece, as requests wait meanwhile.
 
-use super::Node;
-use crate::homes::{Homes, COPIES};
-use crate::message::{Entry, Message, MOST};
+use super::SessionDirectory;
+use crate::message::{Entry, Message, MAX_ENTRIES};
+use crate::replicas::{ReplicaSet, REPLICATION_FACTOR};
 use crate::{Micros, Session};
 use std::collections::BTreeMap;
 
@@ -15,44 +15,44 @@
 
 /// What is sent, and to whom.
 #[derive(Clone, Debug)]
-pub(super) enum Errand {
+pub(super) enum ScanPurpose {
     /// All that a newcomer is to remember, to it; this is the start of it that is served.
-    Fill {
+    Transfer {
         /// Its name.
         to: String,
         /// Its start.
         token: u64,
     },
     /// What the homes of a session had before, to those that are new among them.
-    Spread(Homes),
+    Spread(ReplicaSet),
 }
 
 /// An errand, and what is still to be looked at.
 #[derive(Clone, Debug)]
-pub(super) struct Job {
-    errand: Errand,
+pub(super) struct ScanJob {
+    errand: ScanPurpose,
     sessions: Vec<Session>,
 }
 
-impl Job {
+impl ScanJob {
     /// Whether it serves this start of a newcomer.
     pub(super) fn serves(&self, start: u64) -> bool {
-        matches!(self.errand, Errand::Fill { token, .. } if token == start)
+        matches!(self.errand, ScanPurpose::Transfer { token, .. } if token == start)
     }
 }
 
-impl Node {
+impl SessionDirectory {
     /// All that is remembered now is looked through.
-    pub(super) fn send_all(&mut self, now: Micros, errand: Errand) {
+    pub(super) fn send_all(&mut self, now: Micros, errand: ScanPurpose) {
         let sessions = self.table.iter(now).map(|(session, ..)| session).collect();
-        self.jobs.push_back(Job { errand, sessions });
+        self.jobs.push_back(ScanJob { errand, sessions });
     }
 
     /// The homes have changed: those that are new hear what they are to remember, each from one
     /// that had it.
-    pub(super) fn spread(&mut self, now: Micros, before: Homes) {
+    pub(super) fn spread(&mut self, now: Micros, before: ReplicaSet) {
         if !self.table.is_empty() {
-            self.send_all(now, Errand::Spread(before));
+            self.send_all(now, ScanPurpose::Spread(before));
         }
     }
 
@@ -67,13 +67,13 @@
         self.next_piece = now + PAUSE;
         let mut to: BTreeMap<String, Vec<Entry>> = BTreeMap::new();
         let (mut looked, mut sent) = (0, 0);
-        while looked < LOOKED && sent < SENT * MOST {
+        while looked < LOOKED && sent < SENT * MAX_ENTRIES {
             let Some(session) = job.sessions.pop() else {
                 break;
             };
             looked += 1;
             // It may have been forgotten meanwhile.
-            let Some(entry) = self.table.entry(now, session) else {
+            let Some(entry) = self.table.directory_entry(now, session) else {
                 continue;
             };
             for home in self.owes(&job.errand, session) {
@@ -83,43 +83,45 @@
         }
         let time = self.time.read(now);
         for (home, entries) in to {
-            for entries in entries.chunks(MOST) {
+            for entries in entries.chunks(MAX_ENTRIES) {
                 entries
                     .iter()
-                    .for_each(|e| self.owed.told(now, e.0, vec![home.clone()]));
-                let message = Message::Tell {
+                    .for_each(|e| self.owed.track(now, e.0, vec![home.clone()]));
+                let message = Message::Update {
                     time,
                     entries: entries.to_vec(),
-                    owed: true,
+                    ack_requested: true,
                 };
-                self.out.push((home.clone(), message.write()));
+                self.out.push((home.clone(), message.encode()));
             }
         }
         match job.errand {
             _ if !job.sessions.is_empty() => self.jobs.push_front(job),
-            Errand::Fill { to, token } => self.out.push((to, Message::Filled { token }.write())),
-            Errand::Spread(_) => {}
+            ScanPurpose::Transfer { to, token } => self
+                .out
+                .push((to, Message::TransferComplete { token }.encode())),
+            ScanPurpose::Spread(_) => {}
         }
     }
 
     /// Who is to be told of a session on an errand.
-    fn owes(&self, errand: &Errand, session: Session) -> Vec<String> {
+    fn owes(&self, errand: &ScanPurpose, session: Session) -> Vec<String> {
         match errand {
             // Another home of a session sends it as well: that is for losses on the way. And it may
             // be that the view here has the newcomer not yet.
-            Errand::Fill { to, .. } => {
-                let wanted = self.coming.has(session, to) || !self.coming.holds(to);
+            ScanPurpose::Transfer { to, .. } => {
+                let wanted = self.coming.is_replica(session, to) || !self.coming.contains(to);
                 wanted.then(|| to.clone()).into_iter().collect()
             }
-            Errand::Spread(before) => {
-                let had = before.first(session, COPIES);
+            ScanPurpose::Spread(before) => {
+                let had = before.ranked(session, REPLICATION_FACTOR);
                 // Of those that had it the first one that is left says so; if none is, whoever has
                 // it for its own clients.
-                let left = had.iter().find(|h| self.homes.holds(h));
+                let left = had.iter().find(|h| self.homes.contains(h));
                 if left.is_some_and(|h| *h != self.name) {
                     return Vec::new();
                 }
-                let have = self.homes.first(session, COPIES).into_iter();
+                let have = self.homes.ranked(session, REPLICATION_FACTOR).into_iter();
                 have.filter(|h| !had.contains(h) && *h != self.name)
                     .map(str::to_owned)
                     .collect()
--- a/crates/session-affinity/src/node/heard.rs
+++ b/crates/session-affinity/src/directory/messages.rs
@@ -1,68 +1,71 @@
 //! What the others say.
 
-use super::{Found, Node, Peer};
-use crate::homes::Homes;
-use crate::lookup::Settled;
+use super::{Peer, Resolution, SessionDirectory};
+use crate::lookup::LookupResult;
 use crate::message::{Entry, Message};
-use crate::table::Joined;
+use crate::replicas::ReplicaSet;
+use crate::table::MergeOutcome;
 use crate::{Micros, Session};
 
-impl Node {
+impl SessionDirectory {
     /// The view of the fleet has changed, or has come to rest.
-    pub fn view(&mut self, now: Micros, others: Vec<Peer>, settled: bool) {
+    pub fn handle_membership_change(&mut self, now: Micros, others: Vec<Peer>, settled: bool) {
         let me = std::iter::once((self.name.as_str(), self.fill.done()));
         let all: Vec<(&str, bool)> = others
             .iter()
             .filter(|p| p.name != self.name)
-            .map(|p| (p.name.as_str(), p.filled))
+            .map(|p| (p.name.as_str(), p.is_bootstrapped))
             .chain(me)
             .collect();
-        let homes = Homes::new(
+        let homes = ReplicaSet::new(
             all.iter()
                 .filter(|(_, filled)| *filled)
                 .map(|(name, _)| *name),
         );
-        self.coming = Homes::new(all.iter().map(|(name, _)| *name));
+        self.coming = ReplicaSet::new(all.iter().map(|(name, _)| *name));
         let before = std::mem::replace(&mut self.homes, homes);
         if before != self.homes {
             self.spread(now, before);
         }
         let filled = others
             .into_iter()
-            .filter(|p| p.filled && p.name != self.name)
+            .filter(|p| p.is_bootstrapped && p.name != self.name)
             .map(|p| p.name);
         self.fill.view(filled.collect(), settled);
         self.filling(now);
     }
 
     /// A member said this.
-    pub fn heard(&mut self, now: Micros, from: &str, message: &Message) {
+    pub fn handle_message(&mut self, now: Micros, from: &str, message: &Message) {
         match message {
-            Message::Ask {
+            Message::LookupRequest {
                 time,
                 ticket,
                 session,
             } => {
-                self.time.hear(now, *time);
+                self.time.observe(now, *time);
                 self.table.touch(now, *session);
                 let placement = self.table.get(now, *session).map(|(p, _)| p);
                 let (time, ticket, session) = (self.time.read(now), *ticket, *session);
-                let answer = Message::Answer {
+                let answer = Message::LookupReply {
                     time,
                     ticket,
                     session,
                     placement,
                 };
-                self.out.push((from.to_owned(), answer.write()));
+                self.out.push((from.to_owned(), answer.encode()));
             }
-            Message::Answer {
+            Message::LookupReply {
                 time,
                 ticket,
                 session,
                 placement,
             } => {
-                self.time.hear(now, *time);
-                if let Some(settled) = self.questions.answer(*ticket, from, *session, *placement) {
+                self.time.observe(now, *time);
+                if let Some(settled) = self
+                    .questions
+                    .handle_reply(*ticket, from, *session, *placement)
+                {
                     return self.settled(now, settled);
                 }
                 // A late one, or one that nobody waits for.
@@ -79,22 +82,22 @@
                     None => self.answer_with(now, from, vec![(*session, ours, 0)]),
                 }
             }
-            Message::Tell {
+            Message::Update {
                 time,
                 entries,
-                owed,
+                ack_requested: owed,
             } => {
-                self.time.hear(now, *time);
+                self.time.observe(now, *time);
                 self.fill.heard(now, from);
                 for entry in entries {
                     let (session, placement, _) = *entry;
-                    let mine =
-                        self.homes.has(session, &self.name) || self.coming.has(session, &self.name);
+                    let mine = self.homes.is_replica(session, &self.name)
+                        || self.coming.is_replica(session, &self.name);
                     // Strangers fill nobody's memory with what is not his to remember.
                     if mine || self.table.get(now, session).is_some() {
                         self.join(now, from, *entry);
                     }
-                    if let Some(settled) = self.questions.told(session, placement) {
+                    if let Some(settled) = self.questions.resolve(session, placement) {
                         self.settled(now, settled);
                     }
                 }
@@ -105,12 +108,14 @@
                 let sessions: Vec<Session> = there.collect();
                 if !sessions.is_empty() {
                     self.out
-                        .push((from.to_owned(), Message::Have { sessions }.write()));
+                        .push((from.to_owned(), Message::UpdateAck { sessions }.encode()));
                 }
             }
-            Message::Have { sessions } => sessions.iter().for_each(|s| self.owed.has(*s, from)),
-            Message::Fill { token } => self.fill_other(now, from, *token),
-            Message::Filled { token } => {
+            Message::UpdateAck { sessions } => sessions
+                .iter()
+                .for_each(|s| self.owed.acknowledge(*s, from)),
+            Message::TransferRequest { token } => self.fill_other(now, from, *token),
+            Message::TransferComplete { token } => {
                 self.fill.answered(*token, from);
                 self.filling(now);
             }
@@ -121,25 +126,25 @@
     /// Whether it holds here from now on.
     fn join(&mut self, now: Micros, from: &str, entry: Entry) -> bool {
         let (session, placement, idle) = entry;
-        let joined = self.table.join(now, session, placement, idle);
-        if let Joined::Older(ours) = joined {
+        let joined = self.table.merge(now, session, placement, idle);
+        if let MergeOutcome::Superseded(ours) = joined {
             self.answer_with(now, from, vec![(session, ours, 0)]);
         }
-        joined == Joined::New
+        joined == MergeOutcome::Applied
     }
 
     fn answer_with(&mut self, now: Micros, to: &str, entries: Vec<Entry>) {
-        let message = Message::Tell {
+        let message = Message::Update {
             time: self.time.read(now),
             entries,
-            owed: false,
+            ack_requested: false,
         };
-        self.out.push((to.to_owned(), message.write()));
+        self.out.push((to.to_owned(), message.encode()));
     }
 
     /// A question is settled: those who wait hear of it.
-    pub(super) fn settled(&mut self, now: Micros, settled: Settled) {
-        let Settled {
+    pub(super) fn settled(&mut self, now: Micros, settled: LookupResult) {
+        let LookupResult {
             session,
             pool,
             waiting,
@@ -147,9 +152,9 @@
             at,
         } = settled;
         let found = match placement {
-            _ if pool >= self.pools.len() => Found::Nowhere,
+            _ if pool >= self.pools.len() => Resolution::Unavailable,
             Some(placement) => {
-                self.table.join(now, session, placement, 0);
+                self.table.merge(now, session, placement, 0);
                 // What is older may have been heard of meanwhile.
                 let held = self.table.get(now, session).map_or(placement, |(p, _)| p);
                 self.settle(now, pool, session, held)
--- a/crates/session-affinity/src/node/mod.rs
+++ b/crates/session-affinity/src/directory/mod.rs
@@ -1,33 +1,33 @@
 //! One node's part: what it remembers of sessions, for its own clients and as a home for others.
 
-use crate::choose::choose;
-use crate::homes::{Homes, ASKED, COPIES};
-use crate::lookup::Questions;
-use crate::message::{Entry, Message, MOST};
-use crate::owed::Owed;
+use crate::lookup::PendingLookups;
+use crate::message::{Entry, Message, MAX_ENTRIES};
 use crate::placement::Placement;
-use crate::stamp::{Birth, Time};
-use crate::table::Table;
+use crate::replicas::{ReplicaSet, LOOKUP_FANOUT, REPLICATION_FACTOR};
+use crate::table::PlacementTable;
+use crate::timestamp::{HybridClock, Timestamp};
+use crate::unacknowledged::UnacknowledgedUpdates;
+use crate::worker_selection::select_worker;
 use crate::{mix, Micros, Session, WorkerId};
-use fill::Fill;
-use pieces::Job;
+use chunked_scan::ScanJob;
 use pipitlever_membership::record::digest;
+use state_transfer::StateTransfer;
 use std::collections::{BTreeMap, VecDeque};
 
-mod fill;
-mod heard;
-mod pieces;
+mod chunked_scan;
+mod messages;
 mod pools;
+mod state_transfer;
 
-pub use pools::{Cause, Moves, Pool, PoolState, Server};
+pub use pools::{MoveCause, PlacementCounters, Pool, PoolState, WorkerSettings};
 
 /// What a node keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settings {
+pub struct DirectorySettings {
     /// A request waits no longer than this for word of its session, in microseconds.
-    pub wait: Micros,
+    pub lookup_timeout: Micros,
     /// Sessions that it remembers, at the most.
-    pub most: usize,
+    pub max_sessions: usize,
 }
 
 /// Another node.
@@ -36,17 +36,17 @@
     /// Its name.
     pub name: String,
     /// It has what it is to remember.
-    pub filled: bool,
+    pub is_bootstrapped: bool,
 }
 
 /// What is looked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum SessionKey {
     /// A session, by what its client shows.
     Session(u64),
     /// A keyed request that has come to this worker for the first time: its repeats go there too,
     /// wherever its session goes meanwhile.
-    Key(u64, WorkerId),
+    IdempotencyKey(u64, WorkerId),
 }
 
 /// Keys are the odd ones among what is remembered.
@@ -55,25 +55,25 @@
 /// as such.
 const KEYS: u32 = 600;
 
-impl What {
+impl SessionKey {
     /// What stands for it in a pool, and where it is to be if nobody knows it.
     fn id(self, pool: u64) -> (Session, Option<WorkerId>) {
         match self {
-            What::Session(shown) => (mix(pool, shown) & !KEY, None),
-            What::Key(shown, at) => (mix(pool, shown) | KEY, Some(at)),
+            SessionKey::Session(shown) => (mix(pool, shown) & !KEY, None),
+            SessionKey::IdempotencyKey(shown, at) => (mix(pool, shown) | KEY, Some(at)),
         }
     }
 }
 
 /// Where a request's session lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Resolution {
     /// There.
-    At(WorkerId),
+    Worker(WorkerId),
     /// It is being asked for: [`Node::take_found`] will say.
-    Asked,
+    Pending,
     /// Nowhere: no worker takes it now.
-    Nowhere,
+    Unavailable,
 }
 
 /// Sessions of other nodes' clients alone, and those that nobody wanted for so long, are asked for
@@ -87,52 +87,52 @@
 
 /// The node.
 #[derive(Clone, Debug)]
-pub struct Node {
+pub struct SessionDirectory {
     name: String,
     /// Stands for it, where two nodes place something in one second.
     by: u16,
-    settings: Settings,
-    time: Time,
+    settings: DirectorySettings,
+    time: HybridClock,
     version: u16,
-    table: Table,
+    table: PlacementTable,
     pools: Vec<PoolState>,
     /// Those that remember sessions, and those that will once they have come.
-    homes: Homes,
-    coming: Homes,
-    questions: Questions,
-    owed: Owed,
-    fill: Fill,
-    jobs: VecDeque<Job>,
+    homes: ReplicaSet,
+    coming: ReplicaSet,
+    questions: PendingLookups,
+    owed: UnacknowledgedUpdates,
+    fill: StateTransfer,
+    jobs: VecDeque<ScanJob>,
     next_piece: Micros,
     next_sweep: Micros,
     swept: u64,
     out: Vec<(String, Vec<u8>)>,
-    found: Vec<(u64, Found)>,
+    found: Vec<(u64, Resolution)>,
 }
 
-impl Node {
+impl SessionDirectory {
     /// One that has just started, at this date. `token` stands for this start of it.
     pub fn new(
         name: &str,
-        settings: Settings,
+        settings: DirectorySettings,
         pools: Vec<Pool>,
         unix_s: u32,
         token: u64,
         now: Micros,
-    ) -> Node {
-        let mut node = Node {
+    ) -> SessionDirectory {
+        let mut node = SessionDirectory {
             name: name.to_owned(),
             by: digest(name.as_bytes()) as u16,
             settings,
-            time: Time::new(unix_s, now),
+            time: HybridClock::new(unix_s, now),
             version: 0,
-            table: Table::new(settings.most, now),
+            table: PlacementTable::new(settings.max_sessions, now),
             pools: Vec::new(),
-            homes: Homes::default(),
-            coming: Homes::default(),
-            questions: Questions::default(),
-            owed: Owed::default(),
-            fill: Fill::new(token, now),
+            homes: ReplicaSet::default(),
+            coming: ReplicaSet::default(),
+            questions: PendingLookups::default(),
+            owed: UnacknowledgedUpdates::default(),
+            fill: StateTransfer::new(token, now),
             jobs: VecDeque::new(),
             next_piece: now,
             next_sweep: now + SWEEP,
@@ -154,13 +154,19 @@
     }
 
     /// Where a request's session lives, or its key belongs. `waiting` stands for the request.
-    pub fn want(&mut self, now: Micros, pool: usize, what: What, waiting: u64) -> Found {
+    pub fn resolve(
+        &mut self,
+        now: Micros,
+        pool: usize,
+        what: SessionKey,
+        waiting: u64,
+    ) -> Resolution {
         let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else {
-            return Found::Nowhere;
+            return Resolution::Unavailable;
         };
         if !self.fill.ready() {
             // It knows nobody yet whom it could ask.
-            return Found::Nowhere;
+            return Resolution::Unavailable;
         }
         if let Some((placement, fresh)) = self.table.get(now, session) {
             self.table.touch(now, session);
@@ -169,40 +175,47 @@
             if fresh {
                 return self.settle(now, pool, session, placement);
             }
-            self.table.check(now, session);
-            if self.homes.has(session, &self.name) {
+            self.table.mark_checked(now, session);
+            if self.homes.is_replica(session, &self.name) {
                 self.ask(now, session, 0);
                 return self.settle(now, pool, session, placement);
             }
         }
-        if self.questions.join(session, waiting) {
-            return Found::Asked;
+        if self.questions.add_waiter(session, waiting) {
+            return Resolution::Pending;
         }
-        let homes = self.homes.first(session, ASKED);
+        let homes = self.homes.ranked(session, LOOKUP_FANOUT);
         let first = homes
             .iter()
-            .take(COPIES)
+            .take(REPLICATION_FACTOR)
             .filter(|h| **h != self.name)
             .count();
         let others: Vec<&str> = homes.into_iter().filter(|h| *h != self.name).collect();
-        let until = now + self.settings.wait;
+        let until = now + self.settings.lookup_timeout;
         let asked = match others.is_empty() {
             true => None,
-            false => self
-                .questions
-                .ask(pool, (session, at), &others, first, [now, until], waiting),
+            false => {
+                self.questions
+                    .start(pool, (session, at), &others, first, [now, until], waiting)
+            }
         };
         match asked {
             Some(ticket) => {
                 self.ask(now, session, ticket);
-                Found::Asked
+                Resolution::Pending
             }
             None => self.known(now, pool, session, at),
         }
     }
 
     /// Where a session lives that nobody is asked for, or of which nobody has said anything.
-    fn known(&mut self, now: Micros, pool: usize, session: Session, at: Option<WorkerId>) -> Found {
+    fn known(
+        &mut self,
+        now: Micros,
+        pool: usize,
+        session: Session,
+        at: Option<WorkerId>,
+    ) -> Resolution {
         match self.table.get(now, session) {
             Some((placement, _)) => self.settle(now, pool, session, placement),
             None => self.place(now, pool, session, at),
@@ -212,25 +225,25 @@
     /// The same by what is known here alone, without a word to anybody: for a process that another
     /// one of its node has taken over from. Of what it doesn't know it says nothing: whoever comes
     /// again finds the other process.
-    pub fn recall(&self, now: Micros, pool: usize, what: What) -> Found {
+    pub fn resolve_locally(&self, now: Micros, pool: usize, what: SessionKey) -> Resolution {
         let Some((session, at)) = self.pools.get(pool).map(|p| what.id(p.id)) else {
-            return Found::Nowhere;
+            return Resolution::Unavailable;
         };
         let held = self.table.get(now, session).map(|(p, _)| p.worker).or(at);
         let stays = held.filter(|worker| self.pools[pool].leaves(now, *worker).is_none());
-        stays.map_or(Found::Nowhere, Found::At)
+        stays.map_or(Resolution::Unavailable, Resolution::Worker)
     }
 
     fn ask(&mut self, now: Micros, session: Session, ticket: u32) {
-        let message = Message::Ask {
+        let message = Message::LookupRequest {
             time: self.time.read(now),
             ticket,
             session,
         }
-        .write();
+        .encode();
         let others = self
             .homes
-            .first(session, ASKED)
+            .ranked(session, LOOKUP_FANOUT)
             .into_iter()
             .filter(|h| *h != self.name);
         self.out
@@ -238,35 +251,41 @@
     }
 
     /// A session that nobody knows.
-    fn place(&mut self, now: Micros, pool: usize, session: Session, at: Option<WorkerId>) -> Found {
+    fn place(
+        &mut self,
+        now: Micros,
+        pool: usize,
+        session: Session,
+        at: Option<WorkerId>,
+    ) -> Resolution {
         let there = at.filter(|at| self.pools[pool].position(*at).is_some());
         let chosen = there.or_else(|| self.choose(pool, session, None));
         let Some(worker) = chosen else {
-            return Found::Nowhere;
+            return Resolution::Unavailable;
         };
-        let birth = Birth {
+        let birth = Timestamp {
             seconds: self.time.read(now),
-            by: self.by,
+            node: self.by,
         };
         let placement = Placement {
             worker,
-            birth,
+            created: birth,
             moves: 0,
             version: self.version,
         };
         self.pools[pool].moves.placed += u64::from(session & KEY == 0);
-        self.table.join(now, session, placement, 0);
+        self.table.merge(now, session, placement, 0);
         self.tell(now, session, placement);
-        Found::At(worker)
+        Resolution::Worker(worker)
     }
 
     /// A worker that is well, or any that takes sessions where none of these is.
     fn choose(&self, pool: usize, session: Session, not: Option<WorkerId>) -> Option<WorkerId> {
         let state = &self.pools[pool];
-        let well = choose(session, &state.workers, |w| {
+        let well = select_worker(session, &state.workers, |w| {
             Some(w) == not || state.is_out(w)
         });
-        well.or_else(|| choose(session, &state.workers, |w| Some(w) == not))
+        well.or_else(|| select_worker(session, &state.workers, |w| Some(w) == not))
     }
 
     /// Where a session is that lives there: there, unless it has to move.
@@ -276,24 +295,24 @@
         pool: usize,
         session: Session,
         placement: Placement,
-    ) -> Found {
+    ) -> Resolution {
         let state = &mut self.pools[pool];
         let cause = match state.leaves(now, placement.worker) {
-            None => return Found::At(placement.worker),
+            None => return Resolution::Worker(placement.worker),
             // Under a version that this node has not taken yet there is such a worker. It is, any
             // moment; if not, its side goes on.
-            Some(Cause::Removed) if placement.after(self.version) => {
+            Some(MoveCause::Removed) if placement.is_newer_than(self.version) => {
                 return match state.unknown(now, placement.worker) {
-                    true => Found::Nowhere,
+                    true => Resolution::Unavailable,
                     false => self
                         .choose(pool, session, None)
-                        .map_or(Found::Nowhere, Found::At),
+                        .map_or(Resolution::Unavailable, Resolution::Worker),
                 };
             }
             Some(cause) => cause,
         };
         self.shift(now, pool, session, placement, cause)
-            .map_or(Found::Nowhere, Found::At)
+            .map_or(Resolution::Unavailable, Resolution::Worker)
     }
 
     /// It moves, if there is anywhere to go.
@@ -303,32 +322,32 @@
         pool: usize,
         session: Session,
         from: Placement,
-        cause: Cause,
+        cause: MoveCause,
     ) -> Option<WorkerId> {
         let Some(worker) = self.choose(pool, session, Some(from.worker)) else {
             // A worker that failed is better than none.
-            return (cause != Cause::Removed).then_some(from.worker);
+            return (cause != MoveCause::Removed).then_some(from.worker);
         };
         let placement = from.moved(worker, self.version);
         self.pools[pool].moves.count(cause);
-        self.table.join(now, session, placement, 0);
+        self.table.merge(now, session, placement, 0);
         self.tell(now, session, placement);
         Some(worker)
     }
 
     /// A run of a session never began, as its worker could not be reached: it moves at once. Where
     /// to, if anywhere else.
-    pub fn unreachable(
+    pub fn handle_unreachable(
         &mut self,
         now: Micros,
         pool: usize,
-        what: What,
+        what: SessionKey,
         worker: WorkerId,
     ) -> Option<WorkerId> {
         let (session, _) = what.id(self.pools.get(pool)?.id);
         match self.table.get(now, session) {
             Some((p, _)) if p.worker == worker => self
-                .shift(now, pool, session, p, Cause::Unreachable)
+                .shift(now, pool, session, p, MoveCause::Unreachable)
                 .filter(|w| *w != worker),
             // It has moved meanwhile.
             Some((p, _)) => Some(p.worker),
@@ -338,12 +357,12 @@
 
     /// Its homes hear where it lives, and those that will be its homes.
     fn tell(&mut self, now: Micros, session: Session, placement: Placement) {
-        let mut to = self.homes.first(session, COPIES);
+        let mut to = self.homes.ranked(session, REPLICATION_FACTOR);
         to.extend(
             self.coming
-                .first(session, COPIES)
+                .ranked(session, REPLICATION_FACTOR)
                 .into_iter()
-                .filter(|n| !self.homes.has(session, n)),
+                .filter(|n| !self.homes.is_replica(session, n)),
         );
         let to: Vec<String> = to
             .into_iter()
@@ -351,17 +370,17 @@
             .map(str::to_owned)
             .collect();
         self.tell_these(now, session, placement, &to);
-        self.owed.told(now, session, to);
+        self.owed.track(now, session, to);
     }
 
     fn tell_these(&mut self, now: Micros, session: Session, placement: Placement, to: &[String]) {
         let entries = vec![(session, placement, 0)];
-        let message = Message::Tell {
+        let message = Message::Update {
             time: self.time.read(now),
             entries,
-            owed: true,
+            ack_requested: true,
         }
-        .write();
+        .encode();
         self.out
             .extend(to.iter().map(|n| (n.clone(), message.clone())));
     }
@@ -369,7 +388,7 @@
     /// What homes have not said that they have, in bunches.
     fn tell_again(&mut self, now: Micros) {
         let mut owed: BTreeMap<String, Vec<Entry>> = BTreeMap::new();
-        for (session, homes) in self.owed.again(now) {
+        for (session, homes) in self.owed.take_retransmissions(now) {
             let Some((placement, _)) = self.table.get(now, session) else {
                 continue;
             };
@@ -379,14 +398,14 @@
         }
         let time = self.time.read(now);
         for (home, entries) in owed {
-            let bunches = entries.chunks(MOST).map(<[Entry]>::to_vec);
+            let bunches = entries.chunks(MAX_ENTRIES).map(<[Entry]>::to_vec);
             let messages = bunches.map(|entries| {
-                Message::Tell {
+                Message::Update {
                     time,
                     entries,
-                    owed: true,
+                    ack_requested: true,
                 }
-                .write()
+                .encode()
             });
             self.out
                 .extend(messages.map(|message| (home.clone(), message)));
@@ -394,24 +413,24 @@
     }
 
     /// These workers of a pool are left out, as their runs fail.
-    pub fn left_out(&mut self, now: Micros, pool: usize, out: &[WorkerId]) {
+    pub fn set_ejected_workers(&mut self, now: Micros, pool: usize, out: &[WorkerId]) {
         if let Some(state) = self.pools.get_mut(pool) {
             state.left_out(now, out);
         }
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Micros) {
-        for settled in self.questions.due(now) {
+    pub fn handle_wakeup(&mut self, now: Micros) {
+        for settled in self.questions.take_expired(now) {
             self.settled(now, settled);
         }
-        for (ticket, session, homes) in self.questions.again(now) {
-            let message = Message::Ask {
+        for (ticket, session, homes) in self.questions.take_retries(now) {
+            let message = Message::LookupRequest {
                 time: self.time.read(now),
                 ticket,
                 session,
             }
-            .write();
+            .encode();
             self.out
                 .extend(homes.into_iter().map(|home| (home, message.clone())));
         }
@@ -427,18 +446,18 @@
             self.table.sweep(now, |session, seconds| {
                 let idle = if session & KEY != 0 { KEYS } else { idle };
                 let other = (session >> 32) % PARTS != part;
-                let mine = || homes.has(session, name) || coming.has(session, name);
+                let mine = || homes.is_replica(session, name) || coming.is_replica(session, name);
                 other || seconds < CACHED || seconds < idle && mine()
             });
         }
     }
 
     /// When it wants to be woken.
-    pub fn due(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         let piece = (!self.jobs.is_empty()).then_some(self.next_piece);
         let all = [
-            self.questions.next(),
-            self.owed.next(),
+            self.questions.next_deadline(),
+            self.owed.next_deadline(),
             piece,
             self.fill.next(),
         ];
@@ -446,27 +465,27 @@
     }
 
     /// What is to be sent.
-    pub fn take_out(&mut self) -> Vec<(String, Vec<u8>)> {
+    pub fn take_messages(&mut self) -> Vec<(String, Vec<u8>)> {
         std::mem::take(&mut self.out)
     }
 
     /// What became of requests that waited.
-    pub fn take_found(&mut self) -> Vec<(u64, Found)> {
+    pub fn take_resolutions(&mut self) -> Vec<(u64, Resolution)> {
         std::mem::take(&mut self.found)
     }
 
     /// Whether it knows whom to ask: before that no session is to be had here.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.fill.ready()
     }
 
     /// Whether it has what it is to remember.
-    pub fn filled(&self) -> bool {
+    pub fn is_bootstrapped(&self) -> bool {
         self.fill.done()
     }
 
     /// What it remembers.
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &PlacementTable {
         &self.table
     }
 
@@ -476,18 +495,24 @@
     }
 
     /// What is known here of a session, for tests and for operators.
-    pub fn placement(&self, now: Micros, pool: usize, what: What) -> Option<Placement> {
+    pub fn placement(&self, now: Micros, pool: usize, what: SessionKey) -> Option<Placement> {
         self.table
             .get(now, what.id(self.pools.get(pool)?.id).0)
             .map(|(p, _)| p)
     }
 
     /// Sessions by worker, in one pool.
-    pub fn counts(&self, pool: usize) -> BTreeMap<String, usize> {
+    pub fn sessions_by_worker(&self, pool: usize) -> BTreeMap<String, usize> {
         let Some(state) = self.pools.get(pool) else {
             return BTreeMap::new();
         };
-        let count = |id| self.table.counts().get(&id).copied().unwrap_or_default();
+        let count = |id| {
+            self.table
+                .sessions_by_worker()
+                .get(&id)
+                .copied()
+                .unwrap_or_default()
+        };
         state
             .names
             .iter()
--- a/crates/session-affinity/src/node/pools.rs
+++ b/crates/session-affinity/src/directory/pools.rs
@@ -1,22 +1,22 @@
 //! A pool's workers, as far as sessions go: who takes them, who keeps them, and since when one
 //! fails.
 
-use crate::choose::Worker;
+use crate::worker_selection::Worker;
 use crate::{mix, Micros, WorkerId};
 use pipitlever_membership::record::digest;
 use std::collections::BTreeMap;
 
 /// A worker, as the file has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct WorkerSettings {
     /// Its name: it is the same one wherever it is.
     pub name: String,
     /// Its share of new sessions; above 0.
     pub weight: f64,
     /// It takes new ones.
-    pub takes: bool,
+    pub accepts_sessions: bool,
     /// It takes none, and keeps those that it has for a while.
-    pub drains: bool,
+    pub is_draining: bool,
 }
 
 /// A pool whose sessions stay.
@@ -25,20 +25,20 @@
     /// Its name.
     pub name: String,
     /// What it was called before, the oldest first.
-    pub was: Vec<String>,
+    pub previous_names: Vec<String>,
     /// Its workers.
-    pub workers: Vec<Server>,
+    pub workers: Vec<WorkerSettings>,
     /// A session that nobody wanted for so many seconds is forgotten.
-    pub idle: u32,
+    pub idle_timeout_seconds: u32,
     /// A worker that fails keeps its sessions for so long, in microseconds.
-    pub patience: Micros,
+    pub failure_grace: Micros,
     /// One that drains does for so long, in microseconds.
-    pub linger: Micros,
+    pub drain_grace: Micros,
 }
 
 /// Why a session has to move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum MoveCause {
     /// Its worker is no member any more, is disabled, or has drained for long enough.
     Removed,
     /// Its worker has failed for too long.
@@ -49,7 +49,7 @@
 
 /// What has become of sessions here since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Moves {
+pub struct PlacementCounters {
     /// Placed for the first time.
     pub placed: u64,
     /// Moved, by cause.
@@ -60,12 +60,12 @@
     pub unreachable: u64,
 }
 
-impl Moves {
-    pub(super) fn count(&mut self, cause: Cause) {
+impl PlacementCounters {
+    pub(super) fn count(&mut self, cause: MoveCause) {
         match cause {
-            Cause::Removed => self.removed += 1,
-            Cause::Failed => self.failed += 1,
-            Cause::Unreachable => self.unreachable += 1,
+            MoveCause::Removed => self.removed += 1,
+            MoveCause::Failed => self.failed += 1,
+            MoveCause::Unreachable => self.unreachable += 1,
         }
     }
 }
@@ -79,7 +79,7 @@
     /// The file.
     pub pool: Pool,
     /// What has become of its sessions.
-    pub moves: Moves,
+    pub moves: PlacementCounters,
     pub(super) id: u64,
     pub(super) idle: u32,
     pub(super) workers: Vec<Worker>,
@@ -93,15 +93,15 @@
 impl PoolState {
     pub(super) fn new(pool: Pool, before: &[PoolState], now: Micros) -> PoolState {
         // By its first name: a rename moves nobody.
-        let id = digest(pool.was.first().unwrap_or(&pool.name).as_bytes());
+        let id = digest(pool.previous_names.first().unwrap_or(&pool.name).as_bytes());
         let worker_id = |name: &str| mix(id, digest(name.as_bytes())) as WorkerId;
-        let worker = |s: &Server| {
-            let (id, keeps) = (worker_id(&s.name), s.takes || s.drains);
+        let worker = |s: &WorkerSettings| {
+            let (id, keeps) = (worker_id(&s.name), s.accepts_sessions || s.is_draining);
             Worker {
                 id,
                 weight: s.weight,
-                takes: s.takes,
-                keeps,
+                accepts_sessions: s.accepts_sessions,
+                retains_sessions: keeps,
             }
         };
         let workers: Vec<Worker> = pool.workers.iter().map(worker).collect();
@@ -118,12 +118,12 @@
         };
         let drains = workers
             .iter()
-            .filter(|w| w.keeps && !w.takes)
+            .filter(|w| w.retains_sessions && !w.accepts_sessions)
             .map(|w| (w.id, since(w)))
             .collect();
         let out = old.map(|o| o.out.clone()).unwrap_or_default();
         let moves = old.map(|o| o.moves).unwrap_or_default();
-        let idle = pool.idle;
+        let idle = pool.idle_timeout_seconds;
         PoolState {
             pool,
             moves,
@@ -138,19 +138,22 @@
     }
 
     /// Whether a session has to leave a worker, and why.
-    pub(super) fn leaves(&self, now: Micros, worker: WorkerId) -> Option<Cause> {
-        let keeps = self.workers.iter().any(|w| w.id == worker && w.keeps);
+    pub(super) fn leaves(&self, now: Micros, worker: WorkerId) -> Option<MoveCause> {
+        let keeps = self
+            .workers
+            .iter()
+            .any(|w| w.id == worker && w.retains_sessions);
         let lingered = self
             .drains
             .get(&worker)
-            .is_some_and(|since| now - since >= self.pool.linger);
+            .is_some_and(|since| now - since >= self.pool.drain_grace);
         let failed = self
             .out
             .get(&worker)
-            .is_some_and(|since| now - since >= self.pool.patience);
+            .is_some_and(|since| now - since >= self.pool.failure_grace);
         match () {
-            () if !keeps || lingered => Some(Cause::Removed),
-            () if failed => Some(Cause::Failed),
+            () if !keeps || lingered => Some(MoveCause::Removed),
+            () if failed => Some(MoveCause::Failed),
             () => None,
         }
     }
@@ -161,7 +164,7 @@
             return false;
         }
         let since = *self.unknown.entry(worker).or_insert(now);
-        now - since < self.pool.patience
+        now - since < self.pool.failure_grace
     }
 
     pub(super) fn left_out(&mut self, now: Micros, out: &[WorkerId]) {
--- a/crates/session-affinity/src/node/fill.rs
+++ b/crates/session-affinity/src/directory/state_transfer.rs
@@ -1,8 +1,8 @@
 //! A node that has just come is filled before it is anybody's home: each that is one sends it what
 //! it is to remember.
 
-use super::pieces::Errand;
-use super::Node;
+use super::chunked_scan::ScanPurpose;
+use super::SessionDirectory;
 use crate::message::Message;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,7 +16,7 @@
 
 /// How far it is.
 #[derive(Clone, Debug)]
-pub(super) struct Fill {
+pub(super) struct StateTransfer {
     token: u64,
     begun: Micros,
     done: bool,
@@ -28,9 +28,9 @@
     served: Vec<(String, u64)>,
 }
 
-impl Fill {
-    pub(super) fn new(token: u64, now: Micros) -> Fill {
-        Fill {
+impl StateTransfer {
+    pub(super) fn new(token: u64, now: Micros) -> StateTransfer {
+        StateTransfer {
             token,
             begun: now,
             done: false,
@@ -91,7 +91,7 @@
     }
 }
 
-impl Node {
+impl SessionDirectory {
     /// Asks for what is missing; once nothing is, this node is a home.
     pub(super) fn filling(&mut self, now: Micros) {
         if self.fill.done {
@@ -101,8 +101,10 @@
         for (name, at) in &mut fill.wanted {
             if !fill.answered.contains(name) && at.is_none_or(|at| now >= at + AGAIN) {
                 *at = Some(now);
-                self.out
-                    .push((name.clone(), Message::Fill { token: fill.token }.write()));
+                self.out.push((
+                    name.clone(),
+                    Message::TransferRequest { token: fill.token }.encode(),
+                ));
             }
         }
         let all = fill.wanted.keys().all(|n| fill.answered.contains(n));
@@ -118,7 +120,8 @@
         if self.fill.served.contains(&start) {
             // The word that it has all may be lost, not that it was sent.
             if !self.jobs.iter().any(|job| job.serves(token)) {
-                self.out.push((start.0, Message::Filled { token }.write()));
+                self.out
+                    .push((start.0, Message::TransferComplete { token }.encode()));
             }
             return;
         }
@@ -129,7 +132,7 @@
         }
         self.send_all(
             now,
-            Errand::Fill {
+            ScanPurpose::Transfer {
                 to: from.to_owned(),
                 token,
             },
--- a/crates/session-affinity/src/lib.rs
+++ b/crates/session-affinity/src/lib.rs
@@ -13,17 +13,17 @@
 //!   that they have.
 //! - [`node`]: all of it together.
 //!
-//! `docs/affinity.md` has the design, what was compared, and the figures.
+//! `docs/session-affinity.md` has the design, what was compared, and the figures.
 
-pub mod choose;
-pub mod homes;
+pub mod directory;
 pub mod lookup;
 pub mod message;
-pub mod node;
-pub mod owed;
 pub mod placement;
-pub mod stamp;
+pub mod replicas;
 pub mod table;
+pub mod timestamp;
+pub mod unacknowledged;
+pub mod worker_selection;
 
 /// A reading of a clock, or a span of it, in microseconds.
 pub type Micros = i64;
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -1,8 +1,8 @@
 //! Asking a session's homes where it lives, and for how long: whoever wants it waits no longer than
 //! that.
 
-use crate::homes::ASKED;
 use crate::placement::Placement;
+use crate::replicas::LOOKUP_FANOUT;
 use crate::{Micros, Session, WorkerId};
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 /// One question.
 #[derive(Clone, Debug)]
-struct Question {
+struct Lookup {
     session: Session,
     /// The pool of the session, by number.
     pool: usize,
@@ -31,11 +31,11 @@
 }
 
 /// Those who have not answered are asked again so often, in microseconds.
-pub const AGAIN: Micros = 8_000;
+pub const RETRY_INTERVAL: Micros = 8_000;
 
 /// What has come of a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct LookupResult {
     /// The session.
     pub session: Session,
     /// Its pool.
@@ -50,15 +50,15 @@
 
 /// The questions that are open.
 #[derive(Clone, Debug, Default)]
-pub struct Questions {
-    all: BTreeMap<u32, Question>,
+pub struct PendingLookups {
+    all: BTreeMap<u32, Lookup>,
     by_session: BTreeMap<Session, u32>,
     last: u32,
 }
 
-impl Questions {
+impl PendingLookups {
     /// A request waits for a session that is being asked for; whether there is such a question.
-    pub fn join(&mut self, session: Session, waiting: u64) -> bool {
+    pub fn add_waiter(&mut self, session: Session, waiting: u64) -> bool {
         let question = self
             .by_session
             .get(&session)
@@ -68,7 +68,7 @@
 
     /// A question to these, the first ones of which are homes, on behalf of a request. Its number;
     /// nothing if there are too many.
-    pub fn ask(
+    pub fn start(
         &mut self,
         pool: usize,
         (session, at): (Session, Option<WorkerId>),
@@ -80,14 +80,14 @@
         if self.all.len() >= MOST {
             return None;
         }
-        debug_assert!(homes.len() <= ASKED);
+        debug_assert!(homes.len() <= LOOKUP_FANOUT);
         self.last = self.last.wrapping_add(1);
         let open: Vec<String> = homes.iter().map(|h| (*h).to_owned()).collect();
         let homes = open.iter().take(first).cloned().collect();
-        let again = now + AGAIN;
+        let again = now + RETRY_INTERVAL;
         self.all.insert(
             self.last,
-            Question {
+            Lookup {
                 session,
                 pool,
                 open,
@@ -105,27 +105,27 @@
 
     /// One has answered. The first home that knows settles it; if none does, the last that was
     /// asked.
-    pub fn answer(
+    pub fn handle_reply(
         &mut self,
         ticket: u32,
         from: &str,
         session: Session,
         placement: Option<Placement>,
-    ) -> Option<Settled> {
+    ) -> Option<LookupResult> {
         let question = self.all.get_mut(&ticket).filter(|q| q.session == session)?;
         // What was not asked of it is nothing that it can settle.
         let at = question.open.iter().position(|h| h == from)?;
         question.open.remove(at);
         if let Some(said) = placement {
-            let holds = question.best.is_none_or(|best| said.holds_over(&best));
+            let holds = question.best.is_none_or(|best| said.supersedes(&best));
             question.best = if holds { Some(said) } else { question.best };
         }
         let home = placement.is_some() && question.homes.iter().any(|h| h == from);
         (home || question.open.is_empty()).then(|| self.end(ticket))?
     }
 
-    fn end(&mut self, ticket: u32) -> Option<Settled> {
-        let Question {
+    fn end(&mut self, ticket: u32) -> Option<LookupResult> {
+        let Lookup {
             session,
             pool,
             waiting,
@@ -134,7 +134,7 @@
             ..
         } = self.all.remove(&ticket)?;
         self.by_session.remove(&session);
-        Some(Settled {
+        Some(LookupResult {
             session,
             pool,
             waiting,
@@ -144,24 +144,24 @@
     }
 
     /// Somebody has told of a session that is being asked for.
-    pub fn told(&mut self, session: Session, placement: Placement) -> Option<Settled> {
+    pub fn resolve(&mut self, session: Session, placement: Placement) -> Option<LookupResult> {
         let ticket = *self.by_session.get(&session)?;
         self.all.get_mut(&ticket)?.best = Some(placement);
         self.end(ticket)
     }
 
     /// Those that are asked once more by now, with who has not answered.
-    pub fn again(&mut self, now: Micros) -> Vec<(u32, Session, Vec<String>)> {
+    pub fn take_retries(&mut self, now: Micros) -> Vec<(u32, Session, Vec<String>)> {
         let due = self.all.iter_mut().filter(|(_, q)| q.again <= now);
         due.map(|(ticket, q)| {
-            q.again = now + AGAIN;
+            q.again = now + RETRY_INTERVAL;
             (*ticket, q.session, q.open.clone())
         })
         .collect()
     }
 
     /// Those whose time is over.
-    pub fn due(&mut self, now: Micros) -> Vec<Settled> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<LookupResult> {
         let late: Vec<u32> = self
             .all
             .iter()
@@ -174,7 +174,7 @@
     }
 
     /// When there is something to do about one.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.all.values().map(|q| q.until.min(q.again)).min()
     }
 }
@@ -182,72 +182,81 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::stamp::Birth;
+    use crate::timestamp::Timestamp;
 
     #[test]
     fn the_first_that_knows_settles_it_and_nobody_waits_for_longer() {
         let at = Placement {
             worker: 1,
-            birth: Birth { seconds: 1, by: 1 },
+            created: Timestamp {
+                seconds: 1,
+                node: 1,
+            },
             moves: 0,
             version: 0,
         };
-        let mut questions = Questions::default();
+        let mut questions = PendingLookups::default();
         let ticket = questions
-            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .start(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
             .unwrap();
-        assert!(questions.join(7, 2) && !questions.join(8, 3));
-        assert_eq!(questions.answer(ticket, "a", 7, None), None);
+        assert!(questions.add_waiter(7, 2) && !questions.add_waiter(8, 3));
+        assert_eq!(questions.handle_reply(ticket, "a", 7, None), None);
         assert_eq!(
-            questions.answer(ticket, "a", 7, Some(at)),
+            questions.handle_reply(ticket, "a", 7, Some(at)),
             None,
             "one answer of each"
         );
         assert_eq!(
-            questions.answer(ticket, "x", 7, Some(at)),
+            questions.handle_reply(ticket, "x", 7, Some(at)),
             None,
             "nobody asked it"
         );
         assert_eq!(
-            questions.answer(ticket, "b", 8, Some(at)),
+            questions.handle_reply(ticket, "b", 8, Some(at)),
             None,
             "that was not the question"
         );
-        let settled = questions.answer(ticket, "b", 7, Some(at)).unwrap();
+        let settled = questions.handle_reply(ticket, "b", 7, Some(at)).unwrap();
         assert_eq!((settled.waiting, settled.placement), (vec![1, 2], Some(at)));
         let ticket = questions
-            .ask(0, (7, None), &["a", "b"], 2, [0, 100], 1)
+            .start(0, (7, None), &["a", "b"], 2, [0, 100], 1)
             .unwrap();
-        assert_eq!(questions.answer(ticket, "a", 7, None), None);
+        assert_eq!(questions.handle_reply(ticket, "a", 7, None), None);
         assert_eq!(
-            questions.answer(ticket, "b", 7, None).unwrap().placement,
+            questions
+                .handle_reply(ticket, "b", 7, None)
+                .unwrap()
+                .placement,
             None
         );
         // One that is no home settles nothing while a home may know better.
         let ticket = questions
-            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .start(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
             .unwrap();
-        assert_eq!(questions.answer(ticket, "c", 7, Some(at)), None);
+        assert_eq!(questions.handle_reply(ticket, "c", 7, Some(at)), None);
         let later = at.moved(2, 0);
         assert_eq!(
             questions
-                .answer(ticket, "a", 7, Some(later))
+                .handle_reply(ticket, "a", 7, Some(later))
                 .unwrap()
                 .placement,
             Some(later)
         );
         let ticket = questions
-            .ask(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
+            .start(0, (7, None), &["a", "b", "c"], 2, [0, 100], 1)
             .unwrap();
-        assert_eq!(questions.answer(ticket, "c", 7, Some(at)), None);
-        assert_eq!(questions.due(100)[0].placement, Some(at));
-        questions.ask(0, (9, None), &["a"], 1, [0, 100], 4);
-        assert!(questions.due(99).is_empty() && questions.next() == Some(100));
-        assert_eq!(questions.again(AGAIN), [(5, 9, vec!["a".to_owned()])]);
-        assert!(questions.again(AGAIN).is_empty());
-        assert_eq!(questions.due(100)[0].waiting, [4]);
-        assert_eq!(questions.next(), None);
-        questions.ask(0, (9, None), &["a"], 1, [0, 100], 4);
-        assert_eq!(questions.told(9, at).unwrap().placement, Some(at));
+        assert_eq!(questions.handle_reply(ticket, "c", 7, Some(at)), None);
+        assert_eq!(questions.take_expired(100)[0].placement, Some(at));
+        questions.start(0, (9, None), &["a"], 1, [0, 100], 4);
+        assert!(questions.take_expired(99).is_empty() && questions.next_deadline() == Some(100));
+        assert_eq!(
+            questions.take_retries(RETRY_INTERVAL),
+            [(5, 9, vec!["a".to_owned()])]
+        );
+        assert!(questions.take_retries(RETRY_INTERVAL).is_empty());
+        assert_eq!(questions.take_expired(100)[0].waiting, [4]);
+        assert_eq!(questions.next_deadline(), None);
+        questions.start(0, (9, None), &["a"], 1, [0, 100], 4);
+        assert_eq!(questions.resolve(9, at).unwrap().placement, Some(at));
     }
 }
--- a/crates/session-affinity/src/message.rs
+++ b/crates/session-affinity/src/message.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The most sessions in one message.
-pub const MOST: usize = 24;
+pub const MAX_ENTRIES: usize = 24;
 
 /// A session as it travels: where it lives, and for how many seconds it was not wanted.
 pub type Entry = (Session, Placement, u32);
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Where does this session live? It is wanted now.
-    Ask {
+    LookupRequest {
         /// The fleet's time.
         time: u32,
         /// Which question.
@@ -23,7 +23,7 @@
         session: Session,
     },
     /// There; or it is not known.
-    Answer {
+    LookupReply {
         /// The fleet's time.
         time: u32,
         /// To which question.
@@ -34,26 +34,26 @@
         placement: Option<Placement>,
     },
     /// These live there.
-    Tell {
+    Update {
         /// The fleet's time.
         time: u32,
         /// They.
         entries: Vec<Entry>,
         /// It is to be said that they are there.
-        owed: bool,
+        ack_requested: bool,
     },
     /// These are there now.
-    Have {
+    UpdateAck {
         /// They.
         sessions: Vec<Session>,
     },
     /// A node that has just come wants what it is to remember.
-    Fill {
+    TransferRequest {
         /// Stands for this start of it.
         token: u64,
     },
     /// It has all of that from here.
-    Filled {
+    TransferComplete {
         /// That start.
         token: u64,
     },
@@ -64,62 +64,62 @@
 
 impl Message {
     /// As it is sent.
-    pub fn write(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         // Into memory, which takes all that is written to it.
         postcard::to_extend(self, vec![MARK]).unwrap_or_default()
     }
 
     /// Reads one, if it is one.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         let message = postcard::from_bytes(bytes.strip_prefix(&[MARK])?).ok()?;
         let length = match &message {
-            Message::Tell { entries, .. } => entries.len(),
-            Message::Have { sessions } => sessions.len(),
+            Message::Update { entries, .. } => entries.len(),
+            Message::UpdateAck { sessions } => sessions.len(),
             _ => 0,
         };
-        (length <= MOST).then_some(message)
+        (length <= MAX_ENTRIES).then_some(message)
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::stamp::Birth;
+    use crate::timestamp::Timestamp;
     use proptest::prelude::*;
 
     #[test]
     fn the_longest_one_fits_a_datagram() {
-        let birth = Birth {
+        let birth = Timestamp {
             seconds: u32::MAX,
-            by: u16::MAX,
+            node: u16::MAX,
         };
         let placement = Placement {
             worker: u32::MAX,
-            birth,
+            created: birth,
             moves: 255,
             version: u16::MAX,
         };
-        let entries = vec![(u64::MAX, placement, u32::MAX); MOST];
-        let message = Message::Tell {
+        let entries = vec![(u64::MAX, placement, u32::MAX); MAX_ENTRIES];
+        let message = Message::Update {
             time: u32::MAX,
             entries,
-            owed: true,
+            ack_requested: true,
         };
-        let bytes = message.write();
+        let bytes = message.encode();
         assert!(bytes.len() < 800, "{}", bytes.len());
-        assert_eq!(Message::read(&bytes), Some(message));
-        let more = Message::Tell {
+        assert_eq!(Message::decode(&bytes), Some(message));
+        let more = Message::Update {
             time: 0,
-            entries: vec![(0, placement, 0); MOST + 1],
-            owed: false,
+            entries: vec![(0, placement, 0); MAX_ENTRIES + 1],
+            ack_requested: false,
         };
-        assert_eq!(Message::read(&more.write()), None);
+        assert_eq!(Message::decode(&more.encode()), None);
         assert_eq!(
-            Message::read(
-                &Message::Have {
-                    sessions: vec![0; MOST + 1]
+            Message::decode(
+                &Message::UpdateAck {
+                    sessions: vec![0; MAX_ENTRIES + 1]
                 }
-                .write()
+                .encode()
             ),
             None
         );
@@ -128,8 +128,8 @@
     proptest! {
         #[test]
         fn anything_may_come(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
-            let _ = Message::read(&bytes);
-            let _ = Message::read(&[&[MARK][..], &bytes].concat());
+            let _ = Message::decode(&bytes);
+            let _ = Message::decode(&[&[MARK][..], &bytes].concat());
         }
     }
 }
--- a/crates/session-affinity/src/placement.rs
+++ b/crates/session-affinity/src/placement.rs
@@ -2,7 +2,7 @@
 //! semilattice: news may come in any order, twice or late, and all who have heard the same hold the
 //! same.
 
-use crate::stamp::Birth;
+use crate::timestamp::Timestamp;
 use crate::WorkerId;
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +12,7 @@
     /// The worker.
     pub worker: WorkerId,
     /// When it was first placed.
-    pub birth: Birth,
+    pub created: Timestamp,
     /// How often it had to move since.
     pub moves: u8,
     /// The version, its lower bits, under which it came to this worker: a node that acts on an
@@ -25,8 +25,8 @@
     /// hear each other, the older one does. Of one and the same the one that has moved further
     /// does: a move has a cause, and is not taken back. Of two such moves the one under the later
     /// version does.
-    pub fn holds_over(&self, other: &Placement) -> bool {
-        let key = |p: &Placement| (p.birth, u8::MAX - p.moves, u16::MAX - p.version, p.worker);
+    pub fn supersedes(&self, other: &Placement) -> bool {
+        let key = |p: &Placement| (p.created, u8::MAX - p.moves, u16::MAX - p.version, p.worker);
         key(self) < key(other)
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Whether it came to its worker under a later version than this one.
-    pub fn after(&self, version: u16) -> bool {
+    pub fn is_newer_than(&self, version: u16) -> bool {
         (1..1 << 15).contains(&self.version.wrapping_sub(version))
     }
 }
@@ -55,7 +55,7 @@
         (0u32..3, 0u32..3, 0u16..2, 0u8..3, 0u16..3).prop_map(
             |(worker, seconds, by, moves, version)| Placement {
                 worker,
-                birth: Birth { seconds, by },
+                created: Timestamp { seconds, node: by },
                 moves,
                 version,
             },
@@ -63,7 +63,7 @@
     }
 
     fn join(a: Placement, b: Placement) -> Placement {
-        if b.holds_over(&a) {
+        if b.supersedes(&a) {
             b
         } else {
             a
@@ -77,9 +77,9 @@
             prop_assert_eq!(join(a, join(b, c)), join(join(a, b), c));
             prop_assert_eq!(join(a, a), a);
             // A move holds over what it comes from, and over nothing older.
-            prop_assert!(a.moved(7, 0).holds_over(&a));
-            if b.birth < a.birth {
-                prop_assert!(!a.moved(7, 0).holds_over(&b));
+            prop_assert!(a.moved(7, 0).supersedes(&a));
+            if b.created < a.created {
+                prop_assert!(!a.moved(7, 0).supersedes(&b));
             }
         }
     }
--- a/crates/session-affinity/src/homes.rs
+++ b/crates/session-affinity/src/replicas.rs
@@ -6,29 +6,29 @@
 use pipitlever_membership::record::digest;
 
 /// So many nodes remember a session.
-pub const COPIES: usize = 2;
+pub const REPLICATION_FACTOR: usize = 2;
 /// So many are asked for one: a home that has just come may know nothing yet, and one may be gone.
-pub const ASKED: usize = 3;
+pub const LOOKUP_FANOUT: usize = 3;
 
 /// The nodes that remember sessions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Homes {
+pub struct ReplicaSet {
     /// Their names, and what stands for each.
     all: Vec<(u64, String)>,
 }
 
-impl Homes {
+impl ReplicaSet {
     /// These nodes.
-    pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> Homes {
+    pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> ReplicaSet {
         let mut all: Vec<(u64, String)> = names
             .map(|n| (digest(n.as_bytes()), n.to_owned()))
             .collect();
         all.sort_unstable();
-        Homes { all }
+        ReplicaSet { all }
     }
 
     /// The first ones for a session, in order.
-    pub fn first(&self, session: Session, count: usize) -> Vec<&str> {
+    pub fn ranked(&self, session: Session, count: usize) -> Vec<&str> {
         let mut best: Vec<(u64, usize)> = Vec::with_capacity(count + 1);
         for (i, (node, _)) in self.all.iter().enumerate() {
             let worth = mix(session, *node);
@@ -44,12 +44,12 @@
     }
 
     /// Whether a node is one of those that remember a session.
-    pub fn has(&self, session: Session, name: &str) -> bool {
-        self.first(session, COPIES).contains(&name)
+    pub fn is_replica(&self, session: Session, name: &str) -> bool {
+        self.ranked(session, REPLICATION_FACTOR).contains(&name)
     }
 
     /// Whether a node is one of them.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         let node = digest(name.as_bytes());
         self.all.binary_search_by(|(n, _)| n.cmp(&node)).is_ok()
     }
@@ -62,24 +62,24 @@
     #[test]
     fn who_had_a_session_is_the_next_one_after_a_join() {
         let names: Vec<String> = (0..20).map(|i| format!("n{i}")).collect();
-        let before = Homes::new(names[..19].iter().map(String::as_str));
-        let after = Homes::new(names.iter().map(String::as_str));
+        let before = ReplicaSet::new(names[..19].iter().map(String::as_str));
+        let after = ReplicaSet::new(names.iter().map(String::as_str));
         let mut new = 0;
         for session in 0..10_000 {
             let session = mix(session, 1);
-            let asked = after.first(session, ASKED);
+            let asked = after.ranked(session, LOOKUP_FANOUT);
             // Whoever had it is asked still.
             assert!(before
-                .first(session, COPIES)
+                .ranked(session, REPLICATION_FACTOR)
                 .iter()
                 .all(|n| asked.contains(n)));
-            new += usize::from(after.has(session, "n19"));
+            new += usize::from(after.is_replica(session, "n19"));
         }
         assert!(
             (800..1_200).contains(&new),
             "{new} of 10,000 are two of twenty"
         );
-        assert_eq!(before.first(7, 50).len(), 19);
-        assert!(Homes::default().first(7, 2).is_empty());
+        assert_eq!(before.ranked(7, 50).len(), 19);
+        assert!(ReplicaSet::default().ranked(7, 2).is_empty());
     }
 }
--- a/crates/session-affinity/src/table.rs
+++ b/crates/session-affinity/src/table.rs
@@ -2,7 +2,7 @@
 //! Bounded: what is idle goes, and where there is no room nothing more is taken in.
 
 use crate::placement::Placement;
-use crate::stamp::Birth;
+use crate::timestamp::Timestamp;
 use crate::{Micros, Session, WorkerId};
 use hashbrown::HashMap;
 use std::collections::BTreeMap;
@@ -27,13 +27,13 @@
 
 impl Entry {
     fn placement(&self) -> Placement {
-        let birth = Birth {
+        let birth = Timestamp {
             seconds: self.seconds,
-            by: self.by,
+            node: self.by,
         };
         Placement {
             worker: self.worker,
-            birth,
+            created: birth,
             moves: self.moves,
             version: self.version,
         }
@@ -48,7 +48,7 @@
 /// Seconds of a step.
 const STEP: u32 = 4;
 /// The longest that an entry can be known to be idle, in seconds: past it it would look new again.
-pub const MOST_IDLE: u32 = 36 * 3600;
+pub const MAX_IDLE_SECONDS: u32 = 36 * 3600;
 
 fn step(second: u32) -> u16 {
     (second / STEP) as u16
@@ -77,17 +77,17 @@
 
 /// The table.
 #[derive(Clone)]
-pub struct Table {
+pub struct PlacementTable {
     all: HashMap<Key, Entry, BuildHasherDefault<Bits>>,
     most: usize,
     begun: Micros,
     /// Sessions of each worker.
     counts: BTreeMap<WorkerId, usize>,
     /// Those that found no room.
-    pub turned_down: u64,
+    pub rejected: u64,
 }
 
-impl fmt::Debug for Table {
+impl fmt::Debug for PlacementTable {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         // In order: two tables that hold the same look the same.
         let all: BTreeMap<&Key, &Entry> = self.all.iter().collect();
@@ -97,26 +97,26 @@
 
 /// What has come of a piece of news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Joined {
+pub enum MergeOutcome {
     /// It holds from now on.
-    New,
+    Applied,
     /// It was known.
-    Known,
+    Unchanged,
     /// What is held here holds over it.
-    Older(Placement),
+    Superseded(Placement),
     /// There is no room for it.
-    NoRoom,
+    TableFull,
 }
 
-impl Table {
+impl PlacementTable {
     /// An empty one for so many sessions.
-    pub fn new(most: usize, now: Micros) -> Table {
-        Table {
+    pub fn new(most: usize, now: Micros) -> PlacementTable {
+        PlacementTable {
             all: HashMap::default(),
             most,
             begun: now,
             counts: BTreeMap::new(),
-            turned_down: 0,
+            rejected: 0,
         }
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// It is about to be held against what its homes have.
-    pub fn check(&mut self, now: Micros, session: Session) {
+    pub fn mark_checked(&mut self, now: Micros, session: Session) {
         let second = self.second(now);
         if let Some(entry) = self.all.get_mut(&key(session)) {
             entry.checked = second as u8;
@@ -150,18 +150,18 @@
     }
 
     /// A session lives there, as somebody has it; it was last wanted so many seconds ago.
-    pub fn join(
+    pub fn merge(
         &mut self,
         now: Micros,
         session: Session,
         placement: Placement,
         idle: u32,
-    ) -> Joined {
+    ) -> MergeOutcome {
         let second = self.second(now);
-        let seen = step(second).wrapping_sub(step(idle.min(MOST_IDLE)));
+        let seen = step(second).wrapping_sub(step(idle.min(MAX_IDLE_SECONDS)));
         let Placement {
             worker,
-            birth: Birth { seconds, by },
+            created: Timestamp { seconds, node: by },
             moves,
             version,
         } = placement;
@@ -173,11 +173,11 @@
                     entry.seen = seen;
                 }
                 let ours = entry.placement();
-                if ours.holds_over(&placement) {
-                    return Joined::Older(ours);
+                if ours.supersedes(&placement) {
+                    return MergeOutcome::Superseded(ours);
                 }
                 if ours == placement {
-                    return Joined::Known;
+                    return MergeOutcome::Unchanged;
                 }
                 (entry.worker, entry.seconds, entry.by) = (worker, seconds, by);
                 (entry.moves, entry.version) = (moves, version);
@@ -185,8 +185,8 @@
             }
             hashbrown::hash_map::Entry::Vacant(room) => {
                 if count >= self.most {
-                    self.turned_down += 1;
-                    return Joined::NoRoom;
+                    self.rejected += 1;
+                    return MergeOutcome::TableFull;
                 }
                 room.insert(Entry {
                     worker,
@@ -200,7 +200,7 @@
             }
         }
         *self.counts.entry(worker).or_default() += 1;
-        Joined::New
+        MergeOutcome::Applied
     }
 
     fn uncount(&mut self, worker: WorkerId) {
@@ -232,7 +232,11 @@
     }
 
     /// One as it is told: where it lives, and for how many seconds it was not wanted.
-    pub fn entry(&self, now: Micros, session: Session) -> Option<(Session, Placement, u32)> {
+    pub fn directory_entry(
+        &self,
+        now: Micros,
+        session: Session,
+    ) -> Option<(Session, Placement, u32)> {
         let second = self.second(now);
         self.all
             .get(&key(session))
@@ -252,7 +256,7 @@
     }
 
     /// Sessions of each worker.
-    pub fn counts(&self) -> &BTreeMap<WorkerId, usize> {
+    pub fn sessions_by_worker(&self) -> &BTreeMap<WorkerId, usize> {
         &self.counts
     }
 
@@ -282,7 +286,7 @@
     fn at(worker: u32, seconds: u32) -> Placement {
         Placement {
             worker,
-            birth: Birth { seconds, by: 0 },
+            created: Timestamp { seconds, node: 0 },
             moves: 0,
             version: 0,
         }
@@ -290,38 +294,43 @@
 
     #[test]
     fn the_older_placement_stays_and_the_idle_one_goes() {
-        let mut table = Table::new(10, 0);
-        assert_eq!(table.join(0, 5, at(1, 9), 0), Joined::New);
-        assert_eq!(table.join(0, 5, at(1, 9), 0), Joined::Known);
-        assert_eq!(table.join(0, 5, at(2, 10), 0), Joined::Older(at(1, 9)));
-        assert_eq!(table.join(0, 5, at(2, 8), 0), Joined::New);
+        let mut table = PlacementTable::new(10, 0);
+        assert_eq!(table.merge(0, 5, at(1, 9), 0), MergeOutcome::Applied);
+        assert_eq!(table.merge(0, 5, at(1, 9), 0), MergeOutcome::Unchanged);
+        assert_eq!(
+            table.merge(0, 5, at(2, 10), 0),
+            MergeOutcome::Superseded(at(1, 9))
+        );
+        assert_eq!(table.merge(0, 5, at(2, 8), 0), MergeOutcome::Applied);
         assert_eq!(
             table
-                .counts()
+                .sessions_by_worker()
                 .iter()
                 .map(|(w, n)| (*w, *n))
                 .collect::<Vec<_>>(),
             [(2, 1)]
         );
-        table.join(0, 6, at(1, 1), 0);
+        table.merge(0, 6, at(1, 1), 0);
         table.touch(50 * S, 5);
         table.sweep(60 * S, |_, idle| idle < 30);
         assert_eq!((table.len(), table.get(60 * S, 6)), (1, None));
         assert_eq!(table.get(60 * S, 5), Some((at(2, 8), false)));
-        table.check(60 * S, 5);
+        table.mark_checked(60 * S, 5);
         assert_eq!(table.get(60 * S, 5), Some((at(2, 8), true)));
     }
 
     #[test]
     fn a_million_sessions_of_ten_nodes_fit_and_no_more_are_taken_than_may_be() {
         // Two of ten nodes remember each.
-        let mut table = Table::new(200_000, 0);
+        let mut table = PlacementTable::new(200_000, 0);
         for i in 0..250_000 {
-            table.join(0, mix(i, 1), at(1, 1), 0);
+            table.merge(0, mix(i, 1), at(1, 1), 0);
         }
-        assert_eq!((table.len(), table.turned_down), (200_000, 50_000));
+        assert_eq!((table.len(), table.rejected), (200_000, 50_000));
         assert!(table.bytes() * 10 <= 64 << 20, "{}", table.bytes());
         table.sweep(100 * S, |_, _| false);
-        assert!(table.is_empty() && table.counts().is_empty() && table.bytes() < 1 << 16);
+        assert!(
+            table.is_empty() && table.sessions_by_worker().is_empty() && table.bytes() < 1 << 16
+        );
     }
 }
--- a/crates/session-affinity/src/stamp.rs
+++ b/crates/session-affinity/src/timestamp.rs
@@ -11,24 +11,24 @@
 
 /// When a session was placed, and by whom: two placements are in one order everywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Birth {
+pub struct Timestamp {
     /// The fleet's time, in seconds.
     pub seconds: u32,
     /// Stands for the node: of two in one second.
-    pub by: u16,
+    pub node: u16,
 }
 
 /// A node's reading of the fleet's time.
 #[derive(Clone, Copy, Debug)]
-pub struct Time {
+pub struct HybridClock {
     base: u32,
     at: Micros,
 }
 
-impl Time {
+impl HybridClock {
     /// Begins with a date, in seconds.
-    pub fn new(seconds: u32, now: Micros) -> Time {
-        Time {
+    pub fn new(seconds: u32, now: Micros) -> HybridClock {
+        HybridClock {
             base: seconds.min(MOST),
             at: now,
         }
@@ -41,7 +41,7 @@
     }
 
     /// Somebody's is this.
-    pub fn hear(&mut self, now: Micros, seconds: u32) {
+    pub fn observe(&mut self, now: Micros, seconds: u32) {
         if seconds <= MOST && seconds > self.read(now) {
             (self.base, self.at) = (seconds, now);
         }
@@ -54,14 +54,14 @@
 
     #[test]
     fn it_only_goes_on() {
-        let mut time = Time::new(1_000, 0);
+        let mut time = HybridClock::new(1_000, 0);
         assert_eq!(time.read(5_000_000), 1_005);
-        time.hear(5_000_000, 900);
+        time.observe(5_000_000, 900);
         assert_eq!(time.read(5_000_000), 1_005);
-        time.hear(5_000_000, 2_000);
+        time.observe(5_000_000, 2_000);
         assert_eq!(time.read(6_000_000), 2_001);
         // A liar can't bring it to its end.
-        time.hear(6_000_000, u32::MAX);
+        time.observe(6_000_000, u32::MAX);
         assert_eq!(time.read(6_000_000), 2_001);
     }
 }
--- a/crates/session-affinity/src/owed.rs
+++ b/crates/session-affinity/src/unacknowledged.rs
@@ -12,7 +12,7 @@
 const MOST: usize = 16_384;
 
 #[derive(Clone, Debug)]
-struct Debt {
+struct PendingUpdate {
     to: Vec<String>,
     next: Micros,
     times: u32,
@@ -20,14 +20,14 @@
 
 /// The sessions whose homes have not all answered.
 #[derive(Clone, Debug, Default)]
-pub struct Owed {
-    all: BTreeMap<Session, Debt>,
+pub struct UnacknowledgedUpdates {
+    all: BTreeMap<Session, PendingUpdate>,
     due: BTreeMap<(Micros, Session), ()>,
 }
 
-impl Owed {
+impl UnacknowledgedUpdates {
     /// These were told.
-    pub fn told(&mut self, now: Micros, session: Session, to: Vec<String>) {
+    pub fn track(&mut self, now: Micros, session: Session, to: Vec<String>) {
         let before = self
             .all
             .get(&session)
@@ -41,7 +41,7 @@
         if !to.is_empty() && self.all.len() < MOST {
             self.all.insert(
                 session,
-                Debt {
+                PendingUpdate {
                     to,
                     next: now + FIRST,
                     times: 1,
@@ -58,7 +58,7 @@
     }
 
     /// One has it.
-    pub fn has(&mut self, session: Session, from: &str) {
+    pub fn acknowledge(&mut self, session: Session, from: &str) {
         if let Some(debt) = self.all.get_mut(&session) {
             debt.to.retain(|n| n != from);
             if debt.to.is_empty() {
@@ -68,7 +68,7 @@
     }
 
     /// Those that are told again by now, and whom.
-    pub fn again(&mut self, now: Micros) -> Vec<(Session, Vec<String>)> {
+    pub fn take_retransmissions(&mut self, now: Micros) -> Vec<(Session, Vec<String>)> {
         let mut again = Vec::new();
         while let Some((&(at, session), ())) =
             self.due.first_key_value().filter(|((at, _), _)| *at <= now)
@@ -90,7 +90,7 @@
     }
 
     /// When there is something to do.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Micros> {
         self.due.first_key_value().map(|((at, _), ())| *at)
     }
 }
@@ -101,20 +101,26 @@
 
     #[test]
     fn homes_are_told_until_they_have_it_and_not_for_ever() {
-        let mut owed = Owed::default();
-        owed.told(0, 5, vec!["a".into(), "b".into()]);
-        assert!(owed.again(FIRST - 1).is_empty());
-        owed.has(5, "a");
-        assert_eq!(owed.again(FIRST), [(5, vec!["b".to_owned()])]);
-        owed.has(5, "b");
-        assert_eq!((owed.next(), owed.again(1 << 40)), (None, vec![]));
-        owed.told(0, 6, vec!["a".into()]);
+        let mut owed = UnacknowledgedUpdates::default();
+        owed.track(0, 5, vec!["a".into(), "b".into()]);
+        assert!(owed.take_retransmissions(FIRST - 1).is_empty());
+        owed.acknowledge(5, "a");
+        assert_eq!(
+            owed.take_retransmissions(FIRST),
+            [(5, vec!["b".to_owned()])]
+        );
+        owed.acknowledge(5, "b");
+        assert_eq!(
+            (owed.next_deadline(), owed.take_retransmissions(1 << 40)),
+            (None, vec![])
+        );
+        owed.track(0, 6, vec!["a".into()]);
         let mut times = 0;
-        while let Some(at) = owed.next() {
-            times += owed.again(at).len();
+        while let Some(at) = owed.next_deadline() {
+            times += owed.take_retransmissions(at).len();
         }
         assert_eq!(times, TIMES as usize - 1);
-        (0..MOST as u64 + 9).for_each(|s| owed.told(0, s, vec!["a".into()]));
+        (0..MOST as u64 + 9).for_each(|s| owed.track(0, s, vec!["a".into()]));
         assert_eq!(owed.all.len(), MOST);
     }
 }
--- a/crates/session-affinity/src/choose.rs
+++ b/crates/session-affinity/src/worker_selection.rs
@@ -13,13 +13,13 @@
     /// Its share of new sessions; above 0.
     pub weight: f64,
     /// It takes new sessions.
-    pub takes: bool,
+    pub accepts_sessions: bool,
     /// It keeps those that it has; a draining one does, for a while.
-    pub keeps: bool,
+    pub retains_sessions: bool,
 }
 
 /// The worker of a new session, of those that are not to be had; none if nobody takes any.
-pub fn choose(
+pub fn select_worker(
     session: Session,
     workers: &[Worker],
     not: impl Fn(WorkerId) -> bool,
@@ -29,7 +29,7 @@
         let drawn = ((mix(session, u64::from(w.id)) >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         -w.weight / drawn.ln()
     };
-    let there = workers.iter().filter(|w| w.takes && !not(w.id));
+    let there = workers.iter().filter(|w| w.accepts_sessions && !not(w.id));
     there
         .max_by(|a, b| worth(a).total_cmp(&worth(b)).then(a.id.cmp(&b.id)))
         .map(|w| w.id)
@@ -43,8 +43,8 @@
         let worker = |(i, w): (usize, &f64)| Worker {
             id: i as u32 + 1,
             weight: *w,
-            takes: true,
-            keeps: true,
+            accepts_sessions: true,
+            retains_sessions: true,
         };
         weights.iter().enumerate().map(worker).collect()
     }
@@ -55,9 +55,9 @@
         let mut counts = [0; 4];
         let mut after = [0; 4];
         for session in 0..80_000 {
-            let at = choose(mix(session, 9), &all, |_| false).unwrap();
+            let at = select_worker(mix(session, 9), &all, |_| false).unwrap();
             counts[at as usize - 1] += 1;
-            let next = choose(mix(session, 9), &all, |w| w == 4).unwrap();
+            let next = select_worker(mix(session, 9), &all, |w| w == 4).unwrap();
             assert!(at == 4 || at == next, "nobody else moves");
             after[next as usize - 1] += 1;
         }
@@ -73,7 +73,7 @@
                 "{after:?}"
             );
         }
-        assert_eq!(choose(1, &all, |_| true), None);
-        assert_eq!(choose(1, &[], |_| false), None);
+        assert_eq!(select_worker(1, &all, |_| true), None);
+        assert_eq!(select_worker(1, &[], |_| false), None);
     }
 }
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -2,12 +2,12 @@
 //! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test
 //! compatibility`): nodes of both builds have to place each session alike.
 
-use pipitlever_session_affinity::choose::{choose, Worker};
-use pipitlever_session_affinity::homes::{Homes, ASKED};
 use pipitlever_session_affinity::message::Message;
 use pipitlever_session_affinity::mix;
 use pipitlever_session_affinity::placement::Placement;
-use pipitlever_session_affinity::stamp::Birth;
+use pipitlever_session_affinity::replicas::{ReplicaSet, LOOKUP_FANOUT};
+use pipitlever_session_affinity::timestamp::Timestamp;
+use pipitlever_session_affinity::worker_selection::{select_worker, Worker};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 /// Sessions whose placement is compared.
@@ -16,9 +16,9 @@
 fn placement() -> Placement {
     Placement {
         worker: 70_000,
-        birth: Birth {
+        created: Timestamp {
             seconds: 1_700_000_000,
-            by: 515,
+            node: 515,
         },
         moves: 3,
         version: 260,
@@ -31,7 +31,7 @@
     vec![
         (
             "ask",
-            Message::Ask {
+            Message::LookupRequest {
                 time: 100_001,
                 ticket: 200,
                 session,
@@ -39,7 +39,7 @@
         ),
         (
             "answer",
-            Message::Answer {
+            Message::LookupReply {
                 time: 100_002,
                 ticket: 201,
                 session,
@@ -48,7 +48,7 @@
         ),
         (
             "answer-unknown",
-            Message::Answer {
+            Message::LookupReply {
                 time: 100_003,
                 ticket: 202,
                 session,
@@ -57,27 +57,27 @@
         ),
         (
             "tell",
-            Message::Tell {
+            Message::Update {
                 time: 100_004,
                 entries,
-                owed: true,
+                ack_requested: true,
             },
         ),
         (
             "have",
-            Message::Have {
+            Message::UpdateAck {
                 sessions: vec![session, 9],
             },
         ),
         (
             "fill",
-            Message::Fill {
+            Message::TransferRequest {
                 token: 0x1112_1314_1516_1718,
             },
         ),
         (
             "filled",
-            Message::Filled {
+            Message::TransferComplete {
                 token: 0x2122_2324_2526_2728,
             },
         ),
@@ -90,19 +90,19 @@
     let worker = |(i, weight): (usize, &f64)| Worker {
         id: 100 + i as u32,
         weight: *weight,
-        takes: i != 4,
-        keeps: i != 3,
+        accepts_sessions: i != 4,
+        retains_sessions: i != 3,
     };
     let workers: Vec<Worker> = weights.iter().enumerate().map(worker).collect();
-    let choice = |session| choose(mix(session, 1), &workers, |id| id == 101).unwrap() as u8;
+    let choice = |session| select_worker(mix(session, 1), &workers, |id| id == 101).unwrap() as u8;
     (0..SESSIONS).map(choice).collect()
 }
 
 /// The nodes that remember each session, as text.
 fn remembered() -> Vec<u8> {
     let names = ["n1", "n2", "n3", "n4", "n5", "n6"];
-    let homes = Homes::new(names.into_iter());
-    let of = |session| homes.first(mix(session, 2), ASKED).concat();
+    let homes = ReplicaSet::new(names.into_iter());
+    let of = |session| homes.ranked(mix(session, 2), LOOKUP_FANOUT).concat();
     (0..SESSIONS)
         .map(of)
         .collect::<Vec<_>>()
@@ -114,8 +114,8 @@
 fn messages_and_choices_are_those_of_the_earlier_build() {
     let mut samples = Vec::new();
     for (name, message) in messages() {
-        let bytes = message.write();
-        assert_eq!(Message::read(&bytes), Some(message), "{name}");
+        let bytes = message.encode();
+        assert_eq!(Message::decode(&bytes), Some(message), "{name}");
         samples.push((name, bytes));
     }
     samples.push(("mix", mix(1, 2).to_be_bytes().to_vec()));
--- a/crates/session-affinity/tests/model.rs
+++ b/crates/session-affinity/tests/model.rs
@@ -3,8 +3,10 @@
 //! messages that come in any order or not at all. From each state that is reached, once faults
 //! stop, all nodes say the same; and a session whose worker stays has moved nowhere.
 
+use pipitlever_session_affinity::directory::{
+    DirectorySettings, Peer, Pool, Resolution, SessionDirectory, SessionKey, WorkerSettings,
+};
 use pipitlever_session_affinity::message::Message;
-use pipitlever_session_affinity::node::{Found, Node, Peer, Pool, Server, Settings, What};
 use pipitlever_session_affinity::WorkerId;
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -13,12 +15,12 @@
 
 const NODES: usize = 3;
 const WAIT: i64 = 60_000;
-const KEY: What = What::Session(77);
+const KEY: SessionKey = SessionKey::Session(77);
 
 #[derive(Clone, Debug)]
 struct World {
     now: i64,
-    nodes: Vec<Node>,
+    nodes: Vec<SessionDirectory>,
     /// On their way: from, to, what.
     said: BTreeSet<(usize, usize, Vec<u8>)>,
     /// Nodes that a client has come to, and those that have taken the version.
@@ -70,20 +72,20 @@
 }
 
 fn pool(workers: &[&str]) -> Pool {
-    let server = |name: &&str| Server {
+    let server = |name: &&str| WorkerSettings {
         name: (*name).into(),
         weight: 1.0,
-        takes: true,
-        drains: false,
+        accepts_sessions: true,
+        is_draining: false,
     };
     let workers = workers.iter().map(server).collect();
     Pool {
         name: "p".into(),
-        was: Vec::new(),
+        previous_names: Vec::new(),
         workers,
-        idle: 3600,
-        patience: 5_000_000,
-        linger: 0,
+        idle_timeout_seconds: 3600,
+        failure_grace: 5_000_000,
+        drain_grace: 0,
     }
 }
 
@@ -95,7 +97,7 @@
         }
         world.now += 5_000;
         for i in 0..NODES {
-            world.nodes[i].tick(world.now);
+            world.nodes[i].handle_wakeup(world.now);
             carry(world, i);
         }
         if world.said.is_empty() && world.now > 2_000_000 {
@@ -105,16 +107,16 @@
 }
 
 fn carry(world: &mut World, i: usize) {
-    world.nodes[i].take_found();
-    for (to, bytes) in world.nodes[i].take_out() {
+    world.nodes[i].take_resolutions();
+    for (to, bytes) in world.nodes[i].take_messages() {
         let to = to[1..].parse().expect("a node's number");
         world.said.insert((i, to, bytes));
     }
 }
 
 fn deliver(world: &mut World, from: usize, to: usize, bytes: &[u8]) {
-    let message = Message::read(bytes).expect("a node wrote it");
-    world.nodes[to].heard(world.now, &format!("n{from}"), &message);
+    let message = Message::decode(bytes).expect("a node wrote it");
+    world.nodes[to].handle_message(world.now, &format!("n{from}"), &message);
     carry(world, to);
 }
 
@@ -126,10 +128,10 @@
 /// Where a node says that the session lives, with all messages arriving.
 fn says(world: &mut World, i: usize) -> Option<WorkerId> {
     loop {
-        match world.nodes[i].want(world.now, 0, KEY, 9) {
-            Found::At(worker) => return Some(worker),
-            Found::Nowhere => return None,
-            Found::Asked => settle(world),
+        match world.nodes[i].resolve(world.now, 0, KEY, 9) {
+            Resolution::Worker(worker) => return Some(worker),
+            Resolution::Unavailable => return None,
+            Resolution::Pending => settle(world),
         }
     }
 }
@@ -138,19 +140,19 @@
     /// The worker of the session as it is first placed, and the workers that the version leaves.
     fn left(&self) -> (WorkerId, Vec<&'static str>) {
         let all = ["a", "b", "c"];
-        let mut node = Node::new(
+        let mut node = SessionDirectory::new(
             "n0",
-            Settings {
-                wait: WAIT,
-                most: 10,
+            DirectorySettings {
+                lookup_timeout: WAIT,
+                max_sessions: 10,
             },
             vec![pool(&all)],
             0,
             0,
             0,
         );
-        node.view(0, Vec::new(), true);
-        let Found::At(worker) = node.want(0, 0, KEY, 0) else {
+        node.handle_membership_change(0, Vec::new(), true);
+        let Resolution::Worker(worker) = node.resolve(0, 0, KEY, 0) else {
             panic!("nobody else is asked")
         };
         let at = node.pools()[0].position(worker).expect("it is in the file");
@@ -172,9 +174,9 @@
 
     fn init_states(&self) -> Vec<World> {
         let names: Vec<String> = (0..NODES).map(|i| format!("n{i}")).collect();
-        let settings = Settings {
-            wait: WAIT,
-            most: 10,
+        let settings = DirectorySettings {
+            lookup_timeout: WAIT,
+            max_sessions: 10,
         };
         let peers = |me: &String| -> Vec<Peer> {
             names
@@ -182,16 +184,17 @@
                 .filter(|n| *n != me)
                 .map(|n| Peer {
                     name: n.clone(),
-                    filled: true,
+                    is_bootstrapped: true,
                 })
                 .collect()
         };
         let node = |name: &String| {
-            let mut node = Node::new(name, settings, vec![pool(&["a", "b", "c"])], 0, 0, 0);
+            let mut node =
+                SessionDirectory::new(name, settings, vec![pool(&["a", "b", "c"])], 0, 0, 0);
             // Alone first, so that it has all there is to remember.
-            node.view(0, Vec::new(), true);
-            node.view(0, peers(name), true);
-            node.take_out();
+            node.handle_membership_change(0, Vec::new(), true);
+            node.handle_membership_change(0, peers(name), true);
+            node.take_messages();
             node
         };
         let nodes = names.iter().map(node).collect();
@@ -227,7 +230,7 @@
         match action {
             Action::Ask(i) => {
                 w.asked[i] += 1;
-                w.nodes[i].want(w.now, 0, KEY, 1);
+                w.nodes[i].resolve(w.now, 0, KEY, 1);
                 carry(&mut w, i);
             }
             Action::Deliver(said) => {
@@ -243,7 +246,7 @@
                 // Whoever waits has waited for long enough, with what is on its way still to come.
                 w.now += WAIT + 1;
                 for i in 0..NODES {
-                    w.nodes[i].tick(w.now);
+                    w.nodes[i].handle_wakeup(w.now);
                     carry(&mut w, i);
                 }
             }
--- a/fuzz/fuzz_targets/fleet.rs
+++ b/fuzz/fuzz_targets/fleet.rs
@@ -3,48 +3,48 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_membership::message::{frame, Frame, Frames, Packet};
-use pipitlever_membership::own::Own;
-use pipitlever_membership::record::Standing;
-use pipitlever_membership::rules::Rules;
-use pipitlever_membership::sync::Session;
-use pipitlever_membership::Fleet;
+use pipitlever_membership::message::{encode_frame, Frame, FrameDecoder, Packet};
+use pipitlever_membership::local_member::LocalMember;
+use pipitlever_membership::record::ServiceState;
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::sync::SyncSession;
+use pipitlever_membership::Membership;
 
 const MOST: usize = 8;
 
 fuzz_target!(|data: &[u8]| {
-    let own = Own::new(1, ([127, 0, 0, 1], 1).into(), "");
-    let rules = Rules { most_members: MOST, ..Rules::default() };
-    let mut fleet = Fleet::new(rules, "rota", "n1", own, 1, 0);
-    fleet.say(Standing::Serving, b"");
+    let own = LocalMember::new(1, ([127, 0, 0, 1], 1).into(), "");
+    let rules = MembershipConfig { max_members: MOST, ..MembershipConfig::default() };
+    let mut fleet = Membership::new(rules, "rota", "n1", own, 1, 0);
+    fleet.set_service_state(ServiceState::Serving, b"");
     let (kind, data) = data.split_first().unwrap_or((&0, &[]));
     let mut now = 0;
     match kind % 3 {
         0 => {
-            let _ = fleet.datagram(now, data);
-            let mut frames = Frames::default();
-            frames.feed(data);
-            while let Ok(Some(_)) = frames.next("rota") {}
+            let _ = fleet.handle_datagram(now, data);
+            let mut frames = FrameDecoder::default();
+            frames.push(data);
+            while let Ok(Some(_)) = frames.next_frame("rota") {}
         }
         1 => {
             let mut rest = data;
             while let Ok((packet, behind)) = postcard::take_from_bytes::<Packet>(rest) {
-                let _ = fleet.datagram(now, &packet.write("rota"));
+                let _ = fleet.handle_datagram(now, &packet.encode("rota"));
                 now += 300_000;
-                fleet.wake(now);
+                fleet.handle_wakeup(now);
                 rest = behind;
             }
         }
         _ => {
-            let mut session = Session::answer();
+            let mut session = SyncSession::respond();
             let mut rest = data;
             while let Ok((said, behind)) = postcard::take_from_bytes::<Frame>(rest) {
                 let mut bytes = Vec::new();
-                frame(&mut bytes, "rota", &said);
-                if session.feed(&mut fleet, now, &bytes).is_err() {
+                encode_frame(&mut bytes, "rota", &said);
+                if session.handle_bytes(&mut fleet, now, &bytes).is_err() {
                     break;
                 }
-                while session.piece(&fleet, now).is_some() {}
+                while session.next_chunk(&fleet, now).is_some() {}
                 now += 1000;
                 rest = behind;
             }
@@ -52,9 +52,9 @@
     }
     assert!(fleet.members().len() <= MOST && fleet.members().get("n1").is_some());
     for _ in 0..20 {
-        now = fleet.next_wake().max(now);
-        fleet.wake(now);
-        assert!(fleet.take_out().iter().all(|(_, bytes)| bytes.len() <= 1500));
+        now = fleet.next_wakeup().max(now);
+        fleet.handle_wakeup(now);
+        assert!(fleet.take_datagrams().iter().all(|(_, bytes)| bytes.len() <= 1500));
     }
-    assert!(fleet.next_wake() > now - 1 && fleet.next_wake() < now + 60_000_000);
+    assert!(fleet.next_wakeup() > now - 1 && fleet.next_wakeup() < now + 60_000_000);
 });
