--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/config/pools.rs
@@ -1,7 +1,7 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
-use super::text::{line, within};
-use crate::net::routes::{Label, Named, Sessions, Shared};
+use crate::config::text::{line, within};
+use crate::net::workers::routes::{Label, Named, Sessions, Shared};
 use pipitlever_load_balancing::pool::{Member, Use};
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use pipitlever_session_affinity::table::MAX_IDLE_SECONDS;
