--- a/crates/capture-tools/src/source.rs
+++ b/crates/capture-tools/src/source.rs
@@ -1,6 +1,6 @@
 //! Finds captures: a file, or all segments in a folder, by node and run.
 
-use pipitlever_capture::frame::Unreadable;
+use pipitlever_capture::frame::ReadError;
 use pipitlever_capture::keeper::SUFFIX;
 use pipitlever_capture::segment::Reader;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
     /// The file can't be opened or read at all.
     File(PathBuf, std::io::Error),
     /// It is damaged, or no capture.
-    Unreadable(PathBuf, Unreadable),
+    Unreadable(PathBuf, ReadError),
     /// It is whole, but not for this build.
     State(PathBuf, String),
     /// There is none.
--- a/crates/capture/src/frame.rs
+++ b/crates/capture/src/frame.rs
@@ -1,12 +1,13 @@
 //! The frames of captures.
 
 pub use pipitlever_framing::{
-    frame, Format, Frames, Unreadable, Wrong, HEAD, HEADER, MOST_PAYLOAD,
+    append_frame, Format, FrameReader, ReadError, ReadErrorKind, FILE_HEADER_BYTES,
+    FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES,
 };
 
 /// How a capture begins.
 pub const FORMAT: Format = Format {
     magic: *b"PLCAPTUR",
     version: 1,
-    what: "capture",
+    description: "capture",
 };
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,6 +1,6 @@
 //! One segment: an opening with the controller's state, frames of records, and an end.
 
-use crate::frame::{self, Frames, Unreadable, Wrong, FORMAT};
+use crate::frame::{self, FrameReader, ReadError, ReadErrorKind, FORMAT};
 use crate::record::{decode, End, Opening, Record};
 use pipitlever_admission::Controller;
 
@@ -36,9 +36,9 @@
 impl Writer {
     /// Begins a segment: its head and its opening.
     pub fn open(opening: &Opening, controller: &Controller, out: &mut Vec<u8>) -> Writer {
-        FORMAT.head(out);
+        FORMAT.write_header(out);
         // Written in place: a state may be large, and the node's memory small.
-        frame::frame(out, 0, |out| {
+        frame::append_frame(out, 0, |out| {
             out.push(OPENING);
             let at = out.len();
             out.extend_from_slice(&[0; 4]);
@@ -64,7 +64,7 @@
     }
 
     fn frame(&mut self, kind: u8, rest: &[u8], out: &mut Vec<u8>) {
-        frame::frame(out, self.number, |out| {
+        frame::append_frame(out, self.number, |out| {
             out.push(kind);
             out.extend_from_slice(rest);
         });
@@ -84,7 +84,7 @@
 /// Reads one segment out of memory.
 #[derive(Debug)]
 pub struct Reader<'a> {
-    frames: Frames<'a>,
+    frames: FrameReader<'a>,
     /// The rest of the present frame, and where that frame begins.
     rest: &'a [u8],
     at: u64,
@@ -95,8 +95,8 @@
 
 impl<'a> Reader<'a> {
     /// Reads the opening. A segment that was cut off inside it has none, and no records.
-    pub fn open(bytes: &'a [u8]) -> Result<Reader<'a>, Unreadable> {
-        let mut frames = Frames::open(FORMAT, bytes)?;
+    pub fn open(bytes: &'a [u8]) -> Result<Reader<'a>, ReadError> {
+        let mut frames = FrameReader::open(FORMAT, bytes)?;
         let Some((at, payload)) = frames.next_frame()? else {
             let tail = Some(Tail::Cut(frames.offset()));
             return Ok(Reader {
@@ -108,9 +108,9 @@
                 state: &[],
             });
         };
-        let content = |what: String| Unreadable {
-            at,
-            why: Wrong::Content(what),
+        let content = |what: String| ReadError {
+            offset: at,
+            kind: ReadErrorKind::Content(what),
         };
         let Some((&OPENING, rest)) = payload.split_first() else {
             return Err(content("no opening at the start".into()));
@@ -147,14 +147,14 @@
     }
 
     /// The next record, and where its frame begins.
-    pub fn next_record(&mut self) -> Result<Option<(u64, Record)>, Unreadable> {
+    pub fn next_record(&mut self) -> Result<Option<(u64, Record)>, ReadError> {
         loop {
             if self.tail.is_some() {
                 return Ok(None);
             }
-            let content = |at, what| Unreadable {
-                at,
-                why: Wrong::Content(what),
+            let content = |at, what| ReadError {
+                offset: at,
+                kind: ReadErrorKind::Content(what),
             };
             if !self.rest.is_empty() {
                 let (record, rest) = decode(self.rest).map_err(|e| content(self.at, e))?;
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use pipitlever_admission::{Action, Event, Stage};
-use pipitlever_capture::frame::Unreadable;
+use pipitlever_capture::frame::ReadError;
 use pipitlever_capture::keeper::Limits;
 use pipitlever_capture::record::{decode, End, Record};
 use pipitlever_capture::replay::Replay;
@@ -252,7 +252,7 @@
 }
 
 /// Reads and plays all of it; how far it came, and how it ended.
-fn play(bytes: &[u8]) -> Result<(u64, Option<Tail>), Unreadable> {
+fn play(bytes: &[u8]) -> Result<(u64, Option<Tail>), ReadError> {
     let mut reader = Reader::open(bytes)?;
     let Some(opening) = reader.opening().cloned() else {
         return Ok((0, reader.tail()));
@@ -290,7 +290,10 @@
     for at in (0..bytes.len()).step_by(61) {
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
-        assert!(play(&damaged).is_err_and(|e| e.at as usize <= at), "{at}");
+        assert!(
+            play(&damaged).is_err_and(|e| e.offset as usize <= at),
+            "{at}"
+        );
     }
 }
 
--- a/crates/config-versions/src/saved.rs
+++ b/crates/config-versions/src/saved.rs
@@ -1,21 +1,21 @@
 //! What is on a disk: a file of one frame, written anew as a whole and put in place by a rename.
 //! The content of the version in force lies in a file of its own.
 
-use pipitlever_framing::{frame, Format, Frames, Unreadable, Wrong};
+use pipitlever_framing::{append_frame, Format, FrameReader, ReadError, ReadErrorKind};
 use serde::{Deserialize, Serialize};
 
 /// Such a file.
 pub const FORMAT: Format = Format {
     magic: *b"plverson",
     version: 1,
-    what: "file of versions",
+    description: "file of versions",
 };
 
 /// The bytes of a file that holds this.
 pub fn write<T: Serialize>(kept: &T) -> Vec<u8> {
     let mut out = Vec::new();
-    FORMAT.head(&mut out);
-    frame(&mut out, 0, |payload| {
+    FORMAT.write_header(&mut out);
+    append_frame(&mut out, 0, |payload| {
         payload.extend(postcard::to_allocvec(kept).unwrap_or_default())
     });
     out
@@ -23,11 +23,11 @@
 
 /// Reads one. A file that was cut off holds nothing, and says so: it was never put in place like
 /// that.
-pub fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, Unreadable> {
-    let mut frames = Frames::open(FORMAT, bytes)?;
-    let wrong = |what: &str| Unreadable {
-        at: 0,
-        why: Wrong::Content(what.into()),
+pub fn read<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, ReadError> {
+    let mut frames = FrameReader::open(FORMAT, bytes)?;
+    let wrong = |what: &str| ReadError {
+        offset: 0,
+        kind: ReadErrorKind::Content(what.into()),
     };
     let (_, payload) = frames
         .next_frame()?
--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -1,9 +1,9 @@
 //! Keyed runs that a store remembers: what the core makes of what the store's gate says. The
-//! decisions are [`Gate`]'s and [`pipitlever_idempotency_store::recovery`]'s.
+//! decisions are [`CommitQueue`]'s and [`pipitlever_idempotency_store::recovery`]'s.
 
 use super::keys::Kept;
 use super::*;
-use pipitlever_idempotency_store::gate::{self, Gate};
+use pipitlever_idempotency_store::commit_queue::{self, CommitQueue};
 use pipitlever_idempotency_store::log::Batch;
 use pipitlever_idempotency_store::record::{self, Intent};
 use pipitlever_idempotency_store::recovery::Recovered;
@@ -14,7 +14,7 @@
 /// What the core keeps beside the store's gate.
 #[derive(Debug)]
 pub struct Durable {
-    gate: Gate,
+    gate: CommitQueue,
     /// From the node's clock to the machine's count since its start.
     up: Micros,
     /// Answers with a result wait until it is on the disk.
@@ -26,13 +26,13 @@
     /// Runs that have ended, and whose outcome is not on the disk yet.
     ended: HashMap<Reference, (Micros, Rc<[u8]>)>,
     /// Room for what the gate says.
-    events: Vec<gate::Event>,
+    events: Vec<commit_queue::CommitEvent>,
 }
 
 impl Durable {
     /// `up` leads from the node's clock to the machine's count since its start; with `wait` answers
     /// wait until their outcome is on the disk; until `suspect` keyed requests are refused.
-    pub fn new(gate: Gate, up: Micros, wait: bool, suspect: Option<Micros>) -> Durable {
+    pub fn new(gate: CommitQueue, up: Micros, wait: bool, suspect: Option<Micros>) -> Durable {
         Durable {
             gate,
             up,
@@ -45,10 +45,10 @@
     }
 }
 
-fn written(kept: &Kept) -> record::Kept {
+fn written(kept: &Kept) -> record::Outcome {
     match kept {
-        Kept::Served(result) => record::Kept::Served(result.to_vec()),
-        Kept::Failed | Kept::Unknown(_) => record::Kept::Failed,
+        Kept::Served(result) => record::Outcome::Served(result.to_vec()),
+        Kept::Failed | Kept::Unknown(_) => record::Outcome::Failed,
     }
 }
 
@@ -58,8 +58,8 @@
     pub fn remember(&mut self, mut durable: Durable, found: Vec<Recovered>) {
         for Recovered {
             intent,
-            until,
-            kept,
+            window_end: until,
+            outcome: kept,
         } in found
         {
             // A number of its own, so that its repeats have something to repeat. The module has
@@ -68,19 +68,24 @@
             self.next_id += 1;
             let key: Rc<str> = Rc::from(&*intent.key);
             let outcome = match kept {
-                Some(record::Kept::Served(result)) => Kept::Served(Rc::from(result)),
-                Some(record::Kept::Failed) => Kept::Failed,
+                Some(record::Outcome::Served(result)) => Kept::Served(Rc::from(result)),
+                Some(record::Outcome::Failed) => Kept::Failed,
                 None => {
                     // Its end may still come, from a processor that outlived the process.
                     let over = until + self.keys.reading() + SPARE + durable.up;
-                    if durable.gate.adopt(intent.reference, intent.id, over) {
+                    if durable.gate.adopt_intent(intent.reference, intent.id, over) {
                         durable.earlier.insert(intent.reference, key.clone());
                     }
                     Kept::Unknown(until)
                 }
             };
-            self.keys
-                .recover(&key, self.next_id, intent.payload, until, Some(outcome));
+            self.keys.recover(
+                &key,
+                self.next_id,
+                intent.payload_digest,
+                until,
+                Some(outcome),
+            );
         }
         self.durable = Some(Box::new(durable));
     }
@@ -88,10 +93,12 @@
     /// Why a new key is not taken, if none is: who says so, and when to come back.
     pub(super) fn store_refuses(&self, now: Micros) -> Option<(By, Micros)> {
         let durable = self.durable.as_ref()?;
-        Some(match durable.gate.refuses(now)? {
-            gate::Why::Full => (By::StoreFull, FULL_COOLDOWN),
-            gate::Why::Failing | gate::Why::Slow => (By::Store, FULL_COOLDOWN),
-            gate::Why::Damaged => {
+        Some(match durable.gate.refusal(now)? {
+            commit_queue::RefusalReason::Full => (By::StoreFull, FULL_COOLDOWN),
+            commit_queue::RefusalReason::Failing | commit_queue::RefusalReason::Slow => {
+                (By::Store, FULL_COOLDOWN)
+            }
+            commit_queue::RefusalReason::Damaged => {
                 let most = self.settings.max_backoff.max(FULL_COOLDOWN);
                 (
                     By::Store,
@@ -116,13 +123,15 @@
             reference: incoming.reference,
             key: incoming.key.as_deref().unwrap_or_default().to_owned(),
             class: self.classes.name(incoming.class).to_owned(),
-            payload: incoming.payload,
-            arrived: incoming.arrived,
+            payload_digest: incoming.payload,
+            arrived_at: incoming.arrived,
             window,
-            over: incoming.arrived + window + linger + durable.up,
-            linger,
+            expires_at: incoming.arrived + window + linger + durable.up,
+            read_grace: linger,
         };
-        durable.gate.intent(self.now, intent, &mut durable.events);
+        durable
+            .gate
+            .enqueue_intent(self.now, intent, &mut durable.events);
         true
     }
 
@@ -135,14 +144,14 @@
         let mut events = std::mem::take(&mut durable.events);
         for event in events.drain(..) {
             match event {
-                gate::Event::Begin(reference) => self.written(reference),
-                gate::Event::Never(reference) => {
+                commit_queue::CommitEvent::IntentDurable(reference) => self.written(reference),
+                commit_queue::CommitEvent::IntentAbandoned(reference) => {
                     let Some(&id) = self.by_reference.get(&reference) else {
                         continue;
                     };
                     self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
                 }
-                gate::Event::Kept(reference) => {
+                commit_queue::CommitEvent::OutcomeDurable(reference) => {
                     let durable = self.durable.as_mut().expect("as above");
                     let Some((took, result)) = durable.ended.remove(&reference) else {
                         continue;
@@ -173,7 +182,7 @@
                 .as_mut()
                 .expect("it said so")
                 .gate
-                .void(reference);
+                .enqueue_void(reference);
         };
         let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
         let wanted = attempt.origin.is_some()
@@ -188,7 +197,7 @@
             .as_mut()
             .expect("it said so")
             .gate
-            .void(reference);
+            .enqueue_void(reference);
         self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
     }
 
@@ -208,14 +217,14 @@
         }
         let kept = match end {
             End::NeverRan => {
-                durable.gate.void(reference);
+                durable.gate.enqueue_void(reference);
                 return false;
             }
             End::Fine if result.len() <= self.most_result => Kept::Served(result.clone()),
             _ => Kept::Failed,
         };
         let waits = durable.wait && matches!(kept, Kept::Served(_));
-        if durable.gate.outcome(reference, written(&kept)) && waits {
+        if durable.gate.enqueue_outcome(reference, written(&kept)) && waits {
             durable.ended.insert(reference, (took, result.clone()));
             return true;
         }
@@ -232,16 +241,18 @@
         };
         match end {
             End::NeverRan => {
-                durable.gate.void(reference);
+                durable.gate.enqueue_void(reference);
                 self.keys.remove(&key);
             }
             End::Fine if result.len() <= self.most_result => {
                 let kept = Kept::Served(result.clone());
-                durable.gate.outcome(reference, written(&kept));
+                durable.gate.enqueue_outcome(reference, written(&kept));
                 self.keys.learned(&key, kept);
             }
             _ => {
-                durable.gate.outcome(reference, record::Kept::Failed);
+                durable
+                    .gate
+                    .enqueue_outcome(reference, record::Outcome::Failed);
                 self.keys.learned(&key, Kept::Failed);
             }
         }
@@ -251,7 +262,7 @@
     pub(super) fn store_knows(&self, reference: Reference) -> bool {
         self.durable
             .as_ref()
-            .is_some_and(|d| d.gate.knows(reference))
+            .is_some_and(|d| d.gate.has_open_intent(reference))
     }
 
     /// Whether keyed runs are remembered by a store.
@@ -261,7 +272,7 @@
 
     /// The next batch for the store's writer, if it is to have one now.
     pub fn batch(&mut self, now: Micros) -> Option<Batch> {
-        self.durable.as_mut()?.gate.batch(now)
+        self.durable.as_mut()?.gate.next_batch(now)
     }
 
     /// The store's writer is done with its batch.
@@ -270,7 +281,9 @@
         let Some(durable) = &mut self.durable else {
             return;
         };
-        durable.gate.done(now, result, &mut durable.events);
+        durable
+            .gate
+            .complete_batch(now, result, &mut durable.events);
         self.heed();
         self.pump(now);
     }
@@ -290,24 +303,24 @@
 
     /// When the store is next to be looked at.
     pub(super) fn store_next(&self) -> Option<Micros> {
-        self.durable.as_ref()?.gate.next_wake(self.now)
+        self.durable.as_ref()?.gate.next_wakeup(self.now)
     }
 
     /// A line for the log, whenever the store takes keys again or no longer.
     pub fn store_note(&mut self, now: Micros) -> Option<String> {
-        self.durable.as_mut()?.gate.note(now)
+        self.durable.as_mut()?.gate.status_change(now)
     }
 
     /// Whether all that is to be on the disk is there.
     pub fn store_idle(&self) -> bool {
-        self.durable.as_ref().is_none_or(|d| d.gate.idle())
+        self.durable.as_ref().is_none_or(|d| d.gate.is_idle())
     }
 
     /// Bytes that the store takes on the disk, those promised beside, and records that are not
     /// there yet; nothing without a store.
     pub fn store_room(&self) -> Option<(u64, u64, usize)> {
         let gate = &self.durable.as_ref()?.gate;
-        let (used, reserved) = gate.room();
-        Some((used, reserved, gate.waiting()))
+        let (used, reserved) = gate.usage();
+        Some((used, reserved, gate.pending_records()))
     }
 }
--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -305,40 +305,42 @@
 
 mod store {
     use super::*;
-    use pipitlever_idempotency_store::gate::{Gate, Rules, PATIENCE};
+    use pipitlever_idempotency_store::commit_queue::{
+        CommitQueue, CommitQueueConfig, SYNC_TIMEOUT,
+    };
     use pipitlever_idempotency_store::record::{self, Intent};
     use pipitlever_idempotency_store::recovery::Recovered;
 
     /// A core with a store, and keys that it has brought over a restart.
     fn stored(wait: bool, suspect: Option<Micros>, found: Vec<Recovered>) -> Core {
         let mut core = core();
-        let rules = Rules {
-            most: 1 << 20,
-            spare: 1 << 16,
-            most_result: 4096,
-            each: false,
+        let rules = CommitQueueConfig {
+            capacity: 1 << 20,
+            compaction_reserve: 1 << 16,
+            max_result_bytes: 4096,
+            sync_each_record: false,
         };
-        let gate = Gate::new(rules, 0, suspect, 1 << 32);
+        let gate = CommitQueue::new(rules, 0, suspect, 1 << 32);
         core.remember(Durable::new(gate, 1000 * SECOND, wait, suspect), found);
         core
     }
 
-    fn found(reference: Reference, kept: Option<record::Kept>) -> Recovered {
+    fn found(reference: Reference, kept: Option<record::Outcome>) -> Recovered {
         let intent = Intent {
             id: 5,
             reference,
             key: "k".into(),
             class: "swap".into(),
-            payload: 1,
-            arrived: 0,
+            payload_digest: 1,
+            arrived_at: 0,
             window: 20 * SECOND,
-            over: 1030 * SECOND,
-            linger: 10 * SECOND,
+            expires_at: 1030 * SECOND,
+            read_grace: 10 * SECOND,
         };
         Recovered {
             intent,
-            until: 20 * SECOND,
-            kept,
+            window_end: 20 * SECOND,
+            outcome: kept,
         }
     }
 
@@ -354,12 +356,15 @@
         core.arrived(SECOND, incoming(2, SECOND, None));
         assert_eq!(begun(&core.effects()), [2]);
         let batch = core.batch(SECOND).expect("its intent");
-        assert_eq!(batch.marks.len(), 1);
+        assert_eq!(batch.expiries.len(), 1);
         core.stored(SECOND + 500, Ok(400));
         assert_eq!(begun(&core.effects()), [1]);
         core.run_ended(2 * SECOND, 1, End::Fine, SECOND, Rc::from(*b"done"));
         assert_eq!(answers(&core.effects()), [(1, served(b"done"))]);
-        assert_eq!(core.batch(2 * SECOND).expect("its outcome").marks.len(), 1);
+        assert_eq!(
+            core.batch(2 * SECOND).expect("its outcome").expiries.len(),
+            1
+        );
         core.stored(2 * SECOND, Ok(500));
         assert!(core.store_idle());
     }
@@ -376,7 +381,10 @@
         core.run_ended(2 * SECOND, 1, End::Fine, SECOND, Rc::from(*b"done"));
         core.arrived(2 * SECOND, incoming(2, 2 * SECOND, Some("k")));
         assert_eq!(answers(&core.effects()), []);
-        assert_eq!(core.batch(2 * SECOND).expect("its outcome").marks.len(), 1);
+        assert_eq!(
+            core.batch(2 * SECOND).expect("its outcome").expiries.len(),
+            1
+        );
         core.stored(2 * SECOND, Ok(500));
         assert_eq!(
             answers(&core.effects()),
@@ -435,7 +443,7 @@
         // A repeat that joined it gets what it gets.
         core.arrived(SECOND, incoming(2, SECOND, Some("k")));
         core.effects();
-        let late = SECOND + PATIENCE;
+        let late = SECOND + SYNC_TIMEOUT;
         assert!(core.next_wake().unwrap() <= late);
         core.wake(late);
         let refused = Answer::Refused {
@@ -449,7 +457,7 @@
         core.stored(late + 1, Ok(400));
         assert!(begun(&core.effects()).is_empty());
         // That it never began is owed to the disk.
-        assert_eq!(core.batch(late + 1).unwrap().marks.len(), 1);
+        assert_eq!(core.batch(late + 1).unwrap().expiries.len(), 1);
     }
 
     #[test]
@@ -476,11 +484,11 @@
     fn what_was_recovered_is_told_and_not_run() {
         let cases = [
             (
-                Some(record::Kept::Served(b"done".to_vec())),
+                Some(record::Outcome::Served(b"done".to_vec())),
                 served(b"done"),
             ),
             (
-                Some(record::Kept::Failed),
+                Some(record::Outcome::Failed),
                 Answer::Failed { expired: false },
             ),
             (None, Answer::Unknown { back: 19 * SECOND }),
@@ -511,7 +519,7 @@
         for (end, wanted) in cases {
             let mut core = stored(false, None, vec![found(7, None)]);
             core.run_ended(SECOND, 7, end, SECOND, Rc::from(*b"done"));
-            assert_eq!(core.batch(SECOND).expect("it is kept").marks.len(), 1);
+            assert_eq!(core.batch(SECOND).expect("it is kept").expiries.len(), 1);
             core.stored(SECOND, Ok(100));
             // Once.
             core.run_ended(SECOND, 7, End::Fine, SECOND, Rc::from(*b"again"));
@@ -532,7 +540,7 @@
         let mut core = stored(
             false,
             Some(20 * SECOND),
-            vec![found(7, Some(record::Kept::Failed))],
+            vec![found(7, Some(record::Outcome::Failed))],
         );
         core.arrived(SECOND, incoming(1, SECOND, Some("other")));
         let [(1, Answer::Refused { cooldown, .. })] = answers(&core.effects())[..] else {
--- a/crates/idempotency-store/examples/engines.rs
+++ b/crates/idempotency-store/examples/engines.rs
@@ -4,9 +4,9 @@
 //! Each key is an intent that is synced and an outcome with a result of 400 bytes that is. `group`
 //! has 16 of them wait for each sync, `each` one.
 
-use pipitlever_idempotency_store::disk::Disk;
+use pipitlever_idempotency_store::disk::StoreDirectory;
 use pipitlever_idempotency_store::log::{Batch, Limits, Log};
-use pipitlever_idempotency_store::record::{encode, Intent, Kept, Record};
+use pipitlever_idempotency_store::record::{encode, Intent, Outcome, Record};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::time::Instant;
@@ -21,18 +21,18 @@
         reference,
         key: format!("5c0f6e1a2b3d4c59{reference:016x}"),
         class: "swap-confirm".into(),
-        payload: reference,
-        arrived: wall,
+        payload_digest: reference,
+        arrived_at: wall,
         window: WINDOW,
-        over,
-        linger: 0,
+        expires_at: over,
+        read_grace: 0,
     };
     [
         Record::Intent(intent),
         Record::Outcome {
             id: reference,
-            over,
-            kept: Kept::Served(vec![7; 400]),
+            expires_at: over,
+            outcome: Outcome::Served(vec![7; 400]),
         },
     ]
 }
@@ -87,15 +87,15 @@
 }
 
 fn log(folder: &Path, keys: u64, group: u64) {
-    let limits = Limits::within(1 << 30);
-    let (mut log, _) = Log::open(Disk::open(folder).unwrap(), limits, WINDOW).unwrap();
+    let limits = Limits::for_capacity(1 << 30);
+    let (mut log, _) = Log::open(StoreDirectory::open(folder).unwrap(), limits, WINDOW).unwrap();
     let clocks = log.clocks();
     let (before, mut syncs) = (written(), Vec::new());
     for first in (0..keys).step_by(group as usize) {
         for part in 0..2 {
             let mut batch = Batch::default();
             (first..first + group)
-                .for_each(|r| batch.push(&records(r, clocks.up, clocks.wall)[part]));
+                .for_each(|r| batch.push(&records(r, clocks.since_boot, clocks.wall)[part]));
             let start = Instant::now();
             log.write(&batch).unwrap();
             syncs.push(start.elapsed().as_secs_f64());
@@ -105,7 +105,7 @@
     drop(log);
     let memory = resident();
     let start = Instant::now();
-    let (log, found) = Log::open(Disk::open(folder).unwrap(), limits, WINDOW).unwrap();
+    let (log, found) = Log::open(StoreDirectory::open(folder).unwrap(), limits, WINDOW).unwrap();
     let took = start.elapsed().as_secs_f64();
     assert_eq!(found.keys.len() as u64, keys);
     let memory = resident().saturating_sub(memory);
--- a/crates/idempotency-store/src/gate.rs
+++ b/crates/idempotency-store/src/commit_queue.rs
@@ -8,12 +8,14 @@
 //! to the disk, and are written once it works again.
 
 use crate::log::Batch;
-use crate::record::{Intent, Kept, Record, INTENT, MOST_KEY, OUTCOME};
+use crate::record::{
+    Intent, Outcome, Record, INTENT_OVERHEAD_BYTES, MAX_KEY_BYTES, OUTCOME_OVERHEAD_BYTES,
+};
 use crate::Micros;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// A batch that takes longer has those that wait for it given up, in microseconds.
-pub const PATIENCE: Micros = 250_000;
+pub const SYNC_TIMEOUT: Micros = 250_000;
 /// After a failure the writer is asked again so much later, twice as late each time, up to the
 /// last; microseconds.
 const FIRST_PAUSE: Micros = 100_000;
@@ -29,20 +31,20 @@
 
 /// What the gate keeps to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct CommitQueueConfig {
     /// Bytes on the disk.
-    pub most: u64,
+    pub capacity: u64,
     /// Of these, bytes that cleaning may need.
-    pub spare: u64,
+    pub compaction_reserve: u64,
     /// The longest result.
-    pub most_result: usize,
+    pub max_result_bytes: usize,
     /// Each record is synced by itself.
-    pub each: bool,
+    pub sync_each_record: bool,
 }
 
-/// Why a keyed request is turned away.
+/// RefusalReason a keyed request is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// Damage may hide a key that has run.
     Damaged,
     /// The writer fails.
@@ -55,13 +57,13 @@
 
 /// What has come of something that was to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum CommitEvent {
     /// The intent is on the disk: the run may begin.
-    Begin(u64),
+    IntentDurable(u64),
     /// The run must never begin.
-    Never(u64),
+    IntentAbandoned(u64),
     /// The outcome is on the disk.
-    Kept(u64),
+    OutcomeDurable(u64),
 }
 
 #[derive(Debug)]
@@ -72,8 +74,8 @@
 
 /// The gate.
 #[derive(Debug)]
-pub struct Gate {
-    rules: Rules,
+pub struct CommitQueue {
+    rules: CommitQueueConfig,
     queue: VecDeque<Record>,
     flight: Option<Flight>,
     /// Tries with an intent and no outcome yet: the intent's number, and when it is over.
@@ -96,31 +98,39 @@
     /// When runs without an end were last looked through.
     swept: Micros,
     /// What the log was told last.
-    told: Option<Why>,
+    told: Option<RefusalReason>,
 }
 
 /// Bytes that a record is promised.
 fn room(record: &Record) -> u64 {
     BESIDE
         + match record {
-            Record::Intent(Intent { key, class, .. }) => INTENT + (key.len() + class.len()) as u64,
+            Record::Intent(Intent { key, class, .. }) => {
+                INTENT_OVERHEAD_BYTES + (key.len() + class.len()) as u64
+            }
             Record::Outcome {
-                kept: Kept::Served(result),
+                outcome: Outcome::Served(result),
                 ..
-            } => OUTCOME + result.len() as u64,
+            } => OUTCOME_OVERHEAD_BYTES + result.len() as u64,
             Record::Outcome {
-                kept: Kept::Failed, ..
+                outcome: Outcome::Failed,
+                ..
             }
-            | Record::Void { .. } => OUTCOME,
+            | Record::Void { .. } => OUTCOME_OVERHEAD_BYTES,
         }
 }
 
-impl Gate {
+impl CommitQueue {
     /// A gate before a log that takes so many bytes now. Until `suspect` no keyed request is taken.
     /// Intents are numbered from `first`, which has to be far from all that other processes took: a
     /// random one.
-    pub fn new(rules: Rules, used: u64, suspect: Option<Micros>, first: u64) -> Gate {
-        Gate {
+    pub fn new(
+        rules: CommitQueueConfig,
+        used: u64,
+        suspect: Option<Micros>,
+        first: u64,
+    ) -> CommitQueue {
+        CommitQueue {
             rules,
             queue: VecDeque::new(),
             flight: None,
@@ -142,37 +152,47 @@
 
     /// Bytes promised to the outcome of a run that has none yet.
     fn outcome_room(&self) -> u64 {
-        BESIDE + OUTCOME + self.rules.most_result as u64
+        BESIDE + OUTCOME_OVERHEAD_BYTES + self.rules.max_result_bytes as u64
     }
 
-    /// Why no new key is taken now, if none is.
-    pub fn refuses(&self, now: Micros) -> Option<Why> {
-        let need = BESIDE + INTENT + MOST_KEY as u64 + self.outcome_room();
+    /// RefusalReason no new key is taken now, if none is.
+    pub fn refusal(&self, now: Micros) -> Option<RefusalReason> {
+        let need = BESIDE + INTENT_OVERHEAD_BYTES + MAX_KEY_BYTES as u64 + self.outcome_room();
         if self.suspect.is_some_and(|until| now < until) {
-            Some(Why::Damaged)
+            Some(RefusalReason::Damaged)
         } else if self.failing.is_some() {
-            Some(Why::Failing)
+            Some(RefusalReason::Failing)
         } else if self.slow {
-            Some(Why::Slow)
-        } else if self.used + self.reserved + need + self.rules.spare > self.rules.most {
-            Some(Why::Full)
+            Some(RefusalReason::Slow)
+        } else if self.used + self.reserved + need + self.rules.compaction_reserve
+            > self.rules.capacity
+        {
+            Some(RefusalReason::Full)
         } else {
             None
         }
     }
 
-    /// A run is to begin once this is on the disk; [`Event::Begin`] or [`Event::Never`] comes of
+    /// A run is to begin once this is on the disk; [`CommitEvent::Begin`] or [`CommitEvent::Never`] comes of
     /// it. Where new keys are refused it is the latter, at once.
-    pub fn intent(&mut self, now: Micros, mut intent: Intent, events: &mut Vec<Event>) {
+    pub fn enqueue_intent(
+        &mut self,
+        now: Micros,
+        mut intent: Intent,
+        events: &mut Vec<CommitEvent>,
+    ) {
         // What was let in before the writer failed must not wait for it.
-        if matches!(self.refuses(now), Some(Why::Failing | Why::Slow)) {
-            return events.push(Event::Never(intent.reference));
+        if matches!(
+            self.refusal(now),
+            Some(RefusalReason::Failing | RefusalReason::Slow)
+        ) {
+            return events.push(CommitEvent::IntentAbandoned(intent.reference));
         }
         self.last = self.last.wrapping_add(1);
         intent.id = self.last;
         if self
             .open
-            .insert(intent.reference, (intent.id, intent.over))
+            .insert(intent.reference, (intent.id, intent.expires_at))
             .is_none()
         {
             self.reserved += self.outcome_room();
@@ -187,13 +207,13 @@
 
     /// Whether a try of this name has an intent, and no end that is known. Another one can't be
     /// called so.
-    pub fn knows(&self, reference: u64) -> bool {
+    pub fn has_open_intent(&self, reference: u64) -> bool {
         self.open.contains_key(&reference)
     }
 
     /// An intent of this number that is on the disk from a process before this one. Whether its end
     /// may still be told, which it can't if its try is called as another's.
-    pub fn adopt(&mut self, reference: u64, id: u64, over: Micros) -> bool {
+    pub fn adopt_intent(&mut self, reference: u64, id: u64, over: Micros) -> bool {
         if self.open.contains_key(&reference) {
             return false;
         }
@@ -204,32 +224,39 @@
 
     /// A run has ended. Whether that is written, which it isn't if its intent is not on the disk,
     /// or over.
-    pub fn outcome(&mut self, reference: u64, kept: Kept) -> bool {
+    pub fn enqueue_outcome(&mut self, reference: u64, kept: Outcome) -> bool {
         let Some((id, over)) = self.open.remove(&reference) else {
             return false;
         };
         self.reserved -= self.outcome_room();
         self.names.insert(id, reference);
-        self.push(Record::Outcome { id, over, kept });
+        self.push(Record::Outcome {
+            id,
+            expires_at: over,
+            outcome: kept,
+        });
         true
     }
 
     /// A run that has its intent on the disk will never begin.
-    pub fn void(&mut self, reference: u64) {
+    pub fn enqueue_void(&mut self, reference: u64) {
         let Some((id, over)) = self.open.remove(&reference) else {
             return;
         };
         self.reserved -= self.outcome_room();
-        self.push(Record::Void { id, over });
+        self.push(Record::Void {
+            id,
+            expires_at: over,
+        });
     }
 
     /// The next batch, if one is to be written now. An empty one asks the writer to tidy up, and
     /// whether it works.
-    pub fn batch(&mut self, now: Micros) -> Option<Batch> {
+    pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         if self.flight.is_some() || now < self.not_before {
             return None;
         }
-        let full = self.refuses(now) == Some(Why::Full);
+        let full = self.refusal(now) == Some(RefusalReason::Full);
         if self.queue.is_empty() && !full && self.failing.is_none() {
             return None;
         }
@@ -238,7 +265,7 @@
         while let Some(record) = self.queue.pop_front() {
             batch.push(&record);
             records.push(record);
-            if self.rules.each || batch.bytes.len() >= MOST_BATCH {
+            if self.rules.sync_each_record || batch.bytes.len() >= MOST_BATCH {
                 break;
             }
         }
@@ -253,14 +280,19 @@
     }
 
     /// The writer is done with its batch: the log takes so many bytes now, or has failed.
-    pub fn done(&mut self, now: Micros, result: Result<u64, String>, events: &mut Vec<Event>) {
+    pub fn complete_batch(
+        &mut self,
+        now: Micros,
+        result: Result<u64, String>,
+        events: &mut Vec<CommitEvent>,
+    ) {
         let Some(flight) = self.flight.take() else {
             return;
         };
         match result {
             Ok(used) => {
                 (self.used, self.slow, self.failing, self.pause) = (used, false, None, FIRST_PAUSE);
-                if self.refuses(now) != Some(Why::Full) {
+                if self.refusal(now) != Some(RefusalReason::Full) {
                     self.not_before = Micros::MIN;
                 }
                 for record in flight.records {
@@ -268,12 +300,12 @@
                     match record {
                         Record::Intent(Intent { reference, .. }) => {
                             match self.given_up.remove(&reference) {
-                                true => self.void(reference),
-                                false => events.push(Event::Begin(reference)),
+                                true => self.enqueue_void(reference),
+                                false => events.push(CommitEvent::IntentDurable(reference)),
                             }
                         }
                         Record::Outcome { id, .. } => {
-                            events.extend(self.names.remove(&id).map(Event::Kept))
+                            events.extend(self.names.remove(&id).map(CommitEvent::OutcomeDurable))
                         }
                         Record::Void { .. } => {}
                     }
@@ -288,10 +320,10 @@
                         Record::Intent(Intent { reference, .. }) => {
                             self.reserved -= room(&record);
                             if !self.given_up.remove(&reference) {
-                                events.push(Event::Never(reference));
+                                events.push(CommitEvent::IntentAbandoned(reference));
                             }
                             // It may be on the disk all the same, and would look like a run.
-                            self.void(reference);
+                            self.enqueue_void(reference);
                         }
                         // Owed to the disk, first of all.
                         owed => self.queue.push_front(owed),
@@ -304,7 +336,7 @@
 
     /// Intents that nobody has written yet: their runs never begin, and nothing has to be written
     /// of them.
-    fn drop_queued(&mut self, events: &mut Vec<Event>) {
+    fn drop_queued(&mut self, events: &mut Vec<CommitEvent>) {
         let (intents, owed) = self
             .queue
             .drain(..)
@@ -316,14 +348,14 @@
             if let Record::Intent(Intent { reference, .. }) = record {
                 self.open.remove(&reference);
                 self.reserved -= self.outcome_room();
-                events.push(Event::Never(reference));
+                events.push(CommitEvent::IntentAbandoned(reference));
             }
         }
     }
 
     /// Gives up those that have waited for too long, and runs whose windows are over by the
     /// machine's count.
-    pub fn tick(&mut self, now: Micros, up: Micros, events: &mut Vec<Event>) {
+    pub fn tick(&mut self, now: Micros, up: Micros, events: &mut Vec<CommitEvent>) {
         if now >= self.swept + SWEEP {
             self.swept = now;
             let before = self.open.len();
@@ -334,7 +366,7 @@
             || self
                 .flight
                 .as_ref()
-                .is_none_or(|f| now - f.since < PATIENCE)
+                .is_none_or(|f| now - f.since < SYNC_TIMEOUT)
         {
             return;
         }
@@ -342,62 +374,64 @@
         for record in &self.flight.as_ref().expect("seen above").records {
             if let Record::Intent(Intent { reference, .. }) = record {
                 self.given_up.insert(*reference);
-                events.push(Event::Never(*reference));
+                events.push(CommitEvent::IntentAbandoned(*reference));
             }
         }
         self.drop_queued(events);
     }
 
-    /// When [`Gate::tick`] or [`Gate::batch`] is next wanted, if nothing else happens.
-    pub fn next_wake(&self, now: Micros) -> Option<Micros> {
+    /// When [`CommitQueue::tick`] or [`CommitQueue::batch`] is next wanted, if nothing else happens.
+    pub fn next_wakeup(&self, now: Micros) -> Option<Micros> {
         match &self.flight {
-            Some(flight) => (!self.slow).then_some(flight.since + PATIENCE),
+            Some(flight) => (!self.slow).then_some(flight.since + SYNC_TIMEOUT),
             None => {
                 let wanted = self.failing.is_some()
                     || !self.queue.is_empty()
-                    || self.refuses(now) == Some(Why::Full);
+                    || self.refusal(now) == Some(RefusalReason::Full);
                 wanted.then_some(self.not_before.max(now))
             }
         }
     }
 
     /// Whether nothing is left to be written.
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.flight.is_none()
     }
 
     /// Records that are not on the disk yet.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_records(&self) -> usize {
         self.queue.len() + self.flight.as_ref().map_or(0, |f| f.records.len())
     }
 
     /// Bytes on the disk, and those promised beside.
-    pub fn room(&self) -> (u64, u64) {
+    pub fn usage(&self) -> (u64, u64) {
         (self.used, self.reserved)
     }
 
     /// A line for the log, whenever keyed requests are taken again or for another reason no longer.
-    pub fn note(&mut self, now: Micros) -> Option<String> {
-        let why = self.refuses(now);
+    pub fn status_change(&mut self, now: Micros) -> Option<String> {
+        let why = self.refusal(now);
         if why == self.told {
             return None;
         }
         self.told = why;
-        let (used, most) = (self.used, self.rules.most);
+        let (used, most) = (self.used, self.rules.capacity);
         Some(match why {
             None => "store: keyed requests are taken".into(),
-            Some(Why::Damaged) => "store: keyed requests are refused: damage may hide keys".into(),
-            Some(Why::Failing) => {
+            Some(RefusalReason::Damaged) => {
+                "store: keyed requests are refused: damage may hide keys".into()
+            }
+            Some(RefusalReason::Failing) => {
                 let error = self.failing.as_deref().unwrap_or_default();
                 format!("store: keyed requests are refused: failing: {error}")
             }
-            Some(Why::Slow) => {
+            Some(RefusalReason::Slow) => {
                 format!(
                     "store: keyed requests are refused: slow: no sync within {} ms",
-                    PATIENCE / 1000
+                    SYNC_TIMEOUT / 1000
                 )
             }
-            Some(Why::Full) => {
+            Some(RefusalReason::Full) => {
                 format!("store: keyed requests are refused: full: used={used} most={most}")
             }
         })
@@ -408,11 +442,11 @@
 mod tests {
     use super::*;
 
-    const RULES: Rules = Rules {
-        most: 100_000,
-        spare: 16_000,
-        most_result: 4096,
-        each: false,
+    const RULES: CommitQueueConfig = CommitQueueConfig {
+        capacity: 100_000,
+        compaction_reserve: 16_000,
+        max_result_bytes: 4096,
+        sync_each_record: false,
     };
 
     fn intent(reference: u64) -> Intent {
@@ -422,29 +456,29 @@
             reference,
             key,
             class,
-            payload: 1,
-            arrived: 0,
+            payload_digest: 1,
+            arrived_at: 0,
             window: 20_000_000,
-            over: 30_000_000,
-            linger: 0,
+            expires_at: 30_000_000,
+            read_grace: 0,
         }
     }
 
-    fn gate() -> Gate {
-        Gate::new(RULES, 1000, None, 0)
+    fn gate() -> CommitQueue {
+        CommitQueue::new(RULES, 1000, None, 0)
     }
 
-    fn events(f: impl FnOnce(&mut Vec<Event>)) -> Vec<Event> {
+    fn events(f: impl FnOnce(&mut Vec<CommitEvent>)) -> Vec<CommitEvent> {
         let mut events = Vec::new();
         f(&mut events);
         events
     }
 
-    fn ask(gate: &mut Gate, now: Micros, references: &[u64]) -> Vec<Event> {
+    fn ask(gate: &mut CommitQueue, now: Micros, references: &[u64]) -> Vec<CommitEvent> {
         events(|e| {
             references
                 .iter()
-                .for_each(|&r| gate.intent(now, intent(r), e))
+                .for_each(|&r| gate.enqueue_intent(now, intent(r), e))
         })
     }
 
@@ -452,34 +486,41 @@
     fn one_sync_serves_all_that_wait() {
         let mut gate = gate();
         assert_eq!(ask(&mut gate, 0, &[1]), []);
-        assert_eq!(gate.batch(0).unwrap().marks.len(), 1);
+        assert_eq!(gate.next_batch(0).unwrap().expiries.len(), 1);
         // These come while it is written, and go together.
         ask(&mut gate, 10, &[2, 3]);
-        assert_eq!((gate.batch(10), gate.waiting()), (None, 3));
-        assert_eq!(events(|e| gate.done(20, Ok(2000), e)), [Event::Begin(1)]);
-        gate.outcome(1, Kept::Served(vec![7; 100]));
-        assert_eq!(gate.batch(20).unwrap().marks.len(), 3);
+        assert_eq!((gate.next_batch(10), gate.pending_records()), (None, 3));
+        assert_eq!(
+            events(|e| gate.complete_batch(20, Ok(2000), e)),
+            [CommitEvent::IntentDurable(1)]
+        );
+        gate.enqueue_outcome(1, Outcome::Served(vec![7; 100]));
+        assert_eq!(gate.next_batch(20).unwrap().expiries.len(), 3);
         assert_eq!(
-            events(|e| gate.done(30, Ok(3000), e)),
-            [Event::Begin(2), Event::Begin(3), Event::Kept(1)]
+            events(|e| gate.complete_batch(30, Ok(3000), e)),
+            [
+                CommitEvent::IntentDurable(2),
+                CommitEvent::IntentDurable(3),
+                CommitEvent::OutcomeDurable(1)
+            ]
         );
-        gate.void(2);
-        gate.outcome(3, Kept::Failed);
+        gate.enqueue_void(2);
+        gate.enqueue_outcome(3, Outcome::Failed);
         // Once each, whatever is said twice.
-        gate.outcome(3, Kept::Failed);
-        gate.outcome(1, Kept::Failed);
-        assert_eq!(gate.batch(30).unwrap().marks.len(), 2);
-        events(|e| gate.done(40, Ok(3500), e));
-        assert!(gate.idle() && gate.batch(40).is_none());
-        assert_eq!(gate.room(), (3500, 0));
-        assert_eq!(gate.next_wake(40), None);
+        gate.enqueue_outcome(3, Outcome::Failed);
+        gate.enqueue_outcome(1, Outcome::Failed);
+        assert_eq!(gate.next_batch(30).unwrap().expiries.len(), 2);
+        events(|e| gate.complete_batch(40, Ok(3500), e));
+        assert!(gate.is_idle() && gate.next_batch(40).is_none());
+        assert_eq!(gate.usage(), (3500, 0));
+        assert_eq!(gate.next_wakeup(40), None);
     }
 
     #[test]
     fn each_is_synced_alone_where_that_is_asked() {
-        let mut gate = Gate::new(
-            Rules {
-                each: true,
+        let mut gate = CommitQueue::new(
+            CommitQueueConfig {
+                sync_each_record: true,
                 ..RULES
             },
             0,
@@ -488,10 +529,10 @@
         );
         ask(&mut gate, 0, &[1, 2]);
         for reference in [1, 2] {
-            assert_eq!(gate.batch(0).unwrap().marks.len(), 1);
+            assert_eq!(gate.next_batch(0).unwrap().expiries.len(), 1);
             assert_eq!(
-                events(|e| gate.done(0, Ok(0), e)),
-                [Event::Begin(reference)]
+                events(|e| gate.complete_batch(0, Ok(0), e)),
+                [CommitEvent::IntentDurable(reference)]
             );
         }
     }
@@ -500,34 +541,49 @@
     fn a_failure_gives_up_intents_and_keeps_outcomes() {
         let mut gate = gate();
         ask(&mut gate, 0, &[1]);
-        gate.batch(0);
-        events(|e| gate.done(1, Ok(0), e));
-        gate.outcome(1, Kept::Served(vec![7; 10]));
+        gate.next_batch(0);
+        events(|e| gate.complete_batch(1, Ok(0), e));
+        gate.enqueue_outcome(1, Outcome::Served(vec![7; 10]));
         ask(&mut gate, 2, &[2]);
-        gate.batch(2);
+        gate.next_batch(2);
         ask(&mut gate, 3, &[3]);
-        let lost = events(|e| gate.done(4, Err("no space".into()), e));
-        assert_eq!(lost, [Event::Never(2), Event::Never(3)]);
-        assert_eq!(gate.refuses(4), Some(Why::Failing));
+        let lost = events(|e| gate.complete_batch(4, Err("no space".into()), e));
+        assert_eq!(
+            lost,
+            [
+                CommitEvent::IntentAbandoned(2),
+                CommitEvent::IntentAbandoned(3)
+            ]
+        );
+        assert_eq!(gate.refusal(4), Some(RefusalReason::Failing));
         assert_eq!(
-            gate.note(4).unwrap(),
+            gate.status_change(4).unwrap(),
             "store: keyed requests are refused: failing: no space"
         );
-        assert_eq!(gate.note(5), None);
+        assert_eq!(gate.status_change(5), None);
         // One that the module lets go now never begins either.
-        assert_eq!(ask(&mut gate, 5, &[4]), [Event::Never(4)]);
-        assert_eq!(gate.batch(5), None);
-        let next = gate.next_wake(5).unwrap();
+        assert_eq!(ask(&mut gate, 5, &[4]), [CommitEvent::IntentAbandoned(4)]);
+        assert_eq!(gate.next_batch(5), None);
+        let next = gate.next_wakeup(5).unwrap();
         assert!(next > 5);
         // The outcome of the first, and that the second never began: it may be on the disk.
-        assert_eq!(gate.batch(next).unwrap().marks.len(), 2);
-        assert_eq!(events(|e| gate.done(next, Err("no space".into()), e)), []);
-        let later = gate.next_wake(next).unwrap();
+        assert_eq!(gate.next_batch(next).unwrap().expiries.len(), 2);
+        assert_eq!(
+            events(|e| gate.complete_batch(next, Err("no space".into()), e)),
+            []
+        );
+        let later = gate.next_wakeup(next).unwrap();
         assert!(later - next > next - 4, "{next} {later}");
-        assert_eq!(gate.batch(later).unwrap().marks.len(), 2);
-        assert_eq!(events(|e| gate.done(later, Ok(500), e)), [Event::Kept(1)]);
-        assert_eq!(gate.note(later).unwrap(), "store: keyed requests are taken");
-        assert_eq!((gate.refuses(later), gate.room()), (None, (500, 0)));
+        assert_eq!(gate.next_batch(later).unwrap().expiries.len(), 2);
+        assert_eq!(
+            events(|e| gate.complete_batch(later, Ok(500), e)),
+            [CommitEvent::OutcomeDurable(1)]
+        );
+        assert_eq!(
+            gate.status_change(later).unwrap(),
+            "store: keyed requests are taken"
+        );
+        assert_eq!((gate.refusal(later), gate.usage()), (None, (500, 0)));
     }
 
     /// With nothing to write, only an empty batch can show that the writer works again.
@@ -535,38 +591,44 @@
     fn an_idle_gate_heals() {
         let mut gate = gate();
         ask(&mut gate, 0, &[1]);
-        gate.batch(0);
-        events(|e| gate.done(0, Err("gone".into()), e));
-        let at = gate.next_wake(0).unwrap();
+        gate.next_batch(0);
+        events(|e| gate.complete_batch(0, Err("gone".into()), e));
+        let at = gate.next_wakeup(0).unwrap();
         // The void of the first.
-        gate.batch(at).unwrap();
-        events(|e| gate.done(at, Err("gone".into()), e));
-        let at = gate.next_wake(at).unwrap();
-        gate.batch(at).unwrap();
-        events(|e| gate.done(at, Ok(0), e));
-        assert_eq!(gate.refuses(at), None);
+        gate.next_batch(at).unwrap();
+        events(|e| gate.complete_batch(at, Err("gone".into()), e));
+        let at = gate.next_wakeup(at).unwrap();
+        gate.next_batch(at).unwrap();
+        events(|e| gate.complete_batch(at, Ok(0), e));
+        assert_eq!(gate.refusal(at), None);
     }
 
     #[test]
     fn nobody_waits_for_a_slow_writer() {
         let mut gate = gate();
         ask(&mut gate, 0, &[1]);
-        gate.batch(0);
+        gate.next_batch(0);
         ask(&mut gate, 1, &[2]);
-        assert_eq!(gate.next_wake(1), Some(PATIENCE));
-        assert_eq!(events(|e| gate.tick(PATIENCE - 1, 0, e)), []);
+        assert_eq!(gate.next_wakeup(1), Some(SYNC_TIMEOUT));
+        assert_eq!(events(|e| gate.tick(SYNC_TIMEOUT - 1, 0, e)), []);
         assert_eq!(
-            events(|e| gate.tick(PATIENCE, 0, e)),
-            [Event::Never(1), Event::Never(2)]
+            events(|e| gate.tick(SYNC_TIMEOUT, 0, e)),
+            [
+                CommitEvent::IntentAbandoned(1),
+                CommitEvent::IntentAbandoned(2)
+            ]
         );
-        assert_eq!(gate.refuses(PATIENCE), Some(Why::Slow));
-        assert_eq!(events(|e| gate.tick(PATIENCE + 1, 0, e)), []);
+        assert_eq!(gate.refusal(SYNC_TIMEOUT), Some(RefusalReason::Slow));
+        assert_eq!(events(|e| gate.tick(SYNC_TIMEOUT + 1, 0, e)), []);
         // It is on the disk after all: that it never began follows.
-        assert_eq!(events(|e| gate.done(2 * PATIENCE, Ok(100), e)), []);
-        assert_eq!(gate.refuses(2 * PATIENCE), None);
-        assert_eq!(gate.batch(2 * PATIENCE).unwrap().marks.len(), 1);
-        events(|e| gate.done(2 * PATIENCE, Ok(100), e));
-        assert_eq!(gate.room(), (100, 0));
+        assert_eq!(
+            events(|e| gate.complete_batch(2 * SYNC_TIMEOUT, Ok(100), e)),
+            []
+        );
+        assert_eq!(gate.refusal(2 * SYNC_TIMEOUT), None);
+        assert_eq!(gate.next_batch(2 * SYNC_TIMEOUT).unwrap().expiries.len(), 1);
+        events(|e| gate.complete_batch(2 * SYNC_TIMEOUT, Ok(100), e));
+        assert_eq!(gate.usage(), (100, 0));
     }
 
     /// What was let in always finds room for its outcome, and a full log is looked at until it
@@ -575,50 +637,54 @@
     fn a_full_gate_takes_no_key_and_forgets_none() {
         let mut gate = gate();
         let mut taken = 0;
-        while gate.refuses(0).is_none() {
+        while gate.refusal(0).is_none() {
             taken += 1;
             ask(&mut gate, 0, &[taken]);
         }
         assert!(taken > 10, "{taken}");
         let mut used = 1000;
-        let mut write = |gate: &mut Gate, now| {
-            let batch = gate.batch(now).unwrap();
+        let mut write = |gate: &mut CommitQueue, now| {
+            let batch = gate.next_batch(now).unwrap();
             used += batch.bytes.len() as u64 + 16;
-            events(|e| gate.done(now, Ok(used), e));
+            events(|e| gate.complete_batch(now, Ok(used), e));
             used
         };
         write(&mut gate, 0);
-        (1..=taken).for_each(|r| assert!(gate.outcome(r, Kept::Served(vec![7; 4096]))));
+        (1..=taken).for_each(|r| assert!(gate.enqueue_outcome(r, Outcome::Served(vec![7; 4096]))));
         let used = write(&mut gate, LOOK);
-        assert!(used + RULES.spare <= RULES.most, "{used}");
-        assert_eq!(gate.refuses(LOOK), Some(Why::Full));
-        let at = gate.next_wake(LOOK).unwrap();
-        assert_eq!(gate.batch(at), Some(Batch::default()));
-        assert_eq!(gate.next_wake(at), Some(at + PATIENCE));
-        events(|e| gate.done(at, Ok(2000), e));
-        assert_eq!(gate.refuses(at), None);
+        assert!(used + RULES.compaction_reserve <= RULES.capacity, "{used}");
+        assert_eq!(gate.refusal(LOOK), Some(RefusalReason::Full));
+        let at = gate.next_wakeup(LOOK).unwrap();
+        assert_eq!(gate.next_batch(at), Some(Batch::default()));
+        assert_eq!(gate.next_wakeup(at), Some(at + SYNC_TIMEOUT));
+        events(|e| gate.complete_batch(at, Ok(2000), e));
+        assert_eq!(gate.refusal(at), None);
     }
 
     #[test]
     fn a_run_that_never_ends_gives_its_room_back() {
         let mut gate = gate();
         ask(&mut gate, 0, &[1]);
-        gate.batch(0);
-        events(|e| gate.done(0, Ok(500), e));
-        assert!(gate.adopt(2, 77, 40_000_000) && !gate.adopt(2, 78, 50_000_000) && gate.knows(2));
+        gate.next_batch(0);
+        events(|e| gate.complete_batch(0, Ok(500), e));
+        assert!(
+            gate.adopt_intent(2, 77, 40_000_000)
+                && !gate.adopt_intent(2, 78, 50_000_000)
+                && gate.has_open_intent(2)
+        );
         events(|e| gate.tick(SWEEP, 30_000_001, e));
-        assert!(!gate.outcome(1, Kept::Failed));
-        assert!(gate.room().1 > 0);
+        assert!(!gate.enqueue_outcome(1, Outcome::Failed));
+        assert!(gate.usage().1 > 0);
         events(|e| gate.tick(2 * SWEEP, 40_000_001, e));
-        assert_eq!(gate.room(), (500, 0));
+        assert_eq!(gate.usage(), (500, 0));
     }
 
     #[test]
     fn damage_refuses_for_its_time() {
-        let gate = Gate::new(RULES, 0, Some(100), 0);
+        let gate = CommitQueue::new(RULES, 0, Some(100), 0);
         assert_eq!(
-            (gate.refuses(99), gate.refuses(100)),
-            (Some(Why::Damaged), None)
+            (gate.refusal(99), gate.refusal(100)),
+            (Some(RefusalReason::Damaged), None)
         );
     }
 }
--- a/crates/idempotency-store/src/point.rs
+++ b/crates/idempotency-store/src/crash_point.rs
@@ -3,7 +3,7 @@
 /// Ends the process with SIGKILL if `PIPITLEVER_POINT` names this place, as `NAME` or `NAME:N` for
 /// its Nth passing. Nothing without the feature `points`.
 #[cfg(feature = "points")]
-pub fn point(name: &str) {
+pub fn crash_point(name: &str) {
     use std::sync::atomic::{AtomicU64, Ordering};
     use std::sync::OnceLock;
     static WANTED: OnceLock<Option<(String, u64)>> = OnceLock::new();
@@ -27,4 +27,4 @@
 /// Nothing.
 #[cfg(not(feature = "points"))]
 #[inline]
-pub fn point(_: &str) {}
+pub fn crash_point(_: &str) {}
--- a/crates/idempotency-store/src/disk.rs
+++ b/crates/idempotency-store/src/disk.rs
@@ -1,6 +1,6 @@
 //! A folder on a file system, and the thread that writes to it.
 
-use crate::log::{Batch, Files, Log};
+use crate::log::{Batch, Log, SegmentFiles};
 use crate::record::Clocks;
 use rustix::time::{clock_gettime, ClockId};
 use std::fs::{self, File, TryLockError};
@@ -14,7 +14,7 @@
 
 /// A folder, for as long as no other process uses it.
 #[derive(Debug)]
-pub struct Disk {
+pub struct StoreDirectory {
     path: PathBuf,
     /// The file that is written, and where it is.
     file: Option<(File, PathBuf)>,
@@ -24,9 +24,9 @@
     _lock: Option<File>,
 }
 
-impl Disk {
+impl StoreDirectory {
     /// The folder at this path, made if it is not there. An error if another process uses it.
-    pub fn open(path: &Path) -> io::Result<Disk> {
+    pub fn open(path: &Path) -> io::Result<StoreDirectory> {
         fs::create_dir_all(path)?;
         let lock = File::options()
             .create(true)
@@ -40,18 +40,18 @@
             }
             Err(TryLockError::Error(error)) => return Err(error),
         }
-        Disk::at(path, Some(lock))
+        StoreDirectory::at(path, Some(lock))
     }
 
     /// The same to read only, of a folder that is there, even while another process uses it.
-    pub fn look(path: &Path) -> io::Result<Disk> {
-        Disk::at(path, None)
+    pub fn open_read_only(path: &Path) -> io::Result<StoreDirectory> {
+        StoreDirectory::at(path, None)
     }
 
-    fn at(path: &Path, lock: Option<File>) -> io::Result<Disk> {
+    fn at(path: &Path, lock: Option<File>) -> io::Result<StoreDirectory> {
         let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
         let boot = boot.trim().to_owned();
-        Ok(Disk {
+        Ok(StoreDirectory {
             path: path.to_owned(),
             file: None,
             folder: File::open(path)?,
@@ -61,7 +61,7 @@
     }
 }
 
-impl Files for Disk {
+impl SegmentFiles for StoreDirectory {
     fn list(&mut self) -> io::Result<Vec<String>> {
         let names =
             fs::read_dir(&self.path)?.map(|entry| Ok(entry?.file_name().into_string().ok()));
@@ -119,37 +119,37 @@
         let up = clock_gettime(ClockId::Boottime);
         Clocks {
             wall,
-            up: up.tv_sec * 1_000_000 + up.tv_nsec / 1000,
-            boot: self.boot.clone(),
+            since_boot: up.tv_sec * 1_000_000 + up.tv_nsec / 1000,
+            boot_id: self.boot.clone(),
         }
     }
 }
 
 /// The writer's thread. It ends when this is dropped, after the batch that it has.
 #[derive(Debug)]
-pub struct Thread {
+pub struct WriterThread {
     batches: Sender<Batch>,
 }
 
-impl Thread {
+impl WriterThread {
     /// Starts it. `done` is called in it after each batch, with the bytes that the log takes or
     /// what failed.
-    pub fn start<F: Files + Send + 'static>(
+    pub fn start<F: SegmentFiles + Send + 'static>(
         mut log: Log<F>,
         done: impl Fn(Result<u64, String>) + Send + 'static,
-    ) -> io::Result<Thread> {
+    ) -> io::Result<WriterThread> {
         let (batches, work): (Sender<Batch>, Receiver<Batch>) = channel();
         let work = move || {
             for batch in work {
                 let result = log.write(&batch).map_err(|e| e.to_string());
-                done(result.map(|()| log.used()));
+                done(result.map(|()| log.used_bytes()));
             }
         };
         std::thread::Builder::new()
             .name("store".into())
             .stack_size(256 << 10)
             .spawn(work)?;
-        Ok(Thread { batches })
+        Ok(WriterThread { batches })
     }
 
     /// Hands it the next batch. The one before has come back.
--- a/crates/idempotency-store/src/lib.rs
+++ b/crates/idempotency-store/src/lib.rs
@@ -6,18 +6,18 @@
 //!
 //! - [`record`] is what is written, [`recovery`] what it means to the next process: a table of
 //!   decisions.
-//! - [`gate`] decides in the loop what is written next, who waits for it, and when keyed requests
+//! - [`commit_queue`] decides in the loop what is written next, who waits for it, and when keyed requests
 //!   are turned away. It does no I/O and has no clock.
 //! - [`log`] is the file format's side: segments, rotation, cleaning, within a bound. Its files are
-//!   a trait ([`log::Files`]), so that tests lose pages and fail syncs; [`disk`] is the real one,
+//!   a trait ([`log::SegmentFiles`]), so that tests lose pages and fail syncs; [`disk`] is the real one,
 //!   with its thread.
 //!
 //! `docs/store.md` has the options that were compared, with figures.
 
+pub mod commit_queue;
+pub mod crash_point;
 pub mod disk;
-pub mod gate;
 pub mod log;
-pub mod point;
 pub mod record;
 pub mod recovery;
 
--- a/crates/idempotency-store/src/log.rs
+++ b/crates/idempotency-store/src/log/mod.rs
@@ -10,11 +10,13 @@
 //! windows keep segments of others alive, those that are still wanted are written again, and the
 //! rest goes.
 
-use crate::point::point;
-use crate::record::{decode, encode, opening, Clocks, Opening, Record, Salt, FORMAT};
-use crate::recovery::{left, Recovered, Table};
+use crate::crash_point::crash_point;
+use crate::record::{
+    decode_header, decode_records, encode, Clocks, Record, Salt, SegmentHeader, FORMAT,
+};
+use crate::recovery::{remaining_window, Recovered, RecoveryTable};
 use crate::Micros;
-use pipitlever_framing::{frame, Frames, Unreadable, Wrong};
+use pipitlever_framing::{append_frame, FrameReader, ReadError, ReadErrorKind};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 use std::io;
@@ -27,7 +29,7 @@
 const MOST_MISSING: usize = 64;
 
 /// A folder of files, of which one at a time is written.
-pub trait Files {
+pub trait SegmentFiles {
     /// The names of all files there.
     fn list(&mut self) -> io::Result<Vec<String>>;
     /// All bytes of a file.
@@ -49,17 +51,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// All segments together, in bytes. The log is told what to write by somebody who keeps to it.
-    pub most: u64,
+    pub capacity: u64,
     /// A segment ends once it is this long, in bytes.
-    pub segment: u64,
+    pub segment_size: u64,
 }
 
 impl Limits {
     /// Limits for so many bytes in all.
-    pub fn within(most: u64) -> Limits {
+    pub fn for_capacity(most: u64) -> Limits {
         Limits {
-            most,
-            segment: (most / 16).clamp(16 << 10, 16 << 20),
+            capacity: most,
+            segment_size: (most / 16).clamp(16 << 10, 16 << 20),
         }
     }
 }
@@ -70,12 +72,12 @@
     /// The file.
     pub file: String,
     /// Where in it, in bytes, and what is wrong.
-    pub what: Unreadable,
+    pub error: ReadError,
 }
 
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {}", self.file, self.what)
+        write!(f, "{}: {}", self.file, self.error)
     }
 }
 
@@ -89,19 +91,19 @@
     /// Bytes of the file.
     pub size: u64,
     /// Bytes that could be read.
-    pub whole: u64,
+    pub readable: u64,
     /// How it opens, if that could be read.
-    pub opening: Option<Opening>,
+    pub header: Option<SegmentHeader>,
     /// How long something in it is wanted from now on, in microseconds; unknown where that takes
     /// other clocks.
     lasts: Option<Micros>,
     /// Why it could not be read to its end, where that is not a tail that was cut off.
-    pub wrong: Option<Unreadable>,
+    pub error: Option<ReadError>,
 }
 
 /// All segments of a folder.
 #[derive(Clone, Debug, Default)]
-pub struct Contents {
+pub struct LogContents {
     /// The segments, the oldest first.
     pub segments: Vec<Segment>,
     /// What was on the disk and can't be read.
@@ -109,45 +111,45 @@
     /// The numbers of segments that should be there and are not.
     pub missing: Vec<u64>,
     /// What was read, as it was read: all records at once would take several times their bytes.
-    table: Table,
+    table: RecoveryTable,
 }
 
 /// What the processes before left.
 #[derive(Debug)]
-pub struct Found {
+pub struct OpenReport {
     /// The keys that are within their windows.
     pub keys: Vec<Recovered>,
     /// What was on the disk and can't be read.
     pub damage: Vec<Damage>,
     /// The longest window of any record that was read, in microseconds.
-    pub longest: Micros,
+    pub longest_window: Micros,
     /// Bytes behind the last whole frame that were cut off.
-    pub torn: u64,
+    pub torn_bytes: u64,
 }
 
 /// Why a folder can't be used at all.
 #[derive(Debug)]
-pub enum Unusable {
+pub enum OpenError {
     /// The files can't be read.
-    Files(io::Error),
+    Io(io::Error),
     /// It is another build's format: which file, and the formats.
-    Format(Damage),
+    Damaged(Damage),
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Unusable::Files(error) => write!(f, "{error}"),
-            Unusable::Format(damage) => write!(f, "{damage}"),
+            OpenError::Io(error) => write!(f, "{error}"),
+            OpenError::Damaged(damage) => write!(f, "{damage}"),
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for OpenError {}
 
-impl From<io::Error> for Unusable {
-    fn from(error: io::Error) -> Unusable {
-        Unusable::Files(error)
+impl From<io::Error> for OpenError {
+    fn from(error: io::Error) -> OpenError {
+        OpenError::Io(error)
     }
 }
 
@@ -187,15 +189,15 @@
             number,
             file: name(number),
             size: bytes.len() as u64,
-            whole: 0,
-            opening: None,
+            readable: 0,
+            header: None,
             lasts: Some(0),
-            wrong: None,
+            error: None,
         };
         if let Err(wrong) = segment.frames(bytes, now, &mut take) {
             // Only the last frame of all can be one that nobody synced; whoever knows more decides
-            // (`Contents::read`).
-            segment.wrong = Some(wrong);
+            // (`LogContents::read`).
+            segment.error = Some(wrong);
         }
         segment
     }
@@ -205,42 +207,42 @@
         bytes: &[u8],
         now: &Clocks,
         take: &mut impl FnMut(Record, &Clocks),
-    ) -> Result<(), Unreadable> {
-        let mut frames = Frames::open(FORMAT, bytes)?;
+    ) -> Result<(), ReadError> {
+        let mut frames = FrameReader::open(FORMAT, bytes)?;
         while let Some((at, payload)) = frames.next_frame()? {
-            let content = |what: String| Unreadable {
-                at,
-                why: Wrong::Content(what),
+            let content = |what: String| ReadError {
+                offset: at,
+                kind: ReadErrorKind::Content(what),
             };
-            match &self.opening {
+            match &self.header {
                 None => {
-                    let opening = opening(payload).map_err(content)?;
+                    let opening = decode_header(payload).map_err(content)?;
                     if opening.number != self.number {
                         return Err(content(format!("this is segment {}", opening.number)));
                     }
-                    self.opening = Some(opening);
+                    self.header = Some(opening);
                 }
-                Some(Opening { clocks, .. }) => {
-                    for record in decode(payload).map_err(content)? {
+                Some(SegmentHeader { clocks, .. }) => {
+                    for record in decode_records(payload).map_err(content)? {
                         let lasts = lasts(&record, clocks, now);
                         self.lasts = self.lasts.and_then(|before| Some(before.max(lasts?)));
                         take(record, clocks);
                     }
                 }
             }
-            self.whole = frames.offset();
+            self.readable = frames.offset();
         }
         Ok(())
     }
 }
 
-impl Contents {
+impl LogContents {
     /// Reads all segments of a folder, and tells a tail that was cut off from damage.
-    pub fn read(files: &mut impl Files) -> Result<Contents, Unusable> {
+    pub fn read(files: &mut impl SegmentFiles) -> Result<LogContents, OpenError> {
         let mut numbers: Vec<u64> = files.list()?.iter().filter_map(|n| number(n)).collect();
         numbers.sort_unstable();
         let now = files.clocks();
-        let mut contents = Contents::default();
+        let mut contents = LogContents::default();
         let mut torn = Vec::new();
         for &number in &numbers {
             let bytes = files.read(&name(number))?;
@@ -248,14 +250,14 @@
             let segment = Segment::read(number, &bytes, &now, |record, written| {
                 table.add(record, written, &now)
             });
-            if let Some(wrong) = &segment.wrong {
-                if matches!(wrong.why, Wrong::Version { .. }) {
-                    return Err(Unusable::Format(Damage {
+            if let Some(wrong) = &segment.error {
+                if matches!(wrong.kind, ReadErrorKind::Version { .. }) {
+                    return Err(OpenError::Damaged(Damage {
                         file: segment.file,
-                        what: wrong.clone(),
+                        error: wrong.clone(),
                     }));
                 }
-                torn.push(unwritten(&bytes, wrong.at));
+                torn.push(unwritten(&bytes, wrong.offset));
             } else {
                 torn.push(true);
             }
@@ -264,16 +266,19 @@
         let oldest = contents
             .segments
             .iter()
-            .filter_map(|s| Some(s.opening.as_ref()?.oldest))
+            .filter_map(|s| Some(s.header.as_ref()?.oldest))
             .max();
         // What is older was dropped before, as nothing in it was wanted any more.
         contents
             .segments
             .retain(|s| oldest.is_none_or(|oldest| s.number >= oldest));
         torn.drain(..torn.len() - contents.segments.len());
-        let damage = |file: String, at: u64, why: Wrong| Damage {
+        let damage = |file: String, at: u64, why: ReadErrorKind| Damage {
             file,
-            what: Unreadable { at, why },
+            error: ReadError {
+                offset: at,
+                kind: why,
+            },
         };
         let mut due = oldest;
         // Segments at the end that were never begun whole: nothing was written to them, and the one
@@ -281,37 +286,37 @@
         let begun = contents
             .segments
             .iter()
-            .rposition(|s| s.opening.is_some())
+            .rposition(|s| s.header.is_some())
             .map_or(0, |i| i + 1);
         for (i, segment) in contents.segments.iter().enumerate() {
             // The first ones are enough to say so.
             for missing in (due.unwrap_or(segment.number)..segment.number).take(MOST_MISSING) {
-                let why = Wrong::Content("this segment is missing".into());
+                let why = ReadErrorKind::Content("this segment is missing".into());
                 contents.damage.push(damage(name(missing), 0, why));
                 contents.missing.push(missing);
             }
             due = Some(segment.number + 1);
             let next = contents.segments.get(i + 1);
-            let known = next.and_then(|next| next.opening.as_ref()?.before);
+            let known = next.and_then(|next| next.header.as_ref()?.previous_durable_bytes);
             let lost = match known {
                 // So much was synced, and has to be there.
-                Some(length) => segment.whole < length,
+                Some(length) => segment.readable < length,
                 // The last one: a batch at its end may be half written, and nobody acted on it. A
                 // frame that is there in all its length, and says something else than it did, is
                 // damage.
                 None if i + 1 >= begun => !torn[i],
                 // The next one can't say: what is not whole is taken to be lost.
-                None => segment.wrong.is_some() || segment.whole < segment.size,
+                None => segment.error.is_some() || segment.readable < segment.size,
             };
             if lost {
-                let cut = || Unreadable {
-                    at: segment.whole,
-                    why: Wrong::Content("the rest is missing".into()),
+                let cut = || ReadError {
+                    offset: segment.readable,
+                    kind: ReadErrorKind::Content("the rest is missing".into()),
                 };
-                let what = segment.wrong.clone().unwrap_or_else(cut);
+                let what = segment.error.clone().unwrap_or_else(cut);
                 contents.damage.push(Damage {
                     file: segment.file.clone(),
-                    what,
+                    error: what,
                 });
             }
         }
@@ -319,8 +324,8 @@
     }
 
     /// The keys that are within their windows at these clocks, or whose repeats may still be read.
-    pub fn keys(self, now: &Clocks) -> Vec<Recovered> {
-        self.table.keys(now)
+    pub fn into_keys(self, now: &Clocks) -> Vec<Recovered> {
+        self.table.into_keys(now)
     }
 
     /// The salt of the store, if any segment can say it.
@@ -328,21 +333,27 @@
         self.segments
             .iter()
             .rev()
-            .find_map(|s| Some(s.opening.as_ref()?.salt))
+            .find_map(|s| Some(s.header.as_ref()?.salt))
     }
 }
 
 /// How long a record is wanted from now on, in microseconds, if that can be told.
 fn lasts(record: &Record, written: &Clocks, now: &Clocks) -> Option<Micros> {
     match record {
-        Record::Intent(intent) => {
-            Some(left(intent, written, now).map_or(0, |left| left.saturating_add(intent.linger)))
-        }
+        Record::Intent(intent) => Some(
+            remaining_window(intent, written, now)
+                .map_or(0, |left| left.saturating_add(intent.read_grace)),
+        ),
         // An outcome is wanted for as long as its intent, which may be in another segment.
-        Record::Outcome { over, .. } | Record::Void { over, .. } => {
-            (!now.boot.is_empty() && written.boot == now.boot && written.up <= now.up)
-                .then(|| over.saturating_sub(now.up))
+        Record::Outcome {
+            expires_at: over, ..
         }
+        | Record::Void {
+            expires_at: over, ..
+        } => (!now.boot_id.is_empty()
+            && written.boot_id == now.boot_id
+            && written.since_boot <= now.since_boot)
+            .then(|| over.saturating_sub(now.since_boot)),
     }
 }
 
@@ -374,7 +385,7 @@
     /// The records' bytes.
     pub bytes: Vec<u8>,
     /// Of each record, when it is over, by the machine's count, and its bytes.
-    pub marks: Vec<(Micros, u32)>,
+    pub expiries: Vec<(Micros, u32)>,
 }
 
 impl Batch {
@@ -382,8 +393,8 @@
     pub fn push(&mut self, record: &Record) {
         let before = self.bytes.len();
         encode(record, &mut self.bytes);
-        self.marks
-            .push((record.over(), (self.bytes.len() - before) as u32));
+        self.expiries
+            .push((record.expires_at(), (self.bytes.len() - before) as u32));
     }
 }
 
@@ -404,22 +415,26 @@
     tidied: Micros,
 }
 
-impl<F: Files> Log<F> {
+impl<F: SegmentFiles> Log<F> {
     /// Reads what is there, for a process whose longest window is this, in microseconds.
-    pub fn open(mut files: F, limits: Limits, window: Micros) -> Result<(Log<F>, Found), Unusable> {
-        let mut contents = Contents::read(&mut files)?;
+    pub fn open(
+        mut files: F,
+        limits: Limits,
+        window: Micros,
+    ) -> Result<(Log<F>, OpenReport), OpenError> {
+        let mut contents = LogContents::read(&mut files)?;
         let now = files.clocks();
         // Segments at the end that were never begun whole are begun anew: kept, they could not say
         // how much of the one before was on the disk, and its torn tail would look like damage.
         let damage = std::mem::take(&mut contents.damage);
-        let never = |s: &Segment| s.opening.is_none() && !damage.iter().any(|d| d.file == s.file);
+        let never = |s: &Segment| s.header.is_none() && !damage.iter().any(|d| d.file == s.file);
         while contents.segments.last().is_some_and(never) {
             contents.segments.pop();
         }
         contents.damage = damage;
-        let longest = contents.table.longest().max(window);
-        let linger = contents.table.linger();
-        let torn = contents.segments.last().map_or(0, |s| s.size - s.whole);
+        let longest = contents.table.longest_window().max(window);
+        let linger = contents.table.longest_read_grace();
+        let torn = contents.segments.last().map_or(0, |s| s.size - s.readable);
         let salt = match contents.salt() {
             Some(salt) => salt,
             None => Salt::random()?,
@@ -428,21 +443,24 @@
         let durable = contents
             .segments
             .last()
-            .map(|s| if whole(s) { s.whole } else { s.size });
+            .map(|s| if whole(s) { s.readable } else { s.size });
         let next = contents.segments.last().map_or(1, |s| s.number + 1);
         let damaged = !contents.damage.is_empty();
         let missing = contents.missing.iter().map(|&number| Kept {
             number,
             bytes: 0,
-            over: now.up.saturating_add(longest).saturating_add(linger),
+            over: now
+                .since_boot
+                .saturating_add(longest)
+                .saturating_add(linger),
             wanted: BTreeMap::new(),
         });
         let missing: Vec<Kept> = missing.collect();
-        let found = Found {
-            keys: contents.table.keys(&now),
+        let found = OpenReport {
+            keys: contents.table.into_keys(&now),
             damage: contents.damage,
-            longest,
-            torn,
+            longest_window: longest,
+            torn_bytes: torn,
         };
         let segments = contents.segments.into_iter().map(|segment| {
             // Damage is told until it can hide nothing any more, however many starts there are
@@ -454,8 +472,11 @@
             Kept {
                 number: segment.number,
                 bytes: segment.size,
-                over: now.up.saturating_add(left),
-                wanted: BTreeMap::from([(now.up.saturating_add(left) / SECOND, segment.size)]),
+                over: now.since_boot.saturating_add(left),
+                wanted: BTreeMap::from([(
+                    now.since_boot.saturating_add(left) / SECOND,
+                    segment.size,
+                )]),
             }
         });
         let mut segments: Vec<Kept> = missing.into_iter().chain(segments).collect();
@@ -482,7 +503,7 @@
     }
 
     /// Bytes of all segments.
-    pub fn used(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.segments.iter().map(|s| s.bytes).sum()
     }
 
@@ -492,14 +513,14 @@
     }
 
     /// The files, as a test wants to look at them.
-    pub fn files(&mut self) -> &mut F {
+    pub fn files_mut(&mut self) -> &mut F {
         &mut self.files
     }
 
     /// Makes a batch durable, whole; or says why it can't. An empty one only sees to what is over.
     pub fn write(&mut self, batch: &Batch) -> io::Result<()> {
         self.tidy()?;
-        if batch.marks.is_empty() {
+        if batch.expiries.is_empty() {
             // Whoever asks wants to know whether the files work again.
             return if self.open.is_none() {
                 self.rotate()
@@ -508,7 +529,7 @@
             };
         }
         let last = self.segments.back().map_or(0, |s| s.bytes);
-        if self.open.is_none() || last >= self.limits.segment {
+        if self.open.is_none() || last >= self.limits.segment_size {
             self.rotate()?;
         }
         self.append(batch)
@@ -518,19 +539,19 @@
         let number = self.open.take().expect("a segment was begun");
         let segment = self.segments.back_mut().expect("a segment was begun");
         let mut bytes = Vec::new();
-        frame(&mut bytes, number, |out| {
+        append_frame(&mut bytes, number, |out| {
             out.extend_from_slice(&batch.bytes)
         });
-        point("before-append");
+        crash_point("before-append");
         // Whatever becomes of them, they may be on the disk from now on.
         segment.bytes += bytes.len() as u64;
         self.files.append(&bytes)?;
-        point("before-sync");
+        crash_point("before-sync");
         self.files.sync()?;
-        point("after-sync");
+        crash_point("after-sync");
         self.open = Some(number + 1);
         self.durable = Some(segment.bytes);
-        for &(over, length) in &batch.marks {
+        for &(over, length) in &batch.expiries {
             segment.over = segment.over.max(over);
             *segment.wanted.entry(over / SECOND).or_default() += u64::from(length);
         }
@@ -544,20 +565,20 @@
         let over = self
             .segments
             .iter()
-            .take_while(|s| s.over < clocks.up)
+            .take_while(|s| s.over < clocks.since_boot)
             .count();
         let number = self.next;
         let oldest = self.segments.get(over).map_or(number, |s| s.number);
-        let opening = Opening {
+        let opening = SegmentHeader {
             number,
             oldest,
-            before: self.durable,
+            previous_durable_bytes: self.durable,
             clocks: clocks.clone(),
             salt: self.salt,
         };
         let mut bytes = Vec::new();
-        FORMAT.head(&mut bytes);
-        frame(&mut bytes, 0, |out| encode(&opening, out));
+        FORMAT.write_header(&mut bytes);
+        append_frame(&mut bytes, 0, |out| encode(&opening, out));
         // One of this number that is there was not finished, and nothing was ever written behind
         // its opening.
         self.files.create(&name(number))?;
@@ -586,10 +607,10 @@
     /// Gives back room: drops segments that are over, and writes again what is still wanted of one
     /// that is mostly over.
     fn tidy(&mut self) -> io::Result<()> {
-        if self.used() <= self.limits.most / 2 || self.segments.len() < 2 {
+        if self.used_bytes() <= self.limits.capacity / 2 || self.segments.len() < 2 {
             return Ok(());
         }
-        let now = self.files.clocks().up;
+        let now = self.files.clocks().since_boot;
         // Not again with each batch where what is over can't be removed.
         if now < self.tidied.saturating_add(SECOND) {
             return Ok(());
@@ -607,12 +628,12 @@
         let mut batch = Batch::default();
         let clocks = self.files.clocks();
         Segment::read(oldest.number, &bytes, &clocks, |record, _| {
-            if record.over() >= now {
+            if record.expires_at() >= now {
                 batch.push(&record);
             }
         });
         self.rotate()?;
-        if !batch.marks.is_empty() {
+        if !batch.expiries.is_empty() {
             self.append(&batch)?;
         }
         // All of it is somewhere else from here on; it goes with the next segment that begins.
@@ -622,30 +643,34 @@
 
     /// Writes all that is wanted into one new segment and drops the others: for a store that nobody
     /// uses.
-    pub fn compact(&mut self) -> Result<(), Unusable> {
-        let contents = Contents::read(&mut self.files)?;
+    pub fn compact(&mut self) -> Result<(), OpenError> {
+        let contents = LogContents::read(&mut self.files)?;
         if let Some(damage) = contents.damage.first() {
-            return Err(Unusable::Format(damage.clone()));
+            return Err(OpenError::Damaged(damage.clone()));
         }
         let now = self.files.clocks();
         let mut batch = Batch::default();
         for Recovered {
             mut intent,
-            until,
-            kept,
-        } in contents.keys(&now)
+            window_end: until,
+            outcome: kept,
+        } in contents.into_keys(&now)
         {
             // By the clocks of the present start.
-            intent.over = now.up + (until - now.wall) + intent.linger;
-            intent.arrived = until - intent.window;
-            let (id, over) = (intent.id, intent.over);
+            intent.expires_at = now.since_boot + (until - now.wall) + intent.read_grace;
+            intent.arrived_at = until - intent.window;
+            let (id, over) = (intent.id, intent.expires_at);
             batch.push(&Record::Intent(intent));
             if let Some(kept) = kept {
-                batch.push(&Record::Outcome { id, over, kept });
+                batch.push(&Record::Outcome {
+                    id,
+                    expires_at: over,
+                    outcome: kept,
+                });
             }
         }
         self.rotate()?;
-        if !batch.marks.is_empty() {
+        if !batch.expiries.is_empty() {
             self.append(&batch)?;
         }
         let last = self.segments.len() - 1;
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -11,14 +11,14 @@
 pub const FORMAT: Format = Format {
     magic: *b"PLSTORE\0",
     version: 1,
-    what: "store of keyed requests",
+    description: "store of keyed requests",
 };
 /// The longest key. Longer ones are turned away by the fronts.
-pub const MOST_KEY: usize = 256;
+pub const MAX_KEY_BYTES: usize = 256;
 /// Bytes of an intent beside its key and class: a bound, not the usual.
-pub const INTENT: u64 = 96;
+pub const INTENT_OVERHEAD_BYTES: u64 = 96;
 /// Bytes of an outcome beside its result, and of a void.
-pub const OUTCOME: u64 = 48;
+pub const OUTCOME_OVERHEAD_BYTES: u64 = 48;
 
 /// The clocks of a machine at one moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,9 +26,9 @@
     /// Unix time, in microseconds. It may be set, forwards or back.
     pub wall: Micros,
     /// Since the machine's start, its sleep included, in microseconds. Nobody sets it.
-    pub up: Micros,
+    pub since_boot: Micros,
     /// Names the machine's present start; empty where it can't be told.
-    pub boot: String,
+    pub boot_id: String,
 }
 
 /// A run of a keyed request is about to begin.
@@ -44,21 +44,21 @@
     /// The name of its class.
     pub class: String,
     /// Stands for class and body, by [`Salt::digest`].
-    pub payload: u64,
+    pub payload_digest: u64,
     /// When the try reached the machine, in Unix microseconds.
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// Tries that reach the machine so long after it are repeats, in microseconds.
     pub window: Micros,
     /// When nothing of it is read any more, by [`Clocks::up`].
-    pub over: Micros,
+    pub expires_at: Micros,
     /// A repeat that came within the window may be read so long after its end, in microseconds: the
     /// window ends this long before `over`.
-    pub linger: Micros,
+    pub read_grace: Micros,
 }
 
 /// How a run came out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kept {
+pub enum Outcome {
     /// It was served with this result.
     Served(Vec<u8>),
     /// It failed and may have had its effect.
@@ -76,40 +76,46 @@
         /// The intent's.
         id: u64,
         /// When its window is over, by [`Clocks::up`].
-        over: Micros,
+        expires_at: Micros,
         /// How.
-        kept: Kept,
+        outcome: Outcome,
     },
     /// It never began, and never will.
     Void {
         /// The intent's.
         id: u64,
         /// When its window is over, by [`Clocks::up`].
-        over: Micros,
+        expires_at: Micros,
     },
 }
 
 impl Record {
     /// When it is of no further use, by [`Clocks::up`].
-    pub fn over(&self) -> Micros {
+    pub fn expires_at(&self) -> Micros {
         match self {
-            Record::Intent(Intent { over, .. })
-            | Record::Outcome { over, .. }
-            | Record::Void { over, .. } => *over,
+            Record::Intent(Intent {
+                expires_at: over, ..
+            })
+            | Record::Outcome {
+                expires_at: over, ..
+            }
+            | Record::Void {
+                expires_at: over, ..
+            } => *over,
         }
     }
 }
 
 /// How a segment opens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Opening {
+pub struct SegmentHeader {
     /// Its number, one more than that of the segment before.
     pub number: u64,
     /// The oldest segment that was not dropped by then.
     pub oldest: u64,
     /// How long the segment before is known to be on the disk, in bytes: what is missing of that
     /// was lost.
-    pub before: Option<u64>,
+    pub previous_durable_bytes: Option<u64>,
     /// The clocks when it was begun.
     pub clocks: Clocks,
     /// What makes digests of this store its own.
@@ -145,7 +151,7 @@
 }
 
 /// The records of a frame.
-pub fn decode(mut bytes: &[u8]) -> Result<Vec<Record>, String> {
+pub fn decode_records(mut bytes: &[u8]) -> Result<Vec<Record>, String> {
     let mut all = Vec::new();
     while !bytes.is_empty() {
         let (record, rest) =
@@ -157,7 +163,7 @@
 }
 
 /// The opening, which is a frame of its own.
-pub fn opening(bytes: &[u8]) -> Result<Opening, String> {
+pub fn decode_header(bytes: &[u8]) -> Result<SegmentHeader, String> {
     postcard::from_bytes(bytes).map_err(|e| format!("the opening can't be read: {e}"))
 }
 
@@ -170,31 +176,38 @@
         let intent = Intent {
             id: u64::MAX,
             reference: u64::MAX,
-            key: "k".repeat(MOST_KEY),
+            key: "k".repeat(MAX_KEY_BYTES),
             class: "c".repeat(64),
-            payload: u64::MAX,
-            arrived: Micros::MAX,
+            payload_digest: u64::MAX,
+            arrived_at: Micros::MAX,
             window: Micros::MAX,
-            over: Micros::MIN,
-            linger: Micros::MAX,
+            expires_at: Micros::MIN,
+            read_grace: Micros::MAX,
         };
         let length = |record: &Record| {
             let mut bytes = Vec::new();
             encode(record, &mut bytes);
-            assert_eq!(decode(&bytes), Ok(vec![record.clone()]));
+            assert_eq!(decode_records(&bytes), Ok(vec![record.clone()]));
             bytes.len() as u64
         };
-        assert!(length(&Record::Intent(intent)) <= INTENT + MOST_KEY as u64 + 64);
+        assert!(
+            length(&Record::Intent(intent)) <= INTENT_OVERHEAD_BYTES + MAX_KEY_BYTES as u64 + 64
+        );
         let over = Micros::MIN;
-        let kept = Kept::Served(vec![7; 4096]);
+        let kept = Outcome::Served(vec![7; 4096]);
         assert!(
             length(&Record::Outcome {
                 id: u64::MAX,
-                over,
-                kept
-            }) <= OUTCOME + 4096
+                expires_at: over,
+                outcome: kept
+            }) <= OUTCOME_OVERHEAD_BYTES + 4096
+        );
+        assert!(
+            length(&Record::Void {
+                id: u64::MAX,
+                expires_at: over
+            }) <= OUTCOME_OVERHEAD_BYTES
         );
-        assert!(length(&Record::Void { id: u64::MAX, over }) <= OUTCOME);
     }
 
     #[test]
--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -16,7 +16,7 @@
 //! allows a second run; what it costs is that keys are remembered longer, a whole window from the
 //! restart at the most.
 
-use crate::record::{Clocks, Intent, Kept, Record};
+use crate::record::{Clocks, Intent, Outcome, Record};
 use crate::Micros;
 use std::collections::{HashMap, HashSet};
 
@@ -27,38 +27,40 @@
     pub intent: Intent,
     /// Tries that reach the machine up to this time are repeats, in Unix microseconds by the
     /// present clock.
-    pub until: Micros,
+    pub window_end: Micros,
     /// How it came out, if that is known.
-    pub kept: Option<Kept>,
+    pub outcome: Option<Outcome>,
 }
 
 /// How long a window has still to go, in microseconds, less than nothing where repeats of it may
 /// still be read; nothing once it is over. `written` are the clocks of the process that wrote it.
-pub fn left(intent: &Intent, written: &Clocks, now: &Clocks) -> Option<Micros> {
-    let same_start = !now.boot.is_empty() && written.boot == now.boot && written.up <= now.up;
+pub fn remaining_window(intent: &Intent, written: &Clocks, now: &Clocks) -> Option<Micros> {
+    let same_start = !now.boot_id.is_empty()
+        && written.boot_id == now.boot_id
+        && written.since_boot <= now.since_boot;
     let window = intent.window.max(0);
     // No entry lasts longer than its window from now on, wherever the clocks were.
     let by_wall = (intent
-        .arrived
+        .arrived_at
         .saturating_add(window)
         .saturating_sub(now.wall))
     .min(window);
     let by_machine = match same_start {
         true => intent
-            .over
-            .saturating_sub(intent.linger)
-            .saturating_sub(now.up)
+            .expires_at
+            .saturating_sub(intent.read_grace)
+            .saturating_sub(now.since_boot)
             .min(window),
         false => window,
     };
-    Some(by_wall.max(by_machine)).filter(|&left| left >= -intent.linger.max(0))
+    Some(by_wall.max(by_machine)).filter(|&left| left >= -intent.read_grace.max(0))
 }
 
 /// Collects records in any order, and more than once each.
 #[derive(Clone, Debug, Default)]
-pub struct Table {
+pub struct RecoveryTable {
     intents: HashMap<u64, (Intent, Micros)>,
-    outcomes: HashMap<u64, Kept>,
+    outcomes: HashMap<u64, Outcome>,
     voids: HashSet<u64>,
     /// The longest window of all that was read.
     longest: Micros,
@@ -66,23 +68,25 @@
     linger: Micros,
 }
 
-impl Table {
+impl RecoveryTable {
     /// One more record, of a segment that was begun at these clocks.
     pub fn add(&mut self, record: Record, written: &Clocks, now: &Clocks) {
         match record {
             Record::Intent(intent) => {
                 self.longest = self.longest.max(intent.window);
-                self.linger = self.linger.max(intent.linger);
-                let Some(left) = left(&intent, written, now) else {
+                self.linger = self.linger.max(intent.read_grace);
+                let Some(left) = remaining_window(&intent, written, now) else {
                     return;
                 };
                 let entry = self.intents.entry(intent.id).or_insert((intent, left));
                 entry.1 = entry.1.max(left);
             }
-            Record::Outcome { id, kept, .. } => {
+            Record::Outcome {
+                id, outcome: kept, ..
+            } => {
                 // A result says more than a failure, should both ever be there.
                 let old = self.outcomes.entry(id).or_insert_with(|| kept.clone());
-                if *old == Kept::Failed {
+                if *old == Outcome::Failed {
                     *old = kept;
                 }
             }
@@ -94,19 +98,19 @@
 
     /// The longest time that a repeat may be read after its window, in microseconds, of all that
     /// was read.
-    pub fn linger(&self) -> Micros {
+    pub fn longest_read_grace(&self) -> Micros {
         self.linger
     }
 
     /// The longest window of all that was read, in microseconds.
-    pub fn longest(&self) -> Micros {
+    pub fn longest_window(&self) -> Micros {
         self.longest
     }
 
     /// What is known of each key. A key that has several tries that may have run has a result if
     /// any has one, and lasts as long as the last of them.
-    pub fn keys(self, now: &Clocks) -> Vec<Recovered> {
-        let Table {
+    pub fn into_keys(self, now: &Clocks) -> Vec<Recovered> {
+        let RecoveryTable {
             intents,
             mut outcomes,
             voids,
@@ -115,33 +119,33 @@
         let mut keys: HashMap<String, Recovered> = HashMap::new();
         let mut intents: Vec<_> = intents.into_values().collect();
         // The same on every reading of the same files.
-        intents.sort_by_key(|(intent, _)| (intent.arrived, intent.id));
+        intents.sort_by_key(|(intent, _)| (intent.arrived_at, intent.id));
         for (intent, left) in intents {
             let kept = outcomes.remove(&intent.id);
             if kept.is_none() && voids.contains(&intent.id) {
                 continue;
             }
             let until = now.wall.saturating_add(left);
-            let served = |kept: &Option<Kept>| matches!(kept, Some(Kept::Served(_)));
+            let served = |kept: &Option<Outcome>| matches!(kept, Some(Outcome::Served(_)));
             match keys.get_mut(&intent.key) {
                 Some(known) => {
-                    let until = known.until.max(until);
-                    if !served(&known.kept) {
+                    let until = known.window_end.max(until);
+                    if !served(&known.outcome) {
                         *known = Recovered {
                             intent,
-                            until,
-                            kept,
+                            window_end: until,
+                            outcome: kept,
                         };
                     }
-                    known.until = until;
+                    known.window_end = until;
                 }
                 None => {
                     keys.insert(
                         intent.key.clone(),
                         Recovered {
                             intent,
-                            until,
-                            kept,
+                            window_end: until,
+                            outcome: kept,
                         },
                     );
                 }
@@ -149,8 +153,8 @@
         }
         let mut keys: Vec<Recovered> = keys.into_values().collect();
         keys.sort_by(|a, b| {
-            a.until
-                .cmp(&b.until)
+            a.window_end
+                .cmp(&b.window_end)
                 .then_with(|| a.intent.key.cmp(&b.intent.key))
         });
         keys
@@ -167,8 +171,8 @@
     fn clocks(wall: Micros, up: Micros, boot: &str) -> Clocks {
         Clocks {
             wall,
-            up,
-            boot: boot.into(),
+            since_boot: up,
+            boot_id: boot.into(),
         }
     }
 
@@ -179,11 +183,11 @@
             reference: 9,
             key,
             class,
-            payload: 7,
-            arrived,
+            payload_digest: 7,
+            arrived_at: arrived,
             window: WINDOW,
-            over: up + WINDOW + LINGER,
-            linger: LINGER,
+            expires_at: up + WINDOW + LINGER,
+            read_grace: LINGER,
         }
     }
 
@@ -213,12 +217,12 @@
             (clocks(9_000_000_000, 40_000_000, "a"), Some(WINDOW)),
         ];
         for (now, wanted) in cases {
-            assert_eq!(left(&intent, &written, &now), wanted, "{now:?}");
+            assert_eq!(remaining_window(&intent, &written, &now), wanted, "{now:?}");
         }
         // One that was written at a time that nobody could name is no reason to forget it.
         let nameless = clocks(1_000_000_000, 50_000_000, "");
         assert_eq!(
-            left(&intent, &nameless, &clocks(9_000_000_000, 90_000_000, "a")),
+            remaining_window(&intent, &nameless, &clocks(9_000_000_000, 90_000_000, "a")),
             Some(WINDOW)
         );
     }
@@ -230,16 +234,16 @@
         let second = || Record::Intent(intent(2, 800, 800));
         let served = |id| Record::Outcome {
             id,
-            over: 0,
-            kept: Kept::Served(vec![9]),
+            expires_at: 0,
+            outcome: Outcome::Served(vec![9]),
         };
         let failed = |id| Record::Outcome {
             id,
-            over: 0,
-            kept: Kept::Failed,
+            expires_at: 0,
+            outcome: Outcome::Failed,
         };
-        let void = |id| Record::Void { id, over: 0 };
-        let nine = Some(Some(Kept::Served(vec![9])));
+        let void = |id| Record::Void { id, expires_at: 0 };
+        let nine = Some(Some(Outcome::Served(vec![9])));
         let cases = [
             ("nothing", vec![], None),
             ("an intent", vec![first()], Some(None)),
@@ -247,7 +251,7 @@
             (
                 "its failure",
                 vec![first(), failed(1)],
-                Some(Some(Kept::Failed)),
+                Some(Some(Outcome::Failed)),
             ),
             ("it never began", vec![first(), void(1)], None),
             ("in another order", vec![served(1), first()], nine.clone()),
@@ -282,18 +286,18 @@
             (
                 "an outcome outdoes a void",
                 vec![first(), void(1), failed(1)],
-                Some(Some(Kept::Failed)),
+                Some(Some(Outcome::Failed)),
             ),
         ];
         for (name, records, wanted) in cases {
-            let mut table = Table::default();
+            let mut table = RecoveryTable::default();
             records
                 .into_iter()
                 .for_each(|r| table.add(r, &written, &now));
-            let keys = table.keys(&now);
+            let keys = table.into_keys(&now);
             assert!(keys.len() <= 1);
-            assert_eq!(keys.first().map(|k| k.kept.clone()), wanted, "{name}");
-            assert!(keys.iter().all(|k| k.until >= 500 + WINDOW), "{name}");
+            assert_eq!(keys.first().map(|k| k.outcome.clone()), wanted, "{name}");
+            assert!(keys.iter().all(|k| k.window_end >= 500 + WINDOW), "{name}");
         }
     }
 }
--- a/crates/idempotency-store/tests/common/mod.rs
+++ b/crates/idempotency-store/tests/common/mod.rs
@@ -2,7 +2,7 @@
 //! synced.
 #![allow(dead_code)]
 
-use pipitlever_idempotency_store::log::Files;
+use pipitlever_idempotency_store::log::SegmentFiles;
 use pipitlever_idempotency_store::record::Clocks;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     pub sync: bool,
     /// Nothing can be created or appended.
     pub read_only: bool,
-    /// Files can't be removed.
+    /// SegmentFiles can't be removed.
     pub remove: bool,
 }
 
@@ -131,7 +131,7 @@
     io::Error::other(what.to_owned())
 }
 
-impl Files for Folder {
+impl SegmentFiles for Folder {
     fn list(&mut self) -> io::Result<Vec<String>> {
         Ok(self.names())
     }
@@ -198,8 +198,8 @@
         let world = self.0.borrow();
         Clocks {
             wall: world.wall,
-            up: world.up,
-            boot: format!("boot {}", world.boot),
+            since_boot: world.up,
+            boot_id: format!("boot {}", world.boot),
         }
     }
 }
--- a/crates/idempotency-store/tests/compatibility.rs
+++ b/crates/idempotency-store/tests/compatibility.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::Folder;
-use pipitlever_idempotency_store::log::{Batch, Files, Limits, Log};
+use pipitlever_idempotency_store::log::{Batch, Limits, Log, SegmentFiles};
 use pipitlever_idempotency_store::record::{
-    decode, encode, opening, Clocks, Intent, Kept, Opening, Record, Salt,
+    decode_header, decode_records, encode, Clocks, Intent, Outcome, Record, Salt, SegmentHeader,
 };
 use pipitlever_idempotency_store::recovery::Recovered;
 use std::path::PathBuf;
@@ -15,8 +15,8 @@
 const SECOND: i64 = 1_000_000;
 const WINDOW: i64 = 20 * SECOND;
 const LIMITS: Limits = Limits {
-    most: 64 << 10,
-    segment: 1 << 10,
+    capacity: 64 << 10,
+    segment_size: 1 << 10,
 };
 
 fn fixture(name: &str) -> PathBuf {
@@ -29,35 +29,41 @@
         reference: 0x0102_0304_0506_0708,
         key: format!("key {id}"),
         class: "swap-confirm".into(),
-        payload: 0x1112_1314_1516_1718,
-        arrived: 1_700_000_000_123_456,
+        payload_digest: 0x1112_1314_1516_1718,
+        arrived_at: 1_700_000_000_123_456,
         window: WINDOW,
-        over,
-        linger: 8 * SECOND,
+        expires_at: over,
+        read_grace: 8 * SECOND,
     }
 }
 
 fn records() -> Vec<(&'static str, Record)> {
-    let served = Kept::Served(b"result".to_vec());
+    let served = Outcome::Served(b"result".to_vec());
     vec![
         ("intent", Record::Intent(intent(7, 500))),
         (
             "outcome-served",
             Record::Outcome {
                 id: 8,
-                over: 501,
-                kept: served,
+                expires_at: 501,
+                outcome: served,
             },
         ),
         (
             "outcome-failed",
             Record::Outcome {
                 id: 9,
-                over: 502,
-                kept: Kept::Failed,
+                expires_at: 502,
+                outcome: Outcome::Failed,
+            },
+        ),
+        (
+            "void",
+            Record::Void {
+                id: 10,
+                expires_at: 503,
             },
         ),
-        ("void", Record::Void { id: 10, over: 503 }),
     ]
 }
 
@@ -67,24 +73,24 @@
     for (name, record) in records() {
         let mut bytes = Vec::new();
         encode(&record, &mut bytes);
-        assert_eq!(decode(&bytes), Ok(vec![record]), "{name}");
+        assert_eq!(decode_records(&bytes), Ok(vec![record]), "{name}");
         samples.push((name, bytes));
     }
     let clocks = Clocks {
         wall: 1_700_000_000_000_000,
-        up: 600,
-        boot: "boot-1".into(),
+        since_boot: 600,
+        boot_id: "boot-1".into(),
     };
-    let first = Opening {
+    let first = SegmentHeader {
         number: 4,
         oldest: 2,
-        before: Some(900),
+        previous_durable_bytes: Some(900),
         clocks,
         salt: Salt([11, 12]),
     };
     let mut bytes = Vec::new();
     encode(&first, &mut bytes);
-    assert_eq!(opening(&bytes), Ok(first));
+    assert_eq!(decode_header(&bytes), Ok(first));
     samples.push(("opening", bytes));
     let digest = Salt([11, 12]).digest("swap-confirm", b"body");
     samples.push(("body-digest", digest.to_be_bytes().to_vec()));
@@ -96,10 +102,10 @@
     let (_, found) =
         Log::open(folder.clone(), LIMITS, WINDOW).expect("the earlier build's folder can be read");
     assert_eq!(found.damage, []);
-    let line = |key: &Recovered| match &key.kept {
+    let line = |key: &Recovered| match &key.outcome {
         None => format!("{} may-have-run\n", key.intent.key),
-        Some(Kept::Failed) => format!("{} failed\n", key.intent.key),
-        Some(Kept::Served(result)) => format!("{} served {result:?}\n", key.intent.key),
+        Some(Outcome::Failed) => format!("{} failed\n", key.intent.key),
+        Some(Outcome::Served(result)) => format!("{} served {result:?}\n", key.intent.key),
     };
     found.keys.iter().map(line).collect()
 }
@@ -118,15 +124,18 @@
             0 => {}
             1 => batch.push(&Record::Outcome {
                 id,
-                over,
-                kept: Kept::Served(vec![id as u8; 200]),
+                expires_at: over,
+                outcome: Outcome::Served(vec![id as u8; 200]),
             }),
             2 => batch.push(&Record::Outcome {
                 id,
-                over,
-                kept: Kept::Failed,
+                expires_at: over,
+                outcome: Outcome::Failed,
+            }),
+            _ => batch.push(&Record::Void {
+                id,
+                expires_at: over,
             }),
-            _ => batch.push(&Record::Void { id, over }),
         }
         log.write(&batch).unwrap();
     }
--- a/crates/idempotency-store/tests/histories.rs
+++ b/crates/idempotency-store/tests/histories.rs
@@ -5,9 +5,11 @@
 mod common;
 
 use common::{Faults, Folder};
-use pipitlever_idempotency_store::gate::{Event, Gate, Rules, PATIENCE};
+use pipitlever_idempotency_store::commit_queue::{
+    CommitEvent, CommitQueue, CommitQueueConfig, SYNC_TIMEOUT,
+};
 use pipitlever_idempotency_store::log::{Batch, Limits, Log};
-use pipitlever_idempotency_store::record::{Intent, Kept};
+use pipitlever_idempotency_store::record::{Intent, Outcome};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -16,8 +18,8 @@
 /// What a request may take from its arrival until it is read.
 const READING: i64 = 7 * SECOND;
 const LIMITS: Limits = Limits {
-    most: 48 << 10,
-    segment: 4 << 10,
+    capacity: 48 << 10,
+    segment_size: 4 << 10,
 };
 
 #[derive(Clone, Debug)]
@@ -62,7 +64,7 @@
     reference: u64,
     /// By the machine's count: the window of the try that ran.
     until: i64,
-    outcome: Option<Kept>,
+    outcome: Option<Outcome>,
 }
 
 /// A run that has begun, as the outside world knows it.
@@ -75,7 +77,7 @@
 }
 
 struct Node {
-    gate: Gate,
+    gate: CommitQueue,
     log: Log<Folder>,
     keys: HashMap<u8, Known>,
     running: Vec<Run>,
@@ -94,7 +96,7 @@
     /// Runs that have begun, by key.
     begun: HashMap<u8, Vec<i64>>,
     /// Outcomes that were told as durable, with the arrival of the try that ran.
-    told: HashMap<u8, (i64, Kept)>,
+    told: HashMap<u8, (i64, Outcome)>,
     /// Arrivals of those on their way to the disk.
     arrivals: HashMap<u64, (u8, i64)>,
 }
@@ -104,17 +106,17 @@
     let (log, found) = Log::open(folder.clone(), LIMITS, WINDOW).expect("it can be read");
     assert_eq!(found.damage, [], "a crash is no damage");
     let (wall, up) = (folder.0.borrow().wall, folder.0.borrow().up);
-    let rules = Rules {
-        most: LIMITS.most,
-        spare: LIMITS.segment,
-        most_result: 300,
-        each: false,
+    let rules = CommitQueueConfig {
+        capacity: LIMITS.capacity,
+        compaction_reserve: LIMITS.segment_size,
+        max_result_bytes: 300,
+        sync_each_record: false,
     };
-    let mut gate = Gate::new(rules, log.used(), None, first);
+    let mut gate = CommitQueue::new(rules, log.used_bytes(), None, first);
     let keys = found.keys.into_iter().map(|found| {
-        let until = up + (found.until - wall);
-        if found.kept.is_none() {
-            gate.adopt(found.intent.reference, found.intent.id, until + READING);
+        let until = up + (found.window_end - wall);
+        if found.outcome.is_none() {
+            gate.adopt_intent(found.intent.reference, found.intent.id, until + READING);
         }
         let key = found.intent.key.parse().expect("a number");
         (
@@ -122,7 +124,7 @@
             Known {
                 reference: found.intent.reference,
                 until,
-                outcome: found.kept,
+                outcome: found.outcome,
             },
         )
     });
@@ -171,7 +173,7 @@
                 self.time
             );
         }
-        if known.is_some() || self.node.gate.refuses(up).is_some() {
+        if known.is_some() || self.node.gate.refusal(up).is_some() {
             return;
         }
         self.references += 1;
@@ -184,11 +186,11 @@
             reference,
             key: name,
             class,
-            payload: 1,
-            arrived: wall,
+            payload_digest: 1,
+            arrived_at: wall,
             window: WINDOW,
-            over,
-            linger: READING,
+            expires_at: over,
+            read_grace: READING,
         };
         self.node.keys.insert(
             key,
@@ -200,14 +202,14 @@
         );
         self.arrivals.insert(reference, (key, self.time));
         let mut events = Vec::new();
-        self.node.gate.intent(up, intent, &mut events);
+        self.node.gate.enqueue_intent(up, intent, &mut events);
         self.heed(events);
     }
 
-    fn heed(&mut self, events: Vec<Event>) {
+    fn heed(&mut self, events: Vec<CommitEvent>) {
         for event in events {
             match event {
-                Event::Begin(reference) => {
+                CommitEvent::IntentDurable(reference) => {
                     let (key, arrived) = self.arrivals[&reference];
                     let before = self.begun.entry(key).or_default();
                     // The rule: no try that arrived within the window of one that ran is run.
@@ -222,7 +224,7 @@
                         arrived,
                     });
                 }
-                Event::Never(reference) => {
+                CommitEvent::IntentAbandoned(reference) => {
                     let (key, _) = self.arrivals[&reference];
                     let held = self
                         .node
@@ -233,7 +235,7 @@
                         self.node.keys.remove(&key);
                     }
                 }
-                Event::Kept(reference) => {
+                CommitEvent::OutcomeDurable(reference) => {
                     let Some(&(key, arrived)) = self.arrivals.get(&reference) else {
                         continue;
                     };
@@ -254,7 +256,7 @@
         let up = self.up();
         let mut events = Vec::new();
         if self.node.flying.is_none() {
-            self.node.flying = self.node.gate.batch(up);
+            self.node.flying = self.node.gate.next_batch(up);
             self.node.slowly = slowly;
             if slowly {
                 return;
@@ -264,9 +266,11 @@
             return;
         };
         let result = self.node.log.write(&batch).map_err(|e| e.to_string());
-        let used = self.node.log.used();
-        assert!(used <= LIMITS.most, "{used}");
-        self.node.gate.done(up, result.map(|()| used), &mut events);
+        let used = self.node.log.used_bytes();
+        assert!(used <= LIMITS.capacity, "{used}");
+        self.node
+            .gate
+            .complete_batch(up, result.map(|()| used), &mut events);
         self.heed(events);
     }
 
@@ -284,8 +288,10 @@
                 }
                 let run = self.node.running.remove(0);
                 let kept = match fine {
-                    true => Kept::Served(vec![run.reference as u8 | 1; 200 + usize::from(run.key)]),
-                    false => Kept::Failed,
+                    true => {
+                        Outcome::Served(vec![run.reference as u8 | 1; 200 + usize::from(run.key)])
+                    }
+                    false => Outcome::Failed,
                 };
                 if let Some(known) = self
                     .node
@@ -295,7 +301,7 @@
                 {
                     known.outcome = Some(kept.clone());
                 }
-                self.node.gate.outcome(run.reference, kept);
+                self.node.gate.enqueue_outcome(run.reference, kept);
                 assert!(run.arrived <= self.time);
             }
             Op::Write => self.write(false),
@@ -381,8 +387,8 @@
             world.play(Op::Pass(500));
             world.play(Op::Write);
         }
-        prop_assert_eq!(world.node.gate.refuses(world.up()), None);
-        prop_assert!(world.node.gate.idle());
+        prop_assert_eq!(world.node.gate.refusal(world.up()), None);
+        prop_assert!(world.node.gate.is_idle());
     }
 }
 
@@ -425,7 +431,7 @@
         &[
             Op::Request(2),
             Op::Slowly,
-            Op::Pass((PATIENCE / 1000) as u16 + 1),
+            Op::Pass((SYNC_TIMEOUT / 1000) as u16 + 1),
         ],
     );
     assert!(!world.node.keys.contains_key(&2) && !world.begun.contains_key(&2));
@@ -441,5 +447,5 @@
         &mut world,
         &[Op::Fail(2), Op::Request(3), Op::Write, Op::Request(4)],
     );
-    assert!(world.node.gate.refuses(world.up()).is_some() && !world.begun.contains_key(&3));
+    assert!(world.node.gate.refusal(world.up()).is_some() && !world.begun.contains_key(&3));
 }
--- a/crates/idempotency-store/tests/log.rs
+++ b/crates/idempotency-store/tests/log.rs
@@ -4,14 +4,16 @@
 mod common;
 
 use common::{Faults, Folder};
-use pipitlever_idempotency_store::log::{Batch, Contents, Files, Found, Limits, Log, Unusable};
-use pipitlever_idempotency_store::record::{Intent, Kept, Record};
+use pipitlever_idempotency_store::log::{
+    Batch, Limits, Log, LogContents, OpenError, OpenReport, SegmentFiles,
+};
+use pipitlever_idempotency_store::record::{Intent, Outcome, Record};
 
 const SECOND: i64 = 1_000_000;
 const WINDOW: i64 = 20 * SECOND;
 const LIMITS: Limits = Limits {
-    most: 64 << 10,
-    segment: 8 << 10,
+    capacity: 64 << 10,
+    segment_size: 8 << 10,
 };
 
 fn folder() -> Folder {
@@ -20,7 +22,7 @@
     folder
 }
 
-fn open(folder: &Folder) -> (Log<Folder>, Found) {
+fn open(folder: &Folder) -> (Log<Folder>, OpenReport) {
     Log::open(folder.clone(), LIMITS, WINDOW).expect("it can be read")
 }
 
@@ -34,11 +36,11 @@
         reference,
         key,
         class,
-        payload: 1,
-        arrived,
+        payload_digest: 1,
+        arrived_at: arrived,
         window,
-        over,
-        linger,
+        expires_at: over,
+        read_grace: linger,
     })
 }
 
@@ -46,8 +48,8 @@
     let over = folder.0.borrow().up + window + 8 * SECOND;
     Record::Outcome {
         id: reference,
-        over,
-        kept: Kept::Served(result.to_vec()),
+        expires_at: over,
+        outcome: Outcome::Served(result.to_vec()),
     }
 }
 
@@ -84,15 +86,15 @@
     later(&folder, 5);
     let (_, found) = open(&folder);
     assert_eq!(
-        (found.keys.len(), found.damage, found.torn),
+        (found.keys.len(), found.damage, found.torn_bytes),
         (30, vec![], 0)
     );
     for key in found.keys {
         assert_eq!(
-            key.kept,
-            Some(Kept::Served(vec![key.intent.reference as u8 + 1; 600]))
+            key.outcome,
+            Some(Outcome::Served(vec![key.intent.reference as u8 + 1; 600]))
         );
-        assert_eq!(key.until, folder.0.borrow().wall + 15 * SECOND);
+        assert_eq!(key.window_end, folder.0.borrow().wall + 15 * SECOND);
     }
     // A repeat that came within the window may be read a little later.
     later(&folder, 23);
@@ -114,13 +116,13 @@
             .chain(length - 64..length);
         for at in places {
             folder.change(name, |bytes| bytes[at] ^= 1 << (at % 8));
-            match Contents::read(&mut folder.clone()) {
+            match LogContents::read(&mut folder.clone()) {
                 Ok(contents) => {
                     let [damage] = &contents.damage[..] else {
                         panic!("{name} {at}: {:?}", contents.damage)
                     };
                     assert!(
-                        damage.file == *name && damage.what.at as usize <= at,
+                        damage.file == *name && damage.error.offset as usize <= at,
                         "{name} {at}: {damage}"
                     );
                 }
@@ -142,22 +144,22 @@
     let mut keys = usize::MAX;
     for length in (0..whole.len()).rev().step_by(5) {
         folder.change(last, |bytes| bytes.truncate(length));
-        let contents = Contents::read(&mut folder.clone()).unwrap();
+        let contents = LogContents::read(&mut folder.clone()).unwrap();
         assert_eq!(contents.damage, [], "{length}");
         let now = folder.clone().clocks();
-        let found = contents.keys(&now).len();
+        let found = contents.into_keys(&now).len();
         assert!(found <= keys);
         keys = found;
     }
     folder.change(last, |bytes| *bytes = whole.clone());
     // The same of one that another follows.
     folder.change(&names[0], |bytes| bytes.truncate(bytes.len() - 1));
-    let contents = Contents::read(&mut folder.clone()).unwrap();
+    let contents = LogContents::read(&mut folder.clone()).unwrap();
     assert_eq!(contents.damage.len(), 1);
     assert_eq!(contents.damage[0].file, names[0]);
     // And of one that is gone.
     folder.take(&names[1]);
-    let contents = Contents::read(&mut folder.clone()).unwrap();
+    let contents = LogContents::read(&mut folder.clone()).unwrap();
     assert!(contents
         .damage
         .iter()
@@ -214,11 +216,11 @@
             ..pipitlever_idempotency_store::record::FORMAT
         };
         let mut head = Vec::new();
-        format.head(&mut head);
+        format.write_header(&mut head);
         bytes[..head.len()].copy_from_slice(&head);
     });
     let refused = Log::open(folder.clone(), LIMITS, WINDOW).expect_err("another format");
-    assert!(matches!(refused, Unusable::Format(_)));
+    assert!(matches!(refused, OpenError::Damaged(_)));
     assert!(
         refused
             .to_string()
@@ -277,11 +279,11 @@
                 .keys
                 .iter()
                 .find(|k| k.intent.reference == reference)
-                .map(|k| k.kept.clone())
+                .map(|k| k.outcome.clone())
         };
         assert_eq!(
             kept(1),
-            Some(Some(Kept::Served(b"one".to_vec()))),
+            Some(Some(Outcome::Served(b"one".to_vec()))),
             "{faults:?}"
         );
         assert_eq!(kept(3), Some(None), "{faults:?}");
@@ -309,11 +311,13 @@
         .unwrap();
         later(&folder, 1);
         most = most.max(folder.size());
-        assert_eq!(folder.size(), log.used());
+        assert_eq!(folder.size(), log.used_bytes());
     }
-    assert!(most <= LIMITS.most, "{most}");
+    assert!(most <= LIMITS.capacity, "{most}");
     let now = folder.clone().clocks();
-    let kept = Contents::read(&mut folder.clone()).unwrap().keys(&now);
+    let kept = LogContents::read(&mut folder.clone())
+        .unwrap()
+        .into_keys(&now);
     // Those within their windows, and those whose repeats may still be read.
     assert_eq!(kept.len() as i64, WINDOW / SECOND + 8);
 }
@@ -345,19 +349,19 @@
         later(&folder, 1);
         most = most.max(folder.size());
     }
-    assert!(most <= LIMITS.most, "{most}");
-    let contents = Contents::read(&mut folder.clone()).unwrap();
+    assert!(most <= LIMITS.capacity, "{most}");
+    let contents = LogContents::read(&mut folder.clone()).unwrap();
     assert_eq!(contents.damage, []);
     let now = folder.clone().clocks();
     let long: Vec<_> = contents
-        .keys(&now)
+        .into_keys(&now)
         .into_iter()
         .filter(|k| k.intent.window == hour)
         .collect();
     assert_eq!(long.len(), 10);
     assert!(long
         .iter()
-        .all(|k| k.kept == Some(Kept::Served(b"long".to_vec()))));
+        .all(|k| k.outcome == Some(Outcome::Served(b"long".to_vec()))));
 }
 
 #[test]
@@ -373,10 +377,10 @@
         ];
         failures += u64::from(write(&mut log, &records).is_err());
         later(&folder, 1);
-        assert_eq!(folder.size(), log.used());
+        assert_eq!(folder.size(), log.used_bytes());
     }
     assert_eq!(failures, 0);
-    assert_eq!(Contents::read(&mut folder.clone()).unwrap().damage, []);
+    assert_eq!(LogContents::read(&mut folder.clone()).unwrap().damage, []);
 }
 
 #[test]
@@ -387,7 +391,7 @@
     let before = folder.size();
     let (mut log, found) = open(&folder);
     log.compact().unwrap();
-    assert_eq!(folder.size(), log.used());
+    assert_eq!(folder.size(), log.used_bytes());
     drop(log);
     assert!(
         folder.size() <= before + 512 && folder.names().len() <= 2,
@@ -396,11 +400,11 @@
     );
     let (_, again) = open(&folder);
     assert_eq!(again.damage, []);
-    let kept = |found: &Found| {
+    let kept = |found: &OpenReport| {
         let all = found
             .keys
             .iter()
-            .map(|k| (k.intent.reference, k.until, k.kept.clone()));
+            .map(|k| (k.intent.reference, k.window_end, k.outcome.clone()));
         let mut all: Vec<_> = all.collect();
         all.sort_by_key(|k| k.0);
         all
@@ -451,12 +455,12 @@
             });
         }
         let now = folder.clone().clocks();
-        let Ok(contents) = Contents::read(&mut folder.clone()) else { return Ok(()) };
+        let Ok(contents) = LogContents::read(&mut folder.clone()) else { return Ok(()) };
         let damaged = !contents.damage.is_empty();
-        let keys = contents.keys(&now);
+        let keys = contents.into_keys(&now);
         for key in &keys {
-            if let Some(kept) = &key.kept {
-                let result = Kept::Served(vec![key.intent.reference as u8 + 1; 600]);
+            if let Some(kept) = &key.outcome {
+                let result = Outcome::Served(vec![key.intent.reference as u8 + 1; 600]);
                 proptest::prop_assert_eq!(kept, &result);
             }
         }
--- a/crates/load-balancing/examples/balance.rs
+++ b/crates/load-balancing/examples/balance.rs
@@ -4,8 +4,10 @@
 //! Each is played with the same arrivals, speeds and failures. The ideal knows at each moment who
 //! serves, how fast, and how many runs each has. Last, nanoseconds a decision of the pool.
 
-use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
-use pipitlever_load_balancing::ring::mix;
+use pipitlever_load_balancing::consistent_hash::splitmix64;
+use pipitlever_load_balancing::pool::{
+    Member, Pool, PoolConfig, RunOutcome, Selection, SelectionRequest,
+};
 use pipitlever_load_balancing::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -41,7 +43,7 @@
     let bad = member % 4 == 1 && now > length / 10;
     match trouble {
         Trouble::Unequal => (
-            6_000.0 * (1.0 + (mix(member as u64) % 200) as f64 / 100.0),
+            6_000.0 * (1.0 + (splitmix64(member as u64) % 200) as f64 / 100.0),
             true,
         ),
         Trouble::Slow if bad => (90_000.0, true),
@@ -65,14 +67,14 @@
         self.seed = self.seed.wrapping_add(1);
         let member = match self.way {
             Way::Pool => {
-                return match self.pool.place(
+                return match self.pool.select(
                     now,
-                    Ask {
-                        safe: true,
-                        ..Ask::default()
+                    SelectionRequest {
+                        is_idempotent: true,
+                        ..SelectionRequest::default()
                     },
                 ) {
-                    Place::At { run, address, .. } => Some((address, run)),
+                    Selection::Selected { run, address, .. } => Some((address, run)),
                     _ => None,
                 }
             }
@@ -88,8 +90,8 @@
                     .min_by_key(|&i| self.runs[i])?
             }
             Way::TwoRuns => {
-                let a = mix(self.seed) as usize % count;
-                let b = (a + 1 + mix(self.seed ^ 1 << 40) as usize % (count - 1)) % count;
+                let a = splitmix64(self.seed) as usize % count;
+                let b = (a + 1 + splitmix64(self.seed ^ 1 << 40) as usize % (count - 1)) % count;
                 if self.runs[b] < self.runs[a] {
                     b
                 } else {
@@ -114,8 +116,8 @@
 /// The share served in time, and p50 and p99 of those, in milliseconds.
 fn play(way: Way, trouble: Trouble, members: usize, requests: u64) -> (f64, f64, f64) {
     let pool = Pool::new(
-        Rules::default(),
-        (0..members).map(Member::at).collect(),
+        PoolConfig::default(),
+        (0..members).map(Member::new).collect(),
         7,
         0,
     );
@@ -136,19 +138,19 @@
         if fleet.way == Way::Pool {
             let late = at - since >= DEADLINE;
             let end = if well {
-                End::Well
+                RunOutcome::Succeeded
             } else if late {
-                End::TimedOut
+                RunOutcome::TimedOut
             } else {
-                End::Failed
+                RunOutcome::Failed
             };
-            fleet.pool.ended(at, run, end);
+            fleet.pool.complete_run(at, run, end);
         }
         well.then_some(at - since)
     };
     for n in 0..requests {
         // Poisson arrivals, the same for all.
-        let now = (n as f64 * gap + (mix(n) % 1000) as f64 / 1000.0 * gap) as Micros;
+        let now = (n as f64 * gap + (splitmix64(n) % 1000) as f64 / 1000.0 * gap) as Micros;
         while ends.peek().is_some_and(|Reverse(e)| e.0 <= now) {
             let Reverse(e) = ends.pop().expect("seen above");
             took.extend(end(&mut fleet, e));
@@ -159,7 +161,8 @@
         fleet.runs[member] += 1;
         let (alone, well) = serves(trouble, member, now, length);
         // Service times vary: exponential, at least a tenth.
-        let draw = (0.1 - 0.9 * ((mix(n ^ 77) % 100_000 + 1) as f64 / 100_001.0).ln()).min(8.0);
+        let draw =
+            (0.1 - 0.9 * ((splitmix64(n ^ 77) % 100_000 + 1) as f64 / 100_001.0).ln()).min(8.0);
         let time = alone
             * (f64::from(fleet.runs[member]) / CORES).max(1.0)
             * if well { draw } else { 1.0 };
@@ -219,8 +222,8 @@
     for members in [4, 64, 1024] {
         for keyed in [false, true] {
             let mut pool = Pool::new(
-                Rules::default(),
-                (0..members).map(Member::at).collect(),
+                PoolConfig::default(),
+                (0..members).map(Member::new).collect(),
                 7,
                 0,
             );
@@ -229,16 +232,16 @@
             let mut now = 0;
             for n in 0..count {
                 now += 20;
-                let key = keyed.then(|| mix(n));
-                if let Place::At { run, .. } = pool.place(
+                let key = keyed.then(|| splitmix64(n));
+                if let Selection::Selected { run, .. } = pool.select(
                     now,
-                    Ask {
-                        safe: true,
-                        key,
-                        tried: &[],
+                    SelectionRequest {
+                        is_idempotent: true,
+                        hash_key: key,
+                        attempted_members: &[],
                     },
                 ) {
-                    pool.ended(now + 10_000, run, End::Well);
+                    pool.complete_run(now + 10_000, run, RunOutcome::Succeeded);
                 }
                 now = now.min(100 * SECOND);
             }
--- a/crates/load-balancing/src/limit.rs
+++ b/crates/load-balancing/src/concurrency_limit.rs
@@ -6,27 +6,27 @@
 
 /// What the limit keeps to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct ConcurrencyLimitConfig {
     /// It starts here.
-    pub first: f64,
+    pub initial: f64,
     /// It never falls below.
-    pub least: f64,
+    pub min: f64,
     /// Runs that take so many times as long as at rest, in the mean, say that there are too many.
-    pub tolerance: f64,
+    pub latency_tolerance: f64,
     /// What that leaves of the limit.
-    pub decrease: f64,
+    pub decrease_factor: f64,
     /// A mean is of so many runs, or of as many as the limit allows at once, if that is more.
-    pub runs: u32,
+    pub min_window_runs: u32,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
-            first: 16.0,
-            least: 4.0,
-            tolerance: 2.5,
-            decrease: 0.8,
-            runs: 30,
+impl Default for ConcurrencyLimitConfig {
+    fn default() -> ConcurrencyLimitConfig {
+        ConcurrencyLimitConfig {
+            initial: 16.0,
+            min: 4.0,
+            latency_tolerance: 2.5,
+            decrease_factor: 0.8,
+            min_window_runs: 30,
         }
     }
 }
@@ -42,8 +42,8 @@
 
 /// One member's limit.
 #[derive(Clone, Debug)]
-pub struct Limit {
-    rules: Rules,
+pub struct ConcurrencyLimit {
+    rules: ConcurrencyLimitConfig,
     most: f64,
     limit: f64,
     /// What a run takes at rest, in microseconds.
@@ -55,12 +55,12 @@
     found: bool,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// A limit that never exceeds `most`.
-    pub fn new(rules: Rules, most: usize) -> Limit {
+    pub fn new(rules: ConcurrencyLimitConfig, most: usize) -> ConcurrencyLimit {
         let most = most.max(1) as f64;
-        let (limit, window) = (rules.first, Window::default());
-        Limit {
+        let (limit, window) = (rules.initial, Window::default());
+        ConcurrencyLimit {
             rules,
             most,
             limit,
@@ -77,18 +77,18 @@
     }
 
     /// Runs that there may be.
-    pub fn runs(&self) -> usize {
+    pub fn allowed_runs(&self) -> usize {
         self.limit().max(1.0) as usize
     }
 
     /// Another bound holds from now on. What was learned stays: a bound that falls for a moment
     /// says nothing of the server.
-    pub fn bound(&mut self, most: usize) {
+    pub fn set_upper_bound(&mut self, most: usize) {
         self.most = most.max(1) as f64;
     }
 
     /// A run that began at `since` went well; with it, so many were under way.
-    pub fn went_well(&mut self, now: Micros, since: Micros, in_flight: usize) {
+    pub fn record_success(&mut self, now: Micros, since: Micros, in_flight: usize) {
         if since < self.from {
             return;
         }
@@ -96,7 +96,7 @@
         self.window.sum += (now - since).max(1) as f64;
         self.window.count += 1;
         self.window.crowd = self.window.crowd.max(in_flight);
-        if f64::from(self.window.count) < limit.max(f64::from(self.rules.runs)) {
+        if f64::from(self.window.count) < limit.max(f64::from(self.rules.min_window_runs)) {
             return;
         }
         let Window { sum, count, crowd } = std::mem::take(&mut self.window);
@@ -104,7 +104,7 @@
         // A server that has become slower for good shows that in runs that have room: those of a
         // full one would make any crowd look like rest.
         let room = crowd <= 1.0 || crowd * 2.0 <= limit;
-        let at_least = limit <= self.rules.least.min(self.most);
+        let at_least = limit <= self.rules.min.min(self.most);
         let rest = self.rest.unwrap_or(mean);
         let part = match mean < rest {
             true => 0.2,
@@ -113,8 +113,8 @@
         };
         let rest = rest + (mean - rest) * part;
         self.rest = Some(rest);
-        if mean > rest * self.rules.tolerance {
-            self.limit = (limit * self.rules.decrease).max(self.rules.least.min(self.most));
+        if mean > rest * self.rules.latency_tolerance {
+            self.limit = (limit * self.rules.decrease_factor).max(self.rules.min.min(self.most));
             (self.from, self.found) = (now, true);
         } else if crowd + 1.0 >= limit && limit < self.most {
             let more = if self.found { 1.0 } else { limit / 2.0 };
@@ -129,24 +129,32 @@
 
     /// A server with so many cores, which takes longer the more runs it has beyond them. Each run
     /// has a length of its own.
-    fn play(limit: &mut Limit, cores: f64, alone: f64, now: &mut Micros, rounds: u64) -> usize {
+    fn play(
+        limit: &mut ConcurrencyLimit,
+        cores: f64,
+        alone: f64,
+        now: &mut Micros,
+        rounds: u64,
+    ) -> usize {
         for round in 0..rounds {
-            let runs = limit.runs();
+            let runs = limit.allowed_runs();
             let took = alone * (runs as f64 / cores).max(1.0);
             *now += took as Micros * 8;
             for i in 0..runs {
-                let draw = (crate::ring::mix(round * 1000 + i as u64) % 1000 + 1) as f64 / 1001.0;
-                limit.went_well(*now, *now - (took * -draw.ln()) as Micros, runs);
+                let draw = (crate::consistent_hash::splitmix64(round * 1000 + i as u64) % 1000 + 1)
+                    as f64
+                    / 1001.0;
+                limit.record_success(*now, *now - (took * -draw.ln()) as Micros, runs);
             }
         }
-        limit.runs()
+        limit.allowed_runs()
     }
 
     #[test]
     fn it_settles_where_the_server_is_full_and_not_far_beyond() {
         for (cores, least, most) in [(8.0, 8, 40), (32.0, 28, 110), (128.0, 100, 450)] {
             let runs = play(
-                &mut Limit::new(Rules::default(), 1000),
+                &mut ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 1000),
                 cores,
                 10_000.0,
                 &mut 0,
@@ -156,7 +164,7 @@
         }
         assert_eq!(
             play(
-                &mut Limit::new(Rules::default(), 20),
+                &mut ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 20),
                 128.0,
                 10_000.0,
                 &mut 0,
@@ -169,7 +177,10 @@
     /// At rest it takes ten times as long from now on: the limit falls, and comes back.
     #[test]
     fn a_server_that_stays_slower_is_not_held_down_for_ever() {
-        let (mut limit, mut now) = (Limit::new(Rules::default(), 64), 0);
+        let (mut limit, mut now) = (
+            ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 64),
+            0,
+        );
         let before = play(&mut limit, 16.0, 10_000.0, &mut now, 2000);
         let fallen = play(&mut limit, 16.0, 100_000.0, &mut now, 60);
         let after = play(&mut limit, 16.0, 100_000.0, &mut now, 4000);
@@ -181,19 +192,19 @@
 
     #[test]
     fn a_bound_that_falls_and_comes_back_leaves_what_was_learned() {
-        let mut limit = Limit::new(Rules::default(), 64);
+        let mut limit = ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 64);
         let before = play(&mut limit, 64.0, 10_000.0, &mut 0, 2000);
-        limit.bound(1);
-        assert_eq!(limit.runs(), 1);
-        (0..100).for_each(|i| limit.went_well(i * 10_000, i * 10_000 - 5_000, 1));
-        limit.bound(64);
-        assert_eq!(limit.runs(), before);
+        limit.set_upper_bound(1);
+        assert_eq!(limit.allowed_runs(), 1);
+        (0..100).for_each(|i| limit.record_success(i * 10_000, i * 10_000 - 5_000, 1));
+        limit.set_upper_bound(64);
+        assert_eq!(limit.allowed_runs(), before);
     }
 
     #[test]
     fn it_grows_only_where_it_is_used() {
-        let mut limit = Limit::new(Rules::default(), 1000);
-        (0..1000).for_each(|i| limit.went_well(i * 10_000, i * 10_000 - 5_000, 2));
-        assert_eq!(limit.runs(), 16);
+        let mut limit = ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 1000);
+        (0..1000).for_each(|i| limit.record_success(i * 10_000, i * 10_000 - 5_000, 2));
+        assert_eq!(limit.allowed_runs(), 16);
     }
 }
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -7,17 +7,17 @@
 //!
 //! - [`pool`] balances: the less loaded of two members drawn at random, by runs in flight, latency
 //!   and weight; tiers, spares, and the same member for the same key where that is asked.
-//! - [`health`] takes members out by what happens to their runs, and back in slowly.
-//! - [`limit`] bounds each member's runs by what its latency says.
-//! - [`retry`] is the budget for repeated tries.
+//! - [`outlier_detection`] takes members out by what happens to their runs, and back in slowly.
+//! - [`concurrency_limit`] bounds each member's runs by what its latency says.
+//! - [`retry_budget`] is the budget for repeated tries.
 //!
 //! `docs/pools.md` has the options that were compared, with figures.
 
-pub mod health;
-pub mod limit;
+pub mod concurrency_limit;
+pub mod consistent_hash;
+pub mod outlier_detection;
 pub mod pool;
-pub mod retry;
-pub mod ring;
+pub mod retry_budget;
 
 /// Microseconds.
 pub type Micros = i64;
--- a/crates/load-balancing/src/pool/judge.rs
+++ b/crates/load-balancing/src/pool/ejection.rs
@@ -8,16 +8,18 @@
         if now >= self.next_tick {
             for server in &mut self.servers {
                 let address = || server.settings.address.clone();
-                if server.behind && server.health.put_off(now) {
+                if server.behind && server.health.defer_probation(now) {
                     continue;
                 }
-                if server.health.tick(now) && matches!(server.health.state(), State::Trial { .. }) {
-                    self.notes.push(Note::OnTrial(address()));
+                if server.health.tick(now)
+                    && matches!(server.health.state(), MemberState::Probation { .. })
+                {
+                    self.notes.push(PoolEvent::ProbationStarted(address()));
                 }
             }
             if self.distrusted.is_some_and(|until| now >= until) {
                 self.distrusted = None;
-                self.notes.push(Note::Trusted);
+                self.notes.push(PoolEvent::PanicEnded);
             }
             self.arrange(now);
         }
@@ -29,7 +31,7 @@
 
     /// Holds latencies against the pool's median.
     pub(super) fn judge(&mut self, now: Micros) {
-        let (fade, typical) = (self.rules.fade, self.typical);
+        let (fade, typical) = (self.rules.latency_decay, self.typical);
         let mut all: Vec<f64> = self
             .usable
             .iter()
@@ -44,7 +46,7 @@
             let server = &self.servers[i];
             if let Some(why) = server
                 .health
-                .slow(server.latency(now, fade, typical), median)
+                .latency_outlier(server.latency(now, fade, typical), median)
             {
                 self.take_out(now, i, why);
             }
@@ -52,51 +54,66 @@
     }
 
     /// Takes a member out, unless too many would be.
-    pub(super) fn take_out(&mut self, now: Micros, i: usize, why: Why) {
+    pub(super) fn take_out(&mut self, now: Micros, i: usize, why: EjectionReason) {
         if self.distrusted.is_some() {
             return;
         }
         let main = || {
             self.servers
                 .iter()
-                .filter(|s| s.enabled() && !s.settings.spare)
+                .filter(|s| s.enabled() && !s.settings.is_standby)
         };
         let (enabled, out) = (
             main().count(),
-            main().filter(|s| s.health.part(now) == 0.0).count(),
+            main()
+                .filter(|s| s.health.traffic_share(now) == 0.0)
+                .count(),
         );
         // Spares that can bear a good part of the load are there for this.
         let weight = |s: &Server<A>| s.settings.weight;
         let spares = self
             .servers
             .iter()
-            .filter(|s| s.enabled() && s.settings.spare);
+            .filter(|s| s.enabled() && s.settings.is_standby);
         let spare: f64 = spares
-            .filter(|s| s.health.part(now) > 0.0)
+            .filter(|s| s.health.traffic_share(now) > 0.0)
             .map(weight)
             .sum();
         let relieved =
-            spare >= self.rules.most_out * main().map(weight).sum::<f64>() && spare > 0.0;
-        let on_trial = matches!(self.servers[i].health.state(), State::Trial { .. });
+            spare >= self.rules.max_ejected_ratio * main().map(weight).sum::<f64>() && spare > 0.0;
+        let on_trial = matches!(
+            self.servers[i].health.state(),
+            MemberState::Probation { .. }
+        );
         // Of a lone member nobody is better off without it.
-        if !on_trial && !relieved && (out + 1) as f64 > self.rules.most_out * enabled as f64 {
-            self.distrusted = Some(now + self.rules.distrust);
-            self.notes.push(Note::Distrusted);
+        if !on_trial
+            && !relieved
+            && (out + 1) as f64 > self.rules.max_ejected_ratio * enabled as f64
+        {
+            self.distrusted = Some(now + self.rules.panic_duration);
+            self.notes.push(PoolEvent::PanicStarted);
             return self.arrange(now);
         }
         let server = &mut self.servers[i];
-        server.health.take_out(now, why);
-        if let State::Out { until, .. } = server.health.state() {
-            self.notes
-                .push(Note::Out(server.settings.address.clone(), why, until - now));
+        server.health.eject(now, why);
+        if let MemberState::Ejected { until, .. } = server.health.state() {
+            self.notes.push(PoolEvent::Ejected(
+                server.settings.address.clone(),
+                why,
+                until - now,
+            ));
         }
         self.arrange(now);
     }
 
     /// Members that are left out, or on trial.
-    pub fn out(&self) -> impl Iterator<Item = &A> {
-        let out =
-            |s: &&Server<A>| matches!(s.health.state(), State::Out { .. } | State::Trial { .. });
+    pub fn ejected_members(&self) -> impl Iterator<Item = &A> {
+        let out = |s: &&Server<A>| {
+            matches!(
+                s.health.state(),
+                MemberState::Ejected { .. } | MemberState::Probation { .. }
+            )
+        };
         self.servers
             .iter()
             .filter(|s| !s.gone)
@@ -105,15 +122,15 @@
     }
 
     /// Members that are left out, or on trial, as their runs failed.
-    pub fn failing(&self) -> impl Iterator<Item = &A> {
+    pub fn failing_members(&self) -> impl Iterator<Item = &A> {
         self.servers
             .iter()
-            .filter(|s| !s.gone && s.health.failing())
+            .filter(|s| !s.gone && s.health.is_ejected_for_failures())
             .map(|s| &s.settings.address)
     }
 
     /// Whether another node tries a member first that is left out.
-    pub fn behind(&mut self, address: &A, behind: bool) {
+    pub fn set_probe_deferred(&mut self, address: &A, behind: bool) {
         self.servers
             .iter_mut()
             .filter(|s| s.settings.address == *address)
@@ -121,12 +138,12 @@
     }
 
     /// Another node has found a member to be well: it is tried sooner here.
-    pub fn found_well(&mut self, now: Micros, address: &A) {
+    pub fn hasten_probation(&mut self, now: Micros, address: &A) {
         let server = self
             .servers
             .iter_mut()
             .find(|s| s.settings.address == *address);
-        if server.is_some_and(|s| s.health.sooner(now)) {
+        if server.is_some_and(|s| s.health.shorten_ejection(now)) {
             self.arrange(now);
         }
     }
--- a/crates/load-balancing/src/pool/members.rs
+++ b/crates/load-balancing/src/pool/members.rs
@@ -4,7 +4,7 @@
 
 impl<A: Clone + PartialEq + Hash> Pool<A> {
     /// A pool of these members.
-    pub fn new(rules: Rules, members: Vec<Member<A>>, seed: u64, now: Micros) -> Pool<A> {
+    pub fn new(rules: PoolConfig, members: Vec<Member<A>>, seed: u64, now: Micros) -> Pool<A> {
         let mut pool = Pool {
             rules,
             rng: SmallRng::seed_from_u64(seed),
@@ -16,8 +16,8 @@
             weights: Vec::new(),
             trials: Vec::new(),
             warming: Vec::new(),
-            ring: Ring::default(),
-            budget: Budget::new(rules.retry, now),
+            ring: HashRing::default(),
+            budget: RetryBudget::new(rules.retry, now),
             typical: 1000.0,
             distrusted: None,
             spares: None,
@@ -26,7 +26,7 @@
             notes: Vec::new(),
         };
         for member in members {
-            pool.enter(member, Health::new(rules.health, now));
+            pool.enter(member, OutlierDetector::new(rules.outlier_detection, now));
         }
         pool.arrange(now);
         pool.belong();
@@ -34,9 +34,9 @@
         pool
     }
 
-    pub(super) fn enter(&mut self, settings: Member<A>, health: Health) {
+    pub(super) fn enter(&mut self, settings: Member<A>, health: OutlierDetector) {
         self.next.0 += 1;
-        let limit = Limit::new(self.rules.limit, settings.most_runs);
+        let limit = ConcurrencyLimit::new(self.rules.concurrency_limit, settings.max_runs);
         self.servers.push(Server {
             number: self.next.0,
             settings,
@@ -61,10 +61,13 @@
                 .find(|s| s.settings.address == member.address)
             {
                 Some(server) => {
-                    server.limit.bound(member.most_runs);
+                    server.limit.set_upper_bound(member.max_runs);
                     (server.settings, server.gone) = (member, false);
                 }
-                None => self.enter(member, Health::newcomer(self.rules.health, now)),
+                None => self.enter(
+                    member,
+                    OutlierDetector::with_slow_start(self.rules.outlier_detection, now),
+                ),
             }
         }
         self.servers.retain(|s| !s.gone || !s.runs.is_empty());
@@ -75,12 +78,12 @@
     /// Works out anew which member a key belongs to. That depends on the file alone: a member that
     /// is out for a while has its keys again when it is back.
     pub(super) fn belong(&mut self) {
-        let named = |s: &Server<A>| mix(Fixed.hash_one(&s.settings.address));
+        let named = |s: &Server<A>| splitmix64(Fixed.hash_one(&s.settings.address));
         let ring = self
             .servers
             .iter()
-            .filter(|s| s.enabled() && !s.settings.spare);
-        self.ring = Ring::new(ring.map(|s| (s.number, named(s), s.settings.weight)));
+            .filter(|s| s.enabled() && !s.settings.is_standby);
+        self.ring = HashRing::new(ring.map(|s| (s.number, named(s), s.settings.weight)));
     }
 
     /// Works out anew who may get runs.
@@ -92,8 +95,8 @@
             .map(|(i, s)| (s.number, i))
             .collect();
         let distrusted = self.distrusted.is_some();
-        let well = |s: &Server<A>| distrusted || s.health.part(now) > 0.0;
-        let main = |s: &&Server<A>| s.enabled() && !s.settings.spare;
+        let well = |s: &Server<A>| distrusted || s.health.traffic_share(now) > 0.0;
+        let main = |s: &&Server<A>| s.enabled() && !s.settings.is_standby;
         let tier = self
             .servers
             .iter()
@@ -103,20 +106,25 @@
             .min();
         // Back from the spares only once another member has been usable for a while.
         self.spares = match (tier, self.spares) {
-            (None, None) if self.servers.iter().any(|s| s.enabled() && s.settings.spare) => {
-                self.notes.push(Note::SparesOn);
+            (None, None)
+                if self
+                    .servers
+                    .iter()
+                    .any(|s| s.enabled() && s.settings.is_standby) =>
+            {
+                self.notes.push(PoolEvent::StandbyActivated);
                 Some(None)
             }
             (None, spares) => spares.map(|_| None),
             (Some(_), Some(None)) => Some(Some(now)),
-            (Some(_), Some(Some(since))) if now >= since + self.rules.spares_stay => {
-                self.notes.push(Note::SparesOff);
+            (Some(_), Some(Some(since))) if now >= since + self.rules.standby_hold => {
+                self.notes.push(PoolEvent::StandbyReleased);
                 None
             }
             (Some(_), spares) => spares,
         };
         let spares = self.spares.is_some();
-        let picked = |s: &Server<A>| match s.settings.spare {
+        let picked = |s: &Server<A>| match s.settings.is_standby {
             true => spares,
             false => Some(s.settings.tier) == tier,
         };
@@ -128,11 +136,17 @@
         self.trials = match distrusted {
             true => Vec::new(),
             false => {
-                let on_trial = |s: &Server<A>| matches!(s.health.state(), State::Trial { .. });
+                let on_trial =
+                    |s: &Server<A>| matches!(s.health.state(), MemberState::Probation { .. });
                 all().filter(|(_, s)| on_trial(s)).map(|(i, _)| i).collect()
             }
         };
-        let warms = |i: &usize| matches!(self.servers[*i].health.state(), State::Warming { .. });
+        let warms = |i: &usize| {
+            matches!(
+                self.servers[*i].health.state(),
+                MemberState::SlowStart { .. }
+            )
+        };
         self.warming = match distrusted {
             true => Vec::new(),
             false => self.usable.iter().copied().filter(warms).collect(),
@@ -144,14 +158,16 @@
         });
         self.weights = weights.collect();
         let ends = self.servers.iter().filter_map(|s| match s.health.state() {
-            State::Out { until, .. } => Some(until),
-            State::Warming { since } => Some(since + self.rules.health.warm),
-            State::Up | State::Trial { .. } => None,
+            MemberState::Ejected { until, .. } => Some(until),
+            MemberState::SlowStart { since } => {
+                Some(since + self.rules.outlier_detection.slow_start)
+            }
+            MemberState::Healthy | MemberState::Probation { .. } => None,
         });
         let spares = self
             .spares
             .flatten()
-            .map(|since| since + self.rules.spares_stay);
+            .map(|since| since + self.rules.standby_hold);
         self.next_tick = ends
             .chain(self.distrusted)
             .chain(spares)
--- a/crates/load-balancing/src/pool/mod.rs
+++ b/crates/load-balancing/src/pool/mod.rs
@@ -1,9 +1,9 @@
 //! One pool: who gets the next run.
 
-use crate::health::{Health, State, Why};
-use crate::limit::Limit;
-use crate::retry::{Budget, Further};
-use crate::ring::{mix, Ring};
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::consistent_hash::{splitmix64, HashRing};
+use crate::outlier_detection::{EjectionReason, MemberState, OutlierDetector};
+use crate::retry_budget::{RetryBudget, RetryRequest};
 use crate::{Micros, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -11,10 +11,10 @@
 use std::fmt;
 use std::hash::{BuildHasher, Hash};
 
-mod judge;
+mod ejection;
 mod members;
-mod place;
 mod report;
+mod select;
 mod server;
 mod terms;
 
@@ -24,12 +24,12 @@
 /// The pool.
 #[derive(Debug)]
 pub struct Pool<A> {
-    rules: Rules,
+    rules: PoolConfig,
     rng: SmallRng,
     servers: Vec<Server<A>>,
     places: HashMap<u32, usize>,
-    runs: HashMap<Run, (u32, Micros)>,
-    next: (u32, Run),
+    runs: HashMap<RunId, (u32, Micros)>,
+    next: (u32, RunId),
     /// Those that the next run may go to, and those on trial: made anew after each change.
     usable: Vec<usize>,
     /// Their weights, added up.
@@ -37,8 +37,8 @@
     trials: Vec<usize>,
     /// Those of the usable ones that warm up.
     warming: Vec<usize>,
-    ring: Ring,
-    budget: Budget,
+    ring: HashRing,
+    budget: RetryBudget,
     /// What a run takes, all members together, in microseconds.
     typical: f64,
     distrusted: Option<Micros>,
@@ -46,7 +46,7 @@
     spares: Option<Option<Micros>>,
     next_tick: Micros,
     judged: Micros,
-    notes: Vec<Note<A>>,
+    notes: Vec<PoolEvent<A>>,
 }
 
 /// A fixed hasher: the same key and address come to the same place on all nodes and after a
--- a/crates/load-balancing/src/pool/report.rs
+++ b/crates/load-balancing/src/pool/report.rs
@@ -9,24 +9,24 @@
         A: fmt::Display,
     {
         let line = |s: &Server<A>| {
-            let state = match (s.gone, s.settings.usage, s.health.state()) {
+            let state = match (s.gone, s.settings.mode, s.health.state()) {
                 (true, ..) => "leaving".to_owned(),
-                (_, Use::Disabled, _) => "disabled".to_owned(),
-                (_, Use::Draining, _) => "draining".to_owned(),
-                (_, _, State::Up) => "up".to_owned(),
-                (_, _, State::Out { why, .. }) => format!("out({why})"),
-                (_, _, State::Trial { .. }) => "trial".to_owned(),
-                (_, _, State::Warming { .. }) => "warming".to_owned(),
+                (_, MemberMode::Disabled, _) => "disabled".to_owned(),
+                (_, MemberMode::Draining, _) => "draining".to_owned(),
+                (_, _, MemberState::Healthy) => "up".to_owned(),
+                (_, _, MemberState::Ejected { reason: why, .. }) => format!("out({why})"),
+                (_, _, MemberState::Probation { .. }) => "trial".to_owned(),
+                (_, _, MemberState::SlowStart { .. }) => "warming".to_owned(),
             };
-            let latency = s.latency(now, self.rules.fade, self.typical) / 1000.0;
-            let since = (now - s.health.since).max(0) / SECOND;
+            let latency = s.latency(now, self.rules.latency_decay, self.typical) / 1000.0;
+            let since = (now - s.health.entered_at).max(0) / SECOND;
             format!(
                 "member={} state={state} since_s={since} runs={} limit={} latency_ms={latency:.1} weight={}{}",
                 s.settings.address,
                 s.runs.len(),
-                s.limit.runs(),
+                s.limit.allowed_runs(),
                 s.settings.weight,
-                if s.settings.spare { " spare" } else { "" }
+                if s.settings.is_standby { " spare" } else { "" }
             )
         };
         self.servers.iter().map(line).collect()
--- a/crates/load-balancing/src/pool/place.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -7,20 +7,20 @@
 
 impl<A: Clone + PartialEq + Hash> Pool<A> {
     pub(super) fn room(&self, i: usize) -> bool {
-        self.servers[i].runs.len() < self.servers[i].limit.runs()
+        self.servers[i].runs.len() < self.servers[i].limit.allowed_runs()
     }
 
     /// The part of its share that a member gets now.
     pub(super) fn part(&self, now: Micros, i: usize) -> f64 {
         match self.distrusted {
             Some(_) => 1.0,
-            None => self.servers[i].health.part(now).max(0.01),
+            None => self.servers[i].health.traffic_share(now).max(0.01),
         }
     }
 
     pub(super) fn load(&self, now: Micros, i: usize) -> f64 {
         let server = &self.servers[i];
-        let latency = server.latency(now, self.rules.fade, self.typical);
+        let latency = server.latency(now, self.rules.latency_decay, self.typical);
         // Idle members are alike but for their latency; their weights are in how often they are
         // drawn.
         (server.runs.len() as f64 / (server.settings.weight * self.part(now, i)) + 1.0) * latency
@@ -59,21 +59,27 @@
     }
 
     /// A place for a first try.
-    pub fn place(&mut self, now: Micros, ask: Ask) -> Place<A> {
-        if ask.tried.is_empty() {
-            self.budget.first();
+    pub fn select(&mut self, now: Micros, ask: SelectionRequest) -> Selection<A> {
+        if ask.attempted_members.is_empty() {
+            self.budget.record_first_attempt();
         }
         self.tick(now);
-        let tried = |s: &Server<A>| ask.tried.contains(&s.number);
+        let tried = |s: &Server<A>| ask.attempted_members.contains(&s.number);
         // A member on trial goes first: nobody else can tell whether it is well.
         let trial = self.trials.iter().copied().find(|&i| {
             let server = &self.servers[i];
-            !tried(server) && server.health.may_try(now, ask.safe, server.runs.len())
+            !tried(server)
+                && server
+                    .health
+                    .accepts_probe(now, ask.is_idempotent, server.runs.len())
         });
         if let Some(i) = trial {
             return self.put(now, i);
         }
-        if let Some(i) = ask.key.and_then(|key| self.sticky(now, key, ask.tried)) {
+        if let Some(i) = ask
+            .hash_key
+            .and_then(|key| self.sticky(now, key, ask.attempted_members))
+        {
             return self.put(now, i);
         }
         let count = self.usable.len();
@@ -103,23 +109,30 @@
         // Where nobody else has room, one that warms up is better than none.
         match least(&|i| open(self, i)).or_else(|| least(&|i| free(self, i))) {
             Some(i) => self.put(now, i),
-            None if self.usable.iter().any(|&i| !tried(&self.servers[i])) => Place::NoRoom,
-            None => Place::Nobody,
+            None if self.usable.iter().any(|&i| !tried(&self.servers[i])) => Selection::AtCapacity,
+            None => Selection::Unavailable,
         }
     }
 
     /// A place at one member alone, whether it is left out or not: for what can't be anywhere else.
-    pub fn place_at(&mut self, now: Micros, ask: Ask, address: &A) -> Place<A> {
-        if ask.tried.is_empty() {
-            self.budget.first();
+    pub fn select_member(
+        &mut self,
+        now: Micros,
+        ask: SelectionRequest,
+        address: &A,
+    ) -> Selection<A> {
+        if ask.attempted_members.is_empty() {
+            self.budget.record_first_attempt();
         }
         self.tick(now);
         let there = |s: &Server<A>| !s.gone && s.settings.address == *address;
         match self.servers.iter().position(there) {
-            Some(i) if ask.tried.contains(&self.servers[i].number) => Place::Nobody,
+            Some(i) if ask.attempted_members.contains(&self.servers[i].number) => {
+                Selection::Unavailable
+            }
             Some(i) if self.room(i) => self.put(now, i),
-            Some(_) => Place::NoRoom,
-            None => Place::Nobody,
+            Some(_) => Selection::AtCapacity,
+            None => Selection::Unavailable,
         }
     }
 
@@ -130,25 +143,25 @@
         let fits = |i: usize| {
             let server = &self.servers[i];
             let share = (runs + 1) as f64 * server.settings.weight / weights.max(1e-9);
-            let most = (self.rules.crowd * share).ceil().max(1.0);
-            let well = self.distrusted.is_some() || server.health.part(now) > 0.0;
+            let most = (self.rules.hash_load_factor * share).ceil().max(1.0);
+            let well = self.distrusted.is_some() || server.health.traffic_share(now) > 0.0;
             let free = !tried.contains(&server.number) && self.room(i);
             well && free && ((server.runs.len() + 1) as f64) <= most
         };
         self.ring
-            .order(key)
+            .preference_order(key)
             .take(256)
             .filter_map(|n| self.places.get(&n).copied())
             .find(|&i| fits(i))
     }
 
-    pub(super) fn put(&mut self, now: Micros, i: usize) -> Place<A> {
+    pub(super) fn put(&mut self, now: Micros, i: usize) -> Selection<A> {
         self.next.1 += 1;
         let run = self.next.1;
         let server = &mut self.servers[i];
         server.runs.insert((now, run));
         self.runs.insert(run, (server.number, now));
-        Place::At {
+        Selection::Selected {
             run,
             member: server.number,
             address: server.settings.address.clone(),
@@ -156,37 +169,38 @@
     }
 
     /// A run has ended.
-    pub fn ended(&mut self, now: Micros, run: Run, end: End) {
+    pub fn complete_run(&mut self, now: Micros, run: RunId, end: RunOutcome) {
         let Some((number, since)) = self.runs.remove(&run) else {
             return;
         };
         let Some(&i) = self.places.get(&number) else {
             return;
         };
-        let (fade, typical) = (self.rules.fade, &mut self.typical);
+        let (fade, typical) = (self.rules.latency_decay, &mut self.typical);
         let server = &mut self.servers[i];
         let in_flight = server.runs.len();
         server.runs.remove(&(since, run));
         let took = (now - since).max(0);
         let mut out = None;
-        let patient = took as f64 >= *typical * self.rules.health.slower;
+        let patient = took as f64 >= *typical * self.rules.outlier_detection.latency_factor;
         match end {
-            End::Well => {
+            RunOutcome::Succeeded => {
                 server.observe(now, took, fade);
                 *typical += (took as f64 - *typical) * 0.02;
-                server.limit.went_well(now, since, in_flight);
-                if server.health.went_well(now) {
-                    self.notes.push(Note::Back(server.settings.address.clone()));
+                server.limit.record_success(now, since, in_flight);
+                if server.health.record_success(now) {
+                    self.notes
+                        .push(PoolEvent::Recovered(server.settings.address.clone()));
                     self.arrange(now);
                 }
             }
-            End::TimedOut if !patient => {}
-            End::Failed | End::TimedOut => {
+            RunOutcome::TimedOut if !patient => {}
+            RunOutcome::Failed | RunOutcome::TimedOut => {
                 // One that fails at once must not look quick.
                 server.observe(now, took.max(*typical as Micros), fade);
-                out = server.health.failed();
+                out = server.health.record_failure();
             }
-            End::Unreachable => out = server.health.failed(),
+            RunOutcome::Unreachable => out = server.health.record_failure(),
         }
         if let Some(why) = out {
             self.take_out(now, i, why);
@@ -199,17 +213,17 @@
     }
 
     /// How long to wait before a further try of a request, if it may have one.
-    pub fn again(&mut self, now: Micros, further: Further) -> Option<Micros> {
-        self.budget.again(now, further, &mut self.rng)
+    pub fn acquire_retry(&mut self, now: Micros, further: RetryRequest) -> Option<Micros> {
+        self.budget.acquire(now, further, &mut self.rng)
     }
 
     /// From now on so much of the budget of repeats is this node's.
-    pub fn divide(&mut self, part: f64) {
-        self.budget.divide(part);
+    pub fn set_budget_share(&mut self, part: f64) {
+        self.budget.set_share(part);
     }
 
     /// Changes since the last call, in order.
-    pub fn notes(&mut self) -> Vec<Note<A>> {
+    pub fn take_events(&mut self) -> Vec<PoolEvent<A>> {
         std::mem::take(&mut self.notes)
     }
 
--- a/crates/load-balancing/src/pool/server.rs
+++ b/crates/load-balancing/src/pool/server.rs
@@ -6,13 +6,13 @@
 pub(super) struct Server<A> {
     pub(super) number: u32,
     pub(super) settings: Member<A>,
-    pub(super) health: Health,
-    pub(super) limit: Limit,
+    pub(super) health: OutlierDetector,
+    pub(super) limit: ConcurrencyLimit,
     /// Peak-sensitive: rises at once, fades. In microseconds, as of `seen`.
     pub(super) latency: Option<f64>,
     pub(super) seen: Micros,
     /// Runs under way, the oldest first.
-    pub(super) runs: BTreeSet<(Micros, Run)>,
+    pub(super) runs: BTreeSet<(Micros, RunId)>,
     /// The operator has taken it out of the file: it finishes what it has.
     pub(super) gone: bool,
     /// It is out, and another node tries it before this one does.
@@ -46,6 +46,6 @@
     }
 
     pub(super) fn enabled(&self) -> bool {
-        !self.gone && self.settings.usage == Use::On
+        !self.gone && self.settings.mode == MemberMode::Active
     }
 }
--- a/crates/load-balancing/tests/fleets.rs
+++ b/crates/load-balancing/tests/fleets.rs
@@ -1,9 +1,11 @@
 //! Pools in simulated time: members that hang, fail, answer garbage, are slow or come back cold,
 //! storms of repeats, fleets of a thousand. Seeded; no socket and no clock.
 
-use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules, Use};
-use pipitlever_load_balancing::retry::{Further, Tried};
-use pipitlever_load_balancing::ring::mix;
+use pipitlever_load_balancing::consistent_hash::splitmix64;
+use pipitlever_load_balancing::pool::{
+    Member, MemberMode, Pool, PoolConfig, RunOutcome, Selection, SelectionRequest,
+};
+use pipitlever_load_balancing::retry_budget::{AttemptEffect, RetryRequest};
 use pipitlever_load_balancing::{Micros, SECOND};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -65,7 +67,7 @@
         tried: Vec<u32>,
         number: u64,
     },
-    End {
+    RunOutcome {
         run: u64,
         member: usize,
         since: Micros,
@@ -92,7 +94,7 @@
     let mut number = 0;
     let gap = (1e6 / rate) as Micros;
     // Arrivals with jitter, the same on every run.
-    let arrival = |n: u64| n as Micros * gap + (mix(n) % (gap.max(1) as u64)) as Micros;
+    let arrival = |n: u64| n as Micros * gap + (splitmix64(n) % (gap.max(1) as u64)) as Micros;
     turns.push(Reverse((
         arrival(0),
         0,
@@ -132,16 +134,16 @@
                         );
                     }
                 }
-                let key = (!safe).then(|| mix(request));
-                match pool.place(
+                let key = (!safe).then(|| splitmix64(request));
+                match pool.select(
                     now,
-                    Ask {
-                        safe,
-                        key,
-                        tried: &tried,
+                    SelectionRequest {
+                        is_idempotent: safe,
+                        hash_key: key,
+                        attempted_members: &tried,
                     },
                 ) {
-                    Place::At {
+                    Selection::Selected {
                         run,
                         member: id,
                         address,
@@ -166,7 +168,7 @@
                         };
                         push(
                             now + took.max(1),
-                            Turn::End {
+                            Turn::RunOutcome {
                                 run,
                                 member: address,
                                 since,
@@ -177,10 +179,10 @@
                             },
                         );
                     }
-                    Place::NoRoom | Place::Nobody => {}
+                    Selection::AtCapacity | Selection::Unavailable => {}
                 }
             }
-            Turn::End {
+            Turn::RunOutcome {
                 run,
                 member,
                 since,
@@ -190,24 +192,29 @@
                 number: request,
             } => {
                 running[member] -= 1.0;
-                let ends = [End::Well, End::Failed, End::Unreachable, End::TimedOut];
-                pool.ended(now, run, ends[usize::from(end)]);
+                let ends = [
+                    RunOutcome::Succeeded,
+                    RunOutcome::Failed,
+                    RunOutcome::Unreachable,
+                    RunOutcome::TimedOut,
+                ];
+                pool.complete_run(now, run, ends[usize::from(end)]);
                 if end == 0 {
                     outcome.served += 1;
                     outcome.latencies.push(now - since);
                 } else {
                     let kind = if end == 2 {
-                        Tried::NeverRan
+                        AttemptEffect::NeverRan
                     } else {
-                        Tried::MayHaveRun
+                        AttemptEffect::MayHaveRun
                     };
-                    if let Some(pause) = pool.again(
+                    if let Some(pause) = pool.acquire_retry(
                         now,
-                        Further {
-                            until: since + deadline,
-                            tried: kind,
-                            safe,
-                            tries,
+                        RetryRequest {
+                            deadline: since + deadline,
+                            effect: kind,
+                            is_idempotent: safe,
+                            attempts: tries,
                         },
                     ) {
                         push(
@@ -223,17 +230,19 @@
                 }
             }
         }
-        outcome
-            .notes
-            .extend(pool.notes().iter().map(|n| format!("{} {n}", now / 1000)));
+        outcome.notes.extend(
+            pool.take_events()
+                .iter()
+                .map(|n| format!("{} {n}", now / 1000)),
+        );
     }
     outcome
 }
 
 fn pool(members: usize) -> Pool<usize> {
     Pool::new(
-        Rules::default(),
-        (0..members).map(Member::at).collect(),
+        PoolConfig::default(),
+        (0..members).map(Member::new).collect(),
         7,
         0,
     )
@@ -368,48 +377,53 @@
     let mut first: HashMap<u64, usize> = HashMap::new();
     for round in 0..5 {
         for key in 0..500 {
-            let Place::At { run, address, .. } = pool.place(
+            let Selection::Selected { run, address, .. } = pool.select(
                 round,
-                Ask {
-                    key: Some(key),
-                    ..Ask::default()
+                SelectionRequest {
+                    hash_key: Some(key),
+                    ..SelectionRequest::default()
                 },
             ) else {
                 panic!("there is room")
             };
             assert_eq!(*first.entry(key).or_insert(address), address);
-            pool.ended(round + 1, run, End::Well);
+            pool.complete_run(round + 1, run, RunOutcome::Succeeded);
         }
     }
     // One leaves: its keys move, and nobody else's.
-    let members = (0..8).filter(|m| *m != 3).map(Member::at).collect();
+    let members = (0..8).filter(|m| *m != 3).map(Member::new).collect();
     pool.update(members, 10);
     for (key, before) in first {
-        let Place::At { run, address, .. } = pool.place(
+        let Selection::Selected { run, address, .. } = pool.select(
             20,
-            Ask {
-                key: Some(key),
-                ..Ask::default()
+            SelectionRequest {
+                hash_key: Some(key),
+                ..SelectionRequest::default()
             },
         ) else {
             panic!("there is room")
         };
         assert!(address == before || before == 3, "{key}");
-        pool.ended(21, run, End::Well);
+        pool.complete_run(21, run, RunOutcome::Succeeded);
     }
 }
 
 #[test]
 fn spares_and_tiers_come_in_order_and_go_again() {
     let spare = Member {
-        spare: true,
-        ..Member::at(2)
+        is_standby: true,
+        ..Member::new(2)
     };
     let second = Member {
         tier: 1,
-        ..Member::at(1)
+        ..Member::new(1)
     };
-    let mut pool = Pool::new(Rules::default(), vec![Member::at(0), second, spare], 7, 0);
+    let mut pool = Pool::new(
+        PoolConfig::default(),
+        vec![Member::new(0), second, spare],
+        7,
+        0,
+    );
     let way = |member, now| match (member, now / SECOND) {
         (0, 5..15) | (1, 8..12) => Way::Refuses,
         _ => Way::Serves(5_000.0),
@@ -444,34 +458,36 @@
     let mut pool = pool(2);
     let mut runs = Vec::new();
     for _ in 0..6 {
-        let Place::At { run, address, .. } = pool.place(0, Ask::default()) else {
+        let Selection::Selected { run, address, .. } = pool.select(0, SelectionRequest::default())
+        else {
             panic!("there is room")
         };
         runs.push((run, address));
     }
     pool.update(
         vec![
-            Member::at(0),
+            Member::new(0),
             Member {
-                usage: Use::Disabled,
-                ..Member::at(5)
+                mode: MemberMode::Disabled,
+                ..Member::new(5)
             },
         ],
         1,
     );
     for _ in 0..8 {
-        let Place::At { run, address, .. } = pool.place(1, Ask::default()) else {
+        let Selection::Selected { run, address, .. } = pool.select(1, SelectionRequest::default())
+        else {
             panic!("there is room")
         };
         assert_eq!(address, 0);
-        pool.ended(2, run, End::Well);
+        pool.complete_run(2, run, RunOutcome::Succeeded);
     }
     assert!(pool
         .report(1)
         .iter()
         .any(|l| l.starts_with("member=1 state=leaving")));
     runs.into_iter()
-        .for_each(|(run, _)| pool.ended(3, run, End::Well));
+        .for_each(|(run, _)| pool.complete_run(3, run, RunOutcome::Succeeded));
     assert!(!pool.report(3).iter().any(|l| l.starts_with("member=1 ")) && pool.in_flight() == 0);
 }
 
@@ -480,9 +496,9 @@
     let weights = [1.0, 2.0, 3.0, 2.0];
     let members = weights.iter().enumerate().map(|(i, w)| Member {
         weight: *w,
-        ..Member::at(i)
+        ..Member::new(i)
     });
-    let mut pool = Pool::new(Rules::default(), members.collect(), 7, 0);
+    let mut pool = Pool::new(PoolConfig::default(), members.collect(), 7, 0);
     let way = |_, _| Way::Serves(10_000.0);
     let outcome = steady(&mut pool, 4, 600.0, &way);
     for (i, weight) in weights.iter().enumerate() {
@@ -499,16 +515,16 @@
 fn a_thousand_members_with_churn() {
     let mut pool = pool(1024);
     // A tenth of them hangs, fails or is slow, another tenth each three seconds.
-    let way =
-        |member: usize, now: Micros| match mix(member as u64 ^ mix((now / (3 * SECOND)) as u64))
-            % 40
-        {
-            0 => Way::Hangs,
-            1 => Way::Fails,
-            2 => Way::Refuses,
-            3 => Way::Serves(90_000.0),
-            _ => Way::Serves(10_000.0),
-        };
+    let way = |member: usize, now: Micros| match splitmix64(
+        member as u64 ^ splitmix64((now / (3 * SECOND)) as u64),
+    ) % 40
+    {
+        0 => Way::Hangs,
+        1 => Way::Fails,
+        2 => Way::Refuses,
+        3 => Way::Serves(90_000.0),
+        _ => Way::Serves(10_000.0),
+    };
     let mut outcome = play(Play {
         pool: &mut pool,
         members: 1024,
@@ -548,11 +564,11 @@
     steady(&mut pool, 3, 200.0, &way);
     let mut now = 40 * SECOND;
     for _ in 0..200 {
-        let Place::At { run, .. } = pool.place(now, Ask::default()) else {
+        let Selection::Selected { run, .. } = pool.select(now, SelectionRequest::default()) else {
             panic!("there is room")
         };
         now += 8_000;
-        pool.ended(now, run, End::TimedOut);
+        pool.complete_run(now, run, RunOutcome::TimedOut);
     }
-    assert_eq!(pool.notes(), []);
+    assert_eq!(pool.take_events(), []);
 }
--- a/crates/load-balancing/tests/ramp.rs
+++ b/crates/load-balancing/tests/ramp.rs
@@ -1,8 +1,10 @@
 //! A member that has just been added warms up under the sum of what all processes send to it,
 //! however many there are: no process knows of the others. Seeded; no socket and no clock.
 
-use pipitlever_load_balancing::health::Rules as Health;
-use pipitlever_load_balancing::pool::{Ask, End, Member, Place, Pool, Rules};
+use pipitlever_load_balancing::outlier_detection::OutlierDetectionConfig as Health;
+use pipitlever_load_balancing::pool::{
+    Member, Pool, PoolConfig, RunOutcome, Selection, SelectionRequest,
+};
 use pipitlever_load_balancing::{Micros, SECOND};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -37,12 +39,12 @@
 }
 
 fn members(count: usize) -> Vec<Member<usize>> {
-    (0..count).map(Member::at).collect()
+    (0..count).map(Member::new).collect()
 }
 
 /// The part of its share that a member has so long after it was first told.
 fn ramp(age: Micros) -> f64 {
-    let warm = Health::default().warm as f64;
+    let warm = Health::default().slow_start as f64;
     (age as f64 / warm).clamp(0.1, 1.0)
 }
 
@@ -54,8 +56,9 @@
         restart,
     } = play;
     let mut rng = SmallRng::seed_from_u64(seed);
-    let pool =
-        |members: usize, seed: u64| Pool::new(Rules::default(), self::members(members), seed, 0);
+    let pool = |members: usize, seed: u64| {
+        Pool::new(PoolConfig::default(), self::members(members), seed, 0)
+    };
     let mut pools: Vec<_> = (0..callers)
         .map(|i| pool(MEMBERS, seed * 100 + i as u64))
         .collect();
@@ -71,7 +74,7 @@
         .collect();
     let mut heard = vec![false; callers];
     let mut restarted = false;
-    let end = Health::default().warm;
+    let end = Health::default().slow_start;
     let windows = (end / (SECOND / 2)) as usize;
     let mut loads = Loads {
         got: vec![0.0; windows],
@@ -91,7 +94,7 @@
         }
         while let Some(Reverse((at, i, run))) = ends.peek().copied().filter(|e| e.0 .0 <= now) {
             ends.pop();
-            pools[i].ended(at, run, End::Well);
+            pools[i].complete_run(at, run, RunOutcome::Succeeded);
         }
         let caller = rng.random_range(0..callers);
         if !heard[caller] && now >= told[caller] {
@@ -100,17 +103,17 @@
         }
         if !restarted && restart.is_some_and(|at| now >= at) {
             (restarted, heard[0]) = (true, true);
-            pools[0] = Pool::new(Rules::default(), members(MEMBERS + 1), seed + 1, now);
+            pools[0] = Pool::new(PoolConfig::default(), members(MEMBERS + 1), seed + 1, now);
             ends.retain(|e| e.0 .1 != 0);
         }
-        let asked = pools[caller].place(
+        let asked = pools[caller].select(
             now,
-            Ask {
-                safe: true,
-                ..Ask::default()
+            SelectionRequest {
+                is_idempotent: true,
+                ..SelectionRequest::default()
             },
         );
-        let Place::At { run, address, .. } = asked else {
+        let Selection::Selected { run, address, .. } = asked else {
             panic!("there is room")
         };
         let took = (-(1.0 - rng.random_range(0.0..1.0f64)).ln() * RUN) as Micros;
@@ -177,14 +180,15 @@
 
 #[test]
 fn where_all_members_are_new_none_is_spared() {
-    let mut pool = Pool::new(Rules::default(), vec![Member::at(99)], 1, 0);
+    let mut pool = Pool::new(PoolConfig::default(), vec![Member::new(99)], 1, 0);
     pool.update(members(4), 0);
     let mut got = [0; 4];
     for at in 0..400 {
-        let Place::At { run, address, .. } = pool.place(at, Ask::default()) else {
+        let Selection::Selected { run, address, .. } = pool.select(at, SelectionRequest::default())
+        else {
             panic!("there is room")
         };
-        pool.ended(at + 1, run, End::Well);
+        pool.complete_run(at + 1, run, RunOutcome::Succeeded);
         got[address] += 1;
     }
     assert!(got.iter().all(|runs| *runs > 50), "{got:?}");
--- a/crates/node/src/life/explain.rs
+++ b/crates/node/src/life/explain.rs
@@ -1,7 +1,7 @@
 //! `pipitlever pools`: what each pool would do, said from the file alone.
 
 use crate::net::routes::{Backend, Named, Uwsgi};
-use pipitlever_load_balancing::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -43,7 +43,7 @@
 }
 
 fn on(member: &&Member<SocketAddr>) -> bool {
-    member.usage == Use::On
+    member.mode == MemberMode::Active
 }
 
 /// Members in the order in which they are used, each with its share of those that are used with it.
@@ -52,7 +52,10 @@
     for member in all {
         // Spares are used together, whatever their tiers.
         turns
-            .entry((member.spare, if member.spare { 0 } else { member.tier }))
+            .entry((
+                member.is_standby,
+                if member.is_standby { 0 } else { member.tier },
+            ))
             .or_default()
             .push(member);
     }
@@ -65,14 +68,14 @@
             } else {
                 format!("tier {tier}")
             };
-            let share = match member.usage {
-                Use::On => format!("{:.1}% of its runs", member.weight / sum * 100.0),
-                Use::Draining => "nothing new: draining".into(),
-                Use::Disabled => "nothing: disabled".into(),
+            let share = match member.mode {
+                MemberMode::Active => format!("{:.1}% of its runs", member.weight / sum * 100.0),
+                MemberMode::Draining => "nothing new: draining".into(),
+                MemberMode::Disabled => "nothing: disabled".into(),
             };
             lines.push(format!(
                 "  {turn}: {} gets {share}, {} at once",
-                member.address, member.most_runs
+                member.address, member.max_runs
             ));
         }
     }
@@ -82,8 +85,18 @@
 /// What nobody is likely to want.
 fn odd(pool: &Named, routes: &[&str], takes_over: bool) -> Vec<String> {
     let mut odd = Vec::new();
-    let main = pool.members.iter().filter(on).filter(|m| !m.spare).count();
-    let spares = pool.members.iter().filter(on).filter(|m| m.spare).count();
+    let main = pool
+        .members
+        .iter()
+        .filter(on)
+        .filter(|m| !m.is_standby)
+        .count();
+    let spares = pool
+        .members
+        .iter()
+        .filter(on)
+        .filter(|m| m.is_standby)
+        .count();
     if main == 0 {
         odd.push("no member is on: every run goes to its spares or its fall-back".into());
     }
--- a/crates/node/src/life/import.rs
+++ b/crates/node/src/life/import.rs
@@ -2,7 +2,7 @@
 //! section on uwsgi, and names with file and line what it can't carry over.
 
 use crate::net::routes::Uwsgi;
-use pipitlever_load_balancing::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, MemberMode};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -21,19 +21,19 @@
     weight: Option<f64>,
     tier: Option<u32>,
     spare: bool,
-    usage: Use,
+    usage: MemberMode,
     most_runs: Option<usize>,
 }
 
 impl Said {
     fn member(self, address: SocketAddr) -> Member<SocketAddr> {
-        let usual = Member::at(address);
+        let usual = Member::new(address);
         Member {
             weight: self.weight.unwrap_or(usual.weight),
             tier: self.tier.unwrap_or(usual.tier),
-            spare: self.spare,
-            usage: self.usage,
-            most_runs: self.most_runs.unwrap_or(usual.most_runs),
+            is_standby: self.spare,
+            mode: self.usage,
+            max_runs: self.most_runs.unwrap_or(usual.max_runs),
             ..usual
         }
     }
@@ -67,9 +67,9 @@
             "activation" => {
                 // mod_jk's 'disabled' still gets the requests of sessions that it has.
                 self.usage = match value.to_ascii_lowercase().as_str() {
-                    "a" | "active" => Use::On,
-                    "d" | "disabled" => Use::Draining,
-                    "s" | "stopped" => Use::Disabled,
+                    "a" | "active" => MemberMode::Active,
+                    "d" | "disabled" => MemberMode::Draining,
+                    "s" | "stopped" => MemberMode::Disabled,
                     _ => return Err(format!("unknown activation: {value}")),
                 };
             }
@@ -84,11 +84,11 @@
         let mut on = true;
         let mut dropped = String::new();
         for flag in flags.chars() {
-            let usage = |usage: Use, now: Use| {
+            let usage = |usage: MemberMode, now: MemberMode| {
                 if on {
                     usage
                 } else if now == usage {
-                    Use::On
+                    MemberMode::Active
                 } else {
                     now
                 }
@@ -96,8 +96,8 @@
             match flag.to_ascii_uppercase() {
                 '+' => on = true,
                 '-' => on = false,
-                'D' | 'S' => self.usage = usage(Use::Disabled, self.usage),
-                'N' => self.usage = usage(Use::Draining, self.usage),
+                'D' | 'S' => self.usage = usage(MemberMode::Disabled, self.usage),
+                'N' => self.usage = usage(MemberMode::Draining, self.usage),
                 'H' => self.spare = on,
                 _ => dropped.push(flag),
             }
@@ -111,7 +111,7 @@
 
 /// A worker's table in the operator's file.
 fn worker_text(table: &str, member: &Member<SocketAddr>) -> String {
-    let usual = Member::at(member.address);
+    let usual = Member::new(member.address);
     let mut text = format!("\n[[{table}]]\naddress = \"{}\"\n", member.address);
     let mut say = |key: &str, value: String, said: bool| {
         if said {
@@ -124,17 +124,21 @@
         member.weight != usual.weight,
     );
     say("tier", member.tier.to_string(), member.tier != usual.tier);
-    say("spare", member.spare.to_string(), member.spare);
-    let usage = match member.usage {
-        Use::On => "on",
-        Use::Draining => "draining",
-        Use::Disabled => "disabled",
+    say("spare", member.is_standby.to_string(), member.is_standby);
+    let usage = match member.mode {
+        MemberMode::Active => "on",
+        MemberMode::Draining => "draining",
+        MemberMode::Disabled => "disabled",
     };
-    say("use", format!("\"{usage}\""), member.usage != Use::On);
+    say(
+        "use",
+        format!("\"{usage}\""),
+        member.mode != MemberMode::Active,
+    );
     say(
         "most_runs",
-        member.most_runs.to_string(),
-        member.most_runs != usual.most_runs,
+        member.max_runs.to_string(),
+        member.max_runs != usual.max_runs,
     );
     text
 }
@@ -181,7 +185,7 @@
         } else {
             ""
         };
-        let plain = |m: &&&Member<SocketAddr>| ***m == Member::at(m.address);
+        let plain = |m: &&&Member<SocketAddr>| ***m == Member::new(m.address);
         let first = of(unnamed);
         let workers = first.iter().filter(plain).map(|m| m.address).collect();
         let mut file = Uwsgi {
@@ -551,7 +555,7 @@
     /// Each line of a balancer, what it becomes, and what is said of it.
     #[test]
     fn members_keep_what_is_said_of_them() {
-        let at = |m: &str| Member::at(m.parse::<SocketAddr>().unwrap());
+        let at = |m: &str| Member::new(m.parse::<SocketAddr>().unwrap());
         let usual = at("127.0.0.1:1");
         let cases = [
             ("", usual.clone(), ""),
@@ -561,7 +565,7 @@
                 Member {
                     weight: 2.5,
                     tier: 1,
-                    most_runs: 8,
+                    max_runs: 8,
                     ..usual.clone()
                 },
                 "",
@@ -569,7 +573,7 @@
             (
                 "status=+H",
                 Member {
-                    spare: true,
+                    is_standby: true,
                     ..usual.clone()
                 },
                 "",
@@ -577,7 +581,7 @@
             (
                 "status=D",
                 Member {
-                    usage: Use::Disabled,
+                    mode: MemberMode::Disabled,
                     ..usual.clone()
                 },
                 "",
@@ -586,7 +590,7 @@
             (
                 "status=+S",
                 Member {
-                    usage: Use::Disabled,
+                    mode: MemberMode::Disabled,
                     ..usual.clone()
                 },
                 "",
@@ -594,8 +598,8 @@
             (
                 "status=+N+H",
                 Member {
-                    usage: Use::Draining,
-                    spare: true,
+                    mode: MemberMode::Draining,
+                    is_standby: true,
                     ..usual.clone()
                 },
                 "",
@@ -604,7 +608,7 @@
             (
                 "status=+RH",
                 Member {
-                    spare: true,
+                    is_standby: true,
                     ..usual.clone()
                 },
                 "status=+RH: not carried over: R",
@@ -662,29 +666,29 @@
     #[test]
     fn mod_jk_workers_keep_what_is_said_of_them() {
         let cases = [
-            ("lbfactor=3", 3.0, 0, Use::On, ""),
-            ("activation=Disabled", 1.0, 0, Use::Draining, ""),
-            ("activation=S", 1.0, 0, Use::Disabled, ""),
-            ("distance=2", 1.0, 2, Use::On, ""),
+            ("lbfactor=3", 3.0, 0, MemberMode::Active, ""),
+            ("activation=Disabled", 1.0, 0, MemberMode::Draining, ""),
+            ("activation=S", 1.0, 0, MemberMode::Disabled, ""),
+            ("distance=2", 1.0, 2, MemberMode::Active, ""),
             (
                 "activation=perhaps",
                 1.0,
                 0,
-                Use::On,
+                MemberMode::Active,
                 "worker a: unknown activation: perhaps",
             ),
             (
                 "lbfactor=",
                 1.0,
                 0,
-                Use::On,
+                MemberMode::Active,
                 "worker a: no weight from 0.01 to 100: ",
             ),
             (
                 "redirect=b",
                 1.0,
                 0,
-                Use::On,
+                MemberMode::Active,
                 "worker a: unknown directive: redirect=b",
             ),
         ];
@@ -692,7 +696,7 @@
             let mut import = Import::default();
             let text = format!("worker.a.type=uwsgi\nworker.a.port=1\nworker.a.{line}\n");
             import.read("w.properties", &text);
-            let usual = Member::at("127.0.0.1:1".parse().unwrap());
+            let usual = Member::new("127.0.0.1:1".parse().unwrap());
             assert_eq!(
                 import.workers,
                 [(
@@ -700,7 +704,7 @@
                     Member {
                         weight,
                         tier,
-                        usage,
+                        mode: usage,
                         ..usual
                     }
                 )],
@@ -768,7 +772,7 @@
                 assert_eq!(
                     (
                         file.named[1].members[0].weight,
-                        file.named[1].members[1].spare
+                        file.named[1].members[1].is_standby
                     ),
                     (2.0, true)
                 );
--- a/crates/node/src/life/pools.rs
+++ b/crates/node/src/life/pools.rs
@@ -2,7 +2,7 @@
 
 use super::text::{line, within};
 use crate::net::routes::{Label, Named, Sessions, Shared};
-use pipitlever_load_balancing::pool::{Member, Use};
+use pipitlever_load_balancing::pool::{Member, MemberMode};
 use pipitlever_membership::record::MOST_NAME;
 use pipitlever_session_affinity::table::MOST_IDLE;
 use serde::Deserialize;
@@ -192,21 +192,21 @@
                 &format!("{address} is named twice"),
             ));
         }
-        let usual = Member::at(address);
+        let usual = Member::new(address);
         all.push(Member {
             weight: within(text, "weight", entry.weight, usual.weight, [0.01, 100.0])?,
             tier: entry.tier,
-            spare: entry.spare,
-            usage: match entry.usage {
-                Usage::On => Use::On,
-                Usage::Draining => Use::Draining,
-                Usage::Disabled => Use::Disabled,
+            is_standby: entry.spare,
+            mode: match entry.usage {
+                Usage::On => MemberMode::Active,
+                Usage::Draining => MemberMode::Draining,
+                Usage::Disabled => MemberMode::Disabled,
             },
-            most_runs: within(
+            max_runs: within(
                 text,
                 "most_runs",
                 entry.most_runs,
-                usual.most_runs,
+                usual.max_runs,
                 [1, 1024],
             )?,
             ..usual
