--- a/crates/node/src/life/store.rs
+++ b/crates/node/src/life/store.rs
@@ -7,9 +7,9 @@
 use async_executor::LocalExecutor;
 use pipitlever_admission::Micros;
 use pipitlever_core::durable::Durable;
-use pipitlever_idempotency_store::disk::{Disk, Thread};
-use pipitlever_idempotency_store::gate::{Gate, Rules};
-use pipitlever_idempotency_store::log::{Found, Limits, Log};
+use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig};
+use pipitlever_idempotency_store::disk::{StoreDirectory, WriterThread};
+use pipitlever_idempotency_store::log::{Limits, Log, OpenReport};
 use pipitlever_idempotency_store::record::Salt;
 use std::rc::Rc;
 use std::time::Instant;
@@ -17,8 +17,8 @@
 /// A store that was opened and read, and is not in use yet.
 pub struct Opened {
     settings: Store,
-    log: Log<Disk>,
-    found: Found,
+    log: Log<StoreDirectory>,
+    found: OpenReport,
     window: Micros,
 }
 
@@ -27,8 +27,9 @@
 pub fn open(settings: Store, window: Micros) -> Result<Opened, String> {
     let place = settings.folder.display().to_string();
     let start = Instant::now();
-    let disk = Disk::open(&settings.folder).map_err(|e| format!("store: {place}: {e}"))?;
-    let (log, found) = Log::open(disk, Limits::within(settings.most), window)
+    let disk =
+        StoreDirectory::open(&settings.folder).map_err(|e| format!("store: {place}: {e}"))?;
+    let (log, found) = Log::open(disk, Limits::for_capacity(settings.most), window)
         .map_err(|e| format!("store: {place}: {e}"))?;
     for damage in &found.damage {
         self::log(&format!("store: damage: {place}/{damage}"));
@@ -37,11 +38,11 @@
         return Err(format!("store: {place}: damaged, and on_damage = \"stop\""));
     }
     let (keys, ms) = (found.keys.len(), start.elapsed().as_millis());
-    let ended = found.keys.iter().filter(|k| k.kept.is_some()).count();
-    let used = log.used();
+    let ended = found.keys.iter().filter(|k| k.outcome.is_some()).count();
+    let used = log.used_bytes();
     self::log(&format!(
         "store: open: folder={place} keys={keys} ended={ended} used={used} torn={} ms={ms}",
-        found.torn
+        found.torn_bytes
     ));
     Ok(Opened {
         settings,
@@ -62,18 +63,18 @@
     ) -> Result<(), String> {
         let machine = self.log.clocks();
         let salt = self.log.salt();
-        let limits = Limits::within(self.settings.most);
-        let rules = Rules {
-            most: self.settings.most,
+        let limits = Limits::for_capacity(self.settings.most);
+        let rules = CommitQueueConfig {
+            capacity: self.settings.most,
             // Cleaning writes what is left of one segment before it takes it away, and begins two.
-            spare: limits.segment,
-            most_result,
-            each: self.settings.each,
+            compaction_reserve: limits.segment_size,
+            max_result_bytes: most_result,
+            sync_each_record: self.settings.each,
         };
-        let used = self.log.used();
+        let used = self.log.used_bytes();
         let Salt([first, _]) = Salt::random().map_err(|e| format!("store: {e}"))?;
         let (sender, done) = async_channel::bounded(1);
-        let writer = Thread::start(self.log, move |result| {
+        let writer = WriterThread::start(self.log, move |result| {
             // The node ends by leaving this thread behind, with nobody to listen.
             let _ = sender.send_blocking(result);
         })
@@ -81,13 +82,13 @@
         {
             let mut hub = hub.borrow_mut();
             let now = hub.clock.now();
-            let suspect =
-                (!self.found.damage.is_empty()).then(|| now + self.found.longest.max(self.window));
-            let gate = Gate::new(rules, used, suspect, first);
+            let suspect = (!self.found.damage.is_empty())
+                .then(|| now + self.found.longest_window.max(self.window));
+            let gate = CommitQueue::new(rules, used, suspect, first);
             let wait = self.settings.wait;
-            let durable = Durable::new(gate, machine.up - now, wait, suspect);
+            let durable = Durable::new(gate, machine.since_boot - now, wait, suspect);
             for key in &mut self.found.keys {
-                key.until = hub.clock.of_unix(key.until);
+                key.window_end = hub.clock.of_unix(key.window_end);
             }
             hub.remember(durable, self.found.keys, salt);
         }
--- a/crates/node/src/life/stored.rs
+++ b/crates/node/src/life/stored.rs
@@ -1,8 +1,8 @@
 //! `pipitlever store`: looks at a store while nobody uses it.
 
-use pipitlever_idempotency_store::disk::Disk;
-use pipitlever_idempotency_store::log::{Contents, Files, Limits, Log};
-use pipitlever_idempotency_store::record::Kept;
+use pipitlever_idempotency_store::disk::StoreDirectory;
+use pipitlever_idempotency_store::log::{Limits, Log, LogContents, SegmentFiles};
+use pipitlever_idempotency_store::record::Outcome;
 use serde_json::json;
 use std::path::Path;
 
@@ -37,14 +37,14 @@
         return Err(wrong(&"no such folder"));
     }
     // The lock is taken for all three: what a node writes meanwhile would look torn.
-    let mut disk = Disk::open(path).map_err(|e| wrong(&e))?;
-    let contents = Contents::read(&mut disk).map_err(|e| wrong(&e))?;
+    let mut disk = StoreDirectory::open(path).map_err(|e| wrong(&e))?;
+    let contents = LogContents::read(&mut disk).map_err(|e| wrong(&e))?;
     let now = disk.clocks();
     let size: u64 = contents.segments.iter().map(|s| s.size).sum();
     let segments = contents.segments.len();
-    let torn = contents.segments.last().map_or(0, |s| s.size - s.whole);
+    let torn = contents.segments.last().map_or(0, |s| s.size - s.readable);
     let damage: Vec<String> = contents.damage.iter().map(|d| d.to_string()).collect();
-    let keys = contents.keys(&now);
+    let keys = contents.into_keys(&now);
     match task {
         Task::Check => {
             let keys = keys.len();
@@ -67,12 +67,12 @@
         }
         Task::List => {
             for found in keys {
-                let (outcome, bytes) = match &found.kept {
+                let (outcome, bytes) = match &found.outcome {
                     None => ("may-have-run", 0),
-                    Some(Kept::Failed) => ("failed", 0),
-                    Some(Kept::Served(result)) => ("served", result.len()),
+                    Some(Outcome::Failed) => ("failed", 0),
+                    Some(Outcome::Served(result)) => ("served", result.len()),
                 };
-                let left = (found.until - now.wall) / 1000;
+                let left = (found.window_end - now.wall) / 1000;
                 let reference = format!("{:016x}", found.intent.reference);
                 let class = &found.intent.class;
                 if json {
@@ -92,9 +92,9 @@
         }
         Task::Compact => {
             let (mut log, _) =
-                Log::open(disk, Limits::within(u64::MAX / 2), 0).map_err(|e| wrong(&e))?;
+                Log::open(disk, Limits::for_capacity(u64::MAX / 2), 0).map_err(|e| wrong(&e))?;
             log.compact().map_err(|e| wrong(&e))?;
-            let after = log.used();
+            let after = log.used_bytes();
             if json {
                 println!(
                     "{}",
--- a/crates/node/src/net/pools.rs
+++ b/crates/node/src/net/pools.rs
@@ -7,8 +7,10 @@
 use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::Reference;
-use pipitlever_load_balancing::pool::{self, Ask, End, Member, Place, Pool, Rules, Run};
-use pipitlever_load_balancing::retry::{Further, Tried};
+use pipitlever_load_balancing::pool::{
+    self, Member, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
+};
+use pipitlever_load_balancing::retry_budget::{AttemptEffect, RetryRequest};
 use pipitlever_subsetting::plan::Use;
 use pipitlever_wire::uwsgi::variable;
 use std::collections::{HashMap, VecDeque};
@@ -38,7 +40,7 @@
     /// The pool, by position.
     pub pool: usize,
     /// The run there.
-    pub run: Run,
+    pub run: RunId,
     /// The worker's number there.
     pub member: u32,
     /// The worker.
@@ -94,12 +96,12 @@
             }) => Member {
                 tier,
                 weight: *weight,
-                most_runs: *most_runs,
+                max_runs: *most_runs,
                 ..m.clone()
             },
             _ => Member {
                 tier: tier.saturating_add(1),
-                most_runs: 1,
+                max_runs: 1,
                 ..m.clone()
             },
         }
@@ -109,7 +111,7 @@
 
 /// Whether a member is one of those that are divided.
 pub fn divided(member: &Member<SocketAddr>) -> bool {
-    !member.spare && member.usage == pool::Use::On
+    !member.is_standby && member.mode == pool::MemberMode::Active
 }
 
 impl Entry {
@@ -129,7 +131,7 @@
     }
 
     fn note(&mut self) {
-        let notes = self.pool.notes();
+        let notes = self.pool.take_events();
         notes
             .iter()
             .for_each(|note| log(&format!("{}: {note}", self.called())));
@@ -151,7 +153,12 @@
     pub fn new(named: Vec<Named>, seed: u64, now: Micros) -> Pools {
         let entry = |file: Named| {
             let parts = Parts::default();
-            let pool = Pool::new(Rules::default(), members(&file, &parts.uses), seed, now);
+            let pool = Pool::new(
+                PoolConfig::default(),
+                members(&file, &parts.uses),
+                seed,
+                now,
+            );
             Entry {
                 file,
                 parts,
@@ -192,7 +199,7 @@
     /// This node has this of a pool. Whether what it has of the workers is anything new.
     pub fn divide(&mut self, now: Micros, pool: usize, parts: Parts) -> bool {
         let entry = &mut self.all[pool];
-        entry.pool.divide(parts.part);
+        entry.pool.set_budget_share(parts.part);
         let before = std::mem::replace(&mut entry.parts, parts);
         if entry.parts.uses == before.uses {
             return false;
@@ -235,17 +242,17 @@
                 entry.lapse(now);
             }
             let tried: Vec<u32> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
-            let place = entry.pool.place(
+            let place = entry.pool.select(
                 now,
-                Ask {
-                    safe: job.safe,
-                    key,
-                    tried: &tried,
+                SelectionRequest {
+                    is_idempotent: job.safe,
+                    hash_key: key,
+                    attempted_members: &tried,
                 },
             );
             entry.note();
             match place {
-                Place::At {
+                Selection::Selected {
                     run,
                     member,
                     address,
@@ -257,7 +264,7 @@
                         address,
                     })
                 }
-                Place::NoRoom | Place::Nobody => at = entry.file.fallback,
+                Selection::AtCapacity | Selection::Unavailable => at = entry.file.fallback,
             }
         }
         None
@@ -285,18 +292,18 @@
             entry.lapse(now);
         }
         let numbers: Vec<u32> = tried.iter().map(|t| t.1).collect();
-        let place = entry.pool.place_at(
+        let place = entry.pool.select_member(
             now,
-            Ask {
-                safe: job.safe,
-                key: None,
-                tried: &numbers,
+            SelectionRequest {
+                is_idempotent: job.safe,
+                hash_key: None,
+                attempted_members: &numbers,
             },
             &at,
         );
         entry.note();
         match place {
-            Place::At {
+            Selection::Selected {
                 run,
                 member,
                 address,
@@ -306,14 +313,14 @@
                 member,
                 address,
             }),
-            Place::NoRoom | Place::Nobody => None,
+            Selection::AtCapacity | Selection::Unavailable => None,
         }
     }
 
     /// A worker is done with a run, one way or another.
-    pub fn ended(&mut self, now: Micros, put: Put, end: End) {
+    pub fn ended(&mut self, now: Micros, put: Put, end: RunOutcome) {
         let entry = &mut self.all[put.pool];
-        entry.pool.ended(now, put.run, end);
+        entry.pool.complete_run(now, put.run, end);
         entry.note();
     }
 
@@ -330,17 +337,17 @@
         // What may have run once is only tried again where it may run twice, whichever try that
         // was.
         let tried = if ran {
-            Tried::MayHaveRun
+            AttemptEffect::MayHaveRun
         } else {
-            Tried::NeverRan
+            AttemptEffect::NeverRan
         };
-        self.all[put.pool].pool.again(
+        self.all[put.pool].pool.acquire_retry(
             now,
-            Further {
-                until: job.until,
-                tried,
-                safe: job.safe,
-                tries,
+            RetryRequest {
+                deadline: job.until,
+                effect: tried,
+                is_idempotent: job.safe,
+                attempts: tries,
             },
         )
     }
@@ -381,7 +388,7 @@
             name: "w".into(),
             zone: String::new(),
         };
-        let (members, labels) = (vec![Member::at(address)], vec![label]);
+        let (members, labels) = (vec![Member::new(address)], vec![label]);
         let shared = Some(Shared { subset: 1 });
         let mut pools = Pools::new(
             vec![Named {
--- a/crates/node/src/net/routes.rs
+++ b/crates/node/src/net/routes.rs
@@ -131,7 +131,7 @@
         self.workers
             .iter()
             .copied()
-            .map(Member::at)
+            .map(Member::new)
             .chain(self.special.iter().cloned())
             .collect()
     }
--- a/crates/node/src/net/sessions.rs
+++ b/crates/node/src/net/sessions.rs
@@ -6,7 +6,7 @@
 use super::routes::Named;
 use crate::log::log;
 use async_channel::Sender;
-use pipitlever_load_balancing::pool::Use;
+use pipitlever_load_balancing::pool::MemberMode;
 use pipitlever_membership::Fleet;
 use pipitlever_session_affinity::message::Message;
 use pipitlever_session_affinity::node::{Found, Moves, Node, Peer, Pool, Server, Settings, What};
@@ -65,8 +65,8 @@
             name: label.name.clone(),
             weight: m.weight,
             // Who stands by for others has no sessions of his own.
-            takes: m.usage == Use::On && !m.spare,
-            drains: m.usage == Use::Draining,
+            takes: m.mode == MemberMode::Active && !m.is_standby,
+            drains: m.mode == MemberMode::Draining,
         });
     let (idle, patience, linger) = (sessions.idle_s, sessions.patience, sessions.linger);
     Some(Pool {
@@ -167,7 +167,7 @@
         };
         let mut node = self.node.borrow_mut();
         for (i, (pool, file)) in self.files.borrow().iter().enumerate() {
-            let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing().copied().collect();
+            let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing_members().copied().collect();
             let state = &node.pools()[i];
             let id =
                 |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/share.rs
@@ -64,7 +64,7 @@
         zone: label.zone.clone(),
         weight: m.weight,
         tier: m.tier,
-        most_runs: m.most_runs,
+        most_runs: m.max_runs,
     };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
@@ -135,10 +135,10 @@
             node.count(i, hub.pools.wanted(given.pool));
             let pool = hub.pools.pool(given.pool);
             let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
-            let out: Vec<usize> = pool.out().filter_map(at).collect();
+            let out: Vec<usize> = pool.ejected_members().filter_map(at).collect();
             node.left_out(i, &out);
             for worker in out {
-                pool.behind(
+                pool.set_probe_deferred(
                     &given.workers[worker].1,
                     node.turn(i, worker) == Turn::Behind,
                 );
@@ -148,7 +148,7 @@
             let given = &self.given.borrow()[i];
             hub.pools
                 .pool(given.pool)
-                .found_well(now, &given.workers[worker].1);
+                .hasten_probation(now, &given.workers[worker].1);
         }
         node.tick(now);
         for (i, given) in self.given.borrow().iter().enumerate() {
--- a/crates/node/src/net/store.rs
+++ b/crates/node/src/net/store.rs
@@ -2,10 +2,10 @@
 
 use super::hub::Shared;
 use async_channel::Receiver;
-use pipitlever_idempotency_store::disk::Thread;
+use pipitlever_idempotency_store::disk::WriterThread;
 
 /// For as long as the node runs.
-pub async fn batches(hub: Shared, writer: Thread, done: Receiver<Result<u64, String>>) {
+pub async fn batches(hub: Shared, writer: WriterThread, done: Receiver<Result<u64, String>>) {
     let nudge = hub.borrow().storing.clone();
     loop {
         let batch = {
--- a/crates/node/src/net/versions/disk.rs
+++ b/crates/node/src/net/versions/disk.rs
@@ -41,7 +41,7 @@
     match fs::read(&path) {
         Ok(bytes) => match read(&bytes) {
             Ok(kept) => Ok(Some(kept)),
-            Err(e) => Err(format!("{}: at {}: {:?}", path.display(), e.at, e.why)),
+            Err(e) => Err(format!("{}: at {}: {:?}", path.display(), e.offset, e.kind)),
         },
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
         Err(e) => Err(format!("{}: {e}", path.display())),
--- a/crates/node/src/net/workers.rs
+++ b/crates/node/src/net/workers.rs
@@ -79,16 +79,16 @@
         .await;
         ran |= sent;
         let end = match &outcome {
-            Some(Some(_)) => pool::End::Well,
-            Some(None) if sent => pool::End::Failed,
-            Some(None) => pool::End::Unreachable,
-            None => pool::End::TimedOut,
+            Some(Some(_)) => pool::RunOutcome::Succeeded,
+            Some(None) if sent => pool::RunOutcome::Failed,
+            Some(None) => pool::RunOutcome::Unreachable,
+            None => pool::RunOutcome::TimedOut,
         };
         let again = {
             let hub = &mut *hub.borrow_mut();
             let now = hub.clock.now();
             hub.pools.ended(now, put, end);
-            let failed = !matches!(end, pool::End::Well);
+            let failed = !matches!(end, pool::RunOutcome::Succeeded);
             failed
                 .then(|| hub.pools.again(now, put, &job, ran, tried.len() as u32))
                 .flatten()
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use pipitlever_idempotency_store::disk::Disk;
-use pipitlever_idempotency_store::log::{Contents, Files};
-use pipitlever_idempotency_store::record::Kept;
+use pipitlever_idempotency_store::disk::StoreDirectory;
+use pipitlever_idempotency_store::log::{LogContents, SegmentFiles};
+use pipitlever_idempotency_store::record::Outcome;
 use pipitlever_idempotency_store::recovery::Recovered;
 use serde_json::json;
 
@@ -26,11 +26,11 @@
     }
 
     fn keys(&self) -> Vec<Recovered> {
-        let mut disk = Disk::look(&self.0).unwrap();
-        let contents = Contents::read(&mut disk).unwrap();
+        let mut disk = StoreDirectory::open_read_only(&self.0).unwrap();
+        let contents = LogContents::read(&mut disk).unwrap();
         assert_eq!(contents.damage, []);
         let now = disk.clocks();
-        contents.keys(&now)
+        contents.into_keys(&now)
     }
 }
 
@@ -47,7 +47,9 @@
     gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
     let (id, _) = processor.begin();
     let [Recovered {
-        intent, kept: None, ..
+        intent,
+        outcome: None,
+        ..
     }] = &scratch.keys()[..]
     else {
         panic!("an intent alone")
@@ -61,7 +63,10 @@
     processor.complete(&id, "fine", b"done");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
     assert!(node.wait().success());
-    assert_eq!(scratch.keys()[0].kept, Some(Kept::Served(b"done".to_vec())));
+    assert_eq!(
+        scratch.keys()[0].outcome,
+        Some(Outcome::Served(b"done".to_vec()))
+    );
     let node = Node::start(parties, Some(&scratch.section()));
     processor.up();
     let mut gateway = node.ready();
@@ -104,11 +109,14 @@
     keys.sort_by(|a, b| a.intent.key.cmp(&b.intent.key));
     let kept: Vec<_> = keys
         .iter()
-        .map(|k| (k.intent.key.as_str(), k.kept.clone()))
+        .map(|k| (k.intent.key.as_str(), k.outcome.clone()))
         .collect();
     assert_eq!(
         kept,
-        [("half", None), ("k", Some(Kept::Served(response.to_vec())))]
+        [
+            ("half", None),
+            ("k", Some(Outcome::Served(response.to_vec())))
+        ]
     );
     let node = Node::start(parties, Some(&text));
     processor.up();
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -101,35 +101,35 @@
 #[test]
 #[ignore = "a measurement, not a check of every build"]
 fn a_hundred_thousand_keys() {
-    use pipitlever_idempotency_store::disk::Disk;
+    use pipitlever_idempotency_store::disk::StoreDirectory;
     use pipitlever_idempotency_store::log::{Batch, Limits, Log};
-    use pipitlever_idempotency_store::record::{Intent, Kept, Record};
+    use pipitlever_idempotency_store::record::{Intent, Outcome, Record};
     let folder = std::env::temp_dir().join(format!("pipitlever-store-many-{}", std::process::id()));
-    let disk = Disk::open(&folder).unwrap();
-    let (mut log, _) = Log::open(disk, Limits::within(512 << 20), 20_000_000).unwrap();
+    let disk = StoreDirectory::open(&folder).unwrap();
+    let (mut log, _) = Log::open(disk, Limits::for_capacity(512 << 20), 20_000_000).unwrap();
     let now = log.clocks();
     let (window, linger) = (20_000_000, 8_000_000);
     for first in (0..100_000u64).step_by(1000) {
         let mut batch = Batch::default();
         for id in first..first + 1000 {
             let (key, class) = (format!("{id:032}"), "swap-confirm".to_owned());
-            let over = now.up + window + linger;
+            let over = now.since_boot + window + linger;
             let intent = Intent {
                 id,
                 reference: id,
                 key,
                 class,
-                payload: id,
-                arrived: now.wall,
+                payload_digest: id,
+                arrived_at: now.wall,
                 window,
-                over,
-                linger,
+                expires_at: over,
+                read_grace: linger,
             };
             batch.push(&Record::Intent(intent));
             batch.push(&Record::Outcome {
                 id,
-                over,
-                kept: Kept::Served(vec![7; 400]),
+                expires_at: over,
+                outcome: Outcome::Served(vec![7; 400]),
             });
         }
         log.write(&batch).unwrap();
--- a/crates/session-affinity/src/lib.rs
+++ b/crates/session-affinity/src/lib.rs
@@ -35,5 +35,5 @@
 /// Two numbers that each stand for something, as one: the same in all builds and processes, as
 /// nodes choose by it alone.
 pub fn mix(a: u64, b: u64) -> u64 {
-    pipitlever_load_balancing::ring::mix(a ^ b.rotate_left(32))
+    pipitlever_load_balancing::consistent_hash::splitmix64(a ^ b.rotate_left(32))
 }
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -18,11 +18,11 @@
     read(data);
     // Behind checksums that are right, or no input would ever get to what frames hold.
     let mut bytes = Vec::new();
-    frame::FORMAT.head(&mut bytes);
+    frame::FORMAT.write_header(&mut bytes);
     let (first, rest) = data.split_at(data.len() / 2);
-    frame::frame(&mut bytes, 0, |out| out.extend_from_slice(first));
-    frame::frame(&mut bytes, 1, |out| out.extend_from_slice(rest));
-    frame::frame(&mut bytes, 2, |out| out.extend_from_slice(&[2, 1]));
+    frame::append_frame(&mut bytes, 0, |out| out.extend_from_slice(first));
+    frame::append_frame(&mut bytes, 1, |out| out.extend_from_slice(rest));
+    frame::append_frame(&mut bytes, 2, |out| out.extend_from_slice(&[2, 1]));
     read(&bytes);
     let mut rest = data;
     while let Ok((_, after)) = decode(rest) {
--- a/fuzz/fuzz_targets/store.rs
+++ b/fuzz/fuzz_targets/store.rs
@@ -6,14 +6,14 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use pipitlever_framing::frame;
-use pipitlever_idempotency_store::log::{Contents, Files, Limits, Log};
-use pipitlever_idempotency_store::record::{encode, Clocks, Opening, Salt, FORMAT};
+use pipitlever_framing::append_frame;
+use pipitlever_idempotency_store::log::{LogContents, SegmentFiles, Limits, Log};
+use pipitlever_idempotency_store::record::{encode, Clocks, SegmentHeader, Salt, FORMAT};
 use std::io;
 
 struct Folder(Vec<(String, Vec<u8>)>);
 
-impl Files for Folder {
+impl SegmentFiles for Folder {
     fn list(&mut self) -> io::Result<Vec<String>> {
         Ok(self.0.iter().map(|f| f.0.clone()).collect())
     }
@@ -33,16 +33,16 @@
         Ok(())
     }
     fn clocks(&mut self) -> Clocks {
-        Clocks { wall: 1_764_576_000_000_000, up: 1_000_000_000, boot: "b".into() }
+        Clocks { wall: 1_764_576_000_000_000, since_boot: 1_000_000_000, boot_id: "b".into() }
     }
 }
 
 /// A segment with these payloads in frames whose checksums hold.
 fn framed(payloads: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    FORMAT.head(&mut bytes);
+    FORMAT.write_header(&mut bytes);
     for (number, payload) in payloads.iter().enumerate() {
-        frame(&mut bytes, number as u32, |out| out.extend_from_slice(payload));
+        append_frame(&mut bytes, number as u32, |out| out.extend_from_slice(payload));
     }
     bytes
 }
@@ -53,7 +53,7 @@
     // As they are; and past the checksums, with an opening of its own or one that holds.
     let mut opening = Vec::new();
     let clocks = Folder(vec![]).clocks();
-    encode(&Opening { number: 1, oldest: 1, before: None, clocks, salt: Salt([1, 2]) }, &mut opening);
+    encode(&SegmentHeader { number: 1, oldest: 1, previous_durable_bytes: None, clocks, salt: Salt([1, 2]) }, &mut opening);
     read(first.to_vec(), second.to_vec());
     read(framed(&[&opening, first]), framed(&[second]));
     read(framed(&[&opening, first, second]), Vec::new());
@@ -61,7 +61,7 @@
 
 fn read(first: Vec<u8>, second: Vec<u8>) {
     let files = vec![("000000000001.pls".into(), first), ("000000000002.pls".into(), second)];
-    let _ = Contents::read(&mut Folder(files.clone())).map(|c| c.keys(&Folder(vec![]).clocks()));
-    let _ = Log::open(Folder(files), Limits::within(1 << 20), 1)
+    let _ = LogContents::read(&mut Folder(files.clone())).map(|c| c.into_keys(&Folder(vec![]).clocks()));
+    let _ = Log::open(Folder(files), Limits::for_capacity(1 << 20), 1)
         .map(|(mut log, _)| log.write(&Default::default()));
 }
