--- a/crates/core/src/tests.rs
+++ b/crates/core/src/tests.rs
@@ -330,40 +330,42 @@
 
 mod store {
     use super::*;
-    use pipitlever_idempotency_store::gate::{Gate, Rules, PATIENCE};
+    use pipitlever_idempotency_store::commit_queue::{
+        CommitQueue, CommitQueueConfig, SYNC_TIMEOUT,
+    };
     use pipitlever_idempotency_store::record::{self, Intent};
     use pipitlever_idempotency_store::recovery::Recovered;
 
     /// A core with a store, and keys that it has brought over a restart.
     fn stored(wait: bool, suspect: Option<Micros>, found: Vec<Recovered>) -> Core {
         let mut core = core();
-        let rules = Rules {
-            most: 1 << 20,
-            spare: 1 << 16,
-            most_result: 4096,
-            each: false,
+        let rules = CommitQueueConfig {
+            capacity: 1 << 20,
+            compaction_reserve: 1 << 16,
+            max_result_bytes: 4096,
+            sync_each_record: false,
         };
-        let gate = Gate::new(rules, 0, suspect, 1 << 32);
+        let gate = CommitQueue::new(rules, 0, suspect, 1 << 32);
         core.attach_store(RunStore::new(gate, 1000 * SECOND, wait, suspect), found);
         core
     }
 
-    fn found(reference: Reference, kept: Option<record::Kept>) -> Recovered {
+    fn found(reference: Reference, kept: Option<record::Outcome>) -> Recovered {
         let intent = Intent {
             id: 5,
             reference,
             key: "k".into(),
             class: "swap".into(),
-            payload: 1,
-            arrived: 0,
+            payload_digest: 1,
+            arrived_at: 0,
             window: 20 * SECOND,
-            over: 1030 * SECOND,
-            linger: 10 * SECOND,
+            expires_at: 1030 * SECOND,
+            read_grace: 10 * SECOND,
         };
         Recovered {
             intent,
-            until: 20 * SECOND,
-            kept,
+            window_end: 20 * SECOND,
+            outcome: kept,
         }
     }
 
@@ -379,7 +381,7 @@
         core.handle_request(SECOND, incoming(2, SECOND, None));
         assert_eq!(begun(&core.effects()), [2]);
         let batch = core.next_store_batch(SECOND).expect("its intent");
-        assert_eq!(batch.marks.len(), 1);
+        assert_eq!(batch.expiries.len(), 1);
         core.handle_store_result(SECOND + 500, Ok(400));
         assert_eq!(begun(&core.effects()), [1]);
         core.handle_run_finished(
@@ -393,7 +395,7 @@
         assert_eq!(
             core.next_store_batch(2 * SECOND)
                 .expect("its outcome")
-                .marks
+                .expiries
                 .len(),
             1
         );
@@ -428,7 +430,7 @@
         assert_eq!(
             core.next_store_batch(2 * SECOND)
                 .expect("its outcome")
-                .marks
+                .expiries
                 .len(),
             1
         );
@@ -490,7 +492,7 @@
         // A repeat that joined it gets what it gets.
         core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
         core.effects();
-        let late = SECOND + PATIENCE;
+        let late = SECOND + SYNC_TIMEOUT;
         assert!(core.next_wakeup().unwrap() <= late);
         core.handle_wakeup(late);
         let refused = Answer::Rejected {
@@ -504,7 +506,7 @@
         core.handle_store_result(late + 1, Ok(400));
         assert!(begun(&core.effects()).is_empty());
         // That it never began is owed to the disk.
-        assert_eq!(core.next_store_batch(late + 1).unwrap().marks.len(), 1);
+        assert_eq!(core.next_store_batch(late + 1).unwrap().expiries.len(), 1);
     }
 
     #[test]
@@ -531,11 +533,11 @@
     fn what_was_recovered_is_told_and_not_run() {
         let cases = [
             (
-                Some(record::Kept::Served(b"done".to_vec())),
+                Some(record::Outcome::Served(b"done".to_vec())),
                 served(b"done"),
             ),
             (
-                Some(record::Kept::Failed),
+                Some(record::Outcome::Failed),
                 Answer::Failed { timed_out: false },
             ),
             (
@@ -577,7 +579,7 @@
             assert_eq!(
                 core.next_store_batch(SECOND)
                     .expect("it is kept")
-                    .marks
+                    .expiries
                     .len(),
                 1
             );
@@ -607,7 +609,7 @@
         let mut core = stored(
             false,
             Some(20 * SECOND),
-            vec![found(7, Some(record::Kept::Failed))],
+            vec![found(7, Some(record::Outcome::Failed))],
         );
         core.handle_request(SECOND, incoming(1, SECOND, Some("other")));
         let [(1, Answer::Rejected { retry_after, .. })] = answers(&core.effects())[..] else {
