--- a/crates/core/src/availability.rs
+++ b/crates/core/src/availability.rs
@@ -16,8 +16,9 @@
     pub(crate) configuration_expiry: Micros,
     /// How long a connection may be idle, in microseconds.
     pub(crate) idle_timeout: Micros,
-    /// The node continues in another process: the shutdown of this one is not the node's.
-    pub(crate) is_superseded: bool,
+    /// This process shuts down while the node continues in another one (phase `Retire` of a hot
+    /// restart).
+    pub(crate) is_retiring: bool,
 }
 
 impl Availability {
@@ -29,7 +30,7 @@
             is_standby: false,
             configuration_expiry: Micros::MAX,
             idle_timeout,
-            is_superseded: false,
+            is_retiring: false,
         }
     }
 
@@ -46,7 +47,7 @@
     /// The delay to advise to a rejected caller. A process whose node continues in another one
     /// advises none.
     pub(crate) fn advised_delay(&self, delay: Micros) -> Micros {
-        if self.is_superseded {
+        if self.is_retiring {
             0
         } else {
             delay
--- a/crates/core/src/core/actions.rs
+++ b/crates/core/src/core/actions.rs
@@ -40,15 +40,15 @@
             return;
         };
         for action in actions.drain(..) {
-            self.execute(action);
+            self.execute(&action);
         }
         self.process_store_events();
         self.admission.recycle(actions);
     }
 
     /// Executes one action. Actions on requests that are closed have no effect.
-    fn execute(&mut self, action: Action) {
-        match action {
+    fn execute(&mut self, action: &Action) {
+        match *action {
             Action::Run(id) => self.start_run(id),
             Action::ReuseOutcome(id) => self.reuse_outcome(id),
             Action::Reject {
--- a/crates/core/src/core/duplicates.rs
+++ b/crates/core/src/core/duplicates.rs
@@ -75,27 +75,27 @@
         key: &Rc<str>,
         owner: RequestId,
         outcome: Option<CachedOutcome>,
-        answer: Answer,
+        answer: &Answer,
     ) {
         if self.keys.owned_entry(key, owner).is_none() {
             return;
         }
         match outcome {
-            Some(outcome) => self.cache_and_answer_waiting(key, outcome),
+            Some(outcome) => self.cache_and_answer_waiting(key, &outcome),
             None => {
                 let entry = self.keys.remove(key);
                 let waiting = entry.map(|entry| entry.waiting).unwrap_or_default();
-                self.release_waiting(waiting, Some(&answer));
+                self.release_waiting(waiting, Some(answer));
             }
         }
     }
 
     /// Caches the outcome of a key and answers the duplicates that wait for it.
-    pub(super) fn cache_and_answer_waiting(&mut self, key: &Rc<str>, outcome: CachedOutcome) {
+    pub(super) fn cache_and_answer_waiting(&mut self, key: &Rc<str>, outcome: &CachedOutcome) {
         let waiting = self.keys.take_waiting(key).unwrap_or_default();
         self.keys.cache_outcome(key, outcome.clone());
         for id in waiting {
-            self.answer_duplicate(id, &outcome);
+            self.answer_duplicate(id, outcome);
         }
     }
 
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -1,7 +1,7 @@
 //! Keyed runs of a node with a store: a run starts once its intent is on the disk, and its outcome
 //! is written.
 //!
-//! The decisions are those of [`pipitlever_idempotency_store::gate`] and
+//! The decisions are those of [`pipitlever_idempotency_store::commit_queue`] and
 //! [`pipitlever_idempotency_store::recovery`].
 
 use crate::core::runs::FinishedRun;
@@ -12,16 +12,16 @@
 use crate::run_store::{EndedRun, RunStore, StoreUsage};
 use pipitlever_admission::{Micros, RequestId};
 use pipitlever_capture::record::By;
-use pipitlever_idempotency_store::gate;
+use pipitlever_idempotency_store::commit_queue::{CommitEvent, RefusalReason};
 use pipitlever_idempotency_store::log::Batch;
-use pipitlever_idempotency_store::record::{self, Intent};
+use pipitlever_idempotency_store::record::{Intent, Outcome};
 use pipitlever_idempotency_store::recovery::Recovered;
 use std::rc::Rc;
 
 /// A stored entry outlasts its window and the read delay by this time, in which the last reader
 /// answers.
 const STORE_LINGER: Micros = 1_000_000;
-/// Capacity that the buffer of gate events keeps after a burst.
+/// Capacity that the buffer of commit events keeps after a burst.
 const RETAINED_EVENTS: usize = 256;
 
 impl Core {
@@ -37,18 +37,21 @@
     fn restore_recovered(&mut self, store: &mut RunStore, recovered: Recovered) {
         let Recovered {
             intent,
-            until: window_end,
-            kept,
+            window_end,
+            outcome,
         } = recovered;
         let key: Rc<str> = Rc::from(&*intent.key);
-        let outcome = match kept {
-            Some(record::Kept::Served(result)) => CachedOutcome::Served(Rc::from(result)),
-            Some(record::Kept::Failed) => CachedOutcome::Failed,
+        let outcome = match outcome {
+            Some(Outcome::Served(result)) => CachedOutcome::Served(Rc::from(result)),
+            Some(Outcome::Failed) => CachedOutcome::Failed,
             None => {
                 // A processor that outlived the process may still report the end of the run.
-                let linger = self.keys.read_delay() + STORE_LINGER;
-                let uptime = window_end + linger + store.uptime_offset;
-                if store.gate.adopt(intent.reference, intent.id, uptime) {
+                let read_grace = self.keys.read_delay() + STORE_LINGER;
+                let uptime = window_end + read_grace + store.uptime_offset;
+                if store
+                    .commit_queue
+                    .adopt_intent(intent.reference, intent.id, uptime)
+                {
                     store.earlier_runs.insert(intent.reference, key.clone());
                 }
                 CachedOutcome::Unknown { window_end }
@@ -60,7 +63,7 @@
         self.keys.restore(RestoredKey {
             key: &key,
             owner,
-            payload_digest: intent.payload,
+            payload_digest: intent.payload_digest,
             window_end,
             outcome: Some(outcome),
         });
@@ -70,10 +73,10 @@
     /// microseconds.
     pub(super) fn check_store(&self, now: Micros) -> Option<(By, Micros)> {
         let store = self.store.as_ref()?;
-        let rejection = match store.gate.refuses(now)? {
-            gate::Why::Full => (By::StoreFull, OVERLOAD_RETRY_AFTER),
-            gate::Why::Failing | gate::Why::Slow => (By::Store, OVERLOAD_RETRY_AFTER),
-            gate::Why::Damaged => {
+        let rejection = match store.commit_queue.refusal(now)? {
+            RefusalReason::Full => (By::StoreFull, OVERLOAD_RETRY_AFTER),
+            RefusalReason::Failing | RefusalReason::Slow => (By::Store, OVERLOAD_RETRY_AFTER),
+            RefusalReason::Damaged => {
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
                 (By::Store, remaining.clamp(OVERLOAD_RETRY_AFTER, longest))
@@ -89,25 +92,27 @@
             return false;
         };
         let incoming = &request.incoming;
-        let linger = self.keys.read_delay() + STORE_LINGER;
+        let read_grace = self.keys.read_delay() + STORE_LINGER;
         let window = self.settings.classes[incoming.class].idempotency_window;
         let intent = Intent {
-            // The gate assigns it.
+            // The commit queue assigns it.
             id: 0,
             reference: incoming.reference,
             key: incoming.idempotency_key.as_deref().unwrap_or("").to_owned(),
             class: self.classes.name(incoming.class).to_owned(),
-            payload: incoming.payload_digest,
-            arrived: incoming.arrived_at,
+            payload_digest: incoming.payload_digest,
+            arrived_at: incoming.arrived_at,
             window,
-            over: incoming.arrived_at + window + linger + store.uptime_offset,
-            linger,
+            expires_at: incoming.arrived_at + window + read_grace + store.uptime_offset,
+            read_grace,
         };
-        store.gate.intent(self.now, intent, &mut store.events);
+        store
+            .commit_queue
+            .enqueue_intent(self.now, intent, &mut store.events);
         true
     }
 
-    /// Handles the events of the gate. What follows for the controller is left pending.
+    /// Handles the events of the commit queue. What follows for the controller is left pending.
     pub(super) fn process_store_events(&mut self) {
         loop {
             let Some(store) = &mut self.store else {
@@ -129,15 +134,15 @@
         }
     }
 
-    fn handle_store_event(&mut self, event: gate::Event) {
+    fn handle_store_event(&mut self, event: CommitEvent) {
         match event {
-            gate::Event::Begin(reference) => self.handle_intent_written(reference),
-            gate::Event::Never(reference) => {
+            CommitEvent::IntentDurable(reference) => self.handle_intent_written(reference),
+            CommitEvent::IntentAbandoned(reference) => {
                 if let Some(id) = self.requests.id_of(reference) {
                     self.finish_run(id, FinishedRun::not_started(), By::Store);
                 }
             }
-            gate::Event::Kept(reference) => {
+            CommitEvent::OutcomeDurable(reference) => {
                 let store = self.store.as_mut();
                 let ended = store.and_then(|store| store.ended_runs.remove(&reference));
                 let (Some(ended), Some(id)) = (ended, self.requests.id_of(reference)) else {
@@ -172,7 +177,7 @@
 
     fn void_intent(&mut self, reference: Reference) {
         if let Some(store) = &mut self.store {
-            store.gate.void(reference);
+            store.commit_queue.enqueue_void(reference);
         }
     }
 
@@ -186,7 +191,7 @@
         }
         let outcome = match run.outcome {
             RunOutcome::NotStarted => {
-                store.gate.void(reference);
+                store.commit_queue.enqueue_void(reference);
                 return false;
             }
             RunOutcome::Completed if run.result.len() <= self.keys.max_result_bytes() => {
@@ -221,7 +226,7 @@
         };
         let outcome = match outcome {
             RunOutcome::NotStarted => {
-                store.gate.void(reference);
+                store.commit_queue.enqueue_void(reference);
                 self.keys.remove(&key);
                 return;
             }
@@ -238,7 +243,7 @@
     pub(super) fn store_contains(&self, reference: Reference) -> bool {
         self.store
             .as_ref()
-            .is_some_and(|store| store.gate.knows(reference))
+            .is_some_and(|store| store.commit_queue.has_open_intent(reference))
     }
 
     /// Whether a store remembers keyed runs.
@@ -248,7 +253,7 @@
 
     /// The next batch for the store's writer, if it should write one now.
     pub fn next_store_batch(&mut self, now: Micros) -> Option<Batch> {
-        self.store.as_mut()?.gate.batch(now)
+        self.store.as_mut()?.commit_queue.next_batch(now)
     }
 
     /// Handles the result of the writer's last batch: the bytes in use on the disk, or an error.
@@ -257,7 +262,9 @@
         let Some(store) = &mut self.store else {
             return;
         };
-        store.gate.done(now, result, &mut store.events);
+        store
+            .commit_queue
+            .complete_batch(now, result, &mut store.events);
         self.process_store_events();
         self.process_pending(now);
     }
@@ -269,24 +276,26 @@
             return;
         };
         let uptime = now + store.uptime_offset;
-        store.gate.tick(now, uptime, &mut store.events);
+        store.commit_queue.tick(now, uptime, &mut store.events);
         self.process_store_events();
         self.process_pending(now);
     }
 
     /// When [`Core::handle_store_timeouts`] is next due.
     pub(super) fn next_store_timeout(&self) -> Option<Micros> {
-        self.store.as_ref()?.gate.next_wake(self.now)
+        self.store.as_ref()?.commit_queue.next_wakeup(self.now)
     }
 
     /// A log line, whenever the store has started or stopped to accept keys.
     pub fn store_status_change(&mut self, now: Micros) -> Option<String> {
-        self.store.as_mut()?.gate.note(now)
+        self.store.as_mut()?.commit_queue.status_change(now)
     }
 
     /// Whether all records are on the disk.
     pub fn is_store_idle(&self) -> bool {
-        self.store.as_ref().is_none_or(|store| store.gate.idle())
+        self.store
+            .as_ref()
+            .is_none_or(|store| store.commit_queue.is_idle())
     }
 
     /// The disk usage of the store, if there is one.
--- a/crates/core/src/core/hot_restart.rs
+++ b/crates/core/src/core/hot_restart.rs
@@ -98,7 +98,7 @@
         };
         if self.key_transfer.in_progress.contains(&key) {
             if let Some(outcome) = outcome {
-                self.finish_transferred_key(now, &key, outcome);
+                self.finish_transferred_key(now, &key, &outcome);
             }
             return;
         }
@@ -137,7 +137,7 @@
     pub fn resolve_orphaned_keys(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.key_transfer.in_progress) {
             let window_end = self.keys.window_end(&key).unwrap_or(now);
-            self.finish_transferred_key(now, &key, CachedOutcome::Unknown { window_end });
+            self.finish_transferred_key(now, &key, &CachedOutcome::Unknown { window_end });
         }
     }
 
@@ -156,7 +156,7 @@
             .any(|request| request.incoming.idempotency_key.is_some() && request.is_running())
     }
 
-    fn finish_transferred_key(&mut self, now: Micros, key: &Rc<str>, outcome: CachedOutcome) {
+    fn finish_transferred_key(&mut self, now: Micros, key: &Rc<str>, outcome: &CachedOutcome) {
         self.key_transfer.in_progress.remove(key);
         self.advance_to(now);
         if self.keys.window_end(key).is_none() {
--- a/crates/core/src/core/resend.rs
+++ b/crates/core/src/core/resend.rs
@@ -20,13 +20,15 @@
     /// none concerned the run, the request is unanswered, and its class is idempotent, as the run
     /// may end at this very moment.
     pub fn may_resend_start(&self, reference: Reference) -> bool {
-        self.requests.by_reference(reference).is_some_and(|request| {
-            let class = &self.settings.classes[request.incoming.class];
-            let is_unheard_of = request.run().is_some_and(|run| run.call.is_none());
-            class.idempotency == Idempotency::Idempotent
-                && request.origin.is_some()
-                && is_unheard_of
-        })
+        self.requests
+            .by_reference(reference)
+            .is_some_and(|request| {
+                let class = &self.settings.classes[request.incoming.class];
+                let is_unheard_of = request.run().is_some_and(|run| run.call.is_none());
+                class.idempotency == Idempotency::Idempotent
+                    && request.origin.is_some()
+                    && is_unheard_of
+            })
     }
 
     /// Whether the reply of a call may be sent again: the run has neither ended nor requested
--- a/crates/core/src/core/runs.rs
+++ b/crates/core/src/core/runs.rs
@@ -152,7 +152,7 @@
             outcome,
         });
         if let Some(key) = key {
-            self.share_outcome(&key, id, cached, answer);
+            self.share_outcome(&key, id, cached, &answer);
         }
     }
 
@@ -193,7 +193,7 @@
         self.close(id);
         self.enqueue_not_started(id);
         if let Some(key) = key {
-            self.share_outcome(&key, id, None, answer);
+            self.share_outcome(&key, id, None, &answer);
         }
     }
 
--- a/crates/core/src/core/shutdown.rs
+++ b/crates/core/src/core/shutdown.rs
@@ -12,10 +12,10 @@
 
     /// Handles the shutdown notice while the node continues in another process, whose health and
     /// load level are the node's from now on.
-    pub fn begin_superseded_shutdown(&mut self, now: Micros, remaining: Micros) {
+    pub fn begin_retirement(&mut self, now: Micros, remaining: Micros) {
         let load_level = self.availability.load_level;
         let is_healthy = self.availability.is_healthy;
-        self.availability.is_superseded = true;
+        self.availability.is_retiring = true;
         self.begin_shutdown(now, remaining);
         self.availability.load_level = load_level;
         self.availability.is_healthy = is_healthy;
--- a/crates/core/src/run_store.rs
+++ b/crates/core/src/run_store.rs
@@ -1,14 +1,14 @@
 //! The connection between the core and the idempotency store, which remembers keyed runs over a
 //! restart.
 //!
-//! The store's [`Gate`] decides when a run may start and when an outcome is durable. This module
-//! keeps what the core needs beside it.
+//! The store's [`CommitQueue`] decides when a run may start and when an outcome is durable. This
+//! module keeps what the core needs beside it.
 
 use crate::idempotency_table::CachedOutcome;
 use crate::request::Reference;
 use pipitlever_admission::Micros;
-use pipitlever_idempotency_store::gate::{self, Gate};
-use pipitlever_idempotency_store::record;
+use pipitlever_idempotency_store::commit_queue::{CommitEvent, CommitQueue};
+use pipitlever_idempotency_store::record::Outcome;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -24,8 +24,8 @@
 /// The state of the store as the core sees it.
 #[derive(Debug)]
 pub struct RunStore {
-    /// The store's commit queue.
-    pub(crate) gate: Gate,
+    /// Records that are on their way to the disk.
+    pub(crate) commit_queue: CommitQueue,
     /// Offset from the node's clock to the machine's uptime, in microseconds.
     pub(crate) uptime_offset: Micros,
     /// Whether an answer with a result waits until the result is on the disk.
@@ -36,8 +36,8 @@
     pub(crate) earlier_runs: HashMap<Reference, Rc<str>>,
     /// Runs that have ended and whose outcome is not yet on the disk.
     pub(crate) ended_runs: HashMap<Reference, EndedRun>,
-    /// Buffer for the events of the gate.
-    pub(crate) events: Vec<gate::Event>,
+    /// Buffer for the events of the commit queue.
+    pub(crate) events: Vec<CommitEvent>,
 }
 
 /// Disk usage of the idempotency store.
@@ -58,13 +58,13 @@
     /// `waits_for_outcome` answers wait until their outcome is on the disk. Until `damage_ends_at`
     /// keyed requests are rejected.
     pub fn new(
-        gate: Gate,
+        commit_queue: CommitQueue,
         uptime_offset: Micros,
         waits_for_outcome: bool,
         damage_ends_at: Option<Micros>,
     ) -> RunStore {
         RunStore {
-            gate,
+            commit_queue,
             uptime_offset,
             waits_for_outcome,
             damage_ends_at: damage_ends_at.unwrap_or(Micros::MIN),
@@ -78,24 +78,26 @@
     /// disk.
     pub(crate) fn write_outcome(&mut self, reference: Reference, outcome: &CachedOutcome) -> bool {
         let waits = self.waits_for_outcome && matches!(outcome, CachedOutcome::Served(_));
-        self.gate.outcome(reference, stored_outcome(outcome)) && waits
+        self.commit_queue
+            .enqueue_outcome(reference, stored_outcome(outcome))
+            && waits
     }
 
     /// Disk usage.
     pub(crate) fn usage(&self) -> StoreUsage {
-        let (used_bytes, reserved_bytes) = self.gate.room();
+        let (used_bytes, reserved_bytes) = self.commit_queue.usage();
         StoreUsage {
             used_bytes,
             reserved_bytes,
-            waiting_records: self.gate.waiting(),
+            waiting_records: self.commit_queue.pending_records(),
         }
     }
 }
 
 /// The outcome as the store records it.
-fn stored_outcome(outcome: &CachedOutcome) -> record::Kept {
+fn stored_outcome(outcome: &CachedOutcome) -> Outcome {
     match outcome {
-        CachedOutcome::Served(result) => record::Kept::Served(result.to_vec()),
-        CachedOutcome::Failed | CachedOutcome::Unknown { .. } => record::Kept::Failed,
+        CachedOutcome::Served(result) => Outcome::Served(result.to_vec()),
+        CachedOutcome::Failed | CachedOutcome::Unknown { .. } => Outcome::Failed,
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -49,11 +49,7 @@
         downstream: Downstream::Tier,
         ..Settings::default()
     };
-    let mut core = core_with(
-        settings,
-        &["free".into(), "keyed".into()],
-        default_limits(),
-    );
+    let mut core = core_with(settings, &["free".into(), "keyed".into()], default_limits());
     core.start(SECOND, 0, false);
     core
 }
--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -7,12 +7,8 @@
 
 use common::*;
 use fastrand::Rng;
-use pipitlever_admission::{
-    CancellationMode, Downstream, Idempotency, Micros, Outcome, Settings,
-};
-use pipitlever_core::{
-    Answer, Core, Effect, IncomingRequest, MemoryLimits, Reference, RunOutcome,
-};
+use pipitlever_admission::{CancellationMode, Downstream, Idempotency, Micros, Outcome, Settings};
+use pipitlever_core::{Answer, Core, Effect, IncomingRequest, MemoryLimits, Reference, RunOutcome};
 use pipitlever_settings::arbitrary::platform_settings;
 use pipitlever_settings::PlatformSettings;
 use proptest::strategy::{Strategy, ValueTree};
@@ -317,8 +313,8 @@
         }
         assert_eq!(self.core.unanswered(), 0, "seed {seed}: {json}");
         for (reference, history) in &self.histories {
-            let is_settled = history.answers.len() == 1
-                || (history.is_abandoned && history.answers.is_empty());
+            let is_settled =
+                history.answers.len() == 1 || (history.is_abandoned && history.answers.is_empty());
             assert!(
                 is_settled,
                 "seed {seed}: {reference} has {:?}\n{json}",
--- a/crates/core/tests/hot_restart/main.rs
+++ b/crates/core/tests/hot_restart/main.rs
@@ -7,6 +7,7 @@
 
 #[path = "../common/mod.rs"]
 mod common;
+mod process;
 mod world;
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -62,7 +63,8 @@
         Step::SuccessorReceives,
     ];
     let yielded = [&transferred[..], &yielded].concat();
-    let starts: [(&[Step], usize); 4] = [(&[], 7), (&requested, 7), (&transferred, 6), (&yielded, 6)];
+    let starts: [(&[Step], usize); 4] =
+        [(&[], 7), (&requested, 7), (&transferred, 6), (&yielded, 6)];
     let mut ways = Vec::new();
     for (steps, depth) in starts {
         for is_queued in [false, true] {
--- a/crates/core/tests/hot_restart/world.rs
+++ b/crates/core/tests/hot_restart/world.rs
@@ -1,19 +1,16 @@
 //! Model of two processes of one node and the connection between them.
 
-use crate::common::{core, fill_cores, incoming, take_effects, SECOND};
+use crate::common::{fill_cores, SECOND};
+use crate::process::{Attempt, Process, RESULT};
 use pipitlever_admission::Micros;
-use pipitlever_core::{Answer, Core, Effect, IncomingRequest, Reference, RunOutcome};
+use pipitlever_core::{Answer, Reference};
 use pipitlever_hot_restart::message::{Message, Welcome};
 use pipitlever_hot_restart::predecessor::{self, Predecessor};
 use pipitlever_hot_restart::successor::{self, ConnectionLoss, Successor};
 use std::collections::VecDeque;
-use std::rc::Rc;
 
 /// Attempts of the key, one after the other; the first one is not marked as a retry.
 const MAX_ATTEMPTS: u64 = 3;
-/// Index of the keyed class.
-const KEYED_CLASS: usize = 1;
-const RESULT: &[u8] = b"result";
 const STEP_TIME: Micros = 1000;
 
 /// One step of the model.
@@ -64,82 +61,6 @@
     Step::SuccessorDisconnects,
 ];
 
-/// An attempt that a process has read, with its answers.
-struct Attempt {
-    reference: Reference,
-    answers: Vec<Answer>,
-}
-
-/// One process, with what its drivers saw.
-struct Process {
-    core: Core,
-    is_alive: bool,
-    running: Vec<Reference>,
-    attempts: Vec<Attempt>,
-    abandoned: Vec<Reference>,
-}
-
-impl Process {
-    fn new() -> Process {
-        let mut core = core();
-        core.retries_are_marked = true;
-        Process {
-            core,
-            is_alive: true,
-            running: Vec::new(),
-            attempts: Vec::new(),
-            abandoned: Vec::new(),
-        }
-    }
-
-    fn arrive(&mut self, now: Micros, reference: Reference) {
-        self.attempts.push(Attempt {
-            reference,
-            answers: Vec::new(),
-        });
-        let request = IncomingRequest {
-            is_retry: reference > 1,
-            ..incoming(reference, now, Some("k"))
-        };
-        self.core.handle_request(now, request);
-    }
-
-    fn complete_oldest_run(&mut self, now: Micros) {
-        let reference = self.running.remove(0);
-        let outcome = RunOutcome::Completed;
-        self.core
-            .handle_run_finished(now, reference, outcome, 10, Rc::from(RESULT));
-    }
-
-    /// Carries out the core's effects; the number of runs that they start.
-    fn carry_out_effects(&mut self) -> u64 {
-        let mut started = 0;
-        for effect in take_effects(&mut self.core) {
-            match effect {
-                Effect::StartRun {
-                    reference,
-                    class: KEYED_CLASS,
-                    ..
-                } => {
-                    started += 1;
-                    self.running.push(reference);
-                }
-                Effect::Answer { origin, answer } => {
-                    let attempts = &mut self.attempts;
-                    let mut attempts = attempts.iter_mut();
-                    if let Some(attempt) =
-                        attempts.find(|attempt| attempt.reference == origin.request_number)
-                    {
-                        attempt.answers.push(answer);
-                    }
-                }
-                _ => {}
-            }
-        }
-        started
-    }
-}
-
 /// The processes, their state machines, and the connection.
 pub struct World {
     now: Micros,
@@ -370,9 +291,7 @@
         match self.successor.handle_message(message).expect("in turn") {
             successor::Action::ApplyKey(entry) => {
                 let window_end = entry.window_end;
-                self.new
-                    .core
-                    .apply_transferred_key(now, entry, window_end);
+                self.new.core.apply_transferred_key(now, entry, window_end);
             }
             successor::Action::ReleaseKey(key) => {
                 self.new.core.release_transferred_key(now, &key);
@@ -455,11 +374,10 @@
         let has_authority =
             |process: &Process| process.is_alive && process.core.has_key_authority(self.now);
         assert!(
-            !(has_authority(&self.old) && has_authority(&self.new)) || !self.is_successor_serving(),
+            !(has_authority(&self.old) && has_authority(&self.new) && self.is_successor_serving()),
             "both have the authority over keys"
         );
-        let is_abandoned =
-            |attempt: &Attempt| self.old.abandoned.contains(&attempt.reference);
+        let is_abandoned = |attempt: &Attempt| self.old.abandoned.contains(&attempt.reference);
         let is_unused_at_predecessor = self.old.attempts.iter().all(is_abandoned);
         if self.is_connected() && is_unused_at_predecessor && !self.new.attempts.is_empty() {
             assert_eq!(self.runs, 1, "no process runs a key that is waited for");
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -236,7 +236,10 @@
     // Everything is released after the window, so that there is capacity again.
     core.handle_wakeup(60 * SECOND);
     let sizes = core.table_sizes();
-    assert_eq!((sizes.keys, sizes.key_bytes, sizes.request_bytes), (0, 0, 0));
+    assert_eq!(
+        (sizes.keys, sizes.key_bytes, sizes.request_bytes),
+        (0, 0, 0)
+    );
     core.handle_request(60 * SECOND, incoming(9, 60 * SECOND, Some("new")));
     assert_eq!(started(&take_effects(&mut core)), [9]);
 }
--- a/crates/core/tests/store.rs
+++ b/crates/core/tests/store.rs
@@ -5,8 +5,8 @@
 use common::*;
 use pipitlever_admission::Micros;
 use pipitlever_core::{Answer, Core, Reference, RunOutcome, RunStore};
-use pipitlever_idempotency_store::gate::{Gate, Rules, PATIENCE};
-use pipitlever_idempotency_store::record::{Intent, Kept};
+use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig, SYNC_TIMEOUT};
+use pipitlever_idempotency_store::record::{Intent, Outcome};
 use pipitlever_idempotency_store::recovery::Recovered;
 use std::rc::Rc;
 
@@ -20,40 +20,40 @@
     recovered: Vec<Recovered>,
 ) -> Core {
     let mut core = core();
-    let rules = Rules {
-        most: 1 << 20,
-        spare: 1 << 16,
-        most_result: MAX_RESULT_BYTES,
-        each: false,
+    let config = CommitQueueConfig {
+        capacity: 1 << 20,
+        compaction_reserve: 1 << 16,
+        max_result_bytes: MAX_RESULT_BYTES,
+        sync_each_record: false,
     };
-    let gate = Gate::new(rules, 0, damage_ends_at, 1 << 32);
-    let store = RunStore::new(gate, UPTIME, waits_for_outcome, damage_ends_at);
+    let commit_queue = CommitQueue::new(config, 0, damage_ends_at, 1 << 32);
+    let store = RunStore::new(commit_queue, UPTIME, waits_for_outcome, damage_ends_at);
     core.attach_store(store, recovered);
     core
 }
 
-fn recovered(reference: Reference, kept: Option<Kept>) -> Recovered {
+fn recovered(reference: Reference, outcome: Option<Outcome>) -> Recovered {
     let intent = Intent {
         id: 5,
         reference,
         key: "k".into(),
         class: "swap".into(),
-        payload: 1,
-        arrived: 0,
+        payload_digest: 1,
+        arrived_at: 0,
         window: 20 * SECOND,
-        over: 1030 * SECOND,
-        linger: 10 * SECOND,
+        expires_at: 1030 * SECOND,
+        read_grace: 10 * SECOND,
     };
     Recovered {
         intent,
-        until: 20 * SECOND,
-        kept,
+        window_end: 20 * SECOND,
+        outcome,
     }
 }
 
 /// The number of records in the next batch for the disk.
 fn next_batch_records(core: &mut Core, now: Micros) -> usize {
-    core.next_store_batch(now).expect("a batch").marks.len()
+    core.next_store_batch(now).expect("a batch").expiries.len()
 }
 
 /// Reports a run that took a second and completed.
@@ -146,7 +146,7 @@
     // A duplicate that waits for it gets the same answer.
     core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
     take_effects(&mut core);
-    let late = SECOND + PATIENCE;
+    let late = SECOND + SYNC_TIMEOUT;
     assert!(core.next_wakeup().unwrap() <= late);
     core.handle_wakeup(late);
     assert_eq!(
@@ -185,8 +185,8 @@
 #[test]
 fn recovered_key_is_answered_and_not_run() {
     let cases = [
-        (Some(Kept::Served(b"done".to_vec())), served(b"done")),
-        (Some(Kept::Failed), Answer::Failed { timed_out: false }),
+        (Some(Outcome::Served(b"done".to_vec())), served(b"done")),
+        (Some(Outcome::Failed), Answer::Failed { timed_out: false }),
         (
             None,
             Answer::Unknown {
@@ -194,8 +194,8 @@
             },
         ),
     ];
-    for (kept, expected) in cases {
-        let mut core = core_with_store(false, None, vec![recovered(7, kept)]);
+    for (outcome, expected) in cases {
+        let mut core = core_with_store(false, None, vec![recovered(7, outcome)]);
         assert!(core.is_key_conflict("k", SECOND, 2) && !core.is_key_conflict("k", SECOND, 1));
         core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
         assert_eq!(answers(&take_effects(&mut core)), [(1, expected)]);
@@ -241,7 +241,7 @@
 
 #[test]
 fn damaged_store_rejects_new_keys_for_a_window() {
-    let key = recovered(7, Some(Kept::Failed));
+    let key = recovered(7, Some(Outcome::Failed));
     let mut core = core_with_store(false, Some(20 * SECOND), vec![key]);
     core.handle_request(SECOND, incoming(1, SECOND, Some("other")));
     let [(1, Answer::Rejected { retry_after, .. })] = answers(&take_effects(&mut core))[..] else {
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -140,7 +140,7 @@
     let longest = |of: fn(&pipitlever_admission::Class) -> i64| {
         tuning.settings.classes.iter().map(of).max().unwrap_or(0)
     };
-    let window = longest(|c| c.window) + longest(|c| c.deadline);
+    let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
     let opened = store
         .map(|store| crate::lifecycle::store::open(store, window))
         .transpose()?;
@@ -381,6 +381,7 @@
         requests,
         running,
         keys,
+        ..
     } = hub.core.table_sizes();
     let connections = hub.places.taken();
     log(&format!("counters: {}", hub.core.counters));
--- a/crates/node/src/net/hub/answers.rs
+++ b/crates/node/src/net/hub/answers.rs
@@ -31,20 +31,20 @@
     match answer {
         Answer::Served(result) => {
             let result = if worked {
-                Response::plain_body(&result)
+                ResponseReader::successful_body(&result)
             } else {
                 Some(&*result)
             };
-            match result.filter(|r| r.len() <= jsonrpc::MOST_RESULT) {
-                Some(result) => jsonrpc::served(out, number, result, level),
-                None => jsonrpc::failed(out, Some(number), Code::Failed, level),
+            match result.filter(|r| r.len() <= jsonrpc::MAX_RESULT) {
+                Some(result) => jsonrpc::write_result(out, number, result, level),
+                None => jsonrpc::write_error(out, Some(number), ErrorCode::Failed, level),
             }
         }
         Answer::Rejected {
             retry_after,
             no_retry,
         } => {
-            jsonrpc::refused(
+            jsonrpc::write_rejection(
                 out,
                 number,
                 (retry_after as u64).div_ceil(1000),
@@ -53,14 +53,14 @@
             );
         }
         // On this wire only a refusal has a field for when to come back.
-        Answer::Unknown { .. } => jsonrpc::failed(out, Some(number), Code::Failed, level),
+        Answer::Unknown { .. } => jsonrpc::write_error(out, Some(number), ErrorCode::Failed, level),
         Answer::Failed { timed_out } => {
             let code = if timed_out {
-                Code::Expired
+                ErrorCode::DeadlineExceeded
             } else {
-                Code::Failed
+                ErrorCode::Failed
             };
-            jsonrpc::failed(out, Some(number), code, level);
+            jsonrpc::write_error(out, Some(number), code, level);
         }
     }
 }
@@ -69,28 +69,30 @@
 fn to_uwsgi_client(out: &mut Vec<u8>, answer: Answer, worked: bool) {
     match answer {
         Answer::Served(result) if worked => {
-            pipitlever_wire::copied(result.len());
+            pipitlever_wire::count_copied(result.len());
             out.extend_from_slice(&result);
         }
-        Answer::Served(result) => uwsgi::response(out, Status::Ok, None, &result),
+        Answer::Served(result) => uwsgi::write_response(out, Status::Ok, None, &result),
         Answer::Rejected { retry_after, .. } => {
-            uwsgi::response(
+            uwsgi::write_response(
                 out,
                 Status::Unavailable,
                 Some(whole_seconds(retry_after)),
                 b"",
             );
         }
-        Answer::Unknown { retry_after } => uwsgi::response(
+        Answer::Unknown { retry_after } => uwsgi::write_response(
             out,
             Status::BadGateway,
             Some(whole_seconds(retry_after)),
             b"",
         ),
         Answer::Failed { timed_out: true } => {
-            uwsgi::response(out, Status::GatewayTimeout, None, b"")
+            uwsgi::write_response(out, Status::GatewayTimeout, None, b"")
+        }
+        Answer::Failed { timed_out: false } => {
+            uwsgi::write_response(out, Status::BadGateway, None, b"")
         }
-        Answer::Failed { timed_out: false } => uwsgi::response(out, Status::BadGateway, None, b""),
     }
 }
 
--- a/crates/node/src/net/hub/leaving.rs
+++ b/crates/node/src/net/hub/leaving.rs
@@ -18,7 +18,7 @@
         self.closing = true;
         self.core.replace_load_level(self.last_level);
         for id in self.places.gateways() {
-            self.places.send(id, jsonrpc::goaway);
+            self.places.send(id, jsonrpc::write_goaway);
         }
     }
 
@@ -27,7 +27,7 @@
     pub fn superseded(&mut self, left: Micros) {
         (self.draining, self.superseded) = (true, true);
         self.leaving.give();
-        self.tell(|core, now| core.begin_superseded_shutdown(now, left));
+        self.tell(|core, now| core.begin_retirement(now, left));
     }
 
     /// Whether the node goes on in another process after this one.
@@ -40,7 +40,7 @@
         self.taking = taking;
         if !taking {
             for id in self.places.gateways() {
-                self.places.send(id, jsonrpc::goaway);
+                self.places.send(id, jsonrpc::write_goaway);
             }
         }
     }
--- a/crates/node/src/net/hub/notices.rs
+++ b/crates/node/src/net/hub/notices.rs
@@ -11,32 +11,32 @@
     /// The processor said something.
     pub fn notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Hi { cold, ms } => {
+            Notice::Hello { is_cold, uptime_ms } => {
                 self.link.hi();
-                self.tell(|core, now| core.start(now, now - (ms * 1e3) as Micros, cold));
+                self.tell(|core, now| core.start(now, now - (uptime_ms * 1e3) as Micros, is_cold));
             }
-            Notice::Complete {
-                id,
-                end,
-                ms,
+            Notice::RunEnded {
+                reference,
+                outcome,
+                duration_ms,
                 result,
             } => {
-                let end = match end {
-                    RunEnd::Fine => RunOutcome::Completed,
-                    RunEnd::Fault => RunOutcome::Failed,
-                    RunEnd::BrokenOff => RunOutcome::Aborted,
-                    RunEnd::Late => RunOutcome::NotStarted,
+                let end = match outcome {
+                    processor::RunOutcome::Succeeded => RunOutcome::Completed,
+                    processor::RunOutcome::Failed => RunOutcome::Failed,
+                    processor::RunOutcome::Interrupted => RunOutcome::Aborted,
+                    processor::RunOutcome::NotStarted => RunOutcome::NotStarted,
                 };
-                let took = (ms * 1e3) as Micros;
-                self.tell(|core, now| core.handle_run_finished(now, id, end, took, result));
+                let took = (duration_ms * 1e3) as Micros;
+                self.tell(|core, now| core.handle_run_finished(now, reference, end, took, result));
             }
-            Notice::Ask { id, body } => {
-                self.tell(|core, now| core.handle_call_requested(now, id, body))
+            Notice::CallRequested { reference, body } => {
+                self.tell(|core, now| core.handle_call_requested(now, reference, body))
             }
-            Notice::Used { question, gauges } => {
+            Notice::Gauges { query, values } => {
                 let named = |name: &str| {
                     let at = self.gauge_names.iter().position(|n| n == name)?;
-                    gauges.get(at).filter(|v| v.is_finite())
+                    values.get(at).filter(|v| v.is_finite())
                 };
                 let gauges = Gauges {
                     core_use: named("core_use"),
@@ -45,16 +45,15 @@
                     connections: named("links"),
                 };
                 self.tell(|core, now| core.update_gauges(now, gauges));
-                self.link
-                    .answered(self.clock.now(), question, &mut self.core);
+                self.link.answered(self.clock.now(), query, &mut self.core);
             }
-            Notice::Reject { command, id } => {
+            Notice::CommandRejected { command, reference } => {
                 let command = match command {
-                    Command::Begin => RejectedCommand::Start,
-                    Command::Interrupt => RejectedCommand::Stop,
-                    Command::Other => RejectedCommand::Other,
+                    CommandKind::Start => RejectedCommand::Start,
+                    CommandKind::Interrupt => RejectedCommand::Stop,
+                    CommandKind::Other => RejectedCommand::Other,
                 };
-                self.tell(|core, now| core.handle_command_rejected(now, id, command));
+                self.tell(|core, now| core.handle_command_rejected(now, reference, command));
             }
         }
     }
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -7,7 +7,7 @@
 use crate::net::workers::pools::{divided, Parts};
 use crate::net::workers::routes::Named;
 use pipitlever_membership::record::State;
-use pipitlever_membership::Fleet;
+use pipitlever_membership::Membership;
 use pipitlever_subsetting::node::{Member, Node, Pool, Times};
 use pipitlever_subsetting::plan::{Use, Worker};
 use pipitlever_subsetting::told::Told;
@@ -64,7 +64,7 @@
         zone: label.zone.clone(),
         weight: m.weight,
         tier: m.tier,
-        most_runs: m.most_runs,
+        most_runs: m.max_runs,
     };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
@@ -106,13 +106,13 @@
     }
 
     /// Whether the view has changed since it was last looked at.
-    pub fn stale(&self, fleet: &Fleet) -> bool {
+    pub fn stale(&self, fleet: &Membership) -> bool {
         fleet.digest() != self.seen.get().0
     }
 
     /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until`
     /// others may have it.
-    pub fn turn(&self, fleet: &Fleet, now: i64, until: i64) {
+    pub fn turn(&self, fleet: &Membership, now: i64, until: i64) {
         let alone = until <= now;
         // What is not looked at again by then is not known to be right: the process stood still.
         let until = until.min(now + self.hold);
@@ -135,10 +135,10 @@
             node.count(i, hub.pools.wanted(given.pool));
             let pool = hub.pools.pool(given.pool);
             let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
-            let out: Vec<usize> = pool.out().filter_map(at).collect();
+            let out: Vec<usize> = pool.ejected_members().filter_map(at).collect();
             node.left_out(i, &out);
             for worker in out {
-                pool.behind(
+                pool.set_probe_deferred(
                     &given.workers[worker].1,
                     node.turn(i, worker) == Turn::Behind,
                 );
@@ -148,7 +148,7 @@
             let given = &self.given.borrow()[i];
             hub.pools
                 .pool(given.pool)
-                .found_well(now, &given.workers[worker].1);
+                .hasten_probation(now, &given.workers[worker].1);
         }
         node.tick(now);
         for (i, given) in self.given.borrow().iter().enumerate() {
@@ -229,16 +229,16 @@
 }
 
 /// The members, by name. Who has left has no part; who is down has, for a while.
-fn members(fleet: &Fleet) -> Vec<Member> {
+fn members(fleet: &Membership) -> Vec<Member> {
     let there = fleet
         .members()
         .iter()
-        .filter(|(_, m)| !m.fading && m.record.state != State::Left);
+        .filter(|(_, m)| !m.is_tombstone && m.record.state != State::Left);
     let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
         told: told(&m.record.details.payload),
-        down: (m.record.state == State::Down).then_some(m.since),
+        down: (m.record.state == State::Down).then_some(m.state_since),
     };
     there.map(member).collect()
 }
