--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -4,8 +4,9 @@
 //! The decisions are those of [`pipitlever_idempotency_store::commit_queue`] and
 //! [`pipitlever_idempotency_store::recovery`].
 
+use crate::core::intake::{Overload, OVERLOAD_RETRY_AFTER};
 use crate::core::runs::FinishedRun;
-use crate::core::{Core, OVERLOAD_RETRY_AFTER};
+use crate::core::Core;
 use crate::effect::RunOutcome;
 use crate::idempotency_table::{CachedOutcome, RestoredKey};
 use crate::request::Reference;
@@ -69,20 +70,22 @@
         });
     }
 
-    /// Whether the store rejects new keys: the reason for a capture, and the delay to advise, in
-    /// microseconds.
-    pub(super) fn check_store(&self, now: Micros) -> Option<(By, Micros)> {
+    /// The reason why the store accepts no new keys, if it accepts none.
+    pub(super) fn check_store(&self, now: Micros) -> Option<Overload> {
         let store = self.store.as_ref()?;
-        let rejection = match store.commit_queue.refusal(now)? {
-            RefusalReason::Full => (By::StoreFull, OVERLOAD_RETRY_AFTER),
-            RefusalReason::Failing | RefusalReason::Slow => (By::Store, OVERLOAD_RETRY_AFTER),
+        let overload = match store.commit_queue.refusal(now)? {
+            RefusalReason::Full => Overload::new(By::StoreFull),
+            RefusalReason::Failing | RefusalReason::Slow => Overload::new(By::Store),
             RefusalReason::Damaged => {
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
-                (By::Store, remaining.clamp(OVERLOAD_RETRY_AFTER, longest))
+                Overload {
+                    by: By::Store,
+                    retry_after: remaining.clamp(OVERLOAD_RETRY_AFTER, longest),
+                }
             }
         };
-        Some(rejection)
+        Some(overload)
     }
 
     /// Writes the intent of a keyed run, which is dispatched once that is on the disk. Returns
--- a/crates/core/src/core/intake.rs
+++ b/crates/core/src/core/intake.rs
@@ -14,17 +14,33 @@
 /// microseconds.
 pub const OVERLOAD_RETRY_AFTER: Micros = 200_000;
 
-/// A rejection by the node itself, before the controller has seen the request.
-struct EarlyRejection {
+/// An answer that the node itself gives before the controller has seen the request.
+struct EarlyAnswer {
     answer: Answer,
     by: By,
 }
 
+/// A limit of the node itself that rejects a request.
+pub(super) struct Overload {
+    /// Which limit, for a capture.
+    pub(super) by: By,
+    /// The delay to advise, in microseconds.
+    pub(super) retry_after: Micros,
+}
+
+impl Overload {
+    /// A limit with the usual advice.
+    pub(super) fn new(by: By) -> Overload {
+        let retry_after = OVERLOAD_RETRY_AFTER;
+        Overload { by, retry_after }
+    }
+}
+
 impl Core {
     /// Handles a request. It is answered exactly once from here on, unless its caller abandons it.
     pub fn handle_request(&mut self, now: Micros, incoming: IncomingRequest) {
         self.counters.requests += 1;
-        if let Some(EarlyRejection { answer, by }) = self.check_early_rejection(now, &incoming) {
+        if let Some(EarlyAnswer { answer, by }) = self.check_acceptance(now, &incoming) {
             self.advance_to(now);
             self.admission
                 .capture_answer(self.now, &incoming, &answer, by);
@@ -101,12 +117,8 @@
         event
     }
 
-    /// Whether the node rejects a request before the controller sees it. Such a request never runs.
-    fn check_early_rejection(
-        &self,
-        now: Micros,
-        incoming: &IncomingRequest,
-    ) -> Option<EarlyRejection> {
+    /// The answer to a request that the node itself does not accept. Such a request never runs.
+    fn check_acceptance(&self, now: Micros, incoming: &IncomingRequest) -> Option<EarlyAnswer> {
         let has_new_key = incoming
             .idempotency_key
             .as_ref()
@@ -114,24 +126,34 @@
         if has_new_key {
             if let Some(answer) = self.check_unknown_key(now, incoming.is_retry) {
                 let by = By::Elsewhere;
-                return Some(EarlyRejection { answer, by });
+                return Some(EarlyAnswer { answer, by });
             }
         }
-        // No entry may be evicted, so new work has to wait.
-        let (by, retry_after) = if !self.admission.is_started() {
-            (By::NotUp, OVERLOAD_RETRY_AFTER)
+        let Overload { by, retry_after } = self.check_limits(now, incoming, has_new_key)?;
+        let answer = Answer::rejected(self.availability.advised_delay(retry_after));
+        Some(EarlyAnswer { answer, by })
+    }
+
+    /// The limit that a request exceeds. No entry of a table may be evicted for it, so new work has
+    /// to wait.
+    fn check_limits(
+        &self,
+        now: Micros,
+        incoming: &IncomingRequest,
+        has_new_key: bool,
+    ) -> Option<Overload> {
+        if !self.admission.is_started() {
+            Some(Overload::new(By::NotUp))
         } else if self.is_configuration_expired(now) {
-            (By::Floor, OVERLOAD_RETRY_AFTER)
+            Some(Overload::new(By::Floor))
         } else if self.requests.is_full_for(incoming.bytes()) {
-            (By::Full, OVERLOAD_RETRY_AFTER)
+            Some(Overload::new(By::Full))
         } else if has_new_key && self.keys.is_full() {
-            (By::KeysFull, OVERLOAD_RETRY_AFTER)
+            Some(Overload::new(By::KeysFull))
         } else if has_new_key {
-            self.check_store(now)?
+            self.check_store(now)
         } else {
-            return None;
-        };
-        let answer = Answer::rejected(self.availability.advised_delay(retry_after));
-        Some(EarlyRejection { answer, by })
+            None
+        }
     }
 }
--- a/crates/core/src/core/runs.rs
+++ b/crates/core/src/core/runs.rs
@@ -17,6 +17,16 @@
     pub(super) result: Rc<[u8]>,
 }
 
+/// What the end of a run means.
+struct Conclusion {
+    /// For the controller.
+    outcome: Outcome,
+    /// For the caller.
+    answer: Answer,
+    /// For duplicates; none if the key has not run.
+    cached: Option<CachedOutcome>,
+}
+
 impl FinishedRun {
     /// A run that was never started.
     pub(super) fn not_started() -> FinishedRun {
@@ -143,7 +153,11 @@
             self.effects.push(Effect::CancelCall { reference });
         }
         let key = request.incoming.idempotency_key.clone();
-        let (outcome, answer, cached) = self.conclude(run.outcome, run.result);
+        let Conclusion {
+            outcome,
+            answer,
+            cached,
+        } = self.conclude(run.outcome, run.result);
         self.answer(id, answer.clone(), by);
         self.close(id);
         self.admission.enqueue(Event::Finished {
@@ -156,28 +170,30 @@
         }
     }
 
-    /// What the end of a run means for the controller, for the caller and for duplicates.
-    fn conclude(
-        &mut self,
-        outcome: RunOutcome,
-        result: Rc<[u8]>,
-    ) -> (Outcome, Answer, Option<CachedOutcome>) {
-        let failed = Answer::Failed { timed_out: false };
+    /// Counts a completed run, and derives what the end of a run means.
+    fn conclude(&mut self, outcome: RunOutcome, result: Rc<[u8]>) -> Conclusion {
+        let failed = |outcome| Conclusion {
+            outcome,
+            answer: Answer::Failed { timed_out: false },
+            cached: Some(CachedOutcome::Failed),
+        };
         match outcome {
             RunOutcome::Completed if result.len() <= self.keys.max_result_bytes() => {
                 self.counters.runs_completed += 1;
-                let cached = CachedOutcome::Served(result.clone());
-                (Outcome::Success, Answer::Served(result), Some(cached))
+                Conclusion {
+                    outcome: Outcome::Success,
+                    answer: Answer::Served(result.clone()),
+                    cached: Some(CachedOutcome::Served(result)),
+                }
             }
             // A result beyond the limit can be neither passed on nor cached.
-            RunOutcome::Completed | RunOutcome::Failed => {
-                (Outcome::Error, failed, Some(CachedOutcome::Failed))
-            }
-            RunOutcome::Aborted => (Outcome::Cancelled, failed, Some(CachedOutcome::Failed)),
-            RunOutcome::NotStarted => {
-                let rejected = Answer::rejected(OVERLOAD_RETRY_AFTER);
-                (Outcome::NotStarted, rejected, None)
-            }
+            RunOutcome::Completed | RunOutcome::Failed => failed(Outcome::Error),
+            RunOutcome::Aborted => failed(Outcome::Cancelled),
+            RunOutcome::NotStarted => Conclusion {
+                outcome: Outcome::NotStarted,
+                answer: Answer::rejected(OVERLOAD_RETRY_AFTER),
+                cached: None,
+            },
         }
     }
 
