--- a/crates/admission/tests/settings.rs
+++ b/crates/admission/tests/settings.rs
@@ -164,6 +164,6 @@
 /// By hand: `cargo test --release --test settings -- --ignored`.
 #[test]
 #[ignore = "250 days"]
-fn every_rule_holds_under_mplatform_settings() {
+fn every_rule_holds_under_many_settings() {
     days(0..250);
 }
--- a/crates/core/src/deployments.rs
+++ b/crates/core/src/deployments.rs
@@ -277,7 +277,7 @@
 
 #[test]
 #[ignore = "250 days"]
-fn every_rule_holds_in_the_core_under_mplatform_settings() {
+fn every_rule_holds_in_the_core_under_many_settings() {
     for seed in 0..250 {
         play(seed);
     }
