--- a/crates/admission/src/interface/actions.rs
+++ b/crates/admission/src/interface/actions.rs
@@ -1,67 +1,70 @@
-//! What is to be done about it.
+//! Actions: what the controller instructs its host to do.
 
 use super::{Micros, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// Something to be done, at once and in order.
+/// An instruction to the host. The host carries out the actions of a step immediately and in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Start a held request.
+    /// Start a queued request.
     Run(RequestId),
-    /// Answer a held request from the outcome of the one it repeats.
+    /// Answer a duplicate from the outcome of the request that it duplicates.
     #[serde(rename = "Reuse")]
     ReuseOutcome(RequestId),
-    /// Turn a request away; it was never run.
+    /// Reject a request. It never ran, or it is an idempotent one that still runs.
     #[serde(rename = "Refuse")]
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the caller should stay away; 0 for no advice.
+        /// How long the caller should wait before its next request; 0 for no advice.
         #[serde(rename = "backoff")]
         retry_after: Micros,
-        /// The caller should not try elsewhere.
+        /// Whether the caller should not retry elsewhere.
         no_retry: bool,
     },
-    /// Answer with an error, without assurance.
+    /// Answer a request with an error. It may have taken effect.
     Fail(RequestId),
-    /// Remember a request, so that repeats are recognised.
+    /// Retain the key of a request for this time, so that duplicates are recognized.
     #[serde(rename = "Keep")]
     RetainKey(RequestId, Micros),
-    /// Drop the entry of a request.
+    /// Release the retained key of a request.
     #[serde(rename = "Forget")]
     ReleaseKey(RequestId),
-    /// Place the call that a request waits for, abandoned after this time.
+    /// Place the downstream call of a request, with this timeout.
     #[serde(rename = "Call")]
     PlaceCall(RequestId, Micros),
-    /// Go on without the call.
+    /// Continue a request without its downstream call.
     SkipCall(RequestId),
-    /// Halt a running request.
+    /// Cancel a running request.
     #[serde(rename = "Halt")]
     Cancel(RequestId),
-    /// Tell callers this level with every answer.
+    /// Advertise this backpressure level to callers with every answer. [`BackpressureKind`]
+    /// determines its meaning.
+    ///
+    /// [`BackpressureKind`]: super::BackpressureKind
     #[serde(rename = "Level")]
     Backpressure(f64),
-    /// Answer health checks so, from store.
+    /// Answer health checks with this result, without consulting the controller.
     Health(bool),
-    /// Close connections that were idle for this long.
+    /// Close connections that have been idle for this time.
     CloseIdle(Micros),
-    /// Wake after this time with this tag.
+    /// Deliver a timer event with this tag after this time.
     Timer(Micros, u64),
 }
 
 impl Action {
-    /// The request that it is about, if any.
+    /// The request that the action concerns, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Action::Run(id)
             | Action::ReuseOutcome(id)
+            | Action::Reject { id, .. }
             | Action::Fail(id)
-            | Action::RetainKey(id, _) => Some(*id),
-            Action::ReleaseKey(id)
+            | Action::RetainKey(id, _)
+            | Action::ReleaseKey(id)
             | Action::PlaceCall(id, _)
             | Action::SkipCall(id)
             | Action::Cancel(id) => Some(*id),
-            Action::Reject { id, .. } => Some(*id),
             Action::Backpressure(_)
             | Action::Health(_)
             | Action::CloseIdle(_)
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -1,9 +1,9 @@
-//! What happens to a server: requests read, runs and calls that ended, timers.
+//! Events: requests read, runs and downstream calls ended, timers expired.
 
 use super::{Micros, RequestId};
 use serde::{Deserialize, Serialize};
 
-/// How a run or a call ended.
+/// How a run or a downstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It succeeded.
@@ -11,85 +11,85 @@
     Success,
     /// It failed and may have taken effect.
     Error,
-    /// A call was turned away unseen: it never ran.
+    /// Downstream rejected the call: it never ran.
     #[serde(rename = "Busy")]
     Rejected,
-    /// A call was abandoned and may have taken effect.
+    /// The call timed out and may have taken effect.
     TimedOut,
-    /// A call found nobody there: it never ran.
+    /// No connection could be established for the call: it never ran.
     Unreachable,
-    /// A call was interrupted and may have taken effect.
+    /// The connection of the call broke; it may have taken effect.
     Reset,
-    /// A run was halted, or ended at a call because its answer was given.
+    /// The run was cancelled, or it ended during its call because its answer was already sent.
     Cancelled,
-    /// Nothing was started: the request had concluded.
+    /// Nothing was started, as the request had already concluded.
     #[serde(rename = "Moot")]
     NotStarted,
 }
 
-/// A request that has been read.
+/// A request that the host has read.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// Its number.
+    /// The number of the request.
     pub id: RequestId,
-    /// Its class.
+    /// The position of its class in the settings.
     pub class: usize,
-    /// Its tenant, if any.
+    /// The position of its tenant in the settings, if it belongs to one.
     pub tenant: Option<usize>,
-    /// Whether it names a subject.
+    /// Whether it names the object that it reads or writes.
     pub has_key: bool,
-    /// How long its caller still waits, if told.
+    /// How long its caller still waits, if known.
     #[serde(rename = "patience")]
     pub timeout: Option<Micros>,
-    /// Expected work, if told.
+    /// The expected amount of work in the units of its class, if known.
     pub cost: Option<f64>,
-    /// Memory while held.
+    /// The memory that it occupies while queued, in kilobytes.
     pub memory_kb: f64,
-    /// Rank from 0 to under 1, the more worthy the higher.
+    /// The priority from 0 to below 1; a higher one is admitted first.
     #[serde(rename = "rank")]
     pub priority: f64,
-    /// A further try or a second copy.
+    /// Whether it is marked as a retry or as a second copy.
     #[serde(rename = "retry")]
     pub is_retry: bool,
-    /// A write.
+    /// Whether it is a write.
     #[serde(rename = "write")]
     pub is_write: bool,
-    /// Time since it arrived at the machine.
+    /// The time since it reached the machine, before it was read.
     #[serde(rename = "queued")]
     pub queue_time: Micros,
-    /// The kept request that this one repeats.
+    /// The request with a retained key that this one duplicates.
     #[serde(rename = "same_as")]
     pub duplicate_of: Option<RequestId>,
 }
 
-/// Something that happened.
+/// An event at the server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A request was read and is now held.
+    /// A request was read and is now queued.
     Arrived(Request),
-    /// The server is to leave; its process stops after this time.
+    /// The server shuts down; its process stops after this time.
     #[serde(rename = "Leaving")]
     ShutdownNotice(Micros),
-    /// A run or a reuse ended.
+    /// A run or the reuse of an outcome ended.
     Finished {
         /// The request.
         id: RequestId,
-        /// Time since it was started, waits included.
+        /// The time since its start, including all waits.
         #[serde(rename = "took")]
         elapsed: Micros,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Nobody awaits this request any longer.
+    /// The caller of a request no longer waits for the answer.
     #[serde(rename = "Gone")]
     Abandoned(RequestId),
-    /// A running request cannot go on without a call.
+    /// A running request needs a downstream call in order to continue.
     NeedsCall(RequestId),
-    /// A call ended.
+    /// A downstream call ended.
     CallEnded {
         /// The request.
         id: RequestId,
-        /// Time since the call was placed.
+        /// The time since the call was placed.
         #[serde(rename = "took")]
         elapsed: Micros,
         /// How it ended.
@@ -97,29 +97,31 @@
     },
     /// A timer expired.
     Timer {
-        /// The tag it was set with.
+        /// The tag that the timer was set with.
         tag: u64,
-        /// Busy share of the cores, lately.
+        /// The recent utilization of the cores, from 0 to 1.
         #[serde(rename = "core_use")]
         cpu_utilization: Option<f64>,
-        /// All that needs a core now, reading included.
+        /// The number of activities that currently need a core: runs and reading.
         #[serde(rename = "on_cores")]
         runnable: Option<f64>,
-        /// Share of memory in use.
+        /// The share of memory in use, from 0 to 1.
         #[serde(rename = "memory_use")]
         memory_utilization: Option<f64>,
-        /// Open connections.
+        /// The number of open connections.
         connections: Option<f64>,
     },
 }
 
 impl Event {
-    /// The request that it is about, if any.
+    /// The request that the event concerns, if any.
     pub fn request(&self) -> Option<RequestId> {
         match self {
             Event::Arrived(request) => Some(request.id),
-            Event::Finished { id, .. } | Event::CallEnded { id, .. } => Some(*id),
-            Event::Abandoned(id) | Event::NeedsCall(id) => Some(*id),
+            Event::Finished { id, .. }
+            | Event::CallEnded { id, .. }
+            | Event::Abandoned(id)
+            | Event::NeedsCall(id) => Some(*id),
             Event::ShutdownNotice(_) | Event::Timer { .. } => None,
         }
     }
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -1,74 +1,75 @@
-//! What a controller is told at its start: classes, tenants, and the limits that must hold.
+//! Settings: request classes, tenants, and the limits that the controller enforces.
 
 use super::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Whether a request may be run more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// Idempotent: safe to run again.
     #[serde(rename = "Free")]
     Idempotent,
-    /// Carries a key; runs at most once here within the class's window.
+    /// Has an idempotency key; runs at most once on this server within the class's window.
     Keyed,
-    /// Must never be run twice and carries no key.
+    /// Not idempotent, and has no key: must never run twice.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
-/// A class of request.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time of the first try earns full worth.
+    /// The latency objective: an answer within this time of the first attempt has full weight.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// How long a client waits in all.
+    /// How long a client waits, over all attempts.
     pub deadline: Micros,
-    /// Whether its requests may be repeated.
+    /// Whether requests of this class may run more than once.
     pub idempotency: Idempotency,
-    /// For keyed classes: how long after an arrival a repeat may come.
+    /// For keyed classes: how long after an arrival duplicates can arrive.
     #[serde(rename = "window")]
     pub idempotency_window: Micros,
-    /// Worth of one request, or of one unit of its work.
+    /// The weight of a request, or of a unit of its work (see [`Settings::is_weighted_by_work`]).
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the worth that an answer after the aim still earns.
+    /// The share of the weight that an answer after the latency objective retains.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
-    /// The aim grows by this multiple of the request's own work.
+    /// The latency objective is extended by this time for each unit of a request's cost, in
+    /// microseconds.
     #[serde(rename = "aim_stretch")]
     pub objective_per_cost: f64,
-    /// Whether its requests may call the layer below.
+    /// Whether requests of this class may place downstream calls.
     #[serde(rename = "calls")]
     pub makes_calls: bool,
-    /// Share of the worth that is left when a call is skipped; 0 forbids skipping.
+    /// The share of the weight that remains when a call is skipped; 0 forbids skipping.
     #[serde(rename = "skip_worth")]
     pub skip_call_weight: f64,
 }
 
-/// A tenant and what it may use.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Requests a second, over the whole fleet, within its share.
+    /// The quota in requests per second, over the whole fleet.
     pub quota_rps: f64,
 }
 
-/// What lies below this server.
+/// What the server calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Downstream {
-    /// Nothing is called.
+    /// The server makes no calls.
     #[serde(rename = "Nothing")]
     None,
-    /// One dependency that all servers share.
+    /// A dependency that all servers of the fleet share.
     Shared,
-    /// The servers of a further tier.
+    /// The servers of another tier.
     Tier,
 }
 
-/// What halting a run does.
+/// The effect of cancelling a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancellationMode {
-    /// Running work cannot be halted.
+    /// Runs cannot be cancelled.
     #[serde(rename = "Never")]
     Unsupported,
     /// The work done is lost.
@@ -77,101 +78,102 @@
     Suspend,
 }
 
-/// What callers make of the level they are told.
+/// How callers interpret the advertised backpressure level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackpressureKind {
-    /// No level may be told.
+    /// No level may be advertised.
     #[serde(rename = "Never")]
     Disabled,
-    /// Callers send nothing of lower rank.
+    /// Callers send no request with a priority below the level.
     Threshold,
-    /// Each caller keeps at most this many requests outstanding here.
+    /// Each caller has at most this many requests outstanding at this server.
     Window,
-    /// The chance that a caller does not pass this server over.
+    /// The probability with which a caller considers this server.
     Share,
 }
 
-/// Limits that keep a server alive and its answers in time.
+/// Limits that keep the server available and its answers in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// How long after its due time an answer still counts.
+    /// How long after its deadline an answer still counts.
     pub answer_slack: Micros,
-    /// A cold server is warm within this time.
+    /// The time after its start within which a cold server reaches full speed.
     #[serde(rename = "cold_for")]
     pub warmup_time: Micros,
-    /// The share of full speed that a cold server starts at, at the least.
+    /// The minimum speed of a cold server at its start, as a share of full speed.
     #[serde(rename = "cold_from")]
     pub cold_speed: f64,
-    /// Requests arriving later than this after the notice to leave must not be run.
+    /// Requests that arrive later than this after the shutdown notice must not run.
     pub drain_grace: Micros,
-    /// The span over which the crowd on the cores is averaged.
+    /// The time over which concurrency on the cores is averaged.
     #[serde(rename = "crowd_span")]
     pub concurrency_window: Micros,
-    /// Runs on the cores, for each core, that a warm server survives.
+    /// The number of concurrent runs per core that a warm server survives.
     #[serde(rename = "crowd")]
     pub max_concurrency_per_core: f64,
 }
 
-/// All that a controller is told at its start.
+/// The settings of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Classes of request; events name them by position.
+    /// The request classes; events refer to them by position.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// The tenants; can be empty. Events refer to them by position.
     pub tenants: Vec<Tenant>,
-    /// Servers in the fleet at this start.
+    /// The number of servers in the fleet at the start.
     pub replicas: f64,
-    /// Callers at this start.
+    /// The number of callers at the start.
     pub callers: f64,
-    /// Cores of this server.
+    /// The number of cores of this server.
     pub cores: f64,
-    /// Memory for held and running requests and kept keys.
+    /// The memory for queued and running requests and retained keys, in kilobytes.
     pub memory_kb: f64,
-    /// A running request needs this multiple of its held memory.
+    /// The memory of a running request as a multiple of its memory while queued.
     #[serde(rename = "run_factor")]
     pub run_memory_factor: f64,
-    /// Memory of one kept key.
+    /// The memory of one retained key, in kilobytes.
     pub key_kb: f64,
-    /// The server has only just been started and is slow at first.
+    /// Whether the server has just started and is slow at first.
     #[serde(rename = "cold")]
     pub is_cold: bool,
-    /// What lies below.
+    /// What the server calls.
     #[serde(rename = "below")]
     pub downstream: Downstream,
-    /// Mean number of calls in the dependency's hands that is this server's share.
+    /// This server's share of the shared dependency: the mean number of calls in flight.
     pub call_share: f64,
-    /// The span over which that mean is taken.
+    /// The time over which that mean is taken.
     #[serde(rename = "call_span")]
     pub call_window: Micros,
-    /// How long an abandoned call may stay in the dependency's hands.
+    /// How long an abandoned call can continue to occupy the dependency.
     #[serde(rename = "linger")]
     pub call_linger: Micros,
-    /// How long the answer of a read may serve other reads of the same key; 0 for never.
+    /// How long the answer of a read can serve other reads of the same key; 0 disables this.
     #[serde(rename = "fresh")]
     pub read_cache_ttl: Micros,
-    /// What halting does.
+    /// The effect of cancelling a run.
     #[serde(rename = "halt")]
     pub cancellation: CancellationMode,
-    /// How the level is read by callers.
+    /// How callers interpret the backpressure level.
     #[serde(rename = "level")]
     pub backpressure: BackpressureKind,
-    /// Longest idle time of a connection; callers close it after that.
+    /// The longest time that a connection can be idle before callers close it.
     #[serde(rename = "keepalive_max")]
     pub max_keepalive: Micros,
-    /// Longest advice to stay away that callers observe.
+    /// The longest retry advice that callers observe.
     #[serde(rename = "max_backoff")]
     pub max_retry_after: Micros,
-    /// Worth of a request beyond its tenant's share, as a share of the usual.
+    /// The weight of a request beyond its tenant's quota, as a share of its normal weight.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
-    /// Worth is counted by work rather than by request.
+    /// Whether weights apply to units of work rather than to requests.
     #[serde(rename = "worth_by_work")]
     pub is_weighted_by_work: bool,
-    /// Limits that must hold.
+    /// Limits that keep the server available.
     pub safety: Safety,
 }
 
-/// A class safe to repeat, without calls, of one second's aim and five seconds' deadline.
+/// An idempotent class without calls, with a latency objective of one second and a deadline of five
+/// seconds.
 impl Default for Class {
     fn default() -> Self {
         Class {
@@ -188,6 +190,7 @@
     }
 }
 
+/// Limits of a server that is warm at its start.
 impl Default for Safety {
     fn default() -> Self {
         Safety {
@@ -201,7 +204,7 @@
     }
 }
 
-/// One server of one core that calls nothing and has no tenants.
+/// A single server with one core that makes no calls and has no tenants.
 impl Default for Settings {
     fn default() -> Self {
         Settings {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,7 +1,9 @@
-//! pipitlever decides, inside each server of a fleet, what the server takes, runs and turns away.
+//! Admission control of one server: decides which requests it admits, when it starts them, and
+//! which it rejects.
 //!
-//! A host feeds a [`Controller`] what happens and carries out what it says. The controller reads no
-//! clock, starts no thread and shares nothing: the same events give the same actions.
+//! A host passes events to a [`Controller`] and carries out the actions that it returns. The
+//! controller performs no I/O, reads no clock and starts no threads: the same events produce the
+//! same actions.
 //!
 //! ```
 //! use pipitlever_admission::*;
@@ -25,8 +27,12 @@
 //! ```
 
 pub mod interface;
-mod rules;
-mod view;
+mod policy;
+mod status;
 
-pub use interface::*;
-pub use rules::Controller;
+pub use interface::{
+    Action, BackpressureKind, CancellationMode, Cause, Class, ControllerStatus, Downstream, Event,
+    Idempotency, Micros, Mode, Outcome, QueueStatus, Request, RequestId, RequestStatus, Safety,
+    Settings, Stage, Tenant,
+};
+pub use policy::Controller;
--- a/crates/admission/tests/rules.rs
+++ b/crates/admission/tests/rules.rs
@@ -267,10 +267,10 @@
     const MOST_FILE_LINES: usize = 400;
     let deploy = include_str!("../../../deploy/balancer.toml");
     let mut files = 0;
-    for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/rules")).unwrap() {
+    for file in std::fs::read_dir(concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy")).unwrap() {
         let path = file.unwrap().path();
         let name = path.file_name().unwrap().to_str().unwrap().to_string();
-        let listed = format!("\"crates/admission/src/rules/{name}\"");
+        let listed = format!("\"crates/admission/src/policy/{name}\"");
         assert!(deploy.contains(&listed), "{name} is not named under policy");
         let text = std::fs::read_to_string(&path).unwrap();
         assert!(text.lines().count() <= MOST_FILE_LINES, "{name}");
--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -82,7 +82,7 @@
     std::panic::set_hook(Box::new(move |info| {
         let module = info
             .location()
-            .is_some_and(|l| l.file().contains("src/rules/"));
+            .is_some_and(|l| l.file().contains("src/policy/"));
         if !module {
             usual(info);
         }
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,5 +1,5 @@
-//! The shape of the platform's JSON. Fields have the names of the field's terms; `rename` attributes
-//! hold the platform's keys where these differ.
+//! The shape of the platform's JSON. Fields have the names of the field's terms; `rename`
+//! attributes hold the platform's keys where these differ.
 
 use pipitlever_admission::Micros;
 use serde::Deserialize;
