--- a/crates/node/src/net/processor/connection.rs
+++ b/crates/node/src/net/processor/connection.rs
@@ -121,12 +121,14 @@
         self.questions += 1;
         for Command { told, body } in &self.unread {
             match told {
-                Told::Begin(reference, _, class) => processor::begin(out, *reference, class, body),
-                Told::Answer(reference) => processor::answer(out, *reference, body),
-                Told::Interrupt(reference) => processor::interrupt(out, *reference),
+                Told::Begin(reference, _, class) => {
+                    processor::write_start(out, *reference, class, body)
+                }
+                Told::Answer(reference) => processor::write_call_reply(out, *reference, body),
+                Told::Interrupt(reference) => processor::write_interrupt(out, *reference),
             }
         }
-        processor::usage(out, self.questions);
+        processor::write_gauge_query(out, self.questions);
         true
     }
 
@@ -150,9 +152,9 @@
     fn caught_up(&mut self, core: &mut Core) {
         for command in std::mem::take(&mut self.doubtful).into_iter().rev() {
             let again = match &command.told {
-                Told::Begin(reference, once, _) => !once && core.may_begin_again(*reference),
-                Told::Answer(reference) => core.may_answer_again(*reference),
-                Told::Interrupt(reference) => core.may_interrupt_again(*reference),
+                Told::Begin(reference, once, _) => !once && core.may_resend_start(*reference),
+                Told::Answer(reference) => core.may_resend_reply(*reference),
+                Told::Interrupt(reference) => core.may_resend_stop(*reference),
             };
             if again {
                 self.commands.push_front(command);
