--- a/crates/admission/src/policy/call_limit.rs
+++ b/crates/admission/src/policy/call_limit.rs
@@ -36,7 +36,7 @@
     pub(crate) in_flight: f64,
     /// The times until which abandoned calls still occupy the dependency.
     #[serde(rename = "lingering")]
-    pub(crate) lingering_until: VecDeque<Micros>,
+    pub(crate) abandoned_until: VecDeque<Micros>,
     /// Unspent call time in call-microseconds; negative after a slow call.
     pub(crate) credit: f64,
     /// The time up to which the credit is computed.
@@ -53,7 +53,7 @@
         let [_, max] = CallLimit::bounds(settings);
         CallLimit {
             in_flight: 0.0,
-            lingering_until: VecDeque::new(),
+            abandoned_until: VecDeque::new(),
             credit: 0.0,
             credit_at: 0,
             limit: if settings.downstream == Downstream::Tier {
@@ -88,16 +88,16 @@
         self.limit = self.limit.clamp(min, max);
     }
 
-    /// Updates credit and lingering calls to the present time. Credit accumulates at the limit and
+    /// Updates credit and abandoned calls to the present time. Credit accumulates at the limit and
     /// is spent by calls in flight, so that their mean is the limit however long calls take, also
     /// where the limit is far below one call.
     pub(crate) fn advance(&mut self, settings: &Settings, now: Micros) {
         while self
-            .lingering_until
+            .abandoned_until
             .front()
             .is_some_and(|&until| until <= now)
         {
-            self.lingering_until.pop_front();
+            self.abandoned_until.pop_front();
         }
         let gained = (self.limit - self.occupancy()) * (now - self.credit_at) as f64;
         let max_credit = CREDIT_WINDOW * self.limit * settings.call_window as f64;
@@ -107,7 +107,7 @@
 
     /// The number of calls that occupy the dependency, abandoned ones included.
     pub(crate) fn occupancy(&self) -> f64 {
-        self.in_flight + self.lingering_until.len() as f64
+        self.in_flight + self.abandoned_until.len() as f64
     }
 
     /// The number of calls that may be in flight at the same moment. Random bursts may exceed the
@@ -166,7 +166,7 @@
             // A rejected call costs the credit of an average one, or it would be repeated at once.
             Outcome::Rejected | Outcome::Unreachable => self.credit -= self.latency.mean,
             Outcome::TimedOut | Outcome::Cancelled => {
-                self.lingering_until.push_back(now + settings.call_linger);
+                self.abandoned_until.push_back(now + settings.call_linger);
             }
             _ => {}
         }
--- /dev/null
+++ b/crates/admission/tests/policy_files.rs
@@ -0,0 +1,32 @@
+//! The files of the policy: the deploy file lists each, and each is small.
+
+use std::fs;
+
+const POLICY_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy");
+const MAX_LINES: usize = 400;
+const MAX_LINE_WIDTH: usize = 100;
+/// Fewer files mean that the folder was moved or merged.
+const MIN_FILES: usize = 6;
+
+/// The operators lifted the cap of 950 lines for all decision modules together; each of them stays
+/// small, and the deploy file names each as policy.
+#[test]
+fn decision_modules_are_small_and_listed_as_policy() {
+    let deploy = include_str!("../../../deploy/balancer.toml");
+    let mut files = 0;
+    for file in fs::read_dir(POLICY_FOLDER).unwrap() {
+        let path = file.unwrap().path();
+        let name = path.file_name().unwrap().to_str().unwrap().to_string();
+        let listed = format!("\"crates/admission/src/policy/{name}\"");
+        assert!(
+            deploy.contains(&listed),
+            "{name} is not listed under policy"
+        );
+        let text = fs::read_to_string(&path).unwrap();
+        assert!(text.lines().count() <= MAX_LINES, "{name}");
+        let is_narrow = |line: &str| line.chars().count() <= MAX_LINE_WIDTH;
+        assert!(text.lines().all(is_narrow), "{name}");
+        files += 1;
+    }
+    assert!(files >= MIN_FILES);
+}
