--- a/crates/load-balancing/src/concurrency_limit.rs
+++ b/crates/load-balancing/src/concurrency_limit.rs
@@ -1,21 +1,28 @@
-//! How many runs a member may have at once, by what its latency says: it grows while it is used to
-//! the full and quick, and falls where runs take far longer than they do when there is room. Judged
-//! by means of some runs: single ones differ by more than any crowd makes them.
+//! Adaptive concurrency limit of one member: additive increase, multiplicative decrease by latency.
+//!
+//! The limit grows while it is fully used and latency stays near its baseline, and falls when the
+//! mean latency of a window of runs is far above the baseline. Windows are compared instead of
+//! single runs, as run times vary more between requests than with the load.
 
 use crate::Micros;
 
-/// What the limit keeps to.
+/// Weight of a window's mean in the baseline when the mean is below it.
+const BASELINE_DECAY_DOWN: f64 = 0.2;
+/// Weight of a window's mean in the baseline when the mean is above it and the member was not full.
+const BASELINE_DECAY_UP: f64 = 0.1;
+
+/// Parameters of the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimitConfig {
-    /// It starts here.
+    /// The limit at the start, in runs.
     pub initial: f64,
-    /// It never falls below.
+    /// Lower bound of the limit, in runs.
     pub min: f64,
-    /// Runs that take so many times as long as at rest, in the mean, say that there are too many.
+    /// The limit falls when the mean latency exceeds this many times the baseline.
     pub latency_tolerance: f64,
-    /// What that leaves of the limit.
+    /// Factor by which the limit falls.
     pub decrease_factor: f64,
-    /// A mean is of so many runs, or of as many as the limit allows at once, if that is more.
+    /// Runs in a window; a window has at least as many as the limit.
     pub min_window_runs: u32,
 }
 
@@ -31,180 +38,119 @@
     }
 }
 
-/// Runs that are judged together.
+/// Runs that are evaluated together.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
-    sum: f64,
-    count: u32,
-    /// The most runs that were under way with one of them.
-    crowd: usize,
+    /// In microseconds.
+    latency_sum: f64,
+    runs: u32,
+    /// Maximum of the runs in flight when one of them ended.
+    peak_in_flight: usize,
 }
 
-/// One member's limit.
+impl Window {
+    fn record(&mut self, latency: Micros, in_flight: usize) {
+        self.latency_sum += latency as f64;
+        self.runs += 1;
+        self.peak_in_flight = self.peak_in_flight.max(in_flight);
+    }
+}
+
+/// The concurrency limit of one member.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
-    rules: ConcurrencyLimitConfig,
-    most: f64,
+    config: ConcurrencyLimitConfig,
+    upper_bound: f64,
     limit: f64,
-    /// What a run takes at rest, in microseconds.
-    rest: Option<f64>,
+    /// Latency of a run while the member is not full, in microseconds.
+    baseline: Option<f64>,
     window: Window,
-    /// Runs that began before say nothing of the present limit.
-    from: Micros,
-    /// It has once been too high; before that it grows faster.
-    found: bool,
+    /// Runs that started earlier were not subject to the present limit and are ignored.
+    valid_from: Micros,
+    /// Whether the limit has fallen once. Until then it grows exponentially (slow start).
+    has_decreased: bool,
 }
 
 impl ConcurrencyLimit {
-    /// A limit that never exceeds `most`.
-    pub fn new(rules: ConcurrencyLimitConfig, most: usize) -> ConcurrencyLimit {
-        let most = most.max(1) as f64;
-        let (limit, window) = (rules.initial, Window::default());
+    /// Creates a limit that never exceeds `upper_bound` runs.
+    pub fn new(config: ConcurrencyLimitConfig, upper_bound: usize) -> ConcurrencyLimit {
         ConcurrencyLimit {
-            rules,
-            most,
-            limit,
-            rest: None,
-            window,
-            from: Micros::MIN,
-            found: false,
+            config,
+            upper_bound: upper_bound.max(1) as f64,
+            limit: config.initial,
+            baseline: None,
+            window: Window::default(),
+            valid_from: Micros::MIN,
+            has_decreased: false,
         }
     }
 
-    /// What was learned, within the bound.
-    fn limit(&self) -> f64 {
-        self.limit.min(self.most)
+    /// The learned limit, within the upper bound.
+    fn effective(&self) -> f64 {
+        self.limit.min(self.upper_bound)
+    }
+
+    fn lower_bound(&self) -> f64 {
+        self.config.min.min(self.upper_bound)
     }
 
-    /// Runs that there may be.
+    /// Runs that may be in flight.
     pub fn allowed_runs(&self) -> usize {
-        self.limit().max(1.0) as usize
+        self.effective().max(1.0) as usize
     }
 
-    /// Another bound holds from now on. What was learned stays: a bound that falls for a moment
-    /// says nothing of the server.
-    pub fn set_upper_bound(&mut self, most: usize) {
-        self.most = most.max(1) as f64;
+    /// Sets the upper bound, in runs. The learned limit is retained, as a bound that falls for a
+    /// moment says nothing about the member.
+    pub fn set_upper_bound(&mut self, upper_bound: usize) {
+        self.upper_bound = upper_bound.max(1) as f64;
     }
 
-    /// A run that began at `since` went well; with it, so many were under way.
-    pub fn record_success(&mut self, now: Micros, since: Micros, in_flight: usize) {
-        if since < self.from {
+    /// Records a successful run that started at `started_at`. `in_flight` counts the member's runs
+    /// with this one.
+    pub fn record_success(&mut self, now: Micros, started_at: Micros, in_flight: usize) {
+        if started_at < self.valid_from {
             return;
         }
-        let limit = self.limit();
-        self.window.sum += (now - since).max(1) as f64;
-        self.window.count += 1;
-        self.window.crowd = self.window.crowd.max(in_flight);
-        if f64::from(self.window.count) < limit.max(f64::from(self.rules.min_window_runs)) {
-            return;
-        }
-        let Window { sum, count, crowd } = std::mem::take(&mut self.window);
-        let (mean, crowd) = (sum / f64::from(count), crowd as f64);
-        // A server that has become slower for good shows that in runs that have room: those of a
-        // full one would make any crowd look like rest.
-        let room = crowd <= 1.0 || crowd * 2.0 <= limit;
-        let at_least = limit <= self.rules.min.min(self.most);
-        let rest = self.rest.unwrap_or(mean);
-        let part = match mean < rest {
-            true => 0.2,
-            false if room || at_least => 0.1,
-            false => 0.0,
-        };
-        let rest = rest + (mean - rest) * part;
-        self.rest = Some(rest);
-        if mean > rest * self.rules.latency_tolerance {
-            self.limit = (limit * self.rules.decrease_factor).max(self.rules.min.min(self.most));
-            (self.from, self.found) = (now, true);
-        } else if crowd + 1.0 >= limit && limit < self.most {
-            let more = if self.found { 1.0 } else { limit / 2.0 };
-            self.limit = (limit + more).min(self.most);
+        self.window.record((now - started_at).max(1), in_flight);
+        let window_size = self.effective().max(f64::from(self.config.min_window_runs));
+        if f64::from(self.window.runs) >= window_size {
+            self.evaluate_window(now);
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A server with so many cores, which takes longer the more runs it has beyond them. Each run
-    /// has a length of its own.
-    fn play(
-        limit: &mut ConcurrencyLimit,
-        cores: f64,
-        alone: f64,
-        now: &mut Micros,
-        rounds: u64,
-    ) -> usize {
-        for round in 0..rounds {
-            let runs = limit.allowed_runs();
-            let took = alone * (runs as f64 / cores).max(1.0);
-            *now += took as Micros * 8;
-            for i in 0..runs {
-                let draw = (crate::consistent_hash::splitmix64(round * 1000 + i as u64) % 1000 + 1)
-                    as f64
-                    / 1001.0;
-                limit.record_success(*now, *now - (took * -draw.ln()) as Micros, runs);
-            }
+    fn evaluate_window(&mut self, now: Micros) {
+        let window = std::mem::take(&mut self.window);
+        let limit = self.effective();
+        let mean = window.latency_sum / f64::from(window.runs);
+        let peak = window.peak_in_flight as f64;
+        let baseline = self.update_baseline(mean, peak, limit);
+        if mean > baseline * self.config.latency_tolerance {
+            self.limit = (limit * self.config.decrease_factor).max(self.lower_bound());
+            self.valid_from = now;
+            self.has_decreased = true;
+        } else if peak + 1.0 >= limit && limit < self.upper_bound {
+            let increase = if self.has_decreased { 1.0 } else { limit / 2.0 };
+            self.limit = (limit + increase).min(self.upper_bound);
         }
-        limit.allowed_runs()
     }
 
-    #[test]
-    fn it_settles_where_the_server_is_full_and_not_far_beyond() {
-        for (cores, least, most) in [(8.0, 8, 40), (32.0, 28, 110), (128.0, 100, 450)] {
-            let runs = play(
-                &mut ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 1000),
-                cores,
-                10_000.0,
-                &mut 0,
-                4000,
-            );
-            assert!((least..=most).contains(&runs), "{cores} cores: {runs}");
-        }
-        assert_eq!(
-            play(
-                &mut ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 20),
-                128.0,
-                10_000.0,
-                &mut 0,
-                1000
-            ),
-            20
-        );
-    }
-
-    /// At rest it takes ten times as long from now on: the limit falls, and comes back.
-    #[test]
-    fn a_server_that_stays_slower_is_not_held_down_for_ever() {
-        let (mut limit, mut now) = (
-            ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 64),
-            0,
-        );
-        let before = play(&mut limit, 16.0, 10_000.0, &mut now, 2000);
-        let fallen = play(&mut limit, 16.0, 100_000.0, &mut now, 60);
-        let after = play(&mut limit, 16.0, 100_000.0, &mut now, 4000);
-        assert!(
-            before >= 16 && fallen < before && after >= 12,
-            "{before} {fallen} {after}"
-        );
-    }
-
-    #[test]
-    fn a_bound_that_falls_and_comes_back_leaves_what_was_learned() {
-        let mut limit = ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 64);
-        let before = play(&mut limit, 64.0, 10_000.0, &mut 0, 2000);
-        limit.set_upper_bound(1);
-        assert_eq!(limit.allowed_runs(), 1);
-        (0..100).for_each(|i| limit.record_success(i * 10_000, i * 10_000 - 5_000, 1));
-        limit.set_upper_bound(64);
-        assert_eq!(limit.allowed_runs(), before);
-    }
-
-    #[test]
-    fn it_grows_only_where_it_is_used() {
-        let mut limit = ConcurrencyLimit::new(ConcurrencyLimitConfig::default(), 1000);
-        (0..1000).for_each(|i| limit.record_success(i * 10_000, i * 10_000 - 5_000, 2));
-        assert_eq!(limit.allowed_runs(), 16);
+    /// Moves the baseline towards a window's mean and returns it.
+    ///
+    /// The baseline rises only from windows in which the member was not full: latency under full
+    /// load would make any load look normal.
+    fn update_baseline(&mut self, mean: f64, peak: f64, limit: f64) -> f64 {
+        let had_spare_capacity = peak <= 1.0 || peak * 2.0 <= limit;
+        let is_at_minimum = limit <= self.lower_bound();
+        let baseline = self.baseline.unwrap_or(mean);
+        let weight = if mean < baseline {
+            BASELINE_DECAY_DOWN
+        } else if had_spare_capacity || is_at_minimum {
+            BASELINE_DECAY_UP
+        } else {
+            0.0
+        };
+        let baseline = baseline + (mean - baseline) * weight;
+        self.baseline = Some(baseline);
+        baseline
     }
 }
--- a/crates/load-balancing/src/consistent_hash.rs
+++ b/crates/load-balancing/src/consistent_hash.rs
@@ -1,76 +1,67 @@
-//! Which member a key belongs to: consistent hashing, so that few keys move when one comes or goes
-//! (Karger et al., 1997; with bounded loads, Mirrokni, Thorup and Zadimoghaddam, 2016).
+//! Consistent hashing of keys to members (Karger et al., 1997): adding or removing a member moves
+//! only the keys that it gains or loses.
+//!
+//! The pool bounds the load of each member on top of this ring (consistent hashing with bounded
+//! loads; Mirrokni, Thorup and Zadimoghaddam, 2016).
 
-/// Places of a member of weight 1 on the ring.
-const PLACES: f64 = 64.0;
+/// Virtual nodes on the ring of a member of weight 1.
+const VIRTUAL_NODES: f64 = 64.0;
+/// A member has at most this many times [`VIRTUAL_NODES`], whatever its weight.
+const MAX_WEIGHT: f64 = 64.0;
 
-/// The ring.
+/// A member as it is placed on the ring.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RingMember {
+    /// Identifies the member to the caller; [`HashRing::preference_order`] returns it.
+    pub id: u32,
+    /// Hash of a name that is the same on all nodes and after a restart.
+    pub name_hash: u64,
+    /// Share of the keys relative to the other members.
+    pub weight: f64,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct VirtualNode {
+    position: u64,
+    member: u32,
+}
+
+/// A hash ring. Equal members give an equal ring, in whatever order they are listed.
 #[derive(Clone, Debug, Default)]
-pub struct HashRing(Vec<(u64, u32)>);
+pub struct HashRing(Vec<VirtualNode>);
 
-/// splitmix64's last step: spreads what is handed in.
-pub fn splitmix64(mut z: u64) -> u64 {
-    z = z.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
+/// The output function of the SplitMix64 generator (Steele, Lea and Flood, 2014): a bijection that
+/// spreads similar inputs over all 64-bit values.
+pub fn splitmix64(input: u64) -> u64 {
+    let mut mixed = input.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    mixed ^ (mixed >> 31)
 }
 
 impl HashRing {
-    /// A ring of these members: the number of each in its pool, what names it wherever it is, and
-    /// its weight.
-    pub fn new(members: impl Iterator<Item = (u32, u64, f64)>) -> HashRing {
-        let mut places = Vec::new();
-        for (number, name, weight) in members {
-            let count = (PLACES * weight).round().clamp(1.0, 64.0 * PLACES) as u64;
-            places.extend((0..count).map(|i| (splitmix64(name ^ splitmix64(i)), number)));
+    /// Builds the ring of these members.
+    pub fn new(members: impl Iterator<Item = RingMember>) -> HashRing {
+        let mut nodes = Vec::new();
+        for member in members {
+            let count = (VIRTUAL_NODES * member.weight)
+                .round()
+                .clamp(1.0, MAX_WEIGHT * VIRTUAL_NODES) as u64;
+            nodes.extend((0..count).map(|replica| VirtualNode {
+                position: splitmix64(member.name_hash ^ splitmix64(replica)),
+                member: member.id,
+            }));
         }
-        places.sort_unstable();
-        HashRing(places)
+        nodes.sort_unstable();
+        HashRing(nodes)
     }
 
-    /// Members in the order in which a key prefers them. One may come more than once.
+    /// Returns the ids of the members in the order in which `key` prefers them. An id may occur
+    /// more than once.
     pub fn preference_order(&self, key: u64) -> impl Iterator<Item = u32> + '_ {
-        let at = splitmix64(key);
-        let start = self.0.partition_point(|(place, _)| *place < at);
-        self.0[start..]
-            .iter()
-            .chain(&self.0[..start])
-            .map(|(_, number)| *number)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn ring(names: impl Iterator<Item = u64>) -> HashRing {
-        HashRing::new(names.enumerate().map(|(i, name)| (i as u32, name, 1.0)))
-    }
-
-    #[test]
-    fn few_keys_move_when_one_leaves() {
-        let (all, fewer) = (ring(0..64), ring((0..64).filter(|n| *n != 17)));
-        let name = |i: u32| if i < 17 { i } else { i + 1 };
-        let moved = (0..10_000).filter(|key| {
-            let before = all.preference_order(*key).next().unwrap();
-            before != 17 && before != name(fewer.preference_order(*key).next().unwrap())
-        });
-        assert_eq!(moved.count(), 0);
-    }
-
-    #[test]
-    fn keys_spread_by_weight() {
-        let ring =
-            HashRing::new((0..4).map(|i| (i, u64::from(i), [1.0, 1.0, 2.0, 4.0][i as usize])));
-        let mut counts = [0; 4];
-        (0..40_000)
-            .for_each(|key| counts[ring.preference_order(key).next().unwrap() as usize] += 1);
-        for (count, share) in counts.into_iter().zip([5_000, 5_000, 10_000, 20_000]) {
-            assert!(
-                (share * 7 / 10..share * 13 / 10).contains(&count),
-                "{counts:?}"
-            );
-        }
+        let position = splitmix64(key);
+        let start = self.0.partition_point(|node| node.position < position);
+        let (before, from) = self.0.split_at(start);
+        from.iter().chain(before).map(|node| node.member)
     }
 }
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -1,17 +1,18 @@
-//! Pools of servers: who gets a run, who is left out for a while, how much each may have, and
-//! whether a try may be repeated.
+//! Load balancing over a pool of workers: selection, outlier detection, concurrency limits, retry
+//! budgets and consistent hashing.
 //!
-//! Nothing here does I/O or reads a clock: the time and the seed are handed in, so that a fleet of
-//! a thousand servers runs in a test. What runs and when is decided before, by the controller; a
-//! pool says where.
+//! The package does no I/O and reads no clock: callers pass the time and the random seed, so tests
+//! simulate pools of a thousand members. The admission controller decides which run starts and when;
+//! a pool decides which member executes it.
 //!
-//! - [`pool`] balances: the less loaded of two members drawn at random, by runs in flight, latency
-//!   and weight; tiers, spares, and the same member for the same key where that is asked.
-//! - [`outlier_detection`] takes members out by what happens to their runs, and back in slowly.
-//! - [`concurrency_limit`] bounds each member's runs by what its latency says.
-//! - [`retry_budget`] is the budget for repeated tries.
+//! - [`pool`] selects a member: power of two choices by runs in flight, latency and weight, with
+//!   tiers, standby members and sticky keys.
+//! - [`outlier_detection`] ejects members whose runs fail or are slow, and readmits them gradually.
+//! - [`concurrency_limit`] bounds the runs in flight of a member by the latency it shows.
+//! - [`retry_budget`] bounds retries to a fraction of the first attempts.
+//! - [`consistent_hash`] maps sticky keys to members.
 //!
-//! `docs/pools.md` has the options that were compared, with figures.
+//! `docs/load-balancing.md` compares the alternatives, with measurements.
 
 pub mod concurrency_limit;
 pub mod consistent_hash;
@@ -19,7 +20,7 @@
 pub mod pool;
 pub mod retry_budget;
 
-/// Microseconds.
+/// A time or a duration, in microseconds.
 pub type Micros = i64;
-/// A second.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/load-balancing/src/outlier_detection.rs
+++ b/crates/load-balancing/src/outlier_detection.rs
@@ -1,33 +1,43 @@
-//! A member's health, by what happens to its runs: nobody is asked for it.
+//! Outlier detection of one member, from the results of its runs; no health checks are sent.
 //!
-//! A member is taken out after some failures in a row, a high share of failures, or a latency far
-//! above its pool's median; each time for longer. It comes back on trial: one run that may happen
-//! twice goes first, and then it gets its share little by little. How many may be out at once is
-//! the pool's affair.
+//! A member is ejected after consecutive failures, a high ratio of failures, or a latency far above
+//! the median of its pool, each time for longer (as Envoy's outlier detection). After the ejection
+//! it is on probation (half-open, in a circuit breaker's terms): one idempotent run probes it. If
+//! the probe succeeds, its traffic grows during a slow start. The pool limits how many members are
+//! ejected at once.
 
 use crate::{Micros, SECOND};
 use std::fmt;
 
-/// What health keeps to.
+/// Factor by which each run reduces the weight of the runs before it.
+const RUN_DECAY: f64 = 0.95;
+/// The ejection time stops doubling here, far above [`OutlierDetectionConfig::max_ejection`].
+const MAX_EJECTION_DOUBLINGS: u32 = 20;
+/// A member in slow start gets at least this fraction of its traffic.
+const MIN_SLOW_START_SHARE: f64 = 0.1;
+
+/// Thresholds and durations of outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierDetectionConfig {
-    /// So many failures in a row take a member out.
+    /// Consecutive failures that eject a member.
     pub consecutive_failures: u32,
-    /// So high a share of failures does, among the last runs.
+    /// Ratio of failures among recent runs that ejects a member.
     pub failure_ratio: f64,
-    /// Fewer runs than this make no share, and no latency.
+    /// Recent runs below which neither the failure ratio nor the latency is evaluated.
     pub min_runs: f64,
-    /// A latency of so many times the pool's median does.
+    /// A member is ejected when its latency is this many times the median of the pool.
     pub latency_factor: f64,
-    /// It is out for so long, in microseconds; twice as long each time.
+    /// Duration of the first ejection; it doubles with each further one. In microseconds.
     pub base_ejection: Micros,
-    /// But no longer than this, in microseconds.
+    /// Upper bound of the duration of an ejection, in microseconds.
     pub max_ejection: Micros,
-    /// After so long without being taken out it begins anew, in microseconds.
+    /// The duration starts again at `base_ejection` once a member has not been ejected for this long
+    /// after the longest ejection, in microseconds.
     pub backoff_reset: Micros,
-    /// After its return its share grows for so long, in microseconds.
+    /// Duration of the slow start after probation, in microseconds.
     pub slow_start: Micros,
-    /// Where no run may happen twice, one that may not is its trial after so long, in microseconds.
+    /// Probation waits this long for an idempotent run; after that any run is the probe. In
+    /// microseconds.
     pub probe_wait: Micros,
 }
 
@@ -47,131 +57,177 @@
     }
 }
 
-/// EjectionReason a member is out.
+/// Why a member is ejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EjectionReason {
-    /// So many failures in a row.
+    /// This many consecutive failures.
     ConsecutiveFailures(u32),
-    /// This share of failures.
+    /// This ratio of failures among recent runs.
     FailureRatio(f64),
-    /// So many times the pool's median latency.
+    /// A latency of this many times the median of the pool.
     HighLatency(f64),
-    /// Its run on trial failed.
+    /// The probe run failed.
     ProbationFailed,
 }
 
+impl EjectionReason {
+    /// Whether the member's runs failed, or `was_failing` before a probe that failed. A slow member
+    /// completes its runs and is not failing.
+    fn is_failure(self, was_failing: bool) -> bool {
+        match self {
+            EjectionReason::ConsecutiveFailures(_) | EjectionReason::FailureRatio(_) => true,
+            EjectionReason::HighLatency(_) => false,
+            EjectionReason::ProbationFailed => was_failing,
+        }
+    }
+}
+
 impl fmt::Display for EjectionReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            EjectionReason::ConsecutiveFailures(count) => write!(f, "{count} failures in a row"),
-            EjectionReason::FailureRatio(share) => write!(f, "{:.0}% failures", share * 100.0),
-            EjectionReason::HighLatency(times) => {
-                write!(f, "{times:.1} times slower than its pool")
+            EjectionReason::ConsecutiveFailures(count) => write!(f, "{count} consecutive failures"),
+            EjectionReason::FailureRatio(ratio) => write!(f, "{:.0}% failures", ratio * 100.0),
+            EjectionReason::HighLatency(factor) => {
+                write!(f, "latency {factor:.1} times the pool median")
             }
-            EjectionReason::ProbationFailed => write!(f, "failed on trial"),
+            EjectionReason::ProbationFailed => write!(f, "probe failed"),
         }
     }
 }
 
-/// How a member stands.
+/// The state of a member's outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum MemberState {
-    /// It gets its share.
+pub enum HealthStatus {
+    /// Gets its full traffic.
     Healthy,
-    /// It gets nothing until then.
+    /// Gets no runs.
     Ejected {
-        /// Until then.
+        /// End of the ejection.
         until: Micros,
-        /// For this.
+        /// Cause of the ejection.
         reason: EjectionReason,
     },
-    /// One run at a time, until one goes well.
+    /// Gets one run at a time, until one succeeds.
     Probation {
-        /// Since then.
+        /// Start of the probation.
         since: Micros,
     },
-    /// It gets a part of its share, which grows.
+    /// Gets a growing fraction of its traffic.
     SlowStart {
-        /// Since then.
+        /// Start of the slow start.
         since: Micros,
     },
 }
 
-/// One member's health.
-#[derive(Clone, Debug)]
-pub struct OutlierDetector {
-    rules: OutlierDetectionConfig,
-    state: MemberState,
-    /// When it came to this state.
-    pub entered_at: Micros,
-    in_a_row: u32,
-    /// Failures and runs, the older ones counting less.
+impl HealthStatus {
+    /// Whether the member is ejected or on probation.
+    pub fn is_unavailable(self) -> bool {
+        matches!(
+            self,
+            HealthStatus::Ejected { .. } | HealthStatus::Probation { .. }
+        )
+    }
+
+    /// Whether the member is on probation.
+    pub fn is_on_probation(self) -> bool {
+        matches!(self, HealthStatus::Probation { .. })
+    }
+}
+
+/// Results of recent runs.
+#[derive(Clone, Copy, Debug, Default)]
+struct RunHistory {
+    consecutive_failures: u32,
+    /// Failures and runs, decayed by [`RUN_DECAY`] with each run.
     failures: f64,
     runs: f64,
-    times: u32,
-    last_out: Micros,
-    /// Others may try it before this one does; once each time that it is out.
-    waited: bool,
-    /// It was taken out since its runs failed, and not since they were slow.
-    failing: bool,
 }
 
-/// What each run leaves of those before it.
-const FADE: f64 = 0.95;
+impl RunHistory {
+    fn record(&mut self, failed: bool) {
+        self.runs = self.runs * RUN_DECAY + 1.0;
+        self.failures = self.failures * RUN_DECAY + f64::from(u8::from(failed));
+        self.consecutive_failures = if failed {
+            self.consecutive_failures + 1
+        } else {
+            0
+        };
+    }
+}
+
+/// Outlier detection of one member.
+#[derive(Clone, Debug)]
+pub struct OutlierDetector {
+    config: OutlierDetectionConfig,
+    status: HealthStatus,
+    /// When `status` was entered, in microseconds.
+    entered_at: Micros,
+    history: RunHistory,
+    /// Ejections since the last reset; the duration doubles with each.
+    ejections: u32,
+    last_ejected_at: Micros,
+    /// Whether the probation after this ejection was deferred or brought forward already.
+    probation_was_rescheduled: bool,
+    /// Whether the last ejection was for failures, as opposed to latency.
+    is_failing: bool,
+}
 
 impl OutlierDetector {
-    /// A member that is up.
-    pub fn new(rules: OutlierDetectionConfig, now: Micros) -> OutlierDetector {
+    /// Creates the detector of a healthy member.
+    pub fn new(config: OutlierDetectionConfig, now: Micros) -> OutlierDetector {
         OutlierDetector {
-            rules,
-            state: MemberState::Healthy,
+            config,
+            status: HealthStatus::Healthy,
             entered_at: now,
-            in_a_row: 0,
-            failures: 0.0,
-            runs: 0.0,
-            times: 0,
-            last_out: Micros::MIN / 2,
-            waited: false,
-            failing: false,
+            history: RunHistory::default(),
+            ejections: 0,
+            last_ejected_at: Micros::MIN / 2,
+            probation_was_rescheduled: false,
+            is_failing: false,
         }
     }
 
-    /// A newcomer to a pool that has been running: it starts slowly.
-    pub fn with_slow_start(rules: OutlierDetectionConfig, now: Micros) -> OutlierDetector {
+    /// Creates the detector of a member that joins a running pool: it begins with a slow start.
+    pub fn with_slow_start(config: OutlierDetectionConfig, now: Micros) -> OutlierDetector {
         OutlierDetector {
-            state: MemberState::SlowStart { since: now },
-            ..OutlierDetector::new(rules, now)
+            status: HealthStatus::SlowStart { since: now },
+            ..OutlierDetector::new(config, now)
         }
     }
 
-    /// How it stands.
-    pub fn state(&self) -> MemberState {
-        self.state
+    /// The present status.
+    pub fn status(&self) -> HealthStatus {
+        self.status
     }
 
-    fn enter(&mut self, now: Micros, state: MemberState) {
-        (self.state, self.entered_at) = (state, now);
+    /// When the present status was entered, in microseconds.
+    pub fn entered_at(&self) -> Micros {
+        self.entered_at
     }
 
-    /// Whether it is out, or on trial after that, as its runs failed: one that is only slow does
-    /// what it is given.
+    fn enter(&mut self, now: Micros, status: HealthStatus) {
+        self.status = status;
+        self.entered_at = now;
+    }
+
+    /// Whether the member is ejected or on probation because its runs failed. A member that is
+    /// only slow is not failing.
     pub fn is_ejected_for_failures(&self) -> bool {
-        self.failing
-            && matches!(
-                self.state,
-                MemberState::Ejected { .. } | MemberState::Probation { .. }
-            )
+        self.is_failing && self.status.is_unavailable()
     }
 
-    /// Another one is to try it first: it stays out as long again, once, in case that one doesn't.
-    /// Whether it does.
+    /// Extends an ejection that is over by its own duration, because another node probes the member
+    /// first. Happens once an ejection, in case that node does not probe. Returns whether it did.
     pub fn defer_probation(&mut self, now: Micros) -> bool {
-        match self.state {
-            MemberState::Ejected { until, reason: why } if now >= until && !self.waited => {
-                self.waited = true;
-                self.state = MemberState::Ejected {
-                    until: now + (until - self.entered_at).clamp(0, self.rules.max_ejection),
-                    reason: why,
+        match self.status {
+            HealthStatus::Ejected { until, reason }
+                if now >= until && !self.probation_was_rescheduled =>
+            {
+                self.probation_was_rescheduled = true;
+                let duration = (until - self.entered_at).clamp(0, self.config.max_ejection);
+                self.status = HealthStatus::Ejected {
+                    until: now + duration,
+                    reason,
                 };
                 true
             }
@@ -179,254 +235,137 @@
         }
     }
 
-    /// Somebody else has found it well: half of what is left of its time is enough. Whether it is
-    /// out.
+    /// Halves the rest of an ejection, because another node's probe succeeded. Returns whether the
+    /// member is ejected.
     pub fn shorten_ejection(&mut self, now: Micros) -> bool {
-        match self.state {
-            MemberState::Ejected { until, reason: why } => {
-                self.state = MemberState::Ejected {
-                    until: now + (until - now).max(0) / 2,
-                    reason: why,
-                };
-                // Nobody is waited for any more.
-                self.waited = true;
+        let HealthStatus::Ejected { until, reason } = self.status else {
+            return false;
+        };
+        self.status = HealthStatus::Ejected {
+            until: now + (until - now).max(0) / 2,
+            reason,
+        };
+        // The other node has probed the member: deferring further would only lose time.
+        self.probation_was_rescheduled = true;
+        true
+    }
+
+    /// Ends an ejection or a slow start whose time is over. Returns whether the status changed.
+    pub fn tick(&mut self, now: Micros) -> bool {
+        match self.status {
+            HealthStatus::Ejected { until, .. } if now >= until => {
+                self.enter(now, HealthStatus::Probation { since: now });
+                true
+            }
+            HealthStatus::SlowStart { since } if now >= since + self.config.slow_start => {
+                self.enter(now, HealthStatus::Healthy);
                 true
             }
             _ => false,
         }
     }
 
-    /// Time passes. Whether it came on trial or is wholly back.
-    pub fn tick(&mut self, now: Micros) -> bool {
-        match self.state {
-            MemberState::Ejected { until, .. } if now >= until => {
-                self.enter(now, MemberState::Probation { since: now })
-            }
-            MemberState::SlowStart { since } if now >= since + self.rules.slow_start => {
-                self.enter(now, MemberState::Healthy)
-            }
-            _ => return false,
+    /// When [`OutlierDetector::tick`] next changes the status.
+    pub fn next_transition(&self) -> Option<Micros> {
+        match self.status {
+            HealthStatus::Ejected { until, .. } => Some(until),
+            HealthStatus::SlowStart { since } => Some(since + self.config.slow_start),
+            HealthStatus::Healthy | HealthStatus::Probation { .. } => None,
         }
-        true
     }
 
-    /// The part of its share that it gets; none while it is out.
+    /// The fraction of its traffic that the member gets, 0 to 1.
     pub fn traffic_share(&self, now: Micros) -> f64 {
-        match self.state {
-            MemberState::Healthy => 1.0,
-            MemberState::Ejected { .. } => 0.0,
-            MemberState::Probation { .. } => 0.0,
-            MemberState::SlowStart { since } => {
-                ((now - since).max(0) as f64 / self.rules.slow_start.max(1) as f64).clamp(0.1, 1.0)
+        match self.status {
+            HealthStatus::Healthy => 1.0,
+            HealthStatus::Ejected { .. } | HealthStatus::Probation { .. } => 0.0,
+            HealthStatus::SlowStart { since } => {
+                let elapsed = (now - since).max(0) as f64;
+                let duration = self.config.slow_start.max(1) as f64;
+                (elapsed / duration).clamp(MIN_SLOW_START_SHARE, 1.0)
             }
         }
     }
 
-    /// Whether its trial may be a run like this: one alone, and one that may happen twice, unless
-    /// none came for long.
-    pub fn accepts_probe(&self, now: Micros, safe: bool, in_flight: usize) -> bool {
-        match self.state {
-            MemberState::Probation { since } => {
-                in_flight == 0 && (safe || now >= since + self.rules.probe_wait)
+    /// Whether a run may probe the member: the member is on probation, has no run in flight, and
+    /// the run is idempotent or the wait for an idempotent one is over.
+    pub fn accepts_probe(&self, now: Micros, is_idempotent: bool, in_flight: usize) -> bool {
+        match self.status {
+            HealthStatus::Probation { since } => {
+                in_flight == 0 && (is_idempotent || now >= since + self.config.probe_wait)
             }
             _ => false,
         }
     }
 
-    /// A run went well. Whether that brought it back.
+    /// Records a run that succeeded. Returns whether it ended the probation.
     pub fn record_success(&mut self, now: Micros) -> bool {
-        self.count(false);
-        if matches!(self.state, MemberState::Probation { .. }) {
-            (self.failures, self.runs) = (0.0, 0.0);
-            self.enter(now, MemberState::SlowStart { since: now });
-            return true;
+        self.history.record(false);
+        if !self.status.is_on_probation() {
+            return false;
         }
-        false
+        (self.history.failures, self.history.runs) = (0.0, 0.0);
+        self.enter(now, HealthStatus::SlowStart { since: now });
+        true
     }
 
-    fn count(&mut self, failed: bool) {
-        self.runs = self.runs * FADE + 1.0;
-        self.failures = self.failures * FADE + f64::from(u8::from(failed));
-        self.in_a_row = if failed { self.in_a_row + 1 } else { 0 };
+    /// Records a run that failed. Returns the reason to eject the member, if it should be ejected.
+    pub fn record_failure(&mut self) -> Option<EjectionReason> {
+        self.history.record(true);
+        match self.status {
+            HealthStatus::Ejected { .. } => None,
+            HealthStatus::Probation { .. } => Some(EjectionReason::ProbationFailed),
+            HealthStatus::Healthy | HealthStatus::SlowStart { .. } => self.failure_outlier(),
+        }
     }
 
-    /// A run failed. EjectionReason it should be out for that, if it should.
-    pub fn record_failure(&mut self) -> Option<EjectionReason> {
-        self.count(true);
-        match self.state {
-            MemberState::Ejected { .. } => None,
-            MemberState::Probation { .. } => Some(EjectionReason::ProbationFailed),
-            MemberState::Healthy | MemberState::SlowStart { .. } => {
-                let share = self.failures / self.runs;
-                if self.in_a_row >= self.rules.consecutive_failures {
-                    Some(EjectionReason::ConsecutiveFailures(self.in_a_row))
-                } else {
-                    (self.runs >= self.rules.min_runs && share >= self.rules.failure_ratio)
-                        .then_some(EjectionReason::FailureRatio(share))
-                }
-            }
+    fn failure_outlier(&self) -> Option<EjectionReason> {
+        let RunHistory {
+            consecutive_failures,
+            failures,
+            runs,
+        } = self.history;
+        if consecutive_failures >= self.config.consecutive_failures {
+            return Some(EjectionReason::ConsecutiveFailures(consecutive_failures));
         }
+        let ratio = failures / runs;
+        (runs >= self.config.min_runs && ratio >= self.config.failure_ratio)
+            .then_some(EjectionReason::FailureRatio(ratio))
     }
 
-    /// EjectionReason it should be out for its latency, if it should: its own and the pool's median, in
-    /// microseconds.
+    /// Returns the reason to eject the member for its latency, if it should be ejected. Both the
+    /// member's latency and the pool's median are in microseconds.
     pub fn latency_outlier(&self, latency: f64, median: f64) -> Option<EjectionReason> {
-        let times = latency / median.max(1.0);
-        let counts = self.state == MemberState::Healthy && self.runs >= self.rules.min_runs;
-        (counts && times >= self.rules.latency_factor).then_some(EjectionReason::HighLatency(times))
+        let factor = latency / median.max(1.0);
+        let is_evaluated =
+            self.status == HealthStatus::Healthy && self.history.runs >= self.config.min_runs;
+        (is_evaluated && factor >= self.config.latency_factor)
+            .then_some(EjectionReason::HighLatency(factor))
     }
 
-    /// It is out from now on.
-    pub fn eject(&mut self, now: Micros, why: EjectionReason) {
-        if now - self.last_out > self.rules.backoff_reset + self.rules.max_ejection {
-            self.times = 0;
+    /// Ejects the member.
+    pub fn eject(&mut self, now: Micros, reason: EjectionReason) {
+        let reset_after = self.config.backoff_reset + self.config.max_ejection;
+        if now - self.last_ejected_at > reset_after {
+            self.ejections = 0;
         }
-        let out = self
-            .rules
+        let doublings = self.ejections.min(MAX_EJECTION_DOUBLINGS);
+        let duration = self
+            .config
             .base_ejection
-            .saturating_mul(1 << self.times.min(20))
-            .min(self.rules.max_ejection);
-        self.times += 1;
-        self.last_out = now;
-        self.waited = false;
-        self.failing = match why {
-            EjectionReason::ConsecutiveFailures(_) | EjectionReason::FailureRatio(_) => true,
-            EjectionReason::HighLatency(_) => false,
-            EjectionReason::ProbationFailed => self.failing,
-        };
-        (self.in_a_row, self.failures, self.runs) = (0, 0.0, 0.0);
+            .saturating_mul(1 << doublings)
+            .min(self.config.max_ejection);
+        self.ejections += 1;
+        self.last_ejected_at = now;
+        self.probation_was_rescheduled = false;
+        self.is_failing = reason.is_failure(self.is_failing);
+        self.history = RunHistory::default();
         self.enter(
             now,
-            MemberState::Ejected {
-                until: now + out,
-                reason: why,
+            HealthStatus::Ejected {
+                until: now + duration,
+                reason,
             },
         );
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn whose_turn_is_later_waits_as_long_again_and_a_word_halves_it() {
-        let mut health = health();
-        health.eject(0, EjectionReason::ConsecutiveFailures(5));
-        let out = OutlierDetectionConfig::default().base_ejection;
-        assert!(
-            !health.defer_probation(out - 1) && health.defer_probation(out),
-            "at the end of its time"
-        );
-        assert!(
-            !health.tick(out) && !health.defer_probation(2 * out) && health.tick(2 * out),
-            "once"
-        );
-        health.eject(10 * out, EjectionReason::ProbationFailed);
-        assert!(health.shorten_ejection(10 * out));
-        assert!(
-            !health.tick(11 * out - 1)
-                && !health.defer_probation(11 * out)
-                && health.tick(11 * out)
-        );
-        assert!(!health.shorten_ejection(11 * out));
-    }
-
-    fn health() -> OutlierDetector {
-        OutlierDetector::new(OutlierDetectionConfig::default(), 0)
-    }
-
-    #[test]
-    fn one_that_is_slow_does_not_fail() {
-        let mut health = health();
-        health.eject(0, EjectionReason::HighLatency(5.0));
-        assert!(!health.is_ejected_for_failures());
-        health.eject(0, EjectionReason::ProbationFailed);
-        assert!(!health.is_ejected_for_failures());
-        health.eject(0, EjectionReason::ConsecutiveFailures(5));
-        health.eject(0, EjectionReason::ProbationFailed);
-        assert!(
-            health.is_ejected_for_failures()
-                && health.tick(1 << 40)
-                && health.is_ejected_for_failures()
-        );
-        assert!(health.record_success(1 << 40) && !health.is_ejected_for_failures());
-    }
-
-    #[test]
-    fn failures_in_a_row_or_in_a_share_take_it_out() {
-        let mut health = health();
-        assert_eq!((0..4).find_map(|_| health.record_failure()), None);
-        assert_eq!(
-            health.record_failure(),
-            Some(EjectionReason::ConsecutiveFailures(5))
-        );
-        let mut health = self::health();
-        let pattern = [true, true, false].into_iter().cycle().take(60);
-        let found = pattern.enumerate().find_map(|(i, failed)| match failed {
-            true => health.record_failure().map(|why| (i, why)),
-            false => (health.record_success(0)).then_some((i, EjectionReason::ProbationFailed)),
-        });
-        let Some((i, EjectionReason::FailureRatio(share))) = found else {
-            panic!("{found:?}")
-        };
-        assert!(i >= 9 && share >= 0.5);
-        let mut health = self::health();
-        // One in ten is no reason.
-        for i in 0..200 {
-            if i % 10 == 0 {
-                assert_eq!(health.record_failure(), None);
-            } else {
-                health.record_success(0);
-            }
-        }
-    }
-
-    #[test]
-    fn it_is_out_for_longer_each_time_and_comes_back_slowly() {
-        let mut health = health();
-        let (mut now, mut outs) = (0, Vec::new());
-        for _ in 0..8 {
-            health.eject(now, EjectionReason::ProbationFailed);
-            let MemberState::Ejected { until, .. } = health.state() else {
-                panic!("out")
-            };
-            outs.push((until - now) / SECOND);
-            assert!(!health.tick(until - 1) && health.traffic_share(until - 1) == 0.0);
-            assert!(health.tick(until));
-            now = until;
-            // One run that may happen twice, alone.
-            assert!(health.accepts_probe(now, true, 0) && !health.accepts_probe(now, true, 1));
-            assert!(
-                !health.accepts_probe(now, false, 0)
-                    && health.accepts_probe(now + 2 * SECOND, false, 0)
-            );
-            assert_eq!(
-                health.record_failure(),
-                Some(EjectionReason::ProbationFailed)
-            );
-        }
-        assert_eq!(outs, [2, 4, 8, 16, 32, 60, 60, 60]);
-        assert!(health.record_success(now));
-        assert!(health.traffic_share(now) < 0.2 && health.traffic_share(now + 4 * SECOND) > 0.7);
-        assert!(health.tick(now + 5 * SECOND) && health.state() == MemberState::Healthy);
-        // Forgiven after a while.
-        now += 500 * SECOND;
-        health.eject(now, EjectionReason::ProbationFailed);
-        assert!(
-            matches!(health.state(), MemberState::Ejected { until, .. } if until == now + 2 * SECOND)
-        );
-    }
-
-    #[test]
-    fn slow_is_judged_by_the_pool() {
-        let mut health = health();
-        assert_eq!(health.latency_outlier(1e6, 1e3), None);
-        (0..20).for_each(|_| assert!(!health.record_success(0)));
-        assert_eq!(
-            health.latency_outlier(4e3, 1e3),
-            Some(EjectionReason::HighLatency(4.0))
-        );
-        assert_eq!(health.latency_outlier(3e3, 1e3), None);
-    }
-}
--- a/crates/load-balancing/src/pool/ejection.rs
+++ b/crates/load-balancing/src/pool/ejection.rs
@@ -1,150 +1,146 @@
-//! Who is left out, and who comes back.
+//! Outlier detection over the whole pool: comparison of latencies, panic threshold, return of
+//! members.
 
-use super::*;
+use super::{Pool, PoolEvent};
+use crate::outlier_detection::{EjectionReason, HealthStatus};
+use crate::{Micros, SECOND};
 
-impl<A: Clone + PartialEq + Hash> Pool<A> {
-    /// Does what is due by now.
+/// Interval between comparisons of latencies with the median, in microseconds.
+const LATENCY_COMPARISON_INTERVAL: Micros = SECOND;
+/// A median of fewer members says too little.
+const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
+
+impl<A: Clone + PartialEq> Pool<A> {
+    /// Applies all transitions whose time has come.
     pub fn tick(&mut self, now: Micros) {
-        if now >= self.next_tick {
-            for server in &mut self.servers {
-                let address = || server.settings.address.clone();
-                if server.behind && server.health.defer_probation(now) {
-                    continue;
-                }
-                if server.health.tick(now)
-                    && matches!(server.health.state(), MemberState::Probation { .. })
-                {
-                    self.notes.push(PoolEvent::ProbationStarted(address()));
-                }
+        if now >= self.next_transition {
+            self.apply_transitions(now);
+        }
+        if now >= self.latencies_compared_at + LATENCY_COMPARISON_INTERVAL {
+            self.latencies_compared_at = now;
+            self.eject_slow_members(now);
+        }
+    }
+
+    fn apply_transitions(&mut self, now: Micros) {
+        for member in &mut self.members {
+            if member.is_probe_deferred && member.detector.defer_probation(now) {
+                continue;
             }
-            if self.distrusted.is_some_and(|until| now >= until) {
-                self.distrusted = None;
-                self.notes.push(PoolEvent::PanicEnded);
+            if member.detector.tick(now) && member.detector.status().is_on_probation() {
+                let address = member.settings.address.clone();
+                self.events.push(PoolEvent::ProbationStarted(address));
             }
-            self.arrange(now);
         }
-        if now >= self.judged + SECOND {
-            self.judged = now;
-            self.judge(now);
+        if self.panic_until.is_some_and(|until| now >= until) {
+            self.panic_until = None;
+            self.events.push(PoolEvent::PanicEnded);
         }
+        self.rebuild_candidates(now);
     }
 
-    /// Holds latencies against the pool's median.
-    pub(super) fn judge(&mut self, now: Micros) {
-        let (fade, typical) = (self.rules.latency_decay, self.typical);
-        let mut all: Vec<f64> = self
-            .usable
-            .iter()
-            .map(|&i| self.servers[i].latency(now, fade, typical))
-            .collect();
-        if all.len() < 3 {
+    /// Compares the latency of each usable member with the median.
+    fn eject_slow_members(&mut self, now: Micros) {
+        if self.candidates.usable.len() < MIN_MEMBERS_FOR_MEDIAN {
             return;
         }
-        all.sort_by(f64::total_cmp);
-        let median = all[(all.len() - 1) / 2];
-        for i in self.usable.clone() {
-            let server = &self.servers[i];
-            if let Some(why) = server
-                .health
-                .latency_outlier(server.latency(now, fade, typical), median)
-            {
-                self.take_out(now, i, why);
+        let latency = |pool: &Pool<A>, position: usize| {
+            let decay = pool.config.latency_decay;
+            pool.members[position].latency(now, decay, pool.typical_latency)
+        };
+        let usable = self.candidates.usable.clone();
+        let mut latencies: Vec<f64> = usable.iter().map(|&i| latency(self, i)).collect();
+        latencies.sort_by(f64::total_cmp);
+        let median = latencies[(latencies.len() - 1) / 2];
+        for position in usable {
+            let detector = &self.members[position].detector;
+            if let Some(reason) = detector.latency_outlier(latency(self, position), median) {
+                self.eject(now, position, reason);
             }
         }
     }
 
-    /// Takes a member out, unless too many would be.
-    pub(super) fn take_out(&mut self, now: Micros, i: usize, why: EjectionReason) {
-        if self.distrusted.is_some() {
+    /// Ejects a member, or starts the panic mode if too many would be ejected.
+    pub(super) fn eject(&mut self, now: Micros, position: usize, reason: EjectionReason) {
+        if self.panic_until.is_some() {
             return;
         }
-        let main = || {
-            self.servers
-                .iter()
-                .filter(|s| s.enabled() && !s.settings.is_standby)
-        };
-        let (enabled, out) = (
-            main().count(),
-            main()
-                .filter(|s| s.health.traffic_share(now) == 0.0)
-                .count(),
-        );
-        // Spares that can bear a good part of the load are there for this.
-        let weight = |s: &Server<A>| s.settings.weight;
-        let spares = self
-            .servers
+        let is_on_probation = self.members[position].detector.status().is_on_probation();
+        if !is_on_probation && self.exceeds_panic_threshold(now) {
+            self.panic_until = Some(now + self.config.panic_duration);
+            self.events.push(PoolEvent::PanicStarted);
+        } else {
+            let member = &mut self.members[position];
+            member.detector.eject(now, reason);
+            if let HealthStatus::Ejected { until, .. } = member.detector.status() {
+                self.events.push(PoolEvent::Ejected {
+                    member: member.settings.address.clone(),
+                    reason,
+                    duration: until - now,
+                });
+            }
+        }
+        self.rebuild_candidates(now);
+    }
+
+    /// Whether one more ejection would exceed the panic threshold. A sole member is never ejected,
+    /// as no other could take its traffic.
+    fn exceeds_panic_threshold(&self, now: Micros) -> bool {
+        let primaries = || self.members.iter().filter(|m| m.is_enabled_primary());
+        let ejected = primaries().filter(|m| !m.is_healthy(now)).count();
+        let allowed = self.config.max_ejected_ratio * primaries().count() as f64;
+        (ejected + 1) as f64 > allowed && !self.standby_can_take_over(now)
+    }
+
+    /// Whether healthy standby members can take the traffic of the members that may be ejected.
+    fn standby_can_take_over(&self, now: Micros) -> bool {
+        let standby: f64 = self
+            .members
             .iter()
-            .filter(|s| s.enabled() && s.settings.is_standby);
-        let spare: f64 = spares
-            .filter(|s| s.health.traffic_share(now) > 0.0)
-            .map(weight)
+            .filter(|m| m.is_enabled_standby() && m.is_healthy(now))
+            .map(|m| m.settings.weight)
             .sum();
-        let relieved =
-            spare >= self.rules.max_ejected_ratio * main().map(weight).sum::<f64>() && spare > 0.0;
-        let on_trial = matches!(
-            self.servers[i].health.state(),
-            MemberState::Probation { .. }
-        );
-        // Of a lone member nobody is better off without it.
-        if !on_trial
-            && !relieved
-            && (out + 1) as f64 > self.rules.max_ejected_ratio * enabled as f64
-        {
-            self.distrusted = Some(now + self.rules.panic_duration);
-            self.notes.push(PoolEvent::PanicStarted);
-            return self.arrange(now);
-        }
-        let server = &mut self.servers[i];
-        server.health.eject(now, why);
-        if let MemberState::Ejected { until, .. } = server.health.state() {
-            self.notes.push(PoolEvent::Ejected(
-                server.settings.address.clone(),
-                why,
-                until - now,
-            ));
-        }
-        self.arrange(now);
+        let primary: f64 = self
+            .members
+            .iter()
+            .filter(|m| m.is_enabled_primary())
+            .map(|m| m.settings.weight)
+            .sum();
+        standby >= self.config.max_ejected_ratio * primary && standby > 0.0
     }
 
-    /// Members that are left out, or on trial.
+    /// Addresses of the members that are ejected or on probation.
     pub fn ejected_members(&self) -> impl Iterator<Item = &A> {
-        let out = |s: &&Server<A>| {
-            matches!(
-                s.health.state(),
-                MemberState::Ejected { .. } | MemberState::Probation { .. }
-            )
-        };
-        self.servers
+        self.members
             .iter()
-            .filter(|s| !s.gone)
-            .filter(out)
-            .map(|s| &s.settings.address)
+            .filter(|m| !m.is_removed && m.detector.status().is_unavailable())
+            .map(|m| &m.settings.address)
     }
 
-    /// Members that are left out, or on trial, as their runs failed.
+    /// Addresses of the members that are ejected or on probation because their runs failed.
     pub fn failing_members(&self) -> impl Iterator<Item = &A> {
-        self.servers
+        self.members
             .iter()
-            .filter(|s| !s.gone && s.health.is_ejected_for_failures())
-            .map(|s| &s.settings.address)
+            .filter(|m| !m.is_removed && m.detector.is_ejected_for_failures())
+            .map(|m| &m.settings.address)
     }
 
-    /// Whether another node tries a member first that is left out.
-    pub fn set_probe_deferred(&mut self, address: &A, behind: bool) {
-        self.servers
-            .iter_mut()
-            .filter(|s| s.settings.address == *address)
-            .for_each(|s| s.behind = behind);
+    /// Sets whether another node probes a member before this one does.
+    pub fn set_probe_deferred(&mut self, address: &A, is_deferred: bool) {
+        let members = self.members.iter_mut();
+        for member in members.filter(|m| m.settings.address == *address) {
+            member.is_probe_deferred = is_deferred;
+        }
     }
 
-    /// Another node has found a member to be well: it is tried sooner here.
+    /// Brings the probation of a member forward, because another node's probe succeeded.
     pub fn hasten_probation(&mut self, now: Micros, address: &A) {
-        let server = self
-            .servers
+        let member = self
+            .members
             .iter_mut()
-            .find(|s| s.settings.address == *address);
-        if server.is_some_and(|s| s.health.shorten_ejection(now)) {
-            self.arrange(now);
+            .find(|m| m.settings.address == *address);
+        if member.is_some_and(|m| m.detector.shorten_ejection(now)) {
+            self.rebuild_candidates(now);
         }
     }
 }
--- a/crates/load-balancing/src/pool/members.rs
+++ b/crates/load-balancing/src/pool/members.rs
@@ -1,177 +1,107 @@
-//! Who is a member, and who of them is usable.
+//! Creation of a pool, and changes of its member list.
 
-use super::*;
+use super::candidates::{Candidates, StandbyUse};
+use super::tracked_member::TrackedMember;
+use super::{LastIds, Member, Pool, PoolConfig};
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::consistent_hash::{splitmix64, HashRing, RingMember};
+use crate::outlier_detection::OutlierDetector;
+use crate::retry_budget::RetryBudget;
+use crate::Micros;
+use rand::rngs::SmallRng;
+use rand::SeedableRng;
+use std::collections::HashMap;
+use std::hash::{BuildHasher, DefaultHasher, Hash};
+
+/// Latency that is assumed until the first run succeeds, in microseconds.
+const INITIAL_LATENCY: f64 = 1000.0;
+
+/// A hasher without a random key, so that all nodes compute the same ring, also after a restart.
+#[derive(Clone, Copy, Debug, Default)]
+struct FixedHasher;
+
+impl BuildHasher for FixedHasher {
+    type Hasher = DefaultHasher;
+    fn build_hasher(&self) -> DefaultHasher {
+        DefaultHasher::new()
+    }
+}
 
 impl<A: Clone + PartialEq + Hash> Pool<A> {
-    /// A pool of these members.
-    pub fn new(rules: PoolConfig, members: Vec<Member<A>>, seed: u64, now: Micros) -> Pool<A> {
+    /// Creates a pool of healthy members. `seed` determines all random draws.
+    pub fn new(config: PoolConfig, members: Vec<Member<A>>, seed: u64, now: Micros) -> Pool<A> {
         let mut pool = Pool {
-            rules,
+            config,
             rng: SmallRng::seed_from_u64(seed),
-            servers: Vec::new(),
-            places: HashMap::new(),
+            last_ids: LastIds::default(),
+            members: Vec::new(),
+            positions: HashMap::new(),
             runs: HashMap::new(),
-            next: (0, 0),
-            usable: Vec::new(),
-            weights: Vec::new(),
-            trials: Vec::new(),
-            warming: Vec::new(),
+            candidates: Candidates::default(),
+            standby_use: StandbyUse::Inactive,
             ring: HashRing::default(),
-            budget: RetryBudget::new(rules.retry, now),
-            typical: 1000.0,
-            distrusted: None,
-            spares: None,
-            next_tick: Micros::MIN,
-            judged: now,
-            notes: Vec::new(),
+            retry_budget: RetryBudget::new(config.retry, now),
+            typical_latency: INITIAL_LATENCY,
+            panic_until: None,
+            next_transition: Micros::MIN,
+            latencies_compared_at: now,
+            events: Vec::new(),
         };
         for member in members {
-            pool.enter(member, OutlierDetector::new(rules.outlier_detection, now));
+            pool.add(member, OutlierDetector::new(config.outlier_detection, now));
         }
-        pool.arrange(now);
-        pool.belong();
-        pool.notes.clear();
+        pool.rebuild_candidates(now);
+        pool.rebuild_ring();
+        pool.events.clear();
         pool
     }
 
-    pub(super) fn enter(&mut self, settings: Member<A>, health: OutlierDetector) {
-        self.next.0 += 1;
-        let limit = ConcurrencyLimit::new(self.rules.concurrency_limit, settings.max_runs);
-        self.servers.push(Server {
-            number: self.next.0,
-            settings,
-            health,
-            limit,
-            latency: None,
-            seen: Micros::MIN / 2,
-            runs: BTreeSet::new(),
-            gone: false,
-            behind: false,
-        });
+    fn add(&mut self, settings: Member<A>, detector: OutlierDetector) {
+        let id = self.last_ids.next_member();
+        let limit = ConcurrencyLimit::new(self.config.concurrency_limit, settings.max_runs);
+        self.members
+            .push(TrackedMember::new(id, settings, detector, limit));
     }
 
-    /// The members are these from now on. One that stays keeps what is known of it, one that goes
-    /// finishes what it has, and a newcomer starts slowly.
+    /// Replaces the member list. A member that remains retains its observed state, a removed one
+    /// completes its runs, and an added one begins with a slow start.
     pub fn update(&mut self, members: Vec<Member<A>>, now: Micros) {
-        self.servers.iter_mut().for_each(|s| s.gone = true);
-        for member in members {
-            match self
-                .servers
+        for member in &mut self.members {
+            member.is_removed = true;
+        }
+        for settings in members {
+            let known = self
+                .members
                 .iter_mut()
-                .find(|s| s.settings.address == member.address)
-            {
-                Some(server) => {
-                    server.limit.set_upper_bound(member.max_runs);
-                    (server.settings, server.gone) = (member, false);
-                }
-                None => self.enter(
-                    member,
-                    OutlierDetector::with_slow_start(self.rules.outlier_detection, now),
-                ),
+                .find(|known| known.settings.address == settings.address);
+            if let Some(known) = known {
+                known.limit.set_upper_bound(settings.max_runs);
+                known.settings = settings;
+                known.is_removed = false;
+            } else {
+                let config = self.config.outlier_detection;
+                self.add(settings, OutlierDetector::with_slow_start(config, now));
             }
         }
-        self.servers.retain(|s| !s.gone || !s.runs.is_empty());
-        self.arrange(now);
-        self.belong();
-    }
-
-    /// Works out anew which member a key belongs to. That depends on the file alone: a member that
-    /// is out for a while has its keys again when it is back.
-    pub(super) fn belong(&mut self) {
-        let named = |s: &Server<A>| splitmix64(Fixed.hash_one(&s.settings.address));
-        let ring = self
-            .servers
-            .iter()
-            .filter(|s| s.enabled() && !s.settings.is_standby);
-        self.ring = HashRing::new(ring.map(|s| (s.number, named(s), s.settings.weight)));
+        self.members
+            .retain(|member| !member.is_removed || !member.runs.is_empty());
+        self.rebuild_candidates(now);
+        self.rebuild_ring();
     }
 
-    /// Works out anew who may get runs.
-    pub(super) fn arrange(&mut self, now: Micros) {
-        self.places = self
-            .servers
-            .iter()
-            .enumerate()
-            .map(|(i, s)| (s.number, i))
-            .collect();
-        let distrusted = self.distrusted.is_some();
-        let well = |s: &Server<A>| distrusted || s.health.traffic_share(now) > 0.0;
-        let main = |s: &&Server<A>| s.enabled() && !s.settings.is_standby;
-        let tier = self
-            .servers
-            .iter()
-            .filter(main)
-            .filter(|s| well(s))
-            .map(|s| s.settings.tier)
-            .min();
-        // Back from the spares only once another member has been usable for a while.
-        self.spares = match (tier, self.spares) {
-            (None, None)
-                if self
-                    .servers
-                    .iter()
-                    .any(|s| s.enabled() && s.settings.is_standby) =>
-            {
-                self.notes.push(PoolEvent::StandbyActivated);
-                Some(None)
-            }
-            (None, spares) => spares.map(|_| None),
-            (Some(_), Some(None)) => Some(Some(now)),
-            (Some(_), Some(Some(since))) if now >= since + self.rules.standby_hold => {
-                self.notes.push(PoolEvent::StandbyReleased);
-                None
-            }
-            (Some(_), spares) => spares,
-        };
-        let spares = self.spares.is_some();
-        let picked = |s: &Server<A>| match s.settings.is_standby {
-            true => spares,
-            false => Some(s.settings.tier) == tier,
-        };
-        let all = || self.servers.iter().enumerate().filter(|(_, s)| s.enabled());
-        self.usable = all()
-            .filter(|(_, s)| well(s) && picked(s))
-            .map(|(i, _)| i)
-            .collect();
-        self.trials = match distrusted {
-            true => Vec::new(),
-            false => {
-                let on_trial =
-                    |s: &Server<A>| matches!(s.health.state(), MemberState::Probation { .. });
-                all().filter(|(_, s)| on_trial(s)).map(|(i, _)| i).collect()
-            }
-        };
-        let warms = |i: &usize| {
-            matches!(
-                self.servers[*i].health.state(),
-                MemberState::SlowStart { .. }
-            )
+    /// Rebuilds the ring of sticky keys. It depends on the configuration alone, so that an ejected
+    /// member gets its keys back when it returns.
+    fn rebuild_ring(&mut self) {
+        let ring_member = |member: &TrackedMember<A>| RingMember {
+            id: member.id.0,
+            name_hash: splitmix64(FixedHasher.hash_one(&member.settings.address)),
+            weight: member.settings.weight,
         };
-        self.warming = match distrusted {
-            true => Vec::new(),
-            false => self.usable.iter().copied().filter(warms).collect(),
-        };
-        let mut sum = 0.0;
-        let weights = self.usable.iter().map(|&i| {
-            sum += self.servers[i].settings.weight;
-            sum
-        });
-        self.weights = weights.collect();
-        let ends = self.servers.iter().filter_map(|s| match s.health.state() {
-            MemberState::Ejected { until, .. } => Some(until),
-            MemberState::SlowStart { since } => {
-                Some(since + self.rules.outlier_detection.slow_start)
-            }
-            MemberState::Healthy | MemberState::Probation { .. } => None,
-        });
-        let spares = self
-            .spares
-            .flatten()
-            .map(|since| since + self.rules.standby_hold);
-        self.next_tick = ends
-            .chain(self.distrusted)
-            .chain(spares)
-            .min()
-            .unwrap_or(Micros::MAX);
+        self.ring = HashRing::new(
+            self.members
+                .iter()
+                .filter(|member| member.is_enabled_primary())
+                .map(ring_member),
+        );
     }
 }
--- a/crates/load-balancing/src/pool/mod.rs
+++ b/crates/load-balancing/src/pool/mod.rs
@@ -1,62 +1,84 @@
-//! One pool: who gets the next run.
-
-use crate::concurrency_limit::ConcurrencyLimit;
-use crate::consistent_hash::{splitmix64, HashRing};
-use crate::outlier_detection::{EjectionReason, MemberState, OutlierDetector};
-use crate::retry_budget::{RetryBudget, RetryRequest};
-use crate::{Micros, SECOND};
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use std::collections::{BTreeSet, HashMap};
-use std::fmt;
-use std::hash::{BuildHasher, Hash};
+//! A pool of members that runs are balanced over.
+//!
+//! - [`config`](self::PoolConfig): settings of the pool and its members.
+//! - `members`: creation, and changes of the member list.
+//! - `candidates`: which members the next run can go to, by tier, standby use and ejection.
+//! - `select`: selection of a member for a run.
+//! - `runs`: the end of runs, and retries.
+//! - `ejection`: outlier detection over the whole pool, and the panic threshold.
+//! - `report`: the state of each member, for the log.
 
+mod candidates;
+mod config;
 mod ejection;
+mod event;
 mod members;
 mod report;
+mod runs;
 mod select;
-mod server;
-mod terms;
+mod selection;
+mod tracked_member;
 
-use server::Server;
-pub use terms::*;
+pub use config::{Member, MemberMode, PoolConfig};
+pub use event::PoolEvent;
+pub use report::MemberReport;
+pub use selection::{MemberId, RunId, RunOutcome, Selection, SelectionRequest};
 
-/// The pool.
-#[derive(Debug)]
-pub struct Pool<A> {
-    rules: PoolConfig,
-    rng: SmallRng,
-    servers: Vec<Server<A>>,
-    places: HashMap<u32, usize>,
-    runs: HashMap<RunId, (u32, Micros)>,
-    next: (u32, RunId),
-    /// Those that the next run may go to, and those on trial: made anew after each change.
-    usable: Vec<usize>,
-    /// Their weights, added up.
-    weights: Vec<f64>,
-    trials: Vec<usize>,
-    /// Those of the usable ones that warm up.
-    warming: Vec<usize>,
-    ring: HashRing,
-    budget: RetryBudget,
-    /// What a run takes, all members together, in microseconds.
-    typical: f64,
-    distrusted: Option<Micros>,
-    /// Spares are used, and since when they need not be.
-    spares: Option<Option<Micros>>,
-    next_tick: Micros,
-    judged: Micros,
-    notes: Vec<PoolEvent<A>>,
+use crate::consistent_hash::HashRing;
+use crate::retry_budget::RetryBudget;
+use crate::Micros;
+use candidates::{Candidates, StandbyUse};
+use rand::rngs::SmallRng;
+use std::collections::HashMap;
+use tracked_member::TrackedMember;
+
+/// A run in flight.
+#[derive(Clone, Copy, Debug)]
+struct RunInFlight {
+    member: MemberId,
+    started_at: Micros,
 }
 
-/// A fixed hasher: the same key and address come to the same place on all nodes and after a
-/// restart.
+/// The ids given last.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fixed;
+struct LastIds {
+    member: u32,
+    run: u64,
+}
 
-impl BuildHasher for Fixed {
-    type Hasher = std::hash::DefaultHasher;
-    fn build_hasher(&self) -> Self::Hasher {
-        std::hash::DefaultHasher::new()
+impl LastIds {
+    fn next_member(&mut self) -> MemberId {
+        self.member += 1;
+        MemberId(self.member)
     }
+
+    fn next_run(&mut self) -> RunId {
+        self.run += 1;
+        RunId(self.run)
+    }
+}
+
+/// A pool of members with addresses of type `A`.
+#[derive(Debug)]
+pub struct Pool<A> {
+    config: PoolConfig,
+    rng: SmallRng,
+    last_ids: LastIds,
+    members: Vec<TrackedMember<A>>,
+    /// Positions in `members`.
+    positions: HashMap<MemberId, usize>,
+    runs: HashMap<RunId, RunInFlight>,
+    candidates: Candidates,
+    standby_use: StandbyUse,
+    ring: HashRing,
+    retry_budget: RetryBudget,
+    /// Moving average of the latency over all members, in microseconds.
+    typical_latency: f64,
+    /// End of the panic mode, in which ejections are suspended.
+    panic_until: Option<Micros>,
+    /// When [`Pool::tick`] next changes the candidates.
+    next_transition: Micros,
+    /// When latencies were last compared with the median.
+    latencies_compared_at: Micros,
+    events: Vec<PoolEvent<A>>,
 }
--- a/crates/load-balancing/src/pool/select.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -1,234 +1,219 @@
-//! Who gets a run, and what its end says.
+//! Selection of a member for a run.
 
-use super::*;
+use super::tracked_member::StartedRun;
+use super::{MemberId, Pool, RunInFlight, Selection, SelectionRequest};
+use crate::Micros;
+use rand::Rng;
 
-/// Members drawn for a request, of which the less loaded one gets it.
+/// Members that are drawn at random, of which the less loaded one gets the run (power of two
+/// choices; Mitzenmacher, 2001).
 const CHOICES: usize = 2;
-
-impl<A: Clone + PartialEq + Hash> Pool<A> {
-    pub(super) fn room(&self, i: usize) -> bool {
-        self.servers[i].runs.len() < self.servers[i].limit.allowed_runs()
-    }
-
-    /// The part of its share that a member gets now.
-    pub(super) fn part(&self, now: Micros, i: usize) -> f64 {
-        match self.distrusted {
-            Some(_) => 1.0,
-            None => self.servers[i].health.traffic_share(now).max(0.01),
-        }
-    }
-
-    pub(super) fn load(&self, now: Micros, i: usize) -> f64 {
-        let server = &self.servers[i];
-        let latency = server.latency(now, self.rules.latency_decay, self.typical);
-        // Idle members are alike but for their latency; their weights are in how often they are
-        // drawn.
-        (server.runs.len() as f64 / (server.settings.weight * self.part(now, i)) + 1.0) * latency
-    }
-
-    /// A usable member, as often as its weight says.
-    pub(super) fn draw(&mut self) -> usize {
-        let sum = *self.weights.last().expect("one is usable");
-        let at = self.rng.random_range(0.0..sum);
-        self.usable[self
-            .weights
-            .partition_point(|w| *w <= at)
-            .min(self.usable.len() - 1)]
-    }
-
-    /// The members that warm up and are left out of this request's choice.
+/// Draws before all usable members are compared. While most have free slots, the first suffices.
+const DRAW_ROUNDS: usize = 4;
+/// Lower bound of the traffic share in the load of a member that gets hardly any traffic.
+const MIN_TRAFFIC_SHARE: f64 = 0.01;
+/// Entries of the ring that are tried for a sticky key.
+const MAX_RING_STEPS: usize = 256;
+/// Avoids a division by zero where no member is usable.
+const MIN_TOTAL_WEIGHT: f64 = 1e-9;
+
+impl<A: Clone + PartialEq> Pool<A> {
+    /// Selects a member for a run.
     ///
-    /// Each is drawn for the request, and not by its load: with many processes each of them has
-    /// next to nothing in a new member's hands, and would take it to be idle. Whoever is among two
-    /// drawn gets up to twice its share by being the less loaded one, so it may be among them half
-    /// as often; what all processes send together then keeps to the ramp.
-    fn left_out(&mut self, now: Micros) -> Vec<usize> {
-        let mut left_out = Vec::new();
-        if self.warming.len() == self.usable.len() {
-            // All are as new: nobody else can take what they are spared.
-            return left_out;
-        }
-        for at in 0..self.warming.len() {
-            let i = self.warming[at];
-            let part = self.part(now, i);
-            if part < 1.0 && !self.rng.random_bool(part / CHOICES as f64) {
-                left_out.push(i);
-            }
+    /// A member on probation comes first, as its state is unknown until a run probes it; then the
+    /// member of the sticky key; then the less loaded of two random members.
+    pub fn select(&mut self, now: Micros, request: SelectionRequest) -> Selection<A> {
+        self.begin_selection(now, request);
+        let probed = self.probe_target(now, request);
+        if let Some(position) = probed.or_else(|| self.sticky_member(now, request)) {
+            return self.start_run(now, position);
         }
-        left_out
-    }
-
-    /// A place for a first try.
-    pub fn select(&mut self, now: Micros, ask: SelectionRequest) -> Selection<A> {
-        if ask.attempted_members.is_empty() {
-            self.budget.record_first_attempt();
+        let excluded = self.draw_slow_start_exclusions(now);
+        let chosen = self
+            .choose_of_two(now, request, &excluded)
+            .or_else(|| self.least_loaded(now, request, &excluded))
+            // A member in slow start is better than none.
+            .or_else(|| self.least_loaded(now, request, &[]));
+        if let Some(position) = chosen {
+            return self.start_run(now, position);
         }
-        self.tick(now);
-        let tried = |s: &Server<A>| ask.attempted_members.contains(&s.number);
-        // A member on trial goes first: nobody else can tell whether it is well.
-        let trial = self.trials.iter().copied().find(|&i| {
-            let server = &self.servers[i];
-            !tried(server)
-                && server
-                    .health
-                    .accepts_probe(now, ask.is_idempotent, server.runs.len())
-        });
-        if let Some(i) = trial {
-            return self.put(now, i);
-        }
-        if let Some(i) = ask
-            .hash_key
-            .and_then(|key| self.sticky(now, key, ask.attempted_members))
-        {
-            return self.put(now, i);
-        }
-        let count = self.usable.len();
-        let free = |pool: &Pool<A>, i: usize| !tried(&pool.servers[i]) && pool.room(i);
-        let left_out = self.left_out(now);
-        let open = |pool: &Pool<A>, i: usize| free(pool, i) && !left_out.contains(&i);
-        // Two at random, a few times over: with most members open one time is enough.
-        for _ in 0..4 {
-            if count < 2 {
-                break;
-            }
-            let two: [usize; CHOICES] = [self.draw(), self.draw()];
-            match two.map(|i| open(self, i)) {
-                [true, true] => {
-                    let [a, b] = two.map(|i| self.load(now, i));
-                    return self.put(now, if b < a { two[1] } else { two[0] });
-                }
-                [true, false] => return self.put(now, two[0]),
-                [false, true] => return self.put(now, two[1]),
-                [false, false] => {}
-            }
-        }
-        let least = |among: &dyn Fn(usize) -> bool| {
-            let all = self.usable.iter().copied().filter(|&i| among(i));
-            all.min_by(|&a, &b| self.load(now, a).total_cmp(&self.load(now, b)))
-        };
-        // Where nobody else has room, one that warms up is better than none.
-        match least(&|i| open(self, i)).or_else(|| least(&|i| free(self, i))) {
-            Some(i) => self.put(now, i),
-            None if self.usable.iter().any(|&i| !tried(&self.servers[i])) => Selection::AtCapacity,
-            None => Selection::Unavailable,
+        let usable = &self.candidates.usable;
+        if usable.iter().all(|&i| self.was_attempted(i, request)) {
+            Selection::Unavailable
+        } else {
+            Selection::AtCapacity
         }
     }
 
-    /// A place at one member alone, whether it is left out or not: for what can't be anywhere else.
+    /// Selects the member at `address`, even if it is ejected: for sessions that no other member can
+    /// serve.
     pub fn select_member(
         &mut self,
         now: Micros,
-        ask: SelectionRequest,
+        request: SelectionRequest,
         address: &A,
     ) -> Selection<A> {
-        if ask.attempted_members.is_empty() {
-            self.budget.record_first_attempt();
-        }
-        self.tick(now);
-        let there = |s: &Server<A>| !s.gone && s.settings.address == *address;
-        match self.servers.iter().position(there) {
-            Some(i) if ask.attempted_members.contains(&self.servers[i].number) => {
-                Selection::Unavailable
+        self.begin_selection(now, request);
+        let position = self
+            .members
+            .iter()
+            .position(|member| !member.is_removed && member.settings.address == *address);
+        match position {
+            Some(position) if self.was_attempted(position, request) => Selection::Unavailable,
+            Some(position) if self.members[position].has_free_slot() => {
+                self.start_run(now, position)
             }
-            Some(i) if self.room(i) => self.put(now, i),
             Some(_) => Selection::AtCapacity,
             None => Selection::Unavailable,
         }
     }
 
-    /// The member that a key belongs to, or the next one in its order that is not crowded.
-    pub(super) fn sticky(&self, now: Micros, key: u64, tried: &[u32]) -> Option<usize> {
-        let runs = self.runs.len();
-        let weights = self.weights.last().copied().unwrap_or_default();
-        let fits = |i: usize| {
-            let server = &self.servers[i];
-            let share = (runs + 1) as f64 * server.settings.weight / weights.max(1e-9);
-            let most = (self.rules.hash_load_factor * share).ceil().max(1.0);
-            let well = self.distrusted.is_some() || server.health.traffic_share(now) > 0.0;
-            let free = !tried.contains(&server.number) && self.room(i);
-            well && free && ((server.runs.len() + 1) as f64) <= most
+    fn begin_selection(&mut self, now: Micros, request: SelectionRequest) {
+        if request.attempted_members.is_empty() {
+            self.retry_budget.record_first_attempt();
+        }
+        self.tick(now);
+    }
+
+    fn was_attempted(&self, position: usize, request: SelectionRequest) -> bool {
+        let id: MemberId = self.members[position].id;
+        request.attempted_members.contains(&id)
+    }
+
+    fn is_open(&self, position: usize, request: SelectionRequest, excluded: &[usize]) -> bool {
+        !self.was_attempted(position, request)
+            && self.members[position].has_free_slot()
+            && !excluded.contains(&position)
+    }
+
+    /// The first member on probation that this run may probe.
+    fn probe_target(&self, now: Micros, request: SelectionRequest) -> Option<usize> {
+        let accepts = |&position: &usize| {
+            let member = &self.members[position];
+            let in_flight = member.runs.len();
+            !self.was_attempted(position, request)
+                && (member.detector).accepts_probe(now, request.is_idempotent, in_flight)
         };
+        self.candidates.on_probation.iter().copied().find(accepts)
+    }
+
+    /// The first member in the order of the sticky key that is healthy and not above its share of
+    /// the load (consistent hashing with bounded loads).
+    fn sticky_member(&self, now: Micros, request: SelectionRequest) -> Option<usize> {
         self.ring
-            .preference_order(key)
-            .take(256)
-            .filter_map(|n| self.places.get(&n).copied())
-            .find(|&i| fits(i))
+            .preference_order(request.hash_key?)
+            .take(MAX_RING_STEPS)
+            .filter_map(|id| self.positions.get(&MemberId(id)).copied())
+            .find(|&position| {
+                (self.panic_until.is_some() || self.members[position].is_healthy(now))
+                    && self.is_open(position, request, &[])
+                    && self.is_within_hash_load(position)
+            })
     }
 
-    pub(super) fn put(&mut self, now: Micros, i: usize) -> Selection<A> {
-        self.next.1 += 1;
-        let run = self.next.1;
-        let server = &mut self.servers[i];
-        server.runs.insert((now, run));
-        self.runs.insert(run, (server.number, now));
-        Selection::Selected {
-            run,
-            member: server.number,
-            address: server.settings.address.clone(),
-        }
+    fn is_within_hash_load(&self, position: usize) -> bool {
+        let member = &self.members[position];
+        let total_weight = self.candidates.total_weight().max(MIN_TOTAL_WEIGHT);
+        let share = (self.runs.len() + 1) as f64 * member.settings.weight / total_weight;
+        let max_runs = (self.config.hash_load_factor * share).ceil().max(1.0);
+        (member.runs.len() + 1) as f64 <= max_runs
     }
 
-    /// A run has ended.
-    pub fn complete_run(&mut self, now: Micros, run: RunId, end: RunOutcome) {
-        let Some((number, since)) = self.runs.remove(&run) else {
-            return;
-        };
-        let Some(&i) = self.places.get(&number) else {
-            return;
-        };
-        let (fade, typical) = (self.rules.latency_decay, &mut self.typical);
-        let server = &mut self.servers[i];
-        let in_flight = server.runs.len();
-        server.runs.remove(&(since, run));
-        let took = (now - since).max(0);
-        let mut out = None;
-        let patient = took as f64 >= *typical * self.rules.outlier_detection.latency_factor;
-        match end {
-            RunOutcome::Succeeded => {
-                server.observe(now, took, fade);
-                *typical += (took as f64 - *typical) * 0.02;
-                server.limit.record_success(now, since, in_flight);
-                if server.health.record_success(now) {
-                    self.notes
-                        .push(PoolEvent::Recovered(server.settings.address.clone()));
-                    self.arrange(now);
-                }
-            }
-            RunOutcome::TimedOut if !patient => {}
-            RunOutcome::Failed | RunOutcome::TimedOut => {
-                // One that fails at once must not look quick.
-                server.observe(now, took.max(*typical as Micros), fade);
-                out = server.health.record_failure();
-            }
-            RunOutcome::Unreachable => out = server.health.record_failure(),
+    /// Draws the members in slow start that are excluded from this selection.
+    ///
+    /// Each is drawn independently of its load: with many processes, each has next to no runs on a
+    /// new member and would take it for idle. A member among [`CHOICES`] drawn ones gets up to that
+    /// many times its share by being the less loaded one, so its probability is divided by that;
+    /// the traffic of all processes together then follows the slow start.
+    fn draw_slow_start_exclusions(&mut self, now: Micros) -> Vec<usize> {
+        let mut excluded = Vec::new();
+        if self.candidates.in_slow_start.len() == self.candidates.usable.len() {
+            // No other member could take the traffic.
+            return excluded;
         }
-        if let Some(why) = out {
-            self.take_out(now, i, why);
+        for index in 0..self.candidates.in_slow_start.len() {
+            let position = self.candidates.in_slow_start[index];
+            let share = self.traffic_share(now, position);
+            if share < 1.0 && !self.rng.random_bool(share / CHOICES as f64) {
+                excluded.push(position);
+            }
         }
-        if self.servers[i].gone && self.servers[i].runs.is_empty() {
-            self.servers.remove(i);
-            self.arrange(now);
+        excluded
+    }
+
+    /// The fraction of its traffic that a usable member gets; all of it in panic mode.
+    fn traffic_share(&self, now: Micros, position: usize) -> f64 {
+        if self.panic_until.is_some() {
+            return 1.0;
         }
-        self.tick(now);
+        let share = self.members[position].detector.traffic_share(now);
+        share.max(MIN_TRAFFIC_SHARE)
     }
 
-    /// How long to wait before a further try of a request, if it may have one.
-    pub fn acquire_retry(&mut self, now: Micros, further: RetryRequest) -> Option<Micros> {
-        self.budget.acquire(now, further, &mut self.rng)
+    /// Expected latency of one more run: the latency scaled by the runs in flight per weight. Idle
+    /// members differ only in latency; their weights count in how often they are drawn.
+    fn load(&self, now: Micros, position: usize) -> f64 {
+        let member = &self.members[position];
+        let latency = member.latency(now, self.config.latency_decay, self.typical_latency);
+        let weight = member.settings.weight * self.traffic_share(now, position);
+        (member.runs.len() as f64 / weight + 1.0) * latency
     }
 
-    /// From now on so much of the budget of repeats is this node's.
-    pub fn set_budget_share(&mut self, part: f64) {
-        self.budget.set_share(part);
+    /// Draws two members by weight, and returns the less loaded of those that are open.
+    fn choose_of_two(
+        &mut self,
+        now: Micros,
+        request: SelectionRequest,
+        excluded: &[usize],
+    ) -> Option<usize> {
+        if self.candidates.usable.len() < CHOICES {
+            return None;
+        }
+        for _ in 0..DRAW_ROUNDS {
+            let first = self.candidates.draw(&mut self.rng);
+            let second = self.candidates.draw(&mut self.rng);
+            let is_open = |position| self.is_open(position, request, excluded);
+            match (is_open(first), is_open(second)) {
+                (true, true) if self.load(now, second) < self.load(now, first) => {
+                    return Some(second);
+                }
+                (true, _) => return Some(first),
+                (false, true) => return Some(second),
+                (false, false) => {}
+            }
+        }
+        None
     }
 
-    /// Changes since the last call, in order.
-    pub fn take_events(&mut self) -> Vec<PoolEvent<A>> {
-        std::mem::take(&mut self.notes)
+    /// The least loaded of all usable members that are open.
+    fn least_loaded(
+        &self,
+        now: Micros,
+        request: SelectionRequest,
+        excluded: &[usize],
+    ) -> Option<usize> {
+        let usable = self.candidates.usable.iter().copied();
+        usable
+            .filter(|&position| self.is_open(position, request, excluded))
+            .min_by(|&a, &b| self.load(now, a).total_cmp(&self.load(now, b)))
     }
 
-    /// Runs under way.
-    pub fn in_flight(&self) -> usize {
-        self.runs.len()
+    fn start_run(&mut self, now: Micros, position: usize) -> Selection<A> {
+        let run = self.last_ids.next_run();
+        let member = &mut self.members[position];
+        member.runs.insert(StartedRun {
+            started_at: now,
+            run,
+        });
+        let in_flight = RunInFlight {
+            member: member.id,
+            started_at: now,
+        };
+        self.runs.insert(run, in_flight);
+        Selection::Selected {
+            run,
+            member: member.id,
+            address: member.settings.address.clone(),
+        }
     }
 }
