--- a/crates/core/src/durable.rs
+++ b/crates/core/src/durable.rs
@@ -13,7 +13,7 @@
 
 /// What the core keeps beside the store's gate.
 #[derive(Debug)]
-pub struct Durable {
+pub struct RunStore {
     gate: CommitQueue,
     /// From the node's clock to the machine's count since its start.
     up: Micros,
@@ -29,11 +29,11 @@
     events: Vec<commit_queue::CommitEvent>,
 }
 
-impl Durable {
+impl RunStore {
     /// `up` leads from the node's clock to the machine's count since its start; with `wait` answers
     /// wait until their outcome is on the disk; until `suspect` keyed requests are refused.
-    pub fn new(gate: CommitQueue, up: Micros, wait: bool, suspect: Option<Micros>) -> Durable {
-        Durable {
+    pub fn new(gate: CommitQueue, up: Micros, wait: bool, suspect: Option<Micros>) -> RunStore {
+        RunStore {
             gate,
             up,
             wait,
@@ -55,7 +55,7 @@
 impl Core {
     /// From now on keyed runs are remembered by a store, which has brought these keys over the
     /// restart; the ends of their windows are on the node's clock. Before anything arrives.
-    pub fn remember(&mut self, mut durable: Durable, found: Vec<Recovered>) {
+    pub fn attach_store(&mut self, mut durable: RunStore, found: Vec<Recovered>) {
         for Recovered {
             intent,
             window_end: until,
@@ -99,7 +99,7 @@
                 (By::Store, FULL_COOLDOWN)
             }
             commit_queue::RefusalReason::Damaged => {
-                let most = self.settings.max_backoff.max(FULL_COOLDOWN);
+                let most = self.settings.max_retry_after.max(FULL_COOLDOWN);
                 (
                     By::Store,
                     (durable.suspect - now).clamp(FULL_COOLDOWN, most),
@@ -116,17 +116,21 @@
         };
         let incoming = &self.attempts[&id].incoming;
         let linger = self.keys.reading() + SPARE;
-        let window = self.settings.classes[incoming.class].window;
+        let window = self.settings.classes[incoming.class].idempotency_window;
         let intent = Intent {
             // The gate's to give.
             id: 0,
             reference: incoming.reference,
-            key: incoming.key.as_deref().unwrap_or_default().to_owned(),
+            key: incoming
+                .idempotency_key
+                .as_deref()
+                .unwrap_or_default()
+                .to_owned(),
             class: self.classes.name(incoming.class).to_owned(),
-            payload_digest: incoming.payload,
-            arrived_at: incoming.arrived,
+            payload_digest: incoming.payload_digest,
+            arrived_at: incoming.arrived_at,
             window,
-            expires_at: incoming.arrived + window + linger + durable.up,
+            expires_at: incoming.arrived_at + window + linger + durable.up,
             read_grace: linger,
         };
         durable
@@ -149,7 +153,7 @@
                     let Some(&id) = self.by_reference.get(&reference) else {
                         continue;
                     };
-                    self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
+                    self.ended(id, RunOutcome::NotStarted, 0, Rc::from([]), By::Store);
                 }
                 commit_queue::CommitEvent::OutcomeDurable(reference) => {
                     let durable = self.durable.as_mut().expect("as above");
@@ -159,7 +163,7 @@
                     let Some(&id) = self.by_reference.get(&reference) else {
                         continue;
                     };
-                    self.ended(id, End::Fine, took, result, By::Run);
+                    self.ended(id, RunOutcome::Completed, took, result, By::Run);
                 }
             }
         }
@@ -184,7 +188,11 @@
                 .gate
                 .enqueue_void(reference);
         };
-        let key = attempt.incoming.key.clone().unwrap_or_else(|| Rc::from(""));
+        let key = attempt
+            .incoming
+            .idempotency_key
+            .clone()
+            .unwrap_or_else(|| Rc::from(""));
         let wanted = attempt.origin.is_some()
             || self
                 .keys
@@ -198,14 +206,14 @@
             .expect("it said so")
             .gate
             .enqueue_void(reference);
-        self.ended(id, End::NeverRan, 0, Rc::from([]), By::Store);
+        self.ended(id, RunOutcome::NotStarted, 0, Rc::from([]), By::Store);
     }
 
     /// A keyed run ended: what is written of it, and whether its answer has to wait for that.
     pub(super) fn outcome(
         &mut self,
         reference: Reference,
-        end: End,
+        end: RunOutcome,
         took: Micros,
         result: &Rc<[u8]>,
     ) -> bool {
@@ -216,11 +224,13 @@
             return true;
         }
         let kept = match end {
-            End::NeverRan => {
+            RunOutcome::NotStarted => {
                 durable.gate.enqueue_void(reference);
                 return false;
             }
-            End::Fine if result.len() <= self.most_result => Kept::Served(result.clone()),
+            RunOutcome::Completed if result.len() <= self.most_result => {
+                Kept::Served(result.clone())
+            }
             _ => Kept::Failed,
         };
         let waits = durable.wait && matches!(kept, Kept::Served(_));
@@ -232,7 +242,12 @@
     }
 
     /// A run ended that a process before this one began: its key's repeats learn of it.
-    pub(super) fn earlier_ended(&mut self, reference: Reference, end: End, result: &Rc<[u8]>) {
+    pub(super) fn earlier_ended(
+        &mut self,
+        reference: Reference,
+        end: RunOutcome,
+        result: &Rc<[u8]>,
+    ) {
         let Some(durable) = &mut self.durable else {
             return;
         };
@@ -240,11 +255,11 @@
             return;
         };
         match end {
-            End::NeverRan => {
+            RunOutcome::NotStarted => {
                 durable.gate.enqueue_void(reference);
                 self.keys.remove(&key);
             }
-            End::Fine if result.len() <= self.most_result => {
+            RunOutcome::Completed if result.len() <= self.most_result => {
                 let kept = Kept::Served(result.clone());
                 durable.gate.enqueue_outcome(reference, written(&kept));
                 self.keys.learned(&key, kept);
@@ -266,17 +281,17 @@
     }
 
     /// Whether keyed runs are remembered by a store.
-    pub fn remembers(&self) -> bool {
+    pub fn has_store(&self) -> bool {
         self.durable.is_some()
     }
 
     /// The next batch for the store's writer, if it is to have one now.
-    pub fn batch(&mut self, now: Micros) -> Option<Batch> {
+    pub fn next_store_batch(&mut self, now: Micros) -> Option<Batch> {
         self.durable.as_mut()?.gate.next_batch(now)
     }
 
     /// The store's writer is done with its batch.
-    pub fn stored(&mut self, now: Micros, result: Result<u64, String>) {
+    pub fn handle_store_result(&mut self, now: Micros, result: Result<u64, String>) {
         self.now = self.now.max(now);
         let Some(durable) = &mut self.durable else {
             return;
@@ -307,20 +322,24 @@
     }
 
     /// A line for the log, whenever the store takes keys again or no longer.
-    pub fn store_note(&mut self, now: Micros) -> Option<String> {
+    pub fn store_status_change(&mut self, now: Micros) -> Option<String> {
         self.durable.as_mut()?.gate.status_change(now)
     }
 
     /// Whether all that is to be on the disk is there.
-    pub fn store_idle(&self) -> bool {
+    pub fn is_store_idle(&self) -> bool {
         self.durable.as_ref().is_none_or(|d| d.gate.is_idle())
     }
 
     /// Bytes that the store takes on the disk, those promised beside, and records that are not
     /// there yet; nothing without a store.
-    pub fn store_room(&self) -> Option<(u64, u64, usize)> {
+    pub fn store_usage(&self) -> Option<StoreUsage> {
         let gate = &self.durable.as_ref()?.gate;
         let (used, reserved) = gate.usage();
-        Some((used, reserved, gate.pending_records()))
+        Some(StoreUsage {
+            used_bytes: used,
+            reserved_bytes: reserved,
+            waiting_records: gate.pending_records(),
+        })
     }
 }
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -6,7 +6,7 @@
 use crate::net::idempotency_store;
 use async_executor::LocalExecutor;
 use pipitlever_admission::Micros;
-use pipitlever_core::durable::Durable;
+use pipitlever_core::RunStore;
 use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig};
 use pipitlever_idempotency_store::disk::{StoreDirectory, WriterThread};
 use pipitlever_idempotency_store::log::{Limits, Log, OpenReport};
@@ -86,7 +86,7 @@
                 .then(|| now + self.found.longest_window.max(self.window));
             let gate = CommitQueue::new(rules, used, suspect, first);
             let wait = self.settings.wait;
-            let durable = Durable::new(gate, machine.since_boot - now, wait, suspect);
+            let durable = RunStore::new(gate, machine.since_boot - now, wait, suspect);
             for key in &mut self.found.keys {
                 key.window_end = hub.clock.of_unix(key.window_end);
             }
