--- a/crates/idempotency-store/src/lib.rs
+++ b/crates/idempotency-store/src/lib.rs
@@ -12,7 +12,7 @@
 //!   a trait ([`log::SegmentFiles`]), so that tests lose pages and fail syncs; [`disk`] is the real one,
 //!   with its thread.
 //!
-//! `docs/store.md` has the options that were compared, with figures.
+//! `docs/idempotency-store.md` has the options that were compared, with figures.
 
 pub mod commit_queue;
 pub mod crash_point;
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -2,8 +2,8 @@
 //! budgets and consistent hashing.
 //!
 //! The package does no I/O and reads no clock: callers pass the time and the random seed, so tests
-//! simulate pools of a thousand members. The admission controller decides which run starts and when;
-//! a pool decides which member executes it.
+//! simulate pools of a thousand members. The admission controller decides which run starts and
+//! when; a pool decides which member executes it.
 //!
 //! - [`pool`] selects a member: power of two choices by runs in flight, latency and weight, with
 //!   tiers, standby members and sticky keys.
--- a/crates/load-balancing/src/outlier_detection.rs
+++ b/crates/load-balancing/src/outlier_detection.rs
@@ -31,8 +31,8 @@
     pub base_ejection: Micros,
     /// Upper bound of the duration of an ejection, in microseconds.
     pub max_ejection: Micros,
-    /// The duration starts again at `base_ejection` once a member has not been ejected for this long
-    /// after the longest ejection, in microseconds.
+    /// The duration starts again at `base_ejection` once a member has not been ejected for this
+    /// long and `max_ejection`, in microseconds.
     pub backoff_reset: Micros,
     /// Duration of the slow start after probation, in microseconds.
     pub slow_start: Micros,
--- a/crates/load-balancing/src/pool/mod.rs
+++ b/crates/load-balancing/src/pool/mod.rs
@@ -1,12 +1,14 @@
 //! A pool of members that runs are balanced over.
 //!
-//! - [`config`](self::PoolConfig): settings of the pool and its members.
+//! - `config`: settings of the pool and its members.
 //! - `members`: creation, and changes of the member list.
 //! - `candidates`: which members the next run can go to, by tier, standby use and ejection.
+//! - `selection`: requests for a member and their results.
 //! - `select`: selection of a member for a run.
 //! - `runs`: the end of runs, and retries.
 //! - `ejection`: outlier detection over the whole pool, and the panic threshold.
-//! - `report`: the state of each member, for the log.
+//! - `tracked_member`: a member with its observed state.
+//! - `event`, `report`: changes and the state of members, for the log.
 
 mod candidates;
 mod config;
--- a/crates/load-balancing/src/pool/select.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Selects the member at `address`, even if it is ejected: for sessions that no other member can
-    /// serve.
+    /// Selects the member at `address`, even if it is ejected: for sessions that no other member
+    /// can serve.
     pub fn select_member(
         &mut self,
         now: Micros,
--- a/crates/load-balancing/src/pool/tracked_member.rs
+++ b/crates/load-balancing/src/pool/tracked_member.rs
@@ -81,8 +81,9 @@
         }
     }
 
-    /// The member's latency in microseconds; `typical` if none was observed. Runs without a response
-    /// count with half of their age, so that a member that hangs shows before its runs time out.
+    /// The member's latency in microseconds; `typical` if none was observed. The oldest run without
+    /// a response counts with half of its age, so that a member that hangs shows before its runs
+    /// time out.
     pub(super) fn latency(&self, now: Micros, decay: Micros, typical: f64) -> f64 {
         let observed = self.latency.map_or(typical, |latency| {
             latency.value * latency.remaining(now, decay)
--- a/crates/load-balancing/tests/simulation.rs
+++ b/crates/load-balancing/tests/simulation.rs
@@ -1,257 +1,15 @@
 //! Pools in simulated time: members that hang, fail, refuse connections, are slow or recover, retry
 //! storms, and a pool of a thousand members. Seeded; no socket and no clock.
 
+mod simulator;
+
 use pipitlever_load_balancing::consistent_hash::splitmix64;
 use pipitlever_load_balancing::pool::{
-    Member, MemberId, MemberMode, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
+    Member, MemberMode, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
 };
-use pipitlever_load_balancing::retry_budget::{AttemptEffect, RetryRequest};
 use pipitlever_load_balancing::{Micros, SECOND};
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap};
-
-/// Cores of each member: with more runs, each takes longer.
-const CORES: f64 = 8.0;
-/// Time until a failing member breaks the connection, in microseconds.
-const FAILURE_TIME: Micros = 500;
-/// Time until a refused connection is noticed, in microseconds.
-const REFUSAL_TIME: Micros = 200;
-
-/// How a member behaves.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Behavior {
-    /// Takes this many microseconds for a run, and more with more runs than cores.
-    Serves(f64),
-    /// Accepts runs and never responds.
-    Hangs,
-    /// Breaks the connection at once.
-    Fails,
-    /// Refuses connections.
-    Refuses,
-}
-
-/// Totals of a simulation.
-#[derive(Clone, Debug, Default)]
-struct Totals {
-    requests: u64,
-    attempts: u64,
-    succeeded: u64,
-    /// Attempts by member.
-    attempts_by_member: HashMap<usize, u64>,
-    latencies: Vec<Micros>,
-    /// Log lines, with the time in milliseconds before each.
-    events: Vec<String>,
-}
-
-impl Totals {
-    fn p99(&mut self) -> Micros {
-        self.latencies.sort_unstable();
-        self.latencies[(self.latencies.len() - 1) * 99 / 100]
-    }
-
-    fn success_ratio(&self) -> f64 {
-        self.succeeded as f64 / self.requests as f64
-    }
-
-    fn count_events(&self, text: &str) -> usize {
-        self.events.iter().filter(|e| e.contains(text)).count()
-    }
-}
-
-/// Requests at a steady rate.
-#[derive(Clone, Copy)]
-struct Workload<'a> {
-    members: usize,
-    /// Requests per second.
-    rate: f64,
-    duration: Micros,
-    /// Time from a request's arrival to its deadline.
-    deadline: Micros,
-    /// Requests that are not idempotent have a sticky key.
-    is_idempotent: bool,
-    behavior: &'a dyn Fn(usize, Micros) -> Behavior,
-}
-
-impl Workload<'_> {
-    /// The arrival of a request, with jitter that is the same in every simulation.
-    fn arrival(&self, request: u64) -> Micros {
-        let gap = (1e6 / self.rate) as Micros;
-        request as Micros * gap + (splitmix64(request) % (gap.max(1) as u64)) as Micros
-    }
-}
-
-/// A request before its next attempt.
-#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Request {
-    number: u64,
-    arrived_at: Micros,
-    attempted: Vec<MemberId>,
-}
-
-/// A run that ends.
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct RunEnd {
-    run: RunId,
-    member: usize,
-    outcome: Ended,
-    request: Request,
-}
-
-/// As [`RunOutcome`], which has no order.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ended {
-    Succeeded,
-    Failed,
-    Unreachable,
-    TimedOut,
-}
-
-impl From<Ended> for RunOutcome {
-    fn from(ended: Ended) -> RunOutcome {
-        match ended {
-            Ended::Succeeded => RunOutcome::Succeeded,
-            Ended::Failed => RunOutcome::Failed,
-            Ended::Unreachable => RunOutcome::Unreachable,
-            Ended::TimedOut => RunOutcome::TimedOut,
-        }
-    }
-}
-
-#[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    Attempt(Request),
-    End(RunEnd),
-}
-
-struct Simulation<'a> {
-    pool: &'a mut Pool<usize>,
-    workload: Workload<'a>,
-    /// Steps by time and then by the order in which they were scheduled.
-    schedule: BinaryHeap<Reverse<(Micros, u64, Step)>>,
-    scheduled: u64,
-    /// Runs in flight by member.
-    in_flight: Vec<f64>,
-    totals: Totals,
-}
-
-fn simulate(pool: &mut Pool<usize>, workload: Workload) -> Totals {
-    let mut simulation = Simulation {
-        pool,
-        workload,
-        schedule: BinaryHeap::new(),
-        scheduled: 0,
-        in_flight: vec![0.0; workload.members],
-        totals: Totals::default(),
-    };
-    simulation.schedule_arrival(0);
-    while let Some(Reverse((now, _, step))) = simulation.schedule.pop() {
-        match step {
-            Step::Attempt(request) => simulation.attempt(now, request),
-            Step::End(end) => simulation.end(now, end),
-        }
-        let events = simulation.pool.take_events();
-        let lines = events.iter().map(|event| format!("{} {event}", now / 1000));
-        simulation.totals.events.extend(lines);
-    }
-    simulation.totals
-}
-
-impl Simulation<'_> {
-    fn schedule(&mut self, at: Micros, step: Step) {
-        self.schedule.push(Reverse((at, self.scheduled, step)));
-        self.scheduled += 1;
-    }
-
-    fn schedule_arrival(&mut self, number: u64) {
-        let arrived_at = self.workload.arrival(number);
-        let request = Request {
-            number,
-            arrived_at,
-            attempted: Vec::new(),
-        };
-        self.schedule(arrived_at, Step::Attempt(request));
-    }
-
-    fn attempt(&mut self, now: Micros, mut request: Request) {
-        if request.attempted.is_empty() {
-            self.totals.requests += 1;
-            if self.workload.arrival(request.number + 1) < self.workload.duration {
-                self.schedule_arrival(request.number + 1);
-            }
-        }
-        let is_idempotent = self.workload.is_idempotent;
-        let selection = self.pool.select(
-            now,
-            SelectionRequest {
-                is_idempotent,
-                hash_key: (!is_idempotent).then(|| splitmix64(request.number)),
-                attempted_members: &request.attempted,
-            },
-        );
-        let Selection::Selected {
-            run,
-            member: id,
-            address: member,
-        } = selection
-        else {
-            return;
-        };
-        self.totals.attempts += 1;
-        *self.totals.attempts_by_member.entry(member).or_default() += 1;
-        self.in_flight[member] += 1.0;
-        request.attempted.push(id);
-        let time_left = request.arrived_at + self.workload.deadline - now;
-        let (run_time, outcome) = self.execute(now, member, time_left);
-        let end = RunEnd {
-            run,
-            member,
-            outcome,
-            request,
-        };
-        self.schedule(now + run_time.max(1), Step::End(end));
-    }
-
-    fn execute(&self, now: Micros, member: usize, time_left: Micros) -> (Micros, Ended) {
-        match (self.workload.behavior)(member, now) {
-            Behavior::Serves(idle_time) => {
-                let slowdown = (self.in_flight[member] / CORES).max(1.0);
-                let run_time = (idle_time * slowdown) as Micros;
-                if run_time <= time_left {
-                    (run_time, Ended::Succeeded)
-                } else {
-                    (time_left, Ended::Failed)
-                }
-            }
-            Behavior::Hangs => (time_left, Ended::TimedOut),
-            Behavior::Fails => (FAILURE_TIME, Ended::Failed),
-            Behavior::Refuses => (REFUSAL_TIME, Ended::Unreachable),
-        }
-    }
-
-    fn end(&mut self, now: Micros, end: RunEnd) {
-        self.in_flight[end.member] -= 1.0;
-        self.pool.complete_run(now, end.run, end.outcome.into());
-        if end.outcome == Ended::Succeeded {
-            self.totals.succeeded += 1;
-            self.totals.latencies.push(now - end.request.arrived_at);
-            return;
-        }
-        let effect = if end.outcome == Ended::Unreachable {
-            AttemptEffect::NeverRan
-        } else {
-            AttemptEffect::MayHaveRun
-        };
-        let retry = RetryRequest {
-            deadline: end.request.arrived_at + self.workload.deadline,
-            effect,
-            is_idempotent: self.workload.is_idempotent,
-            attempts: end.request.attempted.len() as u32,
-        };
-        if let Some(backoff) = self.pool.acquire_retry(now, retry) {
-            self.schedule(now + backoff, Step::Attempt(end.request));
-        }
-    }
-}
+use simulator::{simulate, Behavior, Totals, Workload};
+use std::collections::HashMap;
 
 fn pool(members: usize) -> Pool<usize> {
     pool_of((0..members).map(Member::new).collect())
@@ -395,6 +153,7 @@
 
 #[test]
 fn sticky_keys_stay_with_their_members() {
+    const REMOVED: usize = 3;
     let mut pool = pool(8);
     let mut member_by_key: HashMap<u64, usize> = HashMap::new();
     for round in 0..5 {
@@ -405,7 +164,6 @@
         }
     }
     // Only the keys of a removed member move.
-    const REMOVED: usize = 3;
     let remaining = (0..8).filter(|member| *member != REMOVED);
     pool.update(remaining.map(Member::new).collect(), 10);
     for (key, before) in member_by_key {
--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -18,6 +18,7 @@
 use pipitlever_hot_restart::predecessor::Predecessor;
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_load_balancing::pool::MemberId;
 use pipitlever_wire::jsonrpc::{self, ErrorCode, Message, WorkRequest};
 use pipitlever_wire::processor::{self, CommandKind, Notice};
 use pipitlever_wire::uwsgi::{self, Packet, ResponseReader, Status};
@@ -356,7 +357,12 @@
     }
 
     /// A place for a run, where there is one.
-    pub fn place(&mut self, job: &Job, key: Option<u64>, tried: &[(usize, u32)]) -> Option<Put> {
+    pub fn place(
+        &mut self,
+        job: &Job,
+        key: Option<u64>,
+        tried: &[(usize, MemberId)],
+    ) -> Option<Put> {
         // The fronts keep half of the connections: without callers no run is of use.
         if self.pools.in_flight() >= self.sockets / 2 {
             return None;
@@ -365,7 +371,12 @@
     }
 
     /// A place for a run at one worker and at no other.
-    pub fn place_at(&mut self, job: &Job, at: SocketAddr, tried: &[(usize, u32)]) -> Option<Put> {
+    pub fn place_at(
+        &mut self,
+        job: &Job,
+        at: SocketAddr,
+        tried: &[(usize, MemberId)],
+    ) -> Option<Put> {
         if self.pools.in_flight() >= self.sockets / 2 {
             return None;
         }
--- a/crates/node/src/net/workers/pools.rs
+++ b/crates/node/src/net/workers/pools.rs
@@ -8,7 +8,7 @@
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::Reference;
 use pipitlever_load_balancing::pool::{
-    self, Member, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
+    self, Member, MemberId, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
 };
 use pipitlever_load_balancing::retry_budget::{AttemptEffect, RetryRequest};
 use pipitlever_subsetting::plan::Use;
@@ -42,7 +42,7 @@
     /// The run there.
     pub run: RunId,
     /// The worker's number there.
-    pub member: u32,
+    pub member: MemberId,
     /// The worker.
     pub address: SocketAddr,
 }
@@ -228,7 +228,7 @@
         now: Micros,
         job: &Job,
         key: Option<u64>,
-        tried: &[(usize, u32)],
+        tried: &[(usize, MemberId)],
     ) -> Option<Put> {
         let mut at = Some(job.pool);
         // The file names no circle of pools; were there one, each has its turn once.
@@ -241,7 +241,7 @@
             if now >= entry.parts.until {
                 entry.lapse(now);
             }
-            let tried: Vec<u32> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
+            let tried: Vec<MemberId> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
             let place = entry.pool.select(
                 now,
                 SelectionRequest {
@@ -284,14 +284,14 @@
         now: Micros,
         job: &Job,
         at: SocketAddr,
-        tried: &[(usize, u32)],
+        tried: &[(usize, MemberId)],
     ) -> Option<Put> {
         let entry = &mut self.all[job.pool];
         entry.wanted += u64::from(tried.is_empty());
         if now >= entry.parts.until {
             entry.lapse(now);
         }
-        let numbers: Vec<u32> = tried.iter().map(|t| t.1).collect();
+        let numbers: Vec<MemberId> = tried.iter().map(|t| t.1).collect();
         let place = entry.pool.select_member(
             now,
             SelectionRequest {
--- a/crates/node/tests/pools.rs
+++ b/crates/node/tests/pools.rs
@@ -77,7 +77,7 @@
         for _ in 0..40 {
             assert_eq!(read(&node), 200, "{way:?}");
         }
-        let line = node.line(&format!("pool: member={bad} out"));
+        let line = node.line(&format!("pool: ejected member={bad} "));
         assert!(line.contains("failures"), "{line}");
         // Out after five in a row.
         assert!(tries.load(Ordering::SeqCst) <= 6, "{way:?}");
@@ -153,15 +153,15 @@
         statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200),
         "{statuses:?}"
     );
-    node.line("pool: spares are used");
+    node.line("pool: standby members activated");
     assert!(got.load(Ordering::SeqCst) > 0);
     node.signal("-USR1");
     assert!(node
         .line(&format!("pool: member={down} state="))
-        .contains("state=out"));
+        .contains("state=ejected"));
     let line = node.line(&format!("pool: member={spare} state="));
     assert!(
-        line.contains("state=up") && line.ends_with("spare"),
+        line.contains("state=healthy") && line.ends_with(" standby"),
         "{line}"
     );
 }
@@ -185,7 +185,7 @@
     node.signal("-USR1");
     assert!(node
         .line(&format!("pool: member={} ", first.address()))
-        .contains("state=leaving"));
+        .contains("state=removed"));
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast")
         .unwrap();
@@ -291,7 +291,7 @@
     node.signal("-USR1");
     assert!(node
         .line(&format!("pool other: member={} ", other.0))
-        .contains("state=up"));
+        .contains("state=healthy"));
     // Pools stay as they are until the next start; members may change.
     node.rewrite_operator(
         &text
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -360,7 +360,7 @@
     let said = || {
         [
             site.cluster.said("sessions: pool"),
-            site.cluster.said(" out for_ms"),
+            site.cluster.said(": ejected member="),
         ]
         .concat()
     };
@@ -506,7 +506,7 @@
     assert!(
         moved.iter().all(|m| of_gone.contains(&m.0)),
         "{moved:?} {:#?}",
-        site.cluster.said(" out for_ms")
+        site.cluster.said(": ejected member=")
     );
     std::thread::sleep(Duration::from_millis(2_500));
     let heard = clients.heard.lock().unwrap().clone();
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -334,10 +334,9 @@
     desks[0].fails.store(true, SeqCst);
     let out = |c: &Cluster| {
         of.iter().all(|i| {
-            c.history
-                .lines()
-                .iter()
-                .any(|l| l.node == *i && l.text.contains(&format!("member={} out", desks[0].at)))
+            c.history.lines().iter().any(|l| {
+                l.node == *i && l.text.contains(&format!("ejected member={} ", desks[0].at))
+            })
         })
     };
     cluster.wait("all that use it have left it out", out);
@@ -355,10 +354,11 @@
     desks[0].fails.store(false, SeqCst);
     let back = |c: &Cluster| {
         of.iter().all(|i| {
-            c.history
-                .lines()
-                .iter()
-                .any(|l| l.node == *i && l.text.contains(&format!("member={} back", desks[0].at)))
+            c.history.lines().iter().any(|l| {
+                l.node == *i
+                    && l.text
+                        .ends_with(&format!("recovered member={}", desks[0].at))
+            })
         })
     };
     cluster.wait("all have it back", back);
