--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,33 +1,32 @@
-//! The times and bounds of the fleet.
+//! Intervals and limits of the membership protocol.
 
 use crate::Micros;
 
-/// What the operator's file says, and what follows from it.
+/// Settings of the membership protocol, and the values derived from them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// Time between two probes of a node that is well.
+    /// Protocol period: the interval between two probes of a healthy node, in microseconds.
     pub probe_interval: Micros,
-    /// Members that are remembered, itself too.
+    /// Maximum number of members in the table, including this node and tombstones.
     pub max_members: usize,
-    /// Bytes of a datagram.
+    /// Maximum size of a datagram, in bytes.
     pub max_datagram_bytes: usize,
-    /// A member that is down or has left is forgotten after so long.
+    /// How long a member that is down or has left stays in the view, in microseconds.
     pub retention: Micros,
-    /// What Lifeguard adds, to be switched off by measurements alone.
+    /// Lifeguard extensions in use.
     pub lifeguard: Lifeguard,
 }
 
-/// Lifeguard's ideas, each of which can be switched off to see what it gives.
+/// Lifeguard extensions. Simulations disable one at a time to measure its effect; nodes use all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lifeguard {
-    /// A node that runs late, or whose own probes get lost, takes more time for the others
-    /// (LHA-Probe).
+    /// LHA-Probe: the local health multiplier lengthens the probe interval.
     pub local_health: bool,
-    /// A suspicion's time shrinks as others confirm it (LHA-Suspicion); without it all have the
-    /// shortest.
+    /// LHA-Suspicion: independent confirmations shorten the suspicion timeout. Without it every
+    /// suspicion has the minimum timeout.
     pub dynamic_suspicion: bool,
-    /// Who is suspected is told so with the next probe, and a few who hear of it probe at once (the
-    /// buddy system).
+    /// Buddy system: a ping to a suspect carries the suspicion, and a few of the members that
+    /// receive a suspicion probe the suspect at once.
     pub buddy_system: bool,
 }
 
@@ -48,47 +47,48 @@
 }
 
 impl MembershipConfig {
-    /// Members asked to probe another one.
+    /// Number of members that receive a ping-req for one failed probe (SWIM's `k`).
     pub const INDIRECT_PROBES: usize = 3;
-    /// Confirmations of others after which a suspicion has its shortest time.
+    /// Number of independent confirmations that reduce a suspicion timeout to its minimum.
     pub const SUSPICION_CONFIRMATIONS: usize = 3;
 
-    /// How often one piece of news is sent by each, in a fleet of this size: enough for all to hear
-    /// it, and an end.
+    /// Returns how often each member retransmits one update: enough that it reaches all of
+    /// `members` with high probability.
     pub fn max_transmissions(&self, members: usize) -> u32 {
-        4 * digits(members).ceil().max(1.0) as u32
+        4 * log10_of_members(members).ceil().max(1.0) as u32
     }
 
-    /// The shortest time that a suspect has. Its name must reach it and its answer come back, over
-    /// some hops.
+    /// Returns the minimum suspicion timeout in microseconds. The suspicion has to reach the
+    /// suspect, and the refutation this node, each over several hops.
     pub fn min_suspicion_timeout(&self, members: usize) -> Micros {
-        (self.probe_interval as f64 * (2.0 + digits(members) / 2.0)) as Micros
+        (self.probe_interval as f64 * (2.0 + log10_of_members(members) / 2.0)) as Micros
     }
 
-    /// The time that a suspect has, with so many who have had no answer of it beside the first, of
-    /// so many who might.
-    pub fn suspicion_timeout(&self, members: usize, confirmed: usize) -> Micros {
-        let shortest = self.min_suspicion_timeout(members);
-        // Itself, the suspect and this node: whoever else there is could confirm it.
-        let able = members.saturating_sub(2).min(Self::SUSPICION_CONFIRMATIONS);
+    /// Returns the suspicion timeout in microseconds after `confirmations` independent
+    /// confirmations (Lifeguard, section IV-B).
+    pub fn suspicion_timeout(&self, members: usize, confirmations: usize) -> Micros {
+        let min = self.min_suspicion_timeout(members);
         if !self.lifeguard.dynamic_suspicion {
-            return shortest;
+            return min;
         }
-        if able == 0 {
-            return 2 * shortest;
+        // Neither the suspect nor the first reporter can confirm the suspicion.
+        let possible = members.saturating_sub(2).min(Self::SUSPICION_CONFIRMATIONS);
+        if possible == 0 {
+            return 2 * min;
         }
-        let longest = 6.0 * shortest as f64;
-        let share = (confirmed.min(able) as f64 + 1.0).ln() / (able as f64 + 1.0).ln();
-        (longest - (longest - shortest as f64) * share) as Micros
+        let max = 6.0 * min as f64;
+        let progress =
+            (confirmations.min(possible) as f64 + 1.0).ln() / (possible as f64 + 1.0).ln();
+        (max - (max - min as f64) * progress) as Micros
     }
 
-    /// Time between two sendings of news that have no other message to travel with.
+    /// Returns the interval in microseconds between gossip messages that carry no probe.
     pub fn gossip_interval(&self) -> Micros {
         self.probe_interval / 5
     }
 }
 
-/// The decimal logarithm of a number of members.
-fn digits(members: usize) -> f64 {
+/// Returns the decimal logarithm of the number of members plus one.
+fn log10_of_members(members: usize) -> f64 {
     (members.max(1) as f64 + 1.0).log10()
 }
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,100 +1,69 @@
-//! What travels with other messages: each piece of news so many times and no more, the least sent
-//! first.
+//! Dissemination queue: members whose updates are piggybacked on outgoing messages, each a bounded
+//! number of times, the least transmitted first (SWIM, section 4.1).
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// The names of those that there is news of.
+/// Order of an update in the queue: by number of transmissions, then the newest first.
+type Position = (u32, Reverse<u64>);
+
+/// Names of members with an update to disseminate. The update itself is read from the table when
+/// it is sent, so that it is never older than the table.
 #[derive(Clone, Debug, Default)]
 pub struct DisseminationQueue {
-    /// By how often it was sent; then the newest first.
-    queue: BTreeMap<(u32, std::cmp::Reverse<u64>), String>,
-    places: BTreeMap<String, (u32, std::cmp::Reverse<u64>)>,
-    last: u64,
+    queue: BTreeMap<Position, String>,
+    positions: BTreeMap<String, Position>,
+    last_enqueued: u64,
 }
 
 impl DisseminationQueue {
-    /// There is news of a member, in the place of what there was.
+    /// Enqueues an update about a member, in place of an earlier one.
     pub fn enqueue(&mut self, name: &str) {
         self.remove(name);
-        self.last += 1;
-        let place = (0, std::cmp::Reverse(self.last));
-        self.queue.insert(place, name.to_owned());
-        self.places.insert(name.to_owned(), place);
+        self.last_enqueued += 1;
+        let position = (0, Reverse(self.last_enqueued));
+        self.queue.insert(position, name.to_owned());
+        self.positions.insert(name.to_owned(), position);
     }
 
-    /// There is none any more.
+    /// Removes the update about a member.
     pub fn remove(&mut self, name: &str) {
-        if let Some(place) = self.places.remove(name) {
-            self.queue.remove(&place);
+        if let Some(position) = self.positions.remove(name) {
+            self.queue.remove(&position);
         }
     }
 
-    /// Whether there is anything to tell.
+    /// Returns whether no update is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// How many are to be told of.
+    /// Returns the number of queued updates.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes what goes with one message: `fits` says whether one more does. What was sent `most`
-    /// times is done with.
-    pub fn take_batch(&mut self, most: u32, mut fits: impl FnMut(&str) -> bool) {
-        let mut sent = Vec::new();
-        for (place, name) in &self.queue {
+    /// Takes updates for one message until `fits` returns false. An update leaves the queue after
+    /// `max_transmissions`.
+    pub fn take_batch(&mut self, max_transmissions: u32, mut fits: impl FnMut(&str) -> bool) {
+        let mut taken = Vec::new();
+        for (position, name) in &self.queue {
             if !fits(name) {
                 break;
             }
-            sent.push(*place);
+            taken.push(*position);
         }
-        for place in sent {
-            let Some(name) = self.queue.remove(&place) else {
+        for position in taken {
+            let Some(name) = self.queue.remove(&position) else {
                 continue;
             };
-            let next = (place.0 + 1, place.1);
-            if next.0 >= most {
-                self.places.remove(&name);
+            let next = (position.0 + 1, position.1);
+            if next.0 >= max_transmissions {
+                self.positions.remove(&name);
                 continue;
             }
-            self.places.insert(name.clone(), next);
+            self.positions.insert(name.clone(), next);
             self.queue.insert(next, name);
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_goes_so_often_and_the_newest_first() {
-        let mut spread = DisseminationQueue::default();
-        (0..6).for_each(|i| spread.enqueue(&format!("n{i}")));
-        let mut sent: BTreeMap<String, u32> = BTreeMap::new();
-        let mut first = Vec::new();
-        while !spread.is_empty() {
-            let mut left = 4;
-            spread.take_batch(3, |name| {
-                if left == 0 {
-                    return false;
-                }
-                left -= 1;
-                first.push(name.to_owned());
-                *sent.entry(name.into()).or_default() += 1;
-                true
-            });
-        }
-        assert_eq!(first[..6], ["n5", "n4", "n3", "n2", "n1", "n0"]);
-        assert!(
-            sent.len() == 6 && sent.values().all(|n| *n == 3),
-            "{sent:?}"
-        );
-        spread.enqueue("a");
-        spread.enqueue("a");
-        assert_eq!(spread.len(), 1);
-        spread.remove("a");
-        assert!(spread.is_empty());
-    }
-}
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,18 +1,21 @@
-//! What happened in the view, each with its cause: a line of the log.
+//! Events of the membership state machine, each with its cause. Each is written as a log line.
 
 use crate::record::{Rival, State};
+use crate::Micros;
 use std::fmt;
+use std::net::SocketAddr;
 
-/// Why a member is held to be in a state.
+/// Why a member entered a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// This node had no answer of it, directly or through these.
+    /// A probe of this node failed: neither a ping nor the indirect probes through these members
+    /// were acknowledged.
     ProbeFailed(Vec<String>),
-    /// These had no answer of it, and it did not say otherwise in time.
+    /// The suspicion reported by these members timed out without a refutation.
     SuspicionExpired(Vec<String>),
-    /// This member told.
+    /// This member reported the state.
     ReportedBy(String),
-    /// It said so itself.
+    /// The member announced the state itself.
     SelfReported,
 }
 
@@ -20,71 +23,73 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Cause::ProbeFailed(helpers) if helpers.is_empty() => {
-                write!(f, "no answer to this node")
+                write!(f, "probe of this node timed out")
             }
             Cause::ProbeFailed(helpers) => write!(
                 f,
-                "no answer to this node, nor through {}",
+                "probe of this node timed out, indirect probes failed through={}",
                 helpers.join(",")
             ),
-            Cause::SuspicionExpired(by) => {
-                write!(f, "not refuted in time, no answer to {}", by.join(","))
-            }
-            Cause::ReportedBy(by) => write!(f, "told by {by}"),
-            Cause::SelfReported => write!(f, "by its own word"),
+            Cause::SuspicionExpired(reporters) => write!(
+                f,
+                "suspicion timed out without refutation reporters={}",
+                reporters.join(",")
+            ),
+            Cause::ReportedBy(reporter) => write!(f, "reported_by={reporter}"),
+            Cause::SelfReported => write!(f, "announced by the member"),
         }
     }
 }
 
-/// What happened.
+/// A change of the membership view or of this node's part in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member's state is another one than before; none before if it was not known.
+    /// A member changed its state or entered the table.
     StateChanged {
-        /// The member.
+        /// Name of the member.
         name: String,
-        /// How it was.
+        /// State before; `None` for a new member.
         previous: Option<State>,
-        /// How it is.
+        /// State now.
         state: State,
-        /// Of which incarnation that is said.
+        /// Incarnation to which the state belongs.
         incarnation: u64,
-        /// Why.
+        /// Why the state changed.
         cause: Cause,
     },
-    /// Others held this node to be suspect or down, and it said otherwise.
+    /// This node refuted a claim that it is suspect or down.
     Refuted {
-        /// What it was held to be.
+        /// State that was claimed.
         claimed: State,
-        /// Who told.
+        /// Member from which the claim was received.
         reported_by: String,
-        /// This node's incarnation since.
+        /// Incarnation of this node from now on.
         incarnation: u64,
     },
-    /// Living processes go by one name.
+    /// Several live processes use one member name.
     NameConflict {
-        /// The name.
+        /// Member name.
         name: String,
-        /// Where the one is whose word holds.
-        address: std::net::SocketAddr,
-        /// The others.
+        /// Address of the process whose record is in effect.
+        address: SocketAddr,
+        /// The other processes.
         rivals: Vec<Rival>,
     },
-    /// They don't any more.
+    /// Only one live process uses the name again.
     NameConflictResolved {
-        /// The name.
+        /// Member name.
         name: String,
     },
-    /// This node was not there for so long, in microseconds: stopped, or starved.
-    LocalDelay(i64),
-    /// A member is not remembered any more.
+    /// This process did not run for this time, in microseconds: it was stopped or starved of CPU.
+    LocalDelay(Micros),
+    /// A member left the view.
     Forgotten {
-        /// The member.
+        /// Name of the member.
         name: String,
-        /// It had to make room.
+        /// Whether it was evicted from a full table rather than expired.
         evicted: bool,
     },
-    /// This node does not see a majority of those it knows any more, or does again.
+    /// This node lost (`true`) or regained (`false`) contact to a majority of the known members.
     Partitioned(bool),
 }
 
@@ -93,63 +98,61 @@
         match self {
             Event::StateChanged {
                 name,
-                previous: before,
+                previous,
                 state,
                 incarnation,
                 cause,
-            } => {
-                let before = before.map_or("new", State::as_str);
-                write!(
-                    f,
-                    "member={name} {before} -> {} incarnation={incarnation}: {cause}",
-                    state.as_str()
-                )
-            }
+            } => write!(
+                f,
+                "member={name} {} -> {} incarnation={incarnation}: {cause}",
+                previous.map_or("new", State::as_str),
+                state.as_str()
+            ),
             Event::Refuted {
-                claimed: held,
-                reported_by: by,
+                claimed,
+                reported_by,
                 incarnation,
-            } => {
-                write!(
-                    f,
-                    "refuted: held {} by {by}, now incarnation={incarnation}",
-                    held.as_str()
-                )
-            }
+            } => write!(
+                f,
+                "refuted: claimed_state={} reported_by={reported_by} incarnation={incarnation}",
+                claimed.as_str()
+            ),
             Event::NameConflict {
                 name,
                 address,
                 rivals,
             } => {
-                let others: Vec<String> = rivals.iter().map(|r| r.address.to_string()).collect();
+                let rivals: Vec<String> = rivals
+                    .iter()
+                    .map(|rival| rival.address.to_string())
+                    .collect();
                 write!(
                     f,
-                    "conflict: member={name} is at {address} and at {}",
-                    others.join(",")
+                    "name conflict: member={name} address={address} rivals={}",
+                    rivals.join(",")
                 )
             }
             Event::NameConflictResolved { name } => {
-                write!(f, "conflict: member={name} is one process again")
+                write!(f, "name conflict resolved: member={name}")
             }
-            Event::LocalDelay(time) => {
-                write!(f, "late: this node was not there for {} ms", time / 1000)
-            }
-            Event::Forgotten {
-                name,
-                evicted: false,
-            } => write!(f, "forgotten: member={name}"),
-            Event::Forgotten {
-                name,
-                evicted: true,
-            } => {
-                write!(f, "forgotten: member={name}, there was no room")
+            Event::LocalDelay(delay) => {
+                write!(
+                    f,
+                    "local delay: this process did not run for_ms={}",
+                    delay / 1000
+                )
             }
-            Event::Partitioned(true) => {
-                write!(f, "cut off: no majority of the known members is seen")
+            Event::Forgotten { name, evicted } => {
+                let reason = if *evicted { "table_full" } else { "retention" };
+                write!(f, "removed: member={name} reason={reason}")
             }
+            Event::Partitioned(true) => write!(
+                f,
+                "partitioned: no contact to a majority of the known members"
+            ),
             Event::Partitioned(false) => write!(
                 f,
-                "cut off no more: a majority of the known members is seen"
+                "partition healed: contact to a majority of the known members"
             ),
         }
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,19 +1,22 @@
-//! A view of the fleet that its nodes keep themselves, through joins, crashes and partitions: who
-//! is a member, where, and in which state. It does no I/O and has no clock: it is told times,
-//! handed datagrams and bytes, and yields those to be sent.
+//! Cluster membership and failure detection without a coordinator: SWIM (Das, Gupta, Motivala
+//! 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey 2018) and anti-entropy push-pull
+//! synchronization.
 //!
-//! `docs/membership.md` has the design, what was rejected, and the figures.
+//! The package does no I/O and reads no clock: the caller passes in times, datagrams and bytes of
+//! connections, and takes out the datagrams and bytes to send. `docs/membership.md` has the
+//! design, the alternatives that were compared, and the measurements.
 //!
-//! - `record`: what is said of a member, and how two pieces of news about one are joined.
-//! - `members`: the bounded table of them, its digests, and what is forgotten when.
-//! - `ring`, `probe`: whom to probe next, and how one probe goes.
-//! - `suspicion`, `health`: how long a suspect has, and how far this node trusts itself.
-//! - `spread`: what travels with other messages, and how often.
-//! - `sync`: two views that differ are made equal over a connection.
-//! - `news`: what a piece of news is worth beside what is held.
-//! - `elsewhere`: whether a caller that is refused has anywhere to go.
-//! - `own`: this node's record: incarnations, refutation, and two processes of one name.
-//! - `node`: all of it together, [`Fleet`].
+//! - [`record`]: the replicated record of a member and the merge rule for two versions of it.
+//! - [`members`]: the bounded table of members with its digests and removal rules.
+//! - [`probe_schedule`] and `probe`: which member is probed next, and the steps of one probe.
+//! - [`suspicion`] and [`local_health`]: suspicion timeouts and the local health multiplier.
+//! - [`dissemination`]: the queue of updates that are piggybacked on outgoing messages.
+//! - [`sync`]: push-pull synchronization of two tables over a connection.
+//! - [`update_rules`]: what an update about another member does to the record held of it.
+//! - [`local_member`]: the record of this process: incarnations, refutation, name conflicts.
+//! - [`spare_capacity`]: whether other members are likely to admit a request rejected here.
+//! - [`service_state`]: debouncing of the service state that this node announces.
+//! - [`Membership`]: the state machine that combines them.
 
 pub mod config;
 pub mod dissemination;
@@ -32,7 +35,7 @@
 pub mod sync;
 pub mod update_rules;
 
-pub use membership::{ApplicationMessage, Membership};
+pub use membership::{ApplicationMessage, Membership, OutboundDatagram, ReceivedMessage};
 
-/// A reading of a clock, or a span of it, in microseconds.
+/// A point in time of a monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,32 +1,32 @@
-//! How far this node trusts itself (Lifeguard's local health): one that is late, or loses its own
-//! probes, is likely the one that is unwell, and takes more time before it blames others.
+//! Lifeguard local health multiplier: lengthens this node's probe interval while it misses its own
+//! deadlines or its probes fail, since the fault is then likely its own.
 
 use crate::Micros;
 
-/// The worst there is: all times are nine times as long.
-const WORST: u32 = 8;
+/// Maximum score (Lifeguard's `S`): intervals are at most nine times as long.
+const MAX_SCORE: u32 = 8;
 
-/// The score, 0 when all is well.
+/// Local health score: 0 while this node is healthy, up to 8.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHealth(u32);
 
 impl LocalHealth {
-    /// Something went wrong that may be this node's fault.
-    pub fn degrade(&mut self, by: u32) {
-        self.0 = (self.0 + by).min(WORST);
+    /// Raises the score by `amount` after an event that suggests a fault of this node.
+    pub fn degrade(&mut self, amount: u32) {
+        self.0 = (self.0 + amount).min(MAX_SCORE);
     }
 
-    /// A probe was answered in time.
+    /// Lowers the score by one after a probe that was acknowledged in time.
     pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// A time, as long as this node should make it.
-    pub fn scale(self, time: Micros) -> Micros {
-        time * Micros::from(self.0 + 1)
+    /// Multiplies an interval by the score plus one.
+    pub fn scale(self, interval: Micros) -> Micros {
+        interval * Micros::from(self.0 + 1)
     }
 
-    /// The score.
+    /// Returns the score.
     pub fn score(self) -> u32 {
         self.0
     }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,127 +1,160 @@
-//! How one probe goes: a ping, a second one, then through others, and the verdict at the end of the
-//! period.
+//! One probe: a ping, its retry, then ping-reqs to other members, and failure at the end of the
+//! protocol period (SWIM, section 3.1).
 
 use crate::Micros;
 use std::net::SocketAddr;
 
-/// Shares of the period after which the second ping goes out, and others are asked.
-const AGAIN: (Micros, Micros) = (3, 10);
-const ASK: (Micros, Micros) = (5, 10);
-/// A helper says after this share of a period that it has no answer yet.
-const SILENT: (Micros, Micros) = (3, 10);
+/// A fraction of the protocol period, in integer arithmetic.
+#[derive(Clone, Copy)]
+struct Fraction {
+    numerator: Micros,
+    denominator: Micros,
+}
+
+impl Fraction {
+    const fn tenths(numerator: Micros) -> Fraction {
+        Fraction {
+            numerator,
+            denominator: 10,
+        }
+    }
 
-fn share(period: Micros, (of, all): (Micros, Micros)) -> Micros {
-    period * of / all
+    fn of(self, period: Micros) -> Micros {
+        period * self.numerator / self.denominator
+    }
 }
 
-/// What is to be done about a probe.
+/// When the ping is repeated.
+const RETRY_AFTER: Fraction = Fraction::tenths(3);
+/// When ping-reqs are sent.
+const PING_REQ_AFTER: Fraction = Fraction::tenths(5);
+/// When a member that relays an indirect probe sends a nack (Lifeguard).
+const NACK_AFTER: Fraction = Fraction::tenths(3);
+/// Number of periods for which a relayed probe waits for an ack.
+const INDIRECT_PROBE_PERIODS: Micros = 4;
+
+/// Next step of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeStep {
-    /// Nothing yet.
+    /// Nothing is due.
     Wait,
-    /// Ping it once more.
+    /// Send the ping again.
     Retry,
-    /// Ask others to.
+    /// Send ping-reqs.
     PingReq,
-    /// Nobody had an answer.
+    /// The period is over without an ack.
     Failed,
 }
 
-/// One probe on its way.
+/// A probe of this node.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Who is probed.
+    /// Name of the probed member.
     pub name: String,
-    /// Where.
+    /// Address of the probed member.
     pub address: SocketAddr,
-    /// Its number.
+    /// Sequence number.
     pub sequence: u32,
-    /// Who was asked to help.
+    /// Members that received a ping-req.
     pub helpers: Vec<String>,
-    /// How many of them said that they had no answer either.
+    /// Number of nacks received from the helpers.
     pub nacks: usize,
-    start: Micros,
+    started: Micros,
     period: Micros,
-    pinged: u32,
-    answered: bool,
+    steps_taken: u32,
+    is_acknowledged: bool,
 }
 
 impl Probe {
-    /// A probe that begins with a ping now, and is over after the period.
-    pub fn new(now: Micros, period: Micros, seq: u32, name: String, address: SocketAddr) -> Probe {
-        let (helpers, silent) = (Vec::new(), 0);
+    /// Creates a probe whose ping is sent now and which fails after `period`.
+    pub fn new(
+        now: Micros,
+        period: Micros,
+        sequence: u32,
+        name: String,
+        address: SocketAddr,
+    ) -> Probe {
         Probe {
             name,
             address,
-            sequence: seq,
-            helpers,
-            nacks: silent,
-            start: now,
+            sequence,
+            helpers: Vec::new(),
+            nacks: 0,
+            started: now,
             period,
-            pinged: 1,
-            answered: false,
+            steps_taken: 1,
+            is_acknowledged: false,
         }
     }
 
-    /// It answered, one way or another; whether that is new.
+    /// Records an ack, direct or indirect. Returns whether it is the first one.
     pub fn acknowledge(&mut self) -> bool {
-        !std::mem::replace(&mut self.answered, true)
+        !std::mem::replace(&mut self.is_acknowledged, true)
     }
 
-    /// When something is to be done about it, if it is not answered by then.
+    /// Returns when the next step is due.
     pub fn next_step_at(&self) -> Micros {
-        let after = match self.pinged {
-            _ if self.answered => self.period,
-            1 => share(self.period, AGAIN),
-            2 => share(self.period, ASK),
+        let offset = match self.steps_taken {
+            _ if self.is_acknowledged => self.period,
+            1 => RETRY_AFTER.of(self.period),
+            2 => PING_REQ_AFTER.of(self.period),
             _ => self.period,
         };
-        self.start + after
+        self.started + offset
     }
 
-    /// What is to be done now.
+    /// Returns the step that is due now and advances to the next one.
     pub fn next_step(&mut self, now: Micros) -> ProbeStep {
-        if now < self.next_step_at() || self.answered {
+        if now < self.next_step_at() || self.is_acknowledged {
             return ProbeStep::Wait;
         }
-        self.pinged += 1;
-        match self.pinged {
+        self.steps_taken += 1;
+        match self.steps_taken {
             2 => ProbeStep::Retry,
             3 => ProbeStep::PingReq,
             _ => ProbeStep::Failed,
         }
     }
 
-    /// When the next probe begins.
+    /// Returns the end of the period, when the next probe starts.
     pub fn period_end(&self) -> Micros {
-        self.start + self.period
+        self.started + self.period
     }
 }
 
-/// A probe for another member.
+/// Member that sent a ping-req, and the sequence number it uses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ProbeOrigin {
+    /// Sequence number of the origin's probe.
+    pub sequence: u32,
+    /// Address of the origin.
+    pub address: SocketAddr,
+}
+
+/// A probe that this node relays for another member.
 #[derive(Clone, Debug)]
 pub struct IndirectProbe {
-    /// This node's number of it.
+    /// Sequence number of this node's ping.
     pub sequence: u32,
-    /// The other's number, and where it is to be told.
-    pub origin: (u32, SocketAddr),
-    /// When it is told that there was no answer yet.
+    /// Member that sent the ping-req.
+    pub origin: ProbeOrigin,
+    /// When the nack is due.
     pub nack_at: Micros,
-    /// It was.
-    pub nack_sent: bool,
-    /// When an answer is of no use any more.
+    /// Whether the nack was sent.
+    pub is_nack_sent: bool,
+    /// When an ack is of no use any more.
     pub expires_at: Micros,
 }
 
 impl IndirectProbe {
-    /// One that begins now.
-    pub fn new(now: Micros, period: Micros, seq: u32, of: (u32, SocketAddr)) -> IndirectProbe {
+    /// Creates a relayed probe whose ping is sent now.
+    pub fn new(now: Micros, period: Micros, sequence: u32, origin: ProbeOrigin) -> IndirectProbe {
         IndirectProbe {
-            sequence: seq,
-            origin: of,
-            nack_at: now + share(period, SILENT),
-            nack_sent: false,
-            expires_at: now + 4 * period,
+            sequence,
+            origin,
+            nack_at: now + NACK_AFTER.of(period),
+            is_nack_sent: false,
+            expires_at: now + INDIRECT_PROBE_PERIODS * period,
         }
     }
 }
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,39 +1,43 @@
-//! What is said of a member, and how two pieces of news about one are joined. The records of one
-//! name are a join semilattice: news may come in any order, twice or late, and all who have heard
-//! the same hold the same.
+//! Replicated record of a member, and the merge of two records of one name. Records of one name
+//! form a join semilattice (a state-based CRDT; Shapiro et al. 2011): updates may arrive in any
+//! order, repeatedly or late, and members that received the same updates hold the same record.
 
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
+use std::cmp::Ordering;
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-/// The longest name of a member or zone, in bytes.
+/// Maximum length of the name of a member, zone or fleet, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The longest payload, in bytes.
+/// Maximum length of the payload of a record, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64;
-/// The most other processes of one name that are named.
+/// Maximum number of rivals in a record.
 pub const MAX_RIVALS: usize = 4;
 
-/// How a member is, in rising order within one incarnation.
+/// Key of the digest function; it must be the same in all builds.
+const DIGEST_KEY: (u64, u64) = (0x7069_7069_746c_6576, 0x6572_666c_6565_7431);
+
+/// State of a member. Within one incarnation a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member acknowledges probes.
     Alive,
-    /// Somebody had no answer of it, and it has not yet said otherwise.
+    /// A probe of the member failed, and the member has not refuted the suspicion yet.
     Suspect,
-    /// It has not said otherwise in time.
+    /// The suspicion timed out.
     Down,
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl State {
-    /// Whether it takes part: it is probed, and is told news.
+    /// Returns whether the member is probed and receives gossip.
     pub fn is_active(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 
-    /// What it is called in the log and on the door.
+    /// Returns the name of the state in logs and on the control endpoint.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -44,23 +48,23 @@
     }
 }
 
-/// What a member says of its own service.
+/// State of the service on a node, as the node announces it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ServiceState {
-    /// Its processor is not up yet.
+    /// The processor is not connected yet.
     Starting,
-    /// It takes work.
+    /// The node admits requests.
     Serving,
-    /// It refuses work of low rank, or all.
+    /// The node rejects requests of low priority, or all requests.
     Overloaded,
-    /// An operator had it stand by.
+    /// An operator switched the node to standby.
     Standby,
-    /// It is on its way out.
+    /// The node shuts down gracefully.
     Draining,
 }
 
 impl ServiceState {
-    /// What it is called on the door.
+    /// Returns the name of the state on the control endpoint.
     pub fn as_str(self) -> &'static str {
         match self {
             ServiceState::Starting => "starting",
@@ -72,104 +76,118 @@
     }
 }
 
-/// Another living process of the same name.
+/// Another live process that uses the same member name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Rival {
-    /// Stands for the process.
+    /// Random identifier of the process.
     pub token: u64,
-    /// Where it is.
+    /// Address at which the process receives datagrams and connections.
     pub address: SocketAddr,
 }
 
-/// What a member says of itself. Who has a later revision of it has the newer one.
+/// Part of a record that only the member itself writes. Of two versions the one with the higher
+/// revision is the newer one; the derived order compares the revision first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Details {
-    /// Counts what the process has said.
+    /// Number of changes that the process has made.
     pub revision: u64,
-    /// Where it hears datagrams and connections of the fleet.
+    /// Address at which the member receives datagrams and connections.
     pub address: SocketAddr,
-    /// Where it stands, for those who spread over zones; may be empty.
+    /// Availability zone; may be empty.
     pub zone: String,
-    /// How its service is.
+    /// State of the member's service.
     pub service_state: ServiceState,
-    /// For later parts, such as the version that it acts on.
+    /// Opaque data of layers above membership, such as the active configuration version.
     pub payload: Vec<u8>,
-    /// Living processes that go by the same name.
+    /// Other live processes that use the same name.
     pub rivals: Vec<Rival>,
 }
 
-/// News about a member.
+/// Announcement of a member's load.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+pub struct LoadReading {
+    /// Number of the reading; later readings have higher numbers.
+    pub sequence: u32,
+    /// Priority below which the member rejects requests, in 255ths.
+    pub priority_cutoff: u8,
+}
+
+/// Replicated record of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Higher with each start of its process, and with each time that it had to say that it lives.
+    /// Incarnation number; the member raises it to refute a suspicion and to override the record
+    /// of an earlier process.
     pub incarnation: u64,
-    /// Stands for the process: two of one name have two.
+    /// Random identifier of the process; it orders two processes with one name and incarnation.
     pub token: u64,
-    /// How it is.
+    /// State of the member.
     pub state: State,
-    /// What it says of itself.
+    /// What the member says of itself.
     pub details: Details,
-    /// The rank below which it refuses, in 255ths, and the number of that reading. It changes all
-    /// the time: no part of the digest.
-    pub load: (u32, u8),
+    /// Latest load reading. It changes often and is not covered by the digest.
+    pub load: LoadReading,
 }
 
 impl Record {
-    /// Takes in what else is said of the same member; whether that brought anything new. The one of
-    /// the higher incarnation holds; within one the worse state does, as only the member itself can
-    /// better it, by a higher incarnation.
+    /// Merges another record of the same member into this one, and returns whether that changed
+    /// it. The higher incarnation wins. Within one incarnation the later [`State`] wins, since
+    /// only the member itself can return to an earlier one, with a higher incarnation.
     pub fn merge(&mut self, other: &Record) -> bool {
         match (other.incarnation, other.token).cmp(&(self.incarnation, self.token)) {
-            std::cmp::Ordering::Less => false,
-            std::cmp::Ordering::Greater => {
+            Ordering::Less => false,
+            Ordering::Greater => {
                 *self = other.clone();
                 true
             }
-            std::cmp::Ordering::Equal => {
-                let mut new = false;
-                if other.state > self.state {
-                    (self.state, new) = (other.state, true);
-                }
-                if other.details > self.details {
-                    (self.details, new) = (other.details.clone(), true);
-                }
-                if other.load > self.load {
-                    (self.load, new) = (other.load, true);
-                }
-                new
-            }
+            Ordering::Equal => self.merge_same_incarnation(other),
+        }
+    }
+
+    fn merge_same_incarnation(&mut self, other: &Record) -> bool {
+        let mut is_changed = false;
+        if other.state > self.state {
+            (self.state, is_changed) = (other.state, true);
+        }
+        if other.details > self.details {
+            (self.details, is_changed) = (other.details.clone(), true);
+        }
+        if other.load > self.load {
+            (self.load, is_changed) = (other.load, true);
         }
+        is_changed
     }
 
-    /// Whether one may hold it: what a stranger sends is bounded.
+    /// Returns whether the record respects the limits on records received from others.
     pub fn is_valid(&self) -> bool {
-        let d = &self.details;
+        let details = &self.details;
+        // Half of the range stays free, so that any accepted number can still be exceeded.
         self.incarnation < u64::MAX / 2
-            && d.revision < u64::MAX / 2
-            && d.zone.len() <= MAX_NAME_BYTES
-            && d.payload.len() <= MAX_PAYLOAD_BYTES
-            && d.rivals.len() <= MAX_RIVALS
-            && d.address.port() != 0
+            && details.revision < u64::MAX / 2
+            && details.zone.len() <= MAX_NAME_BYTES
+            && details.payload.len() <= MAX_PAYLOAD_BYTES
+            && details.rivals.len() <= MAX_RIVALS
+            && details.address.port() != 0
     }
 
-    /// Stands for the record under its name; the load is no part of it.
+    /// Returns the digest of the record under its name, without the load.
     pub fn content_hash(&self, name: &str) -> u64 {
-        let held = (
+        let content = (
             name,
             self.incarnation,
             self.token,
             self.state,
             &self.details,
         );
-        // A string of bytes that means the same in each process, whatever the compiler or the
-        // machine.
-        digest(&postcard::to_allocvec(&held).unwrap_or_default())
+        digest(&postcard::to_allocvec(&content).unwrap_or_default())
     }
 }
 
-/// The same in all builds: it is compared between processes.
+/// Returns a keyed SipHash-1-3 digest. It is the same on all machines and in all builds, since
+/// processes compare digests with each other.
 pub fn digest(bytes: &[u8]) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(0x7069_7069_746c_6576, 0x6572_666c_6565_7431);
+    let mut hasher = SipHasher13::new_with_keys(DIGEST_KEY.0, DIGEST_KEY.1);
     hasher.write(bytes);
     hasher.finish()
 }
--- a/crates/membership/src/service_state.rs
+++ b/crates/membership/src/service_state.rs
@@ -1,70 +1,48 @@
-//! What a node says of its service: steady, however quickly the module's modes change, as each
-//! change goes to the whole fleet.
+//! Debouncing of the announced service state: each announced change is disseminated to the whole
+//! cluster, so a state that alternates quickly must not be announced each time.
 
 use crate::record::ServiceState;
 use crate::Micros;
 
-/// It has to be overloaded for so long before it says so, and not to be for so long before it says
-/// that.
-const ONSET: Micros = 1_000_000;
-const ABATE: Micros = 3_000_000;
+/// How long the node has to be overloaded before it announces that, in microseconds.
+const OVERLOAD_ONSET: Micros = 1_000_000;
+/// How long the node has to be no longer overloaded before it announces that, in microseconds.
+const OVERLOAD_RECOVERY: Micros = 3_000_000;
 
-/// What is seen, and what is said of it.
+/// Filter between the observed and the announced service state.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceStateFilter {
-    said: ServiceState,
-    seen: ServiceState,
-    since: Micros,
+    announced: ServiceState,
+    observed: ServiceState,
+    observed_since: Micros,
 }
 
 impl ServiceStateFilter {
-    /// Nothing was said yet.
+    /// Creates a filter that announces [`ServiceState::Starting`].
     pub fn new(now: Micros) -> ServiceStateFilter {
         ServiceStateFilter {
-            said: ServiceState::Starting,
-            seen: ServiceState::Starting,
-            since: now,
+            announced: ServiceState::Starting,
+            observed: ServiceState::Starting,
+            observed_since: now,
         }
     }
 
-    /// The node is seen to be so; what is to be said.
-    pub fn observe(&mut self, now: Micros, seen: ServiceState) -> ServiceState {
-        if seen != self.seen {
-            (self.seen, self.since) = (seen, now);
+    /// Takes in the observed state and returns the state to announce. Only transitions between
+    /// serving and overloaded are delayed.
+    pub fn observe(&mut self, now: Micros, observed: ServiceState) -> ServiceState {
+        if observed != self.observed {
+            (self.observed, self.observed_since) = (observed, now);
         }
-        let lasts = now - self.since;
-        self.said = match (self.said, seen) {
-            (ServiceState::Serving, ServiceState::Overloaded) if lasts < ONSET => self.said,
-            (ServiceState::Overloaded, ServiceState::Serving) if lasts < ABATE => self.said,
-            // What an operator did, and a start, is said at once.
-            _ => seen,
+        let duration = now - self.observed_since;
+        self.announced = match (self.announced, observed) {
+            (ServiceState::Serving, ServiceState::Overloaded) if duration < OVERLOAD_ONSET => {
+                self.announced
+            }
+            (ServiceState::Overloaded, ServiceState::Serving) if duration < OVERLOAD_RECOVERY => {
+                self.announced
+            }
+            _ => observed,
         };
-        self.said
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use ServiceState::*;
-
-    #[test]
-    fn a_mode_that_comes_and_goes_is_not_told_and_what_operators_do_is_told_at_once() {
-        let mut steady = ServiceStateFilter::new(0);
-        assert_eq!(steady.observe(0, Serving), Serving);
-        let mut said = Vec::new();
-        // Back and forth ten times a second.
-        for i in 0..100 {
-            said.push(steady.observe(i * 100_000, if i % 2 == 0 { Overloaded } else { Serving }));
-        }
-        assert!(said.iter().all(|s| *s == Serving));
-        steady.observe(10_000_000, Overloaded);
-        assert_eq!(steady.observe(10_999_999, Overloaded), Serving);
-        assert_eq!(steady.observe(11_000_000, Overloaded), Overloaded);
-        steady.observe(12_000_000, Serving);
-        assert_eq!(steady.observe(14_999_999, Serving), Overloaded);
-        assert_eq!(steady.observe(15_000_000, Serving), Serving);
-        assert_eq!(steady.observe(15_000_001, Standby), Standby);
-        assert_eq!(steady.observe(15_000_002, Draining), Draining);
+        self.announced
     }
 }
--- a/crates/membership/src/spare_capacity.rs
+++ b/crates/membership/src/spare_capacity.rs
@@ -1,113 +1,78 @@
-//! The first use of the view: whether a caller that is refused here has anywhere to go. If not,
-//! another try only costs the fleet a further reading, and the caller is better told so.
+//! Spare capacity elsewhere: whether other members are likely to admit a request that this node
+//! rejects. If not, the response tells the client that a retry is of no use.
 //!
-//! Each member tells the rank below which it refuses. What is older than some seconds counts for
-//! nothing, and neither does anything where this node is cut off.
+//! Each member announces the priority below which it rejects requests. The estimate ignores old
+//! announcements and is disabled while this node is partitioned.
 
 use crate::members::Members;
 use crate::record::State;
 use crate::Micros;
 
-/// News older than this says nothing of now: the member may take anything.
-const STALE: Micros = 4_000_000;
-/// Beyond so many members readings can't be told often enough to be of use.
+/// Age in microseconds beyond which an announcement is ignored and the member counts as admitting
+/// every request.
+const MAX_ANNOUNCEMENT_AGE: Micros = 4_000_000;
+/// Largest cluster in which load announcements arrive often enough to be of use.
 pub const MAX_MEMBERS: usize = 60;
-/// Ranks are told apart in so many bands.
+/// Number of priority bands that are distinguished.
 const BANDS: usize = 16;
-/// There is nowhere to go once fewer than this share of the others would take a request, and
-/// somewhere again beyond the other share: at one boundary callers would be sent back and forth.
-const NOWHERE: f64 = 0.10;
-const SOMEWHERE: f64 = 0.25;
+/// A band is exhausted once less than this fraction of the other members admit its requests.
+const EXHAUSTED_BELOW: f64 = 0.10;
+/// An exhausted band has capacity again from this fraction on; the hysteresis keeps clients from
+/// being sent back and forth.
+const AVAILABLE_FROM: f64 = 0.25;
 
-/// What is seen of the others.
+/// Priority bands for which the other members have no spare capacity.
 #[derive(Clone, Debug, Default)]
 pub struct SpareCapacity {
-    nowhere: [bool; BANDS],
+    is_band_exhausted: [bool; BANDS],
 }
 
-/// The highest rank of a band, in 255ths: who refuses below that may refuse all of the band.
-fn top(band: usize) -> u8 {
+/// Returns the highest priority of a band, in 255ths. A member with a higher cutoff may reject the
+/// whole band.
+fn highest_priority(band: usize) -> u8 {
     ((band + 1) * 255 / BANDS) as u8
 }
 
 impl SpareCapacity {
-    /// Looks at the others, some times a second.
-    pub fn update(&mut self, now: Micros, own: &str, members: &Members, cut_off: bool) {
-        let others: Vec<u8> = members
+    /// Recomputes the estimate from the announced loads.
+    pub fn update(
+        &mut self,
+        now: Micros,
+        local_name: &str,
+        members: &Members,
+        is_partitioned: bool,
+    ) {
+        let cutoffs: Vec<u8> = members
             .iter()
-            .filter(|(name, m)| *name != own && m.record.state == State::Alive)
-            .map(|(_, m)| {
-                if now - m.load_updated_at <= STALE {
-                    m.record.load.1
+            .filter(|(name, member)| *name != local_name && member.record.state == State::Alive)
+            .map(|(_, member)| {
+                if now - member.load_updated_at <= MAX_ANNOUNCEMENT_AGE {
+                    member.record.load.priority_cutoff
                 } else {
                     0
                 }
             })
             .collect();
-        let blind = cut_off || others.is_empty() || members.active_count() > MAX_MEMBERS;
-        for (band, nowhere) in self.nowhere.iter_mut().enumerate() {
-            let open = others.iter().filter(|cut| **cut < top(band)).count();
-            let share = open as f64 / others.len().max(1) as f64;
-            *nowhere = !blind && share < if *nowhere { SOMEWHERE } else { NOWHERE };
+        let is_disabled =
+            is_partitioned || cutoffs.is_empty() || members.active_count() > MAX_MEMBERS;
+        for (band, is_exhausted) in self.is_band_exhausted.iter_mut().enumerate() {
+            let admitting = cutoffs
+                .iter()
+                .filter(|cutoff| **cutoff < highest_priority(band))
+                .count();
+            let fraction = admitting as f64 / cutoffs.len().max(1) as f64;
+            let threshold = if *is_exhausted {
+                AVAILABLE_FROM
+            } else {
+                EXHAUSTED_BELOW
+            };
+            *is_exhausted = !is_disabled && fraction < threshold;
         }
     }
 
-    /// Whether nobody else would take a request of this rank, from 0 to under 1.
-    pub fn is_exhausted(&self, rank: f64) -> bool {
-        self.nowhere[((rank * BANDS as f64) as usize).min(BANDS - 1)]
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::local_member::LocalMember;
-
-    fn members(cuts: &[u8], at: Micros) -> Members {
-        let mut members = Members::default();
-        for (i, cut) in cuts.iter().enumerate() {
-            let mut record = LocalMember::new(1, ([127, 0, 0, 1], 1).into(), "").record;
-            record.load = (1, *cut);
-            members.insert(&format!("n{i}"), record, at, "n0");
-        }
-        members
-    }
-
-    #[test]
-    fn what_the_others_refuse_has_nowhere_to_go_and_only_while_that_is_news() {
-        let mut seen = SpareCapacity::default();
-        let mut cuts = [128; 21];
-        seen.update(0, "n0", &members(&cuts, 0), false);
-        assert!(seen.is_exhausted(0.3) && !seen.is_exhausted(0.7));
-        // One of the twenty others takes it: not worth a search. Three: it is.
-        cuts[1] = 0;
-        seen.update(0, "n0", &members(&cuts, 0), false);
-        assert!(seen.is_exhausted(0.3));
-        cuts[2..5].fill(0);
-        seen.update(0, "n0", &members(&cuts, 0), false);
-        assert!(
-            seen.is_exhausted(0.3),
-            "a share between the two changes nothing"
-        );
-        cuts[5..9].fill(0);
-        seen.update(0, "n0", &members(&cuts, 0), false);
-        assert!(!seen.is_exhausted(0.3));
-        cuts[6..9].fill(255);
-        seen.update(0, "n0", &members(&cuts, 0), false);
-        assert!(!seen.is_exhausted(0.3), "nor from the other side");
-        let all = [255; 21];
-        seen.update(0, "n0", &members(&all, 0), false);
-        assert!(seen.is_exhausted(0.99));
-        seen.update(STALE + 1, "n0", &members(&all, 0), false);
-        assert!(!seen.is_exhausted(0.0), "old news says nothing");
-        seen.update(0, "n0", &members(&all, 0), true);
-        assert!(!seen.is_exhausted(0.0), "nor does a node that is cut off");
-        seen.update(0, "n0", &members(&[255], 0), false);
-        assert!(!seen.is_exhausted(0.0), "nor one that is alone");
-        seen.update(0, "n0", &members(&[255; MAX_MEMBERS + 1], 0), false);
-        assert!(
-            !seen.is_exhausted(0.0),
-            "nor in a fleet too large to tell in time"
-        );
+    /// Returns whether hardly any other member admits requests of this priority, which is from 0
+    /// to below 1.
+    pub fn is_exhausted(&self, priority: f64) -> bool {
+        self.is_band_exhausted[((priority * BANDS as f64) as usize).min(BANDS - 1)]
     }
 }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,82 +1,52 @@
-//! One suspicion: who had no answer, and how long the suspect has to say otherwise.
+//! Suspicion of one member: which members reported it, and when it times out.
 
 use crate::config::MembershipConfig;
 use crate::Micros;
 
-/// A member that is suspected.
+/// A suspicion that is neither refuted nor timed out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    start: Micros,
-    /// Who had no answer, the first one first. No more than can shorten its time.
-    by: Vec<String>,
-    /// Under which end of its time it is listed.
-    pub(crate) listed: Micros,
+    started: Micros,
+    /// Members that reported a failed probe, in order of arrival; bounded, since further reports
+    /// do not shorten the timeout.
+    reporters: Vec<String>,
+    /// Deadline under which the suspicion is scheduled.
+    pub(crate) scheduled_deadline: Micros,
 }
 
 impl Suspicion {
-    /// Somebody had no answer.
-    pub fn new(now: Micros, by: &str) -> Suspicion {
+    /// Starts a suspicion reported by `reporter`.
+    pub fn new(now: Micros, reporter: &str) -> Suspicion {
         Suspicion {
-            start: now,
-            by: vec![by.to_owned()],
-            listed: now,
+            started: now,
+            reporters: vec![reporter.to_owned()],
+            scheduled_deadline: now,
         }
     }
 
-    /// Somebody says so too; whether that is new, and shortens its time.
-    pub fn confirm(&mut self, by: &str) -> bool {
-        let new = self.by.len() <= MembershipConfig::SUSPICION_CONFIRMATIONS
-            && !self.by.iter().any(|b| b == by);
-        if new {
-            self.by.push(by.to_owned());
+    /// Adds an independent confirmation. Returns whether it shortens the timeout.
+    pub fn confirm(&mut self, reporter: &str) -> bool {
+        let is_new = self.reporters.len() <= MembershipConfig::SUSPICION_CONFIRMATIONS
+            && !self.reporters.iter().any(|known| known == reporter);
+        if is_new {
+            self.reporters.push(reporter.to_owned());
         }
-        new
+        is_new
     }
 
-    /// This node was not there for so long: the suspect's answer may be waiting to be read.
-    pub fn extend(&mut self, time: Micros) {
-        self.start += time;
+    /// Moves the deadline by the time for which this process did not run: a refutation may be
+    /// among the datagrams that it has not read yet.
+    pub fn extend(&mut self, delay: Micros) {
+        self.started += delay;
     }
 
-    /// When its time is over, in a fleet of this size.
-    pub fn deadline(&self, rules: &MembershipConfig, members: usize) -> Micros {
-        self.start + rules.suspicion_timeout(members, self.by.len() - 1)
+    /// Returns the time at which the suspicion times out in a cluster of `members` active members.
+    pub fn deadline(&self, config: &MembershipConfig, members: usize) -> Micros {
+        self.started + config.suspicion_timeout(members, self.reporters.len() - 1)
     }
 
-    /// Who had no answer.
+    /// Returns the members that reported the suspicion, the first reporter first.
     pub fn reporters(&self) -> &[String] {
-        &self.by
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn time_shrinks_with_each_one_who_confirms_and_not_with_one_who_repeats() {
-        let rules = MembershipConfig::default();
-        let mut suspicion = Suspicion::new(0, "n1");
-        let mut last = suspicion.deadline(&rules, 100);
-        assert_eq!(last, 6 * rules.min_suspicion_timeout(100));
-        for by in ["n2", "n3", "n4"] {
-            assert!(suspicion.confirm(by));
-            assert!(!suspicion.confirm(by) && !suspicion.confirm("n1"));
-            let next = suspicion.deadline(&rules, 100);
-            assert!(next < last, "{by}");
-            last = next;
-        }
-        assert_eq!(last, rules.min_suspicion_timeout(100));
-        assert!(
-            !suspicion.confirm("n5"),
-            "nobody counts beyond the shortest time"
-        );
-        suspicion.extend(1000);
-        assert_eq!(suspicion.deadline(&rules, 100), last + 1000);
-        // With two alone nobody could confirm.
-        assert_eq!(
-            Suspicion::new(0, "n1").deadline(&rules, 2),
-            2 * rules.min_suspicion_timeout(2)
-        );
+        &self.reporters
     }
 }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -1,6 +1,7 @@
-//! Two views that differ are made equal over a connection: the one that connects says the digest of
-//! each part of its view, the other one says which differ and tells its members of these, and gets
-//! back what it had not, all in pieces.
+//! Anti-entropy push-pull synchronization of two tables over a connection. The initiator sends the
+//! digest of each bucket; the responder answers with the set of differing buckets and its members
+//! of these; the initiator then sends those members that the responder does not have. Members
+//! travel in frames of bounded size.
 
 use crate::members::{bucket, BUCKETS};
 use crate::membership::Membership;
@@ -11,151 +12,125 @@
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
+/// Maximum size of the members in one frame, in bytes.
+const MAX_MEMBERS_BYTES: usize = MAX_FRAME_BYTES / 2;
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Role {
+    Initiator,
+    Responder,
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
-    /// The one that connects has said its digests.
-    Asked,
-    /// The other one waits for them.
-    Waiting,
-    /// It is told members.
-    Told,
-    /// It has said all, and waits for nothing.
-    Over,
+enum Phase {
+    /// The initiator sent its digests.
+    AwaitingBuckets,
+    /// The responder waits for the digests.
+    AwaitingDigests,
+    /// The peer sends members.
+    Receiving,
+    /// The peer has sent all.
+    ReceivedAll,
 }
 
-/// One connection, at either end.
+/// One end of a push-pull synchronization.
 pub struct SyncSession {
-    /// It is the end that was connected to.
-    answers: bool,
-    stage: Stage,
-    frames: FrameDecoder,
-    /// Who is at the other end.
+    role: Role,
+    phase: Phase,
+    decoder: FrameDecoder,
     peer: Option<String>,
-    parts: u64,
-    told: BTreeMap<String, Record>,
-    /// Members that are still to be told.
-    left: VecDeque<String>,
-    /// `End` is still to be said.
-    end: bool,
-    out: Vec<u8>,
-    heard: usize,
+    differing_buckets: u64,
+    /// Records received from the peer, which are not sent back.
+    received: BTreeMap<String, Record>,
+    received_count: usize,
+    /// Names of members that are still to be sent.
+    unsent: VecDeque<String>,
+    /// Whether `End` is still to be sent.
+    is_end_pending: bool,
+    outgoing: Vec<u8>,
 }
 
 impl SyncSession {
-    fn new(stage: Stage) -> SyncSession {
-        let (told, left, out) = (BTreeMap::new(), VecDeque::new(), Vec::new());
-        let answers = stage == Stage::Waiting;
+    fn new(role: Role, phase: Phase) -> SyncSession {
         SyncSession {
-            answers,
-            stage,
-            frames: FrameDecoder::default(),
+            role,
+            phase,
+            decoder: FrameDecoder::default(),
             peer: None,
-            parts: 0,
-            told,
-            left,
-            end: false,
-            out,
-            heard: 0,
+            differing_buckets: 0,
+            received: BTreeMap::new(),
+            received_count: 0,
+            unsent: VecDeque::new(),
+            is_end_pending: false,
+            outgoing: Vec::new(),
         }
     }
 
-    /// The end that connects.
-    pub fn initiate(fleet: &Membership) -> SyncSession {
-        let mut session = SyncSession::new(Stage::Asked);
-        let digests = fleet.members().bucket_digests().to_vec();
-        encode_frame(
-            &mut session.out,
-            fleet.fleet_name(),
-            &Frame::BucketDigests {
-                sender: fleet.local_update(),
-                digests,
-            },
-        );
+    /// Creates the end that opened the connection.
+    pub fn initiate(membership: &Membership) -> SyncSession {
+        let mut session = SyncSession::new(Role::Initiator, Phase::AwaitingBuckets);
+        let digests = Frame::BucketDigests {
+            sender: membership.local_update(),
+            digests: membership.members().bucket_digests().to_vec(),
+        };
+        encode_frame(&mut session.outgoing, membership.fleet_name(), &digests);
         session
     }
 
-    /// The other end.
+    /// Creates the end that accepted the connection.
     pub fn respond() -> SyncSession {
-        SyncSession::new(Stage::Waiting)
+        SyncSession::new(Role::Responder, Phase::AwaitingDigests)
     }
 
-    /// Who is at the other end, once it has said so.
+    /// Returns the name of the peer, once its first frame has arrived.
     pub fn peer(&self) -> Option<&str> {
         self.peer.as_deref()
     }
 
-    /// Takes in what was read. After an error the connection is to end; what was learned before
-    /// stays.
+    /// Handles bytes read from the connection.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the peer sends a malformed or unexpected frame or more members than it may have.
+    /// The connection is then to be closed; updates applied before stay.
     pub fn handle_bytes(
         &mut self,
-        fleet: &mut Membership,
+        membership: &mut Membership,
         now: Micros,
         bytes: &[u8],
     ) -> Result<(), DecodeError> {
-        self.frames.push(bytes);
-        while let Some(said) = self.frames.next_frame(fleet.fleet_name())? {
-            self.heard(fleet, now, said)?;
+        self.decoder.push(bytes);
+        while let Some(frame) = self.decoder.next_frame(membership.fleet_name())? {
+            self.handle_frame(membership, now, frame)?;
         }
         Ok(())
     }
 
-    fn heard(
+    fn handle_frame(
         &mut self,
-        fleet: &mut Membership,
+        membership: &mut Membership,
         now: Micros,
-        said: Frame,
+        frame: Frame,
     ) -> Result<(), DecodeError> {
-        match (self.stage, said) {
-            (
-                Stage::Waiting,
-                Frame::BucketDigests {
-                    sender: from,
-                    digests,
-                },
-            ) if digests.len() == BUCKETS => {
-                let ours = fleet.members().bucket_digests();
-                let differ = (0..BUCKETS).filter(|i| ours[*i] != digests[*i]);
-                self.parts = differ.fold(0, |bits, i| bits | 1 << i);
-                encode_frame(
-                    &mut self.out,
-                    fleet.fleet_name(),
-                    &Frame::DifferingBuckets {
-                        sender: fleet.local_update(),
-                        buckets: self.parts,
-                    },
-                );
-                self.tell(fleet);
-                self.stage = Stage::Told;
-                // Behind the choice of what to tell: it must hold for what the other one had.
-                self.met(fleet, now, from);
+        match (self.phase, frame) {
+            (Phase::AwaitingDigests, Frame::BucketDigests { sender, digests })
+                if digests.len() == BUCKETS =>
+            {
+                self.handle_digests(membership, now, sender, &digests);
             }
-            (
-                Stage::Asked,
-                Frame::DifferingBuckets {
-                    sender: from,
-                    buckets: parts,
-                },
-            ) => {
-                self.parts = parts;
-                self.stage = Stage::Told;
-                self.met(fleet, now, from);
+            (Phase::AwaitingBuckets, Frame::DifferingBuckets { sender, buckets }) => {
+                self.differing_buckets = buckets;
+                self.phase = Phase::Receiving;
+                self.set_peer(membership, now, sender);
             }
-            (Stage::Told, Frame::Members(members)) => {
-                self.heard += members.len();
-                if self.heard > 2 * fleet.config().max_members {
-                    return Err(DecodeError::Malformed);
-                }
-                let peer = self.peer.clone().unwrap_or_default();
-                for update in members {
-                    fleet.handle_update(now, &update, &peer);
-                    self.told.insert(update.name, update.record);
-                }
+            (Phase::Receiving, Frame::Members(members)) => {
+                self.handle_members(membership, now, members)?;
             }
-            (Stage::Told, Frame::End) => {
-                self.stage = Stage::Over;
-                // The one that connected has its turn now; the other one has had it.
-                if !self.answers {
-                    self.tell(fleet);
+            (Phase::Receiving, Frame::End) => {
+                self.phase = Phase::ReceivedAll;
+                // The responder has sent its members already.
+                if self.role == Role::Initiator {
+                    self.queue_members(membership);
                 }
             }
             _ => return Err(DecodeError::Malformed),
@@ -163,50 +138,102 @@
         Ok(())
     }
 
-    fn met(&mut self, fleet: &mut Membership, now: Micros, from: Update) {
-        fleet.handle_update(now, &from, &from.name);
-        self.peer = Some(from.name);
+    fn handle_digests(
+        &mut self,
+        membership: &mut Membership,
+        now: Micros,
+        sender: Update,
+        digests: &[u64],
+    ) {
+        let own_digests = membership.members().bucket_digests();
+        self.differing_buckets = (0..BUCKETS)
+            .filter(|bucket| own_digests[*bucket] != digests[*bucket])
+            .fold(0, |bits, bucket| bits | 1 << bucket);
+        let differing = Frame::DifferingBuckets {
+            sender: membership.local_update(),
+            buckets: self.differing_buckets,
+        };
+        encode_frame(&mut self.outgoing, membership.fleet_name(), &differing);
+        self.queue_members(membership);
+        self.phase = Phase::Receiving;
+        // Applied after the members are queued, which have to match the digests compared.
+        self.set_peer(membership, now, sender);
+    }
+
+    fn handle_members(
+        &mut self,
+        membership: &mut Membership,
+        now: Micros,
+        members: Vec<Update>,
+    ) -> Result<(), DecodeError> {
+        self.received_count += members.len();
+        if self.received_count > 2 * membership.config().max_members {
+            return Err(DecodeError::Malformed);
+        }
+        let peer = self.peer.clone().unwrap_or_default();
+        for update in members {
+            membership.handle_update(now, &update, &peer);
+            self.received.insert(update.name, update.record);
+        }
+        Ok(())
+    }
+
+    fn set_peer(&mut self, membership: &mut Membership, now: Micros, sender: Update) {
+        membership.handle_update(now, &sender, &sender.name);
+        self.peer = Some(sender.name);
     }
 
-    /// Has the members of the parts that differ told, but for those that the other end has told
-    /// alike.
-    fn tell(&mut self, fleet: &Membership) {
-        let differs = |name: &str| self.parts >> bucket(name) & 1 == 1;
-        let all = fleet.members().iter().filter(|(name, m)| {
-            !m.is_tombstone
-                && differs(name)
-                && self.told.get(*name).is_none_or(|told| *told != m.record)
-        });
-        self.left = all.map(|(name, _)| name.to_owned()).collect();
-        self.end = true;
+    /// Queues the members of the differing buckets, except those that the peer sent with the same
+    /// record.
+    fn queue_members(&mut self, membership: &Membership) {
+        let is_in_differing_bucket = |name: &str| self.differing_buckets >> bucket(name) & 1 == 1;
+        self.unsent = membership
+            .members()
+            .iter()
+            .filter(|(name, member)| {
+                let received = self.received.get(*name);
+                !member.is_tombstone
+                    && is_in_differing_bucket(name)
+                    && received.is_none_or(|record| *record != member.record)
+            })
+            .map(|(name, _)| name.to_owned())
+            .collect();
+        self.is_end_pending = true;
     }
 
-    /// What is to be written next, in pieces; nothing while it is the other end's turn.
-    pub fn next_chunk(&mut self, fleet: &Membership, now: Micros) -> Option<Vec<u8>> {
-        if self.out.is_empty() && self.end {
-            let (mut members, mut size) = (Vec::new(), 0);
-            while let Some(name) = self.left.front() {
-                if let Some(update) = fleet.update_about(now, name) {
-                    size += encoded_length(&update);
-                    if size > MAX_FRAME_BYTES / 2 {
-                        break;
-                    }
-                    members.push(update);
-                }
-                self.left.pop_front();
-            }
-            if members.is_empty() {
-                self.end = false;
-                encode_frame(&mut self.out, fleet.fleet_name(), &Frame::End);
+    /// Returns the bytes to write next; `None` while it is the peer's turn.
+    pub fn next_chunk(&mut self, membership: &Membership, now: Micros) -> Option<Vec<u8>> {
+        if self.outgoing.is_empty() && self.is_end_pending {
+            let members = self.take_members(membership, now);
+            let frame = if members.is_empty() {
+                self.is_end_pending = false;
+                Frame::End
             } else {
-                encode_frame(&mut self.out, fleet.fleet_name(), &Frame::Members(members));
+                Frame::Members(members)
+            };
+            encode_frame(&mut self.outgoing, membership.fleet_name(), &frame);
+        }
+        (!self.outgoing.is_empty()).then(|| std::mem::take(&mut self.outgoing))
+    }
+
+    /// Takes queued members for one frame.
+    fn take_members(&mut self, membership: &Membership, now: Micros) -> Vec<Update> {
+        let (mut members, mut size) = (Vec::new(), 0);
+        while let Some(name) = self.unsent.front() {
+            if let Some(update) = membership.update_about(now, name) {
+                size += encoded_length(&update);
+                if size > MAX_MEMBERS_BYTES {
+                    break;
+                }
+                members.push(update);
             }
+            self.unsent.pop_front();
         }
-        (!self.out.is_empty()).then(|| std::mem::take(&mut self.out))
+        members
     }
 
-    /// Whether all was heard and said.
+    /// Returns whether both ends have sent all.
     pub fn is_complete(&self) -> bool {
-        self.stage == Stage::Over && !self.end && self.out.is_empty()
+        self.phase == Phase::ReceivedAll && !self.is_end_pending && self.outgoing.is_empty()
     }
 }
--- a/crates/membership/src/update_rules.rs
+++ b/crates/membership/src/update_rules.rs
@@ -1,43 +1,42 @@
-//! What a piece of news about another member is worth, beside what is held: the rule by which views
-//! change, without times.
+//! What an update about another member does to the record held of it, independent of time.
 
 use crate::record::{Record, State};
 
-/// What comes of it.
+/// Effect of an update on the record held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpdateEffect {
-    /// It is old, or held already.
+    /// The update is older than the record held, or equal to it.
     Ignored,
-    /// It says that somebody had no answer.
+    /// The update reports a failed probe: it starts or confirms a suspicion.
     Suspicion,
-    /// It says that a member is down which is held to be alive here. It is a suspect here from now
-    /// on, and has its time to say otherwise: else the halves of a fleet would hold themselves dead
-    /// when they meet again.
+    /// The update reports a failure of a member that is alive here. The member becomes a suspect
+    /// and keeps its time to refute: otherwise the parts of a healed partition would declare each
+    /// other down. The record is the suspected one.
     UnconfirmedFailure(Record),
-    /// The member's record is this from now on.
+    /// The merged record replaces the one held.
     Replaced(Record),
 }
 
-/// Weighs what is said against what is held. A member that is about to be forgotten is not brought
-/// back by what made it so.
-pub fn evaluate_update(held: &Record, fading: bool, said: &Record) -> UpdateEffect {
-    let order = (said.incarnation, said.token).cmp(&(held.incarnation, held.token));
-    if order.is_lt() || (order.is_eq() && fading) {
+/// Determines the effect of the update `received` on the record `held`. A tombstone is only
+/// replaced by a higher incarnation.
+pub fn evaluate_update(held: &Record, is_tombstone: bool, received: &Record) -> UpdateEffect {
+    let order = (received.incarnation, received.token).cmp(&(held.incarnation, held.token));
+    if order.is_lt() || (order.is_eq() && is_tombstone) {
         return UpdateEffect::Ignored;
     }
-    let suspected = order.is_eq() && held.state == State::Suspect;
-    match said.state {
-        State::Down if held.state.is_active() && !suspected => {
+    let is_suspect = order.is_eq() && held.state == State::Suspect;
+    match received.state {
+        State::Down if held.state.is_active() && !is_suspect => {
             UpdateEffect::UnconfirmedFailure(Record {
                 state: State::Suspect,
-                ..said.clone()
+                ..received.clone()
             })
         }
         State::Suspect => UpdateEffect::Suspicion,
         _ => {
-            let mut joined = held.clone();
-            if joined.merge(said) {
-                UpdateEffect::Replaced(joined)
+            let mut merged = held.clone();
+            if merged.merge(received) {
+                UpdateEffect::Replaced(merged)
             } else {
                 UpdateEffect::Ignored
             }
