--- a/crates/node/src/net/idempotency_store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -2,15 +2,15 @@
 
 use crate::net::hub::Shared;
 use async_channel::Receiver;
-use pipitlever_idempotency_store::disk::Thread;
+use pipitlever_idempotency_store::disk::WriterThread;
 
 /// For as long as the node runs.
-pub async fn batches(hub: Shared, writer: Thread, done: Receiver<Result<u64, String>>) {
+pub async fn batches(hub: Shared, writer: WriterThread, done: Receiver<Result<u64, String>>) {
     let nudge = hub.borrow().storing.clone();
     loop {
         let batch = {
             let hub = &mut *hub.borrow_mut();
-            hub.core.batch(hub.clock.now())
+            hub.core.next_store_batch(hub.clock.now())
         };
         let Some(batch) = batch else {
             nudge.wait().await;
@@ -24,6 +24,7 @@
             .recv()
             .await
             .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
-        hub.borrow_mut().tell(|core, now| core.stored(now, result));
+        hub.borrow_mut()
+            .tell(|core, now| core.handle_store_result(now, result));
     }
 }
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -440,11 +440,14 @@
         let hub = self.hub.borrow();
         match () {
             () if hub.draining() => ServiceState::Draining,
-            () if hub.core.fresh() || !hub.taking || hub.core.barred(self.clock.now()) => {
+            () if hub.core.is_starting()
+                || !hub.taking
+                || hub.core.is_configuration_expired(self.clock.now()) =>
+            {
                 ServiceState::Starting
             }
-            () if hub.core.standing_by() => ServiceState::Standby,
-            () if hub.core.crowded() => ServiceState::Overloaded,
+            () if hub.core.is_standby() => ServiceState::Standby,
+            () if hub.core.is_overloaded() => ServiceState::Overloaded,
             () => ServiceState::Serving,
         }
     }
--- a/crates/node/src/net/session_affinity.rs
+++ b/crates/node/src/net/session_affinity.rs
@@ -6,7 +6,7 @@
 use crate::net::hub::Shared;
 use crate::net::workers::routes::Named;
 use async_channel::Sender;
-use pipitlever_load_balancing::pool::Use;
+use pipitlever_load_balancing::pool::MemberMode;
 use pipitlever_membership::Membership;
 use pipitlever_session_affinity::directory::{
     DirectorySettings, Peer, PlacementCounters, Pool, Resolution, SessionDirectory, SessionKey,
@@ -68,8 +68,8 @@
             name: label.name.clone(),
             weight: m.weight,
             // Who stands by for others has no sessions of his own.
-            accepts_sessions: m.usage == Use::On && !m.spare,
-            is_draining: m.usage == Use::Draining,
+            accepts_sessions: m.mode == MemberMode::Active && !m.is_standby,
+            is_draining: m.mode == MemberMode::Draining,
         });
     let (idle, patience, linger) = (sessions.idle_s, sessions.patience, sessions.linger);
     Some(Pool {
@@ -170,7 +170,7 @@
         };
         let mut node = self.node.borrow_mut();
         for (i, (pool, file)) in self.files.borrow().iter().enumerate() {
-            let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing().copied().collect();
+            let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing_members().copied().collect();
             let state = &node.pools()[i];
             let id =
                 |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
