--- /dev/null
+++ b/crates/config-versions/src/file_format.rs
@@ -0,0 +1,44 @@
+//! The format of state files: a header and one checksummed frame.
+//!
+//! A file is replaced as a whole, by writing a new file and renaming it.
+
+use pipitlever_framing::{frame, Format, Frames, Unreadable, Wrong};
+use serde::{Deserialize, Serialize};
+
+/// The header of state files.
+pub const FORMAT: Format = Format {
+    magic: *b"plverson",
+    version: 1,
+    what: "file of versions",
+};
+
+/// Encodes a file that holds this state.
+pub fn encode<T: Serialize>(state: &T) -> Vec<u8> {
+    let mut file = Vec::new();
+    FORMAT.head(&mut file);
+    frame(&mut file, 0, |payload| {
+        payload.extend(postcard::to_allocvec(state).unwrap_or_default());
+    });
+    file
+}
+
+/// Decodes a file.
+///
+/// # Errors
+///
+/// Fails if the header, the checksum or the payload is damaged, and if the file is truncated: a
+/// complete file is written before the rename, so a truncated one is damaged too.
+pub fn decode<T: for<'a> Deserialize<'a>>(file: &[u8]) -> Result<T, Unreadable> {
+    let mut frames = Frames::open(FORMAT, file)?;
+    let (_, payload) = frames
+        .next_frame()?
+        .ok_or_else(|| damaged("the file is truncated"))?;
+    postcard::from_bytes(payload).map_err(|_| damaged("the payload can't be decoded"))
+}
+
+fn damaged(what: &str) -> Unreadable {
+    Unreadable {
+        at: 0,
+        why: Wrong::Content(what.into()),
+    }
+}
--- a/crates/config-versions/src/lib.rs
+++ b/crates/config-versions/src/lib.rs
@@ -1,20 +1,30 @@
-//! Versions of the fleet's settings: which there is, who decides it, who may act on it, and how a
-//! node comes to it.
+//! Versions of a fleet's settings, agreed on by a quorum and protected by leases.
 //!
-//! It does no I/O and has no clock: it is handed messages, times and seeds, and yields messages,
-//! writes and events. `docs/versions.md` has the design and why it is this one.
+//! - [`version`]: the metadata of one version, and the rules for sets of acceptors.
+//! - [`proposer`] and [`acceptor`]: a single-decree Paxos register per version number (Lamport,
+//!   "Paxos Made Simple", 2001).
+//! - [`lease`]: how long a node may act on its active version.
+//! - [`retirement`]: fences old versions, so that no lease on them can be renewed.
+//! - [`minimum_version`]: the per-node fence that survives a lost or restored disk.
+//! - [`node`]: all of it for one node.
+//! - [`message`], [`envelope`] and [`file_format`]: messages, their datagrams, and files.
+//!
+//! The crate does no I/O and reads no clock. Callers pass in messages, clock readings and random
+//! seeds, and carry out the messages, writes and events that come back.
+//!
+//! `docs/config-versions.md` describes the protocol and why it was chosen.
 
-pub mod closer;
-pub mod elector;
-pub mod floor;
+pub mod acceptor;
+pub mod envelope;
+pub mod file_format;
 pub mod lease;
 pub mod message;
+pub mod minimum_version;
 pub mod node;
-pub mod publisher;
-pub mod saved;
+pub mod proposer;
+pub mod retirement;
 pub mod version;
-pub mod word;
 
-/// A reading of a clock that runs on while the process is stopped, or a span of it, in
-/// microseconds.
+/// A reading of a monotonic clock that keeps running while the process is stopped, or a duration,
+/// in microseconds.
 pub type Micros = i64;
--- a/crates/config-versions/src/message.rs
+++ b/crates/config-versions/src/message.rs
@@ -1,229 +1,272 @@
-//! What nodes say to each other about versions, in postcard, inside the fleet's own messages: these
-//! have the checksum, the version and the fleet's name.
+//! Messages of the version protocol, in postcard.
+//!
+//! The membership protocol's datagrams carry them, and add the checksum, the protocol version and
+//! the fleet's name. Postcard identifies fields and variants by position: their order is part of
+//! the wire format.
 
-use crate::version::{Version, MOST_NAME};
+use crate::version::{is_valid_name, Version, MAX_NAME_BYTES};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Attempts are ordered, and two publishers never have the same one.
+/// The maximum number of heartbeats in a gossip payload: one more than there are acceptors.
+const MAX_HEARTBEATS: usize = 8;
+
+/// A Paxos ballot number: totally ordered, and unique per proposer and process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Grows with each attempt.
+    /// The round, which grows with each ballot.
     pub round: u64,
-    /// The elector whose attempt it is.
-    pub by: String,
-    /// Which start of its process this is: one that has died may have begun this round with another
-    /// version, and may not know it.
-    pub start: u64,
+    /// The name of the proposer.
+    pub proposer: String,
+    /// The incarnation of the proposer's process: an earlier process may have used the same round
+    /// for another version.
+    pub incarnation: u64,
 }
 
-/// What an elector's disk is, and how often it was written. Others remember it, so that an elector
-/// whose disk was lost or put back finds out.
+/// Identifies an acceptor's disk and the number of votes written to it.
+///
+/// Peers remember the latest stamp of each acceptor, so that an acceptor can detect after a restart
+/// that its disk was replaced or restored from a backup.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Seal {
-    /// Drawn when the disk was empty.
-    pub token: u64,
-    /// Votes that were written since.
-    pub count: u64,
+pub struct DiskStamp {
+    /// A random number drawn when the disk was empty.
+    pub disk_id: u64,
+    /// The number of votes written since then.
+    pub vote_count: u64,
 }
 
-/// That an elector lives, and which versions it has closed. It travels through all members.
+/// A heartbeat of an acceptor, disseminated through all members. Renews leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Beat {
-    /// The elector.
-    pub by: String,
-    /// Which start of its process this is.
-    pub start: u64,
-    /// The reading of its clock.
-    pub at: Micros,
-    /// No version below this one is to be acted on.
-    pub floor: u64,
-    /// The version that brought the newest electors that it knows of, decided or not.
-    pub config: u64,
+pub struct Heartbeat {
+    /// The name of the acceptor.
+    pub acceptor: String,
+    /// The incarnation of its process.
+    pub incarnation: u64,
+    /// Its clock when it sent the heartbeat.
+    pub clock: Micros,
+    /// All versions below this one are retired.
+    pub minimum_version: u64,
+    /// The version that introduced the latest acceptors this one knows of, decided or pending.
+    pub acceptors_since: u64,
 }
 
-impl Beat {
-    /// Whether this one is later than another one of the same elector.
-    pub fn follows(&self, other: &Beat) -> bool {
-        (self.start, self.at) > (other.start, other.at)
+impl Heartbeat {
+    /// Returns whether this heartbeat is newer than another one of the same acceptor.
+    pub fn is_newer_than(&self, other: &Heartbeat) -> bool {
+        (self.incarnation, self.clock) > (other.incarnation, other.clock)
     }
 }
 
-/// What travels with each message of the fleet: all of it is the newest that is known.
+/// The payload that is piggybacked on each message of the membership protocol.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hint {
-    /// The number of the newest version that was decided.
+pub struct GossipPayload {
+    /// The number of the newest version known to be decided.
     pub newest: u64,
-    /// The last word of each elector.
-    pub beats: Vec<Beat>,
+    /// The latest heartbeat of each acceptor.
+    pub heartbeats: Vec<Heartbeat>,
 }
 
-impl Hint {
-    /// As it is sent.
-    pub fn write(&self) -> Vec<u8> {
+impl GossipPayload {
+    /// Encodes the payload.
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads one; nothing if it is none, or says more than there can be.
-    pub fn read(bytes: &[u8]) -> Option<Hint> {
-        let hint: Hint = postcard::from_bytes(bytes).ok()?;
-        let name = |n: &str| !n.is_empty() && n.len() <= MOST_NAME;
-        (hint.beats.len() <= 8 && hint.beats.iter().all(|b| name(&b.by))).then_some(hint)
+    /// Decodes a payload. Returns `None` for malformed bytes, too many heartbeats, and invalid
+    /// names.
+    pub fn decode(bytes: &[u8]) -> Option<GossipPayload> {
+        let payload: GossipPayload = postcard::from_bytes(bytes).ok()?;
+        let is_valid = payload.heartbeats.len() <= MAX_HEARTBEATS
+            && payload
+                .heartbeats
+                .iter()
+                .all(|heartbeat| is_valid_name(&heartbeat.acceptor));
+        is_valid.then_some(payload)
     }
 }
 
-/// What one says to another one.
+/// A message of the version protocol.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A publisher asks an elector to heed no earlier attempt.
+    /// Phase 1a: a proposer asks an acceptor to reject all lower ballots.
     Prepare {
-        /// Its attempt.
+        /// The proposer's ballot.
         ballot: Ballot,
-        /// The version that its own would build on.
+        /// The decided version that the proposal builds on.
         base: Version,
     },
-    /// The elector heeds none, and says what it has accepted.
+    /// Phase 1b: the acceptor promises that, and reports what it has accepted.
     Promise {
-        /// The attempt.
+        /// The ballot promised.
         ballot: Ballot,
-        /// For the number after the base.
+        /// The ballot and version accepted for the number after the base.
         accepted: Option<(Ballot, Version)>,
-        /// No version below this one is to be acted on.
-        floor: u64,
-        /// Its disk.
-        seal: Seal,
+        /// All versions below this one are retired at the acceptor.
+        minimum_version: u64,
+        /// The stamp of the acceptor's disk.
+        disk: DiskStamp,
     },
-    /// The publisher asks it to accept a version.
+    /// Phase 2a: the proposer asks an acceptor to accept a version.
     Accept {
-        /// Its attempt.
+        /// The proposer's ballot.
         ballot: Ballot,
-        /// What that builds on.
+        /// The decided version that the proposal builds on.
         base: Version,
-        /// The version.
+        /// The version to accept.
         version: Version,
-        /// No version below this one is to be acted on, as far as the publisher has heard.
-        floor: u64,
+        /// The highest minimum version that any promise reported.
+        minimum_version: u64,
     },
-    /// The elector has accepted.
+    /// Phase 2b: the acceptor has accepted the version.
     Accepted {
-        /// The attempt.
+        /// The ballot of the version accepted.
         ballot: Ballot,
-        /// No version below this one is to be acted on.
-        floor: u64,
-        /// Its disk.
-        seal: Seal,
+        /// All versions below this one are retired at the acceptor.
+        minimum_version: u64,
+        /// The stamp of the acceptor's disk.
+        disk: DiskStamp,
     },
-    /// It has promised another one.
-    Refused {
-        /// The attempt that it refuses.
+    /// The acceptor rejects a ballot because it has promised a higher one.
+    Rejected {
+        /// The ballot rejected.
         ballot: Ballot,
-        /// The one that it heeds.
+        /// The ballot promised.
         promised: Ballot,
     },
-    /// This version was decided.
+    /// Announces a decided version.
     Decided(Version),
-    /// Which version is the newest?
-    Which,
-    /// An elector is to close versions.
-    Close {
-        /// All below this one.
-        floor: u64,
-        /// The newest version, which is not among them.
+    /// Asks an acceptor for the newest decided version.
+    NewestRequest,
+    /// Asks an acceptor to retire versions.
+    Retire {
+        /// All versions below this one are to be retired.
+        minimum_version: u64,
+        /// The newest decided version, which is not retired.
         newest: Version,
     },
-    /// The elector has closed them.
-    Closed {
-        /// All below this one.
-        floor: u64,
-        /// A version that it has accepted and that was not decided, as far as it knows.
+    /// The acceptor has retired versions.
+    Retired {
+        /// All versions below this one are retired at the acceptor.
+        minimum_version: u64,
+        /// A version that the acceptor has accepted and does not know to be decided.
         pending: Option<Version>,
-        /// Its disk.
-        seal: Seal,
+        /// The stamp of the acceptor's disk.
+        disk: DiskStamp,
     },
-    /// An elector that has started asks what is known of its disk.
-    Known {
-        /// As it finds it.
-        seal: Seal,
+    /// A restarted acceptor asks its peers which stamp of its disk they remember.
+    DiskCheckRequest {
+        /// The stamp on its disk.
+        disk: DiskStamp,
     },
-    /// What another elector remembers of it.
-    Remembered {
-        /// The latest seal of the one that asked.
-        of: Seal,
-        /// The newest version.
+    /// Answers a [`Message::DiskCheckRequest`].
+    DiskCheckResponse {
+        /// The latest stamp remembered, or the default if none is.
+        recorded: DiskStamp,
+        /// The newest decided version known to the responder.
         newest: Version,
     },
-    /// An elector's disk was written.
-    Sealed(Seal),
-    /// What is your clock?
-    Clock {
-        /// The asker's clock, which comes back.
-        asked: Micros,
+    /// Announces the new stamp of the sender's disk after a vote.
+    DiskUpdated(DiskStamp),
+    /// Asks an acceptor for its clock.
+    ClockRequest {
+        /// The requester's clock, echoed by the response.
+        requested_at: Micros,
     },
-    /// It was this, after it was asked.
-    ClockIs {
-        /// When it was asked, by the asker's clock.
-        asked: Micros,
-        /// Which start of its process this is.
-        start: u64,
-        /// The reading.
-        at: Micros,
+    /// Answers a [`Message::ClockRequest`].
+    ClockResponse {
+        /// The requester's clock, from the request.
+        requested_at: Micros,
+        /// The incarnation of the acceptor's process.
+        incarnation: u64,
+        /// The acceptor's clock.
+        clock: Micros,
     },
-    /// A process that has started asks which versions there are, before it acts on any.
-    Floor {
-        /// Drawn by the one that asks.
+    /// A restarted process asks an acceptor which versions it knows of.
+    MinimumVersionRequest {
+        /// A random number, echoed by the response.
         nonce: u64,
     },
-    /// What an elector has written of them.
-    FloorIs {
-        /// As it was asked.
+    /// Answers a [`Message::MinimumVersionRequest`] with what is on the acceptor's disk.
+    MinimumVersionResponse {
+        /// The nonce of the request.
         nonce: u64,
-        /// The newest that it knows was decided.
+        /// The newest version that the acceptor knows to be decided.
         newest: Version,
-        /// The highest that it knows of: decided, or accepted and not known to be.
+        /// The highest version number it knows of, decided or accepted.
         highest: u64,
     },
 }
 
 impl Message {
-    /// As it is sent.
-    pub fn write(&self) -> Vec<u8> {
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads one; nothing if it is none, or holds what no version may.
-    pub fn read(bytes: &[u8]) -> Option<Message> {
+    /// Decodes a message. Returns `None` for malformed bytes and for fields beyond their limits.
+    pub fn decode(bytes: &[u8]) -> Option<Message> {
         let message: Message = postcard::from_bytes(bytes).ok()?;
-        let ballot = |b: &Ballot| b.by.len() <= MOST_NAME;
-        let sane = match &message {
-            Message::Prepare { ballot: b, base } => ballot(b) && base.sane(),
+        message.is_valid().then_some(message)
+    }
+
+    fn is_valid(&self) -> bool {
+        match self {
+            Message::Prepare { ballot, base } => is_valid_ballot(ballot) && base.is_valid(),
             Message::Promise {
-                ballot: b,
-                accepted,
-                ..
-            } => ballot(b) && accepted.as_ref().is_none_or(|(b, v)| ballot(b) && v.sane()),
+                ballot, accepted, ..
+            } => {
+                is_valid_ballot(ballot)
+                    && accepted.as_ref().is_none_or(|(ballot, version)| {
+                        is_valid_ballot(ballot) && version.is_valid()
+                    })
+            }
             Message::Accept {
-                ballot: b,
+                ballot,
                 base,
                 version,
                 ..
-            } => ballot(b) && base.sane() && version.sane() && version.number == base.number + 1,
-            Message::Accepted { ballot: b, .. } => ballot(b),
-            Message::Refused {
-                ballot: b,
-                promised,
-            } => ballot(b) && ballot(promised),
-            Message::Decided(v)
-            | Message::Close { newest: v, .. }
-            | Message::Remembered { newest: v, .. } => v.sane(),
-            Message::Closed { pending, .. } => pending.as_ref().is_none_or(Version::sane),
-            Message::Which | Message::Known { .. } | Message::Sealed(_) | Message::Clock { .. } => {
-                true
+            } => {
+                is_valid_ballot(ballot)
+                    && base.is_valid()
+                    && version.is_valid()
+                    && version.number == base.number + 1
+            }
+            Message::Accepted { ballot, .. } => is_valid_ballot(ballot),
+            Message::Rejected { ballot, promised } => {
+                is_valid_ballot(ballot) && is_valid_ballot(promised)
             }
-            Message::ClockIs { .. } | Message::Floor { .. } => true,
-            Message::FloorIs { newest, .. } => newest.sane(),
-        };
-        sane.then_some(message)
+            Message::Decided(version)
+            | Message::Retire {
+                newest: version, ..
+            }
+            | Message::DiskCheckResponse {
+                newest: version, ..
+            }
+            | Message::MinimumVersionResponse {
+                newest: version, ..
+            } => version.is_valid(),
+            Message::Retired { pending, .. } => pending.as_ref().is_none_or(Version::is_valid),
+            Message::NewestRequest
+            | Message::DiskCheckRequest { .. }
+            | Message::DiskUpdated(_)
+            | Message::ClockRequest { .. }
+            | Message::ClockResponse { .. }
+            | Message::MinimumVersionRequest { .. } => true,
+        }
     }
 }
+
+fn is_valid_ballot(ballot: &Ballot) -> bool {
+    ballot.proposer.len() <= MAX_NAME_BYTES
+}
+
+/// A message to send.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Outgoing {
+    /// The name of the member to send it to.
+    pub recipient: String,
+    /// The message.
+    pub message: Message,
+}
--- a/crates/config-versions/src/node/contents.rs
+++ b/crates/config-versions/src/node/contents.rs
@@ -1,106 +1,229 @@
-//! Contents: kept, asked for, handed out in pieces.
+//! Contents of versions: cached, fetched in chunks, and served to other nodes.
 
-use super::*;
+use super::{Event, Node};
+use crate::version::{Digest, MAX_CONTENT_BYTES};
+use crate::Micros;
+use fastrand::Rng;
+use std::collections::VecDeque;
+use std::rc::Rc;
 
-impl Node {
-    // Contents.
+/// The maximum length of a chunk, in bytes, so that it fits into a datagram.
+pub const MAX_CHUNK_BYTES: usize = 900;
+/// The interval between retries of a chunk request. Short, as a lost chunk delays all later ones.
+const CHUNK_RETRY_INTERVAL: Micros = 100_000;
+/// The maximum number of cached contents.
+const MAX_CACHED_CONTENTS: usize = 4;
+
+/// A request for a chunk of a content.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ChunkRequest {
+    /// The digest of the content.
+    pub digest: Digest,
+    /// The offset of the chunk, in bytes.
+    pub offset: usize,
+    /// The member to ask.
+    pub recipient: String,
+}
+
+/// A chunk of a content.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Chunk {
+    /// The bytes.
+    pub bytes: Vec<u8>,
+    /// The length of the whole content, in bytes.
+    pub content_length: usize,
+}
+
+/// A content that is being fetched.
+#[derive(Debug)]
+struct Fetch {
+    digest: Digest,
+    bytes: Vec<u8>,
+    /// The member to ask; any member if `None`.
+    source: Option<String>,
+    next_request: Micros,
+}
+
+/// A cached content.
+#[derive(Debug)]
+struct CachedContent {
+    digest: Digest,
+    content: Rc<[u8]>,
+}
+
+/// The cached contents, and the one that is being fetched.
+#[derive(Debug, Default)]
+pub(super) struct ContentStore {
+    /// The contents, oldest first.
+    cached: VecDeque<CachedContent>,
+    fetch: Option<Fetch>,
+}
 
-    pub(super) fn content(&self, digest: Digest) -> Option<Rc<[u8]>> {
-        self.contents
+impl ContentStore {
+    /// Returns a cached content.
+    pub(super) fn get(&self, digest: Digest) -> Option<Rc<[u8]>> {
+        self.cached
             .iter()
-            .find(|(d, _)| *d == digest)
-            .map(|(_, c)| c.clone())
+            .find(|cached| cached.digest == digest)
+            .map(|cached| cached.content.clone())
+    }
+
+    /// Returns whether a content is cached.
+    pub(super) fn contains(&self, digest: Digest) -> bool {
+        self.cached.iter().any(|cached| cached.digest == digest)
     }
 
-    pub(super) fn keep(&mut self, digest: Digest, content: Rc<[u8]>) {
-        if self.content(digest).is_none() {
-            self.contents.push_back((digest, content));
+    /// Caches a content, and evicts the oldest ones.
+    pub(super) fn insert(&mut self, digest: Digest, content: Rc<[u8]>) {
+        if !self.contains(digest) {
+            self.cached.push_back(CachedContent { digest, content });
         }
-        while self.contents.len() > MOST_CONTENTS {
-            self.contents.pop_front();
+        while self.cached.len() > MAX_CACHED_CONTENTS {
+            self.cached.pop_front();
         }
     }
 
-    pub(super) fn want(&mut self, now: Micros, digest: Digest, from: &str) {
-        if self.content(digest).is_some() || self.fetch.as_ref().is_some_and(|f| f.digest == digest)
-        {
+    /// Starts to fetch a content that is neither cached nor being fetched, instead of the one that
+    /// is being fetched.
+    fn start_fetch(&mut self, now: Micros, digest: Digest, source: Option<String>) {
+        let is_fetched = self.fetch.as_ref().is_some_and(|f| f.digest == digest);
+        if is_fetched || self.contains(digest) {
             return;
         }
-        let from = (from != self.name).then(|| from.to_owned());
         self.fetch = Some(Fetch {
             digest,
             bytes: Vec::new(),
-            from,
-            again: now,
+            source,
+            next_request: now,
         });
     }
 
-    /// Whether a content is wanted.
-    pub fn fetching(&self) -> bool {
-        self.fetch.is_some()
+    /// Returns when the next chunk request is due, if a content is being fetched.
+    pub(super) fn next_wakeup(&self) -> Option<Micros> {
+        self.fetch.as_ref().map(|fetch| fetch.next_request)
     }
 
-    /// The next piece that is wanted: of which content, from which byte on, and of which of these
-    /// members. It is wanted again a while later: of whom it was heard of or came last, and of
-    /// anybody where that one is not there any more.
-    pub fn take_fetch(&mut self, now: Micros, members: &[&str]) -> Option<(Digest, usize, String)> {
-        let fetch = self.fetch.as_mut().filter(|f| now >= f.again)?;
-        fetch.again = now + FETCH_AGAIN;
-        let best = fetch
-            .from
+    fn next_request(
+        &mut self,
+        now: Micros,
+        members: &[&str],
+        rng: &mut Rng,
+    ) -> Option<ChunkRequest> {
+        let fetch = self.fetch.as_mut().filter(|f| now >= f.next_request)?;
+        fetch.next_request = now + CHUNK_RETRY_INTERVAL;
+        let source = fetch
+            .source
             .clone()
-            .filter(|from| members.contains(&from.as_str()));
-        let of = best.or_else(|| self.rng.choice(members).map(|m| (*m).to_owned()))?;
-        Some((fetch.digest, fetch.bytes.len(), of))
+            .filter(|source| members.contains(&source.as_str()));
+        let recipient =
+            source.or_else(|| rng.choice(members).map(|member| (*member).to_owned()))?;
+        Some(ChunkRequest {
+            digest: fetch.digest,
+            offset: fetch.bytes.len(),
+            recipient,
+        })
     }
 
-    /// A piece of a content that this node has, and the length of all of it.
-    pub fn piece(&self, digest: Digest, at: usize) -> Option<(Vec<u8>, usize)> {
-        let content = self.content(digest)?;
-        let piece = content.get(at..)?.iter().take(PIECE).copied().collect();
-        Some((piece, content.len()))
-    }
-
-    /// A piece came, or word that there is none. Whether the content is whole.
-    pub fn fetched(
+    /// Appends a chunk. Returns whether it completes the content.
+    fn append(
         &mut self,
         now: Micros,
-        from: &str,
+        sender: &str,
         digest: Digest,
-        at: usize,
-        piece: Option<(&[u8], usize)>,
+        offset: usize,
+        chunk: Option<Chunk>,
     ) -> bool {
         let Some(fetch) = self
             .fetch
             .as_mut()
-            .filter(|f| f.digest == digest && f.bytes.len() == at)
+            .filter(|f| f.digest == digest && f.bytes.len() == offset)
         else {
             return false;
         };
-        // An empty piece would be asked for again and again, at once.
-        let sane = |(p, all): &(&[u8], usize)| {
-            *all <= MOST_CONTENT && at + p.len() <= *all && (!p.is_empty() || *all == 0)
-        };
-        let Some((piece, all)) = piece.filter(sane) else {
-            // Somebody else is asked.
-            fetch.from = None;
+        let Some(chunk) = chunk.filter(|chunk| is_valid_chunk(chunk, offset)) else {
+            fetch.source = None;
             return false;
         };
-        fetch.bytes.extend_from_slice(piece);
-        (fetch.from, fetch.again) = (Some(from.to_owned()), now);
-        if fetch.bytes.len() < all {
+        fetch.bytes.extend_from_slice(&chunk.bytes);
+        fetch.source = Some(sender.to_owned());
+        fetch.next_request = now;
+        if fetch.bytes.len() < chunk.content_length {
             return false;
         }
         let bytes = std::mem::take(&mut fetch.bytes);
         if Digest::of(&bytes) != digest {
-            // Whoever it was that sent other bytes: all of it again, of somebody else.
-            (fetch.from, fetch.again) = (None, now + FETCH_AGAIN);
+            // Which sender's bytes were wrong is unknown: fetch everything again from any member.
+            fetch.source = None;
+            fetch.next_request = now + CHUNK_RETRY_INTERVAL;
             return false;
         }
         self.fetch = None;
-        self.keep(digest, bytes.into());
+        self.insert(digest, bytes.into());
+        true
+    }
+}
+
+/// Returns whether a chunk fits the content. An empty chunk would be requested again at once,
+/// without end.
+fn is_valid_chunk(chunk: &Chunk, offset: usize) -> bool {
+    chunk.content_length <= MAX_CONTENT_BYTES
+        && offset + chunk.bytes.len() <= chunk.content_length
+        && (!chunk.bytes.is_empty() || chunk.content_length == 0)
+}
+
+impl Node {
+    /// Starts to fetch a content unless it is present, first from this member.
+    pub(super) fn fetch_content(&mut self, now: Micros, digest: Digest, source: &str) {
+        let source = (source != self.name).then(|| source.to_owned());
+        self.contents.start_fetch(now, digest, source);
+    }
+
+    /// Returns whether a content is being fetched.
+    pub fn is_fetching(&self) -> bool {
+        self.contents.fetch.is_some()
+    }
+
+    /// Returns the next chunk request that is due, to one of these members.
+    ///
+    /// The recipient is the member that sent the last chunk, or at first the one that announced the
+    /// version; a random one if that is no member any more or does not have the content.
+    pub fn next_chunk_request(&mut self, now: Micros, members: &[&str]) -> Option<ChunkRequest> {
+        self.contents.next_request(now, members, &mut self.rng)
+    }
+
+    /// Returns a chunk of a content that this node has.
+    pub fn content_chunk(&self, digest: Digest, offset: usize) -> Option<Chunk> {
+        let content = self.contents.get(digest)?;
+        let bytes = content
+            .get(offset..)?
+            .iter()
+            .take(MAX_CHUNK_BYTES)
+            .copied()
+            .collect();
+        Some(Chunk {
+            bytes,
+            content_length: content.len(),
+        })
+    }
+
+    /// Handles the response to a chunk request: `None` if the sender does not have the content.
+    /// Returns whether the content is complete.
+    pub fn handle_chunk(
+        &mut self,
+        now: Micros,
+        sender: &str,
+        digest: Digest,
+        offset: usize,
+        chunk: Option<Chunk>,
+    ) -> bool {
+        if !self.contents.append(now, sender, digest, offset, chunk) {
+            return false;
+        }
         if self.newest.digest == digest {
-            self.event(Event::Fetched(self.newest.number, from.to_owned()));
+            self.emit(Event::Fetched {
+                number: self.newest.number,
+                sender: sender.to_owned(),
+            });
         }
         true
     }
--- a/crates/config-versions/src/node/mod.rs
+++ b/crates/config-versions/src/node/mod.rs
@@ -1,117 +1,128 @@
-//! All that one node does about versions: it hears of them, comes to them, acts on one while it
-//! may, and as an elector votes.
-
-use crate::closer::{Closer, Stage};
-use crate::elector::{Elector, Kept, Said, Voting};
-use crate::floor::{Floor, Unknown};
-use crate::lease::{Leases, Rates};
-use crate::message::{Beat, Hint, Message};
-use crate::publisher::{Outcome, Publisher};
-use crate::version::{majority, may_follow, Digest, Version, MOST_CONTENT, MOST_WHY};
+//! One node: learns versions, fetches their contents, acts on one while it may, and votes if it is
+//! an acceptor.
+//!
+//! Drive it as follows: pass in messages and gossip, call [`Node::handle_timeout`] when
+//! [`Node::next_wakeup`] is reached, and then carry out [`Node::take_write`],
+//! [`Node::next_chunk_request`], [`Node::take_outgoing`], [`Node::version_to_activate`] and
+//! [`Node::take_events`].
+
+use crate::acceptor::{Acceptor, AcceptorState};
+use crate::lease::{ClockDrift, Leases};
+use crate::message::{Message, Outgoing};
+use crate::minimum_version::MinimumVersion;
+use crate::proposer::Proposer;
+use crate::retirement::Retirement;
+use crate::version::Version;
 use crate::Micros;
 use fastrand::Rng;
 use std::collections::{BTreeMap, VecDeque};
-use std::rc::Rc;
 
-mod act;
+mod activation;
 mod contents;
-mod disk;
-mod due;
-mod heard;
-mod publish;
-mod terms;
-
-pub use terms::*;
-
-/// Electors say that they live so often in the length of a lease.
-const BEATS: Micros = 5;
-/// What has no answer is asked again after so long.
-const AGAIN: Micros = 300_000;
-/// A piece that has not come is asked for again after so long: they are small, and a lost one holds
-/// up the rest.
-const FETCH_AGAIN: Micros = 100_000;
-/// The longest piece of a content, in bytes: a datagram holds it.
-pub const PIECE: usize = 900;
-/// Publishing is given up after so long.
-const PUBLISH_MOST: Micros = 10_000_000;
-/// A version that was accepted and is not decided is ended by an elector itself after so long.
-const STALE: Micros = 5_000_000;
-/// Contents that are kept beside the one that is acted on, the newest first.
-const MOST_CONTENTS: usize = 4;
-/// What is to be said and waits for the disk.
-const MOST_HELD: usize = 256;
-/// Events that nobody has fetched.
-const MOST_EVENTS: usize = 1024;
-
-/// A content that comes in pieces.
-#[derive(Debug)]
-struct Fetch {
-    digest: Digest,
-    bytes: Vec<u8>,
-    from: Option<String>,
-    again: Micros,
+mod error;
+mod event;
+mod messages;
+mod operator;
+mod persistence;
+mod settings;
+mod timers;
+
+pub use activation::{Permission, RejectedVersion, VersionWithContent};
+pub use contents::{Chunk, ChunkRequest, MAX_CHUNK_BYTES};
+pub use error::{ProposeError, RetireError};
+pub use event::Event;
+pub use operator::Proposal;
+pub use persistence::StateWrite;
+pub use settings::{Settings, WithoutLease};
+
+use contents::ContentStore;
+use persistence::WriteBarrier;
+use timers::Timers;
+
+/// The maximum number of events that are retained until the caller takes them.
+const MAX_EVENTS: usize = 1024;
+
+/// The node's role in decisions, with the state on its disk.
+#[derive(Clone, Debug)]
+pub enum Role {
+    /// It has no disk for votes and only learns what is decided.
+    Learner,
+    /// It is an acceptor, with this state on its disk, or an empty disk.
+    Acceptor(Option<Box<AcceptorState>>),
 }
 
-/// One node.
+impl Role {
+    fn start_acceptor(self, name: &str, settings: &Settings, disk_id: u64) -> Option<Acceptor> {
+        match self {
+            Role::Learner => None,
+            Role::Acceptor(stored) => {
+                let stored = stored.map(|state| *state);
+                Some(Acceptor::start(name, stored, &settings.acceptors, disk_id))
+            }
+        }
+    }
+}
+
+/// What a node starts from.
+#[derive(Clone, Debug)]
+pub struct StoredState {
+    /// The node's role.
+    pub role: Role,
+    /// The version that was active last, if any.
+    pub active: Option<VersionWithContent>,
+    /// The minimum version on the disk.
+    pub minimum_version: u64,
+}
+
+/// The state of one node.
 pub struct Node {
     name: String,
     settings: Settings,
-    rates: Rates,
+    drift: ClockDrift,
     rng: Rng,
+    /// The newest version known to be decided.
     newest: Version,
-    /// The version that is acted on.
-    acting: u64,
-    /// What can't be acted on, and why.
-    unfit: Option<(u64, String)>,
-    elector: Option<Elector>,
-    /// The last write that is on the disk.
-    synced: u64,
-    /// The last one that was handed out.
-    writing: u64,
-    held: Vec<Said>,
-    leases: Leases,
-    leased: bool,
-    floor: Floor,
-    /// The newest version that each elector has said was decided, until a majority says so.
+    /// The newest version that each acceptor claims to be decided, until a quorum does.
     claims: BTreeMap<String, Version>,
-    publisher: Option<Publisher>,
-    closer: Option<Closer>,
-    contents: VecDeque<(Digest, Rc<[u8]>)>,
-    fetch: Option<Fetch>,
-    /// Since when something that was accepted is not decided.
-    stale: Option<Micros>,
-    next_beat: Micros,
-    next_ask: Micros,
-    next_which: Micros,
-    out: Vec<(String, Message)>,
+    /// The number of the active version.
+    active_version: u64,
+    /// The version that could not be activated.
+    rejected_version: Option<RejectedVersion>,
+    minimum_version: MinimumVersion,
+    leases: Leases,
+    /// Whether the last event about a lease reported one.
+    has_lease: bool,
+    contents: ContentStore,
+    acceptor: Option<Acceptor>,
+    writes: WriteBarrier,
+    proposer: Option<Proposer>,
+    retirement: Option<Retirement>,
+    timers: Timers,
+    outgoing: Vec<Outgoing>,
     events: VecDeque<Event>,
 }
 
 impl Node {
-    /// Starts. `kept` is what an elector's disk holds, `Some(None)` an empty one; a node without a
-    /// folder for it is no elector. `acting` is the version that was written down last and its
-    /// content, `floor` the floor that was.
+    /// Starts a node from its stored state and a random seed.
     pub fn new(
         name: &str,
         settings: Settings,
-        kept: Option<Option<Kept>>,
-        acting: Option<(Version, Rc<[u8]>)>,
-        floor: u64,
+        stored: StoredState,
         seed: u64,
         now: Micros,
     ) -> Node {
         let mut rng = Rng::with_seed(seed);
-        let (token, nonce) = (rng.u64(1..), rng.u64(1..));
-        let elector = kept.map(|kept| Elector::start(name, kept, &settings.electors, token));
-        let mut newest = match &elector {
-            Some(elector) => elector.kept().0.newest.clone(),
-            None => Version::genesis(&settings.electors),
+        let (disk_id, nonce) = (rng.u64(1..), rng.u64(1..));
+        let acceptor = stored.role.start_acceptor(name, &settings, disk_id);
+        let mut newest = match &acceptor {
+            Some(acceptor) => acceptor.state().newest.clone(),
+            None => Version::genesis(&settings.acceptors),
         };
-        let mut contents = VecDeque::new();
-        let mut number = 0;
-        if let Some((version, content)) = acting {
-            number = version.number;
-            contents.push_back((version.digest, content));
+        let mut contents = ContentStore::default();
+        let mut active_version = 0;
+        if let Some(VersionWithContent { version, content }) = stored.active {
+            active_version = version.number;
+            contents.insert(version.digest, content);
             if version.number > newest.number {
                 newest = version;
             }
@@ -119,108 +130,97 @@
         Node {
             name: name.to_owned(),
             settings,
-            rates: Rates::default(),
+            drift: ClockDrift::default(),
             rng,
             newest,
-            acting: number,
-            unfit: None,
-            elector,
-            synced: 0,
-            writing: 0,
-            held: Vec::new(),
-            leases: Leases::default(),
-            leased: false,
-            floor: Floor::new(floor.max(number), nonce),
             claims: BTreeMap::new(),
-            publisher: None,
-            closer: None,
+            active_version,
+            rejected_version: None,
+            minimum_version: MinimumVersion::new(stored.minimum_version.max(active_version), nonce),
+            leases: Leases::default(),
+            has_lease: false,
             contents,
-            fetch: None,
-            stale: None,
-            next_beat: now,
-            next_ask: now,
-            next_which: now,
-            out: Vec::new(),
+            acceptor,
+            writes: WriteBarrier::default(),
+            proposer: None,
+            retirement: None,
+            timers: Timers::new(now),
+            outgoing: Vec::new(),
             events: VecDeque::new(),
         }
     }
 
-    /// The newest version that it knows was decided.
-    pub fn newest(&self) -> &Version {
-        &self.newest
-    }
-
-    /// The version that it acts on.
-    pub fn acting(&self) -> u64 {
-        self.acting
-    }
-
-    /// The one that it can't act on, and why.
-    pub fn unfit(&self) -> Option<&(u64, String)> {
-        self.unfit.as_ref()
+    /// Goes on after another process was this node's member for a while and has ended.
+    ///
+    /// What that process voted and acted on is on the disk, so this one restarts from there, under
+    /// the version that it has been acting on itself.
+    pub fn resume(&mut self, now: Micros, role: Role, minimum_version: u64) {
+        let disk_id = self.rng.u64(1..);
+        self.acceptor = role.start_acceptor(&self.name, &self.settings, disk_id);
+        self.writes = WriteBarrier::default();
+        self.proposer = None;
+        self.retirement = None;
+        self.timers.restart(now);
+        self.outgoing.clear();
+        let number = self.minimum_version.number().max(minimum_version);
+        self.minimum_version = MinimumVersion::new(number, self.rng.u64(1..));
+        if let Some(acceptor) = &self.acceptor {
+            let newest = acceptor.state().newest.clone();
+            self.learn_own(now, &newest);
+        }
     }
 
-    /// What is known of its floor.
-    pub fn floor(&self) -> &Floor {
-        &self.floor
+    /// Returns the newest version known to be decided.
+    pub fn newest(&self) -> &Version {
+        &self.newest
     }
 
-    /// The process before this one hands over the version that it acts on; it is this one's, too.
-    pub fn handed(&mut self, number: u64) {
-        if self.acting >= number {
-            self.floor.handed(number);
-        }
+    /// Returns the number of the active version.
+    pub fn active_version(&self) -> u64 {
+        self.active_version
     }
 
-    /// An operator says what the floor is.
-    pub fn accept_floor(&mut self, number: u64) {
-        self.floor.accept(number);
-        self.event(Event::Floor(number));
+    /// Returns the version that could not be activated, if any.
+    pub fn rejected_version(&self) -> Option<&RejectedVersion> {
+        self.rejected_version.as_ref()
     }
 
-    /// Another process of this node was the member for a while, and is gone. What it has voted and
-    /// acted on is on the disk: this one goes on from there, as after a start, and under the
-    /// version that it has itself acted on all the while.
-    pub fn resume(&mut self, now: Micros, kept: Option<Option<Kept>>, floor: u64) {
-        let token = self.rng.u64(1..);
-        self.elector =
-            kept.map(|kept| Elector::start(&self.name, kept, &self.settings.electors, token));
-        (self.synced, self.writing) = (0, 0);
-        (self.publisher, self.closer, self.stale) = (None, None, None);
-        self.held.clear();
-        self.out.clear();
-        self.floor = Floor::new(self.floor.floor().max(floor), self.rng.u64(1..));
-        (self.next_beat, self.next_ask) = (now, now);
-        if let Some(learned) = self.elector.as_ref().map(|e| e.kept().0.newest.clone()) {
-            let name = self.name.clone();
-            self.learn(now, &name, &learned);
-        }
+    /// Returns what is known of the node's minimum version.
+    pub fn minimum_version(&self) -> &MinimumVersion {
+        &self.minimum_version
     }
 
-    /// Its elector, if it has a disk to be one.
-    pub fn elector(&self) -> Option<&Elector> {
-        self.elector.as_ref()
+    /// Returns the acceptor, if this node is one.
+    pub fn acceptor(&self) -> Option<&Acceptor> {
+        self.acceptor.as_ref()
     }
 
-    /// What is being closed here.
-    pub fn closing(&self) -> Option<(u64, &Stage)> {
-        self.closer.as_ref().map(|c| (c.floor(), c.stage()))
+    /// Returns the retirement that was started here last, if any.
+    pub fn retirement(&self) -> Option<&Retirement> {
+        self.retirement.as_ref()
     }
 
-    /// What is to be said, to whom. Those that are no members any more hear nothing.
-    pub fn take_out(&mut self) -> Vec<(String, Message)> {
-        std::mem::take(&mut self.out)
+    /// Takes the messages to send. Those to names that are no members are to be dropped.
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// What happened.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.events.drain(..).collect()
     }
 
-    fn event(&mut self, event: Event) {
-        if self.events.len() == MOST_EVENTS {
+    fn emit(&mut self, event: Event) {
+        if self.events.len() == MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back(event);
     }
+
+    fn send(&mut self, recipient: &str, message: Message) {
+        self.outgoing.push(Outgoing {
+            recipient: recipient.to_owned(),
+            message,
+        });
+    }
 }
--- a/crates/config-versions/src/version.rs
+++ b/crates/config-versions/src/version.rs
@@ -1,25 +1,30 @@
-//! What a version is.
+//! The metadata of one version, and which sets of acceptors may decide the next one.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::fmt;
+use thiserror::Error;
 
-/// The longest content, in bytes.
-pub const MOST_CONTENT: usize = 256 << 10;
-/// The longest sentence why, in bytes.
-pub const MOST_WHY: usize = 200;
-/// The longest name of a member, as in the view of the fleet, in bytes.
-pub const MOST_NAME: usize = 64;
-/// How many electors the operator's file may name. Between two of these there are four or six for a
-/// while.
-pub const ELECTORS: [usize; 3] = [3, 5, 7];
+/// The maximum length of a version's content, in bytes.
+pub const MAX_CONTENT_BYTES: usize = 256 << 10;
+/// The maximum length of the reason for a version, in bytes.
+pub const MAX_REASON_BYTES: usize = 200;
+/// The maximum length of a member's name, as in the membership view, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+/// The minimum number of acceptors.
+pub const MIN_ACCEPTORS: usize = 3;
+/// The maximum number of acceptors.
+pub const MAX_ACCEPTORS: usize = 7;
 
-/// The SHA-256 of a content.
+/// Bytes of a digest that are shown to people.
+const SHOWN_DIGEST_BYTES: usize = 8;
+
+/// The SHA-256 digest of a content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// That of these bytes.
+    /// Computes the digest of a content.
     pub fn of(content: &[u8]) -> Digest {
         Digest(Sha256::digest(content).into())
     }
@@ -27,7 +32,9 @@
 
 impl fmt::Display for Digest {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0[..8].iter().try_for_each(|b| write!(f, "{b:02x}"))
+        self.0[..SHOWN_DIGEST_BYTES]
+            .iter()
+            .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
@@ -37,99 +44,131 @@
     }
 }
 
-/// One version. Number 0 is the one before the first: every node acts on its own files.
+/// The metadata of a version. Its content travels separately.
+///
+/// Version 0 precedes the first decision: every node then acts on its own files.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number, one more than that of the version that it builds on.
+    /// The version number: one more than that of the version it builds on.
     pub number: u64,
-    /// Of its content.
+    /// The digest of the content.
     pub digest: Digest,
-    /// How long the content is, in bytes.
+    /// The length of the content, in bytes.
     pub length: u32,
-    /// Who decides about the next one.
-    pub electors: Vec<String>,
-    /// The version with which these became the electors.
-    pub electors_since: u64,
-    /// The version that it takes back, if it does.
-    pub withdraws: Option<u64>,
-    /// Tells apart two that were published at once.
+    /// The acceptors that decide the next version.
+    pub acceptors: Vec<String>,
+    /// The number of the version that introduced these acceptors.
+    pub acceptors_since: u64,
+    /// The number of the version that this one reverts, if any.
+    pub reverts: Option<u64>,
+    /// A random number that tells apart versions proposed concurrently under one number.
     pub nonce: u64,
-    /// The elector at which it was published.
-    pub by: String,
-    /// When, by that one's clock, in milliseconds since 1970.
-    pub at_ms: u64,
-    /// Why, in a sentence.
-    pub why: String,
+    /// The name of the acceptor that proposed the version.
+    pub proposer: String,
+    /// The time of the proposal by the proposer's clock, in milliseconds since the Unix epoch.
+    pub proposed_at_ms: u64,
+    /// The operator's reason, one sentence.
+    pub reason: String,
 }
 
 impl Version {
-    /// The one before the first.
-    pub fn genesis(electors: &[String]) -> Version {
+    /// Returns version 0 for these acceptors.
+    pub fn genesis(acceptors: &[String]) -> Version {
         Version {
             number: 0,
             digest: Digest::of(b""),
             length: 0,
-            electors: electors.to_vec(),
-            electors_since: 0,
-            withdraws: None,
+            acceptors: acceptors.to_vec(),
+            acceptors_since: 0,
+            reverts: None,
             nonce: 0,
-            by: String::new(),
-            at_ms: 0,
-            why: String::new(),
+            proposer: String::new(),
+            proposed_at_ms: 0,
+            reason: String::new(),
         }
     }
 
-    /// Whether it keeps the bounds, whoever made it.
-    pub fn sane(&self) -> bool {
-        let name = |n: &String| !n.is_empty() && n.len() <= MOST_NAME;
-        self.length as usize <= MOST_CONTENT
-            && self.why.len() <= MOST_WHY
-            && self.electors_since <= self.number
-            && (self.number == 0 || name(&self.by))
-            && check_electors(&self.electors).is_ok()
+    /// Returns whether all fields are within their limits. Checked on versions from the network.
+    pub fn is_valid(&self) -> bool {
+        self.length as usize <= MAX_CONTENT_BYTES
+            && self.reason.len() <= MAX_REASON_BYTES
+            && self.acceptors_since <= self.number
+            && (self.number == 0 || is_valid_name(&self.proposer))
+            && check_acceptors(&self.acceptors).is_ok()
     }
 }
 
-/// Whether these can be electors.
-pub fn check_electors(electors: &[String]) -> Result<(), String> {
-    let most = ELECTORS[2];
-    if electors.len() < ELECTORS[0] || electors.len() > most {
-        return Err(format!(
-            "{} of them: there are {} to {most}",
-            electors.len(),
-            ELECTORS[0]
-        ));
+/// Returns whether a member's name has a valid length.
+pub(crate) fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
+}
+
+/// Why a set of acceptors is invalid.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum AcceptorSetError {
+    /// There are too few or too many acceptors.
+    #[error("{count} named: {} to {} are allowed", MIN_ACCEPTORS, MAX_ACCEPTORS)]
+    Count {
+        /// The number of acceptors named.
+        count: usize,
+    },
+    /// An acceptor is named more than once.
+    #[error("{0} is named twice")]
+    Duplicate(String),
+    /// A name is empty or too long.
+    #[error("a name has 1 to {} bytes", MAX_NAME_BYTES)]
+    NameLength,
+    /// More than one acceptor changes from one version to the next.
+    #[error("{added} added and {removed} removed: one acceptor may be added or removed at a time")]
+    TooManyChanges {
+        /// The number of acceptors added.
+        added: usize,
+        /// The number of acceptors removed.
+        removed: usize,
+    },
+}
+
+/// Checks the number and the names of a set of acceptors.
+///
+/// # Errors
+///
+/// Returns the first rule that the set violates.
+pub fn check_acceptors(acceptors: &[String]) -> Result<(), AcceptorSetError> {
+    let count = acceptors.len();
+    if !(MIN_ACCEPTORS..=MAX_ACCEPTORS).contains(&count) {
+        return Err(AcceptorSetError::Count { count });
     }
-    let mut sorted: Vec<&String> = electors.iter().collect();
+    let mut sorted: Vec<&String> = acceptors.iter().collect();
     sorted.sort();
-    if let Some(twice) = sorted.windows(2).find(|w| w[0] == w[1]) {
-        return Err(format!("{} twice", twice[0]));
+    if let Some(pair) = sorted.windows(2).find(|pair| pair[0] == pair[1]) {
+        return Err(AcceptorSetError::Duplicate(pair[0].clone()));
     }
-    match electors
-        .iter()
-        .find(|n| n.is_empty() || n.len() > MOST_NAME)
-    {
-        Some(_) => Err(format!("a name has 1 to {MOST_NAME} bytes")),
-        None => Ok(()),
+    if !acceptors.iter().all(|name| is_valid_name(name)) {
+        return Err(AcceptorSetError::NameLength);
     }
+    Ok(())
 }
 
-/// Whether the next electors may follow these. One may come or one may go, no more at once: any
-/// majority of the old ones and any of the new ones then share an elector. With one in another
-/// one's place they would not: of a, b, c and a, b, d these are b, c and a, d.
-pub fn may_follow(before: &[String], next: &[String]) -> Result<(), String> {
-    check_electors(next)?;
-    let come = next.iter().filter(|n| !before.contains(n)).count();
-    let gone = before.iter().filter(|n| !next.contains(n)).count();
-    match come + gone {
-        0 | 1 => Ok(()),
-        _ => Err(format!(
-            "{come} come and {gone} go: one may come or one may go at once"
-        )),
+/// Checks that one set of acceptors may follow another.
+///
+/// At most one acceptor may be added or removed per version: any quorum of the old set then
+/// intersects any quorum of the new set (Ongaro 2014, section 4.1). Replacing one would break that:
+/// {a, b, c} and {a, b, d} have the disjoint quorums {b, c} and {a, d}.
+///
+/// # Errors
+///
+/// Returns the first rule that the new set or the change violates.
+pub fn check_acceptor_change(current: &[String], next: &[String]) -> Result<(), AcceptorSetError> {
+    check_acceptors(next)?;
+    let added = next.iter().filter(|name| !current.contains(name)).count();
+    let removed = current.iter().filter(|name| !next.contains(name)).count();
+    if added + removed > 1 {
+        return Err(AcceptorSetError::TooManyChanges { added, removed });
     }
+    Ok(())
 }
 
-/// Whether so many of the electors are more than half of them.
-pub fn majority(electors: &[String], holds: impl Fn(&str) -> bool) -> bool {
-    2 * electors.iter().filter(|e| holds(e)).count() > electors.len()
+/// Returns whether the acceptors that satisfy a predicate form a quorum, that is, a majority.
+pub fn is_quorum(acceptors: &[String], includes: impl Fn(&str) -> bool) -> bool {
+    2 * acceptors.iter().filter(|name| includes(name)).count() > acceptors.len()
 }
--- a/crates/node/src/life/reload.rs
+++ b/crates/node/src/life/reload.rs
@@ -84,7 +84,7 @@
             Err(why) => Err(why),
         };
         if let Some(versions) = &part.versions {
-            versions.acted(number, taken);
+            versions.activation_finished(number, taken);
         }
         part.give();
     }
--- a/crates/node/src/life/versions.rs
+++ b/crates/node/src/life/versions.rs
@@ -5,9 +5,9 @@
 use crate::log::log;
 use crate::net::versions::disk::{load, ACTING};
 use crate::net::versions::{usual, Settings};
-use pipitlever_config_versions::floor::{Saved, Unknown};
-use pipitlever_config_versions::node::Without;
-use pipitlever_config_versions::version::check_electors;
+use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
+use pipitlever_config_versions::node::WithoutLease;
+use pipitlever_config_versions::version::check_acceptors;
 use serde::Deserialize;
 use serde_json::Value;
 use std::path::PathBuf;
@@ -16,7 +16,7 @@
 /// What is done without a lease.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum WithoutLease {
+enum WithoutLeaseKey {
     Serve,
     Refuse,
 }
@@ -36,7 +36,7 @@
     folder: Spanned<PathBuf>,
     electors: Spanned<Vec<String>>,
     lease_ms: Option<Spanned<u64>>,
-    without_lease: Option<WithoutLease>,
+    without_lease: Option<WithoutLeaseKey>,
     unknown_floor: Option<UnknownFloor>,
 }
 
@@ -51,7 +51,7 @@
             ));
         }
         let at = self.electors.span().start;
-        check_electors(self.electors.get_ref())
+        check_acceptors(self.electors.get_ref())
             .map_err(|why| line(text, at, &format!("electors: {why}")))?;
         let mut rules = usual(self.electors.into_inner());
         let lease = within(
@@ -62,13 +62,13 @@
             [1000, 600_000],
         )?;
         rules.lease = lease as i64 * 1000;
-        rules.without = match self.without_lease {
-            Some(WithoutLease::Refuse) => Without::Refuse,
-            Some(WithoutLease::Serve) | None => Without::Serve,
+        rules.without_lease = match self.without_lease {
+            Some(WithoutLeaseKey::Refuse) => WithoutLease::Refuse,
+            Some(WithoutLeaseKey::Serve) | None => WithoutLease::Serve,
         };
-        rules.unknown = match self.unknown_floor {
-            Some(UnknownFloor::Serve) => Unknown::Serve,
-            Some(UnknownFloor::Wait) | None => Unknown::Wait,
+        rules.unknown_minimum = match self.unknown_floor {
+            Some(UnknownFloor::Serve) => UnknownMinimum::Serve,
+            Some(UnknownFloor::Wait) | None => UnknownMinimum::Wait,
         };
         Ok(Settings {
             folder: self.folder.into_inner(),
@@ -83,12 +83,12 @@
 pub fn begin(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
-) -> Result<(Config, Option<Saved>), String> {
+) -> Result<(Config, Option<StoredVersion>), String> {
     let Some(versions) = config.fleet.as_ref().and_then(|f| f.versions.as_ref()) else {
         return Ok((config, None));
     };
-    let saved = match load::<Saved>(&versions.folder, ACTING) {
-        Err(why) if versions.rules.unknown == Unknown::Wait => {
+    let saved = match load::<StoredVersion>(&versions.folder, ACTING) {
+        Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
             log(&format!("versions: {why}: going on as on a new disk"));
             None
         }
@@ -105,9 +105,9 @@
             ));
             Ok((
                 config,
-                Some(Saved {
-                    floor: saved.floor,
-                    ..Saved::default()
+                Some(StoredVersion {
+                    minimum_version: saved.minimum_version,
+                    ..StoredVersion::default()
                 }),
             ))
         }
--- a/crates/node/src/net/fleet/mod.rs
+++ b/crates/node/src/net/fleet/mod.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
-use pipitlever_config_versions::floor::Saved;
+use pipitlever_config_versions::minimum_version::StoredVersion;
 use pipitlever_membership::own::Own;
 use pipitlever_membership::own::Passed;
 use pipitlever_membership::record::Standing;
@@ -21,7 +21,7 @@
 use pipitlever_membership::sync::Session;
 use pipitlever_membership::{Fleet, Heard};
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_subsetting::node::Times;
+use pipitlever_subsetting::node::Timing;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -103,7 +103,7 @@
 #[derive(Default)]
 pub struct Versioned {
     /// What was on the disk.
-    pub saved: Option<Saved>,
+    pub saved: Option<StoredVersion>,
     /// Where versions go that are to be acted on.
     pub acts: Option<Sender<Act>>,
 }
--- a/crates/node/src/net/fleet/settings.rs
+++ b/crates/node/src/net/fleet/settings.rs
@@ -26,7 +26,7 @@
 impl Settings {
     /// News reaches all within the first, as a rule; what a node had that is gone is nobody's for
     /// the second.
-    pub(super) fn times(&self) -> Times {
+    pub(super) fn times(&self) -> Timing {
         let hold = 2 * self.rules.probe + 2 * LOOK_MS as i64 * 1000;
         // From the last word that one that is cut off had of a majority until its lease is over, by
         // any clock.
@@ -34,7 +34,10 @@
             .versions
             .as_ref()
             .map_or(RESERVE, |v| v.rules.lease + v.rules.lease / 40 + hold);
-        Times { hold, reserve }
+        Timing {
+            max_propagation: hold,
+            reservation: reserve,
+        }
     }
 }
 
--- a/crates/node/src/net/pools.rs
+++ b/crates/node/src/net/pools.rs
@@ -9,7 +9,7 @@
 use pipitlever_core::Reference;
 use pipitlever_load_balancing::pool::{self, Ask, End, Member, Place, Pool, Rules, Run};
 use pipitlever_load_balancing::retry::{Further, Tried};
-use pipitlever_subsetting::plan::Use;
+use pipitlever_subsetting::assignment::WorkerShare;
 use pipitlever_wire::uwsgi::variable;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parts {
     /// Of each worker, by name.
-    pub uses: HashMap<String, Use>,
+    pub uses: HashMap<String, WorkerShare>,
     /// Of what goes by load.
     pub part: f64,
     /// From then on others may have it: one run for each worker is left.
@@ -79,7 +79,7 @@
 
 /// The members as this node uses them. Where the pool is divided, those that are not (yet) this
 /// node's are for when nobody else is usable, one run each; tiers are kept apart by that.
-fn members(file: &Named, uses: &HashMap<String, Use>) -> Vec<Member<SocketAddr>> {
+fn members(file: &Named, uses: &HashMap<String, WorkerShare>) -> Vec<Member<SocketAddr>> {
     if file.shared.is_none() {
         return file.members.clone();
     }
@@ -87,14 +87,14 @@
         let tier = m.tier.saturating_mul(2);
         match uses.get(&label.name) {
             _ if !divided(m) => Member { tier, ..m.clone() },
-            Some(Use {
-                inside: true,
+            Some(WorkerShare {
+                in_subset: true,
                 weight,
-                most_runs,
+                concurrency_limit,
             }) => Member {
                 tier,
                 weight: *weight,
-                most_runs: *most_runs,
+                most_runs: *concurrency_limit,
                 ..m.clone()
             },
             _ => Member {
@@ -124,7 +124,10 @@
     /// Others may have what this node had.
     fn lapse(&mut self, now: Micros) {
         self.parts.until = Micros::MAX;
-        self.parts.uses.values_mut().for_each(|u| u.most_runs = 1);
+        self.parts
+            .uses
+            .values_mut()
+            .for_each(|u| u.concurrency_limit = 1);
         self.pool.update(members(&self.file, &self.parts.uses), now);
     }
 
@@ -411,10 +414,10 @@
         assert_eq!(places(&mut pools, 0), 1);
         let uses = HashMap::from([(
             "w".to_owned(),
-            Use {
-                inside: true,
+            WorkerShare {
+                in_subset: true,
                 weight: 1.0,
-                most_runs: 4,
+                concurrency_limit: 4,
             },
         )]);
         assert!(pools.divide(
@@ -429,10 +432,10 @@
         assert_eq!(places(&mut pools, 999), 3, "four in all");
         let uses = HashMap::from([(
             "w".to_owned(),
-            Use {
-                inside: true,
+            WorkerShare {
+                in_subset: true,
                 weight: 1.0,
-                most_runs: 8,
+                concurrency_limit: 8,
             },
         )]);
         assert!(pools.divide(
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/share.rs
@@ -8,10 +8,10 @@
 use crate::log::log;
 use pipitlever_membership::record::State;
 use pipitlever_membership::Fleet;
-use pipitlever_subsetting::node::{Member, Node, Pool, Times};
-use pipitlever_subsetting::plan::{Use, Worker};
-use pipitlever_subsetting::told::Told;
-use pipitlever_subsetting::turn::Turn;
+use pipitlever_subsetting::assignment::{Worker, WorkerShare};
+use pipitlever_subsetting::load_report::LoadReport;
+use pipitlever_subsetting::node::{Member, Node, Pool, Timing};
+use pipitlever_subsetting::probe_turn::ProbeTurn;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -64,20 +64,20 @@
         zone: label.zone.clone(),
         weight: m.weight,
         tier: m.tier,
-        most_runs: m.most_runs,
+        concurrency_limit: m.most_runs,
     };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
     Some(Pool {
         name,
-        subset,
+        subset_size: subset,
         workers: of.map(worker).collect(),
     })
 }
 
 impl Sharing {
     /// Begins, if any pool is shared.
-    pub fn begin(hub: &Shared, name: &str, times: Times, now: i64) -> Option<Sharing> {
+    pub fn begin(hub: &Shared, name: &str, timing: Timing, now: i64) -> Option<Sharing> {
         let files: Vec<Named> = hub.borrow().pools.files().cloned().collect();
         let pools: Vec<Pool> = files.iter().filter_map(shared).collect();
         if pools.is_empty() {
@@ -87,12 +87,12 @@
         log(&format!(
             "share: pools={} reserve_ms={}",
             names.join(","),
-            times.reserve / 1000
+            timing.reservation / 1000
         ));
         let given = RefCell::new(given(&files));
-        let hold = times.hold;
+        let hold = timing.max_propagation;
         let (node, files) = (
-            RefCell::new(Node::new(name, times, pools, now)),
+            RefCell::new(Node::new(name, timing, pools, now)),
             RefCell::new(files),
         );
         Some(Sharing {
@@ -129,39 +129,39 @@
             self.seen.set((0, alone));
         }
         if self.seen.replace((fleet.digest(), alone)) != (fleet.digest(), alone) {
-            node.view(now, members(fleet), alone);
+            node.update_members(now, members(fleet), alone);
         }
         for (i, given) in self.given.borrow().iter().enumerate() {
-            node.count(i, hub.pools.wanted(given.pool));
+            node.record_demand(i, hub.pools.wanted(given.pool));
             let pool = hub.pools.pool(given.pool);
             let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
             let out: Vec<usize> = pool.out().filter_map(at).collect();
-            node.left_out(i, &out);
+            node.set_ejected(i, &out);
             for worker in out {
                 pool.behind(
                     &given.workers[worker].1,
-                    node.turn(i, worker) == Turn::Behind,
+                    node.probe_turn(i, worker) == ProbeTurn::Other,
                 );
             }
         }
-        for (i, worker) in node.found_well() {
-            let given = &self.given.borrow()[i];
+        for position in node.take_recovered() {
+            let given = &self.given.borrow()[position.pool];
             hub.pools
                 .pool(given.pool)
-                .found_well(now, &given.workers[worker].1);
+                .found_well(now, &given.workers[position.worker].1);
         }
         node.tick(now);
         for (i, given) in self.given.borrow().iter().enumerate() {
-            let uses = node.uses(now, i);
+            let uses = node.worker_shares(now, i);
             let names = given.workers.iter().map(|w| w.0.clone());
-            let uses: HashMap<String, Use> = names.zip(uses).collect();
-            let inside = uses.values().filter(|u| u.inside).count();
+            let uses: HashMap<String, WorkerShare> = names.zip(uses).collect();
+            let inside = uses.values().filter(|u| u.in_subset).count();
             let runs: usize = uses
                 .values()
-                .filter(|u| u.inside)
-                .map(|u| u.most_runs)
+                .filter(|u| u.in_subset)
+                .map(|u| u.concurrency_limit)
                 .sum();
-            let (pool, part) = (given.pool, node.part(i));
+            let (pool, part) = (given.pool, node.load_fraction(i));
             if hub.pools.divide(now, pool, Parts { uses, part, until }) {
                 let name = &self.files.borrow()[pool].name;
                 let all = given.workers.len();
@@ -174,7 +174,7 @@
 
     /// What is told with the view.
     pub fn told(&self) -> Vec<u8> {
-        self.node.borrow().told().write()
+        self.node.borrow().load_report().encode()
     }
 
     /// What it has of each pool, for the door's figures.
@@ -182,9 +182,13 @@
         use std::fmt::Write;
         let mut node = self.node.borrow_mut();
         for (i, given) in self.given.borrow().iter().enumerate() {
-            let uses = node.uses(now, i);
-            let runs: usize = uses.iter().filter(|u| u.inside).map(|u| u.most_runs).sum();
-            let workers = uses.iter().filter(|u| u.inside).count();
+            let uses = node.worker_shares(now, i);
+            let runs: usize = uses
+                .iter()
+                .filter(|u| u.in_subset)
+                .map(|u| u.concurrency_limit)
+                .sum();
+            let workers = uses.iter().filter(|u| u.in_subset).count();
             let name = &self.files.borrow()[given.pool].name;
             // A string takes all that is written to it.
             let _ = writeln!(
@@ -199,14 +203,14 @@
         let mut node = self.node.borrow_mut();
         let given = self.given.borrow();
         let pools = given.iter().enumerate().map(|(i, given)| {
-            let uses = node.uses(now, i);
-            let worker = |((name, address), u): (&(String, SocketAddr), Use)| {
+            let uses = node.worker_shares(now, i);
+            let worker = |((name, address), u): (&(String, SocketAddr), WorkerShare)| {
                 let address = address.to_string();
-                json!({"name": name, "address": address, "used": u.inside, "weight": u.weight, "most_runs": u.most_runs})
+                json!({"name": name, "address": address, "used": u.in_subset, "weight": u.weight, "most_runs": u.concurrency_limit})
             };
             let workers: Vec<Value> = given.workers.iter().zip(uses).map(worker).collect();
             let name = &self.files.borrow()[given.pool].name;
-            json!({"pool": name, "part": node.part(i), "workers": workers})
+            json!({"pool": name, "part": node.load_fraction(i), "workers": workers})
         });
         json!(pools.collect::<Vec<_>>())
     }
@@ -237,13 +241,13 @@
     let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
-        told: told(&m.record.details.payload),
-        down: (m.record.state == State::Down).then_some(m.since),
+        report: load_report(&m.record.details.payload),
+        down_since: (m.record.state == State::Down).then_some(m.since),
     };
     there.map(member).collect()
 }
 
 /// What a member tells of its part: what stands behind the version that it acts on, and its flags.
-fn told(payload: &[u8]) -> Option<Told> {
-    Told::read(payload.get(9..)?)
+fn load_report(payload: &[u8]) -> Option<LoadReport> {
+    LoadReport::decode(payload.get(9..)?)
 }
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/versions/mod.rs
@@ -8,12 +8,15 @@
 use crate::log::log;
 use async_channel::{Receiver, Sender};
 use disk::{Done, Job};
-use pipitlever_config_versions::floor::{Saved, Unknown};
-use pipitlever_config_versions::message::{Hint, Message};
-use pipitlever_config_versions::node::{self, Draft, Event, May, Node, Unpublished};
-use pipitlever_config_versions::publisher::Outcome;
+use pipitlever_config_versions::envelope::Envelope;
+use pipitlever_config_versions::message::{GossipPayload, Message};
+use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
+use pipitlever_config_versions::node::{
+    self, Chunk, Event, Node, Permission, Proposal, Role, StoredState, VersionWithContent,
+    WithoutLease,
+};
+use pipitlever_config_versions::proposer::Outcome;
 use pipitlever_config_versions::version::Version;
-use pipitlever_config_versions::word::Word;
 use pipitlever_membership::{Fleet, Heard};
 use serde::Deserialize;
 use serde_json::{json, value::RawValue, Value};
@@ -43,7 +46,7 @@
     /// The version that the acting loop has in its hands.
     offered: Cell<u64>,
     /// What may be done, as it was last told to the core.
-    told: Cell<Option<May>>,
+    told: Cell<Option<Permission>>,
     hub: Shared,
 }
 
@@ -63,33 +66,34 @@
         hub: Shared,
         name: &str,
         settings: &Settings,
-        saved: Option<Saved>,
+        saved: Option<StoredVersion>,
         acts: Option<Sender<Act>>,
         seed: u64,
         now: i64,
     ) -> Result<(Versions, Receiver<Done>), String> {
         let (jobs, done) = disk::start(settings.folder.clone())?;
-        let elector = settings.rules.electors.iter().any(|e| e == name);
-        let kept = elector
-            .then(|| disk::load(&settings.folder, disk::ELECTOR))
-            .transpose()?;
+        let elector = settings.rules.acceptors.iter().any(|e| e == name);
+        let role = if elector {
+            Role::Acceptor(disk::load(&settings.folder, disk::ELECTOR)?)
+        } else {
+            Role::Learner
+        };
         let saved = saved.unwrap_or_default();
-        let acting = saved.version.map(|version| (version, saved.content.into()));
-        let node = Node::new(
-            name,
-            settings.rules.clone(),
-            kept,
-            acting,
-            saved.floor,
-            seed,
-            now,
-        );
+        let content = saved.content.into();
+        let stored = StoredState {
+            role,
+            active: saved
+                .version
+                .map(|version| VersionWithContent { version, content }),
+            minimum_version: saved.minimum_version,
+        };
+        let node = Node::new(name, settings.rules.clone(), stored, seed, now);
         log(&format!(
-            "versions: acting={} floor={} elector={elector}",
-            node.acting(),
-            node.floor().floor()
+            "versions: active_version={} minimum_version={} acceptor={elector}",
+            node.active_version(),
+            node.minimum_version().number()
         ));
-        let (offered, told) = (Cell::new(node.acting()), Cell::new(None));
+        let (offered, told) = (Cell::new(node.active_version()), Cell::new(None));
         let (node, folder) = (RefCell::new(node), settings.folder.clone());
         let versions = Versions {
             node,
@@ -110,49 +114,51 @@
         for (from, heard) in heard {
             match heard {
                 Heard::Hint(bytes) => {
-                    if let Some(hint) = Hint::read(&bytes) {
-                        node.heard_hint(now, &hint);
+                    if let Some(gossip) = GossipPayload::decode(&bytes) {
+                        node.handle_gossip(now, &gossip);
                     }
                 }
-                Heard::Said(bytes) => match Word::read(&bytes) {
-                    Some(Word::Register(bytes)) => {
-                        Message::read(&bytes).inspect(|message| node.heard(now, &from, message));
+                Heard::Said(bytes) => match Envelope::decode(&bytes) {
+                    Some(Envelope::Register(bytes)) => {
+                        if let Some(message) = Message::decode(&bytes) {
+                            node.handle_message(now, &from, &message);
+                        }
                     }
-                    Some(Word::Want { digest, at }) => {
-                        let piece = node.piece(digest, at as usize);
-                        let all = piece.as_ref().map(|(_, all)| *all as u32);
-                        let bytes = piece.map_or(Vec::new(), |(bytes, _)| bytes);
-                        fleet.tell(
-                            &from,
-                            Word::Piece {
-                                digest,
-                                at,
-                                all,
-                                bytes,
-                            }
-                            .write(),
-                        );
+                    Some(Envelope::ChunkRequest { digest, offset }) => {
+                        let chunk = node.content_chunk(digest, offset as usize);
+                        let reply = Envelope::Chunk {
+                            digest,
+                            offset,
+                            content_length: chunk.as_ref().map(|c| c.content_length as u32),
+                            bytes: chunk.map_or(Vec::new(), |c| c.bytes),
+                        };
+                        fleet.tell(&from, reply.encode());
                     }
-                    Some(Word::Piece {
+                    Some(Envelope::Chunk {
                         digest,
-                        at,
-                        all,
+                        offset,
+                        content_length,
                         bytes,
                     }) => {
-                        let piece = all.map(|all| (&bytes[..], all as usize));
-                        node.fetched(now, &from, digest, at as usize, piece);
+                        let chunk = content_length.map(|length| Chunk {
+                            bytes,
+                            content_length: length as usize,
+                        });
+                        node.handle_chunk(now, &from, digest, offset as usize, chunk);
                     }
                     None => {}
                 },
             }
         }
-        let mut spread = node.due() <= now && node.wake(now);
-        if let Some((kept, write)) = node.take_write() {
+        let mut spread = node.next_wakeup() <= now && node.handle_timeout(now);
+        if let Some(write) = node.take_write() {
             // A thread that has ended writes nothing, and nothing that rests on it is ever said.
-            let _ = self.jobs.try_send(Job::Elector(Box::new(kept), write));
+            let _ = self
+                .jobs
+                .try_send(Job::Elector(Box::new(write.state), write.number));
         }
         // Not put together each time: a content is wanted now and then.
-        if node.fetching() {
+        if node.is_fetching() {
             let there = fleet
                 .members()
                 .iter()
@@ -161,24 +167,23 @@
                 .map(|(name, _)| name)
                 .filter(|name| *name != fleet.name())
                 .collect();
-            if let Some((digest, at, of)) = node.take_fetch(now, &others) {
-                fleet.tell(
-                    &of,
-                    Word::Want {
-                        digest,
-                        at: at as u32,
-                    }
-                    .write(),
-                );
+            if let Some(request) = node.next_chunk_request(now, &others) {
+                let envelope = Envelope::ChunkRequest {
+                    digest: request.digest,
+                    offset: request.offset as u32,
+                };
+                fleet.tell(&request.recipient, envelope.encode());
             }
         }
-        for (to, message) in node.take_out() {
-            fleet.tell(&to, Word::register(&message).write());
+        for outgoing in node.take_outgoing() {
+            let envelope = Envelope::register(&outgoing.message);
+            fleet.tell(&outgoing.recipient, envelope.encode());
         }
-        if let Some((version, content)) =
-            node.offer().filter(|(v, _)| v.number > self.offered.get())
+        if let Some(VersionWithContent { version, content }) = node
+            .version_to_activate()
+            .filter(|v| v.version.number > self.offered.get())
         {
-            if node.floor().allows(version.number) {
+            if node.minimum_version().allows(version.number) {
                 self.offered.set(version.number);
                 self.acts
                     .iter()
@@ -186,49 +191,45 @@
             }
         }
         for event in node.take_events() {
-            spread |= matches!(event, Event::Heard(..));
+            spread |= matches!(event, Event::Learned { .. });
             log(&format!("versions: {}", line(&event)));
         }
-        fleet.set_hint(node.hint().write());
+        fleet.set_hint(node.gossip().encode());
         if spread {
             fleet.spread_hint(now);
         }
-        let may = node.may_act(now);
+        let may = node.permission(now);
         drop(node);
         self.tell(may);
     }
 
     /// Tells the core what may be done, and until when: it looks at the time itself, at each
     /// request.
-    fn tell(&self, may: May) {
+    fn tell(&self, may: Permission) {
         if self.told.replace(Some(may)) == Some(may) {
             return;
         }
-        let serves = self.node.borrow().serves();
+        let serves = self.node.borrow().serves_without_lease();
         // A turn may come from within the hub's own; the next one is soon.
         let Ok(mut hub) = self.hub.try_borrow_mut() else {
             return self.told.set(None);
         };
         let until = match may {
-            May::Act(_) if serves => Some(i64::MAX),
-            May::Act(until) => Some(until),
+            Permission::Granted { .. } if serves => Some(i64::MAX),
+            Permission::Granted { until } => Some(until),
             _ => None,
         };
         if hub.core.allow(until) {
             log(&format!(
                 "versions: {}",
-                if until.is_some() {
-                    "this node acts"
-                } else {
-                    why(may)
-                }
+                if until.is_some() { "serving" } else { why(may) }
             ));
         }
     }
 
     /// When it wants to be woken.
     pub fn due(&self) -> i64 {
-        self.node.borrow().due()
+        self.node.borrow().next_wakeup()
     }
 
     /// What the disk thread has done.
@@ -238,7 +239,7 @@
                 let written = result.is_ok();
                 let _ = result
                     .inspect_err(|why| log(&format!("versions: a vote is not on the disk: {why}")));
-                self.node.borrow_mut().written(now, number, written);
+                self.node.borrow_mut().write_finished(now, number, written);
                 None
             }
             Done::Acting(result) => Some(result),
@@ -249,9 +250,9 @@
     pub fn write(&self, number: u64, content: &[u8]) {
         let node = self.node.borrow();
         let version = Some(node.newest().clone()).filter(|v| v.number == number);
-        let floor = node.floor().floor().max(number);
-        let _ = self.jobs.try_send(Job::Acting(Saved {
-            floor,
+        let minimum_version = node.minimum_version().number().max(number);
+        let _ = self.jobs.try_send(Job::Acting(StoredVersion {
+            minimum_version,
             version,
             content: content.to_vec(),
         }));
@@ -262,36 +263,44 @@
     /// out, and a majority says where to go on.
     pub fn resume(&self, now: i64) {
         let said = |why: String| log(&format!("versions: {why}: going on as on a new disk"));
-        let kept = self.elector.then(|| {
-            disk::load(&self.folder, disk::ELECTOR)
-                .map_err(said)
-                .ok()
-                .flatten()
-        });
-        let saved: Option<Saved> = disk::load(&self.folder, disk::ACTING)
+        let role = if self.elector {
+            Role::Acceptor(
+                disk::load(&self.folder, disk::ELECTOR)
+                    .map_err(said)
+                    .ok()
+                    .flatten(),
+            )
+        } else {
+            Role::Learner
+        };
+        let saved: Option<StoredVersion> = disk::load(&self.folder, disk::ACTING)
             .map_err(said)
             .ok()
             .flatten();
         let mut node = self.node.borrow_mut();
-        node.resume(now, kept, saved.map_or(0, |saved| saved.floor));
-        self.offered.set(node.acting());
+        node.resume(now, role, saved.map_or(0, |saved| saved.minimum_version));
+        self.offered.set(node.active_version());
         self.told.set(None);
         self.hub.borrow_mut().core.allow(None);
     }
 
     /// A version was taken as a whole, or can't be.
-    pub fn acted(&self, number: u64, taken: Result<(), String>) {
-        self.node.borrow_mut().acted(number, taken);
+    pub fn activation_finished(&self, number: u64, result: Result<(), String>) {
+        let mut node = self.node.borrow_mut();
+        match result {
+            Ok(()) => node.version_activated(number),
+            Err(reason) => node.version_rejected(number, reason),
+        }
     }
 
     /// The process before this one acted on this version.
     pub fn handed(&self, number: u64) {
-        self.node.borrow_mut().handed(number);
+        self.node.borrow_mut().inherit_version(number);
     }
 
     /// The version that is acted on.
     pub fn acting(&self) -> u64 {
-        self.node.borrow().acting()
+        self.node.borrow().active_version()
     }
 
     /// Begins to publish what an operator sent: what is said to that, and whether it is a yes.
@@ -302,95 +311,115 @@
         };
         let Published { base, why, content } = published;
         let content = content.get().as_bytes().to_vec();
-        let draft = Draft {
+        let proposal = Proposal {
             base,
             content,
-            electors: None,
-            withdraws: None,
-            at_ms: unix_ms,
-            why,
+            acceptors: None,
+            reverts: None,
+            proposed_at_ms: unix_ms,
+            reason: why,
         };
-        match self.node.borrow_mut().publish(now, draft) {
+        match self.node.borrow_mut().propose(now, proposal) {
             Ok(number) => (true, format!("publishing {number}\n")),
-            Err(Unpublished::Newest(v)) => {
-                let Version {
-                    number, by, why, ..
-                } = *v;
-                (false, format!("the newest is {number}, by {by}: {why}\n"))
-            }
-            Err(Unpublished::NoElector(why)) => {
-                (false, format!("this node can't publish: {why}\n"))
-            }
-            Err(Unpublished::Busy) => (false, "another version is being published here\n".into()),
-            Err(Unpublished::Unfit(why)) => (false, format!("{why}\n")),
+            Err(error) => (false, format!("{error}\n")),
         }
     }
 
     /// Begins to close all versions below one.
     pub fn close(&self, now: i64, floor: u64) -> (bool, String) {
-        match self.node.borrow_mut().close(now, floor) {
-            Ok(()) => (true, format!("closing all below {floor}\n")),
-            Err(why) => (false, format!("{why}\n")),
+        match self.node.borrow_mut().retire_below(now, floor) {
+            Ok(()) => (true, format!("retiring all versions below {floor}\n")),
+            Err(error) => (false, format!("{error}\n")),
         }
     }
 
     /// An operator says what the floor is.
     pub fn accept_floor(&self, number: u64) -> (bool, String) {
-        self.node.borrow_mut().accept_floor(number);
-        (true, format!("the floor is {number}\n"))
+        self.node.borrow_mut().set_minimum_version(number);
+        (true, format!("the minimum version is {number}\n"))
     }
 
     /// Until when a majority of electors is known to have been heard.
     pub fn leased_until(&self) -> i64 {
-        self.node.borrow().leased_until().unwrap_or(i64::MIN)
+        self.node.borrow().lease_expires_at().unwrap_or(i64::MIN)
     }
 
     /// How it stands, for the door.
     pub fn view(&self, now: i64) -> Value {
         let node = self.node.borrow();
-        let may = node.may_act(now);
-        let lease_ms = node.leased_until().map(|until| (until - now).max(0) / 1000);
+        let may = node.permission(now);
+        let lease_ms = node
+            .lease_expires_at()
+            .map(|until| (until - now).max(0) / 1000);
         json!({
-            "acting": node.acting(), "decided": node.newest().number, "floor": node.floor().floor(),
-            "floor_known": node.floor().open(), "may_act": matches!(may, May::Act(_)),
-            "why": if matches!(may, May::Act(_)) { "" } else { why(may) },
-            "lease_ms": lease_ms, "unfit": node.unfit().map(|(n, why)| format!("{n}: {why}")),
+            "acting": node.active_version(), "decided": node.newest().number, "floor": node.minimum_version().number(),
+            "floor_known": node.minimum_version().is_known(), "may_act": matches!(may, Permission::Granted { .. }),
+            "why": if matches!(may, Permission::Granted { .. }) { "" } else { why(may) },
+            "lease_ms": lease_ms, "unfit": node.rejected_version().map(|v| format!("{}: {}", v.number, v.reason)),
         })
     }
 }
 
-fn why(may: May) -> &'static str {
+fn why(may: Permission) -> &'static str {
     match may {
-        May::Act(_) => "it acts",
-        May::Closed => "refusing: its version is closed",
-        May::NoLease => "refusing: its lease has run out",
-        May::Unknown => "refusing: too few electors were heard to know its floor",
-        May::Below => "refusing: its version lies below its floor, a newer one is on its way",
+        Permission::Granted { .. } => "serving",
+        Permission::Retired => "refusing: the active version is retired",
+        Permission::LeaseExpired => "refusing: the lease has expired",
+        Permission::MinimumUnknown => {
+            "refusing: no quorum of acceptors has answered yet, so the minimum version is unknown"
+        }
+        Permission::BelowMinimum => "refusing: the active version is below the minimum version",
     }
 }
 
 fn line(event: &Event) -> String {
     match event {
-        Event::Heard(number, from) => format!("heard of {number} from {from}"),
-        Event::Fetched(number, from) => format!("fetched {number} from {from}"),
-        Event::Acting(number) => format!("acting on {number}"),
-        Event::Unfit(number, why) => format!("{number} can't be acted on: {why}"),
-        Event::Lease(number, true) => format!("a lease on {number}"),
-        Event::Lease(number, false) => format!("no lease on {number} any more"),
-        Event::Disk => "this disk is not the one that others remember: it never votes again".into(),
-        Event::Published(Outcome::Decided(v)) => format!("published {}", v.number),
-        Event::Published(outcome) => format!("not published: {outcome:?}"),
-        Event::Closed(floor) => format!("nobody acts on a version below {floor}"),
-        Event::Floor(floor) => format!("the floor is {floor}"),
+        Event::Learned { number, sender } => {
+            format!("learned of a decided version number={number} sender={sender}")
+        }
+        Event::Fetched { number, sender } => {
+            format!("fetched the content number={number} sender={sender}")
+        }
+        Event::Activated { number } => format!("activated number={number}"),
+        Event::ActivationRejected { number, reason } => {
+            format!("could not activate number={number} reason={reason}")
+        }
+        Event::LeaseAcquired { number } => format!("acquired the lease number={number}"),
+        Event::LeaseExpired { number } => format!("the lease expired number={number}"),
+        Event::DiskMismatch => {
+            "the acceptor's disk was replaced or restored from a backup: it no longer votes".into()
+        }
+        Event::ProposalFinished(outcome) => outcome_line(outcome),
+        Event::Retired { minimum_version } => {
+            format!("retired all versions below minimum_version={minimum_version}")
+        }
+        Event::MinimumVersionKnown { minimum_version } => {
+            format!("the minimum version is known minimum_version={minimum_version}")
+        }
+    }
+}
+
+fn outcome_line(outcome: &Outcome) -> String {
+    match outcome {
+        Outcome::Decided(Version { number, .. }) => format!("published number={number}"),
+        Outcome::OtherDecided(Version {
+            number, proposer, ..
+        }) => format!(
+            "not published, another version was decided number={number} proposer={proposer}"
+        ),
+        Outcome::Undecided { accepted_by } => format!(
+            "not published, no quorum answered in time accepted_by={}",
+            accepted_by.join(",")
+        ),
     }
 }
 
 /// What is usual: leases of ten seconds, and no act that is not known to be right.
-pub fn usual(electors: Vec<String>) -> node::Settings {
+pub fn usual(acceptors: Vec<String>) -> node::Settings {
     node::Settings {
-        electors,
+        acceptors,
         lease: 10_000_000,
-        without: node::Without::Serve,
-        unknown: Unknown::Wait,
+        without_lease: WithoutLease::Serve,
+        unknown_minimum: UnknownMinimum::Wait,
     }
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,45 +1,50 @@
-//! Choices of many nodes that add up: which workers each node uses, how much of a worker's bound it
-//! has, and whose turn it is to try one that several have left out. There is no talk about it: all
-//! of it is worked out from the view of the fleet, by functions that give the same on all nodes
-//! that see the same.
+//! Divides shared pools among the nodes of a fleet: which workers each node uses, its share of
+//! each worker's concurrency limit, and which node probes an ejected worker.
 //!
-//! Nothing here does I/O or reads a clock.
+//! Nodes do not negotiate. Each computes the same result from its membership view, with functions
+//! that are deterministic in all builds.
 //!
-//! - [`subset`]: who uses whom.
-//! - [`flow`]: how often each of a node's workers is to get a run, so that all workers bear what
-//!   their weights say.
-//! - [`apportion`]: whole units by weights.
-//! - [`demand`]: what a node tells of its own load, and how often.
-//! - [`grant`]: a part of a bound that grows only once all others have let go of it.
-//! - [`turn`]: whose turn it is.
-//! - [`told`]: what travels with the view.
-//! - [`plan`]: all of it for one pool, [`node`]: for one node.
+//! - [`subset`]: which workers each node uses (deterministic subsetting).
+//! - [`proportional_fitting`]: weights that spread unequal loads over the workers evenly.
+//! - [`apportionment`]: divides whole units in proportion to weights.
+//! - [`load`]: measures a node's load, and limits how often it is reported.
+//! - [`load_report`]: the report that travels with the membership view.
+//! - [`assignment`]: the division of one pool.
+//! - [`share_lease`]: a share of a limit that grows only after all others have released theirs.
+//! - [`probe_turn`]: which node probes an ejected worker.
+//! - [`node`]: all of it for one node.
 //!
-//! `docs/share.md` has the design, what was compared, and the figures.
+//! The crate does no I/O and reads no clock. `docs/subsetting.md` describes the design, the
+//! alternatives compared, and the measurements.
 
-pub mod apportion;
-pub mod demand;
-pub mod flow;
-pub mod grant;
+pub mod apportionment;
+pub mod assignment;
+pub mod load;
+pub mod load_report;
 pub mod node;
-pub mod plan;
+pub mod probe_turn;
+pub mod proportional_fitting;
+pub mod share_lease;
 pub mod subset;
-pub mod told;
-pub mod turn;
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// A reading of a clock, or a span of it, in microseconds.
+/// A reading of a monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// Stands for some names, in an order: the same in all builds and processes, as nodes choose by it
-/// alone.
+/// The fixed key of the hash: "pipitlev" and "ersshar1" in ASCII.
+const HASH_KEY: [u64; 2] = [0x7069_7069_746c_6576, 0x6572_7368_6172_6531];
+/// Terminates each name in the hashed bytes. It does not occur in UTF-8.
+const NAME_END: u8 = 0xff;
+
+/// Hashes a sequence of names. The result is the same on all nodes and in all builds, as nodes make
+/// choices by it.
 pub fn hash(names: &[&str]) -> u64 {
-    let mut hasher = SipHasher13::new_with_keys(0x7069_7069_746c_6576, 0x6572_7368_6172_6531);
+    let mut hasher = SipHasher13::new_with_keys(HASH_KEY[0], HASH_KEY[1]);
     for name in names {
         hasher.write(name.as_bytes());
-        hasher.write_u8(0xff);
+        hasher.write_u8(NAME_END);
     }
     hasher.finish()
 }
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -1,124 +1,151 @@
-//! Who uses whom: each node some of the workers, each worker nodes in proportion to its weight, its
-//! own zone first.
+//! Deterministic subsetting: each node uses some of the workers, and each worker serves nodes in
+//! proportion to its weight, preferring its own zone.
 //!
-//! Weighted rendezvous with a bound on both sides: all pairs of a node and a worker in the order of
-//! a hash of their two names, pairs of one zone before the others, each taken while both have room.
-//! Who comes or goes changes the room of few, and what a pair is worth depends on nobody else, so
-//! few pairs move. Where the order leaves a node short, it gets a place by an exchange.
+//! Weighted rendezvous hashing (Thaler and Ravishankar 1998) with bounded degrees: all pairs of a
+//! node and a worker are visited in the order of a hash of both names, pairs within a zone first,
+//! and a pair is taken while both sides have capacity. A joining or leaving member changes the
+//! capacity of few others, and the rank of a pair depends on no third name, so few pairs move. A
+//! node that is left short gets workers by exchanges.
 
-use crate::apportion::apportion;
+use crate::apportionment::apportion;
 use crate::hash;
 
-/// A node as the others see it.
+/// The bit of a pair's rank that puts pairs within a zone before all others.
+const SAME_ZONE_BIT: u32 = 63;
+
+/// A node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer<'a> {
-    /// Its name.
+    /// The name.
     pub name: &'a str,
-    /// Where it stands; may be empty.
+    /// The zone, empty if none is configured.
     pub zone: &'a str,
-    /// How many workers it is to use.
-    pub pairs: usize,
+    /// The number of workers to assign to the node.
+    pub subset_size: usize,
 }
 
-/// A worker, as the file has it.
+/// A worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worker<'a> {
-    /// Its name.
+    /// The name.
     pub name: &'a str,
-    /// Where it stands; may be empty.
+    /// The zone, empty if none is configured.
     pub zone: &'a str,
-    /// Its share beside the others'; above 0.
+    /// The weight relative to other workers, above 0.
     pub weight: f64,
 }
 
-/// For each node the workers that it uses, by position, in order.
-pub fn assign(peers: &[Peer], workers: &[Worker]) -> Vec<Vec<usize>> {
-    let mut room: Vec<usize> = peers.iter().map(|p| p.pairs.min(workers.len())).collect();
-    let wanted = room.iter().sum();
-    let weights: Vec<f64> = workers.iter().map(|w| w.weight).collect();
-    let ties: Vec<u64> = workers.iter().map(|w| hash(&[w.name])).collect();
-    // No worker is left without a node where there are nodes enough.
-    let mut places = apportion(wanted, &weights, 1, peers.len(), &ties);
-    let mut pairs = Vec::with_capacity(peers.len() * workers.len());
-    for (j, peer) in peers.iter().enumerate() {
-        for (i, worker) in workers.iter().enumerate() {
-            let near = !peer.zone.is_empty() && peer.zone == worker.zone;
-            // The one bit above all of the hash.
-            let worth = hash(&[peer.name, worker.name]) >> 1 | u64::from(near) << 63;
-            pairs.push((worth, j as u32, i as u32));
+/// A pair of a node and a worker. The order of pairs is the order of the fields.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Pair {
+    rank: u64,
+    peer: u32,
+    worker: u32,
+}
+
+/// Returns for each node the positions of its workers, ascending.
+pub fn assign_subsets(peers: &[Peer], workers: &[Worker]) -> Vec<Vec<usize>> {
+    let mut missing: Vec<usize> = peers
+        .iter()
+        .map(|peer| peer.subset_size.min(workers.len()))
+        .collect();
+    let mut capacity = worker_capacities(missing.iter().sum(), peers.len(), workers);
+    let pairs = ranked_pairs(peers, workers);
+    let mut matrix = AssignmentMatrix::new(peers.len(), workers.len());
+    for pair in &pairs {
+        let (peer, worker) = (pair.peer as usize, pair.worker as usize);
+        if missing[peer] > 0 && capacity[worker] > 0 {
+            matrix.assign(peer, worker);
+            missing[peer] -= 1;
+            capacity[worker] -= 1;
         }
     }
-    pairs.sort_unstable_by(|a, b| b.cmp(a));
-    let mut uses = Uses::new(peers.len(), workers.len());
-    for &(_, j, i) in &pairs {
-        let (j, i) = (j as usize, i as usize);
-        if room[j] > 0 && places[i] > 0 {
-            uses.put(j, i);
-            (room[j], places[i]) = (room[j] - 1, places[i] - 1);
+    for (peer, missing) in missing.iter_mut().enumerate() {
+        while *missing > 0 && matrix.exchange(peer, &mut capacity, &pairs) {
+            *missing -= 1;
         }
     }
-    for (j, room) in room.iter_mut().enumerate() {
-        while *room > 0 && uses.exchange(j, &mut places, &pairs) {
-            *room -= 1;
+    matrix.subsets()
+}
+
+/// Divides the pairs among the workers by weight. Each worker gets a node if there are enough.
+fn worker_capacities(pairs: usize, peers: usize, workers: &[Worker]) -> Vec<usize> {
+    let weights: Vec<f64> = workers.iter().map(|worker| worker.weight).collect();
+    let ties: Vec<u64> = workers.iter().map(|worker| hash(&[worker.name])).collect();
+    apportion(pairs, &weights, 1, peers, &ties)
+}
+
+/// Returns all pairs, highest rank first.
+fn ranked_pairs(peers: &[Peer], workers: &[Worker]) -> Vec<Pair> {
+    let mut pairs = Vec::with_capacity(peers.len() * workers.len());
+    for (j, peer) in peers.iter().enumerate() {
+        for (i, worker) in workers.iter().enumerate() {
+            let is_same_zone = !peer.zone.is_empty() && peer.zone == worker.zone;
+            let rank =
+                hash(&[peer.name, worker.name]) >> 1 | u64::from(is_same_zone) << SAME_ZONE_BIT;
+            pairs.push(Pair {
+                rank,
+                peer: j as u32,
+                worker: i as u32,
+            });
         }
     }
-    uses.lists()
+    pairs.sort_unstable_by(|a, b| b.cmp(a));
+    pairs
 }
 
 /// Which node uses which worker.
-struct Uses {
+struct AssignmentMatrix {
     workers: usize,
-    used: Vec<bool>,
+    is_assigned: Vec<bool>,
 }
 
-impl Uses {
-    fn new(peers: usize, workers: usize) -> Uses {
-        Uses {
+impl AssignmentMatrix {
+    fn new(peers: usize, workers: usize) -> AssignmentMatrix {
+        AssignmentMatrix {
             workers,
-            used: vec![false; peers * workers],
+            is_assigned: vec![false; peers * workers],
         }
     }
 
-    fn has(&self, j: usize, i: usize) -> bool {
-        self.used[j * self.workers + i]
+    fn contains(&self, peer: usize, worker: usize) -> bool {
+        self.is_assigned[peer * self.workers + worker]
+    }
+
+    fn assign(&mut self, peer: usize, worker: usize) {
+        self.is_assigned[peer * self.workers + worker] = true;
     }
 
-    fn put(&mut self, j: usize, i: usize) {
-        self.used[j * self.workers + i] = true;
+    fn remove(&mut self, peer: usize, worker: usize) {
+        self.is_assigned[peer * self.workers + worker] = false;
     }
 
-    /// A node that lacks one, where only workers that it uses have room: another node leaves it one
-    /// and takes such a place.
-    fn exchange(&mut self, j: usize, places: &mut [usize], pairs: &[(u64, u32, u32)]) -> bool {
-        let open: Vec<usize> = (0..self.workers).filter(|&i| places[i] > 0).collect();
-        // The pair that goes is the one that is worth least.
-        for &(_, m, k) in pairs.iter().rev() {
-            let (m, k) = (m as usize, k as usize);
-            if m == j || !self.has(m, k) || self.has(j, k) {
+    /// Assigns one more worker to a node where only workers that it already has are free: another
+    /// node gives up a worker for a free one. The pair of the lowest rank is given up. Returns
+    /// whether there is such a pair.
+    fn exchange(&mut self, peer: usize, capacity: &mut [usize], pairs: &[Pair]) -> bool {
+        let free: Vec<usize> = (0..self.workers).filter(|&i| capacity[i] > 0).collect();
+        for pair in pairs.iter().rev() {
+            let (other, worker) = (pair.peer as usize, pair.worker as usize);
+            if other == peer || !self.contains(other, worker) || self.contains(peer, worker) {
                 continue;
             }
-            if let Some(&i) = open.iter().find(|&&i| !self.has(m, i)) {
-                self.used[m * self.workers + k] = false;
-                self.put(m, i);
-                self.put(j, k);
-                places[i] -= 1;
+            if let Some(&replacement) = free.iter().find(|&&i| !self.contains(other, i)) {
+                self.remove(other, worker);
+                self.assign(other, replacement);
+                self.assign(peer, worker);
+                capacity[replacement] -= 1;
                 return true;
             }
         }
         false
     }
 
-    fn lists(&self) -> Vec<Vec<usize>> {
-        let list = |used: &[bool]| {
-            used.iter()
-                .enumerate()
-                .filter(|(_, u)| **u)
-                .map(|(i, _)| i)
-                .collect()
-        };
-        self.used.chunks(self.workers.max(1)).map(list).collect()
+    fn subsets(&self) -> Vec<Vec<usize>> {
+        let positions = |row: &[bool]| (0..row.len()).filter(|&i| row[i]).collect();
+        self.is_assigned
+            .chunks(self.workers.max(1))
+            .map(positions)
+            .collect()
     }
 }
-
-#[cfg(test)]
-mod tests;
