--- a/crates/node/src/life/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -1,20 +1,19 @@
 //! Serves until told to stop, then leaves in order.
 
-use super::capture::{self, Capturing};
-use super::config::Config;
-use super::reload::Reload;
-use super::signals::{Signal, Signals};
+use crate::config::platform::Config;
+use crate::lifecycle::capture::{self, Capturing};
+use crate::lifecycle::reload::Reload;
+use crate::lifecycle::signals::{Signal, Signals};
 use crate::log::log;
+use crate::net::config_versions::Act;
+use crate::net::connections::Front;
 use crate::net::front::Fronts;
-use crate::net::handover::{self, Offer, Trouble};
+use crate::net::hot_restart::{self, Offer, Trouble};
 use crate::net::hub::{Hub, Limits, Shared};
-use crate::net::places::Front;
-use crate::net::versions::Act;
-use crate::net::{
-    ahead, by, callers, calls, control, fleet, ledger, membership, processor, timers, workers,
-};
+use crate::net::{ahead, by, control, ledger, membership, processor, registry, timers, workers};
 use async_executor::LocalExecutor;
 use futures_lite::future;
+use pipitlever_core::TableSizes;
 use pipitlever_idempotency_store::record::Salt;
 use pipitlever_reactor::{block_on, Async, Timer};
 use std::cell::RefCell;
@@ -30,7 +29,7 @@
 /// one; the socket for reports; a connection for each call; listening sockets and what they have
 /// just accepted; the handover's; files that are read again. The operators' door and the fleet have
 /// their own beside these.
-const KEPT_BACK: usize = 3 + 3 + 7 + 2 + 1 + calls::MOST_CALLS + 2 * 2 + 4 + 2;
+const KEPT_BACK: usize = 3 + 3 + 7 + 2 + 1 + ledger::calls::MOST_CALLS + 2 * 2 + 4 + 2;
 /// The process ends this long before it would be killed, in milliseconds.
 const SPARE_MS: u64 = 150;
 /// After `goaway`, requests that were already on their way are waited for this long, in
@@ -75,10 +74,10 @@
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(), String> {
-    let (config, saved) = super::versions::begin(config, &read)?;
+    let (config, saved) = crate::config::versions::begin(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     // A store is of one process at a time, and a port that the system picks has nobody before.
-    let place = handover::place(config.listen).filter(|_| config.store.is_none());
+    let place = hot_restart::place(config.listen).filter(|_| config.store.is_none());
     let opened = async { Some(Opened::open(&config, place.as_deref()).await) };
     let told_to_leave = async {
         signals.leave().await;
@@ -108,7 +107,7 @@
     // Each caller's, and the listener's; those whose answer is on its way take no place among
     // callers any more.
     let for_door = if door.is_some() {
-        2 * callers::MOST_CALLERS
+        2 * control::connections::MOST_CALLERS
     } else {
         0
     };
@@ -119,7 +118,7 @@
         0
     };
     let for_fleet = if config.fleet.is_some() {
-        fleet::DESCRIPTORS
+        membership::DESCRIPTORS
     } else {
         0
     };
@@ -141,14 +140,14 @@
     let longest = |of: fn(&pipitlever_admission::Class) -> i64| {
         tuning.settings.classes.iter().map(of).max().unwrap_or(0)
     };
-    let window = longest(|c| c.window) + longest(|c| c.deadline);
+    let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
     let opened = store
-        .map(|store| super::store::open(store, window))
+        .map(|store| crate::lifecycle::store::open(store, window))
         .transpose()?;
     let salt = Salt::random().map_err(|e| format!("random numbers: {e}"))?;
     let salt = met.as_ref().map_or(salt, |met| met.salt);
     let mut hub = Hub::new(tuning, seed, salt, limits.bounds(false));
-    let most_result = hub.core.most_result();
+    let most_result = hub.core.max_result_bytes();
     hub.bound(limits);
     if met.is_some() {
         hub.share(Some(0.5));
@@ -167,13 +166,13 @@
         // Without a processor all work goes to workers, and the node is up at once.
         false => hub
             .borrow_mut()
-            .tell(|core, now| core.up_without_processor(now)),
+            .tell(|core, now| core.start_without_processor(now)),
     }
     executor
         .spawn(ledger::calls(executor.clone(), hub.clone()))
         .detach();
     executor
-        .spawn(membership::reports(hub.clone(), config.name.clone()))
+        .spawn(registry::reports(hub.clone(), config.name.clone()))
         .detach();
     executor
         .spawn(workers::runs(executor.clone(), hub.clone()))
@@ -188,7 +187,7 @@
     }
     let fronts = Fronts::new(executor.clone(), hub.clone(), sockets);
     // Under the address that the system has picked, if it has.
-    let place = place.and_then(|_| handover::place(at));
+    let place = place.and_then(|_| hot_restart::place(at));
     let offer = place.map(|place| {
         Offer::new(
             executor.clone(),
@@ -201,10 +200,10 @@
     let (acts, to_act) = async_channel::unbounded();
     if config.fleet.as_ref().is_some_and(|f| f.versions.is_some()) {
         // Until it is known that the disk's version is not one that this node has left.
-        hub.borrow_mut().core.allow(None);
+        hub.borrow_mut().core.set_configuration_expiry(None);
     }
     let member = RefCell::new(config.fleet.zip(fleet_sockets));
-    let versioned = RefCell::new(Some(fleet::Versioned {
+    let versioned = RefCell::new(Some(membership::Versioned {
         saved,
         acts: Some(acts),
     }));
@@ -216,7 +215,7 @@
                 return;
             };
             let versioned = versioned.take().unwrap_or_default();
-            let begun = fleet::Part::begin(
+            let begun = membership::Part::begin(
                 executor.clone(),
                 hub.clone(),
                 &name,
@@ -281,7 +280,7 @@
             Wanted::Signal(Signal::Leave) => break,
         }
     }
-    let superseded = hub.borrow_mut().predecessor.leave();
+    let superseded = hub.borrow_mut().predecessor.begin_shutdown();
     match superseded {
         true => hand_over(&hub).await,
         false => {
@@ -297,9 +296,9 @@
 /// What a process has before it serves: its sockets, and the process that it takes over from, if
 /// there is one.
 struct Opened {
-    met: Option<handover::Met>,
+    met: Option<hot_restart::Met>,
     sockets: Vec<(Front, SocketAddr, Async<TcpListener>)>,
-    fleet: Option<fleet::Sockets>,
+    fleet: Option<membership::Sockets>,
 }
 
 impl Opened {
@@ -308,7 +307,7 @@
     async fn open(config: &Config, place: Option<&Path>) -> Result<Opened, String> {
         let mut met = match place {
             Some(place) if config.listen.port() != 0 => {
-                handover::meet(place, &config.name, config.listen).await?
+                hot_restart::meet(place, &config.name, config.listen).await?
             }
             _ => None,
         };
@@ -323,7 +322,7 @@
                 Some(passed)
             }
             (Some(f), _) => {
-                let bound = bind(|| fleet::Sockets::bind(f.bind)).await;
+                let bound = bind(|| membership::Sockets::bind(f.bind)).await;
                 Some(bound.map_err(|e| format!("fleet: cannot listen on {}: {e}", f.bind))?)
             }
             (None, _) => None,
@@ -378,23 +377,28 @@
 
 fn print_counters(hub: &Shared) {
     let hub = hub.borrow();
-    let (requests, running, keys) = hub.core.sizes();
+    let TableSizes {
+        requests,
+        running,
+        keys,
+    } = hub.core.table_sizes();
     let connections = hub.places.taken();
     log(&format!("counters: {}", hub.core.counters));
-    let open = hub.core.owed();
+    let open = hub.core.unanswered();
     log(&format!(
         "now: requests={requests} running={running} keys={keys} connections={connections} open={open}"
     ));
-    if !hub.core.balanced() {
+    if !hub.core.is_balanced() {
         log("accounting: requests are not what was answered, has gone and is open: report this with the counters");
     }
     hub.pools
         .report(hub.clock.now())
         .iter()
         .for_each(|line| log(line));
-    if let Some((used, reserved, waiting)) = hub.core.store_room() {
+    if let Some(usage) = hub.core.store_usage() {
         log(&format!(
-            "store: used={used} reserved={reserved} waiting={waiting}"
+            "store: used={} reserved={} waiting={}",
+            usage.used_bytes, usage.reserved_bytes, usage.waiting_records
         ));
     }
 }
@@ -406,7 +410,7 @@
     let close = ahead(grace_ms.saturating_sub(LATE_MS).min(stop_ms / 2));
     log(&format!(
         "draining: stop_ms={stop_ms} owed={}",
-        hub.borrow().core.owed()
+        hub.borrow().core.unanswered()
     ));
     // The module keeps two ticks back from this for its last answers.
     hub.borrow_mut()
@@ -431,7 +435,7 @@
     let stop = ahead(left);
     log(&format!(
         "leaving: stop_ms={stop_ms} owed={}, another process serves",
-        hub.borrow().core.owed()
+        hub.borrow().core.unanswered()
     ));
     hub.borrow_mut().superseded((left * 1000) as i64);
     Timer::at(ahead(CROSSING_MS).min(stop)).await;
@@ -452,7 +456,7 @@
     if !hub.borrow().settled() {
         log(&format!(
             "draining: stopped with owed={}",
-            hub.borrow().core.owed()
+            hub.borrow().core.unanswered()
         ));
     }
 }
--- a/crates/node/src/net/versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod disk;
 
-use super::hub::Shared;
 use crate::log::log;
+use crate::net::hub::Shared;
 use async_channel::{Receiver, Sender};
 use disk::{Done, Job};
 use pipitlever_config_versions::envelope::Envelope;
@@ -17,7 +17,7 @@
 };
 use pipitlever_config_versions::proposer::Outcome;
 use pipitlever_config_versions::version::Version;
-use pipitlever_membership::{Fleet, Heard};
+use pipitlever_membership::{ApplicationMessage, Membership};
 use serde::Deserialize;
 use serde_json::{json, value::RawValue, Value};
 use std::cell::{Cell, RefCell};
@@ -109,16 +109,16 @@
     }
 
     /// Takes in what members have said, does what is due, and says what comes of it.
-    pub fn turn(&self, fleet: &mut Fleet, now: i64, heard: Vec<(String, Heard)>) {
+    pub fn turn(&self, fleet: &mut Membership, now: i64, heard: Vec<(String, ApplicationMessage)>) {
         let mut node = self.node.borrow_mut();
         for (from, heard) in heard {
             match heard {
-                Heard::Hint(bytes) => {
+                ApplicationMessage::Piggyback(bytes) => {
                     if let Some(gossip) = GossipPayload::decode(&bytes) {
                         node.handle_gossip(now, &gossip);
                     }
                 }
-                Heard::Said(bytes) => match Envelope::decode(&bytes) {
+                ApplicationMessage::Direct(bytes) => match Envelope::decode(&bytes) {
                     Some(Envelope::Register(bytes)) => {
                         if let Some(message) = Message::decode(&bytes) {
                             node.handle_message(now, &from, &message);
@@ -132,7 +132,7 @@
                             content_length: chunk.as_ref().map(|c| c.content_length as u32),
                             bytes: chunk.map_or(Vec::new(), |c| c.bytes),
                         };
-                        fleet.tell(&from, reply.encode());
+                        fleet.send_application_message(&from, reply.encode());
                     }
                     Some(Envelope::Chunk {
                         digest,
@@ -162,22 +162,22 @@
             let there = fleet
                 .members()
                 .iter()
-                .filter(|(_, m)| m.record.state.takes_part());
+                .filter(|(_, m)| m.record.state.is_active());
             let others: Vec<&str> = there
                 .map(|(name, _)| name)
-                .filter(|name| *name != fleet.name())
+                .filter(|name| *name != fleet.local_name())
                 .collect();
             if let Some(request) = node.next_chunk_request(now, &others) {
                 let envelope = Envelope::ChunkRequest {
                     digest: request.digest,
                     offset: request.offset as u32,
                 };
-                fleet.tell(&request.recipient, envelope.encode());
+                fleet.send_application_message(&request.recipient, envelope.encode());
             }
         }
         for outgoing in node.take_outgoing() {
             let envelope = Envelope::register(&outgoing.message);
-            fleet.tell(&outgoing.recipient, envelope.encode());
+            fleet.send_application_message(&outgoing.recipient, envelope.encode());
         }
         if let Some(VersionWithContent { version, content }) = node
             .version_to_activate()
@@ -194,9 +194,9 @@
             spread |= matches!(event, Event::Learned { .. });
             log(&format!("versions: {}", line(&event)));
         }
-        fleet.set_hint(node.gossip().encode());
+        fleet.set_piggyback(node.gossip().encode());
         if spread {
-            fleet.spread_hint(now);
+            fleet.gossip_piggyback(now);
         }
         let may = node.permission(now);
         drop(node);
@@ -219,7 +219,7 @@
             Permission::Granted { until } => Some(until),
             _ => None,
         };
-        if hub.core.allow(until) {
+        if hub.core.set_configuration_expiry(until) {
             log(&format!(
                 "versions: {}",
                 if until.is_some() { "serving" } else { why(may) }
@@ -281,7 +281,7 @@
         node.resume(now, role, saved.map_or(0, |saved| saved.minimum_version));
         self.offered.set(node.active_version());
         self.told.set(None);
-        self.hub.borrow_mut().core.allow(None);
+        self.hub.borrow_mut().core.set_configuration_expiry(None);
     }
 
     /// A version was taken as a whole, or can't be.
--- a/crates/node/src/net/places.rs
+++ b/crates/node/src/net/connections.rs
@@ -1,8 +1,8 @@
 //! The fronts' connections, as far as they are kept in memory: who is connected, what is open, what
 //! waits to be written. Places are few, and everything that waits is bounded.
 
-use super::closing::Rest;
-use super::nudge::Nudge;
+use crate::net::graceful_close::Rest;
+use crate::net::notify::Nudge;
 use pipitlever_admission::Micros;
 use pipitlever_core::{Origin, Reference};
 use std::cell::RefCell;
@@ -302,7 +302,7 @@
     pub fn opened(&mut self, origin: Origin, now: Micros, reference: Reference, class: usize) {
         self.heard(origin.connection, now);
         if let Some(c) = self.all.get_mut(&origin.connection) {
-            c.open.insert(origin.number, (reference, class));
+            c.open.insert(origin.request_number, (reference, class));
             c.chosen = false;
         }
     }
@@ -310,7 +310,7 @@
     /// It has its answer: which front that goes to, and its class. Nothing if nobody waits for it.
     pub fn answered(&mut self, origin: Origin, now: Micros) -> Option<(Front, usize)> {
         let connection = self.all.get_mut(&origin.connection)?;
-        let (_, class) = connection.open.remove(&origin.number)?;
+        let (_, class) = connection.open.remove(&origin.request_number)?;
         connection.active = now;
         Some((connection.front, class))
     }
@@ -320,7 +320,7 @@
         let connection = self.all.get_mut(&origin.connection)?;
         connection
             .open
-            .remove(&origin.number)
+            .remove(&origin.request_number)
             .map(|(reference, _)| reference)
     }
 
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,16 +1,16 @@
 //! The fronts: accept connections and carry what is said on them, lines of gateways or uwsgi
 //! packets.
 
-use super::closing::{self, End};
-use super::hub::Shared;
-use super::nudge::Nudge;
-use super::places::{Front, Outbox, Place};
-use super::{ahead, by};
+use crate::net::connections::{Front, Outbox, Place};
+use crate::net::graceful_close::{self, End};
+use crate::net::hub::Shared;
+use crate::net::notify::Nudge;
+use crate::net::{ahead, by};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::jsonrpc::Gateway;
-use pipitlever_wire::uwsgi::Client;
+use pipitlever_wire::jsonrpc::GatewayReader;
+use pipitlever_wire::uwsgi::PacketReader;
 use std::cell::RefCell;
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -107,21 +107,21 @@
         while hub.borrow().places.in_use(id) && !hub.borrow().closing() {
             future::or(wanted.wait(), idle(&hub, id)).await;
         }
-        closing::retire(&hub, id, &stream).await
+        graceful_close::retire(&hub, id, &stream).await
     };
     // The idle one first: it closes what the writer waits for, and knows that the peer has read
     // all.
     let end = future::or(unused, future::or(reading, writing)).await;
     let bound_ms = match end {
-        End::Said => Some(closing::LINGER_MS),
-        End::Idle => Some(closing::LINGER_IDLE_MS),
+        End::Said => Some(graceful_close::LINGER_MS),
+        End::Idle => Some(graceful_close::LINGER_IDLE_MS),
         End::Peer | End::Stuck => None,
     };
     let lingering =
         bound_ms.and_then(|bound_ms| Some((hub.borrow_mut().places.linger(id)?, bound_ms)));
     hub.borrow_mut().disconnected(id);
     if let Some((lingering, bound_ms)) = lingering {
-        closing::linger(&stream, bound_ms).await;
+        graceful_close::linger(&stream, bound_ms).await;
         drop(stream);
         hub.borrow_mut().places.lingered(lingering);
     }
@@ -129,7 +129,7 @@
 
 /// Reads a gateway's lines until it closes.
 async fn read_lines(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = Gateway::default();
+    let mut machine = GatewayReader::default();
     let mut bytes = vec![0; 8192];
     while let Ok(n) = stream.read(&mut bytes).await {
         if n == 0 {
@@ -141,20 +141,20 @@
             machine.feed(&bytes[..n]);
         }
         while !out.closed() {
-            let message = machine.next(
+            let message = machine.next_message(
                 |name| hub.borrow().class(name),
                 |name| hub.borrow().tenant(name),
             );
             let Some(message) = message else { break };
             hub.borrow_mut().gateway(id, message);
-            if machine.broken() {
+            if machine.is_broken() {
                 hub.borrow_mut().places.finish(id);
             }
         }
         if out.closed() {
             future::pending::<()>().await;
         }
-        hub.borrow_mut().stirred(id, machine.unfinished());
+        hub.borrow_mut().stirred(id, machine.has_partial_message());
         // A peer that always has something to say would otherwise never let the others have their
         // turn.
         future::yield_now().await;
@@ -163,7 +163,7 @@
 
 /// Reads one packet, and then only looks out for the client's leaving.
 async fn read_packet(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = Some(Client::new(hub.borrow().uwsgi.most_body));
+    let mut machine = Some(PacketReader::new(hub.borrow().uwsgi.most_body));
     let mut bytes = vec![0; 8192];
     while let Ok(n) = stream.read(&mut bytes).await {
         if n == 0 {
--- a/crates/node/src/net/share.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -2,12 +2,12 @@
 //! what `pipitlever-share` decides, and what comes of it to the pools. Only with `share = true` on
 //! a pool.
 
-use super::hub::Shared;
-use super::pools::{divided, Parts};
-use super::routes::Named;
 use crate::log::log;
+use crate::net::hub::Shared;
+use crate::net::workers::pools::{divided, Parts};
+use crate::net::workers::routes::Named;
 use pipitlever_membership::record::State;
-use pipitlever_membership::Fleet;
+use pipitlever_membership::Membership;
 use pipitlever_subsetting::assignment::{Worker, WorkerShare};
 use pipitlever_subsetting::load_report::LoadReport;
 use pipitlever_subsetting::node::{Member, Node, Pool, Timing};
@@ -58,13 +58,13 @@
         .filter(|(m, _)| divided(m));
     let worker = |(m, label): (
         &pipitlever_load_balancing::pool::Member<SocketAddr>,
-        &super::routes::Label,
+        &crate::net::workers::routes::Label,
     )| Worker {
         name: label.name.clone(),
         zone: label.zone.clone(),
         weight: m.weight,
         tier: m.tier,
-        concurrency_limit: m.most_runs,
+        concurrency_limit: m.max_runs,
     };
     // By its first name: a rename divides nothing anew.
     let name = file.was.first().unwrap_or(&file.name).clone();
@@ -106,13 +106,13 @@
     }
 
     /// Whether the view has changed since it was last looked at.
-    pub fn stale(&self, fleet: &Fleet) -> bool {
+    pub fn stale(&self, fleet: &Membership) -> bool {
         fleet.digest() != self.seen.get().0
     }
 
     /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until`
     /// others may have it.
-    pub fn turn(&self, fleet: &Fleet, now: i64, until: i64) {
+    pub fn turn(&self, fleet: &Membership, now: i64, until: i64) {
         let alone = until <= now;
         // What is not looked at again by then is not known to be right: the process stood still.
         let until = until.min(now + self.hold);
@@ -135,10 +135,10 @@
             node.record_demand(i, hub.pools.wanted(given.pool));
             let pool = hub.pools.pool(given.pool);
             let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
-            let out: Vec<usize> = pool.out().filter_map(at).collect();
+            let out: Vec<usize> = pool.ejected_members().filter_map(at).collect();
             node.set_ejected(i, &out);
             for worker in out {
-                pool.behind(
+                pool.set_probe_deferred(
                     &given.workers[worker].1,
                     node.probe_turn(i, worker) == ProbeTurn::Other,
                 );
@@ -148,7 +148,7 @@
             let given = &self.given.borrow()[position.pool];
             hub.pools
                 .pool(given.pool)
-                .found_well(now, &given.workers[position.worker].1);
+                .hasten_probation(now, &given.workers[position.worker].1);
         }
         node.tick(now);
         for (i, given) in self.given.borrow().iter().enumerate() {
@@ -233,16 +233,16 @@
 }
 
 /// The members, by name. Who has left has no part; who is down has, for a while.
-fn members(fleet: &Fleet) -> Vec<Member> {
+fn members(fleet: &Membership) -> Vec<Member> {
     let there = fleet
         .members()
         .iter()
-        .filter(|(_, m)| !m.fading && m.record.state != State::Left);
+        .filter(|(_, m)| !m.is_tombstone && m.record.state != State::Left);
     let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
         name: name.to_owned(),
         zone: m.record.details.zone.clone(),
         report: load_report(&m.record.details.payload),
-        down_since: (m.record.state == State::Down).then_some(m.since),
+        down_since: (m.record.state == State::Down).then_some(m.state_since),
     };
     there.map(member).collect()
 }
