--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -9,7 +9,7 @@
 use crate::cli::import::Import;
 use crate::cli::store::Task;
 use crate::config::platform::Config;
-use crate::lifecycle::serve::serve;
+use crate::lifecycle::serve;
 use lexopt::prelude::*;
 
 const HELP: &str = "\
--- /dev/null
+++ b/crates/node/src/lifecycle/limits.rs
@@ -0,0 +1,56 @@
+//! How many descriptors and how much memory the front ends may use.
+
+use crate::config::platform::Config;
+use crate::lifecycle::capture;
+use crate::net::hub::Limits;
+use crate::net::{control, ledger, membership};
+
+/// Standard input, output and error.
+const STANDARD_STREAMS: usize = 3;
+/// The reactor's poller, its notifier and its timer.
+const REACTOR: usize = 3;
+/// A socket pair for each kind of signal, and the second end of SIGINT's.
+const SIGNALS: usize = 7;
+/// The processor's connection, and the one that replaces it.
+const PROCESSOR: usize = 2;
+/// The socket for heartbeats to the service registry.
+const REGISTRY: usize = 1;
+/// Two listeners, and the connection that each has just accepted.
+const LISTENERS: usize = 2 * 2;
+/// The hot restart's listener, connection and peer, and its passed sockets.
+const HOT_RESTART: usize = 4;
+/// Files that are read again on SIGHUP.
+const FILES: usize = 2;
+/// Descriptors that are reserved for the node's own needs on every node.
+const RESERVED: usize = STANDARD_STREAMS
+    + REACTOR
+    + SIGNALS
+    + PROCESSOR
+    + REGISTRY
+    + ledger::calls::MOST_CALLS
+    + LISTENERS
+    + HOT_RESTART
+    + FILES;
+
+/// The limits of a process with this configuration.
+pub fn of(config: &Config) -> Limits {
+    let memory = config.memory_mb << 20;
+    let capture_memory = match config.capture {
+        Some(_) => capture::memory(memory),
+        None => 0,
+    };
+    // One descriptor for each waiting connection and one for each that is being answered.
+    let control = match config.control {
+        Some(_) => 2 * control::connections::MOST_CALLERS,
+        None => 0,
+    };
+    let membership = match config.fleet {
+        Some(_) => membership::DESCRIPTORS,
+        None => 0,
+    };
+    Limits {
+        memory: memory - capture_memory,
+        sockets: config.sockets,
+        kept_back: RESERVED + control + membership,
+    }
+}
--- a/crates/node/src/lifecycle/mod.rs
+++ b/crates/node/src/lifecycle/mod.rs
@@ -1,7 +1,14 @@
-//! The lifecycle of one process: start, configuration reload, shutdown.
+//! The lifecycle of one process: startup, event loop, configuration reload, shutdown.
 
 pub mod capture;
+mod limits;
 mod reload;
-pub mod serve;
-pub mod signals;
-pub mod store;
+mod report;
+mod serve;
+mod shutdown;
+mod signals;
+mod sockets;
+mod startup;
+mod store;
+
+pub use serve::serve;
--- a/crates/node/src/lifecycle/signals.rs
+++ b/crates/node/src/lifecycle/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, as something to wait for.
+//! Unix signals as asynchronous events.
 
 use futures_lite::future;
 use pipitlever_reactor::Async;
@@ -7,22 +7,22 @@
 use std::io;
 use std::os::unix::net::UnixStream;
 
-/// What a signal asks for.
+/// A request made by a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To leave (SIGTERM, SIGINT).
-    Leave,
+    /// To shut down (SIGTERM, SIGINT).
+    Shutdown,
     /// To read the configuration again (SIGHUP).
     Reload,
-    /// To print the counters (SIGUSR1).
-    Count,
+    /// To log the counters (SIGUSR1).
+    LogCounters,
 }
 
-/// A socket for each thing that may be asked for: the handler writes a byte to it.
+/// One socket for each request: the signal handler writes a byte to it.
 pub struct Signals([(Signal, Async<UnixStream>); 3]);
 
 impl Signals {
-    /// From now on signals come here and do nothing else.
+    /// Installs the signal handlers.
     pub fn new() -> io::Result<Signals> {
         let open = |signal: Signal, numbers: &[i32]| {
             let (ours, handlers) = UnixStream::pair()?;
@@ -32,21 +32,21 @@
             io::Result::Ok((signal, Async::<UnixStream>::new(ours)?))
         };
         Ok(Signals([
-            open(Signal::Leave, &[SIGTERM, SIGINT])?,
+            open(Signal::Shutdown, &[SIGTERM, SIGINT])?,
             open(Signal::Reload, &[SIGHUP])?,
-            open(Signal::Count, &[SIGUSR1])?,
+            open(Signal::LogCounters, &[SIGUSR1])?,
         ]))
     }
 
-    /// Waits until it is told to leave; other signals stay for [`Signals::next`].
-    pub async fn leave(&self) {
+    /// Waits for the request to shut down; other requests stay queued for [`Signals::next`].
+    pub async fn wait_for_shutdown(&self) {
         wait(&self.0[0]).await;
     }
 
-    /// The next one. Several of a kind that came together are one.
+    /// The next request. Several of one kind that arrived together count once.
     pub async fn next(&self) -> Signal {
-        let [leave, reload, count] = &self.0;
-        future::or(wait(leave), future::or(wait(reload), wait(count))).await
+        let [shutdown, reload, counters] = &self.0;
+        future::or(wait(shutdown), future::or(wait(reload), wait(counters))).await
     }
 }
 
--- /dev/null
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -0,0 +1,132 @@
+//! The sockets that a process needs before it serves: passed on by the process that it replaces, or
+//! bound.
+
+use crate::config::platform::Config;
+use crate::net::connections::Front;
+use crate::net::hot_restart::{self, Met};
+use crate::net::{ahead, membership};
+use pipitlever_reactor::{Async, Timer};
+use std::io::ErrorKind;
+use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
+use std::time::Instant;
+
+/// How long to wait for an address that is in use, in milliseconds: a process that drains listens
+/// until its grace period is over.
+const ADDRESS_TIMEOUT_MS: u64 = 5000;
+/// Time between two attempts to bind an address, in milliseconds.
+const BIND_RETRY_MS: u64 = 25;
+
+/// The listening socket of one front end.
+pub type FrontListener = (Front, SocketAddr, Async<TcpListener>);
+
+/// The sockets of a process, and its connection to the one that it replaces.
+pub struct OpenedSockets {
+    /// The process that this one replaces, if there is one.
+    pub predecessor: Option<Met>,
+    /// The front ends' listeners; the gateways' is the first one.
+    pub fronts: Vec<FrontListener>,
+    /// The sockets of the membership protocol, if this node is in a fleet.
+    pub membership: Option<membership::Sockets>,
+    /// The control endpoint's address and listener, if it is configured.
+    pub control: Option<(SocketAddr, Async<TcpListener>)>,
+}
+
+impl OpenedSockets {
+    /// Connects to the process at the meeting place, if there is one, and binds the sockets that it
+    /// does not pass on.
+    pub async fn open(
+        config: &Config,
+        meeting_place: Option<&Path>,
+    ) -> Result<OpenedSockets, String> {
+        let mut predecessor = match meeting_place {
+            Some(place) if config.listen.port() != 0 => {
+                hot_restart::meet(place, &config.name, config.listen).await?
+            }
+            _ => None,
+        };
+        let (passed_fronts, passed_membership) = match &mut predecessor {
+            Some(predecessor) => (
+                std::mem::take(&mut predecessor.sockets),
+                predecessor.fleet.take(),
+            ),
+            None => (Vec::new(), None),
+        };
+        let fronts = open_fronts(config, passed_fronts).await?;
+        let membership = open_membership(config, passed_membership).await?;
+        Ok(OpenedSockets {
+            predecessor,
+            fronts,
+            membership,
+            control: bind_control(config)?,
+        })
+    }
+}
+
+/// The configured front ends' listeners, passed on or bound.
+async fn open_fronts(
+    config: &Config,
+    mut passed: Vec<FrontListener>,
+) -> Result<Vec<FrontListener>, String> {
+    let mut wanted = vec![(Front::Gateway, config.listen)];
+    wanted.extend(config.tuning.uwsgi.listen.map(|at| (Front::Uwsgi, at)));
+    let mut listeners = Vec::new();
+    for (front, address) in wanted {
+        let is_wanted = |(f, a, _): &FrontListener| (*f, *a) == (front, address);
+        if let Some(position) = passed.iter().position(is_wanted) {
+            listeners.push(passed.swap_remove(position));
+            continue;
+        }
+        let bound = bind_when_free(|| Async::<TcpListener>::bind(address)).await;
+        let listener = bound.map_err(|e| format!("cannot listen on {address}: {e}"))?;
+        listeners.push((front, local_address(&listener)?, listener));
+    }
+    Ok(listeners)
+}
+
+/// The membership sockets, passed on or bound. Passed ones of another address are of no use.
+async fn open_membership(
+    config: &Config,
+    passed: Option<membership::Sockets>,
+) -> Result<Option<membership::Sockets>, String> {
+    let Some(settings) = &config.fleet else {
+        return Ok(None);
+    };
+    let address = settings.bind;
+    let is_usable =
+        |sockets: &membership::Sockets| address.port() == 0 || sockets.at() == Some(address);
+    if let Some(sockets) = passed.filter(is_usable) {
+        return Ok(Some(sockets));
+    }
+    let bound = bind_when_free(|| membership::Sockets::bind(address)).await;
+    let sockets = bound.map_err(|e| format!("fleet: cannot listen on {address}: {e}"))?;
+    Ok(Some(sockets))
+}
+
+/// The control endpoint's listener, if it is configured.
+fn bind_control(config: &Config) -> Result<Option<(SocketAddr, Async<TcpListener>)>, String> {
+    let Some(address) = config.control else {
+        return Ok(None);
+    };
+    let bound = Async::<TcpListener>::bind(address);
+    let listener = bound.map_err(|e| format!("cannot listen on {address}: {e}"))?;
+    Ok(Some((local_address(&listener)?, listener)))
+}
+
+fn local_address(listener: &Async<TcpListener>) -> Result<SocketAddr, String> {
+    let address = listener.get_ref().local_addr();
+    address.map_err(|e| format!("listening socket: {e}"))
+}
+
+/// Binds an address, waiting for a process that shuts down to release it.
+async fn bind_when_free<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
+    let timeout = ahead(ADDRESS_TIMEOUT_MS);
+    loop {
+        match bind() {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {
+                Timer::at(ahead(BIND_RETRY_MS)).await;
+            }
+            result => return result,
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/lifecycle/startup.rs
@@ -0,0 +1,245 @@
+//! Starts the subsystems of a node in the order in which they depend on each other.
+
+use crate::config::platform::Config;
+use crate::lifecycle::capture::Capturing;
+use crate::lifecycle::sockets::{FrontListener, OpenedSockets};
+use crate::lifecycle::{limits, store};
+use crate::log::log;
+use crate::net::config_versions::Act;
+use crate::net::front::Fronts;
+use crate::net::hot_restart::{self, Met, Offer, Trouble};
+use crate::net::hub::{Hub, Shared};
+use crate::net::{control, ledger, membership, processor, registry, timers, workers};
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use pipitlever_config_versions::minimum_version::StoredVersion;
+use pipitlever_idempotency_store::record::Salt;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Share of the processor's memory that a process may use until it knows what the process that it
+/// replaces needs.
+const INITIAL_MEMORY_SHARE: f64 = 0.5;
+
+/// The running subsystems of a node, as its event loop and its shutdown need them.
+pub struct Services {
+    /// State that all drivers share.
+    pub hub: Shared,
+    /// The front ends.
+    pub fronts: Rc<Fronts>,
+    /// The offer to be replaced by another process, if there is a place to meet it.
+    pub offer: Option<Rc<Offer>>,
+    /// The capture.
+    pub capturing: Capturing,
+    /// A failure of the hot restart, which ends this process.
+    pub failure: Trouble,
+    /// Decided config versions to apply.
+    pub versions: Receiver<Act>,
+    /// Time from the shutdown signal until the process is killed, in milliseconds.
+    pub stop_ms: u64,
+}
+
+/// Starts all subsystems. Front ends accept at once, or as soon as the process that this one
+/// replaces has handed over.
+pub fn start(
+    executor: Rc<LocalExecutor<'static>>,
+    config: Config,
+    stored_version: Option<StoredVersion>,
+    sockets: OpenedSockets,
+    store: Option<store::Opened>,
+) -> Result<Services, String> {
+    let OpenedSockets {
+        predecessor,
+        fronts: listeners,
+        membership: membership_sockets,
+        control: control_listener,
+    } = sockets;
+    let mut capturing = Capturing::new(&config.name, config.seed, config.memory_mb << 20);
+    let hub = create_hub(&config, predecessor.as_ref())?;
+    if let Some(store) = store {
+        let max_result = hub.borrow().core.max_result_bytes();
+        store.begin(&executor, &hub, max_result)?;
+    }
+    // Before the controller's first step, so that the capture begins with it.
+    capturing.set(&hub, config.capture.clone());
+    start_drivers(&executor, &hub, &config);
+    let meeting_place = meeting_place(&config, listeners[0].1);
+    log_listeners(&config.name, &listeners);
+    let fronts = Fronts::new(executor.clone(), hub.clone(), listeners);
+    let offer = meeting_place.map(|place| {
+        let name = config.name.clone();
+        Offer::new(executor.clone(), hub.clone(), fronts.clone(), name, place)
+    });
+    let (version_sender, versions) = async_channel::unbounded();
+    if config.fleet.as_ref().is_some_and(|f| f.versions.is_some()) {
+        // Nothing is served until a quorum has confirmed that the stored version is not outdated.
+        hub.borrow_mut().core.set_configuration_expiry(None);
+    }
+    let (name, stop_ms) = (config.name.clone(), config.stop_ms);
+    let join = JoinFleet {
+        executor: executor.clone(),
+        hub: hub.clone(),
+        name: config.name,
+        settings: config.fleet.zip(membership_sockets),
+        stored_version,
+        versions: version_sender,
+    };
+    let failure = Trouble::default();
+    begin_serving(
+        &executor,
+        &hub,
+        predecessor,
+        &failure,
+        &fronts,
+        offer.as_ref(),
+        join,
+    );
+    if let Some((address, listener)) = control_listener {
+        let endpoint = control::listen(executor.clone(), hub.clone(), listener);
+        executor.spawn(endpoint).detach();
+        log(&format!(
+            "serving: name={name} protocol=control address={address}"
+        ));
+    }
+    Ok(Services {
+        hub,
+        fronts,
+        offer,
+        capturing,
+        failure,
+        versions,
+        stop_ms,
+    })
+}
+
+/// The shared state. With a predecessor, both processes use half of the limits.
+fn create_hub(config: &Config, predecessor: Option<&Met>) -> Result<Shared, String> {
+    let limits = limits::of(config);
+    let salt = match predecessor {
+        Some(predecessor) => predecessor.salt,
+        None => Salt::random().map_err(|e| format!("random numbers: {e}"))?,
+    };
+    let mut hub = Hub::new(
+        config.tuning.clone(),
+        config.seed,
+        salt,
+        limits.bounds(false),
+    );
+    hub.bound(limits);
+    if predecessor.is_some() {
+        hub.share(Some(INITIAL_MEMORY_SHARE));
+    }
+    Ok(Rc::new(RefCell::new(hub)))
+}
+
+/// Starts the drivers of the processor, the ledger, the registry and the workers.
+fn start_drivers(executor: &Rc<LocalExecutor<'static>>, hub: &Shared, config: &Config) {
+    hub.borrow_mut().moved(config.parties.clone());
+    executor.spawn(timers(hub.clone())).detach();
+    if config.parties.processor.is_some() {
+        executor.spawn(processor::link(hub.clone())).detach();
+    } else {
+        // All work goes to workers, and the node is up at once.
+        let mut hub = hub.borrow_mut();
+        hub.tell(|core, now| core.start_without_processor(now));
+    }
+    let ledger = ledger::calls(executor.clone(), hub.clone());
+    executor.spawn(ledger).detach();
+    let heartbeats = registry::reports(hub.clone(), config.name.clone());
+    executor.spawn(heartbeats).detach();
+    let workers = workers::runs(executor.clone(), hub.clone());
+    executor.spawn(workers).detach();
+}
+
+/// Where another process of this node finds this one; none with a store, which only one process can
+/// use. `address` is the gateways' address, which the system may have picked.
+fn meeting_place(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
+    if config.store.is_some() {
+        return None;
+    }
+    hot_restart::place(address)
+}
+
+fn log_listeners(name: &str, listeners: &[FrontListener]) {
+    for (front, address, _) in listeners {
+        let protocol = front.word();
+        log(&format!(
+            "serving: name={name} protocol={protocol} listen={address}"
+        ));
+    }
+}
+
+/// What it takes to join the fleet. A process joins once it serves: until then the process that it
+/// replaces is the member.
+struct JoinFleet {
+    executor: Rc<LocalExecutor<'static>>,
+    hub: Shared,
+    name: String,
+    settings: Option<(membership::Settings, membership::Sockets)>,
+    stored_version: Option<StoredVersion>,
+    versions: Sender<Act>,
+}
+
+impl JoinFleet {
+    /// Joins, as the member that the predecessor was if it passed its state on.
+    fn join(self, passed: Option<Vec<u8>>) {
+        let Some((settings, sockets)) = self.settings else {
+            return;
+        };
+        let versioned = membership::Versioned {
+            saved: self.stored_version,
+            acts: Some(self.versions),
+        };
+        let started = membership::Part::begin(
+            self.executor,
+            self.hub.clone(),
+            &self.name,
+            settings,
+            sockets,
+            passed,
+            versioned,
+        );
+        match started {
+            Ok(part) => self.hub.borrow_mut().callers.fleet = Some(part),
+            // Requests are served without the fleet, too.
+            Err(why) => log(&format!("fleet: off: {why}")),
+        }
+    }
+}
+
+/// Begins to accept, at once or when the predecessor has handed over.
+fn begin_serving(
+    executor: &Rc<LocalExecutor<'static>>,
+    hub: &Shared,
+    predecessor: Option<Met>,
+    failure: &Trouble,
+    fronts: &Rc<Fronts>,
+    offer: Option<&Rc<Offer>>,
+    join: JoinFleet,
+) {
+    let (fronts, offer) = (fronts.clone(), offer.cloned());
+    // Serving may begin anew after a predecessor's end; the fleet is joined once.
+    let join = RefCell::new(Some(join));
+    let serve = move |passed: Option<Vec<u8>>| {
+        // The meeting place first: a predecessor that has handed over cannot be found there.
+        if let Some(offer) = &offer {
+            offer.open();
+        }
+        fronts.open();
+        if let Some(join) = join.take() {
+            join.join(passed);
+        }
+    };
+    let Some(predecessor) = predecessor else {
+        serve(None);
+        return;
+    };
+    let (hub, failure) = (hub.clone(), failure.clone());
+    let take_over = async move {
+        if let Err(what) = predecessor.take_over(&hub, serve).await {
+            failure.found(what);
+        }
+    };
+    executor.spawn(take_over).detach();
+}
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -1,11 +1,12 @@
 //! Opens the store at the start, and has the core take over what it holds.
 
 use crate::config::operator::{OnDamage, Store};
+use crate::config::platform::Config;
 use crate::log::log;
 use crate::net::hub::Shared;
 use crate::net::idempotency_store;
 use async_executor::LocalExecutor;
-use pipitlever_admission::Micros;
+use pipitlever_admission::{Class, Micros};
 use pipitlever_core::RunStore;
 use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig};
 use pipitlever_idempotency_store::disk::{StoreDirectory, WriterThread};
@@ -22,9 +23,21 @@
     window: Micros,
 }
 
+/// Opens the store that a configuration names, if it names one.
+pub fn open_configured(config: &Config) -> Result<Option<Opened>, String> {
+    let Some(settings) = config.store.clone() else {
+        return Ok(None);
+    };
+    let classes = &config.tuning.settings.classes;
+    let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
+    // A retry that arrived within its window may be read as late as its caller waits.
+    let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
+    open(settings, window).map(Some)
+}
+
 /// Opens it, for a node whose longest window is this, with the time in which its repeats are read.
 /// What it finds is told.
-pub fn open(settings: Store, window: Micros) -> Result<Opened, String> {
+fn open(settings: Store, window: Micros) -> Result<Opened, String> {
     let place = settings.folder.display().to_string();
     let start = Instant::now();
     let disk =
