--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -277,7 +277,7 @@
     let config = json!({"listen": place.listen, "processor": nobody().to_string()});
     let (code, log) = Node::fails(config, &[("TMPDIR", place.folder.0.to_str().unwrap())]);
     assert!(
-        code == Some(1) && log.contains("it speaks version 9, this is 3"),
+        code == Some(1) && log.contains("the peer speaks version 9, this process version 3"),
         "{code:?} {log}"
     );
 }
