--- /dev/null
+++ b/crates/simulator-adapter/src/instance.rs
@@ -0,0 +1,141 @@
+//! A simulated server: its present instance, and the work of the present batch.
+
+use crate::error::AdapterError;
+use crate::input::{Item, ItemKind};
+use crate::names::{RequestNumbers, SettingsNames};
+use crate::output::Step;
+use pipitlever_admission::{Action, Controller, Event, Micros, RequestId};
+use std::any::Any;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+
+/// A process of a server: its controller and the simulator's names.
+struct Instance {
+    controller: Controller,
+    names: SettingsNames,
+    numbers: RequestNumbers,
+}
+
+/// A server, which consecutive instances run.
+#[derive(Default)]
+pub struct Server {
+    name: String,
+    /// The running instance; none after its process ended.
+    instance: Option<Instance>,
+    /// The events of the present batch.
+    events: Vec<Event>,
+    /// The actions of the present batch.
+    actions: Vec<Action>,
+    /// The message of a panic in the present batch.
+    panic_message: Option<String>,
+    /// The position among the servers of the present batch.
+    pub batch_position: Option<usize>,
+    /// Requests that ended in the present batch. Their names are needed until the reply is written.
+    ended: Vec<RequestId>,
+}
+
+impl Server {
+    /// A server without an instance.
+    pub fn new(name: &str) -> Server {
+        Server {
+            name: name.to_owned(),
+            ..Server::default()
+        }
+    }
+
+    /// Prepares for the next batch.
+    pub fn clear_batch(&mut self) {
+        if let Some(instance) = &mut self.instance {
+            for id in self.ended.drain(..) {
+                instance.numbers.release(id);
+            }
+        }
+        self.events.clear();
+        self.actions.clear();
+        self.panic_message = None;
+        self.batch_position = None;
+    }
+
+    /// Starts an instance. Events of an earlier one in the same batch are dropped.
+    pub fn start(&mut self, item: Item) -> Result<(), AdapterError> {
+        let missing = |field| AdapterError::MissingField {
+            kind: ItemKind::NewInstance,
+            field,
+        };
+        let settings = item.settings.ok_or_else(|| missing("config"))?;
+        let seed = item.seed.ok_or_else(|| missing("prng"))?;
+        self.events.clear();
+        self.instance = Some(Instance {
+            controller: Controller::new(settings.controller_settings()?, seed),
+            names: SettingsNames::new(&settings),
+            numbers: RequestNumbers::default(),
+        });
+        Ok(())
+    }
+
+    /// Ends the instance and drops its events.
+    pub fn stop(&mut self) -> Result<(), AdapterError> {
+        if self.instance.take().is_none() {
+            return Err(AdapterError::UnknownInstance(self.name.clone()));
+        }
+        self.events.clear();
+        Ok(())
+    }
+
+    /// Adds an event to the present batch.
+    pub fn add_event(&mut self, item: Item) -> Result<(), AdapterError> {
+        let Some(instance) = &mut self.instance else {
+            return Err(AdapterError::UnknownInstance(self.name.clone()));
+        };
+        let event = item.into_event(&instance.names, &mut instance.numbers)?;
+        self.events.push(event);
+        Ok(())
+    }
+
+    /// Passes the events of the batch to the controller. A panic is caught and reported.
+    pub fn step(&mut self, now: Micros) {
+        let Some(instance) = &mut self.instance else {
+            return;
+        };
+        let controller = &mut instance.controller;
+        let (events, actions) = (&self.events, &mut self.actions);
+        let result = catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions)));
+        if let Err(payload) = result {
+            self.panic_message = Some(panic_message(payload.as_ref()));
+            return;
+        }
+        let in_events = self.events.iter().filter_map(Event::request);
+        let in_actions = self.actions.iter().filter_map(Action::request);
+        let ended = in_events
+            .chain(in_actions)
+            .filter(|&id| !controller.is_tracked(id));
+        self.ended.extend(ended);
+    }
+
+    /// The output of the batch: the actions, or the report of a panic.
+    pub fn output(&self) -> impl Iterator<Item = Step<'_>> {
+        let panic = self
+            .panic_message
+            .iter()
+            .map(|message| Step::panic(&self.name, message));
+        let instance = self
+            .instance
+            .iter()
+            .filter(|_| self.panic_message.is_none());
+        let actions = instance.flat_map(|instance| {
+            let step = |action| Step::action(&self.name, action, &instance.numbers);
+            self.actions.iter().map(step)
+        });
+        panic.chain(actions)
+    }
+}
+
+fn panic_message(payload: &(dyn Any + Send)) -> String {
+    let text = payload
+        .downcast_ref::<&str>()
+        .map(|text| (*text).to_owned());
+    payload
+        .downcast_ref::<String>()
+        .cloned()
+        .or(text)
+        .unwrap_or_else(|| "panic".into())
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/names.rs
@@ -0,0 +1,74 @@
+//! The simulator's names of classes, tenants and requests, and the numbers that the controller uses
+//! for them.
+
+use pipitlever_admission::RequestId;
+use pipitlever_settings::PlatformSettings;
+use std::collections::HashMap;
+
+/// The positions of classes and tenants by name.
+pub struct SettingsNames {
+    /// The classes.
+    pub classes: HashMap<String, usize>,
+    /// The tenants.
+    pub tenants: HashMap<String, usize>,
+    /// Whether requests carry the time that their caller still waits.
+    pub passes_deadline: bool,
+}
+
+impl SettingsNames {
+    /// The names that these settings define.
+    pub fn new(settings: &PlatformSettings) -> SettingsNames {
+        SettingsNames {
+            classes: positions(settings.class_names()),
+            tenants: positions(settings.tenant_names()),
+            passes_deadline: settings.passes_deadline(),
+        }
+    }
+}
+
+fn positions(names: Vec<String>) -> HashMap<String, usize> {
+    let indexed = names.into_iter().enumerate();
+    indexed.map(|(index, name)| (name, index)).collect()
+}
+
+/// The numbers of the requests that the controller still tracks.
+#[derive(Default)]
+pub struct RequestNumbers {
+    ids_by_name: HashMap<String, RequestId>,
+    names_by_id: HashMap<RequestId, String>,
+    last_id: RequestId,
+}
+
+impl RequestNumbers {
+    /// Assigns a number to a request that was just read.
+    pub fn assign(&mut self, name: &str) -> RequestId {
+        let id = self.unused();
+        self.ids_by_name.insert(name.to_owned(), id);
+        self.names_by_id.insert(id, name.to_owned());
+        id
+    }
+
+    /// The number of a request that was read before. A request that ended and was released gets a
+    /// new number, which the controller does not track.
+    pub fn find(&mut self, name: &str) -> RequestId {
+        let known = self.ids_by_name.get(name).copied();
+        known.unwrap_or_else(|| self.unused())
+    }
+
+    /// The name of a request; empty after it was released.
+    pub fn name(&self, id: RequestId) -> &str {
+        self.names_by_id.get(&id).map_or("", String::as_str)
+    }
+
+    /// Releases the number of a request that has ended.
+    pub fn release(&mut self, id: RequestId) {
+        if let Some(name) = self.names_by_id.remove(&id) {
+            self.ids_by_name.remove(&name);
+        }
+    }
+
+    fn unused(&mut self) -> RequestId {
+        self.last_id += 1;
+        self.last_id
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/output.rs
@@ -0,0 +1,170 @@
+//! The simulator's output: the actions of all instances of a batch.
+
+use crate::names::RequestNumbers;
+use pipitlever_admission::{Action, Micros};
+use serde::Serialize;
+
+/// A line of output.
+#[derive(Serialize)]
+pub struct Reply<'a> {
+    /// The actions, in the order in which they have to be carried out.
+    pub steps: Vec<Step<'a>>,
+}
+
+/// An action of an instance.
+#[derive(Serialize)]
+pub struct Step<'a> {
+    #[serde(rename = "who")]
+    instance: &'a str,
+    #[serde(flatten)]
+    command: Command<'a>,
+}
+
+/// An action under the simulator's name.
+#[derive(Serialize)]
+#[serde(
+    tag = "type",
+    rename_all = "camelCase",
+    rename_all_fields = "camelCase"
+)]
+enum Command<'a> {
+    #[serde(rename = "start")]
+    Run {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "echo")]
+    ReuseOutcome {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "busy")]
+    Reject {
+        #[serde(rename = "opId")]
+        request: &'a str,
+        #[serde(rename = "backoff")]
+        retry_after: Micros,
+        #[serde(rename = "dontRetry")]
+        no_retry: bool,
+    },
+    #[serde(rename = "surrender")]
+    Fail {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "pin")]
+    RetainKey {
+        #[serde(rename = "opId")]
+        request: &'a str,
+        lifetime: Micros,
+    },
+    #[serde(rename = "dropKey")]
+    ReleaseKey {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "invoke")]
+    PlaceCall {
+        #[serde(rename = "opId")]
+        request: &'a str,
+        #[serde(rename = "within")]
+        timeout: Micros,
+    },
+    #[serde(rename = "skip")]
+    SkipCall {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "interrupt")]
+    Cancel {
+        #[serde(rename = "opId")]
+        request: &'a str,
+    },
+    #[serde(rename = "say")]
+    Backpressure {
+        #[serde(rename = "amount")]
+        level: f64,
+    },
+    #[serde(rename = "readiness")]
+    Health {
+        #[serde(rename = "enable")]
+        is_healthy: bool,
+        #[serde(rename = "cached")]
+        is_cached: bool,
+    },
+    #[serde(rename = "idle")]
+    CloseIdle {
+        #[serde(rename = "lifetime")]
+        timeout: Micros,
+    },
+    #[serde(rename = "defer")]
+    Timer {
+        from_now: Micros,
+        #[serde(rename = "ref")]
+        tag: u64,
+    },
+    #[serde(rename = "panic")]
+    Panic {
+        #[serde(rename = "words")]
+        message: &'a str,
+    },
+}
+
+impl<'a> Step<'a> {
+    /// An action of an instance.
+    pub fn action(instance: &'a str, action: &Action, numbers: &'a RequestNumbers) -> Self {
+        let command = match *action {
+            Action::Run(id) => Command::Run {
+                request: numbers.name(id),
+            },
+            Action::ReuseOutcome(id) => Command::ReuseOutcome {
+                request: numbers.name(id),
+            },
+            Action::Reject {
+                id,
+                retry_after,
+                no_retry,
+            } => Command::Reject {
+                request: numbers.name(id),
+                retry_after,
+                no_retry,
+            },
+            Action::Fail(id) => Command::Fail {
+                request: numbers.name(id),
+            },
+            Action::RetainKey(id, lifetime) => Command::RetainKey {
+                request: numbers.name(id),
+                lifetime,
+            },
+            Action::ReleaseKey(id) => Command::ReleaseKey {
+                request: numbers.name(id),
+            },
+            Action::PlaceCall(id, timeout) => Command::PlaceCall {
+                request: numbers.name(id),
+                timeout,
+            },
+            Action::SkipCall(id) => Command::SkipCall {
+                request: numbers.name(id),
+            },
+            Action::Cancel(id) => Command::Cancel {
+                request: numbers.name(id),
+            },
+            Action::Backpressure(level) => Command::Backpressure { level },
+            Action::Health(is_healthy) => Command::Health {
+                is_healthy,
+                is_cached: true,
+            },
+            Action::CloseIdle(timeout) => Command::CloseIdle { timeout },
+            Action::Timer(from_now, tag) => Command::Timer { from_now, tag },
+        };
+        Step { instance, command }
+    }
+
+    /// The report that the controller of an instance panicked.
+    pub fn panic(instance: &'a str, message: &'a str) -> Self {
+        Step {
+            instance,
+            command: Command::Panic { message },
+        }
+    }
+}
