--- a/crates/config-versions/tests/nodes.rs
+++ b/crates/config-versions/tests/nodes.rs
@@ -56,11 +56,11 @@
     );
     fleet.run_until_active(&[1, 2, 4, 5], 1);
     fleet.run(15 * SECOND);
-    assert!(
-        matches!(&fleet.outcomes(0)[..], [Outcome::Undecided { accepted_by }] if accepted_by.len() <= 1),
-        "{:?}",
-        fleet.outcomes(0)
-    );
+    let outcomes = fleet.outcomes(0);
+    let [Outcome::Undecided { accepted_by }] = &outcomes[..] else {
+        panic!("{outcomes:?}");
+    };
+    assert!(accepted_by.len() <= 1, "{accepted_by:?}");
     assert_eq!(fleet.active_versions()[3], Some(0));
     fleet.partition.fill(false);
     fleet.run_until_active(&[0, 1, 2, 3, 4, 5], 1);
--- a/crates/subsetting/examples/compare.rs
+++ b/crates/subsetting/examples/compare.rs
@@ -1,5 +1,5 @@
-//! Compares ways to choose each node's workers, at four sizes: balance, pairs moved when a node or a
-//! worker joins, fairness under loads that differ by ten times, and cost. `cargo run --release -p
+//! Compares ways to choose each node's workers, at four sizes: balance, pairs moved when a node or
+//! a worker joins, fairness under loads that differ by ten times, and cost. `cargo run --release -p
 //! pipitlever-subsetting --example compare`
 
 use pipitlever_subsetting::assignment::{assign_tier, Peer, TierAssignment, Worker};
@@ -190,7 +190,8 @@
     let borne = load_per_worker(&loads, &weights, &subsets);
     let fairness = jain_fairness(&borne, &vec![1.0; workers]);
     println!(
-        "{nodes}/{workers}/{subset_size:<4} {:>12}  {min:.2}..{max:.2}  {moved_by_node:>6} {moved_by_worker:>6}  {fairness:.4}  {milliseconds:.1}",
+        "{nodes}/{workers}/{subset_size:<4} {:>12}  {min:.2}..{max:.2}  {moved_by_node:>6} \
+         {moved_by_worker:>6}  {fairness:.4}  {milliseconds:.1}",
         algorithm.name,
     );
 }
@@ -215,15 +216,18 @@
         }
         previous = Some(assignment.subsets);
     }
-    println!("10 to 300 nodes and back, 10 at a time, 100 workers: worst worker {worst:.3} of the mean, Jain {min_fairness:.4} at the least,");
     println!(
-        "{moved} of {pairs} pairs moved, {:.1}%",
+        "10 to 300 nodes and back, 10 at a time, 100 workers: worst worker {worst:.3} of the mean, \
+         minimum Jain index {min_fairness:.4}, {moved} of {pairs} pairs moved, {:.1}%",
         moved as f64 / pairs as f64 * 100.0
     );
 }
 
 fn main() {
-    println!("nodes/workers/d  algorithm  min..max of the mean  pairs moved by a node, by a worker  Jain at 10x  ms");
+    println!(
+        "nodes/workers/subset  algorithm  min..max of the mean  pairs moved by a node, by a worker  \
+         Jain at 10x  ms"
+    );
     for (nodes, workers, subset_size) in SIZES {
         for algorithm in ALGORITHMS {
             compare(algorithm, nodes, workers, subset_size);
--- a/crates/subsetting/mutants.sh
+++ b/crates/subsetting/mutants.sh
@@ -1,26 +1,31 @@
 #!/usr/bin/env bash
-# Breaks one rule of dividing pools at a time, as crates/membership/mutants.sh does. usage: crates/subsetting/mutants.sh [WORDS]
+# Breaks one rule of subsetting at a time, as crates/membership/mutants.sh does. usage: crates/subsetting/mutants.sh [WORDS]
 source "$(dirname "$0")/../cluster-testing/mutants.sh"
 unit='-p pipitlever-subsetting --lib'
-model='-p pipitlever-subsetting --test model'
+load='-p pipitlever-subsetting --test load'
+model='-p pipitlever-subsetting --test share_lease_model'
+node='-p pipitlever-subsetting --test node'
+subset='-p pipitlever-subsetting --test subset'
+fitting='-p pipitlever-subsetting --test proportional_fitting'
+turns='-p pipitlever-subsetting --test probe_turn'
 processes='-p pipitlever-node --test share'
 src=crates/subsetting/src
-mutant 'more holds at once' $src/grant.rs 'if self.held.len() == 1 {' 'if true {' $model
-mutant 'who was there before is forgotten' $src/grant.rs 'for (levels, _) in &self.held {' 'for (levels, _) in self.held.iter().rev().take(1) {' $unit
-mutant 'its own load counts as it is now' $src/grant.rs 'f64::MAX, f64::min' '0.0, f64::max' $model
-mutant 'less holds later' $src/grant.rs 'while self.held.back().is_some_and(|(more, _)| *more >= part) {' 'while false {' $unit
-mutant 'a newcomer takes its part at once' $src/grant.rs 'levels.get(me).map_or(0.0' 'levels.get(me).map_or(f64::MAX' $unit
-mutant 'what a dead node had is given away' $src/node.rs 'm.down.is_none_or(|since| since > gone)' 'm.down.is_none()' $unit
-mutant 'one that is cut off keeps all' $src/node.rs '() if alone => 1,' '() if false => 1,' $unit
-mutant 'nodes have no room' $src/subset.rs 'room[j] > 0 && places[i] > 0' 'places[i] > 0' $unit
-mutant 'workers have no room' $src/subset.rs 'room[j] > 0 && places[i] > 0' 'room[j] > 0' $unit
-mutant 'nobody exchanges' $src/subset.rs 'while *room > 0 && uses' 'while false && uses' $unit
-mutant 'zones are alike' $src/subset.rs 'u64::from(near) << 63' '0' $unit
-mutant 'loads are alike' $src/flow.rs 'load * weights[i] / sum / borne[i]' '1.0' $unit
-mutant 'all have the turn' $src/turn.rs 'Some(name) if name != me => Turn::Behind' 'Some(name) if name != me && false => Turn::Behind' $unit
-mutant 'who died found it well' $src/turn.rs '!now.contains(&name) && here(name)' '!now.contains(&name)' $unit
-mutant 'two things are told at once' $src/node.rs 'let may = now > self.told_at' 'let may = true || now > self.told_at' $unit
-mutant 'a word costs nothing' $src/demand.rs 'self.tokens -= 1.0;' '' $unit
-mutant 'a process that stood still goes on' crates/node/src/net/workers/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
-mutant 'nobody waits for its turn' crates/node/src/net/subsetting.rs 'node.turn(i, worker) == Turn::Behind' 'false' $processes subsets
+mutant 'a larger share takes effect at once' $src/share_lease.rs 'if self.entries.len() == 1 {' 'if true {' $model
+mutant 'nodes that have left are forgotten' $src/share_lease.rs 'for known in &self.entries {' 'for known in self.entries.iter().rev().take(1) {' $unit
+mutant 'the own load counts as it is now' $src/share_lease.rs 'f64::MAX, f64::min' '0.0, f64::max' $model
+mutant 'a smaller share takes effect later' $src/share_lease.rs 'while self.entries.back().is_some_and(|last| last.share >= share) {' 'while false {' $unit
+mutant 'a joining node takes its share at once' $src/share_lease.rs 'known.levels.get(node).map_or(0.0' 'known.levels.get(node).map_or(f64::MAX' $unit
+mutant 'the share of a failed node is given away' $src/node/mod.rs 'is_none_or(|since| since > reserved_since)' 'is_none()' $node
+mutant 'an isolated node keeps its share' $src/node/pool.rs 'let share = if is_isolated {' 'let share = if false {' $node
+mutant 'nodes have no capacity' $src/subset.rs 'missing[peer] > 0 && capacity[worker] > 0' 'capacity[worker] > 0' $subset
+mutant 'workers have no capacity' $src/subset.rs 'missing[peer] > 0 && capacity[worker] > 0' 'missing[peer] > 0' $subset
+mutant 'no worker is exchanged' $src/subset.rs 'while *missing > 0 && matrix' 'while false && matrix' $subset
+mutant 'zones are ignored' $src/subset.rs 'u64::from(is_same_zone) << SAME_ZONE_BIT' '0' $subset
+mutant 'loads are ignored' $src/proportional_fitting.rs 'total_load * weights[i] / total_weight / borne[i]' '1.0' $fitting
+mutant 'all nodes have the turn' $src/probe_turn.rs 'Some(name) if name != own_name => ProbeTurn::Other' 'Some(name) if name != own_name && false => ProbeTurn::Other' $turns
+mutant 'a failed node proves a recovery' $src/probe_turn.rs '!ejected_now.contains(&node) && is_member(node)' '!ejected_now.contains(&node)' $turns
+mutant 'a node reports twice within the propagation time' $src/node/mod.rs 'let may_report = now > self.last_report_at' 'let may_report = true || now > self.last_report_at' $node
+mutant 'a report costs nothing' $src/load.rs 'self.tokens -= 1.0;' '' $load
+mutant 'a process that was stopped goes on' crates/node/src/net/workers/pools.rs 'if now >= entry.parts.until {' 'if false {' -p pipitlever-node --lib pools
+mutant 'no node waits for its turn' crates/node/src/net/subsetting.rs 'node.probe_turn(i, worker) == ProbeTurn::Other' 'false' $processes subsets
 exit "$missed"
--- a/crates/subsetting/src/load.rs
+++ b/crates/subsetting/src/load.rs
@@ -21,9 +21,9 @@
 /// Reports that can be saved up.
 const MAX_SAVED_REPORTS: f64 = 4.0;
 /// The traffic that the reports of all nodes may cause at each node, in bytes per second.
-const MAX_TRAFFIC: f64 = 2_000.0;
+pub const MAX_TRAFFIC: f64 = 2_000.0;
 /// The size of one report on the wire, with the member record around it, in bytes.
-const REPORT_BYTES: f64 = 110.0;
+pub const REPORT_BYTES: f64 = 110.0;
 /// How often each node passes on a report is this times the logarithm of the fleet's size, as in
 /// the membership protocol.
 const RETRANSMISSIONS: f64 = 4.0;
@@ -132,6 +132,3 @@
         is_allowed
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -99,11 +99,11 @@
     pub fn set_pools(&mut self, now: Micros, pools: Vec<Pool>) {
         let mut previous = std::mem::take(&mut self.pools);
         for pool in pools.into_iter().take(MAX_POOLS) {
-            let kept = previous
+            let remaining = previous
                 .iter()
                 .position(|state| state.pool.name == pool.name)
                 .map(|position| previous.swap_remove(position));
-            self.pools.push(PoolState::new(now, pool, kept));
+            self.pools.push(PoolState::new(now, pool, remaining));
         }
         self.ejections.clear_own();
         self.report.ejected.clear();
--- a/crates/subsetting/src/load/tests.rs
+++ b/crates/subsetting/tests/load.rs
@@ -1,4 +1,7 @@
-use super::*;
+//! The measured load, and the limit of its reports.
+
+use pipitlever_subsetting::load::{LoadMeter, ReportLimiter, MAX_TRAFFIC, REPORT_BYTES};
+use pipitlever_subsetting::Micros;
 
 const SECOND: Micros = 1_000_000;
 const TENTH: Micros = SECOND / 10;
