--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -17,7 +17,7 @@
 };
 use pipitlever_config_versions::proposer::Outcome;
 use pipitlever_config_versions::version::Version;
-use pipitlever_membership::{ApplicationMessage, Membership};
+use pipitlever_membership::{ApplicationMessage, Membership, ReceivedMessage};
 use serde::Deserialize;
 use serde_json::{json, value::RawValue, Value};
 use std::cell::{Cell, RefCell};
@@ -109,10 +109,14 @@
     }
 
     /// Takes in what members have said, does what is due, and says what comes of it.
-    pub fn turn(&self, fleet: &mut Membership, now: i64, heard: Vec<(String, ApplicationMessage)>) {
+    pub fn turn(&self, fleet: &mut Membership, now: i64, heard: Vec<ReceivedMessage>) {
         let mut node = self.node.borrow_mut();
-        for (from, heard) in heard {
-            match heard {
+        for ReceivedMessage {
+            sender: from,
+            content,
+        } in heard
+        {
+            match content {
                 ApplicationMessage::Piggyback(bytes) => {
                     if let Some(gossip) = GossipPayload::decode(&bytes) {
                         node.handle_gossip(now, &gossip);
--- a/crates/node/src/net/hub/leaving.rs
+++ b/crates/node/src/net/hub/leaving.rs
@@ -27,7 +27,7 @@
     pub fn superseded(&mut self, left: Micros) {
         (self.draining, self.superseded) = (true, true);
         self.leaving.give();
-        self.tell(|core, now| core.begin_superseded_shutdown(now, left));
+        self.tell(|core, now| core.begin_retirement(now, left));
     }
 
     /// Whether the node goes on in another process after this one.
