--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -89,7 +89,7 @@
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTING) {
         Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
-            log(&format!("versions: {why}: going on as on a new disk"));
+            log(&format!("versions: starting as on a new disk: {why}"));
             None
         }
         saved => saved?,
@@ -101,7 +101,7 @@
         Ok(config) => Ok((config, Some(saved))),
         Err(why) => {
             log(&format!(
-                "versions: the version on the disk can't be acted on: {why}"
+                "versions: could not activate the version on the disk: {why}"
             ));
             Ok((
                 config,
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -89,7 +89,7 @@
         };
         let node = Node::new(name, settings.rules.clone(), stored, seed, now);
         log(&format!(
-            "versions: active_version={} minimum_version={} acceptor={elector}",
+            "versions: started active_version={} minimum_version={} acceptor={elector}",
             node.active_version(),
             node.minimum_version().number()
         ));
@@ -241,8 +241,11 @@
         match done {
             Done::Elector(number, result) => {
                 let written = result.is_ok();
-                let _ = result
-                    .inspect_err(|why| log(&format!("versions: a vote is not on the disk: {why}")));
+                let _ = result.inspect_err(|why| {
+                    log(&format!(
+                        "versions: could not write the acceptor's state: {why}"
+                    ))
+                });
                 self.node.borrow_mut().write_finished(now, number, written);
                 None
             }
@@ -266,7 +269,7 @@
     /// acted on is on the disk. A disk that can't be read is like a new one: its elector is found
     /// out, and a majority says where to go on.
     pub fn resume(&self, now: i64) {
-        let said = |why: String| log(&format!("versions: {why}: going on as on a new disk"));
+        let said = |why: String| log(&format!("versions: starting as on a new disk: {why}"));
         let role = if self.elector {
             Role::Acceptor(
                 disk::load(&self.folder, disk::ELECTOR)
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -85,7 +85,7 @@
         }
         let names: Vec<&str> = pools.iter().map(|p| &p.name[..]).collect();
         log(&format!(
-            "share: pools={} reserve_ms={}",
+            "subsetting: started pools={} reservation_ms={}",
             names.join(","),
             timing.reservation / 1000
         ));
@@ -166,7 +166,7 @@
                 let name = &self.files.borrow()[pool].name;
                 let all = given.workers.len();
                 log(&format!(
-                    "share: pool={name} workers={inside} of {all} runs={runs} part={part:.3}"
+                    "subsetting: assigned pool={name} workers={inside} of={all} runs={runs} load_fraction={part:.3}"
                 ));
             }
         }
