--- a/crates/node/src/net/workers/pools.rs
+++ b/crates/node/src/net/workers/pools.rs
@@ -8,10 +8,10 @@
 use pipitlever_capture::record::digest_bytes as digest;
 use pipitlever_core::Reference;
 use pipitlever_load_balancing::pool::{
-    self, Member, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
+    self, Member, MemberId, Pool, PoolConfig, RunId, RunOutcome, Selection, SelectionRequest,
 };
 use pipitlever_load_balancing::retry_budget::{AttemptEffect, RetryRequest};
-use pipitlever_subsetting::plan::Use;
+use pipitlever_subsetting::assignment::WorkerShare;
 use pipitlever_wire::uwsgi::find_variable;
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     /// The run there.
     pub run: RunId,
     /// The worker's number there.
-    pub member: u32,
+    pub member: MemberId,
     /// The worker.
     pub address: SocketAddr,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Parts {
     /// Of each worker, by name.
-    pub uses: HashMap<String, Use>,
+    pub uses: HashMap<String, WorkerShare>,
     /// Of what goes by load.
     pub part: f64,
     /// From then on others may have it: one run for each worker is left.
@@ -81,7 +81,7 @@
 
 /// The members as this node uses them. Where the pool is divided, those that are not (yet) this
 /// node's are for when nobody else is usable, one run each; tiers are kept apart by that.
-fn members(file: &Named, uses: &HashMap<String, Use>) -> Vec<Member<SocketAddr>> {
+fn members(file: &Named, uses: &HashMap<String, WorkerShare>) -> Vec<Member<SocketAddr>> {
     if file.shared.is_none() {
         return file.members.clone();
     }
@@ -89,14 +89,14 @@
         let tier = m.tier.saturating_mul(2);
         match uses.get(&label.name) {
             _ if !divided(m) => Member { tier, ..m.clone() },
-            Some(Use {
-                inside: true,
+            Some(WorkerShare {
+                in_subset: true,
                 weight,
-                most_runs,
+                concurrency_limit,
             }) => Member {
                 tier,
                 weight: *weight,
-                max_runs: *most_runs,
+                max_runs: *concurrency_limit,
                 ..m.clone()
             },
             _ => Member {
@@ -126,7 +126,10 @@
     /// Others may have what this node had.
     fn lapse(&mut self, now: Micros) {
         self.parts.until = Micros::MAX;
-        self.parts.uses.values_mut().for_each(|u| u.most_runs = 1);
+        self.parts
+            .uses
+            .values_mut()
+            .for_each(|u| u.concurrency_limit = 1);
         self.pool.update(members(&self.file, &self.parts.uses), now);
     }
 
@@ -228,7 +231,7 @@
         now: Micros,
         job: &Job,
         key: Option<u64>,
-        tried: &[(usize, u32)],
+        tried: &[(usize, MemberId)],
     ) -> Option<Put> {
         let mut at = Some(job.pool);
         // The file names no circle of pools; were there one, each has its turn once.
@@ -241,7 +244,7 @@
             if now >= entry.parts.until {
                 entry.lapse(now);
             }
-            let tried: Vec<u32> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
+            let tried: Vec<MemberId> = tried.iter().filter(|t| t.0 == pool).map(|t| t.1).collect();
             let place = entry.pool.select(
                 now,
                 SelectionRequest {
@@ -284,14 +287,14 @@
         now: Micros,
         job: &Job,
         at: SocketAddr,
-        tried: &[(usize, u32)],
+        tried: &[(usize, MemberId)],
     ) -> Option<Put> {
         let entry = &mut self.all[job.pool];
         entry.wanted += u64::from(tried.is_empty());
         if now >= entry.parts.until {
             entry.lapse(now);
         }
-        let numbers: Vec<u32> = tried.iter().map(|t| t.1).collect();
+        let numbers: Vec<MemberId> = tried.iter().map(|t| t.1).collect();
         let place = entry.pool.select_member(
             now,
             SelectionRequest {
@@ -418,10 +421,10 @@
         assert_eq!(places(&mut pools, 0), 1);
         let uses = HashMap::from([(
             "w".to_owned(),
-            Use {
-                inside: true,
+            WorkerShare {
+                in_subset: true,
                 weight: 1.0,
-                most_runs: 4,
+                concurrency_limit: 4,
             },
         )]);
         assert!(pools.divide(
@@ -436,10 +439,10 @@
         assert_eq!(places(&mut pools, 999), 3, "four in all");
         let uses = HashMap::from([(
             "w".to_owned(),
-            Use {
-                inside: true,
+            WorkerShare {
+                in_subset: true,
                 weight: 1.0,
-                most_runs: 8,
+                concurrency_limit: 8,
             },
         )]);
         assert!(pools.divide(
