--- /dev/null
+++ b/crates/node/src/cli/import/tests.rs
@@ -0,0 +1,326 @@
+//! Conversion of single directives; whole files are in tests/import.
+
+use super::*;
+use crate::config::operator::Operator;
+
+fn import(name: &str, text: &str) -> (Vec<String>, Option<u64>, Vec<String>, Vec<String>) {
+    let mut import = Import::default();
+    import.read(name, text);
+    let workers = import
+        .workers
+        .iter()
+        .map(|(_, m)| m.address.to_string())
+        .collect();
+    let paths = import.paths.into_iter().map(|(path, _)| path).collect();
+    (workers, import.deadline_ms, paths, import.notes)
+}
+
+#[test]
+fn mod_jk_files_are_carried_over_as_far_as_they_go() {
+    let text = "# two nodes\nworker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=a,b,c\n\
+                worker.a.type=uwsgi\nworker.a.host=localhost\nworker.a.port = 3032\nworker.a.lbfactor=1\n\
+                worker.a.reply_timeout=4000\nworker.b.port=8009\nworker.b.host=127.0.0.2\n\
+                worker.c.type=uwsgi\nworker.c.host=node.example\nworker.c.port=1\n\
+                worker.lb.sticky_session=1\nworker.maintain=60\nnonsense\n";
+    let (workers, deadline, _, notes) = import("workers.properties", text);
+    assert_eq!(
+        (workers, deadline),
+        (vec!["127.0.0.1:3032".into()], Some(4000))
+    );
+    let expected = [
+        "workers.properties:16: unknown directive: worker.maintain=60",
+        "workers.properties:17: unknown directive: nonsense",
+        "workers.properties:10: worker b at 127.0.0.2:8009: ajp13 is not spoken here",
+        "workers.properties:14: no address of numbers: node.example:1",
+        "workers.properties:15: worker lb: unknown directive: sticky_session=1",
+    ];
+    assert_eq!(notes, expected);
+}
+
+#[test]
+fn balancer_sections_are_carried_over_as_far_as_they_go() {
+    let text = "<Proxy \"balancer://rota\">\n  BalancerMember uwsgi://127.0.0.1:3032/ loadfactor=1 timeout=5\n\
+                \tBalancerMember \"uwsgi://[::1]\" \\\n    route=n2\n  BalancerMember ajp://127.0.0.1:8009\n\
+                ProxySet lbmethod=byrequests\n</Proxy>\nBalancerMember balancer://rota uwsgi://127.0.0.3:9\n\
+                ProxyPass /rota balancer://rota timeout=3\nProxyPass /x http://127.0.0.1/\n# end\n";
+    let (workers, deadline, paths, notes) = import("site.conf", text);
+    assert_eq!(workers, ["127.0.0.1:3032", "[::1]:3031", "127.0.0.3:9"]);
+    assert_eq!((deadline, paths), (Some(3000), vec!["/rota".into()]));
+    let expected = [
+        "site.conf:3: unknown parameter: route=n2",
+        "site.conf:5: ajp://127.0.0.1:8009: ajp is not spoken here",
+        "site.conf:6: unknown directive: ProxySet lbmethod=byrequests",
+        "site.conf:10: unknown directive: ProxyPass /x http://127.0.0.1/",
+    ];
+    assert_eq!(notes, expected);
+}
+
+/// Each line of a balancer, what it becomes, and what is said of it.
+#[test]
+fn members_keep_what_is_said_of_them() {
+    let at = |m: &str| Member::new(m.parse::<SocketAddr>().unwrap());
+    let usual = at("127.0.0.1:1");
+    let cases = [
+        ("", usual.clone(), ""),
+        ("loadfactor=1", usual.clone(), ""),
+        (
+            "loadfactor=2.5 lbset=1 max=8",
+            Member {
+                weight: 2.5,
+                tier: 1,
+                max_runs: 8,
+                ..usual.clone()
+            },
+            "",
+        ),
+        (
+            "status=+H",
+            Member {
+                is_standby: true,
+                ..usual.clone()
+            },
+            "",
+        ),
+        (
+            "status=D",
+            Member {
+                mode: MemberMode::Disabled,
+                ..usual.clone()
+            },
+            "",
+        ),
+        ("status=+D-D", usual.clone(), ""),
+        (
+            "status=+S",
+            Member {
+                mode: MemberMode::Disabled,
+                ..usual.clone()
+            },
+            "",
+        ),
+        (
+            "status=+N+H",
+            Member {
+                mode: MemberMode::Draining,
+                is_standby: true,
+                ..usual.clone()
+            },
+            "",
+        ),
+        ("status=-H", usual.clone(), ""),
+        (
+            "status=+RH",
+            Member {
+                is_standby: true,
+                ..usual.clone()
+            },
+            "status=+RH: not carried over: R",
+        ),
+        (
+            "status=+IE",
+            usual.clone(),
+            "status=+IE: not carried over: IE",
+        ),
+        (
+            "loadfactor=0",
+            usual.clone(),
+            "no weight from 0.01 to 100: 0",
+        ),
+        (
+            "loadfactor=many",
+            usual.clone(),
+            "no weight from 0.01 to 100: many",
+        ),
+        ("lbset=-1", usual.clone(), "no lbset: -1"),
+        (
+            "max=0",
+            usual.clone(),
+            "no number of runs from 1 to 1024: 0",
+        ),
+        (
+            "max=99999",
+            usual.clone(),
+            "no number of runs from 1 to 1024: 99999",
+        ),
+        ("route=n1", usual.clone(), "unknown parameter: route=n1"),
+        ("retry", usual.clone(), "unknown parameter: retry"),
+    ];
+    for (parameters, wanted, said) in cases {
+        let mut import = Import::default();
+        import.read(
+            "a.conf",
+            &format!("BalancerMember balancer://b uwsgi://127.0.0.1:1 {parameters}"),
+        );
+        assert_eq!(import.workers, [("b".to_owned(), wanted)], "{parameters}");
+        let notes: Vec<&str> = import
+            .notes
+            .iter()
+            .map(|n| n.trim_start_matches("a.conf:1: "))
+            .collect();
+        assert_eq!(notes.concat(), said, "{parameters}");
+        let text = import.file().unwrap();
+        let file = Operator::read(&text, &[])
+            .unwrap_or_else(|e| panic!("{e} in {text}"))
+            .uwsgi;
+        assert_eq!(file.members(), [import.workers[0].1.clone()], "{text}");
+    }
+}
+
+#[test]
+fn mod_jk_workers_keep_what_is_said_of_them() {
+    let cases = [
+        ("lbfactor=3", 3.0, 0, MemberMode::Active, ""),
+        ("activation=Disabled", 1.0, 0, MemberMode::Draining, ""),
+        ("activation=S", 1.0, 0, MemberMode::Disabled, ""),
+        ("distance=2", 1.0, 2, MemberMode::Active, ""),
+        (
+            "activation=perhaps",
+            1.0,
+            0,
+            MemberMode::Active,
+            "worker a: unknown activation: perhaps",
+        ),
+        (
+            "lbfactor=",
+            1.0,
+            0,
+            MemberMode::Active,
+            "worker a: no weight from 0.01 to 100: ",
+        ),
+        (
+            "redirect=b",
+            1.0,
+            0,
+            MemberMode::Active,
+            "worker a: unknown directive: redirect=b",
+        ),
+    ];
+    for (line, weight, tier, usage, said) in cases {
+        let mut import = Import::default();
+        let text = format!("worker.a.type=uwsgi\nworker.a.port=1\nworker.a.{line}\n");
+        import.read("w.properties", &text);
+        let usual = Member::new("127.0.0.1:1".parse().unwrap());
+        assert_eq!(
+            import.workers,
+            [(
+                String::new(),
+                Member {
+                    weight,
+                    tier,
+                    mode: usage,
+                    ..usual
+                }
+            )],
+            "{line}"
+        );
+        let notes: Vec<&str> = import
+            .notes
+            .iter()
+            .map(|n| n.trim_start_matches("w.properties:3: "))
+            .collect();
+        assert_eq!(notes.concat(), said, "{line}");
+    }
+}
+
+#[test]
+fn contradictions_and_names_of_nobody_are_told() {
+    let mut import = Import::default();
+    import.read(
+        "w.properties",
+        "worker.lb.type=lb\nworker.lb.balance_workers=a, ghost\nworker.a.type=uwsgi\nworker.a.port=1\n",
+    );
+    import.read(
+        "a.conf",
+        "BalancerMember balancer://b uwsgi://127.0.0.1:1 loadfactor=4",
+    );
+    import.read("b.conf", "BalancerMember balancer://b uwsgi://127.0.0.1:1");
+    assert_eq!(
+        import.notes,
+        [
+            "w.properties:2: worker lb: ghost is not defined",
+            "b.conf:1: 127.0.0.1:1 was said to be otherwise at a.conf:1, which holds",
+        ]
+    );
+    // Once in each balancer.
+    assert_eq!(import.workers.len(), 2);
+}
+
+/// Several balancers become pools with their names, and paths name theirs.
+#[test]
+fn balancers_become_pools() {
+    let apache = "<Proxy balancer://views>\nBalancerMember uwsgi://127.0.0.1:1 loadfactor=2\n\
+                  BalancerMember uwsgi://127.0.0.1:2 status=+H\n</Proxy>\n\
+                  <Proxy \"balancer://swaps/\">\nBalancerMember uwsgi://127.0.0.1:1\n</Proxy>\n\
+                  ProxyPass /view/old !\nProxyPass /view balancer://views/\nProxyPass /swap balancer://swaps\n";
+    let mod_jk = "worker.views.type=lb\nworker.views.balance_workers=a,b\nworker.swaps.type=lb\n\
+                  worker.swaps.balance_workers=a\nworker.a.type=uwsgi\nworker.a.port=1\n\
+                  worker.b.type=uwsgi\nworker.b.port=2\n";
+    for (name, text) in [("a.conf", apache), ("w.properties", mod_jk)] {
+        let mut import = Import::default();
+        import.read(name, text);
+        assert!(import.notes.is_empty(), "{:?}", import.notes);
+        let text = import.file().unwrap();
+        let file = Operator::read(&text, &[])
+            .unwrap_or_else(|e| panic!("{e} in {text}"))
+            .uwsgi;
+        let pools: Vec<_> = file
+            .named
+            .iter()
+            .map(|p| (p.name.as_str(), p.members.len()))
+            .collect();
+        assert_eq!(pools, [("swaps", 1), ("views", 2)], "{text}");
+        assert!(file.members().is_empty());
+        if name == "a.conf" {
+            assert_eq!(
+                (
+                    file.named[1].members[0].weight,
+                    file.named[1].members[1].is_standby
+                ),
+                (2.0, true)
+            );
+            assert!(
+                text.contains("path = \"/view\"") && text.contains("pool = \"views\""),
+                "{text}"
+            );
+            assert!(!text.contains("/view/old"));
+        }
+    }
+}
+
+/// Ten megabytes of members: in time that grows with them, and no more.
+#[test]
+fn a_large_file_is_read_in_time() {
+    let mut text = String::new();
+    for i in 0..200_000u32 {
+        let [_, a, b, c] = i.to_be_bytes();
+        text += &format!("BalancerMember balancer://b uwsgi://10.{a}.{b}.{c}:3031 loadfactor=2\n");
+    }
+    let mut import = Import::default();
+    import.read("a.conf", &text);
+    assert_eq!((import.workers.len(), import.notes.len()), (200_000, 0));
+}
+
+#[test]
+fn what_is_written_can_be_read_again() {
+    let mut import = Import::default();
+    import.read(
+        "a.conf",
+        "BalancerMember balancer://b uwsgi://127.0.0.1:1 timeout=1\nProxyPass /a\"b balancer://b",
+    );
+    let text = import.file().unwrap();
+    let file = Operator::read(&text, &[])
+        .unwrap_or_else(|e| panic!("{e} in {text}"))
+        .uwsgi;
+    assert_eq!(
+        (file.members(), file.deadline_ms),
+        (vec![import.workers[0].1.clone()], 1000)
+    );
+    // A route becomes one by taking the marks away and naming its class.
+    let named = text
+        .replace("class = \"\"", "class = \"c\"")
+        .replace("\n# ", "\n");
+    let file = Operator::read(&named, &["c".into()])
+        .unwrap_or_else(|e| panic!("{e} in {named}"))
+        .uwsgi;
+    assert_eq!(file.routes[0].path, "/a\"b");
+}
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -1,5 +1,8 @@
 //! `pipitlever pools`: what each pool would do, said from the file alone.
 
+#[cfg(test)]
+mod tests;
+
 use crate::net::workers::routes::{Backend, Named, Uwsgi};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::collections::BTreeMap;
@@ -125,33 +128,3 @@
     }
     odd
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::config::operator::Operator;
-
-    #[test]
-    fn shares_turns_and_oddities_are_told() {
-        let text = "[uwsgi]\nworkers = [\"127.0.0.1:1\"]\n\
-                    [[uwsgi.worker]]\naddress = \"127.0.0.1:2\"\nweight = 3\n\
-                    [[uwsgi.worker]]\naddress = \"127.0.0.1:3\"\nspare = true\n\
-                    [[uwsgi.worker]]\naddress = \"127.0.0.1:4\"\nuse = \"disabled\"\n\
-                    [[uwsgi.route]]\npath = \"/a\"\nclass = \"c\"\nbackend = \"workers\"\n\
-                    [[pool]]\nname = \"alone\"\n[[pool.member]]\naddress = \"127.0.0.1:5\"\nuse = \"draining\"\n";
-        let file = Operator::read(text, &["c".into()]).unwrap();
-        let told = pools(&file.uwsgi);
-        let wanted = [
-            "pool of [uwsgi]: fallback=none routes=/a",
-            "  tier 0: 127.0.0.1:1 gets 25.0% of its runs, 1024 at once",
-            "  tier 0: 127.0.0.1:2 gets 75.0% of its runs, 1024 at once",
-            "  tier 0: 127.0.0.1:4 gets nothing: disabled, 1024 at once",
-            "  spare: 127.0.0.1:3 gets 100.0% of its runs, 1024 at once",
-            "pool alone: fallback=none routes=",
-            "  tier 0: 127.0.0.1:5 gets nothing new: draining, 1024 at once",
-            "  odd: no member is on: every run goes to its spares or its fall-back",
-            "  odd: no route and no other pool leads here",
-        ];
-        assert_eq!(told, wanted);
-    }
-}
--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,8 +1,5 @@
 //! What a node is configured with: the platform's JSON object and the operator's TOML file.
 
-pub mod fleet;
 pub mod operator;
 pub mod platform;
-pub mod pools;
-mod text;
 pub mod versions;
--- /dev/null
+++ b/crates/node/src/config/operator/capture.rs
@@ -0,0 +1,64 @@
+//! `[capture]`: where captures are written, and how much of them is retained.
+
+use super::error::{within, FileError};
+use super::store::non_empty_folder;
+use serde::Deserialize;
+use std::path::PathBuf;
+use toml::Spanned;
+
+/// Longest segment, in MB: reading one takes as much memory.
+const MAX_SEGMENT_MB: f64 = 64.0;
+/// Most that may be retained, in MB.
+const MAX_RETAINED_MB: f64 = 1e6;
+/// Bytes in a MB.
+const MEGABYTE: f64 = 1_048_576.0;
+
+/// The settings of a capture.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Capture {
+    /// The folder; created if it does not exist.
+    pub folder: PathBuf,
+    /// A segment ends at this length, in bytes.
+    pub segment: u64,
+    /// Bytes that all segments of this node may take together.
+    pub keep: u64,
+}
+
+/// The section.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct CaptureSection {
+    folder: Spanned<PathBuf>,
+    segment_mb: Spanned<f64>,
+    keep_mb: Spanned<f64>,
+}
+
+impl CaptureSection {
+    /// Checks the values.
+    pub fn read(self, text: &str) -> Result<Capture, FileError> {
+        let folder = non_empty_folder(text, self.folder)?;
+        let keep_offset = self.keep_mb.span().start;
+        let segment_range = [0.01, MAX_SEGMENT_MB];
+        let segment_mb = within(
+            text,
+            "segment_mb",
+            Some(self.segment_mb),
+            0.0,
+            segment_range,
+        )?;
+        let keep_range = [0.02, MAX_RETAINED_MB];
+        let keep_mb = within(text, "keep_mb", Some(self.keep_mb), 0.0, keep_range)?;
+        if keep_mb < 2.0 * segment_mb {
+            // The oldest segment is removed before the next one begins: with space for only one,
+            // nothing would be left.
+            let message = "keep_mb has to be twice segment_mb at least";
+            return Err(FileError::at(text, keep_offset, message));
+        }
+        let bytes = |mb: f64| (mb * MEGABYTE) as u64;
+        Ok(Capture {
+            folder,
+            segment: bytes(segment_mb),
+            keep: bytes(keep_mb),
+        })
+    }
+}
--- a/crates/node/src/config/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -1,6 +1,9 @@
 //! `[fleet]` of the operator's file.
 
-use crate::config::text::{line, within};
+#[cfg(test)]
+mod tests;
+
+use crate::config::operator::error::{within, FileError};
 use crate::config::versions::VersionsSection;
 use crate::net::membership::Settings;
 use crate::net::subsetting::Apart;
@@ -42,13 +45,13 @@
 
 impl FleetSection {
     /// Holds it to what a fleet can bear.
-    pub fn read(self, text: &str) -> Result<Settings, String> {
-        let wrong = |at: usize, what: &str| Err(line(text, at, what));
+    pub fn read(self, text: &str) -> Result<Settings, FileError> {
+        let wrong = |at: usize, what: &str| Err(FileError::at(text, at, what));
         let name = |key: &str, name: &Spanned<String>| match name.get_ref() {
-            n if n.is_empty() || n.len() > MAX_NAME_BYTES => Err(line(
+            n if n.is_empty() || n.len() > MAX_NAME_BYTES => Err(FileError::at(
                 text,
                 name.span().start,
-                &format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes"),
+                format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes"),
             )),
             n => Ok(n.clone()),
         };
@@ -146,90 +149,3 @@
         })
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use crate::config::operator::Operator;
-
-    #[test]
-    fn what_is_wrong_with_a_fleet_is_named_with_its_line() {
-        let fleet =
-            |more: &str| format!("[fleet]\nname = \"rota\"\nbind = \"127.0.0.1:7946\"\n{more}");
-        let cases = [
-            (fleet(""), ""),
-            (
-                fleet("seeds = [\"127.0.0.1:1\"]\nprobe_ms = 200\nzone = \"west\""),
-                "",
-            ),
-            (
-                "[fleet]\nbind = \"127.0.0.1:1\"".to_owned(),
-                "line 1: missing field `name`",
-            ),
-            (
-                "[fleet]\nname = \"\"\nbind = \"127.0.0.1:1\"".to_owned(),
-                "line 2: name: it has 1 to 64 bytes",
-            ),
-            (
-                "[fleet]\nname = \"a\"\nbind = \"10.0.0.1:1\"".to_owned(),
-                "line 3: an address that is not loopback",
-            ),
-            (
-                fleet("seeds = [\"10.0.0.1:1\"]"),
-                "line 4: an address that is not loopback",
-            ),
-            (
-                fleet("advertise = \"10.0.0.1:1\""),
-                "line 4: an address that is not loopback",
-            ),
-            (
-                fleet("seeds = [\"10.0.0.1:1\"]\ntrusted_network = true"),
-                "",
-            ),
-            (
-                "[fleet]\nname = \"a\"\nbind = \"0.0.0.0:1\"\ntrusted_network = true".to_owned(),
-                "line 3: bind: all addresses; advertise has to say",
-            ),
-            (
-                fleet("advertise = \"0.0.0.0:1\"\ntrusted_network = true"),
-                "line 4: advertise: nobody can be reached",
-            ),
-            (
-                fleet("probe_ms = 10"),
-                "line 4: probe_ms = 10: it lies from 50 to 60000",
-            ),
-            (
-                fleet("most_members = 1"),
-                "line 4: most_members = 1: it lies from 2",
-            ),
-            (
-                fleet("forget_s = 5"),
-                "line 4: forget_s = 5: it lies from 60",
-            ),
-            (fleet("gossip = true"), "line 4: unknown field `gossip`"),
-            (fleet("share_apart = \"keep\""), ""),
-            (
-                fleet("share_apart = \"least\""),
-                "line 4: share_apart = \"least\" needs [fleet.versions]",
-            ),
-        ];
-        for (text, expected) in cases {
-            match Operator::read(&text, &[]) {
-                Ok(file) => assert!(expected.is_empty() && file.fleet.is_some(), "{text}"),
-                Err(why) => assert!(
-                    !expected.is_empty() && why.starts_with(expected),
-                    "{text}: {why}"
-                ),
-            }
-        }
-        // Without the section there is no part in any fleet.
-        assert_eq!(Operator::read("", &[]).unwrap().fleet, None);
-        let read = Operator::read(&fleet("forget_s = 60"), &[])
-            .unwrap()
-            .fleet
-            .unwrap();
-        assert_eq!(
-            (read.advertise, read.rules.retention),
-            (read.bind, 60_000_000)
-        );
-    }
-}
--- /dev/null
+++ b/crates/node/src/config/operator/mod.rs
@@ -0,0 +1,83 @@
+//! The operator file: one TOML file with a section for each subsystem. An unknown key or an invalid
+//! value is an error that names its line.
+
+mod capture;
+pub mod error;
+pub mod fleet;
+mod pools;
+mod store;
+mod uwsgi;
+
+#[cfg(test)]
+mod tests;
+
+pub use capture::Capture;
+pub use store::{OnDamage, Store};
+
+use crate::net::membership;
+use crate::net::workers::routes::Uwsgi;
+use capture::CaptureSection;
+use error::FileError;
+use fleet::FleetSection;
+use pools::{pools, PoolSection};
+use serde::Deserialize;
+use store::StoreSection;
+use uwsgi::UwsgiSection;
+
+/// The settings of all sections.
+#[derive(Clone, Debug, Default)]
+pub struct Operator {
+    /// The uwsgi front end, the workers and the routes; off without the section.
+    pub uwsgi: Uwsgi,
+    /// The capture.
+    pub capture: Option<Capture>,
+    /// The idempotency store.
+    pub store: Option<Store>,
+    /// The node's membership in a fleet.
+    pub fleet: Option<membership::Settings>,
+}
+
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct File {
+    uwsgi: Option<UwsgiSection>,
+    capture: Option<CaptureSection>,
+    store: Option<StoreSection>,
+    fleet: Option<FleetSection>,
+    #[serde(default)]
+    pool: Vec<PoolSection>,
+}
+
+impl Operator {
+    /// Parses the file's text. Routes name the classes of the platform's settings.
+    pub fn read(text: &str, classes: &[String]) -> Result<Operator, FileError> {
+        let file: File = toml::from_str(text).map_err(|e| {
+            let offset = e.span().map_or(text.len(), |span| span.start);
+            FileError::at(text, offset, e.message())
+        })?;
+        let pools = pools(text, file.pool)?;
+        let of_a_fleet = pools
+            .iter()
+            .find(|p| p.shared.is_some() || p.sessions.is_some());
+        if let Some(pool) = of_a_fleet.filter(|_| file.fleet.is_none()) {
+            let key = match pool.shared {
+                Some(_) => "share = true",
+                None => "[pool.affinity]",
+            };
+            return Err(FileError::Pool {
+                pool: pool.name.clone(),
+                message: format!("{key} is among the nodes of a [fleet], and there is none"),
+            });
+        }
+        let uwsgi = file.uwsgi.map(|section| section.read(text, classes, pools));
+        let capture = file.capture.map(|section| section.read(text));
+        let store = file.store.map(|section| section.read(text));
+        let fleet = file.fleet.map(|section| section.read(text));
+        Ok(Operator {
+            uwsgi: uwsgi.transpose()?.unwrap_or_default(),
+            capture: capture.transpose()?,
+            store: store.transpose()?,
+            fleet: fleet.transpose()?,
+        })
+    }
+}
--- a/crates/node/src/config/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -1,6 +1,6 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
-use crate::config::text::{line, within};
+use crate::config::operator::error::{within, FileError};
 use crate::net::workers::routes::{Label, Named, Sessions, Shared};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use pipitlever_membership::record::MAX_NAME_BYTES;
@@ -38,9 +38,9 @@
 }
 
 impl AffinitySection {
-    fn read(self, text: &str) -> Result<Sessions, String> {
+    fn read(self, text: &str) -> Result<Sessions, FileError> {
         if self.session.get_ref().is_empty() {
-            return Err(line(
+            return Err(FileError::at(
                 text,
                 self.session.span().start,
                 "session: the variable that names it",
@@ -65,35 +65,39 @@
 const SUBSET: usize = 20;
 
 /// Reads pools, in the order of the file; the first place is that of `workers`.
-pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<Named>, String> {
+pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<Named>, FileError> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
     let mut all = Vec::new();
     for section in sections {
         let (name, at) = (section.name.get_ref().clone(), section.name.span().start);
         if name.is_empty() || names.iter().filter(|n| **n == name).count() > 1 {
-            return Err(line(
+            return Err(FileError::at(
                 text,
                 at,
-                &format!("a pool needs a name of its own: {name:?}"),
+                format!("a pool needs a name of its own: {name:?}"),
             ));
         }
         if section.member.is_empty() {
-            return Err(line(text, at, &format!("pool {name} has no member")));
+            return Err(FileError::at(
+                text,
+                at,
+                format!("pool {name} has no member"),
+            ));
         }
         let fallback = section.fallback.map(|fallback| {
             let at = fallback.span().start;
             let found = names
                 .iter()
                 .position(|n| n == fallback.get_ref() && *n != name);
-            found
-                .map(|i| i + 1)
-                .ok_or_else(|| line(text, at, &format!("no other pool {}", fallback.get_ref())))
+            found.map(|i| i + 1).ok_or_else(|| {
+                FileError::at(text, at, format!("no other pool {}", fallback.get_ref()))
+            })
         });
         let subset_given = section.subset.is_some();
         let shared = match (section.share, section.subset) {
             (false, Some(subset)) => {
                 let what = format!("pool {name}: subset is for a pool with share = true");
-                return Err(line(text, subset.span().start, &what));
+                return Err(FileError::at(text, subset.span().start, what));
             }
             (false, None) => None,
             (true, subset) => Some(Shared {
@@ -111,7 +115,7 @@
                 let what = format!(
                     "pool {name}: its nodes use all workers, as sessions stay with theirs: no subset"
                 );
-                return Err(line(text, at, &what));
+                return Err(FileError::at(text, at, what));
             }
             (Some(_), Some(_)) => Some(Shared { subset: usize::MAX }),
             (shared, _) => shared,
@@ -136,10 +140,10 @@
             .nth(all.len())
             .is_some()
         {
-            return Err(format!(
-                "pool {}: its fall-backs go round in a circle",
-                all[start - 1].name
-            ));
+            return Err(FileError::Pool {
+                pool: all[start - 1].name.clone(),
+                message: "its fall-backs go round in a circle".into(),
+            });
         }
     }
     Ok(all)
@@ -147,7 +151,7 @@
 
 /// What the members of a pool with a name are called, and where they stand. One that has no name
 /// goes by its address.
-fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<Label>, String> {
+fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<Label>, FileError> {
     let mut all: Vec<Label> = Vec::new();
     for entry in entries {
         let text_of = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.get_ref().clone());
@@ -157,14 +161,18 @@
             .as_ref()
             .map_or(entry.address.span().start, |n| n.span().start);
         if name.is_empty() || name.len() > MAX_NAME_BYTES {
-            return Err(line(
+            return Err(FileError::at(
                 text,
                 at,
-                &format!("name: it has 1 to {MAX_NAME_BYTES} bytes"),
+                format!("name: it has 1 to {MAX_NAME_BYTES} bytes"),
             ));
         }
         if all.iter().any(|l| l.name == name) {
-            return Err(line(text, at, &format!("the name {name} is given twice")));
+            return Err(FileError::at(
+                text,
+                at,
+                format!("the name {name} is given twice"),
+            ));
         }
         all.push(Label {
             name,
@@ -176,7 +184,7 @@
 
 /// Whether any of them has what only members of a pool with a name may have: the place of that, in
 /// bytes.
-pub fn labelled(entries: &[WorkerEntry]) -> Option<usize> {
+pub fn find_label(entries: &[WorkerEntry]) -> Option<usize> {
     entries
         .iter()
         .find_map(|e| e.name.as_ref().or(e.zone.as_ref()).map(|s| s.span().start))
@@ -187,15 +195,15 @@
     text: &str,
     known: &[SocketAddr],
     entries: Vec<WorkerEntry>,
-) -> Result<Vec<Member<SocketAddr>>, String> {
+) -> Result<Vec<Member<SocketAddr>>, FileError> {
     let mut all: Vec<Member<SocketAddr>> = Vec::new();
     for entry in entries {
         let address = *entry.address.get_ref();
         if known.contains(&address) || all.iter().any(|m| m.address == address) {
-            return Err(line(
+            return Err(FileError::at(
                 text,
                 entry.address.span().start,
-                &format!("{address} is named twice"),
+                format!("{address} is named twice"),
             ));
         }
         let usual = Member::new(address);
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -1,7 +1,10 @@
 //! `[fleet.versions]` of the operator's file, and what a version holds.
 
+#[cfg(test)]
+mod tests;
+
+use crate::config::operator::error::{within, FileError};
 use crate::config::platform::Config;
-use crate::config::text::{line, within};
 use crate::log::log;
 use crate::net::config_versions::disk::{load, ACTING};
 use crate::net::config_versions::{usual, Settings};
@@ -42,9 +45,9 @@
 
 impl VersionsSection {
     /// Holds it to what a register can be.
-    pub fn read(self, text: &str) -> Result<Settings, String> {
+    pub fn read(self, text: &str) -> Result<Settings, FileError> {
         if self.folder.get_ref().as_os_str().is_empty() {
-            return Err(line(
+            return Err(FileError::at(
                 text,
                 self.folder.span().start,
                 "folder: its name is empty",
@@ -52,7 +55,7 @@
         }
         let at = self.electors.span().start;
         check_acceptors(self.electors.get_ref())
-            .map_err(|why| line(text, at, &format!("electors: {why}")))?;
+            .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
         let mut rules = usual(self.electors.into_inner());
         let lease = within(
             text,
@@ -89,7 +92,7 @@
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTING) {
         Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
-            log(&format!("versions: starting as on a new disk: {why}"));
+            log(format!("versions: starting as on a new disk: {why}"));
             None
         }
         saved => saved?,
@@ -100,7 +103,7 @@
     match read(Some(&saved.content)) {
         Ok(config) => Ok((config, Some(saved))),
         Err(why) => {
-            log(&format!(
+            log(format!(
                 "versions: could not activate the version on the disk: {why}"
             ));
             Ok((
@@ -166,40 +169,3 @@
         toml::to_string(&own).map_err(|e| format!("the version's content: {e}"))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_version_takes_the_place_of_what_is_shared_and_of_nothing_else() {
-        let content =
-            Content::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#)
-                .unwrap();
-        let text = content
-            .over_configuration(r#"{"name": "n1", "settings": {"b": 2}}"#)
-            .unwrap();
-        assert_eq!(
-            serde_json::from_str::<Value>(&text).unwrap()["settings"]["a"],
-            1
-        );
-        assert!(text.contains("n1") && !text.contains("\"b\""), "{text}");
-        let text = content.over_operator(
-            "[fleet]\nname = \"x\"\n[uwsgi]\nmost_body = 1\n[[pool]]\nname = \"old\"",
-        );
-        let text = text.unwrap();
-        assert!(
-            text.contains("[fleet]") && !text.contains("most_body") && !text.contains("old"),
-            "{text}"
-        );
-        // What is one machine's own can't be published to all.
-        let own = Content::read(br#"{"operator": "[store]\nfolder = \"x\""}"#).unwrap();
-        assert!(own
-            .over_operator("")
-            .unwrap_err()
-            .contains("[store] is each node's own"));
-        assert!(Content::read(br#"{"listen": "x"}"#)
-            .unwrap_err()
-            .contains("unknown field"));
-    }
-}
