--- a/crates/admission/tests/invariants.rs
+++ b/crates/admission/tests/invariants.rs
@@ -322,3 +322,22 @@
     assert_eq!(started(true), 3);
     assert_eq!(started(false), 4);
 }
+
+#[test]
+fn requests_at_calls_count_towards_the_concurrency_ceiling() {
+    let mut controller = controller(Settings {
+        safety: Safety {
+            max_concurrency_per_core: 2.0,
+            ..Safety::default()
+        },
+        ..settings()
+    });
+    let actions = step(&mut controller, 0, &arrivals(1..=4, NON_IDEMPOTENT));
+    assert_eq!(start_count(&actions), 4);
+    let needs_call: Vec<Event> = (1..=4).map(Event::NeedsCall).collect();
+    step(&mut controller, 1000, &needs_call);
+    assert_eq!(controller.status().running, 0);
+    // 4 cores * 2 * 0.65 is 5.2, so that one more can start.
+    let actions = step(&mut controller, 2000, &arrivals(5..=8, NON_IDEMPOTENT));
+    assert_eq!(start_count(&actions), 1);
+}
