--- a/crates/admission/src/policy/admission.rs
+++ b/crates/admission/src/policy/admission.rs
@@ -5,7 +5,7 @@
 
 use super::controller::{Controller, Queue, RequestEntry};
 use super::hysteresis::OBSERVATION_OBJECTIVES;
-use super::latency::SMOOTHING;
+use super::latency::{MICROS_PER_SECOND, MIN_RATE, SMOOTHING};
 use crate::interface::{Action, Cause, Idempotency, Micros, Mode, Request, RequestId, Stage};
 
 impl Controller {
@@ -183,9 +183,9 @@
     fn discourages_retry(&self, id: RequestId) -> bool {
         let entry = &self.requests[&id];
         let late_weight = self.class(entry.class).late_weight;
-        let is_worthless = self.now >= entry.objective_at && late_weight == 0.0;
+        let is_useless = self.now >= entry.objective_at && late_weight == 0.0;
         let is_fleet_overloaded = entry.is_retry || self.priorities.is_fleet_overloaded();
-        is_worthless || !self.stall.is_stalled && is_fleet_overloaded
+        is_useless || !self.stall.is_stalled && is_fleet_overloaded
     }
 
     /// The time after which a rejected caller should retry: the time that the excess of the start
@@ -201,7 +201,7 @@
         } else {
             let abatement = self.queue_control(Queue::Start).hysteresis.abatement;
             let excess = (self.queue_length(Queue::Start) - abatement).max(0.0);
-            let time_to_serve = excess / self.completion_rate().max(1e-9) * 1e6;
+            let time_to_serve = excess / self.completion_rate().max(MIN_RATE) * MICROS_PER_SECOND;
             (time_to_serve * (0.5 + self.random_unit())) as Micros
         };
         retry_after.clamp(0, max.max(0))
--- a/crates/admission/src/policy/call_limit.rs
+++ b/crates/admission/src/policy/call_limit.rs
@@ -6,7 +6,7 @@
 
 use super::concurrency_limit::USABLE_CONCURRENCY;
 use super::hysteresis::{HARMLESS_WAIT, LONGEST_WAIT};
-use super::latency::LatencyEstimate;
+use super::latency::{LatencyEstimate, MICROS_PER_SECOND};
 use crate::interface::{Downstream, Micros, Outcome, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -150,7 +150,7 @@
         } else {
             1.0
         };
-        usable * self.limit / self.latency.mean * 1e6
+        usable * self.limit / self.latency.mean * MICROS_PER_SECOND
     }
 
     /// Records the end of a call that was placed `elapsed` microseconds ago.
--- a/crates/admission/src/policy/control_loop.rs
+++ b/crates/admission/src/policy/control_loop.rs
@@ -5,6 +5,7 @@
 
 use super::controller::{Controller, Queue, Shutdown};
 use super::hysteresis::QueueObservation;
+use super::latency::MICROS_PER_SECOND;
 use crate::interface::{Action, BackpressureKind, Micros};
 
 /// The interval of the loop as a share of the shortest latency objective.
@@ -80,7 +81,7 @@
     /// than do no harm.
     fn adjust_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let arrival_rate = self.queue_control(Queue::Start).arrival_rate;
-        let useful = USEFUL_IDLE * arrival_rate * self.objective / 1e6
+        let useful = USEFUL_IDLE * arrival_rate * self.objective / MICROS_PER_SECOND
             + HARMLESS_CONNECTIONS * self.settings.cores;
         let timeout = if self.connections > useful {
             IDLE_SHRINK * self.idle_timeout
--- a/crates/admission/src/policy/controller.rs
+++ b/crates/admission/src/policy/controller.rs
@@ -3,7 +3,7 @@
 use super::call_limit::CallLimit;
 use super::concurrency_limit::ConcurrencyLimit;
 use super::hysteresis::HysteresisController;
-use super::latency::{ClassStatistics, SMOOTHING};
+use super::latency::{ClassStatistics, MICROS_PER_SECOND, SMOOTHING};
 use super::memory_budget::MemoryBudget;
 use super::priority::PriorityEstimator;
 use super::stall_detector::StallDetector;
@@ -155,7 +155,10 @@
             requests: BTreeMap::new(),
             queued: BTreeSet::new(),
             queue_controls: [
-                HysteresisController::new(settings.cores / mean_core_time * 1e6, objective),
+                HysteresisController::new(
+                    settings.cores / mean_core_time * MICROS_PER_SECOND,
+                    objective,
+                ),
                 HysteresisController::new(f64::INFINITY, objective),
             ],
             advertised_level: 0.0,
@@ -314,7 +317,7 @@
     /// concurrency limit.
     pub(crate) fn completion_rate(&self) -> f64 {
         let run = &self.concurrency;
-        run.limit / run.mean_core_time.max(1.0) * 1e6 * run.success_rate
+        run.limit / run.mean_core_time.max(1.0) * MICROS_PER_SECOND * run.success_rate
     }
 
     /// The length of a queue as its mode sees it.
@@ -331,7 +334,7 @@
     fn start_queue_length(&self) -> f64 {
         let queued = self.queued.len() as f64;
         let delay = (self.read_delay - NORMAL_READ_DELAY * self.objective).max(0.0);
-        let unread = delay * self.completion_rate() / 1e6;
+        let unread = delay * self.completion_rate() / MICROS_PER_SECOND;
         (queued + unread)
             .min(self.queue_control(Queue::Start).hysteresis.discard - 1.0)
             .max(queued)
--- a/crates/admission/src/policy/hysteresis.rs
+++ b/crates/admission/src/policy/hysteresis.rs
@@ -13,6 +13,7 @@
 //! The mode is evaluated at every change of the length (policy P1). The paper's thresholds and its
 //! types of customers are fixed; here both follow the measured completion rate.
 
+use super::latency::{MICROS_PER_SECOND, MIN_RATE};
 use crate::interface::{Micros, Mode};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -54,7 +55,7 @@
     /// a share of the latency objective (microseconds). Slow servers, heavy requests and runs that
     /// fail lower the rate and with it the thresholds.
     fn set_thresholds(&mut self, completion_rate: f64, objective: f64) {
-        let served = completion_rate * objective / 1e6;
+        let served = completion_rate * objective / MICROS_PER_SECOND;
         // Random variation alone exceeds small counts, so one standard deviation of a Poisson
         // distributed count is added.
         let with_variation = |share: f64| (share * served + (share * served).sqrt()).floor();
@@ -156,8 +157,8 @@
         {
             self.recent_arrivals.pop_front();
         }
-        self.arrival_rate =
-            self.recent_arrivals.len() as f64 / window.min(uptime.max(1) as f64) * 1e6;
+        self.arrival_rate = self.recent_arrivals.len() as f64 / window.min(uptime.max(1) as f64)
+            * MICROS_PER_SECOND;
     }
 
     /// The share of arrivals that can be served; falls as the queue grows from L to R.
@@ -167,7 +168,7 @@
         } = self.hysteresis;
         let fill = (observed.waiting - abatement) / (discard - abatement);
         observed.completion_rate * (ADMITTED_SHARE - ADMITTED_SHARE_DROP * fill.clamp(0.0, 1.0))
-            / self.arrival_rate.max(1e-9)
+            / self.arrival_rate.max(MIN_RATE)
     }
 
     fn decay_cutoff(&mut self) {
--- a/crates/admission/src/policy/latency.rs
+++ b/crates/admission/src/policy/latency.rs
@@ -2,6 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Microseconds in a second. Times are microseconds, and rates are per second.
+pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
+/// The least rate per second that is divided by.
+pub(crate) const MIN_RATE: f64 = 1e-9;
+
 /// The weight of a new value in an exponentially weighted moving average: about the last ten values
 /// count.
 pub(crate) const SMOOTHING: f64 = 0.1;
--- a/crates/admission/src/policy/priority.rs
+++ b/crates/admission/src/policy/priority.rs
@@ -1,7 +1,7 @@
 //! The effective priority of requests: the caller's priority, reduced for retries and for tenants
 //! over their quota.
 
-use super::latency::SMOOTHING;
+use super::latency::{MICROS_PER_SECOND, SMOOTHING};
 use crate::interface::{Micros, Request, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -78,7 +78,8 @@
         {
             arrivals.pop_front();
         }
-        let quota = settings.tenants[tenant].quota_rps / settings.replicas.max(1.0) * window / 1e6;
+        let quota = settings.tenants[tenant].quota_rps / settings.replicas.max(1.0) * window
+            / MICROS_PER_SECOND;
         // The quota holds for the whole fleet: two standard deviations of a Poisson distributed
         // count are allowed on one server.
         let excess = arrivals.len() as f64 - quota - 2.0 * quota.sqrt();
--- a/crates/admission/src/policy/scheduling.rs
+++ b/crates/admission/src/policy/scheduling.rs
@@ -43,7 +43,7 @@
             return Some(Cause::DeadlineExceeded(entry.stage));
         }
         let class = self.class(entry.class);
-        let is_worthless = class.late_weight == 0.0 && self.now >= entry.objective_at;
+        let is_useless = class.late_weight == 0.0 && self.now >= entry.objective_at;
         let is_committed = class.idempotency == Idempotency::Keyed
             || self.settings.cancellation == CancellationMode::Unsupported;
         let is_stall_relevant = match entry.stage {
@@ -53,7 +53,7 @@
             Stage::Running => class.idempotency == Idempotency::Idempotent,
             Stage::AwaitingCall | Stage::InCall => false,
         };
-        if is_worthless {
+        if is_useless {
             Some(Cause::ObjectiveMissed(entry.stage))
         } else if is_stall_relevant && self.stall.is_stalled {
             Some(Cause::Stalled)
