--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -381,6 +381,7 @@
         requests,
         running,
         keys,
+        ..
     } = hub.core.table_sizes();
     let connections = hub.places.taken();
     log(&format!("counters: {}", hub.core.counters));
--- a/crates/node/src/net/hub.rs
+++ b/crates/node/src/net/hub.rs
@@ -184,7 +184,9 @@
         if self.core.has_store() {
             self.storing.give();
             let now = self.clock.now();
-            self.core.store_status_change(now).inspect(|note| log(note));
+            if let Some(change) = self.core.store_status_change(now) {
+                log(&change.to_string());
+            }
         }
         if self.core.has_key_updates() {
             self.news.give();
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -12,7 +12,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
-use pipitlever_config_versions::floor::Saved;
+use pipitlever_config_versions::minimum_version::StoredVersion;
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::local_member::LocalMember;
 use pipitlever_membership::local_member::ResumeState;
@@ -21,7 +21,7 @@
 use pipitlever_membership::sync::SyncSession;
 use pipitlever_membership::{ApplicationMessage, Membership};
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_subsetting::node::Times;
+use pipitlever_subsetting::node::Timing;
 use std::cell::{Cell, RefCell};
 use std::hash::{BuildHasher, RandomState};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -103,7 +103,7 @@
 #[derive(Default)]
 pub struct Versioned {
     /// What was on the disk.
-    pub saved: Option<Saved>,
+    pub saved: Option<StoredVersion>,
     /// Where versions go that are to be acted on.
     pub acts: Option<Sender<Act>>,
 }
@@ -317,11 +317,11 @@
         let told = tell(&mut fleet, self.clock.now());
         let now = self.clock.now();
         let mut heard = Vec::new();
-        while let Some((from, said)) = fleet.take_application_message() {
-            match (&self.affinity, &said) {
+        while let Some(message) = fleet.take_application_message() {
+            match (&self.affinity, &message.content) {
                 (Some(sessions), ApplicationMessage::Direct(bytes))
-                    if sessions.heard(now, &from, bytes) => {}
-                _ => heard.push((from, said)),
+                    if sessions.heard(now, &message.sender, bytes) => {}
+                _ => heard.push(message),
             }
         }
         if let Some(versions) = &self.versions {
@@ -332,9 +332,14 @@
         }
         let mut unsent = 0;
         let out = fleet.take_datagrams();
-        for (to, bytes) in &out {
+        for datagram in &out {
             // One that the system does not take is like one that is lost on its way.
-            unsent += u64::from(self.udp.get_ref().send_to(bytes, to).is_err());
+            unsent += u64::from(
+                self.udp
+                    .get_ref()
+                    .send_to(&datagram.payload, datagram.destination)
+                    .is_err(),
+            );
         }
         self.count(|c| {
             (c.sent, c.unsent) = (c.sent + out.len() as u64 - unsent, c.unsent + unsent)
