--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -441,7 +441,7 @@
     ]);
     let said = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(
-        !second.status.success() && said.contains("another process uses this folder"),
+        !second.status.success() && said.contains("another process uses this directory"),
         "{said}"
     );
     node.signal("-TERM");
--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -1,4 +1,4 @@
-//! A folder on a file system, and the thread that writes to it.
+//! The directory of captures on a file system, and the thread that writes to it.
 
 use crate::keeper::{Folder, Keeper, Note};
 use crate::tap::Spool;
--- a/crates/idempotency-store/src/disk.rs
+++ b/crates/idempotency-store/src/disk.rs
@@ -45,7 +45,7 @@
         match lock.try_lock() {
             Ok(()) => StoreDirectory::with_lock(path, Some(lock)),
             Err(TryLockError::WouldBlock) => {
-                Err(io::Error::other("another process uses this folder"))
+                Err(io::Error::other("another process uses this directory"))
             }
             Err(TryLockError::Error(error)) => Err(error),
         }
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -158,7 +158,7 @@
     #[error("a record can't be read: {0}")]
     Record(#[source] postcard::Error),
     /// The header of a segment is invalid.
-    #[error("the opening can't be read: {0}")]
+    #[error("the segment header can't be read: {0}")]
     Header(#[source] postcard::Error),
 }
 
