--- a/crates/load-balancing/src/pool/select.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -23,22 +23,22 @@
     /// A member on probation comes first, as its state is unknown until a run probes it; then the
     /// member of the sticky key; then the less loaded of two random members.
     pub fn select(&mut self, now: Micros, request: SelectionRequest) -> Selection<A> {
-        self.begin_selection(now, request);
-        let probed = self.probe_target(now, request);
-        if let Some(position) = probed.or_else(|| self.sticky_member(now, request)) {
+        self.begin_selection(now, &request);
+        let probed = self.probe_target(now, &request);
+        if let Some(position) = probed.or_else(|| self.sticky_member(now, &request)) {
             return self.start_run(now, position);
         }
         let excluded = self.draw_slow_start_exclusions(now);
         let chosen = self
-            .choose_of_two(now, request, &excluded)
-            .or_else(|| self.least_loaded(now, request, &excluded))
+            .choose_of_two(now, &request, &excluded)
+            .or_else(|| self.least_loaded(now, &request, &excluded))
             // A member in slow start is better than none.
-            .or_else(|| self.least_loaded(now, request, &[]));
+            .or_else(|| self.least_loaded(now, &request, &[]));
         if let Some(position) = chosen {
             return self.start_run(now, position);
         }
         let usable = &self.candidates.usable;
-        if usable.iter().all(|&i| self.was_attempted(i, request)) {
+        if usable.iter().all(|&i| self.was_attempted(i, &request)) {
             Selection::Unavailable
         } else {
             Selection::AtCapacity
@@ -53,13 +53,13 @@
         request: SelectionRequest,
         address: &A,
     ) -> Selection<A> {
-        self.begin_selection(now, request);
+        self.begin_selection(now, &request);
         let position = self
             .members
             .iter()
             .position(|member| !member.is_removed && member.settings.address == *address);
         match position {
-            Some(position) if self.was_attempted(position, request) => Selection::Unavailable,
+            Some(position) if self.was_attempted(position, &request) => Selection::Unavailable,
             Some(position) if self.members[position].has_free_slot() => {
                 self.start_run(now, position)
             }
@@ -68,26 +68,26 @@
         }
     }
 
-    fn begin_selection(&mut self, now: Micros, request: SelectionRequest) {
+    fn begin_selection(&mut self, now: Micros, request: &SelectionRequest) {
         if request.attempted_members.is_empty() {
             self.retry_budget.record_first_attempt();
         }
         self.tick(now);
     }
 
-    fn was_attempted(&self, position: usize, request: SelectionRequest) -> bool {
+    fn was_attempted(&self, position: usize, request: &SelectionRequest) -> bool {
         let id: MemberId = self.members[position].id;
         request.attempted_members.contains(&id)
     }
 
-    fn is_open(&self, position: usize, request: SelectionRequest, excluded: &[usize]) -> bool {
+    fn is_open(&self, position: usize, request: &SelectionRequest, excluded: &[usize]) -> bool {
         !self.was_attempted(position, request)
             && self.members[position].has_free_slot()
             && !excluded.contains(&position)
     }
 
     /// The first member on probation that this run may probe.
-    fn probe_target(&self, now: Micros, request: SelectionRequest) -> Option<usize> {
+    fn probe_target(&self, now: Micros, request: &SelectionRequest) -> Option<usize> {
         let accepts = |&position: &usize| {
             let member = &self.members[position];
             let in_flight = member.runs.len();
@@ -99,7 +99,7 @@
 
     /// The first member in the order of the sticky key that is healthy and not above its share of
     /// the load (consistent hashing with bounded loads).
-    fn sticky_member(&self, now: Micros, request: SelectionRequest) -> Option<usize> {
+    fn sticky_member(&self, now: Micros, request: &SelectionRequest) -> Option<usize> {
         self.ring
             .preference_order(request.hash_key?)
             .take(MAX_RING_STEPS)
@@ -163,7 +163,7 @@
     fn choose_of_two(
         &mut self,
         now: Micros,
-        request: SelectionRequest,
+        request: &SelectionRequest,
         excluded: &[usize],
     ) -> Option<usize> {
         if self.candidates.usable.len() < CHOICES {
@@ -189,7 +189,7 @@
     fn least_loaded(
         &self,
         now: Micros,
-        request: SelectionRequest,
+        request: &SelectionRequest,
         excluded: &[usize],
     ) -> Option<usize> {
         let usable = self.candidates.usable.iter().copied();
