--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -441,7 +441,7 @@
     ]);
     let said = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(
-        !second.status.success() && said.contains("another process uses this folder"),
+        !second.status.success() && said.contains("another process uses this directory"),
         "{said}"
     );
     node.signal("-TERM");
@@ -527,14 +527,14 @@
     for (uwsgi, key) in [(true, "gone-1"), (false, "gone-2"), (true, "gone-3")] {
         assert_eq!(ask(&node, uwsgi, key, key.as_bytes()), Heard::Refused);
     }
-    said(&node, "keyed requests are refused: failing");
+    said(&node, "keyed requests rejected reason=failing");
     let mut gateway = node.gateway();
     gateway.send("rota-view", work(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
     // What is known is still told.
     assert_eq!(ask(&node, true, "k", b"one"), Heard::Served(result(b"one")));
     std::fs::rename(&away, &scratch.0).unwrap();
-    said(&node, "keyed requests are taken");
+    said(&node, "keyed requests accepted");
     assert_eq!(
         ask_again(&node, false, "k2", b"two"),
         Heard::Served(result(b"two"))
