--- a/crates/membership/mutants.sh
+++ b/crates/membership/mutants.sh
@@ -17,7 +17,7 @@
 mutant 'rivals are never named' $src/local_member.rs 'if self.overridden_tokens.contains(&received.token) {' 'if false {' $local_member
 mutant 'a process that yielded its name refutes old claims' $src/local_member.rs '(received.incarnation, received.token) < (overriding.incarnation, overriding.token)' 'false' $model
 mutant 'a process does not override its predecessor' $src/local_member.rs 'self.record.incarnation = received.incarnation + 1;' '' $model
-mutant 'a reported failure is applied at once' $src/update_rules.rs 'State::Down if held.state.is_active() && !is_suspect' 'State::Down if false' $sim
+mutant 'a reported failure is applied at once' $src/update_rules.rs 'State::Down if current.state.is_active() && !is_suspect' 'State::Down if false' $sim
 mutant 'expired members leave no tombstone' $src/membership/timers.rs 'self.members
                 .update(&name, |member| member.is_tombstone = true);' 'self.members.remove(&name);' $sim
 mutant 'members that are down are not pinged' $src/membership/reconnect.rs 'member.record.state == State::Down && !member.is_tombstone' 'false' $sim
