--- a/crates/session-affinity/examples/cost.rs
+++ b/crates/session-affinity/examples/cost.rs
@@ -48,7 +48,7 @@
         .collect()
 }
 
-fn place_sessions(directory: &mut SessionDirectory, sessions: u64) -> Duration {
+fn create_sessions(directory: &mut SessionDirectory, sessions: u64) -> Duration {
     let start = Instant::now();
     for session in 0..sessions {
         let resolution = directory.resolve(0, 0, SessionKey::Session(session), session);
@@ -90,7 +90,7 @@
     };
     let mut directory = SessionDirectory::new("n0", settings, vec![pool()], 0, 1, 0);
     directory.handle_membership_change(0, Vec::new(), true);
-    let new_session = place_sessions(&mut directory, sessions);
+    let new_session = create_sessions(&mut directory, sessions);
     let known_session = resolve_sessions(&mut directory, sessions);
     let peers = peers(nodes);
     let start = Instant::now();
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -137,7 +137,7 @@
     ) -> Resolution {
         match self.table.get(now, key.session) {
             Some(known) => self.apply_placement(now, pool, key.session, known.placement),
-            None => self.place(now, pool, key),
+            None => self.create_placement(now, pool, key),
         }
     }
 
@@ -216,7 +216,7 @@
     }
 
     /// Places a session that no node knows.
-    fn place(&mut self, now: Micros, pool: usize, key: DirectoryKey) -> Resolution {
+    fn create_placement(&mut self, now: Micros, pool: usize, key: DirectoryKey) -> Resolution {
         let state = &self.pools[pool];
         let initial_worker = key
             .initial_worker
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -25,66 +25,54 @@
     }
 }
 
-fn messages() -> Vec<(&'static str, Message)> {
-    let session = 0x0102_0304_0506_0708;
-    let entries = vec![DirectoryEntry {
-        session,
+const SESSION: u64 = 0x0102_0304_0506_0708;
+
+fn lookup_reply(time: u32, ticket: u32, placement: Option<Placement>) -> Message {
+    Message::LookupReply {
+        time,
+        ticket,
+        session: SESSION,
+        placement,
+    }
+}
+
+fn update() -> Message {
+    let entry = DirectoryEntry {
+        session: SESSION,
         placement: placement(),
         idle_seconds: 90_000,
-    }];
+    };
+    Message::Update {
+        time: 100_004,
+        entries: vec![entry],
+        ack_requested: true,
+    }
+}
+
+/// Returns a message of each variant, with its name in the fixtures.
+fn messages() -> Vec<(&'static str, Message)> {
+    let lookup_request = Message::LookupRequest {
+        time: 100_001,
+        ticket: 200,
+        session: SESSION,
+    };
+    let update_ack = Message::UpdateAck {
+        sessions: vec![SESSION, 9],
+    };
+    let transfer_request = Message::TransferRequest {
+        token: 0x1112_1314_1516_1718,
+    };
+    let transfer_complete = Message::TransferComplete {
+        token: 0x2122_2324_2526_2728,
+    };
     vec![
-        (
-            "ask",
-            Message::LookupRequest {
-                time: 100_001,
-                ticket: 200,
-                session,
-            },
-        ),
-        (
-            "answer",
-            Message::LookupReply {
-                time: 100_002,
-                ticket: 201,
-                session,
-                placement: Some(placement()),
-            },
-        ),
-        (
-            "answer-unknown",
-            Message::LookupReply {
-                time: 100_003,
-                ticket: 202,
-                session,
-                placement: None,
-            },
-        ),
-        (
-            "tell",
-            Message::Update {
-                time: 100_004,
-                entries,
-                ack_requested: true,
-            },
-        ),
-        (
-            "have",
-            Message::UpdateAck {
-                sessions: vec![session, 9],
-            },
-        ),
-        (
-            "fill",
-            Message::TransferRequest {
-                token: 0x1112_1314_1516_1718,
-            },
-        ),
-        (
-            "filled",
-            Message::TransferComplete {
-                token: 0x2122_2324_2526_2728,
-            },
-        ),
+        ("ask", lookup_request),
+        ("answer", lookup_reply(100_002, 201, Some(placement()))),
+        ("answer-unknown", lookup_reply(100_003, 202, None)),
+        ("tell", update()),
+        ("have", update_ack),
+        ("fill", transfer_request),
+        ("filled", transfer_complete),
     ]
 }
 
