--- a/crates/config-versions/src/acceptor.rs
+++ b/crates/config-versions/src/acceptor.rs
@@ -4,7 +4,7 @@
 //! acceptor whose disk was replaced or restored from a backup has forgotten votes. It detects that
 //! by the disk stamps that its peers remember, and then no longer votes.
 
-use crate::message::{Ballot, DiskStamp, Heartbeat, Message, Outgoing};
+use crate::message::{AcceptedVersion, Ballot, DiskStamp, Heartbeat, Message, Outgoing};
 use crate::version::{is_quorum, Version};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -19,8 +19,8 @@
     pub incarnation: u64,
     /// The highest ballot promised: lower ones are rejected.
     pub promised: Ballot,
-    /// The ballot and version accepted for the number after `newest`.
-    pub accepted: Option<(Ballot, Version)>,
+    /// The version accepted for the number after `newest`, if any.
+    pub accepted: Option<AcceptedVersion>,
     /// The newest version known to be decided.
     pub newest: Version,
     /// All versions below this one are retired.
@@ -147,7 +147,10 @@
 
     /// Returns the version that it has accepted and does not know to be decided.
     pub fn pending(&self) -> Option<&Version> {
-        self.state.accepted.as_ref().map(|(_, version)| version)
+        self.state
+            .accepted
+            .as_ref()
+            .map(|accepted| &accepted.version)
     }
 
     /// Records a decided version.
@@ -251,7 +254,10 @@
         minimum_version: u64,
         out: &mut Vec<DeferredMessage>,
     ) {
-        let accepted = Some((ballot.clone(), version.clone()));
+        let accepted = Some(AcceptedVersion {
+            ballot: ballot.clone(),
+            version: version.clone(),
+        });
         if self.state.accepted != accepted || minimum_version > self.state.minimum_version {
             self.state.promised = ballot.clone();
             self.state.accepted = accepted;
--- a/crates/config-versions/src/message.rs
+++ b/crates/config-versions/src/message.rs
@@ -23,6 +23,15 @@
     pub incarnation: u64,
 }
 
+/// A version that an acceptor has accepted.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct AcceptedVersion {
+    /// The ballot in which it was accepted.
+    pub ballot: Ballot,
+    /// The version.
+    pub version: Version,
+}
+
 /// Identifies an acceptor's disk and the number of votes written to it.
 ///
 /// Peers remember the latest stamp of each acceptor, so that an acceptor can detect after a restart
@@ -101,8 +110,8 @@
     Promise {
         /// The ballot promised.
         ballot: Ballot,
-        /// The ballot and version accepted for the number after the base.
-        accepted: Option<(Ballot, Version)>,
+        /// The version accepted for the number after the base, if any.
+        accepted: Option<AcceptedVersion>,
         /// All versions below this one are retired at the acceptor.
         minimum_version: u64,
         /// The stamp of the acceptor's disk.
@@ -218,8 +227,8 @@
                 ballot, accepted, ..
             } => {
                 is_valid_ballot(ballot)
-                    && accepted.as_ref().is_none_or(|(ballot, version)| {
-                        is_valid_ballot(ballot) && version.is_valid()
+                    && accepted.as_ref().is_none_or(|accepted| {
+                        is_valid_ballot(&accepted.ballot) && accepted.version.is_valid()
                     })
             }
             Message::Accept {
--- a/crates/config-versions/src/node/contents.rs
+++ b/crates/config-versions/src/node/contents.rs
@@ -207,7 +207,6 @@
     }
 
     /// Handles the response to a chunk request: `None` if the sender does not have the content.
-    /// Returns whether the content is complete.
     pub fn handle_chunk(
         &mut self,
         now: Micros,
@@ -215,16 +214,13 @@
         digest: Digest,
         offset: usize,
         chunk: Option<Chunk>,
-    ) -> bool {
-        if !self.contents.append(now, sender, digest, offset, chunk) {
-            return false;
-        }
-        if self.newest.digest == digest {
+    ) {
+        let is_complete = self.contents.append(now, sender, digest, offset, chunk);
+        if is_complete && self.newest.digest == digest {
             self.emit(Event::Fetched {
                 number: self.newest.number,
                 sender: sender.to_owned(),
             });
         }
-        true
     }
 }
--- a/crates/config-versions/src/node/messages.rs
+++ b/crates/config-versions/src/node/messages.rs
@@ -17,16 +17,13 @@
         }
     }
 
-    /// Handles the gossip payload of any member. Returns whether it contains a new heartbeat.
-    pub fn handle_gossip(&mut self, now: Micros, gossip: &GossipPayload) -> bool {
-        let mut is_new = false;
+    /// Handles the gossip payload of any member.
+    pub fn handle_gossip(&mut self, now: Micros, gossip: &GossipPayload) {
         for heartbeat in &gossip.heartbeats {
-            is_new |= self
-                .leases
+            self.leases
                 .record_heartbeat(heartbeat, &self.newest.acceptors);
         }
         self.request_newest(now, gossip.newest);
-        is_new
     }
 
     /// Handles a message.
--- a/crates/config-versions/src/node/mod.rs
+++ b/crates/config-versions/src/node/mod.rs
@@ -195,11 +195,6 @@
         self.acceptor.as_ref()
     }
 
-    /// Returns the retirement that was started here last, if any.
-    pub fn retirement(&self) -> Option<&Retirement> {
-        self.retirement.as_ref()
-    }
-
     /// Takes the messages to send. Those to names that are no members are to be dropped.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
--- a/crates/config-versions/src/proposer.rs
+++ b/crates/config-versions/src/proposer.rs
@@ -1,6 +1,6 @@
 //! The Paxos proposer: has a version decided for one number, over as many ballots as it takes.
 
-use crate::message::{Ballot, Message, Outgoing};
+use crate::message::{AcceptedVersion, Ballot, Message, Outgoing};
 use crate::version::{is_quorum, Version};
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Stage {
     /// Phase 1: the promises received, each with what the acceptor has accepted.
-    Preparing(BTreeMap<String, Option<(Ballot, Version)>>),
+    Preparing(BTreeMap<String, Option<AcceptedVersion>>),
     /// Phase 2: the version, and the minimum version of each acceptor that has accepted it.
     Accepting(Version, BTreeMap<String, u64>),
     /// After a rejection: the next ballot starts at this time.
@@ -91,13 +91,8 @@
         self.ballot.round
     }
 
-    /// Returns the version that the proposal builds on.
-    pub fn base(&self) -> &Version {
-        &self.base
-    }
-
     /// Returns the acceptors that have accepted the version in the current ballot.
-    pub fn accepted_by(&self) -> Vec<String> {
+    fn accepted_by(&self) -> Vec<String> {
         match &self.stage {
             Stage::Accepting(_, accepted_by) => accepted_by.keys().cloned().collect(),
             Stage::Preparing(_) | Stage::BackingOff(_) => Vec::new(),
@@ -162,7 +157,7 @@
         &mut self,
         now: Micros,
         sender: &str,
-        accepted: Option<&(Ballot, Version)>,
+        accepted: Option<&AcceptedVersion>,
         minimum_version: u64,
         out: &mut Vec<Outgoing>,
     ) -> Option<Outcome> {
@@ -178,8 +173,8 @@
         let latest = promises
             .values()
             .flatten()
-            .max_by(|a, b| a.0.cmp(&b.0))
-            .map(|(_, version)| version.clone());
+            .max_by(|a, b| a.ballot.cmp(&b.ballot))
+            .map(|accepted| accepted.version.clone());
         let Some(version) = latest.or(self.proposal.clone()) else {
             return Some(Outcome::OtherDecided(self.base.clone()));
         };
@@ -243,7 +238,7 @@
 
     fn send_prepare(
         &self,
-        promises: &BTreeMap<String, Option<(Ballot, Version)>>,
+        promises: &BTreeMap<String, Option<AcceptedVersion>>,
         out: &mut Vec<Outgoing>,
     ) {
         let recipients = self
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -5,7 +5,9 @@
 use pipitlever_config_versions::acceptor::AcceptorState;
 use pipitlever_config_versions::envelope::Envelope;
 use pipitlever_config_versions::file_format;
-use pipitlever_config_versions::message::{Ballot, DiskStamp, GossipPayload, Heartbeat, Message};
+use pipitlever_config_versions::message::{
+    AcceptedVersion, Ballot, DiskStamp, GossipPayload, Heartbeat, Message,
+};
 use pipitlever_config_versions::minimum_version::StoredVersion;
 use pipitlever_config_versions::version::{Digest, Version};
 use std::collections::BTreeMap;
@@ -35,6 +37,13 @@
     }
 }
 
+fn accepted(round: u64, number: u64) -> AcceptedVersion {
+    AcceptedVersion {
+        ballot: ballot(round),
+        version: version(number),
+    }
+}
+
 fn disk(count: u64) -> DiskStamp {
     DiskStamp {
         disk_id: 0x1112_1314_1516_1718,
@@ -57,7 +66,7 @@
 }
 
 fn consensus_messages() -> Vec<(&'static str, Message)> {
-    let accepted = Some((ballot(3), version(21)));
+    let accepted = Some(accepted(3, 21));
     vec![
         (
             "prepare",
@@ -207,7 +216,7 @@
         disk: disk(37),
         incarnation: 13,
         promised: ballot(8),
-        accepted: Some((ballot(9), version(28))),
+        accepted: Some(accepted(9, 28)),
         newest: version(27),
         minimum_version: 26,
         peer_disks: BTreeMap::from([("e2".into(), disk(38)), ("e3".into(), disk(39))]),
--- a/crates/subsetting/src/node/ejections.rs
+++ b/crates/subsetting/src/node/ejections.rs
@@ -4,6 +4,14 @@
 use crate::probe_turn::has_recovered;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A worker of one pool that this node has ejected.
+pub(super) struct EjectedWorker {
+    /// The position in the pool.
+    pub(super) worker: usize,
+    /// The short id in load reports.
+    pub(super) id: u16,
+}
+
 /// Ejected workers, by position for this node and by short id for the others.
 #[derive(Default)]
 pub(super) struct Ejections {
@@ -21,14 +29,13 @@
         self.own.clear();
     }
 
-    /// Sets the workers of a pool that this node has ejected, as positions and short ids. Returns
-    /// whether they have changed.
-    pub(super) fn set_own(&mut self, pool: usize, workers: Vec<(usize, u16)>) -> bool {
+    /// Sets the workers of a pool that this node has ejected. Returns whether they have changed.
+    pub(super) fn set_own(&mut self, pool: usize, workers: Vec<EjectedWorker>) -> bool {
         let previous = self.own.clone();
         self.own.retain(|position, _| position.pool != pool);
         let positions = workers
             .into_iter()
-            .map(|(worker, id)| (WorkerPosition { pool, worker }, id));
+            .map(|EjectedWorker { worker, id }| (WorkerPosition { pool, worker }, id));
         self.own.extend(positions);
         self.own != previous
     }
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -9,7 +9,7 @@
 use crate::load_report::{short_id, LoadReport, PoolLoad, MAX_EJECTED, MAX_POOLS};
 use crate::probe_turn::{self, ProbeTurn};
 use crate::Micros;
-use ejections::Ejections;
+use ejections::{EjectedWorker, Ejections};
 use pool::PoolState;
 
 /// A shared pool, from the configuration.
@@ -234,11 +234,14 @@
 
     /// Sets the workers of a pool that this node has ejected.
     pub fn set_ejected(&mut self, pool: usize, workers: &[usize]) {
-        let ids = workers
+        let ejected = workers
             .iter()
-            .map(|&worker| (worker, self.pools[pool].worker_id(worker)))
+            .map(|&worker| EjectedWorker {
+                worker,
+                id: self.pools[pool].worker_id(worker),
+            })
             .collect();
-        if !self.ejections.set_own(pool, ids) {
+        if !self.ejections.set_own(pool, ejected) {
             return;
         }
         let ids = self.ejections.own_ids();
