--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -92,7 +92,7 @@
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTING) {
         Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
-            log(format!("versions: starting as on a new disk: {why}"));
+            log(&format!("versions: starting as on a new disk: {why}"));
             None
         }
         saved => saved?,
@@ -103,7 +103,7 @@
     match read(Some(&saved.content)) {
         Ok(config) => Ok((config, Some(saved))),
         Err(why) => {
-            log(format!(
+            log(&format!(
                 "versions: could not activate the version on the disk: {why}"
             ));
             Ok((
