--- a/crates/admission/src/policy/hysteresis.rs
+++ b/crates/admission/src/policy/hysteresis.rs
@@ -9,7 +9,8 @@
 //! | overload | priorities from the cutoff (type 1) | L-1: normal; R: discard |
 //! | discard | none | H: overload |
 //!
-//! L is the abatement threshold and R the discard threshold.
+//! L is the abatement threshold and R the discard threshold, with 0 < L < H < R.
+//!
 //! The mode is evaluated at every change of the length (policy P1). The paper's thresholds and its
 //! types of customers are fixed; here both follow the measured completion rate.
 
--- a/crates/admission/src/policy/lifecycle.rs
+++ b/crates/admission/src/policy/lifecycle.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Handles the loss of interest of a request's caller.
+    /// Handles a caller that no longer waits for its answer.
     pub(super) fn handle_abandoned(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get_mut(&id) else {
             return;
