--- a/crates/core/tests/store.rs
+++ b/crates/core/tests/store.rs
@@ -107,7 +107,7 @@
     core.next_store_batch(SECOND);
     core.handle_request(SECOND, incoming(2, SECOND, Some("b")));
     take_effects(&mut core);
-    core.handle_store_result(SECOND, Err("no space".into()));
+    core.handle_store_result(SECOND, Err(std::io::Error::other("no space")));
     assert_eq!(
         answers(&take_effects(&mut core)),
         [(1, overloaded()), (2, overloaded())]
@@ -120,8 +120,8 @@
         (vec![(3, overloaded())], vec![4])
     );
     assert_eq!(
-        core.store_status_change(SECOND).unwrap(),
-        "store: keyed requests are refused: failing: no space"
+        core.store_status_change(SECOND).unwrap().to_string(),
+        "store: keyed requests rejected reason=failing error=\"no space\""
     );
     // The disk is tried again at a time that the core has a wakeup for.
     let mut at = SECOND;
--- a/crates/node/src/net/idempotency_store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -2,10 +2,11 @@
 
 use crate::net::hub::Shared;
 use async_channel::Receiver;
-use pipitlever_idempotency_store::disk::WriterThread;
+use pipitlever_idempotency_store::disk::BatchWriter;
+use std::io;
 
 /// For as long as the node runs.
-pub async fn batches(hub: Shared, writer: WriterThread, done: Receiver<Result<u64, String>>) {
+pub async fn batches(hub: Shared, writer: BatchWriter, done: Receiver<io::Result<u64>>) {
     let nudge = hub.borrow().storing.clone();
     loop {
         let batch = {
@@ -17,13 +18,13 @@
             continue;
         };
         writer.write(batch);
-        // Without its thread nothing is ever written: that is a failure like any other, and the
-        // gate asks again ever more seldom. Left alone, what waits would have the core woken
-        // without end.
+        // Without its thread nothing is ever written. That is reported as a failure, so that the
+        // commit queue retries with growing pauses; without a result the core would be woken at
+        // once, again and again.
         let result = done
             .recv()
             .await
-            .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
+            .unwrap_or_else(|_| Err(io::Error::other("the writer's thread has ended")));
         hub.borrow_mut()
             .tell(|core, now| core.handle_store_result(now, result));
     }
