--- a/crates/subsetting/examples/compare.rs
+++ b/crates/subsetting/examples/compare.rs
@@ -225,8 +225,8 @@
 
 fn main() {
     println!(
-        "nodes/workers/subset  algorithm  min..max of the mean  pairs moved by a node, by a worker  \
-         Jain at 10x  ms"
+        "nodes/workers/subset  algorithm  min..max of the mean  moved by a node, by a worker  \
+         Jain  ms"
     );
     for (nodes, workers, subset_size) in SIZES {
         for algorithm in ALGORITHMS {
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -178,10 +178,10 @@
     /// Reports loads that have changed, as far as the limits allow. Returns whether it did.
     fn report_loads(&mut self, now: Micros) -> bool {
         // At most one report within the propagation time: other nodes could miss an earlier one.
-        let may_report = now
-            > self
-                .last_report_at
-                .saturating_add(self.timing.max_propagation);
+        let earliest = self
+            .last_report_at
+            .saturating_add(self.timing.max_propagation);
+        let may_report = now > earliest;
         let levels: Vec<Option<u8>> = self
             .pools
             .iter()
