--- a/crates/capture/tests/keeper.rs
+++ b/crates/capture/tests/keeper.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pipitlever_capture::disk::{Disk, Thread};
+use pipitlever_capture::disk::{start_writer, Disk};
 use pipitlever_capture::keeper::{parts, safe, Folder, Keeper, Limits};
 use pipitlever_capture::segment::Reader;
 use pipitlever_capture::tap::queue;
@@ -305,7 +305,7 @@
         },
         "n1",
     );
-    let thread = Thread::start(keeper, spool, |_| {}).unwrap();
+    let thread = start_writer(keeper, spool, |_| {}).unwrap();
     let mut world = World::new(0, 3);
     // Far more than the queue holds: the loop gets through, as nothing waits for the disk.
     for i in 0..20_000u32 {
@@ -313,11 +313,11 @@
     }
     drop(tap);
     assert!(
-        !thread.ended(Duration::from_millis(50)),
+        !thread.wait(Duration::from_millis(50)),
         "the disk still hangs"
     );
     drop(allow);
-    assert!(thread.ended(Duration::from_secs(20)));
+    assert!(thread.wait(Duration::from_secs(20)));
 }
 
 #[test]
@@ -332,13 +332,13 @@
         },
         "n1",
     );
-    let thread = Thread::start(keeper, spool, |_| {}).unwrap();
+    let thread = start_writer(keeper, spool, |_| {}).unwrap();
     let mut world = World::new(0, 3);
     for i in 0..500u32 {
         world.step(1_000, &[((i * 5) as u8, i * 97)], Some(&mut tap));
     }
     drop(tap);
-    assert!(thread.ended(Duration::from_secs(20)));
+    assert!(thread.wait(Duration::from_secs(20)));
     let mut files: Vec<_> = std::fs::read_dir(&path)
         .unwrap()
         .map(|e| e.unwrap().path())
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -13,10 +13,11 @@
 use crate::run_store::{EndedRun, RunStore, StoreUsage};
 use pipitlever_admission::{Micros, RequestId};
 use pipitlever_capture::record::By;
-use pipitlever_idempotency_store::commit_queue::{CommitEvent, RefusalReason};
+use pipitlever_idempotency_store::commit_queue::{CommitEvent, RefusalReason, StatusChange};
 use pipitlever_idempotency_store::log::Batch;
 use pipitlever_idempotency_store::record::{Intent, Outcome};
 use pipitlever_idempotency_store::recovery::Recovered;
+use std::io;
 use std::rc::Rc;
 
 /// A stored entry outlasts its window and the read delay by this time, in which the last reader
@@ -260,7 +261,7 @@
     }
 
     /// Handles the result of the writer's last batch: the bytes in use on the disk, or an error.
-    pub fn handle_store_result(&mut self, now: Micros, result: Result<u64, String>) {
+    pub fn handle_store_result(&mut self, now: Micros, result: io::Result<u64>) {
         self.advance_to(now);
         let Some(store) = &mut self.store else {
             return;
@@ -289,8 +290,8 @@
         self.store.as_ref()?.commit_queue.next_wakeup(self.now)
     }
 
-    /// A log line, whenever the store has started or stopped to accept keys.
-    pub fn store_status_change(&mut self, now: Micros) -> Option<String> {
+    /// The change, whenever the store has started or stopped to accept keys.
+    pub fn store_status_change(&mut self, now: Micros) -> Option<StatusChange> {
         self.store.as_mut()?.commit_queue.status_change(now)
     }
 
--- a/crates/core/src/run_store.rs
+++ b/crates/core/src/run_store.rs
@@ -85,10 +85,10 @@
 
     /// Disk usage.
     pub(crate) fn usage(&self) -> StoreUsage {
-        let (used_bytes, reserved_bytes) = self.commit_queue.usage();
+        let usage = self.commit_queue.usage();
         StoreUsage {
-            used_bytes,
-            reserved_bytes,
+            used_bytes: usage.used_bytes,
+            reserved_bytes: usage.reserved_bytes,
             waiting_records: self.commit_queue.pending_records(),
         }
     }
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -9,7 +9,7 @@
 use pipitlever_admission::{Class, Micros};
 use pipitlever_core::RunStore;
 use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig};
-use pipitlever_idempotency_store::disk::{StoreDirectory, WriterThread};
+use pipitlever_idempotency_store::disk::{BatchWriter, StoreDirectory};
 use pipitlever_idempotency_store::log::{Limits, Log, OpenReport};
 use pipitlever_idempotency_store::record::Salt;
 use std::rc::Rc;
@@ -87,7 +87,7 @@
         let used = self.log.used_bytes();
         let Salt([first, _]) = Salt::random().map_err(|e| format!("store: {e}"))?;
         let (sender, done) = async_channel::bounded(1);
-        let writer = WriterThread::start(self.log, move |result| {
+        let writer = BatchWriter::start(self.log, move |result| {
             // The node ends by leaving this thread behind, with nobody to listen.
             let _ = sender.send_blocking(result);
         })
