--- a/crates/cluster-testing/src/sim.rs
+++ b/crates/cluster-testing/src/sim.rs
@@ -451,7 +451,7 @@
             return;
         };
         let (out, sync) = (fleet.take_datagrams(), fleet.take_sync_target());
-        let (events, _) = fleet.take_events();
+        let events = fleet.take_events().events;
         let next = fleet.next_wakeup();
         if self.record {
             let now = self.now;
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -4,8 +4,12 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Order of an update in the queue: by number of transmissions, then the newest first.
-type Position = (u32, Reverse<u64>);
+/// Position of an update in the queue: by number of transmissions, then the newest first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Position {
+    transmissions: u32,
+    enqueued: Reverse<u64>,
+}
 
 /// Names of members with an update to disseminate. The update itself is read from the table when
 /// it is sent, so that it is never older than the table.
@@ -21,7 +25,10 @@
     pub fn enqueue(&mut self, name: &str) {
         self.remove(name);
         self.last_enqueued += 1;
-        let position = (0, Reverse(self.last_enqueued));
+        let position = Position {
+            transmissions: 0,
+            enqueued: Reverse(self.last_enqueued),
+        };
         self.queue.insert(position, name.to_owned());
         self.positions.insert(name.to_owned(), position);
     }
@@ -57,8 +64,11 @@
             let Some(name) = self.queue.remove(&position) else {
                 continue;
             };
-            let next = (position.0 + 1, position.1);
-            if next.0 >= max_transmissions {
+            let next = Position {
+                transmissions: position.transmissions + 1,
+                ..position
+            };
+            if next.transmissions >= max_transmissions {
                 self.positions.remove(&name);
                 continue;
             }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -41,6 +41,15 @@
     }
 }
 
+/// Events since the last time that they were taken.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct EventBatch {
+    /// Events, the oldest first.
+    pub events: Vec<Event>,
+    /// Number of older events that were dropped because the queue was full.
+    pub lost: u64,
+}
+
 /// A change of the membership view or of this node's part in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
--- a/crates/membership/src/membership/events.rs
+++ b/crates/membership/src/membership/events.rs
@@ -1,6 +1,6 @@
 //! Bounded queue of events that the caller has not taken yet.
 
-use crate::event::Event;
+use crate::event::{Event, EventBatch};
 use std::collections::VecDeque;
 
 /// Maximum number of queued events; older ones are dropped and counted.
@@ -21,11 +21,10 @@
         self.events.push_back(event);
     }
 
-    /// Takes the events and the number of lost ones.
-    pub(super) fn take(&mut self) -> (Vec<Event>, u64) {
-        (
-            self.events.drain(..).collect(),
-            std::mem::take(&mut self.lost),
-        )
+    pub(super) fn take(&mut self) -> EventBatch {
+        EventBatch {
+            events: self.events.drain(..).collect(),
+            lost: std::mem::take(&mut self.lost),
+        }
     }
 }
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -3,7 +3,7 @@
 
 use crate::config::MembershipConfig;
 use crate::dissemination::DisseminationQueue;
-use crate::event::Event;
+use crate::event::{Event, EventBatch};
 use crate::local_health::LocalHealth;
 use crate::local_member::{LocalMember, ResumeState, MAX_CONTACTS};
 use crate::members::Members;
@@ -36,6 +36,7 @@
 use events::EventQueue;
 use probing::Prober;
 use reconnect::Reconnector;
+use suspicions::SuspicionDeadline;
 
 /// Minimum interval between two load readings of one member, in microseconds.
 const MIN_LOAD_INTERVAL: Micros = 500_000;
@@ -58,8 +59,7 @@
     health: LocalHealth,
     prober: Prober,
     reconnector: Reconnector,
-    /// Suspicion timeouts in order, with the name of the suspect.
-    suspicion_deadlines: BTreeSet<(Micros, String)>,
+    suspicion_deadlines: BTreeSet<SuspicionDeadline>,
     dissemination: DisseminationQueue,
     next_gossip_at: Micros,
     next_expiry_at: Micros,
@@ -209,9 +209,8 @@
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Takes the events since the last call, and the number of events lost because the queue was
-    /// full.
-    pub fn take_events(&mut self) -> (Vec<Event>, u64) {
+    /// Takes the events since the last call.
+    pub fn take_events(&mut self) -> EventBatch {
         self.events.take()
     }
 
--- a/crates/membership/src/membership/suspicions.rs
+++ b/crates/membership/src/membership/suspicions.rs
@@ -7,13 +7,29 @@
 use crate::suspicion::Suspicion;
 use crate::Micros;
 
+/// Timeout of the suspicion of a member; ordered by time.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct SuspicionDeadline {
+    pub(super) at: Micros,
+    name: String,
+}
+
+impl SuspicionDeadline {
+    fn new(at: Micros, name: &str) -> SuspicionDeadline {
+        SuspicionDeadline {
+            at,
+            name: name.to_owned(),
+        }
+    }
+}
+
 impl Membership {
     /// Replaces the suspicion of a member; `None` ends it.
     pub(super) fn set_suspicion(&mut self, name: &str, suspicion: Option<Suspicion>) {
         let deadlines = &mut self.suspicion_deadlines;
         self.members.annotate(name, |member| {
             if let Some(previous) = std::mem::replace(&mut member.suspicion, suspicion) {
-                deadlines.remove(&(previous.scheduled_deadline, name.to_owned()));
+                deadlines.remove(&SuspicionDeadline::new(previous.scheduled_deadline, name));
             }
         });
         self.schedule_suspicion(name);
@@ -26,16 +42,16 @@
         let deadlines = &mut self.suspicion_deadlines;
         self.members.annotate(name, |member| {
             if let Some(suspicion) = &mut member.suspicion {
-                deadlines.remove(&(suspicion.scheduled_deadline, name.to_owned()));
+                deadlines.remove(&SuspicionDeadline::new(suspicion.scheduled_deadline, name));
                 suspicion.scheduled_deadline = suspicion.deadline(config, active_count);
-                deadlines.insert((suspicion.scheduled_deadline, name.to_owned()));
+                deadlines.insert(SuspicionDeadline::new(suspicion.scheduled_deadline, name));
             }
         });
     }
 
     /// Extends all suspicions by the time for which this process did not run.
     pub(super) fn extend_suspicions(&mut self, delay: Micros) {
-        for (_, name) in self.suspicion_deadlines.clone() {
+        for SuspicionDeadline { name, .. } in self.suspicion_deadlines.clone() {
             self.members.annotate(&name, |member| {
                 if let Some(suspicion) = &mut member.suspicion {
                     suspicion.extend(delay);
@@ -64,9 +80,9 @@
         while self
             .suspicion_deadlines
             .first()
-            .is_some_and(|(deadline, _)| *deadline <= now)
+            .is_some_and(|deadline| deadline.at <= now)
         {
-            let Some((_, name)) = self.suspicion_deadlines.pop_first() else {
+            let Some(SuspicionDeadline { name, .. }) = self.suspicion_deadlines.pop_first() else {
                 return;
             };
             self.declare_down(now, &name);
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -23,9 +23,7 @@
         let timers = [
             self.prober.next_nack_at(),
             has_gossip.then_some(self.next_gossip_at),
-            self.suspicion_deadlines
-                .first()
-                .map(|(deadline, _)| *deadline),
+            self.suspicion_deadlines.first().map(|deadline| deadline.at),
             Some(self.reconnector.next_attempt_at()),
             Some(self.next_expiry_at),
         ];
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -14,6 +14,7 @@
 use futures_lite::future;
 use pipitlever_config_versions::minimum_version::StoredVersion;
 use pipitlever_membership::config::MembershipConfig;
+use pipitlever_membership::event::EventBatch;
 use pipitlever_membership::local_member::LocalMember;
 use pipitlever_membership::local_member::ResumeState;
 use pipitlever_membership::record::ServiceState;
@@ -344,7 +345,7 @@
         self.count(|c| {
             (c.sent, c.unsent) = (c.sent + out.len() as u64 - unsent, c.unsent + unsent)
         });
-        let (events, lost) = fleet.take_events();
+        let EventBatch { events, lost } = fleet.take_events();
         events
             .iter()
             .for_each(|event| log(&format!("fleet: {event}")));
--- a/crates/session-affinity/src/unacknowledged.rs
+++ b/crates/session-affinity/src/unacknowledged.rs
@@ -19,6 +19,13 @@
     transmissions: u32,
 }
 
+/// When the update of a session is to be sent again; ordered by time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledRetransmission {
+    at: Micros,
+    session: SessionId,
+}
+
 /// An update to send again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Retransmission {
@@ -32,7 +39,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct UnacknowledgedUpdates {
     by_session: BTreeMap<SessionId, PendingUpdate>,
-    schedule: BTreeSet<(Micros, SessionId)>,
+    schedule: BTreeSet<ScheduledRetransmission>,
 }
 
 impl UnacknowledgedUpdates {
@@ -56,13 +63,19 @@
                     transmissions: 1,
                 },
             );
-            self.schedule.insert((next_at, session));
+            self.schedule.insert(ScheduledRetransmission {
+                at: next_at,
+                session,
+            });
         }
     }
 
     fn remove(&mut self, session: SessionId) {
         if let Some(update) = self.by_session.remove(&session) {
-            self.schedule.remove(&(update.next_at, session));
+            self.schedule.remove(&ScheduledRetransmission {
+                at: update.next_at,
+                session,
+            });
         }
     }
 
@@ -79,8 +92,8 @@
     /// Takes the retransmissions that are due.
     pub fn take_retransmissions(&mut self, now: Micros) -> Vec<Retransmission> {
         let mut due = Vec::new();
-        while let Some(&(next_at, session)) = self.schedule.first() {
-            if next_at > now {
+        while let Some(&ScheduledRetransmission { at, session }) = self.schedule.first() {
+            if at > now {
                 break;
             }
             self.schedule.pop_first();
@@ -93,7 +106,10 @@
             }
             update.next_at = now + (INITIAL_INTERVAL << update.transmissions);
             update.transmissions += 1;
-            self.schedule.insert((update.next_at, session));
+            self.schedule.insert(ScheduledRetransmission {
+                at: update.next_at,
+                session,
+            });
             due.push(Retransmission {
                 session,
                 replicas: update.replicas.clone(),
@@ -104,7 +120,7 @@
 
     /// Returns when the next retransmission is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.schedule.first().map(|(next_at, _)| *next_at)
+        self.schedule.first().map(|scheduled| scheduled.at)
     }
 
     /// Returns the number of tracked sessions.
