--- a/crates/config-versions/src/file_format.rs
+++ b/crates/config-versions/src/file_format.rs
@@ -30,10 +30,10 @@
 /// complete file is written before the rename, so a truncated one is damaged too.
 pub fn decode<T: for<'a> Deserialize<'a>>(file: &[u8]) -> Result<T, ReadError> {
     let mut frames = FrameReader::open(FORMAT, file)?;
-    let (_, payload) = frames
+    let frame = frames
         .next_frame()?
         .ok_or_else(|| damaged("the file is truncated"))?;
-    postcard::from_bytes(payload).map_err(|_| damaged("the payload can't be decoded"))
+    postcard::from_bytes(frame.payload).map_err(|_| damaged("the payload can't be decoded"))
 }
 
 fn damaged(what: &str) -> ReadError {
