--- a/crates/node/src/net/hot_restart/predecessor.rs
+++ b/crates/node/src/net/hot_restart/predecessor.rs
@@ -180,7 +180,11 @@
             .flat_map(|(udp, tcp)| [udp.as_fd(), tcp.as_fd()]),
     );
     let passed: Vec<_> = passed.collect();
-    let first = by(ahead(PATIENCE_MS), stream.send_with(&bytes, &passed)).await;
+    let first = by(
+        ahead(PATIENCE_MS),
+        stream.send_with_descriptors(&bytes, &passed),
+    )
+    .await;
     let Some(Ok(sent)) = first else {
         return "its welcome could not be sent".into();
     };
--- a/crates/node/src/net/hot_restart/successor.rs
+++ b/crates/node/src/net/hot_restart/successor.rs
@@ -78,7 +78,10 @@
     }
     let (mut bytes, mut passed) = ([0; 4096], Vec::new());
     loop {
-        match stream.receive_with(&mut bytes, &mut passed).await {
+        match stream
+            .receive_with_descriptors(&mut bytes, &mut passed)
+            .await
+        {
             Ok(n) if n > 0 => reader.feed(&bytes[..n]),
             _ => return Ok(None),
         }
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -1,6 +1,6 @@
-//! Sockets.
+//! Asynchronous TCP, UDP and Unix sockets.
 
-use crate::{Source, Way, REACTOR};
+use crate::reactor::{Direction, REACTOR};
 use rustix::fd::{AsFd, BorrowedFd, OwnedFd};
 use rustix::io::Errno;
 use rustix::net::{
@@ -16,62 +16,67 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::rc::Rc;
 
-/// A socket that tasks of this thread wait on. One task may read while one writes.
+/// A non-blocking socket that tasks of the creating thread can wait on. One task may read while
+/// another writes.
 #[derive(Debug)]
 pub struct Async<T: AsFd> {
     io: T,
+    /// The key of its registration with the reactor.
     key: usize,
-    /// The reactor is this thread's.
-    here: PhantomData<Rc<()>>,
+    /// Keeps the socket on its thread, which owns the reactor.
+    not_send: PhantomData<Rc<()>>,
 }
 
 impl<T: AsFd> Async<T> {
-    /// Registers a socket that does not block. It is taken to be writable until a write says that
-    /// it isn't.
-    fn register(io: T, writable: bool) -> io::Result<Async<T>> {
-        let source = Source {
-            ready: [false, writable],
-            ..Source::default()
-        };
-        let key = REACTOR.with(|r| r.add(&io, source))?;
+    /// Registers a non-blocking socket. With `is_writable` it counts as writable until a write
+    /// would block.
+    fn register(io: T, is_writable: bool) -> io::Result<Async<T>> {
+        let key = REACTOR.with(|reactor| reactor.register(&io, is_writable))?;
         Ok(Async {
             io,
             key,
-            here: PhantomData,
+            not_send: PhantomData,
         })
     }
 
-    /// The socket itself. It does not block.
+    /// The socket itself, which is non-blocking.
     pub fn get_ref(&self) -> &T {
         &self.io
     }
 
-    async fn ready(&self, way: Way) {
-        poll_fn(|context| REACTOR.with(|r| r.poll_ready(self.key, way, context.waker()))).await;
+    /// Waits until the socket is ready.
+    async fn ready(&self, direction: Direction) {
+        poll_fn(|context| {
+            REACTOR.with(|reactor| reactor.poll_ready(self.key, direction, context.waker()))
+        })
+        .await;
     }
 
-    /// Does something that may say that it would block, until it doesn't.
-    async fn attempt<R>(
+    /// Repeats an operation, waiting for readiness before each attempt, until it neither would
+    /// block nor is interrupted.
+    async fn perform<R>(
         &self,
-        way: Way,
-        mut call: impl FnMut(&T) -> io::Result<R>,
+        direction: Direction,
+        mut operation: impl FnMut(&T) -> io::Result<R>,
     ) -> io::Result<R> {
         loop {
-            self.ready(way).await;
-            match call(&self.io) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.not_ready(way),
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                done => return done,
+            self.ready(direction).await;
+            match operation(&self.io) {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.would_block(direction),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                result => return result,
             }
         }
     }
 
-    fn not_ready(&self, way: Way) {
-        REACTOR.with(|r| {
-            r.not_ready(self.key, way);
-            if way == Way::In {
-                // A read that would block behind an end: not to be expected, and no reason to spin.
-                r.sources.borrow_mut()[self.key].ended = false;
+    /// Marks the socket as not ready after an operation that would have blocked.
+    fn would_block(&self, direction: Direction) {
+        REACTOR.with(|reactor| {
+            reactor.clear_ready(self.key, direction);
+            if direction == Direction::Read {
+                // A closed stream should never block a read; without this the task would spin if
+                // one did.
+                reactor.clear_read_closed(self.key);
             }
         });
     }
@@ -81,24 +86,39 @@
 where
     for<'a> &'a T: Read + Write,
 {
-    /// Bytes read; none at the end of the stream. The system is asked once it has said that there
-    /// is something.
+    /// Reads into `bytes` and returns the number of bytes read, 0 at the end of the stream. Makes a
+    /// system call only once the socket is reported ready.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
     pub async fn read(&self, bytes: &mut [u8]) -> io::Result<usize> {
-        let read = self.attempt(Way::In, |mut io| io.read(bytes)).await?;
+        let read = self
+            .perform(Direction::Read, |mut io| io.read(bytes))
+            .await?;
         if read < bytes.len() {
-            // All that there was, as epoll(7) has it for streams; the next edge says when there is
-            // more. An end that came with the bytes has no further edge, and is there to be read.
-            REACTOR.with(|r| r.not_ready(self.key, Way::In));
+            // A short read has drained the stream, see epoll(7): the next edge reports more. The
+            // end of the stream stays readable, as it may have come in the same event.
+            REACTOR.with(|reactor| reactor.clear_ready(self.key, Direction::Read));
         }
         Ok(read)
     }
 
-    /// Writes some of the bytes; how many.
+    /// Writes a part of `bytes` and returns its length.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
     pub async fn write(&self, bytes: &[u8]) -> io::Result<usize> {
-        self.attempt(Way::Out, |mut io| io.write(bytes)).await
+        self.perform(Direction::Write, |mut io| io.write(bytes))
+            .await
     }
 
-    /// Writes all of the bytes.
+    /// Writes all of `bytes`.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket; [`ErrorKind::WriteZero`] if it accepts no bytes.
     pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             match self.write(bytes).await? {
@@ -111,38 +131,50 @@
 }
 
 impl Async<TcpStream> {
-    /// Takes over a stream.
+    /// Registers a connected stream, which becomes non-blocking.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be made non-blocking or registered.
     pub fn new(stream: TcpStream) -> io::Result<Async<TcpStream>> {
         stream.set_nonblocking(true)?;
         Async::register(stream, true)
     }
 
-    /// Connects.
-    pub async fn connect(to: SocketAddr) -> io::Result<Async<TcpStream>> {
-        Async::<TcpStream>::connect_from(None, to).await
+    /// Connects to an address.
+    ///
+    /// # Errors
+    ///
+    /// If no socket can be created or bound, or the connection fails.
+    pub async fn connect(remote: SocketAddr) -> io::Result<Async<TcpStream>> {
+        Async::<TcpStream>::connect_from(None, remote).await
     }
 
-    /// Connects from this address of the machine, if one is given.
+    /// Connects to an address from a local address, if one is given.
+    ///
+    /// # Errors
+    ///
+    /// If no socket can be created or bound, or the connection fails.
     pub async fn connect_from(
-        from: Option<IpAddr>,
-        to: SocketAddr,
+        local: Option<IpAddr>,
+        remote: SocketAddr,
     ) -> io::Result<Async<TcpStream>> {
-        let family = if to.is_ipv4() {
+        let family = if remote.is_ipv4() {
             AddressFamily::INET
         } else {
             AddressFamily::INET6
         };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
-        if let Some(from) = from {
-            bind(&socket, &SocketAddr::new(from, 0))?;
+        if let Some(local) = local {
+            bind(&socket, &SocketAddr::new(local, 0))?;
         }
-        match connect(&socket, &to) {
+        match connect(&socket, &remote) {
             Ok(()) | Err(Errno::INPROGRESS) => {}
             Err(error) => return Err(error.into()),
         }
         let stream = Async::register(TcpStream::from(socket), false)?;
-        stream.ready(Way::Out).await;
+        stream.ready(Direction::Write).await;
         match stream.io.take_error()? {
             Some(error) => Err(error),
             None => Ok(stream),
@@ -151,62 +183,101 @@
 }
 
 impl Async<TcpListener> {
-    /// Listens.
-    pub fn bind(at: SocketAddr) -> io::Result<Async<TcpListener>> {
-        Async::<TcpListener>::new(TcpListener::bind(at)?)
+    /// Listens on an address.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound or the socket can't be registered.
+    pub fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+        Async::<TcpListener>::new(TcpListener::bind(address)?)
     }
 
-    /// Takes over a socket that listens.
+    /// Registers a listening socket, which becomes non-blocking.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be made non-blocking or registered.
     pub fn new(listener: TcpListener) -> io::Result<Async<TcpListener>> {
         listener.set_nonblocking(true)?;
         Async::register(listener, false)
     }
 
-    /// The next connection, which does not block either way only once it is taken over.
+    /// Accepts the next connection. The stream blocks until it is passed to [`Async::new`].
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
     pub async fn accept(&self) -> io::Result<(TcpStream, SocketAddr)> {
-        self.attempt(Way::In, |listener| listener.accept()).await
+        self.perform(Direction::Read, |listener| listener.accept())
+            .await
     }
 }
 
 impl Async<UdpSocket> {
-    /// Hears datagrams there.
-    pub fn bind(at: SocketAddr) -> io::Result<Async<UdpSocket>> {
-        Async::<UdpSocket>::new(UdpSocket::bind(at)?)
+    /// Receives datagrams on an address.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound or the socket can't be registered.
+    pub fn bind(address: SocketAddr) -> io::Result<Async<UdpSocket>> {
+        Async::<UdpSocket>::new(UdpSocket::bind(address)?)
     }
 
-    /// Takes over a socket.
+    /// Registers a socket, which becomes non-blocking.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be made non-blocking or registered.
     pub fn new(socket: UdpSocket) -> io::Result<Async<UdpSocket>> {
         socket.set_nonblocking(true)?;
         Async::register(socket, true)
     }
 
-    /// The next datagram: its bytes, of which those that find no room are lost, and who sent it.
+    /// Receives a datagram; returns its length and its sender. A datagram longer than `bytes` is
+    /// truncated.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
     pub async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
-        self.attempt(Way::In, |socket| socket.recv_from(bytes))
+        self.perform(Direction::Read, |socket| socket.recv_from(bytes))
             .await
     }
 }
 
 /// The most descriptors that one message carries.
-const MOST_PASSED: usize = 8;
+const MAX_DESCRIPTORS: usize = 8;
 
 impl Async<UnixStream> {
-    /// Takes over a stream.
+    /// Registers a connected stream, which becomes non-blocking.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be made non-blocking or registered.
     pub fn new(stream: UnixStream) -> io::Result<Async<UnixStream>> {
         stream.set_nonblocking(true)?;
         Async::register(stream, true)
     }
 
-    /// Writes some of the bytes, and passes these descriptors along with the first of them; how
-    /// many bytes.
-    pub async fn send_with(&self, bytes: &[u8], passed: &[BorrowedFd<'_>]) -> io::Result<usize> {
-        if passed.len() > MOST_PASSED {
+    /// Writes a part of `bytes`, passes the descriptors along with its first byte (`SCM_RIGHTS`), and
+    /// returns the number of bytes written.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket; [`ErrorKind::InvalidInput`] for more than eight descriptors.
+    pub async fn send_with_descriptors(
+        &self,
+        bytes: &[u8],
+        descriptors: &[BorrowedFd<'_>],
+    ) -> io::Result<usize> {
+        if descriptors.len() > MAX_DESCRIPTORS {
             return Err(ErrorKind::InvalidInput.into());
         }
-        self.attempt(Way::Out, |stream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_PASSED))];
+        self.perform(Direction::Write, |stream| {
+            let mut space =
+                [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
-            if !control.push(SendAncillaryMessage::ScmRights(passed)) {
+            if !control.push(SendAncillaryMessage::ScmRights(descriptors)) {
                 return Err(ErrorKind::InvalidInput.into());
             }
             Ok(sendmsg(
@@ -219,20 +290,26 @@
         .await
     }
 
-    /// Bytes read, none at the end of the stream, and the descriptors that came along with them.
-    pub async fn receive_with(
+    /// Reads into `bytes` and returns the number of bytes read, 0 at the end of the stream. Appends
+    /// the descriptors that were passed along with them.
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
+    pub async fn receive_with_descriptors(
         &self,
         bytes: &mut [u8],
-        passed: &mut Vec<OwnedFd>,
+        descriptors: &mut Vec<OwnedFd>,
     ) -> io::Result<usize> {
-        self.attempt(Way::In, |stream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_PASSED))];
+        self.perform(Direction::Read, |stream| {
+            let mut space =
+                [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let flags = RecvFlags::CMSG_CLOEXEC;
             let received = recvmsg(stream, &mut [IoSliceMut::new(bytes)], &mut control, flags)?;
             for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-                    passed.extend(descriptors);
+                if let RecvAncillaryMessage::ScmRights(received) = message {
+                    descriptors.extend(received);
                 }
             }
             Ok(received.bytes)
@@ -242,15 +319,23 @@
 }
 
 impl Async<UnixListener> {
-    /// Takes over a socket that listens.
+    /// Registers a listening socket, which becomes non-blocking.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be made non-blocking or registered.
     pub fn new(listener: UnixListener) -> io::Result<Async<UnixListener>> {
         listener.set_nonblocking(true)?;
         Async::register(listener, false)
     }
 
-    /// The next connection.
+    /// Accepts the next connection. The stream blocks until it is passed to [`Async::new`].
+    ///
+    /// # Errors
+    ///
+    /// The error of the socket.
     pub async fn accept(&self) -> io::Result<UnixStream> {
-        self.attempt(Way::In, |listener| listener.accept())
+        self.perform(Direction::Read, |listener| listener.accept())
             .await
             .map(|(stream, _)| stream)
     }
@@ -258,7 +343,7 @@
 
 impl<T: AsFd> Drop for Async<T> {
     fn drop(&mut self) {
-        // At the end of its thread the reactor may be gone already, and its descriptor with it.
-        let _ = REACTOR.try_with(|r| r.remove(self.key, &self.io));
+        // While a thread ends, its reactor may be gone already, and the registration with it.
+        let _ = REACTOR.try_with(|reactor| reactor.deregister(self.key, &self.io));
     }
 }
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -1,4 +1,4 @@
-//! What edges make hard, each on real sockets.
+//! Edge-triggered readiness and timers, on real sockets.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -12,33 +12,34 @@
 use std::task::{Poll, Waker};
 use std::time::{Duration, Instant};
 
-fn ahead(ms: u64) -> Instant {
-    Instant::now() + Duration::from_millis(ms)
+fn after_ms(milliseconds: u64) -> Instant {
+    Instant::now() + Duration::from_millis(milliseconds)
 }
 
-/// Fails rather than hangs.
+/// Runs a future and fails the test if it does not complete within 20 s.
 fn run<T>(future: impl Future<Output = T>) -> T {
-    let late = async {
-        Timer::at(ahead(20_000)).await;
-        panic!("it hangs");
+    let watchdog = async {
+        Timer::at(after_ms(20_000)).await;
+        panic!("the future did not complete");
     };
-    block_on(future::or(future, late))
+    block_on(future::or(future, watchdog))
 }
 
-/// Both ends of a connection, the first one asynchronous.
-fn pair() -> (Async<TcpStream>, TcpStream) {
+/// Both ends of a connection, the local one asynchronous.
+fn connected_pair() -> (Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let ours = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let local = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (
-        Async::<TcpStream>::new(ours).unwrap(),
+        Async::<TcpStream>::new(local).unwrap(),
         listener.accept().unwrap().0,
     )
 }
 
-/// A timer that is waited for and has not rung yet, however long the machine kept the test waiting.
-async fn waiting(ms: u64) -> Pin<Box<Timer>> {
+/// A registered timer that has not fired. Tries again if the machine delayed the test beyond the
+/// deadline.
+async fn pending_timer(milliseconds: u64) -> Pin<Box<Timer>> {
     loop {
-        let mut timer = Box::pin(Timer::at(ahead(ms)));
+        let mut timer = Box::pin(Timer::at(after_ms(milliseconds)));
         if future::poll_once(&mut timer).await.is_none() {
             return timer;
         }
@@ -46,18 +47,18 @@
 }
 
 #[test]
-fn timers_are_ready_in_order_and_not_before() {
+fn timers_fire_in_order_and_never_early() {
     let executor = Rc::new(LocalExecutor::new());
     let order = Rc::new(RefCell::new(Vec::new()));
-    // Far enough off that all of them are waited for before the first one rings.
-    let start = ahead(200);
+    // Late enough that all timers are registered before the first one fires.
+    let start = after_ms(200);
     let tasks: Vec<_> = [30, 10, 20, 10, 0]
         .map(|ms| {
             let order = order.clone();
             executor.spawn(async move {
-                let at = start + Duration::from_millis(ms);
-                assert_eq!(Timer::at(at).await, at);
-                assert!(Instant::now() >= at);
+                let deadline = start + Duration::from_millis(ms);
+                assert_eq!(Timer::at(deadline).await, deadline);
+                assert!(Instant::now() >= deadline);
                 order.borrow_mut().push(ms);
             })
         })
@@ -71,190 +72,194 @@
 }
 
 #[test]
-fn a_timer_that_is_dropped_wakes_nobody() {
+fn a_dropped_timer_wakes_no_task() {
     let mut polls = 0;
     run(async {
-        drop(waiting(5).await);
-        let mut second = waiting(60).await;
+        drop(pending_timer(5).await);
+        let mut second = pending_timer(60).await;
         poll_fn(|context| {
             polls += 1;
             second.as_mut().poll(context).map(|_| ())
         })
         .await;
     });
-    // One is enough if the second rings before it is polled here; a third would be the first one's.
+    // One poll suffices if the second timer has fired before it is polled here; a third poll would
+    // come from the dropped timer.
     assert!((1..=2).contains(&polls), "{polls}");
 }
 
-/// The poller's own time-out has whole milliseconds, rounded up: a timer of 3.3 ms would be 0.7 ms
-/// late or more.
+/// epoll's own time-out is rounded up to whole milliseconds: with it a timer of 3.3 ms would fire at
+/// least 0.7 ms late.
 #[test]
-fn timers_keep_to_less_than_a_millisecond() {
-    let late = (0..50).map(|_| {
-        let at = Instant::now() + Duration::from_micros(3300);
-        run(Timer::at(at));
-        at.elapsed()
+fn timers_are_accurate_to_less_than_a_millisecond() {
+    let delays = (0..50).map(|_| {
+        let deadline = Instant::now() + Duration::from_micros(3300);
+        run(Timer::at(deadline));
+        deadline.elapsed()
     });
-    let least = late.min().unwrap();
+    let least = delays.min().unwrap();
     assert!(least < Duration::from_micros(500), "{least:?}");
 }
 
-/// The clock was once taken to be set for a timer that had long been dropped, and nothing else ever
-/// set it.
+/// Regression: the reactor took the timer descriptor to be set for a timer that had been dropped,
+/// and never set it again.
 #[test]
-fn a_clock_that_rang_for_nobody_is_set_again() {
-    let (done, ended) = std::sync::mpsc::channel();
+fn the_timer_descriptor_is_set_again_after_its_timer_was_dropped() {
+    let (done_sender, done_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let (ours, mut theirs) = pair();
+        let (local, mut peer) = connected_pair();
         block_on(async {
-            let dropped = waiting(5).await;
-            // The poller waits with the clock set for it, and is woken by something else.
-            let say = std::thread::spawn(move || {
-                theirs.write_all(b"x").unwrap();
-                theirs
+            let dropped = pending_timer(5).await;
+            // The poller waits with the descriptor set for this timer and is woken by the socket.
+            let writer = std::thread::spawn(move || {
+                peer.write_all(b"x").unwrap();
+                peer
             });
-            ours.read(&mut [0; 8]).await.unwrap();
+            local.read(&mut [0; 8]).await.unwrap();
             drop(dropped);
-            let mut theirs = say.join().unwrap();
+            let mut peer = writer.join().unwrap();
             std::thread::sleep(Duration::from_millis(10));
-            theirs.write_all(b"y").unwrap();
-            ours.read(&mut [0; 8]).await.unwrap();
-            Timer::at(ahead(5)).await;
+            peer.write_all(b"y").unwrap();
+            local.read(&mut [0; 8]).await.unwrap();
+            Timer::at(after_ms(5)).await;
         });
-        done.send(()).unwrap();
+        done_sender.send(()).unwrap();
     });
-    ended
+    done_receiver
         .recv_timeout(Duration::from_secs(20))
-        .expect("the timer rings");
+        .expect("the timer fires");
 }
 
-/// The end comes with the bytes in one event, and no edge follows.
+/// The end of stream arrives in the same event as the bytes, and no edge follows.
 #[test]
-fn an_end_that_came_with_the_last_bytes_is_seen() {
-    for wait in [false, true] {
-        let (ours, mut theirs) = pair();
-        let say = move || {
-            theirs.write_all(b"last words").unwrap();
-            theirs.shutdown(Shutdown::Write).unwrap();
-            theirs
+fn an_end_of_stream_in_the_event_of_the_last_bytes_is_read() {
+    for is_reader_waiting in [false, true] {
+        let (local, mut peer) = connected_pair();
+        let write_and_close = move || {
+            peer.write_all(b"last words").unwrap();
+            peer.shutdown(Shutdown::Write).unwrap();
+            peer
         };
         let mut bytes = [0; 100];
         run(async {
-            let held = if wait {
-                // The reader is waiting before anything comes.
-                let mut read = Box::pin(ours.read(&mut bytes));
+            let open_peer = if is_reader_waiting {
+                // The reader waits before the bytes arrive.
+                let mut read = Box::pin(local.read(&mut bytes));
                 assert!(future::poll_once(&mut read).await.is_none());
-                let held = say();
+                let open_peer = write_and_close();
                 assert_eq!(read.await.unwrap(), 10);
-                held
+                open_peer
             } else {
-                let held = say();
-                assert_eq!(ours.read(&mut bytes).await.unwrap(), 10);
-                held
+                let open_peer = write_and_close();
+                assert_eq!(local.read(&mut bytes).await.unwrap(), 10);
+                open_peer
             };
-            assert_eq!(ours.read(&mut bytes).await.unwrap(), 0);
-            assert_eq!(ours.read(&mut bytes).await.unwrap(), 0);
-            drop(held);
+            assert_eq!(local.read(&mut bytes).await.unwrap(), 0);
+            assert_eq!(local.read(&mut bytes).await.unwrap(), 0);
+            drop(open_peer);
         });
     }
 }
 
-/// A write that would block says nothing of the other way.
+/// A write that would block leaves the readiness for reads unchanged.
 #[test]
-fn a_full_send_buffer_does_not_hide_the_peers_end() {
-    let (ours, theirs) = pair();
-    theirs.shutdown(Shutdown::Write).unwrap();
+fn a_full_send_buffer_does_not_hide_the_end_of_stream() {
+    let (local, peer) = connected_pair();
+    peer.shutdown(Shutdown::Write).unwrap();
     run(async {
         let chunk = vec![7; 1 << 16];
         let fill = async {
             loop {
-                ours.write_all(&chunk).await.unwrap();
+                local.write_all(&chunk).await.unwrap();
             }
         };
         let full = async {
-            Timer::at(ahead(50)).await;
+            Timer::at(after_ms(50)).await;
         };
         future::or(fill, full).await;
-        assert_eq!(ours.read(&mut [0; 8]).await.unwrap(), 0);
+        assert_eq!(local.read(&mut [0; 8]).await.unwrap(), 0);
     });
 }
 
 #[test]
-fn what_the_peer_takes_slowly_is_written_whole() {
-    let (ours, mut theirs) = pair();
-    let bytes: Vec<u8> = (0..4 << 20).map(|i: u32| (i * 7) as u8).collect();
+fn write_all_completes_with_a_slow_reader() {
+    let (local, mut peer) = connected_pair();
+    let bytes: Vec<u8> = (0..4 << 20).map(|index: u32| (index * 7) as u8).collect();
     let length = bytes.len();
     let reader = std::thread::spawn(move || {
-        let mut all = vec![0; length];
-        theirs.read_exact(&mut all).unwrap();
-        all
+        let mut received = vec![0; length];
+        peer.read_exact(&mut received).unwrap();
+        received
     });
-    run(ours.write_all(&bytes)).unwrap();
+    run(local.write_all(&bytes)).unwrap();
     assert_eq!(reader.join().unwrap(), bytes);
 }
 
 #[test]
-fn a_read_that_fills_its_buffer_goes_on_without_an_edge() {
-    let (ours, mut theirs) = pair();
-    theirs.write_all(&[1; 10]).unwrap();
+fn a_read_that_fills_its_buffer_stays_ready_without_an_edge() {
+    let (local, mut peer) = connected_pair();
+    peer.write_all(&[1; 10]).unwrap();
     run(async {
         let mut bytes = [0; 4];
         for expected in [4, 4, 2] {
-            assert_eq!(ours.read(&mut bytes).await.unwrap(), expected);
+            assert_eq!(local.read(&mut bytes).await.unwrap(), expected);
         }
-        theirs.write_all(&[2; 3]).unwrap();
-        assert_eq!(ours.read(&mut bytes).await.unwrap(), 3);
+        peer.write_all(&[2; 3]).unwrap();
+        assert_eq!(local.read(&mut bytes).await.unwrap(), 3);
     });
 }
 
 #[test]
-fn a_burst_of_connections_is_accepted_whole() {
+fn all_connections_of_a_burst_are_accepted() {
     let listener = Async::<TcpListener>::bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let at = listener.get_ref().local_addr().unwrap();
-    let burst: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(at).unwrap()).collect();
+    let address = listener.get_ref().local_addr().unwrap();
+    let burst: Vec<TcpStream> = (0..60)
+        .map(|_| TcpStream::connect(address).unwrap())
+        .collect();
     run(async {
         for _ in 0..burst.len() {
             listener.accept().await.unwrap();
         }
-        let mut more = Box::pin(listener.accept());
-        assert!(future::poll_once(&mut more).await.is_none());
-        let _one = TcpStream::connect(at).unwrap();
-        more.await.unwrap();
+        let mut next = Box::pin(listener.accept());
+        assert!(future::poll_once(&mut next).await.is_none());
+        let _connection = TcpStream::connect(address).unwrap();
+        next.await.unwrap();
     });
 }
 
 #[test]
-fn a_connection_is_there_or_refused() {
+fn connect_succeeds_or_reports_a_refusal() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     run(async {
-        let ours = Async::<TcpStream>::connect(at).await.unwrap();
-        let mut theirs = listener.accept().unwrap().0;
-        ours.write_all(b"hello").await.unwrap();
+        let local = Async::<TcpStream>::connect(address).await.unwrap();
+        let mut peer = listener.accept().unwrap().0;
+        local.write_all(b"hello").await.unwrap();
         let mut bytes = [0; 5];
-        theirs.read_exact(&mut bytes).unwrap();
+        peer.read_exact(&mut bytes).unwrap();
         assert_eq!(&bytes, b"hello");
         drop(listener);
-        assert!(Async::<TcpStream>::connect(at).await.is_err());
-        let nowhere: SocketAddr = "[::1]:1".parse().unwrap();
-        assert!(Async::<TcpStream>::connect(nowhere).await.is_err());
+        assert!(Async::<TcpStream>::connect(address).await.is_err());
+        let unused_address: SocketAddr = "[::1]:1".parse().unwrap();
+        assert!(Async::<TcpStream>::connect(unused_address).await.is_err());
     });
 }
 
-/// A reset is an error or an end to the reader, and an error to the writer; neither waits for ever.
+/// A reset is an error or an end of stream for the reader, and an error for the writer; neither
+/// waits forever.
 #[test]
-fn a_reset_ends_both_ways() {
-    let (ours, theirs) = pair();
+fn a_reset_ends_reads_and_writes() {
+    let (local, peer) = connected_pair();
     run(async {
-        ours.write_all(b"unread").await.unwrap();
-        // Bytes that were not read make the close a reset.
+        local.write_all(b"unread").await.unwrap();
+        // Closing a socket with unread bytes resets the connection.
         let mut read = [0; 8];
-        let mut reading = Box::pin(ours.read(&mut read));
+        let mut reading = Box::pin(local.read(&mut read));
         assert!(future::poll_once(&mut reading).await.is_none());
-        drop(theirs);
-        assert!(reading.await.map_or(true, |n| n == 0));
+        drop(peer);
+        assert!(reading.await.map_or(true, |read| read == 0));
         let writing = async {
-            while ours.write_all(b"more").await.is_ok() {
+            while local.write_all(b"more").await.is_ok() {
                 future::yield_now().await;
             }
         };
@@ -263,27 +268,27 @@
 }
 
 #[test]
-fn another_thread_may_wake_the_poller() {
-    let (send, receive) = std::sync::mpsc::channel::<Waker>();
-    let waker = std::thread::spawn(move || receive.iter().for_each(Waker::wake));
+fn wakers_work_from_another_thread() {
+    let (sender, receiver) = std::sync::mpsc::channel::<Waker>();
+    let waking_thread = std::thread::spawn(move || receiver.iter().for_each(Waker::wake));
     let mut polls = 0;
     run(poll_fn(|context| {
         polls += 1;
         if polls > 100 {
             return Poll::Ready(());
         }
-        send.send(context.waker().clone()).unwrap();
+        sender.send(context.waker().clone()).unwrap();
         Poll::Pending
     }));
-    drop(send);
-    waker.join().unwrap();
+    drop(sender);
+    waking_thread.join().unwrap();
 }
 
-/// A future that always has something to do still lets sockets and timers have their turn.
+/// Sockets and timers are served while a future is always ready to run.
 #[test]
-fn a_busy_future_starves_no_socket() {
-    let (ours, mut theirs) = pair();
-    theirs.write_all(b"x").unwrap();
+fn a_busy_future_does_not_starve_sockets() {
+    let (local, mut peer) = connected_pair();
+    peer.write_all(b"x").unwrap();
     let busy = async {
         loop {
             future::yield_now().await;
@@ -291,29 +296,28 @@
     };
     let mut bytes = [0; 8];
     let read = async {
-        Timer::at(ahead(5)).await;
-        ours.read(&mut bytes).await.unwrap()
+        Timer::at(after_ms(5)).await;
+        local.read(&mut bytes).await.unwrap()
     };
     assert_eq!(run(future::or(async { Some(read.await) }, busy)), Some(1));
 }
 
-/// Sockets come and go: the place of one is taken by the next, which hears nothing of the last
-/// one's.
+/// A new socket reuses the registration key of a dropped one.
 #[test]
-fn a_place_is_used_again() {
+fn a_reused_key_receives_no_event_of_the_previous_socket() {
     run(async {
-        for i in 0..200u8 {
-            let (ours, mut theirs) = pair();
-            if i % 2 == 0 {
-                theirs.write_all(&[i]).unwrap();
+        for byte in 0..200u8 {
+            let (local, mut peer) = connected_pair();
+            if byte % 2 == 0 {
+                peer.write_all(&[byte]).unwrap();
                 continue;
             }
             let mut bytes = [0; 4];
-            let mut read = Box::pin(ours.read(&mut bytes));
+            let mut read = Box::pin(local.read(&mut bytes));
             assert!(future::poll_once(&mut read).await.is_none());
-            theirs.write_all(&[i]).unwrap();
+            peer.write_all(&[byte]).unwrap();
             assert_eq!(read.await.unwrap(), 1);
-            assert_eq!(bytes[0], i);
+            assert_eq!(bytes[0], byte);
         }
     });
 }
