--- /dev/null
+++ b/crates/node/src/cli/import/apache.rs
@@ -0,0 +1,154 @@
+//! Apache's balancer sections and `ProxyPass` directives.
+
+use super::worker::WorkerParameters;
+use super::{Import, Location, ProxiedPath};
+
+/// Port that mod_proxy_uwsgi uses if none is given.
+const DEFAULT_PORT: &str = "3031";
+
+/// An open `<Proxy balancer://...>` section.
+struct Section {
+    balancer: String,
+    line: usize,
+}
+
+impl Import {
+    /// Adds a file of this kind.
+    pub(super) fn read_apache(&mut self, file: &str, text: &str) {
+        let mut section: Option<Section> = None;
+        let mut lines = text.lines().enumerate();
+        while let Some((index, line)) = lines.next() {
+            // A backslash at the end of a line joins the next one to it.
+            let mut directive = line.trim().to_owned();
+            while let Some(start) = directive.strip_suffix('\\') {
+                let next = lines.next().map_or("", |(_, line)| line.trim());
+                directive = format!("{} {next}", start.trim_end());
+            }
+            self.read_directive(Location::new(file, index + 1), &directive, &mut section);
+        }
+        if let Some(Section { balancer, line }) = section {
+            let message = format!("the section of balancer {balancer} is not closed");
+            self.note(Location::new(file, line), &message);
+        }
+    }
+
+    fn read_directive(&mut self, location: Location, text: &str, section: &mut Option<Section>) {
+        let words = split_words(text);
+        if text.matches('"').count() % 2 == 1 && !text.starts_with('#') {
+            self.note(location, "a quote is not closed");
+        }
+        let Some((name, arguments)) = words.split_first() else {
+            return;
+        };
+        if name.starts_with('#') {
+            return;
+        }
+        let names_balancer = arguments.first().is_some_and(|word| is_balancer(word));
+        let target = arguments.get(1);
+        match name.to_ascii_lowercase().as_str() {
+            "<proxy" if names_balancer => {
+                *section = Some(Section {
+                    balancer: balancer_name(&arguments[0]),
+                    line: location.line,
+                });
+            }
+            "</proxy>" if section.is_some() => *section = None,
+            "balancermember" if section.is_some() || names_balancer => {
+                let (balancer, member) = match section {
+                    Some(section) => (section.balancer.clone(), arguments),
+                    None => (balancer_name(&arguments[0]), &arguments[1..]),
+                };
+                self.read_member(&balancer, location, member);
+            }
+            "proxypass" if target.is_some_and(|word| is_balancer(word)) => {
+                self.paths.push(ProxiedPath {
+                    path: arguments[0].clone(),
+                    balancer: balancer_name(&arguments[1]),
+                });
+                self.read_path_parameters(location, &arguments[2..]);
+            }
+            // An excluded path needs nothing: here each path needs a route of its own.
+            "proxypass" if target.is_some_and(|word| word == "!") => {}
+            _ => self.note(location, &format!("unknown directive: {text}")),
+        }
+    }
+
+    fn read_member(&mut self, balancer: &str, location: Location, words: &[String]) {
+        let Some((url, parameters)) = words.split_first() else {
+            return self.note(location, "a BalancerMember of no address");
+        };
+        let parameters = self.read_member_parameters(location, parameters);
+        match url.split_once("://") {
+            Some((scheme, rest)) if scheme.eq_ignore_ascii_case("uwsgi") => {
+                let address = rest.split('/').next().unwrap_or_default();
+                let with_port = address.rsplit_once(':').filter(|_| !address.ends_with(']'));
+                let (host, port) = with_port.unwrap_or((address, DEFAULT_PORT));
+                self.add_worker(balancer, location, host, port, parameters);
+            }
+            Some((scheme, _)) => {
+                self.note(location, &format!("{url}: {scheme} is not spoken here"));
+            }
+            None => self.note(location, &format!("no address: {url}")),
+        }
+    }
+
+    fn read_member_parameters(&mut self, location: Location, words: &[String]) -> WorkerParameters {
+        let mut parameters = WorkerParameters::default();
+        for word in words {
+            let Some((key, value)) = key_and_value(word) else {
+                self.note(location, &format!("unknown parameter: {word}"));
+                continue;
+            };
+            if key == "timeout" {
+                self.add_deadline(location, value, 1000);
+            } else if let Err(message) = parameters.set(&key, value) {
+                self.note(location, &message);
+            }
+        }
+        parameters
+    }
+
+    fn read_path_parameters(&mut self, location: Location, words: &[String]) {
+        for word in words {
+            match key_and_value(word) {
+                Some((key, value)) if key == "timeout" => self.add_deadline(location, value, 1000),
+                _ => self.note(location, &format!("unknown parameter: {word}")),
+            }
+        }
+    }
+}
+
+fn key_and_value(word: &str) -> Option<(String, &str)> {
+    let (key, value) = word.split_once('=')?;
+    Some((key.to_ascii_lowercase(), value))
+}
+
+fn is_balancer(word: &str) -> bool {
+    let url = word.trim_end_matches('>').to_ascii_lowercase();
+    url.starts_with("balancer://")
+}
+
+/// The name in a balancer's URL.
+fn balancer_name(url: &str) -> String {
+    let url = url.trim_end_matches('>').split_once("://");
+    let rest = url.map_or("", |(_, rest)| rest);
+    rest.split('/').next().unwrap_or_default().to_owned()
+}
+
+/// Words separated by white space, with or without quotes. A tag's closing bracket on its own is
+/// left out.
+fn split_words(line: &str) -> Vec<String> {
+    let mut words = Vec::new();
+    let mut rest = line.trim();
+    while !rest.is_empty() {
+        let (word, remaining) = match rest.strip_prefix('"') {
+            Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
+            None => rest.split_once(char::is_whitespace).unwrap_or((rest, "")),
+        };
+        if word != ">" {
+            words.push(word.to_owned());
+        }
+        rest = remaining.trim_start();
+    }
+    words
+}
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -1,7 +1,10 @@
 //! Conversion of single directives; whole files are in tests/import.
 
-use super::*;
+use super::Import;
+use super::ImportedWorker;
 use crate::config::operator::Operator;
+use pipitlever_load_balancing::pool::{Member, MemberMode};
+use std::net::SocketAddr;
 
 fn import(name: &str, text: &str) -> (Vec<String>, Option<u64>, Vec<String>, Vec<String>) {
     let mut import = Import::default();
@@ -9,9 +12,13 @@
     let workers = import
         .workers
         .iter()
-        .map(|(_, m)| m.address.to_string())
+        .map(|worker| worker.member.address.to_string())
+        .collect();
+    let paths = import
+        .paths
+        .into_iter()
+        .map(|proxied| proxied.path)
         .collect();
-    let paths = import.paths.into_iter().map(|(path, _)| path).collect();
     (workers, import.deadline_ms, paths, import.notes)
 }
 
@@ -151,7 +158,14 @@
             "a.conf",
             &format!("BalancerMember balancer://b uwsgi://127.0.0.1:1 {parameters}"),
         );
-        assert_eq!(import.workers, [("b".to_owned(), wanted)], "{parameters}");
+        assert_eq!(
+            import.workers,
+            [ImportedWorker {
+                balancer: "b".to_owned(),
+                member: wanted
+            }],
+            "{parameters}"
+        );
         let notes: Vec<&str> = import
             .notes
             .iter()
@@ -162,7 +176,7 @@
         let file = Operator::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
-        assert_eq!(file.members(), [import.workers[0].1.clone()], "{text}");
+        assert_eq!(file.members(), [import.workers[0].member.clone()], "{text}");
     }
 }
 
@@ -202,15 +216,15 @@
         let usual = Member::new("127.0.0.1:1".parse().unwrap());
         assert_eq!(
             import.workers,
-            [(
-                String::new(),
-                Member {
+            [ImportedWorker {
+                balancer: String::new(),
+                member: Member {
                     weight,
                     tier,
                     mode: usage,
                     ..usual
                 }
-            )],
+            }],
             "{line}"
         );
         let notes: Vec<&str> = import
@@ -313,7 +327,7 @@
         .uwsgi;
     assert_eq!(
         (file.members(), file.deadline_ms),
-        (vec![import.workers[0].1.clone()], 1000)
+        (vec![import.workers[0].member.clone()], 1000)
     );
     // A route becomes one by taking the marks away and naming its class.
     let named = text
