--- a/crates/node/src/cli/fleet.rs
+++ b/crates/node/src/cli/fleet.rs
@@ -35,7 +35,7 @@
     pub versions: Option<Versions>,
     /// Where long-lived sessions live, if any stay with their workers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub sessions: Option<crate::cli::sessions::Sessions>,
+    pub sessions: Option<crate::cli::sessions::SessionAffinity>,
 }
 
 /// How a node stands to the versions of the fleet's settings.
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -1,6 +1,6 @@
 //! `pipitlever pools`: what each pool would do, said from the file alone.
 
-use crate::net::workers::routes::{Backend, Named, Uwsgi};
+use crate::net::workers::routes::{Backend, PoolSettings, Uwsgi};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     lines
 }
 
-fn name(pool: &Named) -> String {
+fn name(pool: &PoolSettings) -> String {
     if pool.name.is_empty() {
         "of [uwsgi]".into()
     } else {
@@ -83,7 +83,7 @@
 }
 
 /// What nobody is likely to want.
-fn odd(pool: &Named, routes: &[&str], takes_over: bool) -> Vec<String> {
+fn odd(pool: &PoolSettings, routes: &[&str], takes_over: bool) -> Vec<String> {
     let mut odd = Vec::new();
     let main = pool
         .members
--- a/crates/node/src/cli/sessions.rs
+++ b/crates/node/src/cli/sessions.rs
@@ -6,10 +6,10 @@
 
 /// What a node says of its sessions.
 #[derive(Clone, Debug, PartialEq, Deserialize, serde::Serialize)]
-pub struct Sessions {
+pub struct SessionAffinity {
     /// It has what it is to remember.
     pub filled: bool,
-    /// Sessions that it remembers, the bytes that takes, and those that found no room.
+    /// SessionAffinity that it remembers, the bytes that takes, and those that found no room.
     pub remembered: u64,
     /// As above.
     pub bytes: u64,
@@ -24,7 +24,7 @@
 pub struct PoolSessions {
     /// Its name.
     pub pool: String,
-    /// Sessions of each worker, of those that this node remembers.
+    /// SessionAffinity of each worker, of those that this node remembers.
     pub workers: BTreeMap<String, u64>,
     /// Placed here since the start of the process, and moved here, by cause.
     pub placed: u64,
@@ -37,8 +37,8 @@
 }
 
 /// The table, or the lines of one worker.
-pub fn table(sessions: &Sessions, worker: Option<&str>) -> String {
-    let Sessions {
+pub fn table(sessions: &SessionAffinity, worker: Option<&str>) -> String {
+    let SessionAffinity {
         filled,
         remembered,
         bytes,
@@ -109,7 +109,7 @@
             moved_failed: 2,
             moved_unreachable: 0,
         };
-        let sessions = Sessions {
+        let sessions = SessionAffinity {
             filled: true,
             remembered: 7,
             bytes: 2048,
--- a/crates/node/src/config/fleet.rs
+++ b/crates/node/src/config/fleet.rs
@@ -3,7 +3,7 @@
 use crate::config::text::{line, within};
 use crate::config::versions::VersionsSection;
 use crate::net::membership::Settings;
-use crate::net::subsetting::Apart;
+use crate::net::subsetting::PartitionPolicy;
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use serde::Deserialize;
@@ -123,9 +123,9 @@
                         "share_apart = \"least\" needs [fleet.versions]",
                     );
                 }
-                Apart::Least
+                PartitionPolicy::MinimumShare
             }
-            _ => Apart::Keep,
+            _ => PartitionPolicy::KeepShare,
         };
         Ok(Settings {
             apart,
--- a/crates/node/src/config/operator.rs
+++ b/crates/node/src/config/operator.rs
@@ -5,7 +5,7 @@
 use crate::config::pools::{labelled, members, pools, PoolSection, WorkerEntry};
 use crate::config::text::{line, within};
 use crate::net::membership;
-use crate::net::workers::routes::{Backend, Named, Route, Uwsgi};
+use crate::net::workers::routes::{Backend, PoolSettings, Route, Uwsgi};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -200,7 +200,12 @@
 
 impl UwsgiSection {
     /// Holds it to what the node's memory can bear.
-    fn read(self, text: &str, classes: &[String], named: Vec<Named>) -> Result<Uwsgi, String> {
+    fn read(
+        self,
+        text: &str,
+        classes: &[String],
+        named: Vec<PoolSettings>,
+    ) -> Result<Uwsgi, String> {
         let usual = Uwsgi::default();
         if let Some(at) = labelled(&self.worker) {
             return Err(line(
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -2,7 +2,7 @@
 
 use crate::config::operator::{Capture, Operator, Store};
 use crate::config::versions::Content;
-use crate::net::hub::{Parties, Tuning};
+use crate::net::event_loop::{RequestSettings, Upstreams};
 use crate::net::membership;
 use crate::net::workers::routes::{Backend, Uwsgi};
 use pipitlever_settings::PlatformSettings;
@@ -69,7 +69,7 @@
     /// Where operators call, if they may.
     pub control: Option<SocketAddr>,
     /// Where the other parties are.
-    pub parties: Parties,
+    pub parties: Upstreams,
     /// For random numbers.
     pub seed: u64,
     /// From the notice to leave to the end of the process.
@@ -79,7 +79,7 @@
     /// Megabytes that the process may take.
     pub memory_mb: usize,
     /// What decides about requests.
-    pub tuning: Tuning,
+    pub tuning: RequestSettings,
     /// The keys that the file has, for the next one to be held against.
     pub shape: Value,
     /// The capture, if there is to be one.
@@ -215,7 +215,7 @@
                 .unwrap_or_else(|| "node".into()),
             listen,
             control,
-            parties: Parties {
+            parties: Upstreams {
                 processor: file.processor,
                 ledger: file.ledger,
                 members: file.members,
@@ -225,7 +225,7 @@
             stop_ms: file.stop_ms,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
-            tuning: Tuning {
+            tuning: RequestSettings {
                 classes: file.settings.class_names(),
                 tenants: file.settings.tenant_names(),
                 gauges: file.settings.gauge_names().to_vec(),
--- a/crates/node/src/config/pools.rs
+++ b/crates/node/src/config/pools.rs
@@ -1,7 +1,7 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
 use crate::config::text::{line, within};
-use crate::net::workers::routes::{Label, Named, Sessions, Shared};
+use crate::net::workers::routes::{PoolSettings, SessionSettings, SubsetSettings, WorkerLabel};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use pipitlever_session_affinity::table::MAX_IDLE_SECONDS;
@@ -38,7 +38,7 @@
 }
 
 impl AffinitySection {
-    fn read(self, text: &str) -> Result<Sessions, String> {
+    fn read(self, text: &str) -> Result<SessionSettings, String> {
         if self.session.get_ref().is_empty() {
             return Err(line(
                 text,
@@ -46,7 +46,7 @@
                 "session: the variable that names it",
             ));
         }
-        Ok(Sessions {
+        Ok(SessionSettings {
             variable: self.session.into_inner(),
             idle_s: within(
                 text,
@@ -65,7 +65,7 @@
 const SUBSET: usize = 20;
 
 /// Reads pools, in the order of the file; the first place is that of `workers`.
-pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<Named>, String> {
+pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, String> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
     let mut all = Vec::new();
     for section in sections {
@@ -96,7 +96,7 @@
                 return Err(line(text, subset.span().start, &what));
             }
             (false, None) => None,
-            (true, subset) => Some(Shared {
+            (true, subset) => Some(SubsetSettings {
                 subset: within(text, "subset", subset, SUBSET, [1, 1000])?,
             }),
         };
@@ -113,13 +113,13 @@
                 );
                 return Err(line(text, at, &what));
             }
-            (Some(_), Some(_)) => Some(Shared { subset: usize::MAX }),
+            (Some(_), Some(_)) => Some(SubsetSettings { subset: usize::MAX }),
             (shared, _) => shared,
         };
         let labels = labels(text, &section.member)?;
         let members = members(text, &[], section.member)?;
         let (fallback, was) = (fallback.transpose()?, section.was);
-        all.push(Named {
+        all.push(PoolSettings {
             name,
             fallback,
             members,
@@ -147,8 +147,8 @@
 
 /// What the members of a pool with a name are called, and where they stand. One that has no name
 /// goes by its address.
-fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<Label>, String> {
-    let mut all: Vec<Label> = Vec::new();
+fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<WorkerLabel>, String> {
+    let mut all: Vec<WorkerLabel> = Vec::new();
     for entry in entries {
         let text_of = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.get_ref().clone());
         let name = text_of(&entry.name).unwrap_or_else(|| entry.address.get_ref().to_string());
@@ -166,7 +166,7 @@
         if all.iter().any(|l| l.name == name) {
             return Err(line(text, at, &format!("the name {name} is given twice")));
         }
-        all.push(Label {
+        all.push(WorkerLabel {
             name,
             zone: text_of(&entry.zone).unwrap_or_default(),
         });
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -3,7 +3,7 @@
 use crate::config::platform::Config;
 use crate::config::text::{line, within};
 use crate::log::log;
-use crate::net::config_versions::disk::{load, ACTING};
+use crate::net::config_versions::disk::{load, ACTIVE_FILE};
 use crate::net::config_versions::{usual, Settings};
 use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
 use pipitlever_config_versions::node::WithoutLease;
@@ -87,7 +87,7 @@
     let Some(versions) = config.fleet.as_ref().and_then(|f| f.versions.as_ref()) else {
         return Ok((config, None));
     };
-    let saved = match load::<StoredVersion>(&versions.folder, ACTING) {
+    let saved = match load::<StoredVersion>(&versions.folder, ACTIVE_FILE) {
         Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
             log(&format!("versions: starting as on a new disk: {why}"));
             None
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -2,7 +2,7 @@
 
 use crate::config::operator::Capture;
 use crate::log::log;
-use crate::net::hub::Shared;
+use crate::net::event_loop::SharedState;
 use pipitlever_capture::disk::{Disk, Thread};
 use pipitlever_capture::keeper::{Keeper, Limits};
 use pipitlever_capture::tap::{queue, About, QUEUE};
@@ -44,13 +44,13 @@
     }
 
     /// Captures as this says from now on.
-    pub fn set(&mut self, hub: &Shared, wanted: Option<Capture>) {
+    pub fn set(&mut self, state: &SharedState, wanted: Option<Capture>) {
         if self.now.as_ref().map(|n| &n.0) == wanted.as_ref() {
             return;
         }
-        self.end(hub);
+        self.end(state);
         let Some(wanted) = wanted else { return };
-        let mut hub = hub.borrow_mut();
+        let mut state = state.borrow_mut();
         let run = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
@@ -58,9 +58,9 @@
             build: env!("CARGO_PKG_VERSION").into(),
             node: self.node.clone(),
             run,
-            classes: hub.class_names(),
+            classes: state.class_names(),
             seed: self.seed,
-            fresh: hub.core.is_starting(),
+            fresh: state.core.is_starting(),
         };
         let (tap, spool) = queue(about, self.queue);
         let limits = Limits {
@@ -70,7 +70,7 @@
         let keeper = Keeper::new(Disk::new(&wanted.folder), limits, &self.node);
         match Thread::start(keeper, spool, |note| log(&note.to_string())) {
             Ok(thread) => {
-                hub.core.set_capture(Some(tap));
+                state.core.set_capture(Some(tap));
                 self.now = Some((wanted, thread));
             }
             Err(error) => log(&format!("capture: stopped: no thread: {error}")),
@@ -78,11 +78,11 @@
     }
 
     /// Captures nothing more, and gives the writer a moment for the rest.
-    pub fn end(&mut self, hub: &Shared) {
+    pub fn end(&mut self, state: &SharedState) {
         let Some((_, thread)) = self.now.take() else {
             return;
         };
-        hub.borrow_mut().core.set_capture(None);
+        state.borrow_mut().core.set_capture(None);
         if !thread.ended(PATIENCE) {
             log("capture: stopped: the last records are not on the disk yet");
         }
--- a/crates/node/src/lifecycle/limits.rs
+++ b/crates/node/src/lifecycle/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::config::platform::Config;
 use crate::lifecycle::capture;
-use crate::net::hub::Limits;
+use crate::net::event_loop::ProcessLimits;
 use crate::net::{control, ledger, membership};
 
 /// Standard input, output and error.
@@ -27,13 +27,13 @@
     + SIGNALS
     + PROCESSOR
     + REGISTRY
-    + ledger::calls::MOST_CALLS
+    + ledger::calls::MAX_CONNECTIONS
     + LISTENERS
     + HOT_RESTART
     + FILES;
 
 /// The limits of a process with this configuration.
-pub fn of(config: &Config) -> Limits {
+pub fn of(config: &Config) -> ProcessLimits {
     let memory = config.memory_mb << 20;
     let capture_memory = match config.capture {
         Some(_) => capture::memory(memory),
@@ -41,16 +41,16 @@
     };
     // One descriptor for each waiting connection and one for each that is being answered.
     let control = match config.control {
-        Some(_) => 2 * control::connections::MOST_CALLERS,
+        Some(_) => 2 * control::connections::MAX_CONNECTIONS,
         None => 0,
     };
     let membership = match config.fleet {
         Some(_) => membership::DESCRIPTORS,
         None => 0,
     };
-    Limits {
+    ProcessLimits {
         memory: memory - capture_memory,
         sockets: config.sockets,
-        kept_back: RESERVED + control + membership,
+        reserved_sockets: RESERVED + control + membership,
     }
 }
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -5,15 +5,15 @@
 use crate::lifecycle::capture::Capturing;
 use crate::log::log;
 use crate::net::config_versions::Act;
-use crate::net::hub::Shared;
-use crate::net::workers::routes::Named;
+use crate::net::event_loop::SharedState;
+use crate::net::workers::routes::PoolSettings;
 use serde_json::Value;
 
 /// Whether the fleet decides what this node acts on.
-fn versioned(hub: &Shared) -> bool {
-    hub.borrow()
-        .callers
-        .fleet
+fn versioned(state: &SharedState) -> bool {
+    state
+        .borrow()
+        .membership
         .as_ref()
         .is_some_and(|part| part.versions.is_some())
 }
@@ -39,22 +39,22 @@
 
     /// Reads the files, and takes over settings, classes, addresses of the other parties and the
     /// capture. With files that can't be used the node goes on as it is, in every respect.
-    pub fn reload(&mut self, hub: &Shared, capturing: &mut Capturing) {
-        let taken = match versioned(hub) {
+    pub fn reload(&mut self, state: &SharedState, capturing: &mut Capturing) {
+        let taken = match versioned(state) {
             // Each node's own file may be any day's: what the fleet decided would be gone with it.
             true => Err(
                 "the fleet decides versions: pipitlever fleet publish FILE --why WHY --at DOOR"
                     .into(),
             ),
-            false => (self.read)(None).and_then(|new| self.take(new, hub, capturing)),
+            false => (self.read)(None).and_then(|new| self.take(new, state, capturing)),
         };
         match taken {
             Ok(()) => {
-                hub.borrow_mut().files.accepted += 1;
+                state.borrow_mut().config_files.accepted += 1;
                 log("reload: done");
             }
             Err(trouble) => {
-                hub.borrow_mut().files.rejected += 1;
+                state.borrow_mut().config_files.rejected += 1;
                 log(&format!(
                     "reload: not done, the old configuration stays: {trouble}"
                 ));
@@ -65,8 +65,13 @@
     /// Acts on a version that the fleet has decided: as a whole, once it is on the disk that no
     /// process of this node goes back behind it. One that can't be taken is turned down before
     /// that, and the node goes on under the one before.
-    pub async fn act(&mut self, hub: &Shared, capturing: &mut Capturing, (number, content): Act) {
-        let Some(part) = hub.borrow().callers.fleet.clone() else {
+    pub async fn act(
+        &mut self,
+        state: &SharedState,
+        capturing: &mut Capturing,
+        (number, content): Act,
+    ) {
+        let Some(part) = state.borrow().membership.clone() else {
             return;
         };
         // Once another process of the node is the member, this one ends under the version that it
@@ -74,11 +79,11 @@
         if !part.active() {
             return;
         }
-        let fits = (self.read)(Some(&content)).and_then(|new| self.fits(&new, hub).map(|()| new));
+        let fits = (self.read)(Some(&content)).and_then(|new| self.fits(&new, state).map(|()| new));
         let taken = match fits {
             Ok(new) => match part.write_down(number, &content).await {
                 Ok(()) if !part.active() => return,
-                Ok(()) => self.take(new, hub, capturing),
+                Ok(()) => self.take(new, state, capturing),
                 Err(why) => Err(format!("it can't be written down: {why}")),
             },
             Err(why) => Err(why),
@@ -86,17 +91,17 @@
         if let Some(versions) = &part.versions {
             versions.activation_finished(number, taken);
         }
-        part.give();
+        part.notify();
     }
 
     /// Whether another configuration can be taken.
-    fn fits(&self, new: &Config, hub: &Shared) -> Result<(), String> {
+    fn fits(&self, new: &Config, state: &SharedState) -> Result<(), String> {
         new.follows(&self.shape)?;
-        if new.parties.processor.is_some() != hub.borrow().link.address.is_some() {
+        if new.parties.processor.is_some() != state.borrow().processor.address.is_some() {
             return Err("a processor can be neither added nor removed while the node runs".into());
         }
-        let same = |(new, old): (&Named, &String)| new.name == *old || new.was.contains(old);
-        let names = hub.borrow().pools.names();
+        let same = |(new, old): (&PoolSettings, &String)| new.name == *old || new.was.contains(old);
+        let names = state.borrow().pools.names();
         if new.parties.pools.len() != names.len() || !new.parties.pools.iter().zip(&names).all(same)
         {
             return Err(
@@ -104,33 +109,44 @@
                     .into(),
             );
         }
-        let parts = |p: &Named| (p.shared.is_some(), p.sessions.is_some());
+        let parts = |p: &PoolSettings| (p.shared.is_some(), p.sessions.is_some());
         if new
             .parties
             .pools
             .iter()
             .map(parts)
-            .ne(hub.borrow().pools.files().map(parts))
+            .ne(state.borrow().pools.settings().map(parts))
         {
             return Err(
                 "share = true and [pool.affinity] can be neither added nor removed while the node runs"
                     .into(),
             );
         }
-        hub.borrow().fits(&new.tuning)
+        state
+            .borrow()
+            .check_classes(&new.tuning)
+            .map_err(|error| error.to_string())
     }
 
-    fn take(&mut self, new: Config, hub: &Shared, capturing: &mut Capturing) -> Result<(), String> {
-        self.fits(&new, hub)?;
+    fn take(
+        &mut self,
+        new: Config,
+        state: &SharedState,
+        capturing: &mut Capturing,
+    ) -> Result<(), String> {
+        self.fits(&new, state)?;
         // The last that may fail, and nothing has changed before it.
-        let changed = hub.borrow_mut().retune(new.tuning)?;
-        hub.borrow_mut().moved(new.parties);
+        let changed = state
+            .borrow_mut()
+            .reconfigure(new.tuning)
+            .map_err(|error| error.to_string())?;
+        state.borrow_mut().set_upstreams(new.parties);
         if changed {
             // A capture's settings are those it began with: another one begins.
-            capturing.end(hub);
+            capturing.end(state);
         }
-        capturing.set(hub, new.capture);
-        match (&hub.borrow().callers.fleet, &new.fleet) {
+        capturing.set(state, new.capture);
+        match (&state.borrow().membership, &new.fleet) {
             (Some(part), Some(settings)) => part.retune(settings),
             (None, None) => {}
             _ => {
--- a/crates/node/src/lifecycle/report.rs
+++ b/crates/node/src/lifecycle/report.rs
@@ -1,32 +1,32 @@
 //! The counters and table sizes that are logged on SIGUSR1 and at the end.
 
 use crate::log::log;
-use crate::net::hub::Shared;
+use crate::net::event_loop::SharedState;
 use pipitlever_core::TableSizes;
 
 /// Logs the counters, the sizes of the tables, the pools of workers and the store.
-pub fn log_counters(hub: &Shared) {
-    let hub = hub.borrow();
+pub fn log_counters(state: &SharedState) {
+    let state = state.borrow();
     let TableSizes {
         requests,
         running,
         keys,
         ..
-    } = hub.core.table_sizes();
-    let connections = hub.places.taken();
-    let open = hub.core.unanswered();
-    log(&format!("counters: {}", hub.core.counters));
+    } = state.core.table_sizes();
+    let connections = state.connections.used();
+    let open = state.core.unanswered();
+    log(&format!("counters: {}", state.core.counters));
     log(&format!(
         "now: requests={requests} running={running} keys={keys} connections={connections} \
          open={open}"
     ));
-    if !hub.core.is_balanced() {
+    if !state.core.is_balanced() {
         log("accounting: requests are not what was answered, has gone and is open: report this with the counters");
     }
-    for line in hub.pools.report(hub.clock.now()) {
+    for line in state.pools.report(state.clock.now()) {
         log(&line);
     }
-    if let Some(usage) = hub.core.store_usage() {
+    if let Some(usage) = state.core.store_usage() {
         log(&format!(
             "store: used={} reserved={} waiting={}",
             usage.used_bytes, usage.reserved_bytes, usage.waiting_records
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -54,8 +54,8 @@
     let mut services = startup::start(executor, config, stored_version, sockets, store)?;
     event_loop(&signals, &mut services, &mut reload).await?;
     shutdown::shut_down(&services).await;
-    log_counters(&services.hub);
-    services.capturing.end(&services.hub);
+    log_counters(&services.state);
+    services.capturing.end(&services.state);
     Ok(())
 }
 
@@ -81,11 +81,11 @@
             ))
         };
         let event = future::or(future::or(signal, failure), version).await?;
-        let (hub, capturing) = (&services.hub, &mut services.capturing);
+        let (state, capturing) = (&services.state, &mut services.capturing);
         match event {
-            LoopEvent::ApplyVersion(version) => reload.act(hub, capturing, version).await,
-            LoopEvent::Signal(Signal::LogCounters) => log_counters(hub),
-            LoopEvent::Signal(Signal::Reload) => reload.reload(hub, capturing),
+            LoopEvent::ApplyVersion(version) => reload.act(state, capturing, version).await,
+            LoopEvent::Signal(Signal::LogCounters) => log_counters(state),
+            LoopEvent::Signal(Signal::Reload) => reload.reload(state, capturing),
             LoopEvent::Signal(Signal::Shutdown) => return Ok(()),
         }
     }
--- a/crates/node/src/lifecycle/shutdown.rs
+++ b/crates/node/src/lifecycle/shutdown.rs
@@ -3,8 +3,8 @@
 
 use crate::lifecycle::startup::Services;
 use crate::log::log;
-use crate::net::hub::Shared;
-use crate::net::{ahead, by};
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, timeout_at};
 use pipitlever_reactor::Timer;
 use std::time::Instant;
 
@@ -26,9 +26,14 @@
 /// Shuts down: as the node's end, or, if another process has taken over, as the end of this process
 /// alone.
 pub async fn shut_down(services: &Services) {
-    let is_replaced = services.hub.borrow_mut().predecessor.begin_shutdown();
+    let is_replaced = services
+        .state
+        .borrow_mut()
+        .hot_restart
+        .predecessor
+        .begin_shutdown();
     if is_replaced {
-        finish_replaced(&services.hub).await;
+        finish_replaced(&services.state).await;
         return;
     }
     if let Some(offer) = &services.offer {
@@ -37,55 +42,57 @@
     drain(services).await;
 }
 
-/// Drains and ends. Callers learn late of the shutdown and send their requests to this node until
+/// Drains and ends. ControlConnections learn late of the shutdown and send their requests to this node until
 /// then, so requests are served as usual for the grace period.
 async fn drain(services: &Services) {
-    let (hub, stop_ms) = (&services.hub, services.stop_ms);
+    let (state, stop_ms) = (&services.state, services.stop_ms);
     let remaining_ms = stop_ms.saturating_sub(KILL_MARGIN_MS);
-    let stop = ahead(remaining_ms);
-    let grace_ms = hub.borrow().core.drain_grace() as u64 / 1000;
-    let close = ahead(grace_ms.saturating_sub(CLOSE_MARGIN_MS).min(stop_ms / 2));
-    let owed = hub.borrow().core.unanswered();
+    let stop = after_ms(remaining_ms);
+    let grace_ms = state.borrow().core.drain_grace() as u64 / 1000;
+    let close = after_ms(grace_ms.saturating_sub(CLOSE_MARGIN_MS).min(stop_ms / 2));
+    let owed = state.borrow().core.unanswered();
     log(&format!("draining: stop_ms={stop_ms} owed={owed}"));
-    hub.borrow_mut().drain((remaining_ms * 1000) as i64);
+    state.borrow_mut().begin_drain((remaining_ms * 1000) as i64);
     Timer::at(close).await;
-    hub.borrow_mut().close();
-    services.fronts.leave();
-    let membership = hub.borrow().callers.fleet.clone();
+    state.borrow_mut().send_goaway();
+    services.fronts.close();
+    let membership = state.borrow().membership.clone();
     if let Some(membership) = membership {
         membership.leave();
     }
-    Timer::at(ahead(IN_TRANSIT_MS).min(stop)).await;
-    finish(hub, stop).await;
+    Timer::at(after_ms(IN_TRANSIT_MS).min(stop)).await;
+    finish(state, stop).await;
 }
 
 /// Ends this process while the node goes on in another one: what it has read is answered, and the
 /// outcomes of its keys are passed on.
-async fn finish_replaced(hub: &Shared) {
-    let longest_deadline_ms = hub.borrow().core.longest_deadline() as u64 / 1000;
+async fn finish_replaced(state: &SharedState) {
+    let longest_deadline_ms = state.borrow().core.longest_deadline() as u64 / 1000;
     let stop_ms = longest_deadline_ms.min(REPLACED_MAX_DEADLINE_MS) + REPLACED_KILL_MS;
     let remaining_ms = stop_ms - KILL_MARGIN_MS;
-    let stop = ahead(remaining_ms);
-    let owed = hub.borrow().core.unanswered();
+    let stop = after_ms(remaining_ms);
+    let owed = state.borrow().core.unanswered();
     log(&format!(
         "leaving: stop_ms={stop_ms} owed={owed}, another process serves"
     ));
-    hub.borrow_mut().superseded((remaining_ms * 1000) as i64);
-    Timer::at(ahead(IN_TRANSIT_MS).min(stop)).await;
-    finish(hub, stop).await;
+    state
+        .borrow_mut()
+        .begin_retirement((remaining_ms * 1000) as i64);
+    Timer::at(after_ms(IN_TRANSIT_MS).min(stop)).await;
+    finish(state, stop).await;
 }
 
 /// Waits until all that was read is answered and every connection is closed, or until `stop`. If the
 /// process ended with unread bytes on a connection, the system would reset it, and its peer could
 /// lose answers.
-async fn finish(hub: &Shared, stop: Instant) {
-    wait_until(stop, || hub.borrow().settled()).await;
-    hub.borrow_mut().retire_all();
+async fn finish(state: &SharedState, stop: Instant) {
+    wait_until(stop, || state.borrow().is_settled()).await;
+    state.borrow_mut().begin_close_all();
     // Requests that arrive before a connection is half-closed are answered as well.
-    let is_finished = || hub.borrow().places.taken() == 0 && hub.borrow().settled();
+    let is_finished = || state.borrow().connections.used() == 0 && state.borrow().is_settled();
     wait_until(stop, is_finished).await;
-    if !hub.borrow().settled() {
-        let owed = hub.borrow().core.unanswered();
+    if !state.borrow().is_settled() {
+        let owed = state.borrow().core.unanswered();
         log(&format!("draining: stopped with owed={owed}"));
     }
 }
@@ -94,8 +101,8 @@
 async fn wait_until(stop: Instant, condition: impl Fn() -> bool) {
     let holds = async {
         while !condition() {
-            Timer::at(ahead(CHECK_INTERVAL_MS)).await;
+            Timer::at(after_ms(CHECK_INTERVAL_MS)).await;
         }
     };
-    by(stop.max(Instant::now()), holds).await;
+    timeout_at(stop.max(Instant::now()), holds).await;
 }
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -3,8 +3,8 @@
 
 use crate::config::platform::Config;
 use crate::net::connections::Front;
-use crate::net::hot_restart::{self, Met};
-use crate::net::{ahead, membership};
+use crate::net::hot_restart::{self, PredecessorConnection};
+use crate::net::{after_ms, membership};
 use pipitlever_reactor::{Async, Timer};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -23,7 +23,7 @@
 /// The sockets of a process, and its connection to the one that it replaces.
 pub struct OpenedSockets {
     /// The process that this one replaces, if there is one.
-    pub predecessor: Option<Met>,
+    pub predecessor: Option<PredecessorConnection>,
     /// The front ends' listeners; the gateways' is the first one.
     pub fronts: Vec<FrontListener>,
     /// The sockets of the membership protocol, if this node is in a fleet.
@@ -120,11 +120,11 @@
 
 /// Binds an address, waiting for a process that shuts down to release it.
 async fn bind_when_free<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
-    let timeout = ahead(ADDRESS_TIMEOUT_MS);
+    let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     loop {
         match bind() {
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {
-                Timer::at(ahead(BIND_RETRY_MS)).await;
+                Timer::at(after_ms(BIND_RETRY_MS)).await;
             }
             result => return result,
         }
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -6,10 +6,10 @@
 use crate::lifecycle::{limits, store};
 use crate::log::log;
 use crate::net::config_versions::Act;
+use crate::net::event_loop::{NodeState, SharedState};
 use crate::net::front::Fronts;
-use crate::net::hot_restart::{self, Met, Offer, Trouble};
-use crate::net::hub::{Hub, Shared};
-use crate::net::{control, ledger, membership, processor, registry, timers, workers};
+use crate::net::hot_restart::{self, FailureSignal, PredecessorConnection, SuccessorListener};
+use crate::net::{control, ledger, membership, processor, registry, run_core_timer, workers};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use pipitlever_config_versions::minimum_version::StoredVersion;
@@ -25,15 +25,15 @@
 /// The running subsystems of a node, as its event loop and its shutdown need them.
 pub struct Services {
     /// State that all drivers share.
-    pub hub: Shared,
+    pub state: SharedState,
     /// The front ends.
     pub fronts: Rc<Fronts>,
     /// The offer to be replaced by another process, if there is a place to meet it.
-    pub offer: Option<Rc<Offer>>,
+    pub offer: Option<Rc<SuccessorListener>>,
     /// The capture.
     pub capturing: Capturing,
     /// A failure of the hot restart, which ends this process.
-    pub failure: Trouble,
+    pub failure: FailureSignal,
     /// Decided config versions to apply.
     pub versions: Receiver<Act>,
     /// Time from the shutdown signal until the process is killed, in milliseconds.
@@ -56,39 +56,39 @@
         control: control_listener,
     } = sockets;
     let mut capturing = Capturing::new(&config.name, config.seed, config.memory_mb << 20);
-    let hub = create_hub(&config, predecessor.as_ref())?;
+    let state = create_state(&config, predecessor.as_ref())?;
     if let Some(store) = store {
-        let max_result = hub.borrow().core.max_result_bytes();
-        store.begin(&executor, &hub, max_result)?;
+        let max_result = state.borrow().core.max_result_bytes();
+        store.begin(&executor, &state, max_result)?;
     }
     // Before the controller's first step, so that the capture begins with it.
-    capturing.set(&hub, config.capture.clone());
-    start_drivers(&executor, &hub, &config);
+    capturing.set(&state, config.capture.clone());
+    start_drivers(&executor, &state, &config);
     let meeting_place = meeting_place(&config, listeners[0].1);
     log_listeners(&config.name, &listeners);
-    let fronts = Fronts::new(executor.clone(), hub.clone(), listeners);
+    let fronts = Fronts::new(executor.clone(), state.clone(), listeners);
     let offer = meeting_place.map(|place| {
         let name = config.name.clone();
-        Offer::new(executor.clone(), hub.clone(), fronts.clone(), name, place)
+        SuccessorListener::new(executor.clone(), state.clone(), fronts.clone(), name, place)
     });
     let (version_sender, versions) = async_channel::unbounded();
     if config.fleet.as_ref().is_some_and(|f| f.versions.is_some()) {
         // Nothing is served until a quorum has confirmed that the stored version is not outdated.
-        hub.borrow_mut().core.set_configuration_expiry(None);
+        state.borrow_mut().core.set_configuration_expiry(None);
     }
     let (name, stop_ms) = (config.name.clone(), config.stop_ms);
     let join = JoinFleet {
         executor: executor.clone(),
-        hub: hub.clone(),
+        state: state.clone(),
         name: config.name,
         settings: config.fleet.zip(membership_sockets),
         stored_version,
         versions: version_sender,
     };
-    let failure = Trouble::default();
+    let failure = FailureSignal::default();
     begin_serving(
         &executor,
-        &hub,
+        &state,
         predecessor,
         &failure,
         &fronts,
@@ -96,14 +96,14 @@
         join,
     );
     if let Some((address, listener)) = control_listener {
-        let endpoint = control::listen(executor.clone(), hub.clone(), listener);
+        let endpoint = control::listen(executor.clone(), state.clone(), listener);
         executor.spawn(endpoint).detach();
         log(&format!(
             "serving: name={name} protocol=control address={address}"
         ));
     }
     Ok(Services {
-        hub,
+        state,
         fronts,
         offer,
         capturing,
@@ -114,41 +114,44 @@
 }
 
 /// The shared state. With a predecessor, both processes use half of the limits.
-fn create_hub(config: &Config, predecessor: Option<&Met>) -> Result<Shared, String> {
+fn create_state(
+    config: &Config,
+    predecessor: Option<&PredecessorConnection>,
+) -> Result<SharedState, String> {
     let limits = limits::of(config);
     let salt = match predecessor {
         Some(predecessor) => predecessor.salt,
         None => Salt::random().map_err(|e| format!("random numbers: {e}"))?,
     };
-    let mut hub = Hub::new(
+    let mut state = NodeState::new(
         config.tuning.clone(),
         config.seed,
         salt,
-        limits.bounds(false),
+        limits.memory_limits(false),
     );
-    hub.bound(limits);
+    state.set_limits(limits);
     if predecessor.is_some() {
-        hub.share(Some(INITIAL_MEMORY_SHARE));
+        state.set_memory_share(Some(INITIAL_MEMORY_SHARE));
     }
-    Ok(Rc::new(RefCell::new(hub)))
+    Ok(Rc::new(RefCell::new(state)))
 }
 
 /// Starts the drivers of the processor, the ledger, the registry and the workers.
-fn start_drivers(executor: &Rc<LocalExecutor<'static>>, hub: &Shared, config: &Config) {
-    hub.borrow_mut().moved(config.parties.clone());
-    executor.spawn(timers(hub.clone())).detach();
+fn start_drivers(executor: &Rc<LocalExecutor<'static>>, state: &SharedState, config: &Config) {
+    state.borrow_mut().set_upstreams(config.parties.clone());
+    executor.spawn(run_core_timer(state.clone())).detach();
     if config.parties.processor.is_some() {
-        executor.spawn(processor::link(hub.clone())).detach();
+        executor.spawn(processor::run(state.clone())).detach();
     } else {
         // All work goes to workers, and the node is up at once.
-        let mut hub = hub.borrow_mut();
-        hub.tell(|core, now| core.start_without_processor(now));
+        let mut state = state.borrow_mut();
+        state.with_core(|core, now| core.start_without_processor(now));
     }
-    let ledger = ledger::calls(executor.clone(), hub.clone());
+    let ledger = ledger::run(executor.clone(), state.clone());
     executor.spawn(ledger).detach();
-    let heartbeats = registry::reports(hub.clone(), config.name.clone());
+    let heartbeats = registry::reports(state.clone(), config.name.clone());
     executor.spawn(heartbeats).detach();
-    let workers = workers::runs(executor.clone(), hub.clone());
+    let workers = workers::run(executor.clone(), state.clone());
     executor.spawn(workers).detach();
 }
 
@@ -163,7 +166,7 @@
 
 fn log_listeners(name: &str, listeners: &[FrontListener]) {
     for (front, address, _) in listeners {
-        let protocol = front.word();
+        let protocol = front.name();
         log(&format!(
             "serving: name={name} protocol={protocol} listen={address}"
         ));
@@ -174,7 +177,7 @@
 /// replaces is the member.
 struct JoinFleet {
     executor: Rc<LocalExecutor<'static>>,
-    hub: Shared,
+    state: SharedState,
     name: String,
     settings: Option<(membership::Settings, membership::Sockets)>,
     stored_version: Option<StoredVersion>,
@@ -191,9 +194,9 @@
             saved: self.stored_version,
             acts: Some(self.versions),
         };
-        let started = membership::Part::begin(
+        let started = membership::MembershipDriver::begin(
             self.executor,
-            self.hub.clone(),
+            self.state.clone(),
             &self.name,
             settings,
             sockets,
@@ -201,7 +204,7 @@
             versioned,
         );
         match started {
-            Ok(part) => self.hub.borrow_mut().callers.fleet = Some(part),
+            Ok(part) => self.state.borrow_mut().membership = Some(part),
             // Requests are served without the fleet, too.
             Err(why) => log(&format!("fleet: off: {why}")),
         }
@@ -211,11 +214,11 @@
 /// Begins to accept, at once or when the predecessor has handed over.
 fn begin_serving(
     executor: &Rc<LocalExecutor<'static>>,
-    hub: &Shared,
-    predecessor: Option<Met>,
-    failure: &Trouble,
+    state: &SharedState,
+    predecessor: Option<PredecessorConnection>,
+    failure: &FailureSignal,
     fronts: &Rc<Fronts>,
-    offer: Option<&Rc<Offer>>,
+    offer: Option<&Rc<SuccessorListener>>,
     join: JoinFleet,
 ) {
     let (fronts, offer) = (fronts.clone(), offer.cloned());
@@ -235,9 +238,9 @@
         serve(None);
         return;
     };
-    let (hub, failure) = (hub.clone(), failure.clone());
+    let (state, failure) = (state.clone(), failure.clone());
     let take_over = async move {
-        if let Err(what) = predecessor.take_over(&hub, serve).await {
+        if let Err(what) = predecessor.take_over(&state, serve).await {
             failure.found(what);
         }
     };
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -3,7 +3,7 @@
 use crate::config::operator::{OnDamage, Store};
 use crate::config::platform::Config;
 use crate::log::log;
-use crate::net::hub::Shared;
+use crate::net::event_loop::SharedState;
 use crate::net::idempotency_store;
 use async_executor::LocalExecutor;
 use pipitlever_admission::{Class, Micros};
@@ -71,7 +71,7 @@
     pub fn begin(
         mut self,
         executor: &Rc<LocalExecutor<'static>>,
-        hub: &Shared,
+        state: &SharedState,
         most_result: usize,
     ) -> Result<(), String> {
         let machine = self.log.clocks();
@@ -93,20 +93,20 @@
         })
         .map_err(|e| format!("store: no thread: {e}"))?;
         {
-            let mut hub = hub.borrow_mut();
-            let now = hub.clock.now();
+            let mut state = state.borrow_mut();
+            let now = state.clock.now();
             let suspect = (!self.found.damage.is_empty())
                 .then(|| now + self.found.longest_window.max(self.window));
             let gate = CommitQueue::new(rules, used, suspect, first);
             let wait = self.settings.wait;
             let durable = RunStore::new(gate, machine.since_boot - now, wait, suspect);
             for key in &mut self.found.keys {
-                key.window_end = hub.clock.of_unix(key.window_end);
+                key.window_end = state.clock.of_unix(key.window_end);
             }
-            hub.remember(durable, self.found.keys, salt);
+            state.attach_store(durable, self.found.keys, salt);
         }
         executor
-            .spawn(idempotency_store::batches(hub.clone(), writer, done))
+            .spawn(idempotency_store::batches(state.clone(), writer, done))
             .detach();
         Ok(())
     }
--- a/crates/node/src/net/config_versions/disk.rs
+++ b/crates/node/src/net/config_versions/disk.rs
@@ -12,24 +12,24 @@
 use std::path::{Path, PathBuf};
 
 /// What an elector has promised, accepted and closed.
-pub const ELECTOR: &str = "elector";
+pub const ACCEPTOR_FILE: &str = "elector";
 /// The floor, and the version that is acted on.
-pub const ACTING: &str = "acting";
+pub const ACTIVE_FILE: &str = "acting";
 
 /// A file to be written.
-pub enum Job {
+pub enum DiskWrite {
     /// An elector's votes, and the number of that write.
-    Elector(Box<AcceptorState>, u64),
+    Acceptor(Box<AcceptorState>, u64),
     /// What is about to be acted on.
-    Acting(StoredVersion),
+    Active(StoredVersion),
 }
 
 /// What has become of one.
-pub enum Done {
+pub enum DiskWriteResult {
     /// The write of this number is on the disk, or is not.
-    Elector(u64, Result<(), String>),
+    Acceptor(u64, Result<(), String>),
     /// So is this floor.
-    Acting(Result<u64, String>),
+    Active(Result<u64, String>),
 }
 
 /// What is there: the elector's file only for one that is an elector.
@@ -59,20 +59,21 @@
 }
 
 /// Writes one after another until nobody asks any more.
-pub fn start(folder: PathBuf) -> Result<(Sender<Job>, Receiver<Done>), String> {
+pub fn start(folder: PathBuf) -> Result<(Sender<DiskWrite>, Receiver<DiskWriteResult>), String> {
     fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let (jobs, todo) = async_channel::unbounded::<Job>();
+    let (jobs, todo) = async_channel::unbounded::<DiskWrite>();
     let (say, done) = async_channel::unbounded();
     let work = move || {
         while let Ok(job) = todo.recv_blocking() {
             let wrong = |e: std::io::Error| format!("{}: {e}", folder.display());
             let said = match job {
-                Job::Elector(kept, number) => {
-                    Done::Elector(number, put(&folder, ELECTOR, &encode(&kept)).map_err(wrong))
-                }
-                Job::Acting(saved) => {
-                    let put = put(&folder, ACTING, &encode(&saved)).map_err(wrong);
-                    Done::Acting(put.map(|()| saved.minimum_version))
+                DiskWrite::Acceptor(kept, number) => DiskWriteResult::Acceptor(
+                    number,
+                    put(&folder, ACCEPTOR_FILE, &encode(&kept)).map_err(wrong),
+                ),
+                DiskWrite::Active(saved) => {
+                    let put = put(&folder, ACTIVE_FILE, &encode(&saved)).map_err(wrong);
+                    DiskWriteResult::Active(put.map(|()| saved.minimum_version))
                 }
             };
             if say.send_blocking(said).is_err() {
@@ -99,34 +100,34 @@
         let folder =
             std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
-        assert_eq!(load::<StoredVersion>(&folder, ACTING), Ok(None));
+        assert_eq!(load::<StoredVersion>(&folder, ACTIVE_FILE), Ok(None));
         let saved = StoredVersion {
             minimum_version: 7,
             version: None,
             content: b"{}".to_vec(),
         };
-        put(&folder, ACTING, &encode(&saved)).unwrap();
+        put(&folder, ACTIVE_FILE, &encode(&saved)).unwrap();
         assert_eq!(
-            load::<StoredVersion>(&folder, ACTING),
+            load::<StoredVersion>(&folder, ACTIVE_FILE),
             Ok(Some(saved.clone()))
         );
-        let bytes = fs::read(folder.join(ACTING)).unwrap();
+        let bytes = fs::read(folder.join(ACTIVE_FILE)).unwrap();
         for at in 0..bytes.len() {
             let mut spoilt = bytes.clone();
             spoilt[at] ^= 1;
             for wrong in [&bytes[..at], &spoilt] {
-                fs::write(folder.join(ACTING), wrong).unwrap();
-                let found = load::<StoredVersion>(&folder, ACTING);
+                fs::write(folder.join(ACTIVE_FILE), wrong).unwrap();
+                let found = load::<StoredVersion>(&folder, ACTIVE_FILE);
                 assert!(
-                    found.as_ref().is_err_and(|e| e.contains(ACTING)),
+                    found.as_ref().is_err_and(|e| e.contains(ACTIVE_FILE)),
                     "{at}: {found:?}"
                 );
             }
         }
         // What a crash left of the next one is not looked at.
-        put(&folder, ACTING, &encode(&saved)).unwrap();
+        put(&folder, ACTIVE_FILE, &encode(&saved)).unwrap();
         fs::write(folder.join("acting.new"), b"half of it").unwrap();
-        assert_eq!(load::<StoredVersion>(&folder, ACTING), Ok(Some(saved)));
+        assert_eq!(load::<StoredVersion>(&folder, ACTIVE_FILE), Ok(Some(saved)));
         fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -5,9 +5,9 @@
 pub mod disk;
 
 use crate::log::log;
-use crate::net::hub::Shared;
+use crate::net::event_loop::SharedState;
 use async_channel::{Receiver, Sender};
-use disk::{Done, Job};
+use disk::{DiskWrite, DiskWriteResult};
 use pipitlever_config_versions::envelope::Envelope;
 use pipitlever_config_versions::message::{GossipPayload, Message};
 use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
@@ -37,9 +37,9 @@
 pub type Act = (u64, Rc<[u8]>);
 
 /// The part.
-pub struct Versions {
+pub struct VersionsDriver {
     node: RefCell<Node>,
-    jobs: Sender<Job>,
+    jobs: Sender<DiskWrite>,
     folder: PathBuf,
     elector: bool,
     acts: Option<Sender<Act>>,
@@ -47,7 +47,7 @@
     offered: Cell<u64>,
     /// What may be done, as it was last told to the core.
     told: Cell<Option<Permission>>,
-    hub: Shared,
+    state: SharedState,
 }
 
 /// What a publisher sends to the door.
@@ -59,22 +59,22 @@
     content: &'a RawValue,
 }
 
-impl Versions {
+impl VersionsDriver {
     /// Begins, with what the disk holds. What is to be acted on goes out by the channel, whose
     /// other end acts and says so.
     pub fn begin(
-        hub: Shared,
+        state: SharedState,
         name: &str,
         settings: &Settings,
         saved: Option<StoredVersion>,
         acts: Option<Sender<Act>>,
         seed: u64,
         now: i64,
-    ) -> Result<(Versions, Receiver<Done>), String> {
+    ) -> Result<(VersionsDriver, Receiver<DiskWriteResult>), String> {
         let (jobs, done) = disk::start(settings.folder.clone())?;
         let elector = settings.rules.acceptors.iter().any(|e| e == name);
         let role = if elector {
-            Role::Acceptor(disk::load(&settings.folder, disk::ELECTOR)?)
+            Role::Acceptor(disk::load(&settings.folder, disk::ACCEPTOR_FILE)?)
         } else {
             Role::Learner
         };
@@ -95,7 +95,7 @@
         ));
         let (offered, told) = (Cell::new(node.active_version()), Cell::new(None));
         let (node, folder) = (RefCell::new(node), settings.folder.clone());
-        let versions = Versions {
+        let versions = VersionsDriver {
             node,
             jobs,
             folder,
@@ -103,7 +103,7 @@
             acts,
             offered,
             told,
-            hub,
+            state,
         };
         Ok((versions, done))
     }
@@ -159,7 +159,7 @@
             // A thread that has ended writes nothing, and nothing that rests on it is ever said.
             let _ = self
                 .jobs
-                .try_send(Job::Elector(Box::new(write.state), write.number));
+                .try_send(DiskWrite::Acceptor(Box::new(write.state), write.number));
         }
         // Not put together each time: a content is wanted now and then.
         if node.is_fetching() {
@@ -214,8 +214,8 @@
             return;
         }
         let serves = self.node.borrow().serves_without_lease();
-        // A turn may come from within the hub's own; the next one is soon.
-        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+        // A turn may come from within the state's own; the next one is soon.
+        let Ok(mut state) = self.state.try_borrow_mut() else {
             return self.told.set(None);
         };
         let until = match may {
@@ -223,7 +223,7 @@
             Permission::Granted { until } => Some(until),
             _ => None,
         };
-        if hub.core.set_configuration_expiry(until) {
+        if state.core.set_configuration_expiry(until) {
             log(&format!(
                 "versions: {}",
                 if until.is_some() { "serving" } else { why(may) }
@@ -237,9 +237,9 @@
     }
 
     /// What the disk thread has done.
-    pub fn done(&self, now: i64, done: Done) -> Option<Result<u64, String>> {
+    pub fn done(&self, now: i64, done: DiskWriteResult) -> Option<Result<u64, String>> {
         match done {
-            Done::Elector(number, result) => {
+            DiskWriteResult::Acceptor(number, result) => {
                 let written = result.is_ok();
                 let _ = result.inspect_err(|why| {
                     log(&format!(
@@ -249,7 +249,7 @@
                 self.node.borrow_mut().write_finished(now, number, written);
                 None
             }
-            Done::Acting(result) => Some(result),
+            DiskWriteResult::Active(result) => Some(result),
         }
     }
 
@@ -258,7 +258,7 @@
         let node = self.node.borrow();
         let version = Some(node.newest().clone()).filter(|v| v.number == number);
         let minimum_version = node.minimum_version().number().max(number);
-        let _ = self.jobs.try_send(Job::Acting(StoredVersion {
+        let _ = self.jobs.try_send(DiskWrite::Active(StoredVersion {
             minimum_version,
             version,
             content: content.to_vec(),
@@ -272,7 +272,7 @@
         let said = |why: String| log(&format!("versions: starting as on a new disk: {why}"));
         let role = if self.elector {
             Role::Acceptor(
-                disk::load(&self.folder, disk::ELECTOR)
+                disk::load(&self.folder, disk::ACCEPTOR_FILE)
                     .map_err(said)
                     .ok()
                     .flatten(),
@@ -280,7 +280,7 @@
         } else {
             Role::Learner
         };
-        let saved: Option<StoredVersion> = disk::load(&self.folder, disk::ACTING)
+        let saved: Option<StoredVersion> = disk::load(&self.folder, disk::ACTIVE_FILE)
             .map_err(said)
             .ok()
             .flatten();
@@ -288,7 +288,7 @@
         node.resume(now, role, saved.map_or(0, |saved| saved.minimum_version));
         self.offered.set(node.active_version());
         self.told.set(None);
-        self.hub.borrow_mut().core.set_configuration_expiry(None);
+        self.state.borrow_mut().core.set_configuration_expiry(None);
     }
 
     /// A version was taken as a whole, or can't be.
--- a/crates/node/src/net/control/connections.rs
+++ b/crates/node/src/net/control/connections.rs
@@ -1,97 +1,92 @@
-//! The operators' door as it is kept in memory: who calls, and who has to go when there are too
-//! many.
+//! Table of the control endpoint's connections.
 
-use crate::net::membership::Part;
-use crate::net::notify::Nudge;
+use crate::net::notify::Notify;
 use std::collections::BTreeMap;
-use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Callers at one time, each with a descriptor that the fronts leave alone.
-pub const MOST_CALLERS: usize = 24;
-/// A caller this new is not sent away for another one: its call may be on its way.
-const NEW: Duration = Duration::from_millis(25);
+#[cfg(test)]
+mod tests;
+
+/// Most connections at one time. Their descriptors are reserved.
+pub const MAX_CONNECTIONS: usize = 24;
+/// A connection that was accepted this recently is not evicted: its request may be on its way.
+const RECENT_ARRIVAL: Duration = Duration::from_millis(25);
 
-/// The callers that have a place, by the order in which they came.
-#[derive(Default)]
-pub struct Callers {
-    all: BTreeMap<u64, (Instant, Nudge)>,
-    last: u64,
-    /// Callers sent away for others.
-    pub sent_away: u64,
-    /// What they may ask of the fleet, where this node is in one.
-    pub fleet: Option<Rc<Part>>,
-    /// Callers that have their answer and are read for a moment.
-    leaving: usize,
+#[derive(Debug)]
+struct Entry {
+    accepted_at: Instant,
+    /// Notified when the connection is evicted.
+    evicted: Notify,
 }
 
-impl Callers {
-    /// One came: its number, and what tells it to go.
-    pub fn add(&mut self, now: Instant) -> (u64, Nudge) {
-        self.last += 1;
-        let go = Nudge::new();
-        self.all.insert(self.last, (now, go.clone()));
-        (self.last, go)
-    }
+/// A connection's number, and the notification that it is evicted.
+#[derive(Debug)]
+pub struct ControlHandle {
+    /// The connection's number.
+    pub id: u64,
+    /// Notified when the connection is evicted.
+    pub evicted: Notify,
+}
 
-    /// Whether one that has its answer may be read for a moment; if so it keeps a descriptor until
-    /// [`Callers::left`].
-    pub fn may_linger(&mut self) -> bool {
-        let may = self.leaving < MOST_CALLERS;
-        self.leaving += usize::from(may);
-        may
-    }
+/// All connections whose request is not answered yet, in the order in which they were accepted.
+#[derive(Debug, Default)]
+pub struct ControlConnections {
+    connections: BTreeMap<u64, Entry>,
+    last_id: u64,
+    evictions: u64,
+    /// Connections in a lingering close.
+    lingering: usize,
+}
 
-    /// It was.
-    pub fn left(&mut self) {
-        self.leaving -= 1;
+impl ControlConnections {
+    /// Adds an accepted connection.
+    pub fn add(&mut self, now: Instant) -> ControlHandle {
+        self.last_id += 1;
+        let evicted = Notify::new();
+        let entry = Entry {
+            accepted_at: now,
+            evicted: evicted.clone(),
+        };
+        self.connections.insert(self.last_id, entry);
+        ControlHandle {
+            id: self.last_id,
+            evicted,
+        }
     }
 
-    /// It left, or has its answer and so no more claim to stay.
+    /// Removes a connection whose request has been read, or which has ended.
     pub fn remove(&mut self, id: u64) {
-        self.all.remove(&id);
+        self.connections.remove(&id);
     }
 
-    /// Whether there is a place for one more. If not, the one that came first is told to go, unless
-    /// all are new; then when to look again.
-    pub fn room(&mut self, now: Instant) -> Result<(), Instant> {
-        if self.all.len() < MOST_CALLERS {
-            return Ok(());
-        }
-        match self.all.first_entry() {
-            Some(first) if first.get().0 + NEW <= now => {
-                first.remove().1.give();
-                self.sent_away += 1;
-                Ok(())
-            }
-            Some(first) => Err(first.get().0 + NEW),
-            None => Ok(()),
-        }
+    /// Begins a lingering close if there is a descriptor for it, until
+    /// [`ControlConnections::end_linger`].
+    pub fn begin_linger(&mut self) -> bool {
+        let may_linger = self.lingering < MAX_CONNECTIONS;
+        self.lingering += usize::from(may_linger);
+        may_linger
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    /// Ends a lingering close.
+    pub fn end_linger(&mut self) {
+        self.lingering -= 1;
+    }
 
-    #[test]
-    fn the_first_of_too_many_callers_goes_but_none_that_has_just_come() {
-        let start = Instant::now();
-        let mut callers = Callers::default();
-        for i in 0..MOST_CALLERS as u32 {
-            assert_eq!(callers.room(start), Ok(()));
-            callers.add(start + i * NEW);
+    /// Makes sure that one more connection can be accepted, and evicts the oldest one if necessary.
+    /// Fails with the time to try again if all are recent.
+    pub fn reserve(&mut self, now: Instant) -> Result<(), Instant> {
+        if self.connections.len() < MAX_CONNECTIONS {
+            return Ok(());
+        }
+        let Some(oldest) = self.connections.first_entry() else {
+            return Ok(());
+        };
+        let evictable_at = oldest.get().accepted_at + RECENT_ARRIVAL;
+        if evictable_at > now {
+            return Err(evictable_at);
         }
-        let first = callers.all[&1].1.clone();
-        // All places are taken, and the first caller's call may be on its way.
-        assert_eq!(callers.room(start), Err(start + NEW));
-        assert_eq!((callers.all.len(), callers.sent_away), (MOST_CALLERS, 0));
-        assert_eq!(callers.room(start + NEW), Ok(()));
-        assert_eq!(
-            (callers.all.len(), callers.sent_away),
-            (MOST_CALLERS - 1, 1)
-        );
-        pipitlever_reactor::block_on(first.wait());
-        assert!(!callers.all.contains_key(&1));
+        oldest.remove().evicted.notify();
+        self.evictions += 1;
+        Ok(())
     }
 }
--- a/crates/node/src/net/control/mod.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -1,35 +1,37 @@
-//! The operators' door: who calls, and what they are answered.
+//! Control endpoint: reads one request a connection and answers it.
 
 pub mod connections;
+mod operations;
 
-use crate::log::log;
-use crate::net::hub::{Hub, Shared};
-use crate::net::notify::Nudge;
-use crate::net::{ahead, by, graceful_close};
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, graceful_close, timeout_at};
 use async_executor::LocalExecutor;
+use connections::ControlHandle;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
-use pipitlever_wire::control::{self, ControlRequest, Operation, RequestError, RequestReader};
+use pipitlever_wire::control::{self, ControlRequest, RequestError, RequestReader};
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::Instant;
 
-/// A call is whole by then, in milliseconds.
-const WHOLE_MS: u64 = 10_000;
-/// An answer is written and its end read by then, in milliseconds.
-const LEAVE_MS: u64 = 500;
+/// Longest time until a request is read whole, in milliseconds.
+const REQUEST_TIMEOUT_MS: u64 = 10_000;
+/// Longest time for writing a response, and length of the lingering close after it, in
+/// milliseconds.
+const CLOSE_TIMEOUT_MS: u64 = 500;
+/// Pause after a failed accept, in milliseconds.
+const ACCEPT_RETRY_MS: u64 = 50;
 
-/// Accepts callers for as long as the process lives, on its way out too.
+/// Accepts connections for as long as the process runs, during its shutdown too.
 pub async fn listen(
     executor: Rc<LocalExecutor<'static>>,
-    hub: Shared,
+    state: SharedState,
     listener: Async<TcpListener>,
 ) {
     loop {
-        // Not held over a wait.
-        let room = hub.borrow_mut().callers.room(Instant::now());
-        if let Err(at) = room {
-            Timer::at(at).await;
+        let reserved = state.borrow_mut().control.reserve(Instant::now());
+        if let Err(retry_at) = reserved {
+            Timer::at(retry_at).await;
             continue;
         }
         match listener.accept().await {
@@ -38,160 +40,67 @@
                     continue;
                 };
                 let _ = stream.get_ref().set_nodelay(true);
-                let (id, go) = hub.borrow_mut().callers.add(Instant::now());
-                executor.spawn(caller(hub.clone(), stream, id, go)).detach();
-                // It is read before the next one is let in: a crowd that says nothing must not push
-                // out who does.
+                let handle = state.borrow_mut().control.add(Instant::now());
+                executor
+                    .spawn(drive(state.clone(), stream, handle))
+                    .detach();
+                // The connection is read before the next one is accepted, so that a flood of silent
+                // connections cannot evict one that has sent its request.
                 future::yield_now().await;
             }
             Err(_) => {
-                hub.borrow_mut().core.counters.accept_errors += 1;
-                Timer::at(ahead(50)).await;
+                state.borrow_mut().core.counters.accept_errors += 1;
+                Timer::at(after_ms(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
-async fn caller(hub: Shared, stream: Async<TcpStream>, id: u64, go: Nudge) {
-    let asked = async {
-        by(ahead(WHOLE_MS), read(&stream))
-            .await
-            .unwrap_or(Some(Err(RequestError::Timeout)))
+/// A request and its body.
+type RequestWithBody = (ControlRequest, Vec<u8>);
+
+/// Drives one connection from accept to close.
+async fn drive(state: SharedState, stream: Async<TcpStream>, handle: ControlHandle) {
+    let ControlHandle { id, evicted } = handle;
+    let reading = async {
+        let read = timeout_at(after_ms(REQUEST_TIMEOUT_MS), read_request(&stream)).await;
+        read.unwrap_or(Some(Err(RequestError::Timeout)))
     };
-    let sent_away = async {
-        go.wait().await;
+    let evicted = async {
+        evicted.wait().await;
         None
     };
-    let asked = future::or(asked, sent_away).await;
-    hub.borrow_mut().callers.remove(id);
-    let mut out = Vec::new();
-    match asked {
+    let request = future::or(reading, evicted).await;
+    state.borrow_mut().control.remove(id);
+    let mut response = Vec::new();
+    match request {
         None => return,
-        Some(Ok((asked, body))) => hub.borrow_mut().called_on(asked, &body, &mut out),
-        Some(Err(wrong)) => control::write_error(&mut out, wrong),
+        Some(Ok((request, body))) => {
+            state
+                .borrow_mut()
+                .handle_control_request(request, &body, &mut response);
+        }
+        Some(Err(error)) => control::write_error(&mut response, error),
     }
-    // An answer fits into the socket's buffer, so that this waits for nobody who reads.
-    let written = by(ahead(LEAVE_MS), stream.write_all(&out)).await;
-    if matches!(written, Some(Ok(()))) && hub.borrow_mut().callers.may_linger() {
-        // What is unread at the close would reset the connection, and could take the answer with
-        // it.
-        graceful_close::linger(&stream, LEAVE_MS).await;
-        hub.borrow_mut().callers.left();
+    // A response fits into the socket's buffer, so that this does not wait for the reader.
+    let written = timeout_at(after_ms(CLOSE_TIMEOUT_MS), stream.write_all(&response)).await;
+    if matches!(written, Some(Ok(()))) && state.borrow_mut().control.begin_linger() {
+        // Bytes that are unread at the close would reset the connection and could destroy the
+        // response.
+        graceful_close::linger(&stream, CLOSE_TIMEOUT_MS).await;
+        state.borrow_mut().control.end_linger();
     }
 }
 
-/// Reads until there is a call; nothing if its caller leaves before.
-async fn read(
-    stream: &Async<TcpStream>,
-) -> Option<Result<(ControlRequest, Vec<u8>), RequestError>> {
-    let mut machine = RequestReader::default();
+/// Reads one request; none if the peer closes the connection first.
+async fn read_request(stream: &Async<TcpStream>) -> Option<Result<RequestWithBody, RequestError>> {
+    let mut reader = RequestReader::default();
     let mut bytes = [0; 2048];
     loop {
-        let read = stream.read(&mut bytes).await.ok().filter(|n| *n > 0)?;
-        if let Some(asked) = machine.feed(&bytes[..read]) {
-            return Some(asked.map(|asked| (asked, machine.into_body())));
+        let length = stream.read(&mut bytes).await.ok().filter(|n| *n > 0)?;
+        if let Some(request) = reader.feed(&bytes[..length]) {
+            return Some(request.map(|request| (request, reader.into_body())));
         }
         future::yield_now().await;
     }
 }
-
-/// Now, in milliseconds since 1970: to be shown, and for nothing else.
-fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_millis() as u64)
-}
-
-impl Hub {
-    /// Does what an operator asks for, and answers.
-    fn called_on(&mut self, asked: ControlRequest, body: &[u8], out: &mut Vec<u8>) {
-        let ControlRequest {
-            operation: call,
-            is_head_only: head,
-        } = asked;
-        if call == Operation::Fleet {
-            return match &self.callers.fleet {
-                Some(part) => control::write_json(out, head, &crate::net::membership::view(part)),
-                None => control::write_error(out, RequestError::NotFound),
-            };
-        }
-        if let Operation::Publish | Operation::RetireBelow(_) | Operation::AcceptMinimum(_) = call {
-            let part = self.callers.fleet.clone();
-            let Some((part, versions)) =
-                part.as_ref().and_then(|p| Some((p, p.versions.as_ref()?)))
-            else {
-                return control::write_error(out, RequestError::NotFound);
-            };
-            let now = self.clock.now();
-            let (yes, text) = match call {
-                Operation::Publish => versions.publish(now, unix_ms(), body),
-                Operation::RetireBelow(floor) => versions.close(now, floor),
-                Operation::AcceptMinimum(number) => versions.accept_floor(number),
-                _ => return,
-            };
-            log(&format!("control: fleet: {}", text.trim_end()));
-            part.give();
-            return control::write_text(out, yes, head, &text);
-        }
-        let (yes, text) = match call {
-            Operation::Status => match () {
-                () if self.draining() => (false, "draining\n".into()),
-                () if self.core.is_starting() || !self.taking => (false, "starting\n".into()),
-                () if self.core.is_standby() => (true, "standby\n".into()),
-                () => (true, "active\n".into()),
-            },
-            Operation::Metrics => (true, self.figures()),
-            // Answered above.
-            Operation::Fleet
-            | Operation::Publish
-            | Operation::RetireBelow(_)
-            | Operation::AcceptMinimum(_) => (false, String::new()),
-            Operation::Standby => {
-                self.stand_by(true);
-                (true, "standby\n".into())
-            }
-            // The way out has no way back.
-            Operation::Active if self.draining() => (false, "draining\n".into()),
-            Operation::Active => {
-                self.stand_by(false);
-                (true, "active\n".into())
-            }
-        };
-        control::write_text(out, yes, head, &text);
-    }
-
-    fn stand_by(&mut self, stand_by: bool) {
-        if self.core.set_standby(stand_by) {
-            log(if stand_by {
-                "control: standby"
-            } else {
-                "control: active"
-            });
-        }
-    }
-
-    /// The figures, a line each, in the statsd form.
-    fn figures(&self) -> String {
-        use std::fmt::Write;
-        let mut text = String::new();
-        for (name, c) in self.core.classes.counters() {
-            for (figure, count) in [
-                ("fulfilled", c.served),
-                ("throttled", c.rejected),
-                ("faulted", c.failed),
-                ("relayed", c.forwarded),
-            ] {
-                // A string takes all that is written to it.
-                let _ = writeln!(text, "edge.operations.{name}.{figure}:{count}|c");
-            }
-        }
-        let files = self.files;
-        let _ = writeln!(text, "edge.open_requests:{}|g", self.core.unanswered());
-        let _ = writeln!(text, "edge.cfg_accepted:{}|c", files.accepted);
-        let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.rejected);
-        self.callers
-            .fleet
-            .iter()
-            .for_each(|part| crate::net::membership::figures(part, &mut text));
-        text
-    }
-}
--- a/crates/node/src/net/hub/answers.rs
+++ b/crates/node/src/net/event_loop/responses.rs
@@ -1,36 +1,47 @@
-//! Answers, as each front writes them.
+//! Writes the core's answers in the protocol of each front end.
 
-use super::*;
+use super::NodeState;
+use crate::net::connections::Front;
+use pipitlever_admission::Micros;
+use pipitlever_core::{Answer, Origin};
+use pipitlever_wire::jsonrpc::{self, ErrorCode};
+use pipitlever_wire::uwsgi::{self, ResponseReader, Status};
 
-impl Hub {
-    /// Gives a request its one answer, on the connection that it came on.
-    pub(super) fn answer(&mut self, origin: Origin, answer: Answer) {
+impl NodeState {
+    /// Writes the answer of a request to the connection that the request arrived on.
+    pub(super) fn respond(&mut self, origin: Origin, answer: Answer) {
         let (level, now) = (self.core.load_level(), self.clock.now());
-        let Some((front, class)) = self.places.answered(origin, now) else {
+        let Some((front, class)) = self.connections.close_request(origin, now) else {
             self.core.counters.undelivered += 1;
             return;
         };
-        let worked = self.classes[class].workers_path.is_some();
+        let from_worker = self.classes[class].is_on_workers();
         let Origin {
             connection,
             request_number: number,
         } = origin;
-        let sent = self.places.send(connection, |out| match front {
-            Front::Gateway => to_gateway(out, number, answer, worked, level),
-            Front::Uwsgi => to_uwsgi_client(out, answer, worked),
+        let sent = self.connections.send(connection, |out| match front {
+            Front::Gateway => write_to_gateway(out, number, answer, from_worker, level),
+            Front::Uwsgi => write_to_uwsgi_client(out, answer, from_worker),
         });
         self.core.counters.undelivered += u64::from(!sent);
         if front == Front::Uwsgi {
-            self.places.finish(connection);
+            self.connections.finish(connection);
         }
     }
 }
 
-/// An answer on the platform's front. A worker's result is the body of its response there.
-fn to_gateway(out: &mut Vec<u8>, number: u64, answer: Answer, worked: bool, level: Option<f64>) {
+/// Writes an answer to a gateway. The result of a worker is the body of its response.
+fn write_to_gateway(
+    out: &mut Vec<u8>,
+    number: u64,
+    answer: Answer,
+    from_worker: bool,
+    level: Option<f64>,
+) {
     match answer {
         Answer::Served(result) => {
-            let result = if worked {
+            let result = if from_worker {
                 ResponseReader::successful_body(&result)
             } else {
                 Some(&*result)
@@ -52,7 +63,7 @@
                 level,
             );
         }
-        // On this wire only a refusal has a field for when to come back.
+        // In this protocol only a rejection carries a retry time.
         Answer::Unknown { .. } => jsonrpc::write_error(out, Some(number), ErrorCode::Failed, level),
         Answer::Failed { timed_out } => {
             let code = if timed_out {
@@ -65,10 +76,10 @@
     }
 }
 
-/// An answer on the uwsgi front. A worker's response passes unchanged.
-fn to_uwsgi_client(out: &mut Vec<u8>, answer: Answer, worked: bool) {
+/// Writes an answer to a uwsgi client. A worker's response passes unchanged.
+fn write_to_uwsgi_client(out: &mut Vec<u8>, answer: Answer, from_worker: bool) {
     match answer {
-        Answer::Served(result) if worked => {
+        Answer::Served(result) if from_worker => {
             pipitlever_wire::count_copied(result.len());
             out.extend_from_slice(&result);
         }
@@ -96,7 +107,7 @@
     }
 }
 
-/// A time in whole seconds, rounded up.
+/// Converts microseconds to seconds, rounded up.
 fn whole_seconds(time: Micros) -> u64 {
     (time as u64).div_ceil(1_000_000)
 }
--- /dev/null
+++ b/crates/node/src/net/event_loop/shutdown.rs
@@ -0,0 +1,129 @@
+//! Graceful shutdown of the node, and retirement of a process that another one has replaced.
+
+use super::NodeState;
+use pipitlever_admission::Micros;
+use pipitlever_wire::jsonrpc;
+
+/// How far the shutdown is. Each phase includes the ones before it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+enum ShutdownPhase {
+    /// Requests are served.
+    #[default]
+    Serving,
+    /// Requests that still arrive are served; the service registry has been notified.
+    Draining,
+    /// Gateways were told to send nothing new.
+    Closing,
+    /// All connections are being closed.
+    ClosingAll,
+}
+
+/// The state of the shutdown.
+#[derive(Debug, Default)]
+pub struct ShutdownState {
+    phase: ShutdownPhase,
+    /// Whether another process of the node has replaced this one.
+    is_replaced: bool,
+    /// The load level that is advertised once nothing new is accepted.
+    final_load_level: Option<f64>,
+}
+
+impl ShutdownState {
+    /// Whether gateways were told to send nothing new.
+    pub fn is_closing(&self) -> bool {
+        self.phase >= ShutdownPhase::Closing
+    }
+
+    /// Whether all connections are being closed.
+    pub fn is_closing_all(&self) -> bool {
+        self.phase >= ShutdownPhase::ClosingAll
+    }
+
+    fn is_draining(&self) -> bool {
+        self.phase >= ShutdownPhase::Draining
+    }
+}
+
+impl NodeState {
+    /// Begins to drain: requests that still arrive are served until [`NodeState::begin_close_all`].
+    /// `remaining` is the time until the process ends, in microseconds.
+    pub fn begin_drain(&mut self, remaining: Micros) {
+        self.shutdown.phase = ShutdownPhase::Draining;
+        self.shutdown_started.notify();
+        // The level that keeps clients away is advertised once nothing new is accepted.
+        let previous = self.core.load_level();
+        self.with_core(|core, now| core.begin_shutdown(now, remaining));
+        self.shutdown.final_load_level = self.core.replace_load_level(previous);
+    }
+
+    /// Tells all gateways to send nothing new.
+    pub fn send_goaway(&mut self) {
+        self.shutdown.phase = ShutdownPhase::Closing;
+        self.core.replace_load_level(self.shutdown.final_load_level);
+        self.send_goaway_to_gateways();
+    }
+
+    /// Begins to retire this process, while the node goes on in the one that replaced it. Gateways
+    /// have been sent `goaway` already. `remaining` is the time until the process ends, in
+    /// microseconds.
+    pub fn begin_retirement(&mut self, remaining: Micros) {
+        self.shutdown.phase = ShutdownPhase::Draining;
+        self.shutdown.is_replaced = true;
+        self.shutdown_started.notify();
+        self.with_core(|core, now| core.begin_retirement(now, remaining));
+    }
+
+    /// Closes all connections, each once no request is open on it.
+    pub fn begin_close_all(&mut self) {
+        self.shutdown.phase = ShutdownPhase::ClosingAll;
+        self.connections.request_close_all();
+    }
+
+    /// Sets whether this process accepts connections. If another process does so in its place,
+    /// gateways are told to move to that one.
+    pub fn set_accepting(&mut self, is_accepting: bool) {
+        self.is_accepting = is_accepting;
+        if !is_accepting {
+            self.send_goaway_to_gateways();
+        }
+    }
+
+    fn send_goaway_to_gateways(&mut self) {
+        for id in self.connections.gateways() {
+            self.connections.send(id, jsonrpc::write_goaway);
+        }
+    }
+
+    /// Whether another process of the node has replaced this one.
+    pub fn is_replaced(&self) -> bool {
+        self.shutdown.is_replaced
+    }
+
+    /// Whether this process shuts down or retires.
+    pub fn is_draining(&self) -> bool {
+        self.shutdown.is_draining()
+    }
+
+    /// Whether gateways were told to send nothing new because this process ends.
+    pub fn is_closing(&self) -> bool {
+        self.shutdown.is_closing()
+    }
+
+    /// Whether every request that was read is answered, every answer is written, and the store and
+    /// the successor have every outcome.
+    pub fn is_settled(&self) -> bool {
+        self.core.unanswered() == 0
+            && self.connections.unsent_bytes() == 0
+            && self.core.is_store_idle()
+            && self.is_transfer_complete()
+    }
+
+    /// Whether the successor, if there is one, has the outcome of every keyed run. An outcome that
+    /// it does not receive is lost.
+    fn is_transfer_complete(&self) -> bool {
+        !self.shutdown.is_replaced
+            || !(self.core.has_keyed_runs()
+                || self.core.has_key_updates()
+                || self.hot_restart.unsent_bytes > 0)
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/event_loop/worker_runs.rs
@@ -0,0 +1,40 @@
+//! Assigns runs to workers within the limit on connections.
+
+use super::NodeState;
+use crate::net::workers::pools::{AssignedRun, AttemptedWorker, WorkerRun};
+use std::net::SocketAddr;
+
+impl NodeState {
+    /// Selects a worker for a run. `hash_key` is the key of sticky runs, `attempted` lists the
+    /// workers of earlier attempts.
+    pub fn select_worker(
+        &mut self,
+        run: &WorkerRun,
+        hash_key: Option<u64>,
+        attempted: &[AttemptedWorker],
+    ) -> Option<AssignedRun> {
+        if self.are_worker_connections_used_up() {
+            return None;
+        }
+        self.pools
+            .select_worker(self.clock.now(), run, hash_key, attempted)
+    }
+
+    /// Assigns a run to the worker at this address, if that worker can take it.
+    pub fn assign_worker(
+        &mut self,
+        run: &WorkerRun,
+        address: SocketAddr,
+        attempted: &[AttemptedWorker],
+    ) -> Option<AssignedRun> {
+        if self.are_worker_connections_used_up() {
+            return None;
+        }
+        self.pools
+            .assign_worker(self.clock.now(), run, address, attempted)
+    }
+
+    fn are_worker_connections_used_up(&self) -> bool {
+        self.pools.in_flight() >= self.limits.max_worker_connections()
+    }
+}
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,11 +1,10 @@
-//! The fronts: accept connections and carry what is said on them, lines of gateways or uwsgi
-//! packets.
+//! Front ends: accept connections, and read and write messages of gateways and uwsgi clients.
 
-use crate::net::connections::{Front, Outbox, Place};
-use crate::net::graceful_close::{self, End};
-use crate::net::hub::Shared;
-use crate::net::notify::Nudge;
-use crate::net::{ahead, by};
+use crate::net::connections::{ConnectionHandle, Front, Outbox};
+use crate::net::event_loop::SharedState;
+use crate::net::graceful_close::{self, ConnectionEnd};
+use crate::net::notify::Notify;
+use crate::net::{after_ms, timeout_at};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
@@ -15,262 +14,320 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
+use std::time::Instant;
 
-/// At the limit, a place is looked for again after so long, in milliseconds.
-const FULL_MS: u64 = 10;
+/// Time between two checks for a free connection while the limit is reached, in milliseconds.
+const FULL_CHECK_MS: u64 = 10;
+/// Pause after a failed accept, in milliseconds.
+const ACCEPT_RETRY_MS: u64 = 50;
+/// Longest time between two checks of a connection's idle timeout, in milliseconds: the timeout may
+/// change with the settings.
+const IDLE_CHECK_MS: u64 = 1000;
+/// Size of the buffer that a connection is read into, in bytes.
+const READ_BUFFER_BYTES: usize = 8192;
 
-/// Accepts connections until told to leave; then takes those that the machine has already accepted,
-/// and closes the listening socket.
-async fn listen(
+/// Accepts the connections of one listener.
+struct Acceptor {
     executor: Rc<LocalExecutor<'static>>,
-    hub: Shared,
+    state: SharedState,
     front: Front,
     listener: Rc<Async<TcpListener>>,
-    leave: Nudge,
-) {
-    let accept = |stream: TcpStream| {
-        let Ok(stream) = Async::<TcpStream>::new(stream) else {
-            return;
-        };
-        // Answers are small and wanted at once; a socket without the option still works.
-        let _ = stream.get_ref().set_nodelay(true);
-        // It takes its place now: a burst would else be accepted whole before the first driver
-        // runs.
-        let place = hub.borrow_mut().connected(front);
-        executor
-            .spawn(connection(hub.clone(), front, stream, place))
-            .detach();
-    };
-    let accepting = async {
-        let freed = hub.borrow().places.freed.clone();
+}
+
+impl Acceptor {
+    /// Accepts connections until `stop` is notified. If the node shuts down, accepts those that the
+    /// system has queued until then, as each may carry a request.
+    async fn run(self, stop: Notify) {
+        future::or(stop.wait(), self.accept_all()).await;
+        // If another process of the node accepts, it takes the queued ones.
+        if self.state.borrow().is_draining() {
+            self.accept_queued();
+        }
+    }
+
+    async fn accept_all(&self) {
+        let freed = self.state.borrow().connections.freed.clone();
         loop {
-            // Those that say nothing must not shut out those that have something to say.
-            while hub.borrow().crowded() {
-                hub.borrow_mut().make_room();
-                by(ahead(FULL_MS), freed.wait()).await;
+            // Connections without requests must not keep out others.
+            while self.state.borrow().is_over_limit() {
+                self.state.borrow_mut().evict_if_full();
+                timeout_at(after_ms(FULL_CHECK_MS), freed.wait()).await;
             }
-            match listener.accept().await {
+            match self.listener.accept().await {
                 Ok((stream, _)) => {
-                    accept(stream);
-                    // Ahead of need: a connection is closed in some steps, and the next newcomer is
-                    // not to wait for them.
-                    hub.borrow_mut().make_room();
+                    self.spawn_connection(stream);
+                    // Ahead of need: a close takes several steps, and the next client must not wait
+                    // for them.
+                    self.state.borrow_mut().evict_if_full();
                 }
                 Err(_) => {
-                    // Out of descriptors, most likely: neither an end nor a reason to spin.
-                    hub.borrow_mut().core.counters.accept_errors += 1;
-                    hub.borrow_mut().make_room();
-                    Timer::at(ahead(50)).await;
+                    // Most likely out of descriptors, which is neither an end nor a reason to spin.
+                    self.state.borrow_mut().core.counters.accept_errors += 1;
+                    self.state.borrow_mut().evict_if_full();
+                    Timer::at(after_ms(ACCEPT_RETRY_MS)).await;
                 }
             }
         }
-    };
-    future::or(leave.wait(), accepting).await;
-    if !hub.borrow().draining() {
-        // Another process of this node accepts from the same queue.
-        return;
     }
-    // A request on a connection that the machine accepted is held here: none may be cut off by the
-    // close.
-    loop {
-        match listener.get_ref().accept() {
-            Ok((stream, _)) => accept(stream),
-            // That one alone is gone; others may wait behind it.
-            Err(error)
-                if matches!(
-                    error.kind(),
-                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted
-                ) => {}
-            Err(_) => return,
+
+    fn accept_queued(&self) {
+        loop {
+            match self.listener.get_ref().accept() {
+                Ok((stream, _)) => self.spawn_connection(stream),
+                // Only this connection is lost; others may be queued behind it.
+                Err(error)
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
+                Err(_) => return,
+            }
         }
     }
+
+    /// Spawns the driver of a connection. The connection counts towards the limit at once: a burst
+    /// would otherwise be accepted whole before the first driver runs.
+    fn spawn_connection(&self, stream: TcpStream) {
+        let Ok(stream) = Async::<TcpStream>::new(stream) else {
+            return;
+        };
+        // Answers are small and urgent; a socket without the option still works.
+        let _ = stream.get_ref().set_nodelay(true);
+        let handle = self.state.borrow_mut().connected(self.front);
+        self.executor
+            .spawn(drive(self.state.clone(), self.front, stream, handle))
+            .detach();
+    }
 }
 
-async fn connection(hub: Shared, front: Front, stream: Async<TcpStream>, place: Place) {
-    let Place { id, out, wanted } = place;
+/// Drives one connection from accept to close.
+async fn drive(
+    state: SharedState,
+    front: Front,
+    stream: Async<TcpStream>,
+    handle: ConnectionHandle,
+) {
+    let ConnectionHandle {
+        id,
+        outbox,
+        close_requested,
+    } = handle;
     let reading = async {
         match front {
-            Front::Gateway => read_lines(&hub, id, &stream, &out).await,
-            Front::Uwsgi => read_packet(&hub, id, &stream, &out).await,
+            Front::Gateway => read_gateway(&state, id, &stream, &outbox).await,
+            Front::Uwsgi => read_packet(&state, id, &stream, &outbox).await,
         }
-        End::Peer
+        ConnectionEnd::PeerClosed
     };
     let writing = async {
-        match write(&hub, id, &stream, &out).await {
-            true => End::Said,
-            false => End::Peer,
+        match write(&state, id, &stream, &outbox).await {
+            true => ConnectionEnd::ResponsesSent,
+            false => ConnectionEnd::PeerClosed,
         }
     };
-    let unused = async {
-        future::or(wanted.wait(), idle(&hub, id)).await;
-        // A request may have come just before: then its place is not to be had.
-        while hub.borrow().places.in_use(id) && !hub.borrow().closing() {
-            future::or(wanted.wait(), idle(&hub, id)).await;
-        }
-        graceful_close::retire(&hub, id, &stream).await
+    let closing = async {
+        wait_for_close(&state, id, &close_requested).await;
+        graceful_close::close(&state, id, &stream).await
     };
-    // The idle one first: it closes what the writer waits for, and knows that the peer has read
-    // all.
-    let end = future::or(unused, future::or(reading, writing)).await;
-    let bound_ms = match end {
-        End::Said => Some(graceful_close::LINGER_MS),
-        End::Idle => Some(graceful_close::LINGER_IDLE_MS),
-        End::Peer | End::Stuck => None,
+    // The close is polled first: it ends the outbox that the writer waits for, and knows that the
+    // peer has read everything.
+    let end = future::or(closing, future::or(reading, writing)).await;
+    let linger_ms = match end {
+        ConnectionEnd::ResponsesSent => Some(graceful_close::LINGER_MS),
+        ConnectionEnd::HalfClosed => Some(graceful_close::IDLE_LINGER_MS),
+        ConnectionEnd::PeerClosed | ConnectionEnd::PeerStalled => None,
     };
-    let lingering =
-        bound_ms.and_then(|bound_ms| Some((hub.borrow_mut().places.linger(id)?, bound_ms)));
-    hub.borrow_mut().disconnected(id);
-    if let Some((lingering, bound_ms)) = lingering {
-        graceful_close::linger(&stream, bound_ms).await;
+    let lingering = linger_ms.and_then(|linger_ms| {
+        let lingering = state.borrow_mut().connections.begin_linger(id)?;
+        Some((lingering, linger_ms))
+    });
+    state.borrow_mut().disconnected(id);
+    if let Some((lingering, linger_ms)) = lingering {
+        graceful_close::linger(&stream, linger_ms).await;
         drop(stream);
-        hub.borrow_mut().places.lingered(lingering);
+        state.borrow_mut().connections.end_linger(lingering);
+    }
+}
+
+/// Waits until a connection without open requests is idle for too long or to be evicted, or until
+/// this process closes all connections.
+async fn wait_for_close(state: &SharedState, id: u64, close_requested: &Notify) {
+    loop {
+        future::or(close_requested.wait(), wait_until_idle(state, id)).await;
+        // A request may have arrived just before.
+        let state = state.borrow();
+        if !state.connections.is_in_use(id) || state.is_closing() {
+            return;
+        }
     }
 }
 
-/// Reads a gateway's lines until it closes.
-async fn read_lines(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = GatewayReader::default();
-    let mut bytes = vec![0; 8192];
-    while let Ok(n) = stream.read(&mut bytes).await {
-        if n == 0 {
+/// Reads a gateway's messages until it closes the connection.
+async fn read_gateway(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) {
+    let mut reader = GatewayReader::default();
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
+    while let Ok(length) = stream.read(&mut bytes).await {
+        if length == 0 {
             return;
         }
-        // What comes behind the last word is not acted on: its answer could not be written any
-        // more.
-        if !out.closed() {
-            machine.feed(&bytes[..n]);
+        // Once the outbox is closed, messages could not be answered and are not acted on.
+        if !outbox.is_closed() {
+            reader.feed(&bytes[..length]);
         }
-        while !out.closed() {
-            let message = machine.next_message(
-                |name| hub.borrow().class(name),
-                |name| hub.borrow().tenant(name),
+        while !outbox.is_closed() {
+            let message = reader.next_message(
+                |name| state.borrow().class_index(name),
+                |name| state.borrow().tenant_index(name),
             );
             let Some(message) = message else { break };
-            hub.borrow_mut().gateway(id, message);
-            if machine.is_broken() {
-                hub.borrow_mut().places.finish(id);
+            state.borrow_mut().handle_gateway_message(id, message);
+            if reader.is_broken() {
+                state.borrow_mut().connections.finish(id);
             }
         }
-        if out.closed() {
+        if outbox.is_closed() {
             future::pending::<()>().await;
         }
-        hub.borrow_mut().stirred(id, machine.has_partial_message());
-        // A peer that always has something to say would otherwise never let the others have their
-        // turn.
+        state
+            .borrow_mut()
+            .record_activity(id, reader.has_partial_message());
+        // A peer that never stops sending must not block the other tasks.
         future::yield_now().await;
     }
 }
 
-/// Reads one packet, and then only looks out for the client's leaving.
-async fn read_packet(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) {
-    let mut machine = Some(PacketReader::new(hub.borrow().uwsgi.most_body));
-    let mut bytes = vec![0; 8192];
-    while let Ok(n) = stream.read(&mut bytes).await {
-        if n == 0 {
+/// Reads one packet, and then waits for the client to close the connection.
+async fn read_packet(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) {
+    let mut reader = Some(PacketReader::new(state.borrow().uwsgi.most_body));
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
+    while let Ok(length) = stream.read(&mut bytes).await {
+        if length == 0 {
             return;
         }
-        // A connection that was closed meanwhile has no answer for a packet any more.
-        if out.closed() {
+        // Once the outbox is closed, a packet could not be answered.
+        if outbox.is_closed() {
             future::pending::<()>().await;
         }
-        if let Some(packet) = machine.as_mut().and_then(|m| m.feed(&bytes[..n])) {
-            machine = None;
-            hub.borrow_mut().uwsgi_packet(id, packet);
+        let packet = reader
+            .as_mut()
+            .and_then(|reader| reader.feed(&bytes[..length]));
+        if let Some(packet) = packet {
+            reader = None;
+            state.borrow_mut().handle_uwsgi_packet(id, packet);
         }
-        hub.borrow_mut().stirred(id, machine.is_some());
+        state.borrow_mut().record_activity(id, reader.is_some());
         future::yield_now().await;
     }
 }
 
-/// Writes what is queued until nothing more will be; whether all of it could be written.
-async fn write(hub: &Shared, id: u64, stream: &Async<TcpStream>, out: &Outbox) -> bool {
+/// Writes queued bytes until the outbox is closed and empty. Returns whether all could be written.
+async fn write(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) -> bool {
     let mut bytes = Vec::new();
-    while out.take(&mut bytes).await {
+    while outbox.take(&mut bytes).await {
         if stream.write_all(&bytes).await.is_err() {
             return false;
         }
-        hub.borrow_mut().places.written(id, bytes.len());
+        state
+            .borrow_mut()
+            .connections
+            .record_written(id, bytes.len());
         bytes.clear();
     }
     true
 }
 
-/// Ends once the connection has been idle for too long, which may change while it waits.
-async fn idle(hub: &Shared, id: u64) {
+/// Waits until a connection reaches its idle timeout, which may change meanwhile.
+async fn wait_until_idle(state: &SharedState, id: u64) {
     loop {
-        let at = {
-            let hub = hub.borrow();
-            hub.idle_at(id).map(|at| hub.clock.instant(at))
+        let deadline = {
+            let state = state.borrow();
+            state.idle_deadline(id).map(|at| state.clock.instant(at))
         };
-        let soon = ahead(1000);
-        match at {
-            Some(at) if at <= std::time::Instant::now() => return,
-            Some(at) => Timer::at(at.min(soon)).await,
-            None => Timer::at(soon).await,
+        let next_check = after_ms(IDLE_CHECK_MS);
+        match deadline {
+            Some(deadline) if deadline <= Instant::now() => return,
+            Some(deadline) => Timer::at(deadline.min(next_check)).await,
+            None => Timer::at(next_check).await,
         };
     }
 }
 
-/// A socket that a front listens on, and its address.
-pub type Listening = (Front, SocketAddr, Rc<Async<TcpListener>>);
+/// A listening socket of a front end.
+#[derive(Clone)]
+pub struct FrontSocket {
+    /// The front end.
+    pub front: Front,
+    /// Its address.
+    pub address: SocketAddr,
+    /// The socket.
+    pub listener: Rc<Async<TcpListener>>,
+}
 
-/// The sockets that the fronts listen on, whether anything is accepted from them or not.
+/// The listening sockets of the front ends, whether connections are accepted or not.
 pub struct Fronts {
     executor: Rc<LocalExecutor<'static>>,
-    hub: Shared,
-    sockets: RefCell<Vec<Listening>>,
-    leave: RefCell<Vec<Nudge>>,
+    state: SharedState,
+    sockets: RefCell<Vec<FrontSocket>>,
+    /// Stops the acceptors.
+    stops: RefCell<Vec<Notify>>,
 }
 
 impl Fronts {
-    /// Listens on these, and accepts nothing yet.
+    /// Takes listening sockets and accepts nothing yet.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        hub: Shared,
+        state: SharedState,
         sockets: Vec<(Front, SocketAddr, Async<TcpListener>)>,
     ) -> Rc<Fronts> {
         let sockets = sockets
             .into_iter()
-            .map(|(front, at, listener)| (front, at, Rc::new(listener)));
+            .map(|(front, address, listener)| FrontSocket {
+                front,
+                address,
+                listener: Rc::new(listener),
+            });
         Rc::new(Fronts {
             executor,
-            hub,
+            state,
             sockets: RefCell::new(sockets.collect()),
-            leave: RefCell::default(),
+            stops: RefCell::default(),
         })
     }
 
-    /// Accepts from now on.
+    /// Begins to accept connections.
     pub fn open(&self) {
-        self.hub.borrow_mut().take_clients(true);
-        for (front, _, listener) in self.sockets.borrow().iter() {
-            let leave = Nudge::new();
-            self.leave.borrow_mut().push(leave.clone());
-            let accepting = listen(
-                self.executor.clone(),
-                self.hub.clone(),
-                *front,
-                listener.clone(),
-                leave,
-            );
-            self.executor.spawn(accepting).detach();
+        self.state.borrow_mut().set_accepting(true);
+        for socket in self.sockets.borrow().iter() {
+            let stop = Notify::new();
+            self.stops.borrow_mut().push(stop.clone());
+            let acceptor = Acceptor {
+                executor: self.executor.clone(),
+                state: self.state.clone(),
+                front: socket.front,
+                listener: socket.listener.clone(),
+            };
+            self.executor.spawn(acceptor.run(stop)).detach();
         }
     }
 
-    /// Accepts nothing more, as another process of this node does.
+    /// Stops to accept, as another process of the node does.
     pub fn pause(&self) {
-        self.hub.borrow_mut().take_clients(false);
-        self.leave.take().iter().for_each(Nudge::give);
+        self.state.borrow_mut().set_accepting(false);
+        self.stop_acceptors();
     }
 
-    /// Lets the sockets go: they close once what the machine has accepted is taken.
-    pub fn leave(&self) {
+    /// Closes the sockets once the connections that the system has queued are accepted.
+    pub fn close(&self) {
         self.sockets.take();
-        self.leave.take().iter().for_each(Nudge::give);
+        self.stop_acceptors();
+    }
+
+    fn stop_acceptors(&self) {
+        self.stops.take().iter().for_each(Notify::notify);
     }
 
-    /// The sockets, to be passed on.
-    pub fn sockets(&self) -> Vec<Listening> {
+    /// The sockets, to be passed on to a successor.
+    pub fn sockets(&self) -> Vec<FrontSocket> {
         self.sockets.borrow().clone()
     }
 }
--- a/crates/node/src/net/graceful_close.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -1,108 +1,100 @@
-//! How this side closes a connection without losing a request or an answer.
+//! Closes connections without losing a request or an answer.
 //!
-//! A peer may send a request in the very moment in which its connection is closed, and a close over
-//! bytes that nobody has read resets the connection, which can take answers with it that the peer
-//! has not read yet. So a connection is closed in steps:
+//! A peer may send a request at the moment at which its connection is closed, and a close with
+//! unread bytes resets the connection, which can destroy answers that the peer has not read yet. A
+//! connection is therefore closed in steps:
 //!
-//! 1. a gateway hears `goaway`, and what it had sent before it heard that is read and answered;
-//! 2. once nothing is open, nothing waits to be written and nothing has arrived, this side stops
+//! 1. a gateway is sent `goaway`, and requests that cross it are read and answered;
+//! 2. once no request is open, nothing waits to be written and nothing has arrived, this side stops
 //!    writing (half-close);
-//! 3. what still arrives is read and dropped, until the peer closes as well or a bound is reached.
+//! 3. what still arrives is read and dropped, until the peer closes as well or a time is over
+//!    (lingering close).
 //!
-//! Nothing that is read after the half-close is acted on: its answer could not be written any more.
+//! Nothing that is read after the half-close is acted on, as it could not be answered.
 
-use crate::net::hub::Shared;
-use crate::net::{ahead, by};
+use crate::net::connections::PendingWork;
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, timeout_at};
 use pipitlever_reactor::{Async, Timer};
 use std::io::ErrorKind;
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-/// How long requests that cross a `goaway` are waited for, in milliseconds: a gateway sends once
-/// more what crossed the close within 50 ms, and the network takes some.
+/// How long to wait for requests that cross a `goaway`, in milliseconds: a gateway repeats within
+/// 50 ms what crossed it, and the network adds some.
 const CROSSING_MS: u64 = 100;
-/// Between two looks at a connection that is about to be closed, in milliseconds.
-const LOOK_MS: u64 = 5;
-/// A peer that takes no answer, or that goes on sending though it was told not to, is waited for so
-/// long, in milliseconds.
-const STUCK_MS: u64 = 3000;
+/// Time between two checks of a connection that is being closed, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 5;
+/// How long to wait for a peer that reads no answer, or that goes on sending after `goaway`, in
+/// milliseconds.
+const STALL_TIMEOUT_MS: u64 = 3000;
 
-/// After the half-close a connection is read for so long, in milliseconds; for so long where it was
-/// idle before, as the peer has read all that it was sent. With such pauses: a peer that never
-/// stops sending must not have the core.
+/// Length of a lingering close, in milliseconds.
 pub const LINGER_MS: u64 = 250;
-pub const LINGER_IDLE_MS: u64 = 100;
+/// Length of a lingering close of an idle connection, whose peer has read everything, in
+/// milliseconds.
+pub const IDLE_LINGER_MS: u64 = 100;
+/// Pause between two reads in a lingering close, in milliseconds: a peer that never stops sending
+/// must not block the other tasks.
 const LINGER_PAUSE_MS: u64 = 5;
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Its peer left, or can't be written to.
-    Peer,
-    /// All that was to be said is written, the last of it just now.
-    Said,
+pub enum ConnectionEnd {
+    /// The peer closed it, or it cannot be written to.
+    PeerClosed,
+    /// Everything is written, the last of it just now.
+    ResponsesSent,
     /// It was idle, and is half-closed.
-    Idle,
-    /// Its peer does not read what it was sent: nothing more is waited for.
-    Stuck,
+    HalfClosed,
+    /// The peer does not read.
+    PeerStalled,
 }
 
-/// What keeps a connection from being closed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
-    /// Nothing does.
-    Quiet,
-    /// Requests are open on it, each until its due time.
-    Open,
-    /// An answer is not written yet: its peer does not read.
-    Unwritten,
-    /// Half a message has arrived.
-    Unfinished,
-}
-
-/// Tells the peer that the connection is about to be closed, waits until it is quiet, and
-/// half-closes it. Reading goes on meanwhile, in the connection's own task.
-pub async fn retire(hub: &Shared, id: u64, stream: &Async<TcpStream>) -> End {
-    if hub.borrow_mut().retire(id) {
-        Timer::at(ahead(CROSSING_MS)).await;
+/// Sends `goaway` if the peer is a gateway, waits until the connection has no pending work, and
+/// half-closes it. The connection's own task goes on reading meanwhile.
+pub async fn close(state: &SharedState, id: u64, stream: &Async<TcpStream>) -> ConnectionEnd {
+    if state.borrow_mut().begin_close(id) {
+        Timer::at(after_ms(CROSSING_MS)).await;
     }
-    let mut stuck_at = ahead(STUCK_MS);
+    let mut stall_deadline = after_ms(STALL_TIMEOUT_MS);
     loop {
-        let rest = hub.borrow().rest(id);
-        if rest == Rest::Open {
-            stuck_at = ahead(STUCK_MS);
-        }
-        let waited_for = stuck_at > Instant::now();
-        if rest == Rest::Unwritten && !waited_for {
-            return End::Stuck;
+        let pending = state.borrow().pending_work(id);
+        if pending == PendingWork::OpenRequests {
+            stall_deadline = after_ms(STALL_TIMEOUT_MS);
         }
-        if rest == Rest::Quiet && nothing_arrived(stream) || rest != Rest::Unwritten && !waited_for
-        {
-            // In one step with the look, so that nothing comes in between but what the kernel takes
-            // in meanwhile.
-            hub.borrow_mut().places.finish(id);
+        let is_stalled = stall_deadline <= Instant::now();
+        let may_half_close = match pending {
+            PendingWork::UnsentBytes if is_stalled => return ConnectionEnd::PeerStalled,
+            PendingWork::UnsentBytes => false,
+            PendingWork::None => is_stalled || has_nothing_unread(stream),
+            PendingWork::OpenRequests | PendingWork::PartialMessage => is_stalled,
+        };
+        if may_half_close {
+            // In the same step as the check, so that as little as possible arrives in between.
+            state.borrow_mut().connections.finish(id);
             let _ = stream.get_ref().shutdown(Shutdown::Write);
-            return End::Idle;
+            return ConnectionEnd::HalfClosed;
         }
-        Timer::at(ahead(LOOK_MS)).await;
+        Timer::at(after_ms(CHECK_INTERVAL_MS)).await;
     }
 }
 
-/// Whether the kernel holds neither bytes nor an end of this connection that have not been read.
-fn nothing_arrived(stream: &Async<TcpStream>) -> bool {
+/// Whether the system holds neither unread bytes nor an end of the connection.
+fn has_nothing_unread(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Half-closes a connection and reads on, without acting on what comes, until the peer closes or so
-/// many milliseconds are over.
-pub async fn linger(stream: &Async<TcpStream>, bound_ms: u64) {
+/// Half-closes a connection, and reads and drops what arrives until the peer closes it, but at most
+/// for this time.
+pub async fn linger(stream: &Async<TcpStream>, linger_ms: u64) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let discard = async {
         let mut bytes = [0; 4096];
-        while stream.read(&mut bytes).await.is_ok_and(|n| n > 0) {
-            Timer::at(ahead(LINGER_PAUSE_MS)).await;
+        while stream.read(&mut bytes).await.is_ok_and(|length| length > 0) {
+            Timer::at(after_ms(LINGER_PAUSE_MS)).await;
         }
     };
-    by(ahead(bound_ms), discard).await;
+    timeout_at(after_ms(linger_ms), discard).await;
 }
--- a/crates/node/src/net/hot_restart/mod.rs
+++ b/crates/node/src/net/hot_restart/mod.rs
@@ -4,16 +4,16 @@
 mod predecessor;
 mod successor;
 
-pub use predecessor::Offer;
-pub use successor::{meet, Met};
+pub use predecessor::SuccessorListener;
+pub use successor::{meet, PredecessorConnection};
 
 use crate::log::log;
 use crate::net::connections::Front;
+use crate::net::event_loop::SharedState;
 use crate::net::front::Fronts;
-use crate::net::hub::Shared;
 use crate::net::membership::Sockets;
-use crate::net::notify::Nudge;
-use crate::net::{ahead, by};
+use crate::net::notify::Notify;
+use crate::net::{after_ms, timeout_at};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_hot_restart::message::{self, Decoder, ListeningSocket, Message, Welcome};
@@ -82,7 +82,7 @@
             if until.is_some_and(|until| until <= Instant::now()) {
                 return false;
             }
-            Timer::at(ahead(PAUSE_MS)).await;
+            Timer::at(after_ms(PAUSE_MS)).await;
         }
         true
     }
@@ -90,13 +90,13 @@
 
 /// What a task that found something wrong leaves for the one that ends the process.
 #[derive(Clone, Default)]
-pub struct Trouble(Rc<RefCell<Option<String>>>, Nudge);
+pub struct FailureSignal(Rc<RefCell<Option<String>>>, Notify);
 
-impl Trouble {
+impl FailureSignal {
     /// This is wrong.
     pub fn found(&self, what: String) {
         *self.0.borrow_mut() = Some(what);
-        self.1.give();
+        self.1.notify();
     }
 
     /// Waits for something to be wrong.
--- a/crates/node/src/net/hot_restart/predecessor.rs
+++ b/crates/node/src/net/hot_restart/predecessor.rs
@@ -5,28 +5,28 @@
 use pipitlever_hot_restart::predecessor::{Action, Phase};
 
 /// The place where a successor finds this process.
-pub struct Offer {
+pub struct SuccessorListener {
     executor: Rc<LocalExecutor<'static>>,
-    hub: Shared,
+    state: SharedState,
     fronts: Rc<Fronts>,
     name: String,
     place: PathBuf,
     /// Ends what is there now.
-    close: RefCell<Nudge>,
+    close: RefCell<Notify>,
 }
 
-impl Offer {
+impl SuccessorListener {
     /// Nothing is there yet.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        hub: Shared,
+        state: SharedState,
         fronts: Rc<Fronts>,
         name: String,
         place: PathBuf,
-    ) -> Rc<Offer> {
-        Rc::new(Offer {
+    ) -> Rc<SuccessorListener> {
+        Rc::new(SuccessorListener {
             executor,
-            hub,
+            state,
             fronts,
             name,
             place,
@@ -36,7 +36,7 @@
 
     /// Waits for a successor from now on. A socket that is there is taken over: whoever had it is
     /// dead, or leaves.
-    pub fn open(self: &Rc<Offer>) {
+    pub fn open(self: &Rc<SuccessorListener>) {
         let fresh = self.place.with_extension(format!("{}", std::process::id()));
         // One that a crash has left under this very number.
         let _ = std::fs::remove_file(&fresh);
@@ -53,12 +53,12 @@
                 return log(&format!("handover: off: {}: {error}", self.place.display()));
             }
         };
-        let (offer, close) = (self.clone(), Nudge::new());
+        let (offer, close) = (self.clone(), Notify::new());
         *self.close.borrow_mut() = close.clone();
         let accepting = async move {
             loop {
                 let Ok(stream) = listener.accept().await else {
-                    Timer::at(ahead(50)).await;
+                    Timer::at(after_ms(50)).await;
                     continue;
                 };
                 let Some(peer) = Peer::of(&stream) else {
@@ -80,7 +80,7 @@
 
     /// Nobody finds this process any more: its successor is to be found there by now.
     fn pass_on(&self) {
-        self.close.borrow().give();
+        self.close.borrow().notify();
     }
 
     /// Nobody finds this process any more. Who comes begins as if there had never been one.
@@ -91,8 +91,8 @@
 }
 
 /// One that has come to take over, from its first word to its end.
-async fn welcome(offer: Rc<Offer>, stream: Async<UnixStream>, peer: Peer) {
-    let hub = &offer.hub;
+async fn welcome(offer: Rc<SuccessorListener>, stream: Async<UnixStream>, peer: Peer) {
+    let state = &offer.state;
     let mut reader = Decoder::default();
     let greeted = async {
         let mut bytes = [0; 512];
@@ -110,25 +110,29 @@
         }
         Ok(())
     };
-    let greeted = by(ahead(PATIENCE_MS), greeted).await;
+    let greeted = timeout_at(after_ms(PATIENCE_MS), greeted).await;
     if let Err(why) = greeted.unwrap_or_else(|| Err("it said nothing".into())) {
         // Its own version, so that a process of another one can say so.
         let _ = stream.write(&message::greeting()).await;
         return log(&format!("handover: a process was turned away: {why}"));
     }
-    if !hub.borrow_mut().predecessor.handle_connect() {
+    if !state.borrow_mut().hot_restart.predecessor.handle_connect() {
         return log("handover: a process was turned away: another one takes over already");
     }
     log("handover: a process has come to take over");
     let why = future::or(write(&offer, &stream), read(&offer, &mut reader, &stream)).await;
     // Whoever still reads at the other end is to see that this is over.
     drop(stream);
-    let yielded = hub.borrow().predecessor.has_yielded();
+    let yielded = state.borrow().hot_restart.predecessor.has_yielded();
     if yielded {
         // As long as it lives it may serve, and two must not.
         peer.died(None).await;
     }
-    let acts = hub.borrow_mut().predecessor.handle_disconnect();
+    let acts = state
+        .borrow_mut()
+        .hot_restart
+        .predecessor
+        .handle_disconnect();
     if !yielded {
         log(&format!(
             "handover: not done, this process serves on: {why}"
@@ -142,14 +146,14 @@
 }
 
 /// Tells the successor what there is, until it can't be told; why not.
-async fn write(offer: &Offer, stream: &Async<UnixStream>) -> String {
-    let (hub, sockets) = (&offer.hub, offer.fronts.sockets());
-    let listening = sockets.iter().map(|(front, at, _)| ListeningSocket {
-        protocol: front.word().into(),
-        address: *at,
+async fn write(offer: &SuccessorListener, stream: &Async<UnixStream>) -> String {
+    let (state, sockets) = (&offer.state, offer.fronts.sockets());
+    let listening = sockets.iter().map(|socket| ListeningSocket {
+        protocol: socket.front.name().into(),
+        address: socket.address,
     });
     let mut listening: Vec<ListeningSocket> = listening.collect();
-    let part = hub.borrow().callers.fleet.clone();
+    let part = state.borrow().membership.clone();
     let member = part.as_ref().map(|part| part.sockets());
     if let Some((udp, tcp)) = member {
         let at = [udp.local_addr(), tcp.local_addr()];
@@ -161,7 +165,7 @@
             })
         }));
     }
-    let Salt(salt) = hub.borrow().salt;
+    let Salt(salt) = state.borrow().salt;
     let mut bytes = message::greeting();
     message::encode(
         &Message::Welcome(Welcome {
@@ -173,30 +177,30 @@
     );
     let passed = sockets
         .iter()
-        .map(|(_, _, listener)| listener.get_ref().as_fd());
+        .map(|socket| socket.listener.get_ref().as_fd());
     let passed = passed.chain(
         member
             .into_iter()
             .flat_map(|(udp, tcp)| [udp.as_fd(), tcp.as_fd()]),
     );
     let passed: Vec<_> = passed.collect();
-    let first = by(ahead(PATIENCE_MS), stream.send_with(&bytes, &passed)).await;
+    let first = timeout_at(after_ms(PATIENCE_MS), stream.send_with(&bytes, &passed)).await;
     let Some(Ok(sent)) = first else {
         return "its welcome could not be sent".into();
     };
     drop(sockets);
     let mut rest = bytes.split_off(sent);
-    let news = hub.borrow().news.clone();
+    let news = state.borrow().hot_restart.transfer_pending.clone();
     let mut said = Said::default();
     loop {
-        match by(ahead(PATIENCE_MS), stream.write_all(&rest)).await {
+        match timeout_at(after_ms(PATIENCE_MS), stream.write_all(&rest)).await {
             Some(Ok(())) => {}
             Some(Err(error)) => return error.to_string(),
             // What it does not read would gather here.
             None => return "it does not read".into(),
         }
         rest.clear();
-        while !next_piece(hub, &mut rest, &mut said) {
+        while !next_piece(state, &mut rest, &mut said) {
             news.wait().await;
         }
     }
@@ -211,25 +215,25 @@
 
 /// What is to be told next, in one piece; whether there is anything. All keys come before `End`,
 /// then those that change.
-fn next_piece(hub: &Shared, piece: &mut Vec<u8>, said: &mut Said) -> bool {
-    let mut hub = hub.borrow_mut();
-    let to_unix = hub.clock.ahead_to_unix();
+fn next_piece(state: &SharedState, piece: &mut Vec<u8>, said: &mut Said) -> bool {
+    let mut state = state.borrow_mut();
+    let to_unix = state.clock.ahead_to_unix();
     while piece.len() < PIECE {
-        let Some(message) = hub.core.next_key_update(to_unix) else {
+        let Some(message) = state.core.next_key_update(to_unix) else {
             break;
         };
         message::encode(&message, piece);
     }
-    let stage = hub.predecessor.phase();
-    if hub.predecessor.has_yielded() && !std::mem::replace(&mut said.yielded, true) {
-        let member = hub.callers.fleet.as_ref().map(|part| part.pass_on());
+    let stage = state.hot_restart.predecessor.phase();
+    if state.hot_restart.predecessor.has_yielded() && !std::mem::replace(&mut said.yielded, true) {
+        let member = state.membership.as_ref().map(|part| part.pass_on());
         message::encode(&Message::Yielded { membership: member }, piece);
     }
     if piece.is_empty() && !said.end && stage == Phase::Freeze {
         said.end = true;
-        let (standby, share) = (hub.core.is_standby(), hub.core.required_memory_share());
+        let (standby, share) = (state.core.is_standby(), state.core.required_memory_share());
         // What this process has taken of the memory beyond its half, its successor leaves to it.
-        hub.share(Some(share));
+        state.set_memory_share(Some(share));
         message::encode(
             &Message::SnapshotComplete {
                 is_standby: standby,
@@ -238,12 +242,16 @@
             piece,
         );
     }
-    hub.telling = piece.len();
+    state.hot_restart.unsent_bytes = piece.len();
     !piece.is_empty()
 }
 
 /// Listens to the successor until its end, or until it says what it may not; which.
-async fn read(offer: &Rc<Offer>, reader: &mut Decoder, stream: &Async<UnixStream>) -> String {
+async fn read(
+    offer: &Rc<SuccessorListener>,
+    reader: &mut Decoder,
+    stream: &Async<UnixStream>,
+) -> String {
     let mut bytes = [0; 512];
     loop {
         loop {
@@ -252,7 +260,12 @@
                 Ok(None) => break,
                 Err(broken) => return broken.to_string(),
             };
-            let act = offer.hub.borrow_mut().predecessor.handle_message(&said);
+            let act = offer
+                .state
+                .borrow_mut()
+                .hot_restart
+                .predecessor
+                .handle_message(&said);
             if act == Action::Disconnect {
                 return "it spoke out of turn".into();
             }
@@ -265,33 +278,34 @@
     }
 }
 
-fn act_on(offer: &Rc<Offer>, act: Action) {
-    let hub = &offer.hub;
+fn act_on(offer: &Rc<SuccessorListener>, act: Action) {
+    let state = &offer.state;
     match act {
-        Action::RestoreLimits => hub.borrow_mut().share(None),
+        Action::RestoreLimits => state.borrow_mut().set_memory_share(None),
         Action::FreezeKeys => {
-            let mut hub = hub.borrow_mut();
-            hub.core.freeze_keys();
-            hub.news.give();
+            let mut state = state.borrow_mut();
+            state.core.freeze_keys();
+            state.hot_restart.transfer_pending.notify();
         }
-        Action::UnfreezeKeys => hub.borrow_mut().core.unfreeze_keys(),
+        Action::UnfreezeKeys => state.borrow_mut().core.unfreeze_keys(),
         Action::Yield => {
             log("handover: done, the other process serves");
             offer.fronts.pause();
-            hub.borrow()
-                .callers
-                .fleet
+            state
+                .borrow()
+                .membership
                 .iter()
                 .for_each(|part| part.pause());
             offer.pass_on();
-            hub.borrow().news.give();
+            state.borrow().hot_restart.transfer_pending.notify();
         }
         Action::Resume => {
-            hub.borrow_mut()
-                .tell(|core, now| core.distrust_unknown_keys(now));
+            state
+                .borrow_mut()
+                .with_core(|core, now| core.distrust_unknown_keys(now));
             // Before the fronts: what it acts on may be stale by now, and nobody is to be let in
             // before that is known.
-            let part = hub.borrow().callers.fleet.clone();
+            let part = state.borrow().membership.clone();
             part.iter().for_each(|part| part.resume());
             offer.fronts.open();
             offer.open();
--- a/crates/node/src/net/hot_restart/successor.rs
+++ b/crates/node/src/net/hot_restart/successor.rs
@@ -5,7 +5,7 @@
 use pipitlever_hot_restart::successor::{Action, ConnectionLoss, Phase, Successor};
 
 /// A predecessor that has passed its sockets on.
-pub struct Met {
+pub struct PredecessorConnection {
     stream: Async<UnixStream>,
     peer: Peer,
     reader: Decoder,
@@ -20,8 +20,12 @@
 
 /// Meets the process that this one takes over from, if there is one. An error is a process that is
 /// there and can't be taken over from: it serves on.
-pub async fn meet(place: &Path, name: &str, listen: SocketAddr) -> Result<Option<Met>, String> {
-    let until = ahead(LEAVING_MS);
+pub async fn meet(
+    place: &Path,
+    name: &str,
+    listen: SocketAddr,
+) -> Result<Option<PredecessorConnection>, String> {
+    let until = after_ms(LEAVING_MS);
     loop {
         let stream = match UnixStream::connect(place) {
             Ok(stream) => stream,
@@ -38,11 +42,11 @@
             ));
         };
         let stream = Async::<UnixStream>::new(stream).map_err(|e| format!("handover: {e}"))?;
-        match by(ahead(PATIENCE_MS), welcomed(&stream)).await {
+        match timeout_at(after_ms(PATIENCE_MS), welcomed(&stream)).await {
             Some(Ok(Some((machine, reader, welcome, passed)))) => {
                 let (sockets, fleet) = taken_over(&welcome, passed, name, listen)?;
                 let salt = Salt(welcome.salt);
-                return Ok(Some(Met {
+                return Ok(Some(PredecessorConnection {
                     stream,
                     peer,
                     reader,
@@ -54,7 +58,7 @@
             }
             // It leaves, died, or has another successor already.
             Some(Ok(None)) if Instant::now() < until => {
-                Timer::at(ahead(PAUSE_MS)).await;
+                Timer::at(after_ms(PAUSE_MS)).await;
             }
             Some(Ok(None)) => {
                 return Err("handover: the process that is there turns this one away".into())
@@ -130,7 +134,7 @@
             tcp = Some(TcpListener::from(passed));
             continue;
         }
-        let Some(front) = Front::named(&said.protocol) else {
+        let Some(front) = Front::from_name(&said.protocol) else {
             return wrong(format!("speaks {}", said.protocol));
         };
         let listener = TcpListener::from(passed);
@@ -149,17 +153,18 @@
     Ok((sockets, udp.zip(tcp).map(|(udp, tcp)| Sockets { udp, tcp })))
 }
 
-impl Met {
+impl PredecessorConnection {
     /// Takes over once this process is ready, and follows the predecessor to its end. An error
     /// means that this process is to end, and the other one serves on.
     pub async fn take_over(
         mut self,
-        hub: &Shared,
+        state: &SharedState,
         serve: impl Fn(Option<Vec<u8>>),
     ) -> Result<(), String> {
-        self.follow(hub, &serve).await?;
+        self.follow(state, &serve).await?;
         // A connection can end while both live, and two must not serve.
-        let dead = !self.machine.must_check_exit() || self.peer.died(Some(ahead(DYING_MS))).await;
+        let dead =
+            !self.machine.must_check_exit() || self.peer.died(Some(after_ms(DYING_MS))).await;
         match self.machine.handle_disconnect(dead) {
             ConnectionLoss::Abort => {
                 return Err("handover: the process that is there has broken off".into())
@@ -167,14 +172,16 @@
             ConnectionLoss::KeysComplete => log("handover: the process before this one has ended"),
             ConnectionLoss::KeysIncomplete | ConnectionLoss::NoPredecessor => {
                 log("handover: the process before this one died before its keys were here: unknown keys wait for a window");
-                hub.borrow_mut()
-                    .tell(|core, now| core.distrust_unknown_keys(now));
+                state
+                    .borrow_mut()
+                    .with_core(|core, now| core.distrust_unknown_keys(now));
             }
         }
-        hub.borrow_mut()
-            .tell(|core, now| core.resolve_orphaned_keys(now));
-        hub.borrow_mut().share(None);
-        if !hub.borrow().taking {
+        state
+            .borrow_mut()
+            .with_core(|core, now| core.resolve_orphaned_keys(now));
+        state.borrow_mut().set_memory_share(None);
+        if !state.borrow().is_accepting {
             serve(None);
         }
         Ok(())
@@ -183,13 +190,13 @@
     /// Until the connection ends, or the predecessor, which lives, can't be followed.
     async fn follow(
         &mut self,
-        hub: &Shared,
+        state: &SharedState,
         serve: &impl Fn(Option<Vec<u8>>),
     ) -> Result<(), String> {
         let mut bytes = vec![0; PIECE];
         let ready = async {
-            while hub.borrow().core.is_starting() {
-                Timer::at(ahead(5)).await;
+            while state.borrow().core.is_starting() {
+                Timer::at(after_ms(5)).await;
             }
             None
         };
@@ -204,17 +211,17 @@
         self.machine.handle_ready();
         let mut out = Vec::new();
         message::encode(&Message::Freeze, &mut out);
-        let until = ahead(PATIENCE_MS);
+        let until = after_ms(PATIENCE_MS);
         loop {
             if !out.is_empty() {
                 // Few bytes, which go out whole. If nobody is there, the end of the connection says
                 // so.
-                let _ = by(ahead(PATIENCE_MS), self.stream.write_all(&out)).await;
+                let _ = timeout_at(after_ms(PATIENCE_MS), self.stream.write_all(&out)).await;
                 out.clear();
             }
             let read = match self.machine.phase() {
                 Phase::Mirror => Some(self.stream.read(&mut bytes).await),
-                _ => by(until, self.stream.read(&mut bytes)).await,
+                _ => timeout_at(until, self.stream.read(&mut bytes)).await,
             };
             match read {
                 Some(Ok(n)) if n > 0 => self.reader.feed(&bytes[..n]),
@@ -236,22 +243,23 @@
                     Err(why) => return Err(format!("handover: the process that is there: {why}")),
                     Ok(Action::AdoptSockets(_)) => {}
                     Ok(Action::ApplyKey(key)) => {
-                        let mut hub = hub.borrow_mut();
-                        let until = hub.clock.of_unix(key.window_end);
-                        hub.tell(|core, now| core.apply_transferred_key(now, key, until));
+                        let mut state = state.borrow_mut();
+                        let until = state.clock.of_unix(key.window_end);
+                        state.with_core(|core, now| core.apply_transferred_key(now, key, until));
                     }
                     Ok(Action::ReleaseKey(key)) => {
-                        hub.borrow_mut()
-                            .tell(|core, now| core.release_transferred_key(now, &key));
+                        state
+                            .borrow_mut()
+                            .with_core(|core, now| core.release_transferred_key(now, &key));
                     }
                     Ok(Action::ConfirmSnapshot {
                         is_standby: standby,
                         memory_share: share,
                     }) => {
-                        let mut hub = hub.borrow_mut();
-                        hub.core.set_standby(standby);
+                        let mut state = state.borrow_mut();
+                        state.core.set_standby(standby);
                         // Something is left for this one even if the other one has it all.
-                        hub.share(Some((1.0 - share).max(0.05)));
+                        state.set_memory_share(Some((1.0 - share).max(0.05)));
                         message::encode(&Message::SnapshotReceived, &mut out);
                     }
                     Ok(Action::Serve { membership: member }) => {
--- a/crates/node/src/net/idempotency_store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -1,19 +1,23 @@
 //! Carries batches to the store's writer, one at a time, and what comes of them back.
 
-use crate::net::hub::Shared;
+use crate::net::event_loop::SharedState;
 use async_channel::Receiver;
 use pipitlever_idempotency_store::disk::WriterThread;
 
 /// For as long as the node runs.
-pub async fn batches(hub: Shared, writer: WriterThread, done: Receiver<Result<u64, String>>) {
-    let nudge = hub.borrow().storing.clone();
+pub async fn batches(
+    state: SharedState,
+    writer: WriterThread,
+    done: Receiver<Result<u64, String>>,
+) {
+    let notify = state.borrow().store_work.clone();
     loop {
         let batch = {
-            let hub = &mut *hub.borrow_mut();
-            hub.core.next_store_batch(hub.clock.now())
+            let state = &mut *state.borrow_mut();
+            state.core.next_store_batch(state.clock.now())
         };
         let Some(batch) = batch else {
-            nudge.wait().await;
+            notify.wait().await;
             continue;
         };
         writer.write(batch);
@@ -24,7 +28,8 @@
             .recv()
             .await
             .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
-        hub.borrow_mut()
-            .tell(|core, now| core.handle_store_result(now, result));
+        state
+            .borrow_mut()
+            .with_core(|core, now| core.handle_store_result(now, result));
     }
 }
--- a/crates/node/src/net/ledger/calls.rs
+++ b/crates/node/src/net/ledger/calls.rs
@@ -1,6 +1,6 @@
-//! The calls to the ledger, as far as they are kept in memory.
+//! Queue of ledger calls, and the idle connections that they may reuse.
 
-use crate::net::notify::Nudge;
+use crate::net::notify::Notify;
 use pipitlever_admission::Micros;
 use pipitlever_core::Reference;
 use pipitlever_reactor::Async;
@@ -9,100 +9,112 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Connections to the ledger, one for each call that is out. The module's own bound is far lower on
-/// any real settings; this one keeps the process within its descriptors.
-pub const MOST_CALLS: usize = 48;
+/// Most connections to the ledger, one for each call in flight. The admission controller's own limit
+/// is far lower with any real settings; this one bounds the process's descriptors.
+pub const MAX_CONNECTIONS: usize = 48;
 
-/// A call to place with the ledger.
+/// A call to the ledger.
 #[derive(Clone, Debug)]
-pub struct ToPost {
+pub struct LedgerCall {
     /// The request that it is made for.
     pub reference: Reference,
-    /// It is waited for until then.
+    /// Until when its reply is waited for.
     pub deadline: Micros,
-    /// What it carries.
+    /// Its body.
     pub body: Rc<[u8]>,
 }
 
-/// A connection that has just carried a call and carries none now.
+/// A call whose driver is to be started.
 #[derive(Debug)]
-pub struct Idle {
-    /// It.
+pub struct StartedCall {
+    /// The call.
+    pub call: LedgerCall,
+    /// Notified when the call is cancelled.
+    pub cancelled: Notify,
+}
+
+/// A connection that carried a call and is not in use.
+#[derive(Debug)]
+pub struct IdleConnection {
+    /// The connection.
     pub stream: Async<TcpStream>,
-    /// It is used again until then.
-    pub until: Instant,
-    /// Whose call it carried: a late second copy of that reply must not pass for the next call's.
-    pub last: u64,
+    /// Until when it may be used again.
+    pub reusable_until: Instant,
+    /// The request whose call it carried last: a late duplicate of that reply must not be taken for
+    /// the reply to the request's next call.
+    pub last_reference: Reference,
 }
 
-/// The calls to the ledger: those that wait for a connection, and those that have one.
+/// Calls that wait for a connection, calls in flight, and idle connections.
 #[derive(Debug)]
-pub struct Calls {
-    /// Where it is, if there is one.
+pub struct LedgerCalls {
+    /// The ledger's address, if there is a ledger.
     pub address: Option<SocketAddr>,
-    /// Something is to be done.
-    pub nudge: Nudge,
-    /// Connections without a call, the one used last at the end.
-    pub idle: Vec<Idle>,
-    queue: VecDeque<ToPost>,
-    /// Calls with a driver, each with the nudge that takes it back.
-    out: HashMap<Reference, Nudge>,
+    /// Notified when the driver has something to do.
+    pub changed: Notify,
+    /// Idle connections, the most recently used last.
+    pub idle: Vec<IdleConnection>,
+    queue: VecDeque<LedgerCall>,
+    /// Calls in flight, each with the notification that cancels it.
+    in_flight: HashMap<Reference, Notify>,
 }
 
-impl Calls {
-    /// None yet, and no address.
-    pub fn new() -> Calls {
-        Calls {
+impl LedgerCalls {
+    /// No call and no address yet.
+    pub fn new() -> LedgerCalls {
+        LedgerCalls {
             address: None,
-            nudge: Nudge::new(),
+            changed: Notify::new(),
             idle: Vec::new(),
             queue: VecDeque::new(),
-            out: HashMap::new(),
+            in_flight: HashMap::new(),
         }
     }
 
-    /// One is to be placed.
-    pub fn place(&mut self, call: ToPost) {
+    /// Queues a call.
+    pub fn place(&mut self, call: LedgerCall) {
         self.queue.push_back(call);
-        self.nudge.give();
+        self.changed.notify();
     }
 
-    /// A call that was not sent yet is taken back; the connection of one in the ledger's hands is
-    /// closed.
-    pub fn abandon(&mut self, reference: Reference) {
-        self.queue.retain(|c| c.reference != reference);
-        if let Some(taken_back) = self.out.remove(&reference) {
-            taken_back.give();
-            self.nudge.give();
+    /// Cancels a request's call. The connection of a call in flight is closed.
+    pub fn cancel(&mut self, reference: Reference) {
+        self.queue.retain(|call| call.reference != reference);
+        if let Some(cancelled) = self.in_flight.remove(&reference) {
+            cancelled.notify();
+            self.changed.notify();
         }
     }
 
-    /// The next call that may have a connection, and the nudge that takes it back.
-    pub fn next(&mut self) -> Option<(ToPost, Nudge)> {
-        let call = (self.out.len() < MOST_CALLS).then(|| self.queue.pop_front())??;
-        let taken_back = Nudge::new();
-        self.out.insert(call.reference, taken_back.clone());
-        Some((call, taken_back))
+    /// Takes the next call that may have a connection.
+    pub fn start_next(&mut self) -> Option<StartedCall> {
+        if self.in_flight.len() >= MAX_CONNECTIONS {
+            return None;
+        }
+        let call = self.queue.pop_front()?;
+        let cancelled = Notify::new();
+        self.in_flight.insert(call.reference, cancelled.clone());
+        Some(StartedCall { call, cancelled })
     }
 
-    /// A connection has no call any more. One to an address that no longer holds is not kept.
-    pub fn rest(&mut self, address: SocketAddr, idle: Idle) {
-        let room = self.idle.len() + self.out.len() <= MOST_CALLS;
-        if room && self.address == Some(address) {
-            self.idle.push(idle);
+    /// Keeps a connection for the next call, unless the ledger's address has changed.
+    pub fn release(&mut self, address: SocketAddr, connection: IdleConnection) {
+        let has_capacity = self.idle.len() + self.in_flight.len() <= MAX_CONNECTIONS;
+        if has_capacity && self.address == Some(address) {
+            self.idle.push(connection);
         }
     }
 
-    /// One has ended, and its place is free.
-    pub fn ended(&mut self, reference: Reference) {
-        self.out.remove(&reference);
-        self.nudge.give();
+    /// Removes a call that has ended.
+    pub fn remove(&mut self, reference: Reference) {
+        self.in_flight.remove(&reference);
+        self.changed.notify();
     }
 
-    /// The ledger is there from now on. Connections to where it was are of no further use.
-    pub fn moved(&mut self, to: Option<SocketAddr>) {
-        if self.address != to {
-            self.address = to;
+    /// Sets the ledger's address, and closes idle connections to the old one.
+    pub fn set_address(&mut self, address: Option<SocketAddr>) {
+        if self.address != address {
+            self.address = address;
             self.idle.clear();
         }
     }
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -1,165 +1,193 @@
-//! Calls to the layer below: a small pool of connections, each with one call at a time, so that a
-//! spoilt reply costs the call that it belongs to and no other.
+//! Ledger calls: a small pool of connections, each with one call at a time, so that a corrupt reply
+//! costs no other call.
 
 pub mod calls;
 
-use crate::net::hub::Shared;
-use crate::net::ledger::calls::{Idle, ToPost};
-use crate::net::{ahead, by};
+use crate::net::event_loop::SharedState;
+use crate::net::ledger::calls::{IdleConnection, LedgerCall, StartedCall};
+use crate::net::{after_ms, timeout_at};
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use pipitlever_admission::Outcome;
+use pipitlever_core::Reference;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::ledger::{encode_call, CallOutcome, ReplyReader};
+use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A connection without a call is used again for so long, in milliseconds. The ledger closes idle
-/// ones after 10 s, but some are closed or forgotten sooner, and a call written to such a one is
-/// lost without proof.
+/// How long an idle connection may be reused, in milliseconds. The ledger closes idle connections
+/// after 10 s, but some are closed or lost sooner, and a call written to such a one may be lost
+/// without proof.
 const REUSE_MS: u64 = 250;
-/// A reply that has begun is whole within this time, in milliseconds: the ledger writes it in one
-/// go. What goes on for longer is noise, or a body that never ends.
-const WHOLE_MS: u64 = 250;
-/// Between two tries to reach a ledger that nobody listens for, in milliseconds.
-const APART_MS: u64 = 50;
+/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes a
+/// reply at once.
+const REPLY_TIMEOUT_MS: u64 = 250;
+/// Longest time for connecting, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1000;
+/// Shortest time between two attempts to connect for the same call, in milliseconds.
+const RECONNECT_INTERVAL_MS: u64 = 50;
 
-/// Gives each call a driver, and closes connections that nobody used in time.
-pub async fn calls(executor: Rc<LocalExecutor<'static>>, hub: Shared) {
-    let nudge = hub.borrow().calls.nudge.clone();
+/// Starts a driver for each call, and closes connections that have been idle for too long.
+pub async fn run(executor: Rc<LocalExecutor<'static>>, state: SharedState) {
+    let changed = state.borrow().ledger.changed.clone();
     loop {
-        let next = hub.borrow_mut().calls.next();
-        if let Some((call, taken_back)) = next {
-            let driver = {
-                let hub = hub.clone();
-                async move { future::or(taken_back.wait(), carry(hub, call)).await }
-            };
+        let started = state.borrow_mut().ledger.start_next();
+        if let Some(StartedCall { call, cancelled }) = started {
+            let state = state.clone();
+            // A cancelled driver is dropped, which closes its connection.
+            let driver = async move { future::or(cancelled.wait(), drive_call(state, call)).await };
             executor.spawn(driver).detach();
             continue;
         }
-        let oldest = {
-            let idle = &mut hub.borrow_mut().calls.idle;
-            idle.retain(|c| c.until > Instant::now());
-            idle.first().map(|c| c.until)
+        let first_expiry = {
+            let idle = &mut state.borrow_mut().ledger.idle;
+            idle.retain(|connection| connection.reusable_until > Instant::now());
+            idle.first().map(|connection| connection.reusable_until)
         };
-        match oldest {
-            Some(until) => drop(by(until, nudge.wait()).await),
-            None => nudge.wait().await,
+        match first_expiry {
+            Some(expiry) => drop(timeout_at(expiry, changed.wait()).await),
+            None => changed.wait().await,
         }
     }
 }
 
-/// One call from start to end. Dropped when the call is given up: its connection closes, which
-/// tells the ledger.
-async fn carry(hub: Shared, call: ToPost) {
-    let (outcome, reply) = match connection(&hub, &call).await {
-        Some((stream, address)) => exchange(&hub, &call, stream, address).await,
+/// Carries one call from start to end.
+async fn drive_call(state: SharedState, call: LedgerCall) {
+    let (outcome, reply) = match obtain_connection(&state, &call).await {
+        Some(connection) => exchange(&state, &call, connection).await,
         None => (Outcome::Unreachable, Vec::new()),
     };
-    hub.borrow_mut().called(call.reference, outcome, reply);
+    state
+        .borrow_mut()
+        .finish_call(call.reference, outcome, reply);
 }
 
-/// A connection that is still good, as far as can be seen; a new one if there is none.
-async fn connection(hub: &Shared, call: &ToPost) -> Option<(Async<TcpStream>, SocketAddr)> {
-    let address = hub.borrow().calls.address?;
+/// A connection and the address that it was made to.
+struct LedgerConnection {
+    stream: Async<TcpStream>,
+    address: SocketAddr,
+}
+
+/// An idle connection that is still open as far as can be seen, or a new one.
+async fn obtain_connection(state: &SharedState, call: &LedgerCall) -> Option<LedgerConnection> {
+    let address = state.borrow().ledger.address?;
     loop {
-        // The one used last: the others grow old and are closed.
-        let idle = hub.borrow_mut().calls.idle.pop();
-        let Some(idle) = idle.filter(|c| c.until > Instant::now()) else {
+        // The most recently used one: the others expire and are closed.
+        let idle = state.borrow_mut().ledger.idle.pop();
+        let Some(idle) = idle.filter(|idle| idle.reusable_until > Instant::now()) else {
             break;
         };
-        // Bytes that no call asked for, or an end: either way it is of no further use.
-        let quiet = idle.stream.get_ref().peek(&mut [0]);
-        if idle.last != call.reference
-            && quiet.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
-        {
-            return Some((idle.stream, address));
+        // Unexpected bytes or an end of the stream make a connection unusable.
+        let peeked = idle.stream.get_ref().peek(&mut [0]);
+        let is_quiet = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+        if idle.last_reference != call.reference && is_quiet {
+            let stream = idle.stream;
+            return Some(LedgerConnection { stream, address });
         }
     }
-    // Where nobody accepts, calls come back at once: the next try keeps a distance to this one.
-    let next = ahead(APART_MS);
-    let connected = by(ahead(1000), Async::<TcpStream>::connect(address)).await;
+    connect(address).await
+}
+
+/// Connects. A failure takes at least [`RECONNECT_INTERVAL_MS`], as the call may be placed again at
+/// once.
+async fn connect(address: SocketAddr) -> Option<LedgerConnection> {
+    let next_attempt = after_ms(RECONNECT_INTERVAL_MS);
+    let timeout = after_ms(CONNECT_TIMEOUT_MS);
+    let connected = timeout_at(timeout, Async::<TcpStream>::connect(address)).await;
     let Some(Ok(stream)) = connected else {
-        Timer::at(next).await;
+        Timer::at(next_attempt).await;
         return None;
     };
     let _ = stream.get_ref().set_nodelay(true);
-    Some((stream, address))
+    Some(LedgerConnection { stream, address })
 }
 
+/// Writes a call and reads its reply.
 async fn exchange(
-    hub: &Shared,
-    call: &ToPost,
-    stream: Async<TcpStream>,
-    address: SocketAddr,
+    state: &SharedState,
+    call: &LedgerCall,
+    connection: LedgerConnection,
 ) -> (Outcome, Vec<u8>) {
-    let left = call.deadline - hub.borrow().clock.now();
-    if left <= 0 {
+    let LedgerConnection { stream, address } = connection;
+    let remaining = call.deadline - state.borrow().clock.now();
+    if remaining <= 0 {
         return (Outcome::TimedOut, Vec::new());
     }
-    let bytes = encode_call(call.reference, (left as u64).div_ceil(1000), &call.body);
+    let remaining_ms = (remaining as u64).div_ceil(1000);
+    let bytes = encode_call(call.reference, remaining_ms, &call.body);
     if stream.write_all(&bytes).await.is_err() {
         return (Outcome::Reset, Vec::new());
     }
-    let Some((end, reply, clean)) = reply(hub, call.reference, &stream).await else {
+    let Some(reply) = read_reply(state, call.reference, &stream).await else {
         return (Outcome::Reset, Vec::new());
     };
-    if clean {
-        hub.borrow_mut().calls.rest(
-            address,
-            Idle {
-                stream,
-                until: ahead(REUSE_MS),
-                last: call.reference,
-            },
-        );
+    if reply.is_reusable {
+        let connection = IdleConnection {
+            stream,
+            reusable_until: after_ms(REUSE_MS),
+            last_reference: call.reference,
+        };
+        state.borrow_mut().ledger.release(address, connection);
     }
-    let outcome = match end {
+    let outcome = match reply.outcome {
         CallOutcome::Succeeded => Outcome::Success,
         CallOutcome::Rejected => Outcome::Rejected,
-        // No run waits for it any more: its end is on its way, and another call would fare the
-        // same.
+        // `Unneeded`: the run has ended and its outcome is on its way; another call would end
+        // likewise.
         CallOutcome::Failed | CallOutcome::Unneeded => Outcome::Error,
         CallOutcome::TimedOut => Outcome::TimedOut,
     };
-    (outcome, reply)
+    (outcome, reply.body)
+}
+
+/// The reply to a call.
+struct CallReply {
+    outcome: CallOutcome,
+    body: Vec<u8>,
+    /// Whether the connection brought nothing else, so that it can carry another call.
+    is_reusable: bool,
 }
 
-/// The reply to this request's call, and whether nothing but it came; nothing if none can come any
-/// more.
-async fn reply(
-    hub: &Shared,
-    reference: u64,
+/// Reads the reply to a request's call; none if none can arrive any more.
+async fn read_reply(
+    state: &SharedState,
+    reference: Reference,
     stream: &Async<TcpStream>,
-) -> Option<(CallOutcome, Vec<u8>, bool)> {
-    let mut machine = ReplyReader::default();
+) -> Option<CallReply> {
+    let mut reader = ReplyReader::default();
     let mut bytes = [0; 4096];
-    let mut alone = true;
-    let mut whole_by = None;
+    let mut has_other_replies = false;
+    let mut deadline = None;
     loop {
-        let n = match whole_by {
-            Some(at) => by(at, stream.read(&mut bytes)).await,
+        let read = match deadline {
+            Some(deadline) => timeout_at(deadline, stream.read(&mut bytes)).await,
             None => Some(stream.read(&mut bytes).await),
         };
-        machine.feed(&bytes[..n?.ok().filter(|&n| n > 0)?]);
+        let length = read?.ok().filter(|&length| length > 0)?;
+        reader.feed(&bytes[..length]);
         loop {
-            match machine.next_reply() {
+            match reader.next_reply() {
                 Ok(Some(reply)) if reply.reference == reference => {
-                    return Some((reply.outcome, reply.body, alone && machine.is_empty()));
+                    return Some(CallReply {
+                        outcome: reply.outcome,
+                        body: reply.body,
+                        is_reusable: !has_other_replies && reader.is_empty(),
+                    });
                 }
-                // A reply that nobody asked for here.
-                Ok(Some(_)) => alone = false,
+                Ok(Some(_)) => has_other_replies = true,
                 Ok(None) => break,
                 Err(_) => {
-                    hub.borrow_mut().core.counters.malformed += 1;
+                    state.borrow_mut().core.counters.malformed += 1;
                     return None;
                 }
             }
         }
-        whole_by = match machine.is_empty() {
-            true => None,
-            false => whole_by.or_else(|| Some(ahead(WHOLE_MS))),
+        deadline = if reader.is_empty() {
+            None
+        } else {
+            deadline.or_else(|| Some(after_ms(REPLY_TIMEOUT_MS)))
         };
     }
 }
--- a/crates/node/src/net/membership/control.rs
+++ b/crates/node/src/net/membership/control.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 /// The view, as the door tells it.
-pub fn view(part: &Part) -> String {
+pub fn view(part: &MembershipDriver) -> String {
     part.look(|fleet, now| {
         let members = fleet.members().iter().filter(|(_, m)| !m.is_tombstone).map(|(name, m)| {
             let d = &m.record.details;
@@ -36,7 +36,7 @@
 }
 
 /// The figures of the fleet, for the door.
-pub fn figures(part: &Part, text: &mut String) {
+pub fn figures(part: &MembershipDriver, text: &mut String) {
     use std::fmt::Write;
     part.look(|fleet, _| {
         let states = fleet.count_by_state();
--- a/crates/node/src/net/membership/loops.rs
+++ b/crates/node/src/net/membership/loops.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-pub(super) async fn datagrams(part: Rc<Part>) {
+pub(super) async fn datagrams(part: Rc<MembershipDriver>) {
     // One byte more than the longest that is read: what is cut off can't pass for whole.
     let mut bytes = vec![0; 64 << 10];
     loop {
@@ -15,7 +15,7 @@
                 }
                 // Word of a datagram that reached nobody, or no memory for one.
                 Err(_) => {
-                    Timer::at(ahead(1)).await;
+                    Timer::at(after_ms(1)).await;
                 }
             }
         }
@@ -23,7 +23,7 @@
     }
 }
 
-pub(super) async fn wakes(part: Rc<Part>) {
+pub(super) async fn wakes(part: Rc<MembershipDriver>) {
     loop {
         let seen = part.standing();
         let standing = part.steady.borrow_mut().observe(part.clock.now(), seen);
@@ -38,7 +38,7 @@
                 payload.extend(part.acting().to_le_bytes());
             }
             if sharing.is_some() || sessions.is_some() {
-                payload.push(sessions.as_ref().map_or(0, Sessions::told));
+                payload.push(sessions.as_ref().map_or(0, SessionAffinity::told));
             }
             sharing
                 .iter()
@@ -52,13 +52,13 @@
                 fleet.handle_wakeup(now);
             }
         });
-        let next = part.clock.instant(part.next.get()).min(ahead(LOOK_MS));
-        by(next, part.woken.wait()).await;
+        let next = part.clock.instant(part.next.get()).min(after_ms(LOOK_MS));
+        timeout_at(next, part.woken.wait()).await;
         future::yield_now().await;
     }
 }
 
-pub(super) async fn connections(part: Rc<Part>) {
+pub(super) async fn connections(part: Rc<MembershipDriver>) {
     loop {
         match part.tcp.accept().await {
             Ok((stream, _)) => {
@@ -80,20 +80,25 @@
             }
             // Out of descriptors: whoever could not get in comes again.
             Err(_) => {
-                Timer::at(ahead(50)).await;
+                Timer::at(after_ms(50)).await;
             }
         }
     }
 }
 
-pub(super) async fn dials(part: Rc<Part>) {
+pub(super) async fn dials(part: Rc<MembershipDriver>) {
     loop {
         part.dial.wait().await;
         let Some(to) = part.turn(|fleet, _| fleet.take_sync_target()) else {
             continue;
         };
         let from = (!part.from.ip().is_unspecified()).then(|| part.from.ip());
-        match by(ahead(READ_MS), Async::<TcpStream>::connect_from(from, to)).await {
+        match timeout_at(
+            after_ms(READ_MS),
+            Async::<TcpStream>::connect_from(from, to),
+        )
+        .await
+        {
             Some(Ok(stream)) => {
                 let session = SyncSession::initiate(&part.fleet.borrow());
                 part.settle("a member", stream, session).await;
@@ -103,21 +108,23 @@
     }
 }
 
-impl Part {
+impl MembershipDriver {
     /// Makes two views equal over a connection, in pieces, and not for longer than it may take.
     async fn settle(&self, what: &str, stream: Async<TcpStream>, mut session: SyncSession) {
         let _ = stream.get_ref().set_nodelay(true);
         let mut bytes = vec![0; 16 << 10];
-        let settled = by(ahead(SESSION_MS), async {
+        let settled = timeout_at(after_ms(SESSION_MS), async {
             loop {
                 while let Some(piece) = self.turn(|fleet, now| session.next_chunk(fleet, now)) {
-                    by(ahead(READ_MS), stream.write_all(&piece)).await?.ok()?;
+                    timeout_at(after_ms(READ_MS), stream.write_all(&piece))
+                        .await?
+                        .ok()?;
                     future::yield_now().await;
                 }
                 if session.is_complete() {
                     return Some(());
                 }
-                let read = by(ahead(READ_MS), stream.read(&mut bytes))
+                let read = timeout_at(after_ms(READ_MS), stream.read(&mut bytes))
                     .await?
                     .ok()
                     .filter(|n| *n > 0)?;
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -3,12 +3,12 @@
 
 use crate::log::log;
 use crate::net::clock::Clock;
-use crate::net::config_versions::{self, Act, Versions};
-use crate::net::hub::Shared;
-use crate::net::notify::Nudge;
-use crate::net::session_affinity::{Looked, Sessions};
-use crate::net::subsetting::{Apart, Sharing};
-use crate::net::{ahead, by};
+use crate::net::config_versions::{self, Act, VersionsDriver};
+use crate::net::event_loop::SharedState;
+use crate::net::notify::Notify;
+use crate::net::session_affinity::{SessionAffinity, SessionLookup};
+use crate::net::subsetting::{PartitionPolicy, SubsettingDriver};
+use crate::net::{after_ms, timeout_at};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use futures_lite::future;
@@ -68,24 +68,24 @@
 }
 
 /// The node's part.
-pub struct Part {
+pub struct MembershipDriver {
     fleet: RefCell<Membership>,
-    /// Versions of the settings, if the fleet decides them.
-    pub versions: Option<Versions>,
+    /// VersionsDriver of the settings, if the fleet decides them.
+    pub versions: Option<VersionsDriver>,
     /// Its part of pools that are shared, if any is.
-    pub sharing: Option<Sharing>,
-    apart: Apart,
+    pub sharing: Option<SubsettingDriver>,
+    apart: PartitionPolicy,
     /// Its part in sessions that stay with their workers, if any do.
-    pub affinity: Option<Sessions>,
+    pub affinity: Option<SessionAffinity>,
     steady: RefCell<ServiceStateFilter>,
     clock: Clock,
-    hub: Shared,
+    state: SharedState,
     executor: Rc<LocalExecutor<'static>>,
     udp: Async<UdpSocket>,
     tcp: Async<TcpListener>,
     from: SocketAddr,
-    woken: Nudge,
-    dial: Nudge,
+    woken: Notify,
+    dial: Notify,
     next: Cell<i64>,
     sessions: Cell<usize>,
     /// What reads and wakes; gone while another process of the node is the member.
@@ -113,20 +113,20 @@
     Some(u64::from_le_bytes(payload.get(..8)?.try_into().ok()?))
 }
 
-impl Part {
+impl MembershipDriver {
     /// Begins to take part: as the process before it in this node did, which has passed this on, or
     /// as a new member.
     pub fn begin(
         executor: Rc<LocalExecutor<'static>>,
-        hub: Shared,
+        state: SharedState,
         name: &str,
         settings: Settings,
         sockets: Sockets,
         passed: Option<Vec<u8>>,
         versioned: Versioned,
-    ) -> Result<Rc<Part>, String> {
+    ) -> Result<Rc<MembershipDriver>, String> {
         let wrong = |e: std::io::Error| format!("fleet: {e}");
-        let clock = hub.borrow().clock;
+        let clock = state.borrow().clock;
         let times = settings.times();
         let Settings {
             name: fleet,
@@ -176,7 +176,7 @@
             Some(settings) => {
                 let seed = RandomState::new().hash_one(now);
                 let (versions, written) =
-                    Versions::begin(hub.clone(), name, &settings, saved, acts, seed, now)?;
+                    VersionsDriver::begin(state.clone(), name, &settings, saved, acts, seed, now)?;
                 handed.inspect(|number| versions.handed(*number));
                 // From here on it hears what is not about the view.
                 decisions.set_piggyback(Vec::new());
@@ -185,13 +185,13 @@
             }
             None => None,
         };
-        let sharing = Sharing::begin(&hub, name, times, now);
-        let sessions = Sessions::begin(&hub, name, RandomState::new().hash_one(now), now);
+        let sharing = SubsettingDriver::begin(&state, name, times, now);
+        let sessions = SessionAffinity::begin(&state, name, RandomState::new().hash_one(now), now);
         if sessions.is_some() && versions.is_none() {
             // From here on it hears what is not about the view.
             decisions.set_piggyback(Vec::new());
         }
-        let part = Rc::new(Part {
+        let part = Rc::new(MembershipDriver {
             fleet: RefCell::new(decisions),
             versions,
             sharing,
@@ -199,13 +199,13 @@
             affinity: sessions,
             steady: RefCell::new(ServiceStateFilter::new(now)),
             clock,
-            hub,
+            state,
             executor,
             udp: Async::<UdpSocket>::new(sockets.udp).map_err(wrong)?,
             tcp: Async::<TcpListener>::new(sockets.tcp).map_err(wrong)?,
             from: bind,
-            woken: Nudge::new(),
-            dial: Nudge::new(),
+            woken: Notify::new(),
+            dial: Notify::new(),
             next: Cell::new(now),
             sessions: Cell::new(0),
             tasks: RefCell::default(),
@@ -226,7 +226,7 @@
                         let _ = writer.written.0.try_send(written);
                     }
                     // What rests on it can be said now.
-                    writer.woken.give();
+                    writer.woken.notify();
                 }
             };
             part.executor.spawn(written).detach();
@@ -235,7 +235,7 @@
     }
 
     /// Takes part again, after another process of the node has for a while.
-    pub fn resume(self: &Rc<Part>) {
+    pub fn resume(self: &Rc<MembershipDriver>) {
         self.versions
             .iter()
             .for_each(|versions| versions.resume(self.clock.now()));
@@ -245,7 +245,7 @@
         self.start();
     }
 
-    fn start(self: &Rc<Part>) {
+    fn start(self: &Rc<MembershipDriver>) {
         let part = || self.clone();
         let tasks = [
             self.executor.spawn(datagrams(part())),
@@ -352,23 +352,23 @@
             log(&format!("fleet: {lost} lines were left out"));
         }
         if fleet.has_sync_target() {
-            self.dial.give();
+            self.dial.notify();
         }
         if self
             .sharing
             .as_ref()
             .is_some_and(|sharing| sharing.stale(&fleet))
         {
-            self.woken.give();
+            self.woken.notify();
         }
-        let parts = self.versions.as_ref().map_or(i64::MAX, Versions::due);
+        let parts = self.versions.as_ref().map_or(i64::MAX, VersionsDriver::due);
         let parts = self
             .affinity
             .as_ref()
             .map_or(parts, |sessions| sessions.due().min(parts));
         let next = parts.min(fleet.next_wakeup());
         if next < self.next.replace(next) {
-            self.woken.give();
+            self.woken.notify();
         }
         told
     }
@@ -387,8 +387,8 @@
     }
 
     /// It should look at what there is to do.
-    pub fn give(&self) {
-        self.woken.give();
+    pub fn notify(&self) {
+        self.woken.notify();
     }
 
     fn misunderstood(&self, what: &str, why: &pipitlever_membership::message::DecodeError) {
@@ -402,17 +402,17 @@
 
     /// The version that it acts on; 0 where none are decided.
     fn acting(&self) -> u64 {
-        self.versions.as_ref().map_or(0, Versions::acting)
+        self.versions.as_ref().map_or(0, VersionsDriver::acting)
     }
 
     /// The worker of a session, if any takes it: known here, or told by others in a moment.
-    pub async fn session(&self, pool: usize, looked: Looked) -> Option<SocketAddr> {
+    pub async fn session(&self, pool: usize, looked: SessionLookup) -> Option<SocketAddr> {
         let sessions = self.affinity.as_ref()?;
         let (now, version) = (self.clock.now(), self.acting());
         match sessions.want(now, version, pool, looked) {
             Ok(at) => {
                 // What it had to say of that goes out with the next turn, which is soon.
-                self.woken.give();
+                self.woken.notify();
                 at
             }
             Err(waiting) => {
@@ -423,36 +423,41 @@
     }
 
     /// A run could not begin at its session's worker: where it goes instead, if anywhere.
-    pub fn unreachable(&self, pool: usize, looked: Looked, at: SocketAddr) -> Option<SocketAddr> {
+    pub fn unreachable(
+        &self,
+        pool: usize,
+        looked: SessionLookup,
+        at: SocketAddr,
+    ) -> Option<SocketAddr> {
         let next = self
             .affinity
             .as_ref()?
             .unreachable(self.clock.now(), pool, looked, at);
-        self.woken.give();
+        self.woken.notify();
         next
     }
 
     /// Until when this node's parts of what is shared are nobody else's.
     fn parts_until(&self) -> i64 {
         match (self.apart, &self.versions) {
-            (Apart::Least, Some(versions)) => versions.leased_until(),
+            (PartitionPolicy::MinimumShare, Some(versions)) => versions.leased_until(),
             _ => i64::MAX,
         }
     }
 
     /// How the node is.
     fn standing(&self) -> ServiceState {
-        let hub = self.hub.borrow();
+        let state = self.state.borrow();
         match () {
-            () if hub.draining() => ServiceState::Draining,
-            () if hub.core.is_starting()
-                || !hub.taking
-                || hub.core.is_configuration_expired(self.clock.now()) =>
+            () if state.is_draining() => ServiceState::Draining,
+            () if state.core.is_starting()
+                || !state.is_accepting
+                || state.core.is_configuration_expired(self.clock.now()) =>
             {
                 ServiceState::Starting
             }
-            () if hub.core.is_standby() => ServiceState::Standby,
-            () if hub.core.is_overloaded() => ServiceState::Overloaded,
+            () if state.core.is_standby() => ServiceState::Standby,
+            () if state.core.is_overloaded() => ServiceState::Overloaded,
             () => ServiceState::Serving,
         }
     }
--- a/crates/node/src/net/membership/settings.rs
+++ b/crates/node/src/net/membership/settings.rs
@@ -17,10 +17,10 @@
     pub zone: String,
     /// Times and bounds.
     pub rules: MembershipConfig,
-    /// Versions of the settings, if the fleet decides them.
+    /// VersionsDriver of the settings, if the fleet decides them.
     pub versions: Option<config_versions::Settings>,
     /// What a node keeps to of a pool that is shared while it may be cut off.
-    pub apart: Apart,
+    pub apart: PartitionPolicy,
 }
 
 impl Settings {
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,14 +1,14 @@
-//! Thin drivers on smol's executor and the reactor: they read, write and wait; what it means is
-//! decided in `wire` and `core`.
+//! Drivers: tasks on sockets, timers and threads. They read, write and wait; `wire` decodes and
+//! encodes, and `core` and the other decision packages decide.
 
 pub mod clock;
 pub mod config_versions;
 pub mod connections;
 pub mod control;
+pub mod event_loop;
 pub mod front;
 pub mod graceful_close;
 pub mod hot_restart;
-pub mod hub;
 pub mod idempotency_store;
 pub mod ledger;
 pub mod membership;
@@ -21,40 +21,44 @@
 
 use futures_lite::future;
 use pipitlever_reactor::Timer;
+use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// A moment this far ahead, for pauses between tries.
-pub fn ahead(ms: u64) -> Instant {
+/// The time after so many milliseconds.
+pub fn after_ms(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
 
-/// What the future yields, or nothing once the moment has come.
-pub async fn by<T>(at: Instant, wanted: impl std::future::Future<Output = T>) -> Option<T> {
-    future::or(async { Some(wanted.await) }, async {
-        Timer::at(at).await;
+/// The future's output; none if the deadline passes first.
+pub async fn timeout_at<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
+    future::or(async { Some(future.await) }, async {
+        Timer::at(deadline).await;
         None
     })
     .await
 }
 
-/// Wakes the core whenever it wants to be woken.
-pub async fn timers(hub: hub::Shared) {
-    let woken = hub.borrow().woken.clone();
+/// Calls the core whenever its next wakeup is due.
+pub async fn run_core_timer(state: event_loop::SharedState) {
+    let wakeup_changed = state.borrow().wakeup_changed.clone();
     loop {
         let next = {
-            let hub = hub.borrow();
-            hub.core.next_wakeup().map(|at| hub.clock.instant(at))
+            let state = state.borrow();
+            let wakeup = state.core.next_wakeup();
+            wakeup.map(|at| state.clock.instant(at))
         };
         match next {
             Some(at) if at <= Instant::now() => {
-                hub.borrow_mut().tell(|core, now| core.handle_wakeup(now));
-                // Other tasks have their turn even if the core always wants to be woken.
+                state
+                    .borrow_mut()
+                    .with_core(|core, now| core.handle_wakeup(now));
+                // Other tasks run even if a wakeup is always due.
                 future::yield_now().await;
             }
             Some(at) => {
-                by(at, woken.wait()).await;
+                timeout_at(at, wakeup_changed.wait()).await;
             }
-            None => woken.wait().await,
+            None => wakeup_changed.wait().await,
         }
     }
 }
--- a/crates/node/src/net/notify.rs
+++ b/crates/node/src/net/notify.rs
@@ -1,4 +1,4 @@
-//! A word from one task to another, on one thread, that there is something to do.
+//! Notifications between the tasks of one thread.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -7,45 +7,45 @@
 
 #[derive(Debug, Default)]
 struct State {
-    given: Cell<bool>,
+    is_notified: Cell<bool>,
     waiting: RefCell<Option<Waker>>,
 }
 
-/// Wakes a driver that waits for something to do. One task waits for it; any may give it, and it is
-/// remembered.
+/// Wakes a task that waits. Clones share one notification: any of them may notify, and one task may
+/// wait. A notification that nobody waits for is stored, and several are merged into one.
 #[derive(Clone, Debug, Default)]
-pub struct Nudge(Rc<State>);
+pub struct Notify(Rc<State>);
 
-impl Nudge {
-    /// Nothing to do yet.
-    pub fn new() -> Nudge {
-        Nudge::default()
+impl Notify {
+    /// A `Notify` without a stored notification.
+    pub fn new() -> Notify {
+        Notify::default()
     }
 
-    /// There is something to do.
-    pub fn give(&self) {
-        // A nudge that is already there is enough.
-        if !self.0.given.replace(true) {
-            let waiting = self.0.waiting.take();
-            waiting.into_iter().for_each(Waker::wake);
+    /// Wakes the waiting task, or stores the notification.
+    pub fn notify(&self) {
+        if !self.0.is_notified.replace(true) {
+            if let Some(waker) = self.0.waiting.take() {
+                waker.wake();
+            }
         }
     }
 
-    /// Forgets a nudge that came for something that is known by now.
+    /// Drops a stored notification.
     pub fn clear(&self) {
-        self.0.given.set(false);
+        self.0.is_notified.set(false);
     }
 
-    /// Waits for the next nudge.
+    /// Waits for a notification and consumes it.
     pub async fn wait(&self) {
         poll_fn(|context| {
-            if self.0.given.replace(false) {
+            if self.0.is_notified.replace(false) {
                 return Poll::Ready(());
             }
             let mut waiting = self.0.waiting.borrow_mut();
             if !waiting
                 .as_ref()
-                .is_some_and(|w| w.will_wake(context.waker()))
+                .is_some_and(|waker| waker.will_wake(context.waker()))
             {
                 *waiting = Some(context.waker().clone());
             }
--- a/crates/node/src/net/processor/connection.rs
+++ b/crates/node/src/net/processor/connection.rs
@@ -1,7 +1,6 @@
-//! The link to the processor, as far as it is kept in memory: what waits, what is written, what may
-//! be lost.
+//! Command queue of the processor connection, and the proof of what the processor has read.
 
-use crate::net::notify::Nudge;
+use crate::net::notify::Notify;
 use pipitlever_admission::Micros;
 use pipitlever_core::{Core, Reference};
 use pipitlever_wire::processor;
@@ -9,187 +8,226 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A link that answered within this time is taken to be alive.
-const ALIVE: Micros = 2000;
-/// Commands written to the processor before it is asked whether it has read them.
-const MOST_BATCH: usize = 64;
+/// A connection that replied this recently, in microseconds, is taken to be alive.
+const ALIVE_WINDOW: Micros = 2000;
+/// Most commands that are written before a reply is waited for.
+const MAX_BATCH: usize = 64;
 
-/// What a command tells the processor of a request.
+/// A command to the processor.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// To run it; whether that must not happen twice, and its class.
-    Begin(Reference, bool, Rc<str>),
-    /// The reply to its call.
-    Answer(Reference),
-    /// To stop its run.
+pub enum ProcessorCommand {
+    /// Starts a run.
+    Start {
+        /// The request.
+        reference: Reference,
+        /// Whether the run must not happen twice.
+        is_keyed: bool,
+        /// Name of the request's class.
+        class: Rc<str>,
+    },
+    /// The reply to a request's ledger call.
+    CallReply(Reference),
+    /// Stops a run.
     Interrupt(Reference),
 }
 
-/// A command to the processor, as it goes out.
+/// A command and its body.
 #[derive(Clone, Debug)]
-struct Command {
-    told: Told,
+struct QueuedCommand {
+    command: ProcessorCommand,
     body: Rc<[u8]>,
 }
 
-/// What waits to be written to the processor, and how its link stands.
+impl QueuedCommand {
+    fn write(&self, out: &mut Vec<u8>) {
+        match &self.command {
+            ProcessorCommand::Start {
+                reference, class, ..
+            } => processor::write_start(out, *reference, class, &self.body),
+            ProcessorCommand::CallReply(reference) => {
+                processor::write_call_reply(out, *reference, &self.body);
+            }
+            ProcessorCommand::Interrupt(reference) => processor::write_interrupt(out, *reference),
+        }
+    }
+
+    /// Whether the command may be sent again if it may have been read before. The start of a keyed
+    /// run may not: the run may just have ended.
+    fn may_resend(&self, core: &mut Core) -> bool {
+        match &self.command {
+            ProcessorCommand::Start {
+                reference,
+                is_keyed,
+                ..
+            } => !is_keyed && core.may_resend_start(*reference),
+            ProcessorCommand::CallReply(reference) => core.may_resend_reply(*reference),
+            ProcessorCommand::Interrupt(reference) => core.may_resend_stop(*reference),
+        }
+    }
+}
+
+/// The commands to the processor, and the state of its connection.
 ///
-/// A link that breaks may have swallowed what was last written to it, unread. So commands go out in
-/// batches, each with a question behind it and the next one only after its answer: what is lost is
-/// one batch at most, and it is known which. The rest waits here, and has certainly not been read.
+/// A connection that breaks may lose what was last written to it. Commands are therefore written in
+/// batches, each followed by a gauge query, and the next batch only after the reply: at most one
+/// batch is lost, and it is known which. Commands that are still queued have certainly not been
+/// read.
 #[derive(Debug)]
-pub struct Link {
-    /// Something is to be done on the link.
-    pub nudge: Nudge,
-    /// Where the processor is, if there is one.
+pub struct ProcessorConnection {
+    /// Notified when there is something to write or the connection is to be left.
+    pub changed: Notify,
+    /// The processor's address, if there is a processor.
     pub address: Option<SocketAddr>,
-    /// It is somewhere else now: the present link is to be left once all that was said on it is
-    /// read.
-    pub moved: Nudge,
-    leaving: bool,
-    /// The processor has said hi on this link.
-    up: bool,
-    /// In order, not yet written.
-    commands: VecDeque<Command>,
-    /// Written, and not known to be read.
-    unread: Vec<Command>,
-    /// The same of links that broke, until the present one has caught up with their notices.
-    doubtful: Vec<Command>,
-    catching_up: bool,
-    /// Questions asked, and whether the last one has its answer.
-    questions: u64,
-    answered: bool,
-    /// When the last answer came.
-    heard: Micros,
-    /// A question is wanted, for its gauges or for what it proves.
-    ask: bool,
+    /// Notified when the address changes: the present connection is left once all commands written
+    /// to it are read.
+    pub address_changed: Notify,
+    is_leaving: bool,
+    /// Whether the processor has sent its hello on this connection.
+    is_up: bool,
+    /// Commands that are not written yet, in order.
+    queue: VecDeque<QueuedCommand>,
+    /// Commands that are written and not proven to be read.
+    unconfirmed: Vec<QueuedCommand>,
+    /// Unconfirmed commands of connections that broke, until the present one has delivered all
+    /// notices of the old ones.
+    in_doubt: Vec<QueuedCommand>,
+    is_catching_up: bool,
+    /// Number of the last query, and whether its reply has arrived.
+    last_query: u64,
+    is_query_answered: bool,
+    last_reply: Micros,
+    /// Whether a query is to be sent, for the gauges or as a proof.
+    is_query_wanted: bool,
 }
 
-impl Link {
-    /// No link yet, and no address.
-    pub fn new() -> Link {
-        Link {
-            nudge: Nudge::new(),
+impl ProcessorConnection {
+    /// No connection and no address yet.
+    pub fn new() -> ProcessorConnection {
+        ProcessorConnection {
+            changed: Notify::new(),
             address: None,
-            moved: Nudge::new(),
-            leaving: false,
-            up: false,
-            commands: VecDeque::new(),
-            unread: Vec::new(),
-            doubtful: Vec::new(),
-            catching_up: false,
-            questions: 0,
-            answered: true,
-            heard: Micros::MIN / 2,
-            ask: false,
+            address_changed: Notify::new(),
+            is_leaving: false,
+            is_up: false,
+            queue: VecDeque::new(),
+            unconfirmed: Vec::new(),
+            in_doubt: Vec::new(),
+            is_catching_up: false,
+            last_query: 0,
+            is_query_answered: true,
+            // Halved, so that a time since then does not overflow.
+            last_reply: Micros::MIN / 2,
+            is_query_wanted: false,
         }
     }
 
-    /// This is to be told.
-    pub fn command(&mut self, told: Told, body: Rc<[u8]>) {
-        self.commands.push_back(Command { told, body });
-        self.nudge.give();
+    /// Queues a command.
+    pub fn send(&mut self, command: ProcessorCommand, body: Rc<[u8]>) {
+        self.queue.push_back(QueuedCommand { command, body });
+        self.changed.notify();
     }
 
-    /// The gauges are wanted.
-    pub fn ask(&mut self) {
-        self.ask = true;
-        self.nudge.give();
+    /// Requests the gauges.
+    pub fn query_gauges(&mut self) {
+        self.is_query_wanted = true;
+        self.changed.notify();
     }
 
-    /// What is to be written next, if anything is by now: a batch and a question.
-    pub fn batch(&mut self, now: Micros, out: &mut Vec<u8>) -> bool {
-        if !self.up || !self.answered || self.leaving || (self.commands.is_empty() && !self.ask) {
+    /// Writes the next batch of commands and a query. Returns false if there is nothing to write
+    /// yet.
+    pub fn write_batch(&mut self, now: Micros, out: &mut Vec<u8>) -> bool {
+        let has_work = self.is_query_wanted || !self.queue.is_empty();
+        if !self.is_up || !self.is_query_answered || self.is_leaving || !has_work {
             return false;
         }
-        // A start that must not happen twice is never written to a link that may have died since it
-        // last answered: unread, it could not be told from one whose run is under way, and could
-        // not go out again.
-        let once = self
-            .commands
-            .iter()
-            .any(|c| matches!(c.told, Told::Begin(_, true, _)));
-        if !self.catching_up && (!once || now - self.heard <= ALIVE) {
-            while let Some(command) = self.commands.pop_front() {
-                self.unread.push(command);
-                if self.unread.len() >= MOST_BATCH {
+        if self.may_write_commands(now) {
+            while let Some(command) = self.queue.pop_front() {
+                self.unconfirmed.push(command);
+                if self.unconfirmed.len() >= MAX_BATCH {
                     break;
                 }
             }
         }
-        (self.ask, self.answered) = (false, false);
-        self.questions += 1;
-        for Command { told, body } in &self.unread {
-            match told {
-                Told::Begin(reference, _, class) => {
-                    processor::write_start(out, *reference, class, body)
-                }
-                Told::Answer(reference) => processor::write_call_reply(out, *reference, body),
-                Told::Interrupt(reference) => processor::write_interrupt(out, *reference),
-            }
+        self.is_query_wanted = false;
+        self.is_query_answered = false;
+        self.last_query += 1;
+        for command in &self.unconfirmed {
+            command.write(out);
         }
-        processor::write_gauge_query(out, self.questions);
+        processor::write_gauge_query(out, self.last_query);
         true
     }
 
-    /// The processor answered this question. If it is the last one, all that was written before it
-    /// is read.
-    pub fn answered(&mut self, now: Micros, question: Option<u64>, core: &mut Core) {
-        if question != Some(self.questions) {
+    /// Whether queued commands may be written, or a query alone has to come first. The start of a
+    /// keyed run is never written to a connection that may have died since its last reply: if it is
+    /// lost, it cannot be told from one that was read, and cannot be sent again.
+    fn may_write_commands(&self, now: Micros) -> bool {
+        let starts_keyed_run = self.queue.iter().any(|queued| {
+            matches!(
+                queued.command,
+                ProcessorCommand::Start { is_keyed: true, .. }
+            )
+        });
+        let is_alive = now - self.last_reply <= ALIVE_WINDOW;
+        !self.is_catching_up && (!starts_keyed_run || is_alive)
+    }
+
+    /// Handles the reply to a query. The reply to the last one proves that all commands written
+    /// before it are read.
+    pub fn handle_gauge_reply(&mut self, now: Micros, query: Option<u64>, core: &mut Core) {
+        if query != Some(self.last_query) {
             return;
         }
-        (self.answered, self.heard) = (true, now);
-        self.unread.clear();
-        if std::mem::take(&mut self.catching_up) {
-            self.caught_up(core);
+        self.is_query_answered = true;
+        self.last_reply = now;
+        self.unconfirmed.clear();
+        if std::mem::take(&mut self.is_catching_up) {
+            self.requeue_in_doubt(core);
         }
-        self.nudge.give();
+        self.changed.notify();
     }
 
-    /// A new link has brought all notices of the old one. What that may have swallowed goes out
-    /// again, first, where it is safe to; a start that must not happen twice is not, as its run may
-    /// just have ended.
-    fn caught_up(&mut self, core: &mut Core) {
-        for command in std::mem::take(&mut self.doubtful).into_iter().rev() {
-            let again = match &command.told {
-                Told::Begin(reference, once, _) => !once && core.may_resend_start(*reference),
-                Told::Answer(reference) => core.may_resend_reply(*reference),
-                Told::Interrupt(reference) => core.may_resend_stop(*reference),
-            };
-            if again {
-                self.commands.push_front(command);
+    /// Queues commands in doubt again, ahead of all others, where that is safe. By now the new
+    /// connection has delivered all notices of the old one.
+    fn requeue_in_doubt(&mut self, core: &mut Core) {
+        for command in std::mem::take(&mut self.in_doubt).into_iter().rev() {
+            if command.may_resend(core) {
+                self.queue.push_front(command);
             }
         }
     }
 
-    /// Whether nothing more is to be said on this link: the processor is elsewhere and has read
-    /// everything.
-    pub fn left(&self) -> bool {
-        self.leaving && (self.answered || !self.up)
+    /// Whether the connection can be closed, as the processor has another address and has read
+    /// everything written to this one.
+    pub fn is_finished(&self) -> bool {
+        self.is_leaving && (self.is_query_answered || !self.is_up)
     }
 
-    /// The link ended. What it has not read for certain is looked at on the next one.
-    pub fn unlinked(&mut self) {
-        (self.up, self.leaving) = (false, false);
+    /// Handles the end of the connection.
+    pub fn handle_disconnect(&mut self) {
+        self.is_up = false;
+        self.is_leaving = false;
     }
 
-    /// The processor is up on a new link.
-    pub fn hi(&mut self) {
-        // A question before anything else: its answer comes behind all notices that the old link
-        // left unread. The answer to an older one proves nothing here.
-        (self.up, self.ask, self.answered) = (true, true, true);
-        self.doubtful.append(&mut self.unread);
-        self.catching_up = true;
-        self.nudge.give();
+    /// Handles the processor's hello on a new connection. A query goes out before any command: its
+    /// reply follows all notices that the old connection left unread. A reply to an older query
+    /// proves nothing here.
+    pub fn handle_hello(&mut self) {
+        self.is_up = true;
+        self.is_query_wanted = true;
+        self.is_query_answered = true;
+        self.in_doubt.append(&mut self.unconfirmed);
+        self.is_catching_up = true;
+        self.changed.notify();
     }
 
-    /// The processor is there from now on.
-    pub fn moved(&mut self, to: Option<SocketAddr>) {
-        let before = std::mem::replace(&mut self.address, to);
-        if before.is_some() && before != to {
-            self.leaving = true;
-            self.moved.give();
-            self.nudge.give();
+    /// Sets the processor's address.
+    pub fn set_address(&mut self, address: Option<SocketAddr>) {
+        let previous = std::mem::replace(&mut self.address, address);
+        if previous.is_some() && previous != address {
+            self.is_leaving = true;
+            self.address_changed.notify();
+            self.changed.notify();
         }
     }
 }
--- a/crates/node/src/net/processor/mod.rs
+++ b/crates/node/src/net/processor/mod.rs
@@ -1,82 +1,99 @@
-//! The link to the processor: held open, set up again whenever it breaks.
+//! Keeps the connection to the processor, and reconnects whenever it breaks.
 
 pub mod connection;
 
 use crate::log::log;
-use crate::net::hub::Shared;
-use crate::net::{ahead, by};
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, timeout_at};
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::processor::NoticeReader;
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpStream};
 
-/// An old link says within this time, in milliseconds, that it has read everything, or is left
-/// without.
-const LEAVE_MS: u64 = 150;
+/// How long a connection to an old address may take to confirm that all commands are read, in
+/// milliseconds.
+const LEAVE_TIMEOUT_MS: u64 = 150;
+/// Longest time for connecting, in milliseconds.
+const CONNECT_TIMEOUT_MS: u64 = 1000;
+/// Shortest time between two attempts to connect, in milliseconds.
+const RECONNECT_INTERVAL_MS: u64 = 50;
+/// Size of the buffer that notices are read into, in bytes.
+const READ_BUFFER_BYTES: usize = 16384;
+/// Capacity that the write buffer keeps after a burst, in bytes.
+const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// What the buffer of what is written keeps of its memory.
-const KEPT: usize = 16 << 10;
-
-/// Keeps a link for as long as the node runs, to wherever the processor is.
-pub async fn link(hub: Shared) {
-    let mut machine = NoticeReader::default();
-    let moved = hub.borrow().link.moved.clone();
+/// Keeps a connection to the processor's present address, until there is none.
+pub async fn run(state: SharedState) {
+    let mut reader = NoticeReader::default();
+    let address_changed = state.borrow().processor.address_changed.clone();
     loop {
-        let next = ahead(50);
-        // The address is read now: a nudge left over from the old link, which ended before it was
-        // waited for, would have the new one dropped as soon as it is there, with nothing said on
-        // it.
-        moved.clear();
-        let Some(address) = hub.borrow().link.address else {
+        let next_attempt = after_ms(RECONNECT_INTERVAL_MS);
+        // The address is read below. A notification that is left from the old connection would
+        // close the new one as soon as it is made.
+        address_changed.clear();
+        let Some(address) = state.borrow().processor.address else {
             return;
         };
-        let connect = by(ahead(1000), Async::<TcpStream>::connect(address));
-        let connected = future::or(async { connect.await.and_then(Result::ok) }, async {
-            moved.wait().await;
-            None
-        });
-        if let Some(stream) = connected.await {
-            let _ = stream.get_ref().set_nodelay(true);
-            hub.borrow_mut().linked();
-            let hello = machine.hello();
-            let carried = future::or(
-                read(&hub, &mut machine, &stream),
-                write(&hub, hello, &stream),
-            );
-            let left = async {
-                moved.wait().await;
-                Timer::at(ahead(LEAVE_MS)).await;
-            };
-            future::or(carried, left).await;
-            let elsewhere = hub.borrow().link.address != Some(address);
-            hub.borrow_mut().link.unlinked();
-            log(if elsewhere {
-                "processor: link moved"
+        if let Some(stream) = connect(&state, address).await {
+            drive(&state, &mut reader, stream).await;
+            let has_moved = state.borrow().processor.address != Some(address);
+            state.borrow_mut().processor.handle_disconnect();
+            log(if has_moved {
+                "processor: disconnected reason=address-changed"
             } else {
-                "processor: link lost"
+                "processor: disconnected reason=connection-lost"
             });
-            if elsewhere {
+            if has_moved {
                 continue;
             }
         }
-        Timer::at(next).await;
+        Timer::at(next_attempt).await;
     }
 }
 
-async fn read(hub: &Shared, machine: &mut NoticeReader, stream: &Async<TcpStream>) {
-    let mut bytes = vec![0; 16384];
-    while let Ok(n) = stream.read(&mut bytes).await {
-        if n == 0 {
+/// Connects; none if that fails or the address changes meanwhile.
+async fn connect(state: &SharedState, address: SocketAddr) -> Option<Async<TcpStream>> {
+    let address_changed = state.borrow().processor.address_changed.clone();
+    let connecting = async {
+        let timeout = after_ms(CONNECT_TIMEOUT_MS);
+        let connected = timeout_at(timeout, Async::<TcpStream>::connect(address)).await;
+        connected.and_then(Result::ok)
+    };
+    let interrupted = async {
+        address_changed.wait().await;
+        None
+    };
+    future::or(connecting, interrupted).await
+}
+
+/// Reads notices and writes commands until the connection ends or is left.
+async fn drive(state: &SharedState, reader: &mut NoticeReader, stream: Async<TcpStream>) {
+    let _ = stream.get_ref().set_nodelay(true);
+    let address_changed = state.borrow().processor.address_changed.clone();
+    state.borrow_mut().processor_connected();
+    let hello = reader.hello();
+    let exchange = future::or(read(state, reader, &stream), write(state, hello, &stream));
+    let leaving = async {
+        address_changed.wait().await;
+        Timer::at(after_ms(LEAVE_TIMEOUT_MS)).await;
+    };
+    future::or(exchange, leaving).await;
+}
+
+async fn read(state: &SharedState, reader: &mut NoticeReader, stream: &Async<TcpStream>) {
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
+    while let Ok(length) = stream.read(&mut bytes).await {
+        if length == 0 {
             return;
         }
-        machine.feed(&bytes[..n]);
+        reader.feed(&bytes[..length]);
         loop {
-            match machine.next_notice() {
-                Ok(Some(notice)) => hub.borrow_mut().notice(notice),
+            match reader.next_notice() {
+                Ok(Some(notice)) => state.borrow_mut().handle_notice(notice),
                 Ok(None) => break,
                 Err(_) => {
-                    hub.borrow_mut().core.counters.malformed += 1;
-                    log("processor: message not understood");
+                    state.borrow_mut().core.counters.malformed += 1;
+                    log("processor: closed the connection, a notice could not be decoded");
                     return;
                 }
             }
@@ -84,25 +101,24 @@
     }
 }
 
-/// Says hello, and then what the hub has to say, until the link is to be left.
-async fn write(hub: &Shared, hello: Vec<u8>, stream: &Async<TcpStream>) {
+/// Sends the hello and then batches of commands, until the connection is to be closed.
+async fn write(state: &SharedState, hello: Vec<u8>, stream: &Async<TcpStream>) {
     if stream.write_all(&hello).await.is_err() {
         return;
     }
-    let nudge = hub.borrow().link.nudge.clone();
+    let changed = state.borrow().processor.changed.clone();
     let mut bytes = Vec::new();
-    while !hub.borrow().link.left() {
-        let batch = {
-            let hub = &mut *hub.borrow_mut();
-            hub.link.batch(hub.clock.now(), &mut bytes)
+    while !state.borrow().processor.is_finished() {
+        let has_batch = {
+            let state = &mut *state.borrow_mut();
+            state.processor.write_batch(state.clock.now(), &mut bytes)
         };
-        match batch {
-            true if stream.write_all(&bytes).await.is_ok() => {}
-            true => return,
-            false => nudge.wait().await,
+        if !has_batch {
+            changed.wait().await;
+        } else if stream.write_all(&bytes).await.is_err() {
+            return;
         }
         bytes.clear();
-        // Not what a burst of large bodies made of it.
-        bytes.shrink_to(KEPT);
+        bytes.shrink_to(WRITE_BUFFER_BYTES);
     }
 }
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,7 +1,7 @@
 //! Reports to the membership service, well inside the 3 s after which it drops a silent node.
 
-use crate::net::hub::Shared;
-use crate::net::{ahead, by};
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, timeout_at};
 use pipitlever_wire::service_registry::{heartbeat, Availability};
 use std::net::{SocketAddr, UdpSocket};
 
@@ -11,17 +11,17 @@
 
 /// Reports for as long as the node takes requests. On its way out it says so once and falls silent,
 /// so that it is dropped from the list where the word alone has no effect.
-pub async fn reports(hub: Shared, name: String) {
-    let leaving = hub.borrow().leaving.clone();
+pub async fn reports(state: SharedState, name: String) {
+    let leaving = state.borrow().shutdown_started.clone();
     let (mut socket, mut bound) = (None, None);
     loop {
-        let next = ahead(EVERY_MS);
-        let availability = match hub.borrow().draining() {
+        let next = after_ms(EVERY_MS);
+        let availability = match state.borrow().is_draining() {
             true => Availability::Draining,
             false => Availability::Up,
         };
         let up = availability == Availability::Up;
-        let members = hub.borrow().members;
+        let members = state.borrow().registry_address;
         if bound != members {
             // The address may be new, and of the other family.
             socket = None;
@@ -38,7 +38,7 @@
         }
         // A report that can't be sent is made up for by the next one.
         // The node stays where another process of it goes on.
-        let say = up || !hub.borrow().is_superseded();
+        let say = up || !state.borrow().is_replaced();
         if let (Some(socket), Some(address), true) = (&socket, members, say) {
             let _ = socket.send_to(&heartbeat(&name, availability), address);
         }
@@ -46,6 +46,6 @@
             return;
         }
         // The way out may be shorter than the time to the next report.
-        by(next, leaving.wait()).await;
+        timeout_at(next, leaving.wait()).await;
     }
 }
