--- a/crates/node/src/net/session_affinity.rs
+++ b/crates/node/src/net/session_affinity.rs
@@ -3,8 +3,8 @@
 //! `[pool.affinity]`.
 
 use crate::log::log;
-use crate::net::hub::Shared;
-use crate::net::workers::routes::Named;
+use crate::net::event_loop::SharedState;
+use crate::net::workers::routes::PoolSettings;
 use async_channel::Sender;
 use pipitlever_load_balancing::pool::MemberMode;
 use pipitlever_membership::Membership;
@@ -24,7 +24,7 @@
 const WAIT: i64 = 60_000;
 /// Moves are named in the log so often at most, in microseconds.
 const NOTED: i64 = 1_000_000;
-/// Sessions that a node remembers, at the most: they take some 25 bytes each.
+/// SessionAffinity that a node remembers, at the most: they take some 25 bytes each.
 const MOST: usize = 1 << 20;
 
 /// What the view tells of a node: it takes part in this, and it has what it is to remember.
@@ -33,10 +33,10 @@
 pub const FILLED: u8 = 2;
 
 /// The part.
-pub struct Sessions {
+pub struct SessionAffinity {
     node: RefCell<SessionDirectory>,
-    /// The pools as they were last read, with each one's place among the hub's.
-    files: RefCell<Vec<(usize, Named)>>,
+    /// The pools as they were last read, with each one's place among the state's.
+    files: RefCell<Vec<(usize, PoolSettings)>>,
     generation: Cell<u64>,
     seen: Cell<(u64, bool)>,
     waiting: RefCell<HashMap<u64, Sender<Resolution>>>,
@@ -45,20 +45,20 @@
     last: Cell<u64>,
     /// Another process of this node is the member: nothing is said or heard here any more.
     paused: Cell<bool>,
-    hub: Shared,
+    state: SharedState,
 }
 
-fn files(hub: &Shared) -> Vec<(usize, Named)> {
-    let hub = hub.borrow();
-    let all = hub
+fn files(state: &SharedState) -> Vec<(usize, PoolSettings)> {
+    let state = state.borrow();
+    let all = state
         .pools
-        .files()
+        .settings()
         .enumerate()
         .filter(|(_, f)| f.sessions.is_some());
     all.map(|(i, f)| (i, f.clone())).collect()
 }
 
-fn pool(file: &Named) -> Option<Pool> {
+fn pool(file: &PoolSettings) -> Option<Pool> {
     let sessions = file.sessions.as_ref()?;
     let workers = file
         .members
@@ -82,10 +82,10 @@
     })
 }
 
-impl Sessions {
+impl SessionAffinity {
     /// Begins, if sessions of any pool stay.
-    pub fn begin(hub: &Shared, name: &str, token: u64, now: i64) -> Option<Sessions> {
-        let files = files(hub);
+    pub fn begin(state: &SharedState, name: &str, token: u64, now: i64) -> Option<SessionAffinity> {
+        let files = files(state);
         if files.is_empty() {
             return None;
         }
@@ -104,7 +104,7 @@
             token,
             now,
         );
-        Some(Sessions {
+        Some(SessionAffinity {
             node: RefCell::new(node),
             files: RefCell::new(files),
             generation: Cell::new(0),
@@ -113,7 +113,7 @@
             told: RefCell::default(),
             last: Cell::new(0),
             paused: Cell::new(false),
-            hub: hub.clone(),
+            state: state.clone(),
         })
     }
 
@@ -128,11 +128,11 @@
     /// Takes over another version or file, if there is one.
     fn renew(&self, node: &mut SessionDirectory, now: i64, version: u64) {
         let generation = self
-            .hub
+            .state
             .try_borrow()
-            .map_or(self.generation.get(), |hub| hub.pools.generation);
+            .map_or(self.generation.get(), |state| state.pools.generation);
         if self.generation.replace(generation) != generation {
-            let files = files(&self.hub);
+            let files = files(&self.state);
             node.set_pools(
                 now,
                 version,
@@ -165,15 +165,16 @@
 
     /// Which workers fail here. One that is slow keeps its sessions.
     pub fn look(&self, now: i64) {
-        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+        let Ok(mut state) = self.state.try_borrow_mut() else {
             return;
         };
         let mut node = self.node.borrow_mut();
         for (i, (pool, file)) in self.files.borrow().iter().enumerate() {
-            let out: Vec<SocketAddr> = hub.pools.pool(*pool).failing_members().copied().collect();
-            let state = &node.pools()[i];
-            let id =
-                |at: &SocketAddr| state.id(file.members.iter().position(|m| m.address == *at)?);
+            let out: Vec<SocketAddr> = state.pools.pool(*pool).failing_members().copied().collect();
+            let placements = &node.pools()[i];
+            let id = |at: &SocketAddr| {
+                placements.id(file.members.iter().position(|m| m.address == *at)?)
+            };
             let out: Vec<WorkerId> = out.iter().filter_map(id).collect();
             node.set_ejected_workers(now, i, &out);
         }
@@ -187,7 +188,7 @@
         if now < told.1 + NOTED {
             return;
         }
-        for (i, (state, new)) in node.pools().iter().zip(&moves).enumerate() {
+        for (i, (placements, new)) in node.pools().iter().zip(&moves).enumerate() {
             let old = told.0.get(i).copied().unwrap_or_default();
             let since = |of: fn(&PlacementCounters) -> u64| of(new).saturating_sub(of(&old));
             let (removed, failed) = (since(|m| m.removed), since(|m| m.failed));
@@ -195,7 +196,7 @@
             if removed + failed + unreachable > 0 {
                 log(&format!(
                     "sessions: pool={} moved: removed={removed} failed={failed} unreachable={unreachable}",
-                    state.pool.name
+                    placements.pool.name
                 ));
                 told.1 = now;
             }
@@ -228,7 +229,7 @@
         now: i64,
         version: u64,
         pool: usize,
-        looked: Looked,
+        looked: SessionLookup,
     ) -> Result<Option<SocketAddr>, Waiting> {
         let mut node = self.node.borrow_mut();
         self.renew(&mut node, now, version);
@@ -266,10 +267,15 @@
         node.pools()[number].id(position?)
     }
 
-    fn what(&self, node: &SessionDirectory, number: usize, looked: Looked) -> Option<SessionKey> {
+    fn what(
+        &self,
+        node: &SessionDirectory,
+        number: usize,
+        looked: SessionLookup,
+    ) -> Option<SessionKey> {
         match looked {
-            Looked::Session(shown) => Some(SessionKey::Session(shown)),
-            Looked::Key(shown, at) => Some(SessionKey::IdempotencyKey(
+            SessionLookup::Session(shown) => Some(SessionKey::Session(shown)),
+            SessionLookup::Key(shown, at) => Some(SessionKey::IdempotencyKey(
                 shown,
                 self.worker(node, number, at)?,
             )),
@@ -319,7 +325,7 @@
         &self,
         now: i64,
         pool: usize,
-        looked: Looked,
+        looked: SessionLookup,
         at: SocketAddr,
     ) -> Option<SocketAddr> {
         let mut node = self.node.borrow_mut();
@@ -354,10 +360,10 @@
     /// How it stands, for the door.
     pub fn view(&self) -> Value {
         let node = self.node.borrow();
-        let pools = node.pools().iter().enumerate().map(|(i, state)| {
-            let m = state.counters;
+        let pools = node.pools().iter().enumerate().map(|(i, placements)| {
+            let m = placements.counters;
             json!({
-                "pool": state.pool.name, "workers": node.sessions_by_worker(i), "placed": m.placed, "moved_removed": m.removed,
+                "pool": placements.pool.name, "workers": node.sessions_by_worker(i), "placed": m.placed, "moved_removed": m.removed,
                 "moved_failed": m.failed, "moved_unreachable": m.unreachable,
             })
         });
@@ -371,7 +377,7 @@
 
 /// What a request looks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Looked {
+pub enum SessionLookup {
     /// Its session.
     Session(u64),
     /// Where a keyed one went first; and where its session lives now, for one that comes for the
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -3,9 +3,9 @@
 //! a pool.
 
 use crate::log::log;
-use crate::net::hub::Shared;
-use crate::net::workers::pools::{divided, Parts};
-use crate::net::workers::routes::Named;
+use crate::net::event_loop::SharedState;
+use crate::net::workers::pools::{is_divided, PoolShare};
+use crate::net::workers::routes::PoolSettings;
 use pipitlever_membership::record::State;
 use pipitlever_membership::Membership;
 use pipitlever_subsetting::assignment::{Worker, WorkerShare};
@@ -19,46 +19,46 @@
 
 /// What a node keeps to that may be cut off from the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Apart {
+pub enum PartitionPolicy {
     /// Its part, no more of it: the other side may have that too by then.
     #[default]
-    Keep,
+    KeepShare,
     /// One run for each worker from the moment at which no majority of electors is heard: the sum
     /// stays within the bound.
-    Least,
+    MinimumShare,
 }
 
-/// What was last handed to a pool of the hub.
+/// What was last handed to a pool of the state.
 struct Given {
-    /// The pool, by position among the hub's.
+    /// The pool, by position among the state's.
     pool: usize,
-    /// The workers that are divided: names and addresses.
+    /// The workers that are is_divided: names and addresses.
     workers: Vec<(String, SocketAddr)>,
 }
 
 /// The part.
-pub struct Sharing {
+pub struct SubsettingDriver {
     node: RefCell<Node>,
     given: RefCell<Vec<Given>>,
-    files: RefCell<Vec<Named>>,
+    files: RefCell<Vec<PoolSettings>>,
     /// News reaches all within this, in microseconds.
     hold: i64,
     /// The view that was last looked at, and whether this node was cut off then.
     seen: Cell<(u64, bool)>,
-    hub: Shared,
+    state: SharedState,
 }
 
-/// A pool as it is divided.
-fn shared(file: &Named) -> Option<Pool> {
+/// A pool as it is is_divided.
+fn shared(file: &PoolSettings) -> Option<Pool> {
     let subset = file.shared?.subset;
     let of = file
         .members
         .iter()
         .zip(&file.labels)
-        .filter(|(m, _)| divided(m));
+        .filter(|(m, _)| is_divided(m));
     let worker = |(m, label): (
         &pipitlever_load_balancing::pool::Member<SocketAddr>,
-        &crate::net::workers::routes::Label,
+        &crate::net::workers::routes::WorkerLabel,
     )| Worker {
         name: label.name.clone(),
         zone: label.zone.clone(),
@@ -75,10 +75,15 @@
     })
 }
 
-impl Sharing {
+impl SubsettingDriver {
     /// Begins, if any pool is shared.
-    pub fn begin(hub: &Shared, name: &str, timing: Timing, now: i64) -> Option<Sharing> {
-        let files: Vec<Named> = hub.borrow().pools.files().cloned().collect();
+    pub fn begin(
+        state: &SharedState,
+        name: &str,
+        timing: Timing,
+        now: i64,
+    ) -> Option<SubsettingDriver> {
+        let files: Vec<PoolSettings> = state.borrow().pools.settings().cloned().collect();
         let pools: Vec<Pool> = files.iter().filter_map(shared).collect();
         if pools.is_empty() {
             return None;
@@ -95,13 +100,13 @@
             RefCell::new(Node::new(name, timing, pools, now)),
             RefCell::new(files),
         );
-        Some(Sharing {
+        Some(SubsettingDriver {
             node,
             given,
             files,
             hold,
             seen: Cell::new((0, false)),
-            hub: hub.clone(),
+            state: state.clone(),
         })
     }
 
@@ -116,13 +121,13 @@
         let alone = until <= now;
         // What is not looked at again by then is not known to be right: the process stood still.
         let until = until.min(now + self.hold);
-        // A turn may come from within the hub's own; the next one is soon.
-        let Ok(mut hub) = self.hub.try_borrow_mut() else {
+        // A turn may come from within the state's own; the next one is soon.
+        let Ok(mut state) = self.state.try_borrow_mut() else {
             return;
         };
         let mut node = self.node.borrow_mut();
-        if hub.pools.files().ne(self.files.borrow().iter()) {
-            let files: Vec<Named> = hub.pools.files().cloned().collect();
+        if state.pools.settings().ne(self.files.borrow().iter()) {
+            let files: Vec<PoolSettings> = state.pools.settings().cloned().collect();
             node.set_pools(now, files.iter().filter_map(shared).collect());
             *self.given.borrow_mut() = given(&files);
             *self.files.borrow_mut() = files;
@@ -132,8 +137,8 @@
             node.update_members(now, members(fleet), alone);
         }
         for (i, given) in self.given.borrow().iter().enumerate() {
-            node.record_demand(i, hub.pools.wanted(given.pool));
-            let pool = hub.pools.pool(given.pool);
+            node.record_demand(i, state.pools.take_demand(given.pool));
+            let pool = state.pools.pool(given.pool);
             let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
             let out: Vec<usize> = pool.ejected_members().filter_map(at).collect();
             node.set_ejected(i, &out);
@@ -146,7 +151,8 @@
         }
         for position in node.take_recovered() {
             let given = &self.given.borrow()[position.pool];
-            hub.pools
+            state
+                .pools
                 .pool(given.pool)
                 .hasten_probation(now, &given.workers[position.worker].1);
         }
@@ -161,12 +167,17 @@
                 .filter(|u| u.in_subset)
                 .map(|u| u.concurrency_limit)
                 .sum();
-            let (pool, part) = (given.pool, node.load_fraction(i));
-            if hub.pools.divide(now, pool, Parts { uses, part, until }) {
+            let (pool, load_fraction) = (given.pool, node.load_fraction(i));
+            let share = PoolShare {
+                workers: uses,
+                load_fraction,
+                expires_at: until,
+            };
+            if state.pools.set_share(now, pool, share) {
                 let name = &self.files.borrow()[pool].name;
                 let all = given.workers.len();
                 log(&format!(
-                    "subsetting: assigned pool={name} workers={inside} of={all} runs={runs} load_fraction={part:.3}"
+                    "subsetting: assigned pool={name} workers={inside} of={all} runs={runs} load_fraction={load_fraction:.3}"
                 ));
             }
         }
@@ -216,14 +227,14 @@
     }
 }
 
-fn given(files: &[Named]) -> Vec<Given> {
-    let of = |(pool, file): (usize, &Named)| {
+fn given(files: &[PoolSettings]) -> Vec<Given> {
+    let of = |(pool, file): (usize, &PoolSettings)| {
         file.shared?;
         let workers = file
             .members
             .iter()
             .zip(&file.labels)
-            .filter(|(m, _)| divided(m));
+            .filter(|(m, _)| is_divided(m));
         let workers = workers
             .map(|(m, label)| (label.name.clone(), m.address))
             .collect();
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -1,157 +1,222 @@
-//! Runs on uwsgi workers: a connection a run, closed by its end. The pool says which worker, and
-//! whether a run may be tried on another one.
+//! Runs on uwsgi workers: one connection a run, closed at its end.
 
 pub mod pools;
 pub mod routes;
+mod session_route;
 
-use crate::net::by;
-use crate::net::hub::Shared;
-use crate::net::session_affinity::Looked;
-use crate::net::workers::pools::Job;
+use crate::net::event_loop::SharedState;
+use crate::net::timeout_at;
+use crate::net::workers::pools::{AssignedRun, AttemptedWorker, FailedAttempt, WorkerRun};
 use async_executor::LocalExecutor;
-use pipitlever_capture::record::digest_bytes as digest;
+use pipitlever_admission::Micros;
+use pipitlever_capture::record::digest_bytes;
 use pipitlever_core::RunOutcome;
 use pipitlever_load_balancing::pool;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::uwsgi::{find_variable, ResponseReader};
+use session_route::SessionRoute;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A worker accepts within this part of the time that is left, or is passed over.
-const CONNECT: u32 = 4;
+/// A worker has to accept within the remaining time divided by this.
+const CONNECT_DIVISOR: u32 = 4;
+/// Size of the buffer that a response is read into, in bytes.
+const READ_BUFFER_BYTES: usize = 8192;
+/// The variable of a packet that carries the idempotency key.
+const IDEMPOTENCY_KEY: &str = "HTTP_IDEMPOTENCY_KEY";
 
-/// Starts each run that the module has decided on, at once: how many there are is its affair.
-pub async fn runs(executor: Rc<LocalExecutor<'static>>, hub: Shared) {
-    let nudge = hub.borrow().pools.jobs.1.clone();
+/// Spawns a driver for each queued run. The admission controller limits their number.
+pub async fn run(executor: Rc<LocalExecutor<'static>>, state: SharedState) {
+    let run_queued = state.borrow().pools.run_queued.clone();
     loop {
-        let Some(job) = hub.borrow_mut().pools.jobs.0.pop_front() else {
-            nudge.wait().await;
-            continue;
-        };
-        executor.spawn(run(hub.clone(), job)).detach();
+        let next = state.borrow_mut().pools.next_run();
+        match next {
+            Some(run) => executor.spawn(drive(state.clone(), run)).detach(),
+            None => run_queued.wait().await,
+        }
     }
 }
 
-async fn run(hub: Shared, job: Job) {
+/// Drives a run with all its attempts, and passes its outcome to the core.
+async fn drive(state: SharedState, run: WorkerRun) {
     let started = Instant::now();
-    let (until, most) = {
-        let hub = hub.borrow();
-        (hub.clock.instant(job.until), hub.uwsgi.most_response)
-    };
-    // A key in the packet is the same in all tries of a request, whichever front they came by.
-    let key = find_variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
-        .filter(|_| job.sticky)
-        .map(digest);
-    // Where sessions stay with their workers there is one place for it, and no other.
-    let session = hub.borrow().pools.session(&job).map(Looked::Session);
-    let part = hub
-        .borrow()
-        .callers
-        .fleet
-        .clone()
-        .filter(|_| session.is_some());
-    let mut looked = Vec::from_iter(session);
-    let mut home = match (session, &part) {
-        (Some(session), Some(part)) => Some(part.session(job.pool, session).await),
-        _ => None,
+    let mut driver = RunDriver::new(&state, &run).await;
+    let response = driver.run_attempts().await;
+    let (outcome, result) = match response {
+        Some(response) => (RunOutcome::Completed, response),
+        // No byte was sent to any worker, which proves that it did not run.
+        None if !driver.may_have_run => (RunOutcome::NotStarted, Vec::new()),
+        None => (RunOutcome::Failed, Vec::new()),
     };
-    // A repeat goes where the first try went, though its session has moved since.
-    let repeats = find_variable(&job.packet, "HTTP_IDEMPOTENCY_KEY")
-        .filter(|_| !job.safe)
-        .map(digest);
-    if let (Some(Some(at)), Some(part), Some(shown)) = (home, &part, repeats) {
-        looked.push(Looked::Key(shown, at));
-        home = Some(part.session(job.pool, Looked::Key(shown, at)).await);
-    }
-    let mut tried = Vec::new();
-    // Whether any worker may have acted on it.
-    let mut ran = false;
-    let response = loop {
-        let put = match home {
-            None => hub.borrow_mut().place(&job, key, &tried),
-            Some(at) => at.and_then(|at| hub.borrow_mut().place_at(&job, at, &tried)),
+    let duration = started.elapsed().as_micros() as Micros;
+    state.borrow_mut().with_core(|core, now| {
+        core.handle_run_finished(now, run.reference, outcome, duration, Rc::from(result));
+    });
+}
+
+/// The digest of a packet's idempotency key. It is the same for all retries of a request, whichever
+/// front end they arrive on.
+fn idempotency_key_digest(run: &WorkerRun) -> Option<u64> {
+    find_variable(&run.packet, IDEMPOTENCY_KEY).map(digest_bytes)
+}
+
+/// What follows a failed attempt.
+enum NextStep {
+    /// Another attempt.
+    Retry,
+    /// The run has failed.
+    Fail,
+}
+
+/// The attempts of one run.
+struct RunDriver<'a> {
+    state: &'a SharedState,
+    run: &'a WorkerRun,
+    deadline: Instant,
+    max_response_bytes: usize,
+    /// Key of sticky runs.
+    hash_key: Option<u64>,
+    /// The worker of the run's session, if it has one.
+    session: Option<SessionRoute>,
+    attempted: Vec<AttemptedWorker>,
+    /// Whether any worker may have acted on the run.
+    may_have_run: bool,
+}
+
+impl<'a> RunDriver<'a> {
+    /// Prepares a run, and looks up the worker of its session.
+    async fn new(state: &'a SharedState, run: &'a WorkerRun) -> RunDriver<'a> {
+        let (deadline, max_response_bytes) = {
+            let state = state.borrow();
+            (state.clock.instant(run.deadline), state.uwsgi.most_response)
         };
-        let Some(put) = put else { break None };
-        tried.push((put.pool, put.member));
-        let mut sent = false;
-        let outcome = by(
-            until,
-            attempt(put.address, &job.packet, until, most, &mut sent),
-        )
-        .await;
-        ran |= sent;
-        let end = match &outcome {
+        RunDriver {
+            state,
+            run,
+            deadline,
+            max_response_bytes,
+            hash_key: idempotency_key_digest(run).filter(|_| run.is_sticky),
+            session: SessionRoute::look_up(state, run).await,
+            attempted: Vec::new(),
+            may_have_run: false,
+        }
+    }
+
+    /// Tries workers until one responds; none if the run has failed.
+    async fn run_attempts(&mut self) -> Option<Vec<u8>> {
+        loop {
+            let assigned = self.assign()?;
+            self.attempted.push(AttemptedWorker {
+                pool: assigned.pool,
+                member: assigned.member,
+            });
+            let (outcome, response) = self.attempt(assigned).await;
+            let retry_after = self.complete_attempt(assigned, outcome);
+            if response.is_some() {
+                return response;
+            }
+            match self.prepare_retry(assigned, retry_after).await {
+                NextStep::Retry => {}
+                NextStep::Fail => return None,
+            }
+        }
+    }
+
+    /// Assigns the run to the worker of its session, or to any worker.
+    fn assign(&self) -> Option<AssignedRun> {
+        let mut state = self.state.borrow_mut();
+        match &self.session {
+            None => state.select_worker(self.run, self.hash_key, &self.attempted),
+            Some(session) => state.assign_worker(self.run, session.worker?, &self.attempted),
+        }
+    }
+
+    /// Sends the run to its worker and reads the response.
+    async fn attempt(&mut self, assigned: AssignedRun) -> (pool::RunOutcome, Option<Vec<u8>>) {
+        let mut is_sent = false;
+        let exchange = exchange(
+            assigned.address,
+            &self.run.packet,
+            self.deadline,
+            self.max_response_bytes,
+            &mut is_sent,
+        );
+        let response = timeout_at(self.deadline, exchange).await;
+        self.may_have_run |= is_sent;
+        let outcome = match &response {
             Some(Some(_)) => pool::RunOutcome::Succeeded,
-            Some(None) if sent => pool::RunOutcome::Failed,
+            Some(None) if is_sent => pool::RunOutcome::Failed,
             Some(None) => pool::RunOutcome::Unreachable,
             None => pool::RunOutcome::TimedOut,
         };
-        let again = {
-            let hub = &mut *hub.borrow_mut();
-            let now = hub.clock.now();
-            hub.pools.ended(now, put, end);
-            let failed = !matches!(end, pool::RunOutcome::Succeeded);
-            failed
-                .then(|| hub.pools.again(now, put, &job, ran, tried.len() as u32))
-                .flatten()
+        (outcome, response.flatten())
+    }
+
+    /// Records an attempt's outcome, and decides on a retry: returns the time to wait before it, in
+    /// microseconds.
+    fn complete_attempt(&self, assigned: AssignedRun, outcome: pool::RunOutcome) -> Option<Micros> {
+        let state = &mut *self.state.borrow_mut();
+        let now = state.clock.now();
+        state.pools.complete_run(now, assigned, outcome);
+        if matches!(outcome, pool::RunOutcome::Succeeded) {
+            return None;
+        }
+        let attempt = FailedAttempt {
+            pool: assigned.pool,
+            may_have_run: self.may_have_run,
+            attempts: self.attempted.len() as u32,
+        };
+        state.pools.acquire_retry(now, self.run, attempt)
+    }
+
+    /// Waits before a retry, if there is to be one, and moves the session away from a worker that
+    /// could not be reached.
+    async fn prepare_retry(
+        &mut self,
+        assigned: AssignedRun,
+        retry_after: Option<Micros>,
+    ) -> NextStep {
+        let Some(retry_after) = retry_after else {
+            return NextStep::Fail;
         };
-        match (outcome.flatten(), again) {
-            (Some(response), _) => break Some(response),
-            // What may have run there is of that worker alone.
-            (None, Some(_)) if home.is_some() && ran => break None,
-            (None, Some(pause)) => {
-                if let (Some(part), Some(_)) = (&part, home) {
-                    // The session and the key leave it together.
-                    for looked in &looked {
-                        home = Some(part.unreachable(job.pool, *looked, put.address));
-                    }
-                }
-                Timer::at(Instant::now() + Duration::from_micros(pause as u64)).await;
+        if let Some(session) = &mut self.session {
+            // The effects of a run that may have started belong to that worker alone.
+            if self.may_have_run {
+                return NextStep::Fail;
             }
-            (None, None) => break None,
+            session.move_from(self.run.pool, assigned.address);
         }
-    };
-    let (end, result) = match response {
-        Some(response) => (RunOutcome::Completed, response),
-        // Not a byte of it went out to anybody, so it cannot have run.
-        None if !ran => (RunOutcome::NotStarted, Vec::new()),
-        None => (RunOutcome::Failed, Vec::new()),
-    };
-    let took = started.elapsed().as_micros() as i64;
-    hub.borrow_mut().tell(|core, now| {
-        core.handle_run_finished(now, job.reference, end, took, Rc::from(result))
-    });
+        Timer::at(Instant::now() + Duration::from_micros(retry_after as u64)).await;
+        NextStep::Retry
+    }
 }
 
-/// The response, if a whole one came. `sent` tells whether the worker may have seen the packet.
-async fn attempt(
+/// Sends a packet to a worker and reads its response; none if no whole one arrives. `is_sent` is set
+/// once the worker may have received part of the packet.
+async fn exchange(
     worker: SocketAddr,
     packet: &[u8],
-    until: Instant,
-    most: usize,
-    sent: &mut bool,
+    deadline: Instant,
+    max_response_bytes: usize,
+    is_sent: &mut bool,
 ) -> Option<Vec<u8>> {
     let now = Instant::now();
-    let patience = now + until.saturating_duration_since(now) / CONNECT;
-    let stream = by(patience, Async::<TcpStream>::connect(worker))
-        .await?
-        .ok()?;
-    // Only the first write proves anything: from its first byte on the worker may act on what it
-    // has.
-    let first = stream.write(packet).await.ok()?;
-    *sent = true;
-    stream.write_all(&packet[first..]).await.ok()?;
-    let mut response = ResponseReader::new(method(packet), most);
-    let mut bytes = vec![0; 8192];
+    let connect_deadline = now + deadline.saturating_duration_since(now) / CONNECT_DIVISOR;
+    let connecting = Async::<TcpStream>::connect(worker);
+    let stream = timeout_at(connect_deadline, connecting).await?.ok()?;
+    // Only a failure of the first write proves that the worker received nothing: it may act on any
+    // part of the packet.
+    let written = stream.write(packet).await.ok()?;
+    *is_sent = true;
+    stream.write_all(&packet[written..]).await.ok()?;
+    let method = find_variable(packet, "REQUEST_METHOD");
+    let mut response = ResponseReader::new(method, max_response_bytes);
+    let mut bytes = vec![0; READ_BUFFER_BYTES];
     loop {
-        let n = stream.read(&mut bytes).await.ok()?;
-        if n == 0 || response.feed(&bytes[..n]).ok()? {
+        let length = stream.read(&mut bytes).await.ok()?;
+        if length == 0 || response.feed(&bytes[..length]).ok()? {
             return response.finish();
         }
     }
 }
-
-fn method(packet: &[u8]) -> Option<&[u8]> {
-    find_variable(packet, "REQUEST_METHOD")
-}
--- /dev/null
+++ b/crates/node/src/net/workers/pools/pool_entry.rs
@@ -0,0 +1,121 @@
+//! One pool of the node: its settings, this node's share of it, and its load-balancing state.
+
+use super::PoolShare;
+use crate::log::log;
+use crate::net::workers::routes::{PoolSettings, WorkerLabel};
+use pipitlever_admission::Micros;
+use pipitlever_load_balancing::pool::{Member, MemberMode, Pool, PoolConfig};
+use pipitlever_subsetting::assignment::WorkerShare;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// A pool of the node.
+#[derive(Debug)]
+pub struct PoolEntry {
+    /// Its settings.
+    pub settings: PoolSettings,
+    /// This node's share, if the nodes of the fleet divide the pool.
+    pub share: PoolShare,
+    /// Runs that asked for a worker of it since the count was last taken.
+    pub demand: u64,
+    /// Its load-balancing state.
+    pub pool: Pool<SocketAddr>,
+}
+
+impl PoolEntry {
+    pub fn new(settings: PoolSettings, seed: u64, now: Micros) -> PoolEntry {
+        let share = PoolShare::default();
+        let members = local_members(&settings, &share.workers);
+        PoolEntry {
+            pool: Pool::new(PoolConfig::default(), members, seed, now),
+            settings,
+            share,
+            demand: 0,
+        }
+    }
+
+    /// Applies the settings and the share to the members.
+    pub fn update_members(&mut self, now: Micros) {
+        let members = local_members(&self.settings, &self.share.workers);
+        self.pool.update(members, now);
+    }
+
+    /// The name in log lines.
+    pub fn log_name(&self) -> String {
+        if self.settings.name.is_empty() {
+            "pool".into()
+        } else {
+            format!("pool {}", self.settings.name)
+        }
+    }
+
+    /// Counts the demand of a run's first attempt.
+    pub fn record_demand(&mut self, is_first_attempt: bool) {
+        self.demand += u64::from(is_first_attempt);
+    }
+
+    /// Reduces the share to one run for each worker once it has expired. A process that was stopped
+    /// may read requests before it learns that other nodes have its share by now.
+    pub fn expire_share(&mut self, now: Micros) {
+        if now < self.share.expires_at {
+            return;
+        }
+        self.share.expires_at = Micros::MAX;
+        for worker in self.share.workers.values_mut() {
+            worker.concurrency_limit = 1;
+        }
+        self.update_members(now);
+    }
+
+    /// Logs what happened in the pool since the last call.
+    pub fn log_events(&mut self) {
+        for event in self.pool.take_events() {
+            log(&format!("{}: {event}", self.log_name()));
+        }
+    }
+}
+
+/// The members as this node uses them. In a divided pool, workers outside the node's subset are in a
+/// lower priority tier with one run each, for when no other is usable. Configured tiers are doubled
+/// to make place for those.
+fn local_members(
+    settings: &PoolSettings,
+    shares: &HashMap<String, WorkerShare>,
+) -> Vec<Member<SocketAddr>> {
+    if settings.shared.is_none() {
+        return settings.members.clone();
+    }
+    let local = |(member, label): (&Member<SocketAddr>, &WorkerLabel)| {
+        let tier = member.tier.saturating_mul(2);
+        if !is_divided(member) {
+            return Member {
+                tier,
+                ..member.clone()
+            };
+        }
+        match shares.get(&label.name) {
+            Some(share) if share.in_subset => Member {
+                tier,
+                weight: share.weight,
+                max_runs: share.concurrency_limit,
+                ..member.clone()
+            },
+            _ => Member {
+                tier: tier.saturating_add(1),
+                max_runs: 1,
+                ..member.clone()
+            },
+        }
+    };
+    settings
+        .members
+        .iter()
+        .zip(&settings.labels)
+        .map(local)
+        .collect()
+}
+
+/// Whether the nodes of a fleet divide this member of a shared pool among themselves.
+pub fn is_divided(member: &Member<SocketAddr>) -> bool {
+    !member.is_standby && member.mode == MemberMode::Active
+}
--- a/crates/node/src/net/workers/routes.rs
+++ b/crates/node/src/net/workers/routes.rs
@@ -36,7 +36,7 @@
 
 /// What a worker is called, and where it stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Label {
+pub struct WorkerLabel {
     /// Its name; its address, where the file gives none.
     pub name: String,
     /// Its zone; may be empty.
@@ -45,14 +45,14 @@
 
 /// How the nodes of a fleet divide a pool among themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shared {
+pub struct SubsetSettings {
     /// About so many of its workers each node uses.
     pub subset: usize,
 }
 
 /// How long-lived sessions stay with their workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sessions {
+pub struct SessionSettings {
     /// The variable of a request's packet that names its session.
     pub variable: String,
     /// A session that nobody wanted for so many seconds is forgotten.
@@ -65,7 +65,7 @@
 
 /// A pool of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Named {
+pub struct PoolSettings {
     /// Its name; none for the one of `workers`.
     pub name: String,
     /// The pool whose turn it is when nobody of this one can take a run, by position.
@@ -73,13 +73,13 @@
     /// Its members.
     pub members: Vec<Member<SocketAddr>>,
     /// What each of them is called; none where the pool has no name.
-    pub labels: Vec<Label>,
+    pub labels: Vec<WorkerLabel>,
     /// Whether the nodes of the fleet divide it among themselves.
-    pub shared: Option<Shared>,
+    pub shared: Option<SubsetSettings>,
     /// What it was called before, the oldest first.
     pub was: Vec<String>,
     /// Whether sessions stay with its workers.
-    pub sessions: Option<Sessions>,
+    pub sessions: Option<SessionSettings>,
 }
 
 /// The front, the workers, the routes.
@@ -95,7 +95,7 @@
     pub special: Vec<Member<SocketAddr>>,
     /// Pools with a name.
     #[serde(skip)]
-    pub named: Vec<Named>,
+    pub named: Vec<PoolSettings>,
     /// How long a client waits that doesn't say, in milliseconds.
     pub deadline_ms: u64,
     /// The longest body.
@@ -137,11 +137,11 @@
     }
 
     /// All pools: first that of `workers`, then those with a name.
-    pub fn pools(&self) -> Vec<Named> {
+    pub fn pools(&self) -> Vec<PoolSettings> {
         let members = self.members();
-        let first = Named {
+        let first = PoolSettings {
             members,
-            ..Named::default()
+            ..PoolSettings::default()
         };
         std::iter::once(first)
             .chain(self.named.iter().cloned())
