--- a/crates/node/src/net/event_loop/mod.rs
+++ b/crates/node/src/net/event_loop/mod.rs
@@ -172,7 +172,9 @@
         if self.core.has_store() {
             self.store_work.notify();
             let now = self.clock.now();
-            self.core.store_status_change(now).inspect(|note| log(note));
+            if let Some(change) = self.core.store_status_change(now) {
+                log(&change.to_string());
+            }
         }
         if self.core.has_key_updates() {
             self.hot_restart.transfer_pending.notify();
--- a/crates/node/src/net/idempotency_store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -1,33 +1,30 @@
-//! Carries batches to the store's writer, one at a time, and what comes of them back.
+//! Passes batches to the store's writer thread, one at a time, and their results to the core.
 
 use crate::net::event_loop::SharedState;
 use async_channel::Receiver;
-use pipitlever_idempotency_store::disk::WriterThread;
+use pipitlever_idempotency_store::disk::BatchWriter;
+use std::io;
 
-/// For as long as the node runs.
-pub async fn batches(
-    state: SharedState,
-    writer: WriterThread,
-    done: Receiver<Result<u64, String>>,
-) {
-    let notify = state.borrow().store_work.clone();
+/// Passes batches and results on for as long as the node runs.
+pub async fn run(state: SharedState, writer: BatchWriter, results: Receiver<io::Result<u64>>) {
+    let store_work = state.borrow().store_work.clone();
     loop {
         let batch = {
             let state = &mut *state.borrow_mut();
             state.core.next_store_batch(state.clock.now())
         };
         let Some(batch) = batch else {
-            notify.wait().await;
+            store_work.wait().await;
             continue;
         };
         writer.write(batch);
-        // Without its thread nothing is ever written: that is a failure like any other, and the
-        // gate asks again ever more seldom. Left alone, what waits would have the core woken
-        // without end.
-        let result = done
+        // Without its thread nothing is ever written. That is reported as a failure, so that the
+        // commit queue retries with growing pauses; without a result the core would be woken at
+        // once, again and again.
+        let result = results
             .recv()
             .await
-            .unwrap_or_else(|_| Err("the writer's thread has ended".into()));
+            .unwrap_or_else(|_| Err(io::Error::other("the writer's thread has ended")));
         state
             .borrow_mut()
             .with_core(|core, now| core.handle_store_result(now, result));
