--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{configuration, work, Scratch, PROGRAM};
-use pipitlever_cluster_testing::processes::{call, Cluster, Spec};
+use pipitlever_cluster_testing::processes::{call, Cluster, Line, Spec};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -184,6 +184,10 @@
                 break;
             }
         }
+        // Its log is read by another thread, which may lag behind its view.
+        let number = cluster.nodes[3].process.as_ref().unwrap().number;
+        let serves = |l: &Line| l.process == number && l.text.contains("versions: serving");
+        assert!(cluster.history.wait(0, serves).is_some());
         let lines = said(&cluster, 3);
         assert!(
             place(&lines, "minimum version is known minimum_version=2")
