--- a/crates/config-versions/tests/persistence.rs
+++ b/crates/config-versions/tests/persistence.rs
@@ -4,7 +4,7 @@
 use pipitlever_config_versions::acceptor::{Acceptor, AcceptorState, DeferredMessage, Voting};
 use pipitlever_config_versions::file_format;
 use pipitlever_config_versions::lease::ClockDrift;
-use pipitlever_config_versions::message::{Ballot, Message, Outgoing};
+use pipitlever_config_versions::message::{Ballot, DiskStamp, Message, Outgoing};
 use pipitlever_config_versions::proposer::{Outcome, Proposer};
 use pipitlever_config_versions::retirement::{Retirement, Stage};
 use pipitlever_config_versions::version::{check_acceptor_change, Digest, Version};
@@ -240,6 +240,25 @@
     );
 }
 
+#[test]
+fn an_acceptor_with_another_disk_does_not_vote_however_many_votes_are_on_it() {
+    let mut network = Network::new("abc", "abc");
+    let base = Version::genesis(&names("abc"));
+    network.propose(&base, next(&base, "abc"), 1);
+    let current = network.state("a");
+    let other_disk = AcceptorState {
+        disk: DiskStamp {
+            disk_id: current.disk.disk_id + 1,
+            vote_count: current.disk.vote_count + 1,
+        },
+        ..current
+    };
+    network.start("a", Some(other_disk), "abc", 5);
+    network.check_disks();
+    let voting = network.acceptors["a"].voting();
+    assert!(matches!(voting, Voting::Disabled(_)), "{voting:?}");
+}
+
 #[test]
 fn a_proposer_with_a_stale_base_learns_the_newest_version_and_changes_nothing() {
     let mut network = Network::new("abc", "abc");
