--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -6,7 +6,7 @@
 use crate::config::operator::error::{within, FileError};
 use crate::config::versions::VersionsSection;
 use crate::net::membership::Settings;
-use crate::net::subsetting::Apart;
+use crate::net::subsetting::PartitionPolicy;
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use serde::Deserialize;
@@ -126,9 +126,9 @@
                         "share_apart = \"least\" needs [fleet.versions]",
                     );
                 }
-                Apart::Least
+                PartitionPolicy::MinimumShare
             }
-            _ => Apart::Keep,
+            _ => PartitionPolicy::KeepShare,
         };
         Ok(Settings {
             apart,
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -2,7 +2,7 @@
 
 use super::error::{within, FileError};
 use super::pools::{find_label, members, WorkerEntry};
-use crate::net::workers::routes::{Backend, Named, Route, Uwsgi};
+use crate::net::workers::routes::{Backend, PoolSettings, Route, Uwsgi};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -50,7 +50,7 @@
 struct RouteContext<'a> {
     text: &'a str,
     classes: &'a [String],
-    pools: &'a [Named],
+    pools: &'a [PoolSettings],
     has_unnamed_workers: bool,
 }
 
@@ -60,7 +60,7 @@
         self,
         text: &str,
         classes: &[String],
-        pools: Vec<Named>,
+        pools: Vec<PoolSettings>,
     ) -> Result<Uwsgi, FileError> {
         if let Some(offset) = find_label(&self.worker) {
             let message = "name and zone are for members of a [[pool]]";
