--- a/crates/cluster-testing/examples/fleet.rs
+++ b/crates/cluster-testing/examples/membership.rs
@@ -1,8 +1,8 @@
 //! Measures the fleet in the simulation: `cargo run --release -p pipitlever-cluster-testing
-//! --example fleet -- CASE SIZE SEEDS`.
+//! --example membership -- CASE SIZE SEEDS`.
 
-use pipitlever_cluster_testing::parties::memory_mb;
-use pipitlever_cluster_testing::sim::World;
+use pipitlever_cluster_testing::membership_simulation::Simulation;
+use pipitlever_cluster_testing::stand_ins::memory_mb;
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::event::Event;
 use pipitlever_membership::record::State;
@@ -12,14 +12,14 @@
 
 const S: i64 = 1_000_000;
 
-fn started(rules: &MembershipConfig, size: usize, seed: u64) -> World {
-    let mut world = World::new(rules.clone(), size, seed);
+fn started(rules: &MembershipConfig, size: usize, seed: u64) -> Simulation {
+    let mut world = Simulation::new(rules.clone(), size, seed);
     world.record = false;
     for i in 0..size {
         world.start(i, &[0, 1]);
         world.run(2_000);
     }
-    let took = world.wait(120 * S, World::settled);
+    let took = world.wait(120 * S, Simulation::has_converged);
     assert!(
         took.is_some(),
         "the fleet does not settle at the start: size={size} seed={seed}"
@@ -92,10 +92,12 @@
     match case.as_str() {
         "start" => {
             let mut took = each(seeds, |seed| {
-                let mut world = World::new(rules.clone(), size, seed);
+                let mut world = Simulation::new(rules.clone(), size, seed);
                 world.record = false;
                 (0..size).for_each(|i| world.start(i, &[0, 1]));
-                let took = world.wait(120 * S, World::settled).unwrap_or(999 * S);
+                let took = world
+                    .wait(120 * S, Simulation::has_converged)
+                    .unwrap_or(999 * S);
                 if seeds == 1 {
                     // With more of them several worlds share the process.
                     let memory = memory_mb(std::process::id());
@@ -111,7 +113,8 @@
                 let victim = size / 2;
                 let name = format!("n{victim}");
                 world.crash(victim);
-                let knows = |w: &World, i: usize| w.held(i, &name) == Some(State::Down);
+                let knows =
+                    |w: &Simulation, i: usize| w.member_state(i, &name) == Some(State::Down);
                 let others: Vec<usize> = world.running();
                 let one = world
                     .wait(60 * S, |w| others.iter().any(|i| knows(w, *i)))
@@ -122,7 +125,10 @@
                 [
                     one,
                     one + rest,
-                    one + rest + world.wait(60 * S, World::settled).unwrap_or(999 * S),
+                    one + rest
+                        + world
+                            .wait(60 * S, Simulation::has_converged)
+                            .unwrap_or(999 * S),
                 ]
             });
             for (i, what) in ["crash-first", "crash-all-know", "crash-all-equal"]
@@ -143,7 +149,7 @@
                 world.run(60 * S);
                 let half = |i| {
                     world
-                        .fleet(i)
+                        .membership(i)
                         .is_some_and(|f| f.members().active_count() <= size.div_ceil(2))
                 };
                 assert!(
@@ -151,7 +157,9 @@
                     "the halves hold each other dead: {seed}"
                 );
                 world.heal();
-                world.wait(120 * S, World::settled).unwrap_or(999 * S)
+                world
+                    .wait(120 * S, Simulation::has_converged)
+                    .unwrap_or(999 * S)
             });
             line("heal-all-equal", size, &mut took);
         }
@@ -163,22 +171,23 @@
                 world.run(10 * S);
                 let before: Vec<_> = (0..size).map(|i| world.sent(i)).collect();
                 world.run(60 * S);
-                let rate = |of: fn(pipitlever_cluster_testing::sim::Sent) -> u64| {
-                    let all: Vec<u64> = (0..size)
-                        .map(|i| of(world.sent(i)) - of(before[i]))
-                        .collect();
-                    (
-                        all.iter().sum::<u64>() as f64 / size as f64 / 60.0,
-                        *all.iter().max().unwrap() as f64 / 60.0,
-                    )
-                };
+                let rate =
+                    |of: fn(pipitlever_cluster_testing::membership_simulation::Sent) -> u64| {
+                        let all: Vec<u64> = (0..size)
+                            .map(|i| of(world.sent(i)) - of(before[i]))
+                            .collect();
+                        (
+                            all.iter().sum::<u64>() as f64 / size as f64 / 60.0,
+                            *all.iter().max().unwrap() as f64 / 60.0,
+                        )
+                    };
                 println!("rest size={size} loss={loss} seed={seed} bytes/s mean,most={:.0?} datagrams/s={:.1?} streamed/s={:.0?}",
                     rate(|s| s.bytes), rate(|s| s.datagrams), rate(|s| s.streamed));
                 let before: Vec<_> = (0..size).map(|i| world.sent(i)).collect();
                 for i in 0..size / 5 {
                     world.crash(i * 5 + 2);
                 }
-                let took = world.wait(60 * S, World::settled);
+                let took = world.wait(60 * S, Simulation::has_converged);
                 let live = world.running();
                 let sent: u64 = live
                     .iter()
--- a/crates/cluster-testing/examples/sessions.rs
+++ b/crates/cluster-testing/examples/sessions.rs
@@ -2,7 +2,9 @@
 //! and nodes that restart: who moved without a cause. `cargo run --release -p
 //! pipitlever-cluster-testing --example sessions -- NODES SESSIONS VERSIONS SEED`
 
-use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
+use pipitlever_cluster_testing::session_simulation::{
+    pool, FaultSettings, RouteOutcome, Simulation,
+};
 use std::time::Instant;
 
 const S: i64 = 1_000_000;
@@ -18,14 +20,14 @@
     let started = Instant::now();
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut workers: Vec<(u32, f64, bool)> = (0..12).map(|w| (w, 1.0, true)).collect();
-    let ways = Ways {
+    let ways = FaultSettings {
         loss: 10.0,
         twice: 2.0,
         delay: 4_000,
         late: 0.0,
         news: 500_000,
     };
-    let mut world = World::new(nodes as usize, pool(&workers, 5 * S), ways, seed);
+    let mut world = Simulation::new(nodes as usize, pool(&workers, 5 * S), ways, seed);
     while !world.filled() {
         world.run_until(world.now + S);
     }
@@ -35,18 +37,18 @@
     );
     let mut places: Vec<u32> = Vec::new();
     let (mut asked, mut waited, mut longest, mut nowhere) = (0u64, 0i64, 0i64, 0u64);
-    let mut ask = |world: &mut World, rng: &mut fastrand::Rng, key: u64| loop {
+    let mut ask = |world: &mut Simulation, rng: &mut fastrand::Rng, key: u64| loop {
         let node = rng.usize(0..nodes as usize);
         if !world.there(node) {
             continue;
         }
         asked += 1;
         match world.ask(node, key) {
-            Came::To(worker, took) => {
+            RouteOutcome::Worker(worker, took) => {
                 (waited, longest) = (waited + took, longest.max(took));
                 return worker;
             }
-            Came::Nowhere => nowhere += 1,
+            RouteOutcome::Unavailable => nowhere += 1,
         }
     };
     for key in 0..sessions {
--- a/crates/cluster-testing/examples/elsewhere.rs
+++ b/crates/cluster-testing/examples/spare_capacity.rs
@@ -1,7 +1,7 @@
 //! What it is worth to know of the others when refusing: `cargo run --release -p
-//! pipitlever-cluster-testing --example elsewhere -- SEEDS`.
+//! pipitlever-cluster-testing --example spare_capacity -- SEEDS`.
 
-use pipitlever_cluster_testing::demand::{play, Case};
+use pipitlever_cluster_testing::workload::{play, Case};
 
 fn main() {
     let seeds = std::env::args()
@@ -38,7 +38,7 @@
                     )
                 })
                 .collect();
-            let mean = |of: fn(&pipitlever_cluster_testing::demand::Result) -> f64| {
+            let mean = |of: fn(&pipitlever_cluster_testing::workload::Result) -> f64| {
                 all.iter().map(of).sum::<f64>() / seeds as f64
             };
             let least = all.iter().map(|r| r.served / r.asked).fold(1.0, f64::min);
--- a/crates/cluster-testing/src/lib.rs
+++ b/crates/cluster-testing/src/lib.rs
@@ -1,22 +1,19 @@
-//! Many nodes with faults between them, for tests and measurements alone: nothing of the product
-//! uses it.
+//! Tests and measurements of clusters under faults. Test support only: no product package depends
+//! on it.
 //!
-//! - `sim`: nodes of the fleet on a simulated network under a virtual clock; one seed, one course,
-//!   to the byte.
-//! - `crowd`: a simulated fleet around one real process.
-//! - `demand`: callers that try again, on nodes with the decision module in them, beside the
-//!   simulated fleet.
-//! - `relay`: what stands between every two real processes, and cuts, delays, thins, doubles or
-//!   spoils what goes one way.
-//! - `processes`: the built program several times over, with signals, restarts, and what its doors
-//!   say.
-//! - `parties`: a processor and callers for them, and the rules that hold for what was asked and
-//!   answered.
+//! - [`membership_simulation`]: membership nodes on a simulated network under a virtual clock.
+//! - [`session_simulation`]: session directories on a simulated network under a virtual clock.
+//! - [`simulated_peers`]: simulated members around one real process, in real time.
+//! - [`workload`]: clients that retry against emulated nodes, next to the simulated membership.
+//! - [`process_control`]: several real processes of the program, with signals and restarts.
+//! - [`network_relay`]: a relay between every two real processes that injects network faults.
+//! - [`stand_ins`]: a processor and clients for the real processes, and the check that no request
+//!   was lost or ran twice.
 
-pub mod crowd;
-pub mod demand;
-pub mod parties;
-pub mod processes;
-pub mod relay;
-pub mod sessions;
-pub mod sim;
+pub mod membership_simulation;
+pub mod network_relay;
+pub mod process_control;
+pub mod session_simulation;
+pub mod simulated_peers;
+pub mod stand_ins;
+pub mod workload;
--- a/crates/cluster-testing/src/sim.rs
+++ b/crates/cluster-testing/src/membership_simulation.rs
@@ -92,7 +92,7 @@
 }
 
 /// All of it.
-pub struct World {
+pub struct Simulation {
     /// The time, which no node sees.
     pub now: Micros,
     /// The network.
@@ -123,9 +123,9 @@
     SocketAddr::from(([10, 0, (node >> 8) as u8, node as u8], 7000))
 }
 
-impl World {
+impl Simulation {
     /// So many places for nodes, none of which has started.
-    pub fn new(rules: MembershipConfig, places: usize, seed: u64) -> World {
+    pub fn new(rules: MembershipConfig, places: usize, seed: u64) -> Simulation {
         let mut rng = Rng::with_seed(seed);
         let node = |i: usize| Node {
             name: format!("n{i}"),
@@ -150,7 +150,7 @@
                 node
             })
             .collect();
-        World {
+        Simulation {
             now: 0,
             net: Net::default(),
             history: Vec::new(),
@@ -229,7 +229,7 @@
     }
 
     /// It goes on.
-    pub fn go_on(&mut self, node: usize) {
+    pub fn resume(&mut self, node: usize) {
         self.nodes[node].paused = false;
         // Its timers first: what they would blame others for may be waiting to be read.
         self.nodes[node].wake = Some(self.now);
@@ -265,12 +265,12 @@
     }
 
     /// A node's part in the fleet, if it runs.
-    pub fn fleet(&self, node: usize) -> Option<&Membership> {
+    pub fn membership(&self, node: usize) -> Option<&Membership> {
         self.nodes[node].fleet.as_ref()
     }
 
     /// Has a node say something of itself.
-    pub fn tell<T>(
+    pub fn with_membership<T>(
         &mut self,
         node: usize,
         tell: impl FnOnce(&mut Membership, Micros) -> T,
@@ -294,8 +294,8 @@
     }
 
     /// What one node holds another one to be.
-    pub fn held(&self, at: usize, of: &str) -> Option<State> {
-        self.fleet(at)?
+    pub fn member_state(&self, at: usize, of: &str) -> Option<State> {
+        self.membership(at)?
             .members()
             .get(of)
             .filter(|m| !m.is_tombstone)
@@ -304,9 +304,9 @@
 
     /// Whether all that run have equal views, in which those that run are alive and the others are
     /// not.
-    pub fn settled(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let running = self.running();
-        let Some(first) = running.first().and_then(|i| self.fleet(*i)) else {
+        let Some(first) = running.first().and_then(|i| self.membership(*i)) else {
             return true;
         };
         let alive = first
@@ -316,12 +316,13 @@
             .count();
         let right = running
             .iter()
-            .all(|i| self.held(*i, &self.nodes[*i].name) == Some(State::Alive));
+            .all(|i| self.member_state(*i, &self.nodes[*i].name) == Some(State::Alive));
         right
             && alive == running.len()
-            && running
-                .iter()
-                .all(|i| self.fleet(*i).is_some_and(|f| f.digest() == first.digest()))
+            && running.iter().all(|i| {
+                self.membership(*i)
+                    .is_some_and(|f| f.digest() == first.digest())
+            })
     }
 
     /// Runs until this time, if it is still to come.
@@ -338,7 +339,7 @@
     }
 
     /// Runs until something is so, looked at every 10 ms, or the time is over; how long it took.
-    pub fn wait(&mut self, most: Micros, done: impl Fn(&World) -> bool) -> Option<Micros> {
+    pub fn wait(&mut self, most: Micros, done: impl Fn(&Simulation) -> bool) -> Option<Micros> {
         let start = self.now;
         while self.now < start + most {
             if done(self) {
@@ -349,7 +350,7 @@
         done(self).then_some(self.now - start)
     }
 
-    fn run_until(&mut self, until: Micros, done: impl Fn(&World) -> bool) {
+    fn run_until(&mut self, until: Micros, done: impl Fn(&Simulation) -> bool) {
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > until || done(self) {
                 break;
--- a/crates/cluster-testing/src/processes.rs
+++ b/crates/cluster-testing/src/process_control.rs
@@ -2,8 +2,8 @@
 //! fleet's address. What each says is kept, with the time. They end with the thread that started
 //! them.
 
-use crate::parties::{Caller, Processor};
-use crate::relay::{bind_address, Links, Relay};
+use crate::network_relay::{bind_address, Links, Relay};
+use crate::stand_ins::{Client, Processor};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
 
 /// What is to be started.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct ClusterConfig {
     /// The program.
     pub program: PathBuf,
     /// The configuration, but for names and addresses.
@@ -25,7 +25,7 @@
     /// A folder of this test alone, which is there.
     pub folder: PathBuf,
     /// Time between probes, in milliseconds.
-    pub probe_ms: u64,
+    pub probe_interval_ms: u64,
     /// Others that it is to meet, in the place of the first two nodes and without a relay; and
     /// whether the nodes are in a fleet at all.
     pub seeds: Vec<SocketAddr>,
@@ -35,16 +35,16 @@
     pub more: String,
 }
 
-impl Spec {
+impl ClusterConfig {
     /// Nodes of this program with these settings in a fleet that probes five times a second; `more`
     /// for the operator's file.
-    pub fn new(program: &str, config: Value, folder: PathBuf, more: String) -> Spec {
+    pub fn new(program: &str, config: Value, folder: PathBuf, more: String) -> ClusterConfig {
         let program = program.into();
-        Spec {
+        ClusterConfig {
             program,
             config,
             folder,
-            probe_ms: 200,
+            probe_interval_ms: 200,
             seeds: Vec::new(),
             fleet: true,
             more,
@@ -54,7 +54,7 @@
 
 /// A line that a process said: when, which node, which process of it.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct LogLine {
     /// Since the start of the rig.
     pub at: Duration,
     /// The node.
@@ -68,23 +68,23 @@
 /// All that was said and done, in order.
 #[derive(Default)]
 pub struct History {
-    lines: Mutex<Vec<Line>>,
+    lines: Mutex<Vec<LogLine>>,
     more: Condvar,
 }
 
 impl History {
-    fn add(&self, line: Line) {
+    fn add(&self, line: LogLine) {
         self.lines.lock().expect("no holder panics").push(line);
         self.more.notify_all();
     }
 
     /// All lines so far.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<LogLine> {
         self.lines.lock().expect("no holder panics").clone()
     }
 
     /// Waits for a line behind so many.
-    pub fn wait(&self, behind: usize, wanted: impl Fn(&Line) -> bool) -> Option<Line> {
+    pub fn wait(&self, behind: usize, wanted: impl Fn(&LogLine) -> bool) -> Option<LogLine> {
         let until = Instant::now() + PATIENCE;
         let mut lines = self.lines.lock().expect("no holder panics");
         let mut seen = behind;
@@ -107,9 +107,9 @@
 }
 
 /// A process that does not outlive this.
-pub struct Guarded(Child);
+pub struct KillOnDrop(Child);
 
-impl Guarded {
+impl KillOnDrop {
     /// Sends a signal.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
@@ -119,7 +119,7 @@
     }
 }
 
-impl Drop for Guarded {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -127,9 +127,9 @@
 }
 
 /// One that has been started and may not be ready yet.
-pub struct Launched {
+pub struct StartingProcess {
     /// The process.
-    pub child: Guarded,
+    pub child: KillOnDrop,
     /// Its number, over all.
     pub number: usize,
     node: usize,
@@ -139,13 +139,13 @@
 
 /// One process.
 pub struct Process {
-    child: Guarded,
+    child: KillOnDrop,
     /// Its number, over all.
     pub number: usize,
     /// Where its callers connect.
-    pub gateways: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where operators call.
-    pub door: SocketAddr,
+    pub control_address: SocketAddr,
 }
 
 impl Process {
@@ -175,7 +175,7 @@
     pub processor: Processor,
     /// Its process, if one runs.
     pub process: Option<Process>,
-    gateways: Arc<Mutex<Option<SocketAddr>>>,
+    client_address: Arc<Mutex<Option<SocketAddr>>>,
     folder: PathBuf,
 }
 
@@ -187,13 +187,13 @@
     pub links: Arc<Links>,
     /// What they said.
     pub history: Arc<History>,
-    spec: Spec,
+    spec: ClusterConfig,
     started: Instant,
     processes: usize,
 }
 
 /// One call at a door: whether it was a yes, and the text.
-pub fn call(door: SocketAddr, line: &str) -> Option<(bool, String)> {
+pub fn call_control(door: SocketAddr, line: &str) -> Option<(bool, String)> {
     let mut stream = TcpStream::connect_timeout(&door, Duration::from_secs(2)).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     stream
@@ -207,7 +207,7 @@
 
 impl Cluster {
     /// So many nodes, none of which has started.
-    pub fn new(spec: Spec, count: usize) -> Cluster {
+    pub fn new(spec: ClusterConfig, count: usize) -> Cluster {
         let links = Arc::new(Links::default());
         let node = |i: usize| {
             let folder = spec.folder.join(format!("n{i}"));
@@ -217,7 +217,7 @@
                 relay: Relay::start(i, &links),
                 processor: Processor::start(),
                 process: None,
-                gateways: Arc::default(),
+                client_address: Arc::default(),
                 folder,
             }
         };
@@ -234,15 +234,15 @@
     }
 
     /// So many nodes that all know each other.
-    pub fn settled(spec: Spec, count: usize) -> Cluster {
+    pub fn start_converged(spec: ClusterConfig, count: usize) -> Cluster {
         let mut cluster = Cluster::new(spec, count);
         (0..count).for_each(|i| cluster.start(i));
-        cluster.wait_settled("the start");
+        cluster.wait_converged("the start");
         cluster
     }
 
     fn note(&self, node: usize, text: String) {
-        let line = Line {
+        let line = LogLine {
             at: self.started.elapsed(),
             node,
             process: 0,
@@ -266,7 +266,12 @@
     }
 
     /// Starts a process as above, and doesn't wait for it.
-    pub fn launch(&mut self, node: usize, name: &str, listen: Option<SocketAddr>) -> Launched {
+    pub fn launch(
+        &mut self,
+        node: usize,
+        name: &str,
+        listen: Option<SocketAddr>,
+    ) -> StartingProcess {
         self.processes += 1;
         let number = self.processes;
         let n = &self.nodes[node];
@@ -295,7 +300,7 @@
             "[fleet]\nname = \"rig\"\nbind = \"{}:0\"\n{advertise}seeds = [{}]\nprobe_ms = {}\n",
             bind_address(node),
             seeds.join(", "),
-            self.spec.probe_ms
+            self.spec.probe_interval_ms
         );
         operator += &self
             .spec
@@ -337,7 +342,7 @@
         let (history, started) = (self.history.clone(), self.started);
         std::thread::spawn(move || {
             for text in log.lines().map_while(Result::ok) {
-                history.add(Line {
+                history.add(LogLine {
                     at: started.elapsed(),
                     node,
                     process: number,
@@ -345,8 +350,8 @@
                 });
             }
         });
-        Launched {
-            child: Guarded(child),
+        StartingProcess {
+            child: KillOnDrop(child),
             number,
             node,
             behind,
@@ -354,8 +359,8 @@
     }
 
     /// Waits until a process is ready.
-    pub fn ready(&self, launched: Launched) -> Process {
-        let Launched {
+    pub fn ready(&self, launched: StartingProcess) -> Process {
+        let StartingProcess {
             child,
             number,
             node,
@@ -372,17 +377,20 @@
             word.and_then(|w| w.parse().ok())
                 .unwrap_or_else(|| panic!("no {field} in {line}"))
         };
-        let gateways = said("protocol=json-rpc", "listen=");
-        let door = said("protocol=control", "address=");
+        let client_address = said("protocol=json-rpc", "listen=");
+        let control_address = said("protocol=control", "address=");
         if self.spec.fleet {
             self.nodes[node].relay.aim(said("fleet: serving", "bind="));
         }
-        *self.nodes[node].gateways.lock().expect("no holder panics") = Some(gateways);
+        *self.nodes[node]
+            .client_address
+            .lock()
+            .expect("no holder panics") = Some(client_address);
         Process {
             child,
             number,
-            gateways,
-            door,
+            client_address,
+            control_address,
         }
     }
 
@@ -422,19 +430,22 @@
     /// Kills a node's process.
     pub fn kill(&mut self, node: usize) {
         self.signal(node, "-KILL");
-        *self.nodes[node].gateways.lock().expect("no holder panics") = None;
+        *self.nodes[node]
+            .client_address
+            .lock()
+            .expect("no holder panics") = None;
         self.nodes[node].process = None;
     }
 
     /// What a node says of the fleet.
     pub fn view(&self, node: usize) -> Option<Value> {
-        let door = self.nodes[node].process.as_ref()?.door;
-        let (yes, text) = call(door, "GET /fleet")?;
+        let door = self.nodes[node].process.as_ref()?.control_address;
+        let (yes, text) = call_control(door, "GET /fleet")?;
         yes.then(|| serde_json::from_str(&text).expect("JSON"))
     }
 
     /// What one node holds another one to be.
-    pub fn held(&self, at: usize, of: &str) -> Option<Value> {
+    pub fn member(&self, at: usize, of: &str) -> Option<Value> {
         let view = self.view(at)?;
         view["members"]
             .as_array()?
@@ -466,7 +477,7 @@
     }
 
     /// Whether all of these have settled on one view, in which they are alive, and nobody else is.
-    pub fn agree(&self, nodes: &[usize]) -> bool {
+    pub fn have_converged(&self, nodes: &[usize]) -> bool {
         let mut digests = Vec::new();
         for i in nodes {
             let Some(view) = self.view(*i) else {
@@ -491,19 +502,21 @@
     }
 
     /// Waits until all that run agree.
-    pub fn wait_settled(&self, what: &str) -> Duration {
+    pub fn wait_converged(&self, what: &str) -> Duration {
         let running = self.running();
-        self.wait(what, |c| c.agree(&running))
+        self.wait(what, |c| c.have_converged(&running))
     }
 
     /// A caller of whatever process takes a node's clients at the time.
-    pub fn caller(&self, node: usize) -> Caller {
-        let gateways = self.nodes[node].gateways.clone();
-        Caller::start(node, move || *gateways.lock().expect("no holder panics"))
+    pub fn start_client(&self, node: usize) -> Client {
+        let client_address = self.nodes[node].client_address.clone();
+        Client::start(node, move || {
+            *client_address.lock().expect("no holder panics")
+        })
     }
 
     /// Lines of all nodes that hold this, with the node.
-    pub fn said(&self, part: &str) -> Vec<Line> {
+    pub fn lines_containing(&self, part: &str) -> Vec<LogLine> {
         self.history
             .lines()
             .into_iter()
--- a/crates/cluster-testing/src/sessions.rs
+++ b/crates/cluster-testing/src/session_simulation.rs
@@ -16,7 +16,7 @@
 
 /// What happens to messages and news.
 #[derive(Clone, Copy, Debug)]
-pub struct Ways {
+pub struct FaultSettings {
     /// So many messages of a hundred are lost.
     pub loss: f64,
     /// So many come twice.
@@ -42,18 +42,18 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum RouteOutcome {
     /// Its worker, by number in the version that its node acts on; and how long it waited.
-    To(u32, Micros),
+    Worker(u32, Micros),
     /// To nobody.
-    Nowhere,
+    Unavailable,
 }
 
 /// The nodes and what is between them.
-pub struct World {
+pub struct Simulation {
     /// The time.
     pub now: Micros,
-    ways: Ways,
+    ways: FaultSettings,
     rng: Rng,
     nodes: Vec<Option<SessionDirectory>>,
     /// The version that each node acts on.
@@ -92,10 +92,10 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// So many nodes, that all start now with this version.
-    pub fn new(nodes: usize, first: Pool, ways: Ways, seed: u64) -> World {
-        let mut world = World {
+    pub fn new(nodes: usize, first: Pool, ways: FaultSettings, seed: u64) -> Simulation {
+        let mut world = Simulation {
             now: 0,
             ways,
             rng: Rng::with_seed(seed),
@@ -366,14 +366,14 @@
     }
 
     /// A request of a session comes to a node: where it goes.
-    pub fn ask(&mut self, i: usize, key: u64) -> Came {
+    pub fn ask(&mut self, i: usize, key: u64) -> RouteOutcome {
         self.look_for(i, SessionKey::Session(key))
     }
 
     /// A keyed request whose session lives with this worker comes to a node: where it goes.
-    pub fn ask_key(&mut self, i: usize, key: u64, worker: u32) -> Came {
+    pub fn ask_key(&mut self, i: usize, key: u64, worker: u32) -> RouteOutcome {
         let Some(node) = &self.nodes[i] else {
-            return Came::Nowhere;
+            return RouteOutcome::Unavailable;
         };
         let state = &node.pools()[0];
         let at = state
@@ -385,11 +385,11 @@
         self.look_for(i, SessionKey::IdempotencyKey(key, worker))
     }
 
-    fn look_for(&mut self, i: usize, what: SessionKey) -> Came {
+    fn look_for(&mut self, i: usize, what: SessionKey) -> RouteOutcome {
         self.next_request += 1;
         let (start, request) = (self.now, self.next_request);
         let Some(node) = &mut self.nodes[i] else {
-            return Came::Nowhere;
+            return RouteOutcome::Unavailable;
         };
         let mut found = node.resolve(start, 0, what, request);
         while found == Resolution::Pending {
@@ -400,7 +400,7 @@
                 .map_or(self.now + S, |Reverse((t, _))| *t);
             self.run_until(next);
             let Some(node) = &mut self.nodes[i] else {
-                return Came::Nowhere;
+                return RouteOutcome::Unavailable;
             };
             // Others that wait would be told by the same; here there is one at a time.
             if let Some(resolved) = node
@@ -413,7 +413,7 @@
         }
         self.carry(i);
         let Some(node) = &self.nodes[i] else {
-            return Came::Nowhere;
+            return RouteOutcome::Unavailable;
         };
         match found {
             Resolution::Worker(worker) => {
@@ -422,9 +422,9 @@
                 let number = state.pool.workers[at].name[1..]
                     .parse()
                     .expect("a worker's number");
-                Came::To(number, self.now - start)
+                RouteOutcome::Worker(number, self.now - start)
             }
-            Resolution::Pending | Resolution::Unavailable => Came::Nowhere,
+            Resolution::Pending | Resolution::Unavailable => RouteOutcome::Unavailable,
         }
     }
 }
--- a/crates/cluster-testing/src/crowd.rs
+++ b/crates/cluster-testing/src/simulated_peers.rs
@@ -1,6 +1,6 @@
 //! A simulated fleet around one real process, in real time: what a thousand members cost it.
 
-use crate::sim::World;
+use crate::membership_simulation::Simulation;
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::sync::SyncSession;
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
@@ -25,14 +25,14 @@
 }
 
 /// All members but one.
-pub struct Crowd {
+pub struct SimulatedPeers {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
+impl SimulatedPeers {
     /// So many members, of which the real process is one.
-    pub fn start(members: usize) -> Crowd {
+    pub fn start(members: usize) -> SimulatedPeers {
         let listener = TcpListener::bind("0.0.0.0:0").expect("a port");
         PORT.store(
             listener.local_addr().expect("an address").port(),
@@ -49,7 +49,7 @@
                 .iter()
                 .for_each(|s| s.set_nonblocking(true).expect("no blocking"));
             listener.set_nonblocking(true).expect("no blocking");
-            let mut world = World::new(MembershipConfig::default(), members, 1);
+            let mut world = Simulation::new(MembershipConfig::default(), members, 1);
             world.record = false;
             world.bridge(address, 0, address(0));
             (1..members).for_each(|i| world.start(i, &[1, 2]));
@@ -59,7 +59,7 @@
             carry(&mut world, &sockets, &listener, &told);
         });
         up.recv().expect("the crowd is up");
-        Crowd {
+        SimulatedPeers {
             stop,
             thread: Some(thread),
         }
@@ -71,14 +71,14 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for SimulatedPeers {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-fn carry(world: &mut World, sockets: &[UdpSocket], listener: &TcpListener, stop: &AtomicBool) {
+fn carry(world: &mut Simulation, sockets: &[UdpSocket], listener: &TcpListener, stop: &AtomicBool) {
     let (start, from) = (Instant::now(), world.now);
     let mut bytes = vec![0; 64 << 10];
     let mut real: Option<SocketAddr> = None;
@@ -124,7 +124,7 @@
 }
 
 /// One member makes its view and the real process's equal.
-fn settle(world: &mut World, place: usize, mut stream: TcpStream) -> Option<()> {
+fn settle(world: &mut Simulation, place: usize, mut stream: TcpStream) -> Option<()> {
     stream.set_nonblocking(false).ok()?;
     stream
         .set_read_timeout(Some(Duration::from_millis(200)))
@@ -133,10 +133,12 @@
     let mut bytes = [0; 4096];
     while !session.is_complete() {
         let read = stream.read(&mut bytes).ok().filter(|n| *n > 0)?;
-        world.tell(place, |fleet, now| {
+        world.with_membership(place, |fleet, now| {
             session.handle_bytes(fleet, now, &bytes[..read]).ok()
         })??;
-        while let Some(piece) = world.tell(place, |fleet, now| session.next_chunk(fleet, now))? {
+        while let Some(piece) =
+            world.with_membership(place, |fleet, now| session.next_chunk(fleet, now))?
+        {
             stream.write_all(&piece).ok()?;
         }
     }
--- a/crates/cluster-testing/src/parties.rs
+++ b/crates/cluster-testing/src/stand_ins.rs
@@ -22,7 +22,7 @@
 
 impl Processor {
     /// Runs that were begun, of all bodies.
-    pub fn begun(&self) -> usize {
+    pub fn started_run_count(&self) -> usize {
         self.runs.lock().expect("no holder panics").values().sum()
     }
 
@@ -79,42 +79,42 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum RequestOutcome {
     /// Served, with its own body.
     Served,
     /// It never ran.
-    Refused,
+    Rejected,
     /// It may have run.
     Failed,
     /// Its connection ended, as the node did.
-    Nothing,
+    ConnectionLost,
     /// Something that no rule allows.
-    Wrong,
+    Invalid,
 }
 
 /// What callers have asked, and what they heard.
 #[derive(Default)]
-pub struct Asked {
+pub struct ClientLog {
     /// Bodies and what became of each.
-    pub all: Vec<(Vec<u8>, Heard)>,
+    pub all: Vec<(Vec<u8>, RequestOutcome)>,
     /// The longest time that an answer took.
     pub longest: Duration,
 }
 
 /// One caller, which asks again and again until it is told to stop.
-pub struct Caller {
+pub struct Client {
     stop: Arc<AtomicBool>,
-    thread: JoinHandle<Asked>,
+    thread: JoinHandle<ClientLog>,
 }
 
-impl Caller {
+impl Client {
     /// Asks the node that is there at the time, one request after another, every second one with a
     /// key.
-    pub fn start(name: usize, at: impl Fn() -> Option<SocketAddr> + Send + 'static) -> Caller {
+    pub fn start(name: usize, at: impl Fn() -> Option<SocketAddr> + Send + 'static) -> Client {
         let stop = Arc::new(AtomicBool::new(false));
         let told = stop.clone();
         let thread = std::thread::spawn(move || {
-            let (mut asked, mut count) = (Asked::default(), 0);
+            let (mut asked, mut count) = (ClientLog::default(), 0);
             while !told.load(Ordering::Relaxed) {
                 let connected = at().and_then(|at| TcpStream::connect(at).ok());
                 if let Some(stream) = connected {
@@ -124,11 +124,11 @@
             }
             asked
         });
-        Caller { stop, thread }
+        Client { stop, thread }
     }
 
     /// Stops it; what it has asked and heard.
-    pub fn stop(self) -> Asked {
+    pub fn stop(self) -> ClientLog {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.join().expect("the caller ends")
     }
@@ -137,7 +137,7 @@
 fn call(
     name: usize,
     stream: TcpStream,
-    asked: &mut Asked,
+    asked: &mut ClientLog,
     count: &mut u64,
     stop: &AtomicBool,
 ) -> Option<()> {
@@ -167,12 +167,12 @@
         let start = Instant::now();
         let heard = match stream.write_all(format!("{message}\n").as_bytes()) {
             Ok(()) => answer(&mut lines, id, &body),
-            Err(_) => Some(Heard::Nothing),
+            Err(_) => Some(RequestOutcome::ConnectionLost),
         };
-        let heard = heard.unwrap_or(Heard::Nothing);
+        let heard = heard.unwrap_or(RequestOutcome::ConnectionLost);
         asked.longest = asked.longest.max(start.elapsed());
         asked.all.push((body, heard));
-        if heard == Heard::Nothing {
+        if heard == RequestOutcome::ConnectionLost {
             return None;
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -180,7 +180,7 @@
     None
 }
 
-fn answer(lines: &mut BufReader<TcpStream>, id: u64, body: &[u8]) -> Option<Heard> {
+fn answer(lines: &mut BufReader<TcpStream>, id: u64, body: &[u8]) -> Option<RequestOutcome> {
     loop {
         let mut line = String::new();
         if lines.read_line(&mut line).ok()? == 0 {
@@ -191,16 +191,16 @@
             continue;
         }
         if said["id"] != id {
-            return Some(Heard::Wrong);
+            return Some(RequestOutcome::Invalid);
         }
         return Some(
             match (&said["result"]["doc"], said["error"]["code"].as_i64()) {
                 (Value::String(doc), None) if STANDARD.decode(doc).is_ok_and(|d| d == body) => {
-                    Heard::Served
+                    RequestOutcome::Served
                 }
-                (Value::Null, Some(-32000)) => Heard::Refused,
-                (Value::Null, Some(_)) => Heard::Failed,
-                _ => Heard::Wrong,
+                (Value::Null, Some(-32000)) => RequestOutcome::Rejected,
+                (Value::Null, Some(_)) => RequestOutcome::Failed,
+                _ => RequestOutcome::Invalid,
             },
         );
     }
@@ -208,7 +208,7 @@
 
 /// Holds what callers heard against what processors ran; what is wrong, if anything is.
 pub fn check(
-    asked: &[Asked],
+    asked: &[ClientLog],
     runs: &[&Processor],
 ) -> Result<BTreeMap<&'static str, usize>, String> {
     let mut ran: BTreeMap<Vec<u8>, usize> = BTreeMap::new();
@@ -225,13 +225,17 @@
             return Err(format!("{named}: run {times} times"));
         }
         let word = match heard {
-            Heard::Served if times == 0 => return Err(format!("{named}: served, and never run")),
-            Heard::Refused if times > 0 => return Err(format!("{named}: refused, and run")),
-            Heard::Wrong => return Err(format!("{named}: answered wrongly")),
-            Heard::Served => "served",
-            Heard::Refused => "refused",
-            Heard::Failed => "failed",
-            Heard::Nothing => "nothing",
+            RequestOutcome::Served if times == 0 => {
+                return Err(format!("{named}: served, and never run"))
+            }
+            RequestOutcome::Rejected if times > 0 => {
+                return Err(format!("{named}: refused, and run"))
+            }
+            RequestOutcome::Invalid => return Err(format!("{named}: answered wrongly")),
+            RequestOutcome::Served => "served",
+            RequestOutcome::Rejected => "refused",
+            RequestOutcome::Failed => "failed",
+            RequestOutcome::ConnectionLost => "nothing",
         };
         *counts.entry(word).or_default() += 1;
     }
@@ -266,7 +270,7 @@
 
 /// Plain reads at a fixed rate a second, whatever becomes of those before: their latencies from the
 /// time that each was due, and what `cpu` grew by.
-pub fn open_loop(at: SocketAddr, rate: u64, time: Duration, cpu: impl Fn() -> f64) -> String {
+pub fn run_open_loop(at: SocketAddr, rate: u64, time: Duration, cpu: impl Fn() -> f64) -> String {
     let (count, start, before) = (rate * time.as_secs(), Instant::now(), cpu());
     let due = move |number: u64| start + Duration::from_micros(number * 1_000_000 / rate);
     let (mut ways, mut readers) = (Vec::new(), Vec::new());
--- a/crates/cluster-testing/src/demand.rs
+++ b/crates/cluster-testing/src/workload.rs
@@ -2,7 +2,7 @@
 //! what it is worth that a node knows of the others when it refuses. Work is emulated: cores that
 //! are shared by all that is read and run.
 
-use crate::sim::World;
+use crate::membership_simulation::Simulation;
 use fastrand::Rng;
 use pipitlever_admission::{
     Action, BackpressureKind, Class, Controller, Event, Idempotency, Micros, Outcome, Request,
@@ -124,10 +124,10 @@
 pub fn play(case: Case, seed: u64) -> Result {
     const CORES: f64 = 6.0;
     let mut rng = Rng::with_seed(seed);
-    let mut world = World::new(MembershipConfig::default(), case.nodes, seed);
+    let mut world = Simulation::new(MembershipConfig::default(), case.nodes, seed);
     world.record = false;
     (0..case.nodes).for_each(|i| world.start(i, &[0, 1]));
-    world.wait(30_000_000, World::settled);
+    world.wait(30_000_000, Simulation::has_converged);
     let server = |seed| Server {
         module: Controller::new(settings(CORES), seed),
         tries: BTreeMap::new(),
@@ -350,14 +350,14 @@
 }
 
 /// Each node says how it is, and looks at the others.
-fn look(world: &mut World, servers: &mut [Server]) {
+fn look(world: &mut Simulation, servers: &mut [Server]) {
     for (i, server) in servers.iter_mut().enumerate().filter(|(_, s)| s.up) {
         // What it measures, not the mode of the moment: modes change several times a second.
         let cut = (server.module.status().queues[0]
             .priority_cutoff
             .clamp(0.0, 1.0)
             * 255.0) as u8;
-        world.tell(i, |fleet, now| {
+        world.with_membership(i, |fleet, now| {
             fleet.set_service_state(ServiceState::Serving, b"");
             fleet.report_load(now, cut);
             server.elsewhere.update(
--- a/crates/cluster-testing/tests/sim.rs
+++ b/crates/cluster-testing/tests/membership.rs
@@ -1,7 +1,7 @@
 //! What the fleet is to bear, in the simulation: each test causes one thing that goes wrong, over
 //! several seeds.
 
-use pipitlever_cluster_testing::sim::{address, World};
+use pipitlever_cluster_testing::membership_simulation::{address, Simulation};
 use pipitlever_membership::config::MembershipConfig;
 use pipitlever_membership::event::Event;
 use pipitlever_membership::local_member::LocalMember;
@@ -10,12 +10,12 @@
 
 const S: i64 = 1_000_000;
 
-fn world(places: usize, seed: u64) -> World {
-    World::new(MembershipConfig::default(), places, seed)
+fn world(places: usize, seed: u64) -> Simulation {
+    Simulation::new(MembershipConfig::default(), places, seed)
 }
 
 /// So many nodes that have found each other, and places for more.
-fn settled(size: usize, places: usize, seed: u64) -> World {
+fn settled(size: usize, places: usize, seed: u64) -> Simulation {
     let mut world = world(places, seed);
     (0..size).for_each(|i| world.start(i, &[0, 1]));
     wait(&mut world, 30, "the start");
@@ -23,11 +23,13 @@
     world
 }
 
-fn wait(world: &mut World, seconds: i64, what: &str) {
-    let views = |w: &World| {
+fn wait(world: &mut Simulation, seconds: i64, what: &str) {
+    let views = |w: &Simulation| {
         let mut all = String::new();
         for i in w.running() {
-            let Some(fleet) = w.fleet(i) else { continue };
+            let Some(fleet) = w.membership(i) else {
+                continue;
+            };
             let members = fleet.members().iter().map(|(name, m)| {
                 format!(
                     "{name}:{}@{}",
@@ -39,7 +41,7 @@
         }
         all
     };
-    let took = world.wait(seconds * S, World::settled);
+    let took = world.wait(seconds * S, Simulation::has_converged);
     assert!(
         took.is_some(),
         "{what}: not settled after {seconds} s:\n{}",
@@ -48,7 +50,7 @@
 }
 
 /// Nodes that were held down anywhere since the history was cleared.
-fn ever_down(world: &World) -> Vec<String> {
+fn ever_down(world: &Simulation) -> Vec<String> {
     let down = world
         .history
         .iter()
@@ -90,8 +92,10 @@
     for seed in 0..5 {
         let mut world = settled(10, 10, seed);
         world.crash(4);
-        let all = |w: &World, name: &str, state| {
-            w.running().iter().all(|i| w.held(*i, name) == Some(state))
+        let all = |w: &Simulation, name: &str, state| {
+            w.running()
+                .iter()
+                .all(|i| w.member_state(*i, name) == Some(state))
         };
         assert!(
             world.wait(6 * S, |w| all(w, "n4", State::Down)).is_some(),
@@ -118,9 +122,9 @@
         world.run(20 * S);
         world.start(6, &[0]);
         world.run(8 * S);
-        assert_eq!(world.held(0, "n2"), Some(State::Down), "{seed}");
+        assert_eq!(world.member_state(0, "n2"), Some(State::Down), "{seed}");
         world.history.clear();
-        world.go_on(2);
+        world.resume(2);
         wait(&mut world, 15, "after SIGCONT");
         world.run(5 * S);
         let refuted = |e: &Event| matches!(e, Event::Refuted { .. });
@@ -151,15 +155,15 @@
     for seed in 0..5 {
         let mut world = settled(10, 10, seed);
         world.pause(6);
-        let suspects = |w: &World| w.held(2, "n6") == Some(State::Suspect);
+        let suspects = |w: &Simulation| w.member_state(2, "n6") == Some(State::Suspect);
         assert!(world.wait(10 * S, suspects).is_some(), "{seed}");
         world.pause(2);
-        world.go_on(6);
+        world.resume(6);
         world.run(2 * S);
-        assert_eq!(world.held(0, "n6"), Some(State::Alive), "{seed}");
+        assert_eq!(world.member_state(0, "n6"), Some(State::Alive), "{seed}");
         world.run(10 * S);
         world.history.clear();
-        world.go_on(2);
+        world.resume(2);
         wait(&mut world, 15, "after SIGCONT");
         assert!(!ever_down(&world).contains(&"n6".to_owned()), "{seed}");
     }
@@ -212,10 +216,10 @@
         let mut world = settled(10, 14, seed);
         world.split(|i| i % 2);
         world.run(20 * S);
-        let cut_off = |w: &World| {
+        let cut_off = |w: &Simulation| {
             w.running()
                 .iter()
-                .filter(|i| w.fleet(**i).unwrap().is_partitioned())
+                .filter(|i| w.membership(**i).unwrap().is_partitioned())
                 .count()
         };
         assert_eq!(cut_off(&world), 10, "{seed}: neither half is a majority");
@@ -250,9 +254,9 @@
         let wrong = |(at, of): &&(usize, usize)| at % 2 == of % 2 && world.running().contains(of);
         assert_eq!(fallen.iter().find(wrong), None, "{seed}");
         for i in world.running() {
-            assert_eq!(world.held(i, "n2"), Some(State::Down), "{seed}");
-            assert_eq!(world.held(i, "n3"), Some(State::Down), "{seed}");
-            assert_eq!(world.held(i, "n6"), Some(State::Left), "{seed}");
+            assert_eq!(world.member_state(i, "n2"), Some(State::Down), "{seed}");
+            assert_eq!(world.member_state(i, "n3"), Some(State::Down), "{seed}");
+            assert_eq!(world.member_state(i, "n6"), Some(State::Left), "{seed}");
         }
     }
 }
@@ -264,7 +268,7 @@
         // With no seed to ask: it is the dead that are tried.
         (0..9).for_each(|i| {
             assert!(world
-                .tell(i, |fleet, _| fleet.set_seeds(Vec::new()))
+                .with_membership(i, |fleet, _| fleet.set_seeds(Vec::new()))
                 .is_some())
         });
         world.split(|i| i % 3);
@@ -288,9 +292,9 @@
         world.crash(1);
         world.start(8, &[0, 1]);
         world.run(20 * S);
-        assert_eq!(world.fleet(8).unwrap().members().len(), 1);
+        assert_eq!(world.membership(8).unwrap().members().len(), 1);
         assert!(
-            !world.fleet(8).unwrap().is_converged(),
+            !world.membership(8).unwrap().is_converged(),
             "{seed}: it has met nobody"
         );
         world.start(1, &[2]);
@@ -304,7 +308,7 @@
     (0..4).for_each(|i| world.start(i, &[0]));
     (4..8).for_each(|i| world.start(i, &[4]));
     world.run(20 * S);
-    assert!(!world.settled());
+    assert!(!world.has_converged());
     world.crash(7);
     world.start(7, &[0, 4]);
     wait(&mut world, 15, "a common seed");
@@ -322,7 +326,7 @@
         }
         wait(&mut world, 10, "after ten restarts");
         assert!(!world
-            .fleet(4)
+            .membership(4)
             .unwrap()
             .members()
             .get("n4")
@@ -341,8 +345,8 @@
         let mut world = settled(6, 8, seed);
         world.start_as(6, "n2", &[0]);
         world.run(30 * S);
-        let held = |w: &World, i: usize| {
-            w.fleet(i)
+        let held = |w: &Simulation, i: usize| {
+            w.membership(i)
                 .unwrap()
                 .members()
                 .get("n2")
@@ -401,7 +405,7 @@
         max_members: 50,
         ..MembershipConfig::default()
     };
-    let mut world = World::new(rules, 11, 3);
+    let mut world = Simulation::new(rules, 11, 3);
     (0..10).for_each(|i| world.start(i, &[0, 1]));
     wait(&mut world, 30, "the start");
     for i in 0..2000 {
@@ -419,11 +423,11 @@
         world.run(2_000);
     }
     for i in 0..10 {
-        let members = world.fleet(i).unwrap().members();
+        let members = world.membership(i).unwrap().members();
         assert!(members.len() <= 50);
         assert!(
             (0..10).all(|k| world
-                .held(i, &format!("n{k}"))
+                .member_state(i, &format!("n{k}"))
                 .is_some_and(State::is_active)),
             "{i}"
         );
@@ -431,13 +435,13 @@
     // One that is real finds a place.
     world.start(10, &[0]);
     world.run(60 * S);
-    assert!((0..10).all(|i| world.held(i, "n10") == Some(State::Alive)));
+    assert!((0..10).all(|i| world.member_state(i, "n10") == Some(State::Alive)));
 }
 
 #[test]
 fn an_old_datagram_that_comes_again_changes_nothing() {
     let mut world = settled(5, 5, 1);
-    let record = world.fleet(3).unwrap().local_record().clone();
+    let record = world.membership(3).unwrap().local_record().clone();
     let from = Update {
         name: "n3".into(),
         record: record.clone(),
@@ -464,10 +468,10 @@
     world.start(3, &[0]);
     wait(&mut world, 10, "restarted");
     world.run(5 * S);
-    let before = world.fleet(0).unwrap().digest();
+    let before = world.membership(0).unwrap().digest();
     (0..5).for_each(|i| world.inject(i, old.clone()));
     world.run(10 * S);
-    assert!(world.settled() && world.fleet(0).unwrap().digest() == before);
+    assert!(world.has_converged() && world.membership(0).unwrap().digest() == before);
 }
 
 #[test]
@@ -476,14 +480,14 @@
         retention: 30 * S,
         ..MembershipConfig::default()
     };
-    let mut world = World::new(rules, 6, 4);
+    let mut world = Simulation::new(rules, 6, 4);
     (0..6).for_each(|i| world.start(i, &[0, 1]));
     wait(&mut world, 30, "the start");
     world.crash(5);
     world.run(20 * S);
-    assert_eq!(world.held(0, "n5"), Some(State::Down));
+    assert_eq!(world.member_state(0, "n5"), Some(State::Down));
     let record = world
-        .fleet(0)
+        .membership(0)
         .unwrap()
         .members()
         .get("n5")
@@ -497,9 +501,9 @@
         state_age_seconds: 0,
     };
     world.run(20 * S);
-    assert!((0..5).all(|i| world.held(i, "n5").is_none()));
+    assert!((0..5).all(|i| world.member_state(i, "n5").is_none()));
     // What somebody said of it long ago comes again.
-    let record = world.fleet(3).unwrap().local_record().clone();
+    let record = world.membership(3).unwrap().local_record().clone();
     let from = Update {
         name: "n3".into(),
         record,
@@ -519,14 +523,14 @@
         .for_each(|i| world.inject(i, packet.clone()));
     world.run(100_000);
     assert!(
-        (0..5).all(|i| world.held(i, "n5").is_none()),
+        (0..5).all(|i| world.member_state(i, "n5").is_none()),
         "it is known to be old"
     );
     wait(&mut world, 10, "one is forgotten");
     world.run(60 * S);
     assert!(
-        (0..5).all(|i| world.fleet(i).unwrap().members().get("n5").is_none()),
+        (0..5).all(|i| world.membership(i).unwrap().members().get("n5").is_none()),
         "the entry is gone, too"
     );
-    assert!(world.settled());
+    assert!(world.has_converged());
 }
--- a/crates/cluster-testing/tests/sessions.rs
+++ b/crates/cluster-testing/tests/sessions.rs
@@ -1,11 +1,13 @@
 //! Sessions that stay, at several sizes, with messages lost, late and doubled, and nodes that come
 //! and go.
 
-use pipitlever_cluster_testing::sessions::{pool, Came, Ways, World};
+use pipitlever_cluster_testing::session_simulation::{
+    pool, FaultSettings, RouteOutcome, Simulation,
+};
 use std::collections::BTreeMap;
 
 const S: i64 = 1_000_000;
-const ROUGH: Ways = Ways {
+const ROUGH: FaultSettings = FaultSettings {
     loss: 10.0,
     twice: 5.0,
     delay: 5_000,
@@ -21,24 +23,29 @@
 }
 
 /// A world that has come to rest, and its sessions, each placed by one request at some node.
-fn world(nodes: usize, workers: u32, sessions: u64, seed: u64) -> (World, Places, fastrand::Rng) {
+fn world(
+    nodes: usize,
+    workers: u32,
+    sessions: u64,
+    seed: u64,
+) -> (Simulation, Places, fastrand::Rng) {
     world_of(ROUGH, nodes, workers, sessions, seed)
 }
 
 fn world_of(
-    ways: Ways,
+    ways: FaultSettings,
     nodes: usize,
     workers: u32,
     sessions: u64,
     seed: u64,
-) -> (World, Places, fastrand::Rng) {
-    let mut world = World::new(nodes, pool(&even(0..workers), 5 * S), ways, seed);
+) -> (Simulation, Places, fastrand::Rng) {
+    let mut world = Simulation::new(nodes, pool(&even(0..workers), 5 * S), ways, seed);
     world.run_until(5 * S);
     assert!(world.filled());
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut places = Places::new();
     for key in 0..sessions {
-        let Came::To(worker, waited) = world.ask(rng.usize(0..nodes), key) else {
+        let RouteOutcome::Worker(worker, waited) = world.ask(rng.usize(0..nodes), key) else {
             panic!("nobody takes {key}")
         };
         assert!(waited <= 60_000, "{waited}");
@@ -48,7 +55,7 @@
 }
 
 /// Asks for each session at some node: those that have moved, with where they were and are.
-fn moved(world: &mut World, places: &Places, rng: &mut fastrand::Rng) -> Vec<(u64, u32, u32)> {
+fn moved(world: &mut Simulation, places: &Places, rng: &mut fastrand::Rng) -> Vec<(u64, u32, u32)> {
     let mut moved = Vec::new();
     for (key, worker) in places {
         let there: Vec<usize> = (0..1_000)
@@ -56,9 +63,9 @@
             .filter(|i| world.there(*i))
             .collect();
         match world.ask(there[rng.usize(0..there.len())], *key) {
-            Came::To(now, _) if now == *worker => {}
-            Came::To(now, _) => moved.push((*key, *worker, now)),
-            Came::Nowhere => panic!("nobody takes {key}"),
+            RouteOutcome::Worker(now, _) if now == *worker => {}
+            RouteOutcome::Worker(now, _) => moved.push((*key, *worker, now)),
+            RouteOutcome::Unavailable => panic!("nobody takes {key}"),
         }
     }
     moved
@@ -201,10 +208,10 @@
     }
 }
 
-fn worker(came: Came) -> u32 {
+fn worker(came: RouteOutcome) -> u32 {
     match came {
-        Came::To(worker, _) => worker,
-        Came::Nowhere => panic!("nobody takes it"),
+        RouteOutcome::Worker(worker, _) => worker,
+        RouteOutcome::Unavailable => panic!("nobody takes it"),
     }
 }
 
@@ -240,7 +247,7 @@
 
 #[test]
 fn a_fifth_lost_and_a_twentieth_two_seconds_late_move_nobody() {
-    let ways = Ways {
+    let ways = FaultSettings {
         loss: 20.0,
         twice: 10.0,
         late: 5.0,
--- a/crates/membership/mutants.sh
+++ b/crates/membership/mutants.sh
@@ -8,7 +8,7 @@
 message='-p pipitlever-membership --test message'
 local_member='-p pipitlever-membership --test local_member'
 model='-p pipitlever-membership --test model'
-sim='-p pipitlever-cluster-testing --test sim'
+sim='-p pipitlever-cluster-testing --test membership'
 mutant 'an earlier state wins a merge' $src/record.rs 'other.state > self.state' 'other.state < self.state' $record
 mutant 'processes of one incarnation are not ordered by token' $src/record.rs '(other.incarnation, other.token).cmp(&(self.incarnation, self.token))' 'other.incarnation.cmp(&self.incarnation)' $record
 mutant 'a refutation keeps its incarnation' $src/local_member.rs 'self.record.incarnation = received.incarnation + 1;
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use common::{configuration, packet, work, Node, Processor, Scratch, Worker, PROGRAM};
-use pipitlever_cluster_testing::processes::{call, Cluster, Spec};
+use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -84,8 +84,8 @@
     std::fs::create_dir_all(&folder.0).unwrap();
     let worker = Worker::new();
     let more = operator(worker.address());
-    let spec = Spec::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more);
-    let cluster = Cluster::settled(spec, 3);
+    let spec = ClusterConfig::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more);
+    let cluster = Cluster::start_converged(spec, 3);
     let complete = |view: Value| {
         let share = view["share"][0]["workers"][0]["most_runs"].is_number();
         let serving = view["members"]
@@ -101,7 +101,7 @@
     cluster.wait("leases, sessions and shares", |c| {
         (0..3).all(|i| c.view(i).is_some_and(complete))
     });
-    let endpoint = cluster.nodes[0].process.as_ref().unwrap().door;
+    let endpoint = cluster.nodes[0].process.as_ref().unwrap().control_address;
     let at = endpoint.to_string();
     let mut text = String::new();
     let view = cluster.view(0).unwrap();
@@ -116,7 +116,7 @@
         "fleet sessions --json {}\n",
         shape("", &parsed(&sessions))
     ));
-    let (_, figures) = call(endpoint, "GET /status/metrics").unwrap();
+    let (_, figures) = call_control(endpoint, "GET /status/metrics").unwrap();
     figures
         .lines()
         .for_each(|line| text.push_str(&figure_name(line)));
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -4,24 +4,24 @@
 mod common;
 
 use common::{configuration, Scratch, PROGRAM};
-use pipitlever_cluster_testing::crowd::Crowd;
-use pipitlever_cluster_testing::parties::{
-    check, cpu_ms, memory_mb, open_loop, Asked, Caller, Processor,
+use pipitlever_cluster_testing::network_relay::Link;
+use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig, LogLine};
+use pipitlever_cluster_testing::simulated_peers::SimulatedPeers;
+use pipitlever_cluster_testing::stand_ins::{
+    check, cpu_ms, memory_mb, run_open_loop, Client, ClientLog, Processor,
 };
-use pipitlever_cluster_testing::processes::{call, Cluster, Line, Spec};
-use pipitlever_cluster_testing::relay::Link;
 use serde_json::json;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-fn spec(folder: &Scratch) -> Spec {
+fn spec(folder: &Scratch) -> ClusterConfig {
     std::fs::create_dir_all(&folder.0).unwrap();
     let config = configuration(&json!({}));
-    Spec {
+    ClusterConfig {
         program: PROGRAM.into(),
         config,
         folder: folder.0.clone(),
-        probe_ms: 200,
+        probe_interval_ms: 200,
         seeds: Vec::new(),
         fleet: true,
         more: String::new(),
@@ -30,7 +30,7 @@
 
 fn state(cluster: &Cluster, at: usize, of: &str) -> String {
     cluster
-        .held(at, of)
+        .member(at, of)
         .map_or(String::new(), |m| m["state"].as_str().unwrap().to_owned())
 }
 
@@ -39,18 +39,18 @@
 }
 
 /// Who was declared down since so many lines, other than these.
-fn wrongly_down(cluster: &Cluster, behind: usize, right: &[&str]) -> Vec<Line> {
+fn wrongly_down(cluster: &Cluster, behind: usize, right: &[&str]) -> Vec<LogLine> {
     let lines = cluster.history.lines().split_off(behind);
-    let down = |l: &Line| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
-    let of = |l: &Line, name: &str| l.text.contains(&format!("member={name} "));
+    let down = |l: &LogLine| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
+    let of = |l: &LogLine, name: &str| l.text.contains(&format!("member={name} "));
     lines
         .into_iter()
         .filter(|l| down(l) && !right.iter().any(|name| of(l, name)))
         .collect()
 }
 
-fn stop(callers: Vec<Caller>, cluster: &Cluster, most: Duration) {
-    let asked: Vec<Asked> = callers.into_iter().map(Caller::stop).collect();
+fn stop(callers: Vec<Client>, cluster: &Cluster, most: Duration) {
+    let asked: Vec<ClientLog> = callers.into_iter().map(Client::stop).collect();
     let runs: Vec<&Processor> = cluster.nodes.iter().map(|n| &n.processor).collect();
     let counts = check(&asked, &runs).unwrap_or_else(|wrong| panic!("{wrong}"));
     println!("{counts:?}");
@@ -70,7 +70,7 @@
                 .process
                 .as_ref()
                 .unwrap()
-                .door
+                .control_address
                 .to_string(),
         ]);
     }
@@ -82,7 +82,7 @@
 #[test]
 fn two_nodes_find_each_other_and_a_kill_is_noticed() {
     let folder = Scratch::new("fleet-two");
-    let mut cluster = Cluster::settled(spec(&folder), 2);
+    let mut cluster = Cluster::start_converged(spec(&folder), 2);
     let (code, text) = command(&cluster, &["status"], &[0]);
     assert!(
         code == Some(0) && text.contains("n0*") && text.contains("settled"),
@@ -109,17 +109,17 @@
         "{text}"
     );
     cluster.links.heal();
-    cluster.wait_settled("they hear each other");
+    cluster.wait_converged("they hear each other");
     cluster.kill(1);
     cluster.wait("n1 is down", |c| state(c, 0, "n1") == "down");
     assert_eq!(cluster.view(0).unwrap()["cut_off"], true);
     cluster.start(1);
-    cluster.wait_settled("n1 is back");
+    cluster.wait_converged("n1 is back");
     // A drain says so, a crash doesn't.
     cluster.signal(1, "-TERM");
     cluster.wait("n1 has left", |c| state(c, 0, "n1") == "left");
     let lines = cluster
-        .said("member=n1")
+        .lines_containing("member=n1")
         .into_iter()
         .filter(|l| l.node == 0);
     let lines: Vec<String> = lines.map(|l| l.text).collect();
@@ -132,8 +132,8 @@
         seen("down -> alive") && seen("alive -> left incarnation="),
         "{lines:#?}"
     );
-    let (_, figures) = call(
-        cluster.nodes[0].process.as_ref().unwrap().door,
+    let (_, figures) = call_control(
+        cluster.nodes[0].process.as_ref().unwrap().control_address,
         "GET /status/metrics",
     )
     .unwrap();
@@ -147,8 +147,8 @@
 #[test]
 fn seven_nodes_settle_again_after_each_fault_and_callers_notice_nothing() {
     let folder = Scratch::new("fleet-seven");
-    let mut cluster = Cluster::settled(spec(&folder), 7);
-    let callers: Vec<Caller> = (0..7).map(|i| cluster.caller(i)).collect();
+    let mut cluster = Cluster::start_converged(spec(&folder), 7);
+    let callers: Vec<Client> = (0..7).map(|i| cluster.start_client(i)).collect();
     let (all, calm) = ([0, 1, 2, 3, 4, 5, 6], cluster.history.lines().len());
 
     // Links that carry one way or not at all, and one that loses, doubles and spoils.
@@ -175,7 +175,7 @@
         wrongly_down(&cluster, calm, &[])
     );
     cluster.links.heal();
-    cluster.wait_settled("links are whole again");
+    cluster.wait_converged("links are whole again");
 
     // Stopped past its death, while another one dies and comes back.
     cluster.signal(5, "-STOP");
@@ -187,17 +187,17 @@
         all_hold(c, &[0, 1, 2, 3, 4], "n6", "down")
     });
     cluster.start(6);
-    cluster.wait("n6 is back", |c| c.agree(&[0, 1, 2, 3, 4, 6]));
+    cluster.wait("n6 is back", |c| c.have_converged(&[0, 1, 2, 3, 4, 6]));
     let woken = cluster.history.lines().len();
     cluster.signal(5, "-CONT");
-    cluster.wait_settled("n5 goes on");
+    cluster.wait_converged("n5 goes on");
     let wrong = wrongly_down(&cluster, woken, &[]);
     assert!(
         wrong.is_empty(),
         "nobody is blamed for its sleep: {wrong:#?}"
     );
     assert!(cluster
-        .said("fleet: refuted: claimed_state=")
+        .lines_containing("fleet: refuted: claimed_state=")
         .iter()
         .any(|l| l.node == 5));
 
@@ -224,35 +224,35 @@
     cluster.wait("n3 is down", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
     cluster.links.heal();
     let running = [0, 1, 2, 4, 6];
-    let took = cluster.wait("one fleet again", |c| c.agree(&running));
+    let took = cluster.wait("one fleet again", |c| c.have_converged(&running));
     assert!(took < Duration::from_secs(10), "{took:?}");
     assert!(
         all_hold(&cluster, &running, "n3", "down") && all_hold(&cluster, &running, "n5", "left")
     );
     cluster.start(3);
     cluster.start(5);
-    cluster.wait_settled("all are back");
+    cluster.wait_converged("all are back");
 
     // All at once.
     (0..7).for_each(|i| cluster.kill(i));
     (0..7).for_each(|i| cluster.start(i));
-    cluster.wait_settled("all have restarted");
+    cluster.wait_converged("all have restarted");
     stop(callers, &cluster, Duration::from_secs(5));
 }
 
 #[test]
 fn a_replacement_is_one_member_also_during_a_partition() {
     let folder = Scratch::new("fleet-replaced");
-    let mut cluster = Cluster::settled(spec(&folder), 4);
-    let callers: Vec<Caller> = (0..4).map(|i| cluster.caller(i)).collect();
-    let before = cluster.held(0, "n2").unwrap();
+    let mut cluster = Cluster::start_converged(spec(&folder), 4);
+    let callers: Vec<Client> = (0..4).map(|i| cluster.start_client(i)).collect();
+    let before = cluster.member(0, "n2").unwrap();
     let calm = cluster.history.lines().len();
     for partition in [false, true] {
         if partition {
             cluster.links.split(4, |i| usize::from(i == 3));
             cluster.wait("n3 is cut off", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
         }
-        let listen = cluster.nodes[2].process.as_ref().unwrap().gateways;
+        let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
         let successor = cluster.process(2, "n2", Some(listen));
         let number = successor.number;
         let taken = cluster.history.wait(calm, |l| {
@@ -262,7 +262,7 @@
         let mut old = cluster.nodes[2].process.replace(successor).unwrap();
         // While both live only one of them hears and speaks: the others would believe each in turn.
         let heard = |door| {
-            let (_, text) = call(door, "GET /status/metrics").unwrap();
+            let (_, text) = call_control(door, "GET /status/metrics").unwrap();
             let count = text
                 .lines()
                 .find_map(|l| l.strip_prefix("edge.fleet.heard:")?.strip_suffix("|c"));
@@ -272,15 +272,15 @@
                 .unwrap()
         };
         let (before, door) = (
-            heard(old.door),
-            cluster.nodes[2].process.as_ref().unwrap().door,
+            heard(old.control_address),
+            cluster.nodes[2].process.as_ref().unwrap().control_address,
         );
         cluster.wait("the successor hears the others", |_| heard(door) > 20);
-        assert_eq!(heard(old.door), before);
+        assert_eq!(heard(old.control_address), before);
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0));
         cluster.wait("the successor is in the fleet", |c| {
-            c.agree(if partition { &[0, 1, 2] } else { &[0, 1, 2, 3] })
+            c.have_converged(if partition { &[0, 1, 2] } else { &[0, 1, 2, 3] })
         });
     }
     // Nobody but the one that was cut off saw it leave, be suspected, or come anew.
@@ -290,21 +290,21 @@
         .filter(|l| l.node < 2 && l.text.contains("member=n2 "))
         .collect();
     assert!(seen.is_empty(), "{seen:#?}");
-    let after = cluster.held(0, "n2").unwrap();
+    let after = cluster.member(0, "n2").unwrap();
     assert_eq!(
         (&after["incarnation"], &after["address"]),
         (&before["incarnation"], &before["address"])
     );
     cluster.links.heal();
-    cluster.wait_settled("n3 is back");
+    cluster.wait_converged("n3 is back");
 
     // One that dies in mid-handover, having yielded or not, leaves one member that lives.
-    let listen = cluster.nodes[2].process.as_ref().unwrap().gateways;
+    let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
     let successor = cluster.process(2, "n2", Some(listen));
     cluster.kill(2);
     cluster.nodes[2].process = Some(successor);
-    cluster.wait_settled("the successor lives");
-    let at = cluster.held(0, "n2").unwrap();
+    cluster.wait_converged("the successor lives");
+    let at = cluster.member(0, "n2").unwrap();
     assert_eq!(
         (&at["address"], &at["conflict"]),
         (&before["address"], &json!([]))
@@ -315,9 +315,9 @@
 #[test]
 fn a_process_that_dies_in_any_step_of_a_replacement_leaves_one_member_that_lives() {
     let folder = Scratch::new("fleet-deaths");
-    let mut cluster = Cluster::settled(spec(&folder), 3);
-    let callers: Vec<Caller> = (0..3).map(|i| cluster.caller(i)).collect();
-    let first = cluster.held(0, "n2").unwrap();
+    let mut cluster = Cluster::start_converged(spec(&folder), 3);
+    let callers: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
+    let first = cluster.member(0, "n2").unwrap();
     // After which word, of either process, which of them dies, and how much later.
     let (met, taken, done) = (
         "a process has come to take over",
@@ -337,10 +337,10 @@
     for (word, successor_dies, ms) in steps {
         let behind = cluster.history.lines().len();
         let old = cluster.nodes[2].process.as_ref().unwrap().number;
-        let listen = cluster.nodes[2].process.as_ref().unwrap().gateways;
+        let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
         let launched = cluster.launch(2, "n2", Some(listen));
         let new = launched.number;
-        let step = |l: &Line| (l.process == old || l.process == new) && l.text.contains(word);
+        let step = |l: &LogLine| (l.process == old || l.process == new) && l.text.contains(word);
         assert!(
             cluster.history.wait(behind, step).is_some(),
             "{word}: {:#?}",
@@ -356,10 +356,10 @@
             cluster.nodes[2].process = None;
             cluster.nodes[2].process = Some(cluster.ready(launched));
         }
-        cluster.wait_settled(&format!(
+        cluster.wait_converged(&format!(
             "{word}, {successor_dies}, {ms}: the one that is left"
         ));
-        let at = cluster.held(0, "n2").unwrap();
+        let at = cluster.member(0, "n2").unwrap();
         assert_eq!(
             (&at["state"], &at["address"], &at["conflict"]),
             (&json!("alive"), &first["address"], &json!([])),
@@ -380,7 +380,7 @@
     let folder = Scratch::new("fleet-seeds");
     let nobody = common::nobody();
     let mut cluster = Cluster::new(
-        Spec {
+        ClusterConfig {
             seeds: vec![nobody],
             ..spec(&folder)
         },
@@ -395,7 +395,7 @@
         );
     }
     let line = cluster
-        .said("fleet: serving")
+        .lines_containing("fleet: serving")
         .into_iter()
         .find(|l| l.node == 1)
         .unwrap()
@@ -405,19 +405,19 @@
         .find_map(|w| w.strip_prefix("bind="))
         .unwrap();
     cluster.rewrite(0, &nobody.to_string(), at);
-    cluster.wait_settled("they have met");
-    let (yes, _) = call(
-        cluster.nodes[0].process.as_ref().unwrap().door,
+    cluster.wait_converged("they have met");
+    let (yes, _) = call_control(
+        cluster.nodes[0].process.as_ref().unwrap().control_address,
         "GET /status",
     )
     .unwrap();
-    assert!(yes && cluster.said("reload: done").len() == 1);
+    assert!(yes && cluster.lines_containing("reload: done").len() == 1);
 }
 
 #[test]
 fn a_node_out_of_descriptors_stays_a_member_and_notices_a_crash() {
     let folder = Scratch::new("fleet-descriptors");
-    let mut cluster = Cluster::settled(spec(&folder), 4);
+    let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let id = cluster.nodes[2].process.as_ref().unwrap().id().to_string();
     let limit = |most: &str| {
         let words = ["--pid", &id, &format!("--nofile={most}")];
@@ -431,7 +431,8 @@
     // It may open nothing beyond its three standard streams any more, and what is open stays.
     limit("3:1024");
     let mut stream =
-        std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().door).unwrap();
+        std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().control_address)
+            .unwrap();
     stream
         .set_read_timeout(Some(Duration::from_millis(300)))
         .unwrap();
@@ -450,20 +451,20 @@
     });
     assert!(wrongly_down(&cluster, behind, &["n3"]).is_empty());
     limit("1024:1024");
-    cluster.wait_settled("descriptors are there again");
+    cluster.wait_converged("descriptors are there again");
 }
 
 #[test]
 fn two_processes_of_one_name_are_named_on_all_nodes_and_neither_gives_way() {
     let folder = Scratch::new("fleet-conflict");
-    let mut cluster = Cluster::settled(spec(&folder), 4);
+    let mut cluster = Cluster::start_converged(spec(&folder), 4);
     // n3's process goes by the name of n1.
     cluster.kill(3);
     cluster.wait("n3 is down", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
     let twin = cluster.process(3, "n1", None);
     cluster.nodes[3].process = Some(twin);
     let addresses = |c: &Cluster, at: usize| {
-        let held = c.held(at, "n1")?;
+        let held = c.member(at, "n1")?;
         let mut both = vec![
             held["address"].as_str()?.to_owned(),
             held["conflict"][0].as_str()?.to_owned(),
@@ -479,7 +480,7 @@
     cluster.wait("all name both", |c| {
         (0..4).all(|i| addresses(c, i).as_ref() == Some(&both))
     });
-    let number = |c: &Cluster| c.held(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
+    let number = |c: &Cluster| c.member(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
     let first = number(&cluster);
     std::thread::sleep(Duration::from_secs(3));
     assert!(
@@ -489,7 +490,7 @@
     for node in [1, 3] {
         assert!(
             cluster
-                .said("fleet: name conflict: member=n1")
+                .lines_containing("fleet: name conflict: member=n1")
                 .iter()
                 .any(|l| l.node == node),
             "node {node} says so"
@@ -498,7 +499,7 @@
     cluster.kill(3);
     cluster.wait("n1 is one process again", |c| {
         [0, 1, 2].iter().all(|i| {
-            let held = c.held(*i, "n1").unwrap();
+            let held = c.member(*i, "n1").unwrap();
             held["state"] == "alive"
                 && held["conflict"] == json!([])
                 && held["address"] == c.nodes[1].relay.at.to_string()
@@ -518,12 +519,12 @@
     };
     let (count, mut rng) = (count as usize, fastrand::Rng::with_seed(seed));
     let folder = Scratch::new("fleet-random");
-    let spec = Spec {
-        probe_ms: 500,
+    let spec = ClusterConfig {
+        probe_interval_ms: 500,
         ..spec(&folder)
     };
-    let mut cluster = Cluster::settled(spec, count);
-    let callers: Vec<Caller> = (0..count).map(|i| cluster.caller(i)).collect();
+    let mut cluster = Cluster::start_converged(spec, count);
+    let callers: Vec<Client> = (0..count).map(|i| cluster.start_client(i)).collect();
     let start = Instant::now();
     let (mut rounds, mut longest, mut faults) = (0, Duration::ZERO, 0);
     while start.elapsed().as_secs() < seconds {
@@ -583,10 +584,10 @@
             .for_each(|i| {
                 cluster.start(i);
             });
-        let took = cluster.wait_settled("after a round of faults");
+        let took = cluster.wait_converged("after a round of faults");
         (rounds, longest) = (rounds + 1, longest.max(took));
     }
-    let suspected = cluster.said("alive -> suspect").len();
+    let suspected = cluster.lines_containing("alive -> suspect").len();
     println!("nodes={count} seed={seed} rounds={rounds} faults={faults} settled within {longest:?}; suspected {suspected} times");
     // Who asks a process that is stopped waits until it goes on, or gives up.
     stop(callers, &cluster, Duration::from_secs(30));
@@ -607,10 +608,10 @@
     for round in 0..rounds {
         for fleet in [false, true] {
             let folder = Scratch::new("fleet-cost");
-            let crowd = (emulated && fleet).then(|| Crowd::start(members));
+            let crowd = (emulated && fleet).then(|| SimulatedPeers::start(members));
             let seeds = crowd.iter().map(|c| c.seed()).collect();
-            let mut spec = Spec {
-                probe_ms: 500,
+            let mut spec = ClusterConfig {
+                probe_interval_ms: 500,
                 seeds,
                 fleet,
                 ..spec(&folder)
@@ -636,9 +637,10 @@
                 std::thread::sleep(Duration::from_secs(5));
             }
             let process = cluster.nodes[0].process.as_ref().unwrap();
-            let measured = open_loop(process.gateways, 500, Duration::from_secs(10), || {
-                cpu_ms(process.id())
-            });
+            let measured =
+                run_open_loop(process.client_address, 500, Duration::from_secs(10), || {
+                    cpu_ms(process.id())
+                });
             let memory = memory_mb(process.id());
             println!(
                 "members={members} round={round} fleet={fleet}: {measured} memory={memory:.1} MB"
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{configuration, packet, Scratch, Worker, PROGRAM};
-use pipitlever_cluster_testing::processes::{Cluster, Spec};
-use pipitlever_cluster_testing::relay::Link;
+use pipitlever_cluster_testing::network_relay::Link;
+use pipitlever_cluster_testing::process_control::{Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -97,8 +97,8 @@
             "[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{}",
             operator("desks", "", desks)
         );
-        let spec = Spec::new(PROGRAM, config, folder.0.clone(), more);
-        let cluster = Cluster::settled(spec, NODES);
+        let spec = ClusterConfig::new(PROGRAM, config, folder.0.clone(), more);
+        let cluster = Cluster::start_converged(spec, NODES);
         let site = Site {
             cluster,
             folder,
@@ -142,7 +142,7 @@
             .process
             .as_ref()
             .unwrap()
-            .door
+            .control_address
             .to_string();
         let words = [
             "fleet",
@@ -201,13 +201,13 @@
 }
 
 /// What a client heard: when, which session, at which node, which worker.
-type Heard = (Duration, usize, usize, String);
+type RequestOutcome = (Duration, usize, usize, String);
 
 /// Clients that go from node to node, until they are dropped.
 struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
-    heard: Arc<Mutex<Vec<Heard>>>,
+    heard: Arc<Mutex<Vec<RequestOutcome>>>,
     refused: Arc<Mutex<Vec<String>>>,
     start: Instant,
 }
@@ -253,7 +253,7 @@
         clients
     }
 
-    fn end(mut self) -> Vec<Heard> {
+    fn end(mut self) -> Vec<RequestOutcome> {
         self.stop.store(true, SeqCst);
         self.threads.drain(..).for_each(|t| t.join().unwrap());
         let refused = self.refused.lock().unwrap();
@@ -269,7 +269,7 @@
 
 /// Each change of a session's worker, behind so many answers, in the order in which its client
 /// heard: session, from, to, and where.
-fn moves(heard: &[Heard], behind: usize) -> Vec<(usize, String, String, usize)> {
+fn moves(heard: &[RequestOutcome], behind: usize) -> Vec<(usize, String, String, usize)> {
     let mut last: BTreeMap<usize, &str> = BTreeMap::new();
     let mut moves = Vec::new();
     for (i, (_, session, node, worker)) in heard.iter().enumerate() {
@@ -283,7 +283,7 @@
     moves
 }
 
-fn last(heard: &[Heard]) -> BTreeMap<usize, String> {
+fn last(heard: &[RequestOutcome]) -> BTreeMap<usize, String> {
     heard
         .iter()
         .map(|(_, session, _, worker)| (*session, worker.clone()))
@@ -359,8 +359,8 @@
     let moved = moves(&heard, 0);
     let said = || {
         [
-            site.cluster.said("sessions: pool"),
-            site.cluster.said(": ejected member="),
+            site.cluster.lines_containing("sessions: pool"),
+            site.cluster.lines_containing(": ejected member="),
         ]
         .concat()
     };
@@ -442,7 +442,11 @@
     site.acts(&[0, 1, 2, 3, 4], 1);
     std::thread::sleep(Duration::from_millis(2_100));
     for node in [1, 3] {
-        let listen = site.cluster.nodes[node].process.as_ref().unwrap().gateways;
+        let listen = site.cluster.nodes[node]
+            .process
+            .as_ref()
+            .unwrap()
+            .client_address;
         // It runs a few of these at a time, and most of them once it is not the member any more.
         let known = fronts(&site);
         let (asked, begun) = (ask_all, Instant::now());
@@ -484,7 +488,7 @@
     // Two nodes don't hear that w0 is gone; clients go back and forth between the halves.
     site.cluster.links.split(NODES, |i| usize::from(i >= 3));
     site.cluster.wait("they are parted", |c| {
-        c.agree(&[0, 1, 2]) && c.agree(&[3, 4])
+        c.have_converged(&[0, 1, 2]) && c.have_converged(&[3, 4])
     });
     let gone = all.remove(0);
     site.publish(0, "w0 is gone", &operator("desks", "", &all));
@@ -492,7 +496,7 @@
     std::thread::sleep(Duration::from_millis(500));
     site.cluster.links.heal();
     site.acts(&[0, 1, 2, 3, 4], 1);
-    site.cluster.wait_settled("the heal");
+    site.cluster.wait_converged("the heal");
     // What the halves did apart: back and forth for those of w0, nothing for the others.
     let so_far = clients.heard.lock().unwrap().len();
     let heard = clients.heard.lock().unwrap().clone();
@@ -506,7 +510,7 @@
     assert!(
         moved.iter().all(|m| of_gone.contains(&m.0)),
         "{moved:?} {:#?}",
-        site.cluster.said(": ejected member=")
+        site.cluster.lines_containing(": ejected member=")
     );
     std::thread::sleep(Duration::from_millis(2_500));
     let heard = clients.heard.lock().unwrap().clone();
@@ -555,10 +559,15 @@
             );
         }
     }
-    let door = site.cluster.nodes[0].process.as_ref().unwrap().door;
-    let figures = pipitlever_cluster_testing::processes::call(door, "GET /status/metrics")
+    let door = site.cluster.nodes[0]
+        .process
+        .as_ref()
         .unwrap()
-        .1;
+        .control_address;
+    let figures =
+        pipitlever_cluster_testing::process_control::call_control(door, "GET /status/metrics")
+            .unwrap()
+            .1;
     assert!(figures.contains("edge.sessions.remembered:"), "{figures}");
     let output = Command::new(PROGRAM)
         .args([
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{configuration, work, Scratch, Worker, PROGRAM};
-use pipitlever_cluster_testing::processes::{Cluster, Spec};
+use pipitlever_cluster_testing::process_control::{Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -81,8 +81,8 @@
              [[pool]]\nname = \"desks\"\nshare = true\n{more}{members}\
              [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\npool = \"desks\"\n"
         );
-    let spec = Spec::new(PROGRAM, config, folder.0.clone(), more);
-    Cluster::settled(spec, nodes)
+    let spec = ClusterConfig::new(PROGRAM, config, folder.0.clone(), more);
+    Cluster::start_converged(spec, nodes)
 }
 
 /// Callers of one node, a few at a time, until they are dropped.
@@ -93,7 +93,7 @@
 
 impl Load {
     fn start(cluster: &Cluster, node: usize, callers: usize) -> Load {
-        let at = cluster.nodes[node].process.as_ref().unwrap().gateways;
+        let at = cluster.nodes[node].process.as_ref().unwrap().client_address;
         let load = Load {
             stop: Arc::default(),
             served: Arc::default(),
@@ -171,7 +171,7 @@
     behind: &mut usize,
 ) -> bool {
     let seen = peaks(desks);
-    let late = |l: &pipitlever_cluster_testing::processes::Line| {
+    let late = |l: &pipitlever_cluster_testing::process_control::LogLine| {
         l.text.contains("this node was not there") && !stopped.contains(&l.node)
     };
     let lines = cluster.history.lines();
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{configuration, work, Scratch, PROGRAM};
-use pipitlever_cluster_testing::processes::{call, Cluster, Spec};
+use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -17,8 +17,8 @@
     std::fs::create_dir_all(&folder.0).unwrap();
     let electors = "electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
     let more = format!("[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{more}");
-    Cluster::settled(
-        Spec::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more),
+    Cluster::start_converged(
+        ClusterConfig::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more),
         nodes,
     )
 }
@@ -29,7 +29,7 @@
         .process
         .as_ref()
         .unwrap()
-        .door
+        .control_address
         .to_string();
     let output = Command::new(PROGRAM)
         .arg("fleet")
@@ -84,7 +84,7 @@
 
 /// One request of a class: 0 if it was served, else the code of its error.
 fn ask(cluster: &Cluster, node: usize, class: &str) -> i64 {
-    let at = cluster.nodes[node].process.as_ref().unwrap().gateways;
+    let at = cluster.nodes[node].process.as_ref().unwrap().client_address;
     let mut stream = TcpStream::connect(at).unwrap();
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -115,10 +115,10 @@
 }
 
 /// What a process said since it was started, of versions.
-fn said(cluster: &Cluster, node: usize) -> Vec<String> {
+fn version_lines(cluster: &Cluster, node: usize) -> Vec<String> {
     let number = cluster.nodes[node].process.as_ref().unwrap().number;
     let lines = cluster
-        .said("versions: ")
+        .lines_containing("versions: ")
         .into_iter()
         .filter(|l| l.process == number);
     lines.map(|l| l.text).collect()
@@ -178,13 +178,13 @@
             assert!(
                 answer == REFUSED || answer == NO_CLASS,
                 "{answer} {:#?}",
-                said(&cluster, 3)
+                version_lines(&cluster, 3)
             );
             if all_act(&cluster, &[3], 2) {
                 break;
             }
         }
-        let lines = said(&cluster, 3);
+        let lines = version_lines(&cluster, 3);
         assert!(
             place(&lines, "minimum version is known minimum_version=2")
                 < place(&lines, "activated number=2"),
@@ -229,8 +229,8 @@
             .contains("no quorum of acceptors has answered"),
         "{standing}"
     );
-    let door = cluster.nodes[3].process.as_ref().unwrap().door;
-    assert_eq!(cluster.held(3, "n3").unwrap()["standing"], "starting");
+    let door = cluster.nodes[3].process.as_ref().unwrap().control_address;
+    assert_eq!(cluster.member(3, "n3").unwrap()["standing"], "starting");
     // One elector is no majority.
     cluster.start(0);
     std::thread::sleep(Duration::from_secs(1));
@@ -253,7 +253,7 @@
     copy(&yesterday, &disk(&cluster, &folder, 3));
     cluster.start(3);
     cluster.wait("it is up", |c| ask(c, 3, "monday") == REFUSED);
-    assert!(!call(door, "POST /fleet/accept-floor/x").is_some_and(|(yes, _)| yes));
+    assert!(!call_control(door, "POST /fleet/accept-floor/x").is_some_and(|(yes, _)| yes));
     assert!(fleet(&cluster, 3, &["accept-floor", "1"]).0);
     cluster.wait("it acts on what it has", |c| all_act(c, &[3], 1));
     assert_eq!(ask(&cluster, 3, "monday"), 0);
@@ -288,7 +288,7 @@
     cluster.links.heal();
     cluster.wait("all act on 1", |c| all_act(c, &all, 1));
     cluster.signal(4, "-STOP");
-    let at = cluster.nodes[4].process.as_ref().unwrap().gateways;
+    let at = cluster.nodes[4].process.as_ref().unwrap().client_address;
     let mut stream = TcpStream::connect(at).unwrap();
     let message =
         json!({"jsonrpc": "2.0", "id": 1, "method": "monday", "params": work(60_000, None, b"x")});
@@ -302,7 +302,7 @@
             .contains("retired all versions below minimum_version=2")
     });
     assert!(closed.is_some());
-    let runs = cluster.nodes[4].processor.begun();
+    let runs = cluster.nodes[4].processor.started_run_count();
     cluster.signal(4, "-CONT");
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
@@ -311,7 +311,7 @@
         answer["error"]["code"], REFUSED,
         "under a closed version nothing is begun: {answer}"
     );
-    assert_eq!(cluster.nodes[4].processor.begun(), runs);
+    assert_eq!(cluster.nodes[4].processor.started_run_count(), runs);
     cluster.start(3);
     cluster.wait("all act on 2", |c| all_act(c, &all, 2));
     assert!(all
@@ -354,7 +354,7 @@
             .as_u64()
             .unwrap();
         let usual = ["monday", "tuesday"][acting as usize - 1];
-        let listen = cluster.nodes[node].process.as_ref().unwrap().gateways;
+        let listen = cluster.nodes[node].process.as_ref().unwrap().client_address;
         let behind = cluster.history.lines().len();
         let launched = cluster.launch(node, &format!("n{node}"), Some(listen));
         let number = launched.number;
@@ -378,7 +378,7 @@
             (ask(&cluster, node, class), ask(&cluster, node, usual)),
             (0, NO_CLASS)
         );
-        let lines = said(&cluster, node);
+        let lines = version_lines(&cluster, node);
         assert!(
             lines[0].contains(&format!("active_version={acting} minimum_version={acting}")),
             "{lines:#?}"
@@ -389,7 +389,7 @@
     }
 
     // One that takes over, votes for and acts on another version, and dies.
-    let listen = cluster.nodes[1].process.as_ref().unwrap().gateways;
+    let listen = cluster.nodes[1].process.as_ref().unwrap().client_address;
     let first = cluster.nodes[1].process.take().unwrap();
     let successor = cluster.process(1, "n1", Some(listen));
     cluster.nodes[1].process = Some(successor);
@@ -414,7 +414,7 @@
         assert!(
             answer == REFUSED || answer == NO_CLASS,
             "{answer}: {:#?}",
-            said(&cluster, 1)
+            version_lines(&cluster, 1)
         );
         if all_act(&cluster, &all, 4) {
             break;
@@ -425,5 +425,5 @@
         "it votes again, and nobody doubts its disk"
     );
     cluster.wait("all act on 5", |c| all_act(c, &all, 5));
-    assert!(cluster.said("no longer votes").is_empty());
+    assert!(cluster.lines_containing("no longer votes").is_empty());
 }
