--- a/crates/node/src/cli/store.rs
+++ b/crates/node/src/cli/store.rs
@@ -1,24 +1,26 @@
-//! `pipitlever store`: looks at a store while nobody uses it.
+//! `pipitlever store`: inspects an idempotency store that no node uses.
 
 use pipitlever_idempotency_store::disk::StoreDirectory;
 use pipitlever_idempotency_store::log::{Limits, Log, LogContents, SegmentFiles};
 use pipitlever_idempotency_store::record::Outcome;
+use pipitlever_idempotency_store::recovery::Recovered;
 use serde_json::json;
+use std::fmt::Display;
 use std::path::Path;
 
-/// What is to be done with the folder.
+/// What to do with the folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// Says whether all of it can be read.
+    /// Check that all of it can be read.
     Check,
-    /// Lists the keys that are within their windows.
+    /// List the keys that are within their windows.
     List,
-    /// Writes these anew and drops the rest.
+    /// Rewrite these and drop the rest.
     Compact,
 }
 
 impl Task {
-    /// By its name.
+    /// The task of this name.
     pub fn from_name(name: &str) -> Option<Task> {
         match name {
             "check" => Some(Task::Check),
@@ -29,81 +31,121 @@
     }
 }
 
-/// Does it. An error where the folder can't be used, or is damaged.
+/// Runs a task. Fails if the folder cannot be used or is damaged.
 pub fn run(task: Task, folder: &str, json: bool) -> Result<(), String> {
-    let path = Path::new(folder);
-    let wrong = |e: &dyn std::fmt::Display| format!("{folder}: {e}");
-    if !path.is_dir() {
-        return Err(wrong(&"no such folder"));
+    let error = |e: &dyn Display| format!("{folder}: {e}");
+    if !Path::new(folder).is_dir() {
+        return Err(error(&"no such folder"));
     }
-    // The lock is taken for all three: what a node writes meanwhile would look torn.
-    let mut disk = StoreDirectory::open(path).map_err(|e| wrong(&e))?;
-    let contents = LogContents::read(&mut disk).map_err(|e| wrong(&e))?;
-    let now = disk.clocks();
-    let size: u64 = contents.segments.iter().map(|s| s.size).sum();
-    let segments = contents.segments.len();
-    let torn = contents.segments.last().map_or(0, |s| s.size - s.readable);
-    let damage: Vec<String> = contents.damage.iter().map(|d| d.to_string()).collect();
-    let keys = contents.into_keys(&now);
+    // Locked for reading, too: what a node is writing would look like a torn tail.
+    let mut directory = StoreDirectory::open(Path::new(folder)).map_err(|e| error(&e))?;
+    let contents = LogContents::read(&mut directory).map_err(|e| error(&e))?;
+    let now = directory.clocks();
     match task {
         Task::Check => {
-            let keys = keys.len();
-            if json {
-                println!(
-                    "{}",
-                    json!({"segments": segments, "bytes": size, "keys": keys, "torn": torn, "damage": damage})
-                );
-            } else {
-                println!(
-                    "segments={segments} bytes={size} keys={keys} torn={torn} damage={}",
-                    damage.len()
-                );
-                damage.iter().for_each(|d| println!("damage: {d}"));
-            }
-            match damage.len() {
+            let summary = Summary::of(&contents);
+            let keys = contents.into_keys(&now).len();
+            summary.print(keys, json);
+            match summary.damage.len() {
                 0 => Ok(()),
-                count => Err(format!("{folder}: damaged in {count} places")),
+                count => Err(error(&format!("damaged in {count} places"))),
             }
         }
         Task::List => {
-            for found in keys {
-                let (outcome, bytes) = match &found.outcome {
-                    None => ("may-have-run", 0),
-                    Some(Outcome::Failed) => ("failed", 0),
-                    Some(Outcome::Served(result)) => ("served", result.len()),
-                };
-                let left = (found.window_end - now.wall) / 1000;
-                let reference = format!("{:016x}", found.intent.reference);
-                let class = &found.intent.class;
-                if json {
-                    println!(
-                        "{}",
-                        json!({"key": found.intent.key, "class": class, "ref": reference,
-                            "outcome": outcome, "bytes": bytes, "left_ms": left})
-                    );
-                } else {
-                    let key = &found.intent.key;
-                    println!(
-                        "{outcome} class={class} ref={reference} bytes={bytes} left_ms={left} key={key:?}"
-                    );
-                }
+            for key in contents.into_keys(&now) {
+                print_key(&key, now.wall, json);
             }
             Ok(())
         }
         Task::Compact => {
-            let (mut log, _) =
-                Log::open(disk, Limits::for_capacity(u64::MAX / 2), 0).map_err(|e| wrong(&e))?;
-            log.compact().map_err(|e| wrong(&e))?;
-            let after = log.used_bytes();
+            let before = Summary::of(&contents).bytes;
+            let keys = contents.into_keys(&now).len();
+            let after = compact(directory).map_err(|e| error(&e))?;
             if json {
                 println!(
                     "{}",
-                    json!({"keys": keys.len(), "bytes_before": size, "bytes": after})
+                    json!({"keys": keys, "bytes_before": before, "bytes": after})
                 );
             } else {
-                println!("keys={} bytes_before={size} bytes={after}", keys.len());
+                println!("keys={keys} bytes_before={before} bytes={after}");
             }
             Ok(())
         }
     }
 }
+
+/// Sizes and damage of a store.
+struct Summary {
+    segments: usize,
+    bytes: u64,
+    /// Bytes behind the last complete frame.
+    torn: u64,
+    damage: Vec<String>,
+}
+
+impl Summary {
+    fn of(contents: &LogContents) -> Summary {
+        let segments = &contents.segments;
+        Summary {
+            segments: segments.len(),
+            bytes: segments.iter().map(|segment| segment.size).sum(),
+            torn: segments.last().map_or(0, |last| last.size - last.readable),
+            damage: contents.damage.iter().map(ToString::to_string).collect(),
+        }
+    }
+
+    fn print(&self, keys: usize, json: bool) {
+        let Summary {
+            segments,
+            bytes,
+            torn,
+            damage,
+        } = self;
+        if json {
+            println!(
+                "{}",
+                json!({"segments": segments, "bytes": bytes, "keys": keys, "torn": torn,
+                    "damage": damage})
+            );
+            return;
+        }
+        println!(
+            "segments={segments} bytes={bytes} keys={keys} torn={torn} damage={}",
+            damage.len()
+        );
+        for place in damage {
+            println!("damage: {place}");
+        }
+    }
+}
+
+/// Prints one key. `now` is the wall clock's time, in microseconds.
+fn print_key(found: &Recovered, now: i64, json: bool) {
+    let (outcome, bytes) = match &found.outcome {
+        None => ("may-have-run", 0),
+        Some(Outcome::Failed) => ("failed", 0),
+        Some(Outcome::Served(result)) => ("served", result.len()),
+    };
+    let left_ms = (found.window_end - now) / 1000;
+    let reference = format!("{:016x}", found.intent.reference);
+    let (key, class) = (&found.intent.key, &found.intent.class);
+    if json {
+        println!(
+            "{}",
+            json!({"key": key, "class": class, "ref": reference, "outcome": outcome,
+                "bytes": bytes, "left_ms": left_ms})
+        );
+    } else {
+        println!(
+            "{outcome} class={class} ref={reference} bytes={bytes} left_ms={left_ms} key={key:?}"
+        );
+    }
+}
+
+/// Compacts the store; returns its size then, in bytes.
+fn compact(directory: StoreDirectory) -> Result<u64, String> {
+    let limits = Limits::for_capacity(u64::MAX / 2);
+    let (mut log, _) = Log::open(directory, limits, 0).map_err(|e| e.to_string())?;
+    log.compact().map_err(|e| e.to_string())?;
+    Ok(log.used_bytes())
+}
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -15,6 +15,12 @@
 
 /// The most seeds: a few are enough, as each of them knows all others.
 const MOST_SEEDS: usize = 64;
+/// Range of the time between two probes, in milliseconds.
+const PROBE_RANGE_MS: [u64; 2] = [50, 60_000];
+/// Range of the time for which a member that is down is retained, in seconds: up to a week.
+const RETENTION_RANGE_S: [u64; 2] = [60, 604_800];
+/// Range of the number of members.
+const MEMBERS_RANGE: [usize; 2] = [2, 10_000];
 
 /// The section.
 #[derive(Deserialize)]
@@ -44,108 +50,127 @@
 }
 
 impl FleetSection {
-    /// Holds it to what a fleet can bear.
+    /// Checks the values.
     pub fn read(self, text: &str) -> Result<Settings, FileError> {
-        let wrong = |at: usize, what: &str| Err(FileError::at(text, at, what));
-        let name = |key: &str, name: &Spanned<String>| match name.get_ref() {
-            n if n.is_empty() || n.len() > MAX_NAME_BYTES => Err(FileError::at(
-                text,
-                name.span().start,
-                format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes"),
-            )),
-            n => Ok(n.clone()),
-        };
-        let bind = *self.bind.get_ref();
-        let advertise = match &self.advertise {
-            None if bind.ip().is_unspecified() => {
-                return wrong(
-                    self.bind.span().start,
-                    "bind: all addresses; advertise has to say which one others use",
-                );
-            }
-            None => bind,
-            Some(at) if at.get_ref().ip().is_unspecified() => {
-                return wrong(
-                    at.span().start,
-                    "advertise: nobody can be reached at that address",
-                );
+        let advertise = self.advertised_address(text)?;
+        self.check_seeds(text)?;
+        self.check_network(text)?;
+        let apart = self.partition_policy(text)?;
+        let name = non_empty_name(text, "name", &self.name)?;
+        let zone = self.zone.as_ref();
+        let zone = zone.map(|zone| non_empty_name(text, "zone", zone));
+        let zone = zone.transpose()?.unwrap_or_default();
+        let rules = membership_config(text, self.probe_ms, self.forget_s, self.most_members)?;
+        let versions = self.versions.map(|section| section.read(text));
+        Ok(Settings {
+            apart,
+            name,
+            bind: self.bind.into_inner(),
+            advertise,
+            seeds: self.seeds.into_iter().map(Spanned::into_inner).collect(),
+            zone,
+            rules,
+            versions: versions.transpose()?,
+        })
+    }
+
+    /// The address that other members use.
+    fn advertised_address(&self, text: &str) -> Result<SocketAddr, FileError> {
+        let Some(advertise) = &self.advertise else {
+            if self.bind.get_ref().ip().is_unspecified() {
+                let message = "bind: all addresses; advertise has to say which one others use";
+                return Err(FileError::at(text, self.bind.span().start, message));
             }
-            Some(at) => *at.get_ref(),
+            return Ok(*self.bind.get_ref());
         };
-        if self.seeds.len() > MOST_SEEDS {
-            return wrong(
-                self.seeds[MOST_SEEDS].span().start,
-                "seeds: too many, some are enough",
-            );
+        if advertise.get_ref().ip().is_unspecified() {
+            let message = "advertise: nobody can be reached at that address";
+            return Err(FileError::at(text, advertise.span().start, message));
         }
-        // Whoever reaches the fleet's port can say anything: nothing of it is signed or secret yet.
-        let local = |at: &SocketAddr| at.ip().is_loopback();
-        let named = std::iter::once(&self.bind)
+        Ok(*advertise.get_ref())
+    }
+
+    fn check_seeds(&self, text: &str) -> Result<(), FileError> {
+        match self.seeds.get(MOST_SEEDS) {
+            Some(first_excess) => {
+                let message = "seeds: too many, some are enough";
+                Err(FileError::at(text, first_excess.span().start, message))
+            }
+            None => Ok(()),
+        }
+    }
+
+    /// Messages are neither signed nor encrypted, so addresses beyond loopback have to be allowed
+    /// explicitly.
+    fn check_network(&self, text: &str) -> Result<(), FileError> {
+        if self.trusted_network {
+            return Ok(());
+        }
+        let addresses = std::iter::once(&self.bind)
             .chain(&self.advertise)
             .chain(&self.seeds);
-        if let Some(far) = named
-            .into_iter()
-            .find(|at| !self.trusted_network && !local(at.get_ref()))
-        {
-            let what = "an address that is not loopback: say trusted_network = true if nobody but the fleet reaches it";
-            return wrong(far.span().start, what);
-        }
-        let usual = MembershipConfig::default();
-        let probe = within(
-            text,
-            "probe_ms",
-            self.probe_ms,
-            usual.probe_interval as u64 / 1000,
-            [50, 60_000],
-        )?;
-        let forget = within(
-            text,
-            "forget_s",
-            self.forget_s,
-            usual.retention as u64 / 1_000_000,
-            [60, 604_800],
-        )?;
-        let rules = MembershipConfig {
-            probe_interval: probe as i64 * 1000,
-            retention: forget as i64 * 1_000_000,
-            max_members: within(
-                text,
-                "most_members",
-                self.most_members,
-                usual.max_members,
-                [2, 10_000],
-            )?,
-            ..usual
+        let mut remote = addresses.filter(|address| !address.get_ref().ip().is_loopback());
+        let Some(address) = remote.next() else {
+            return Ok(());
         };
-        let apart = match &self.share_apart {
-            Some(apart) if matches!(apart.get_ref(), ShareApart::Least) => {
-                if self.versions.is_none() {
-                    // Whether it is cut off, and since when, is known by its lease.
-                    return wrong(
-                        apart.span().start,
-                        "share_apart = \"least\" needs [fleet.versions]",
-                    );
-                }
-                PartitionPolicy::MinimumShare
-            }
-            _ => PartitionPolicy::KeepShare,
+        let message = "an address that is not loopback: say trusted_network = true if nobody but \
+                       the fleet reaches it";
+        Err(FileError::at(text, address.span().start, message))
+    }
+
+    fn partition_policy(&self, text: &str) -> Result<PartitionPolicy, FileError> {
+        let Some(policy) = &self.share_apart else {
+            return Ok(PartitionPolicy::KeepShare);
         };
-        Ok(Settings {
-            apart,
-            name: name("name", &self.name)?,
-            bind,
-            advertise,
-            seeds: self.seeds.into_iter().map(Spanned::into_inner).collect(),
-            zone: self
-                .zone
-                .map(|zone| name("zone", &zone))
-                .transpose()?
-                .unwrap_or_default(),
-            rules,
-            versions: self
-                .versions
-                .map(|section| section.read(text))
-                .transpose()?,
-        })
+        match policy.get_ref() {
+            ShareApart::Keep => Ok(PartitionPolicy::KeepShare),
+            // The lease tells whether, and since when, a node is cut off.
+            ShareApart::Least if self.versions.is_none() => {
+                let message = "share_apart = \"least\" needs [fleet.versions]";
+                Err(FileError::at(text, policy.span().start, message))
+            }
+            ShareApart::Least => Ok(PartitionPolicy::MinimumShare),
+        }
     }
 }
+
+fn non_empty_name(text: &str, key: &str, name: &Spanned<String>) -> Result<String, FileError> {
+    let value = name.get_ref();
+    if value.is_empty() || value.len() > MAX_NAME_BYTES {
+        let message = format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes");
+        return Err(FileError::at(text, name.span().start, message));
+    }
+    Ok(value.clone())
+}
+
+fn membership_config(
+    text: &str,
+    probe_ms: Option<Spanned<u64>>,
+    forget_s: Option<Spanned<u64>>,
+    most_members: Option<Spanned<usize>>,
+) -> Result<MembershipConfig, FileError> {
+    let default = MembershipConfig::default();
+    let default_probe_ms = default.probe_interval as u64 / 1000;
+    let probe_ms = within(text, "probe_ms", probe_ms, default_probe_ms, PROBE_RANGE_MS)?;
+    let default_retention_s = default.retention as u64 / 1_000_000;
+    let retention_s = within(
+        text,
+        "forget_s",
+        forget_s,
+        default_retention_s,
+        RETENTION_RANGE_S,
+    )?;
+    let max_members = default.max_members;
+    Ok(MembershipConfig {
+        probe_interval: probe_ms as i64 * 1000,
+        retention: retention_s as i64 * 1_000_000,
+        max_members: within(
+            text,
+            "most_members",
+            most_members,
+            max_members,
+            MEMBERS_RANGE,
+        )?,
+        ..default
+    })
+}
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -61,92 +61,119 @@
     }
 }
 
-/// Workers that a node uses of a pool that is shared, where the file doesn't say.
+/// Default number of workers that each node uses of a shared pool.
 const SUBSET: usize = 20;
 
-/// Reads pools, in the order of the file; the first place is that of `workers`.
+/// Range of the number of workers that each node uses of a shared pool.
+const SUBSET_RANGE: [usize; 2] = [1, 1000];
+
+/// Reads all pools, in the order of the file. Positions count from 1: 0 is that of the workers
+/// without a pool.
 pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, FileError> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
-    let mut all = Vec::new();
-    for section in sections {
-        let (name, at) = (section.name.get_ref().clone(), section.name.span().start);
+    let read = |section: PoolSection| section.read(text, &names);
+    let pools = sections
+        .into_iter()
+        .map(read)
+        .collect::<Result<Vec<_>, _>>()?;
+    check_fallbacks(&pools)?;
+    Ok(pools)
+}
+
+impl PoolSection {
+    fn read(self, text: &str, names: &[String]) -> Result<PoolSettings, FileError> {
+        let (name, offset) = (self.name.get_ref().clone(), self.name.span().start);
         if name.is_empty() || names.iter().filter(|n| **n == name).count() > 1 {
-            return Err(FileError::at(
-                text,
-                at,
-                format!("a pool needs a name of its own: {name:?}"),
-            ));
+            let message = format!("a pool needs a name of its own: {name:?}");
+            return Err(FileError::at(text, offset, message));
         }
-        if section.member.is_empty() {
-            return Err(FileError::at(
-                text,
-                at,
-                format!("pool {name} has no member"),
-            ));
+        if self.member.is_empty() {
+            let message = format!("pool {name} has no member");
+            return Err(FileError::at(text, offset, message));
         }
-        let fallback = section.fallback.map(|fallback| {
-            let at = fallback.span().start;
-            let found = names
-                .iter()
-                .position(|n| n == fallback.get_ref() && *n != name);
-            found.map(|i| i + 1).ok_or_else(|| {
-                FileError::at(text, at, format!("no other pool {}", fallback.get_ref()))
-            })
-        });
-        let subset_given = section.subset.is_some();
-        let shared = match (section.share, section.subset) {
-            (false, Some(subset)) => {
-                let what = format!("pool {name}: subset is for a pool with share = true");
-                return Err(FileError::at(text, subset.span().start, what));
-            }
-            (false, None) => None,
-            (true, subset) => Some(SubsetSettings {
-                subset: within(text, "subset", subset, SUBSET, [1, 1000])?,
-            }),
-        };
-        let at = section.affinity.as_ref().map_or(0, |a| a.span().start);
-        let sessions = section
-            .affinity
-            .map(|a| a.into_inner().read(text))
-            .transpose()?;
-        let shared = match (shared, &sessions) {
-            (Some(_), Some(_)) if subset_given => {
-                // A session may live with any of them, whichever node its client reaches.
-                let what = format!(
-                    "pool {name}: its nodes use all workers, as sessions stay with theirs: no subset"
-                );
-                return Err(FileError::at(text, at, what));
-            }
-            (Some(_), Some(_)) => Some(SubsetSettings { subset: usize::MAX }),
-            (shared, _) => shared,
+        let fallback = find_fallback(text, &name, self.fallback.as_ref(), names);
+        let shared = read_subset(text, &name, self.share, self.subset.as_ref())?;
+        let affinity_offset = self.affinity.as_ref().map_or(0, |a| a.span().start);
+        let sessions = self.affinity.map(|section| section.into_inner().read(text));
+        let sessions = sessions.transpose()?;
+        if shared.is_some() && sessions.is_some() && self.subset.is_some() {
+            // A session may be assigned to any worker, whichever node its client reaches.
+            let message = format!(
+                "pool {name}: its nodes use all workers, as sessions stay with theirs: no subset"
+            );
+            return Err(FileError::at(text, affinity_offset, message));
+        }
+        let all_workers = SubsetSettings { subset: usize::MAX };
+        let shared = match sessions {
+            Some(_) => shared.map(|_| all_workers),
+            None => shared,
         };
-        let labels = labels(text, &section.member)?;
-        let members = members(text, &[], section.member)?;
-        let (fallback, was) = (fallback.transpose()?, section.was);
-        all.push(PoolSettings {
+        let labels = labels(text, &self.member)?;
+        let members = members(text, &[], self.member)?;
+        Ok(PoolSettings {
             name,
-            fallback,
+            fallback: fallback?,
             members,
             labels,
             shared,
-            was,
+            was: self.was,
             sessions,
-        });
+        })
+    }
+}
+
+/// The position of the fallback pool, if one is named.
+fn find_fallback(
+    text: &str,
+    pool: &str,
+    fallback: Option<&Spanned<String>>,
+    names: &[String],
+) -> Result<Option<usize>, FileError> {
+    let Some(fallback) = fallback else {
+        return Ok(None);
+    };
+    let wanted = fallback.get_ref();
+    let found = names.iter().position(|name| name == wanted && name != pool);
+    let Some(position) = found else {
+        let message = format!("no other pool {wanted}");
+        return Err(FileError::at(text, fallback.span().start, message));
+    };
+    Ok(Some(position + 1))
+}
+
+/// How the nodes of the fleet divide the pool, if they do.
+fn read_subset(
+    text: &str,
+    pool: &str,
+    is_shared: bool,
+    subset: Option<&Spanned<usize>>,
+) -> Result<Option<SubsetSettings>, FileError> {
+    if is_shared {
+        let subset = within(text, "subset", subset.cloned(), SUBSET, SUBSET_RANGE)?;
+        return Ok(Some(SubsetSettings { subset }));
+    }
+    match subset {
+        Some(subset) => {
+            let message = format!("pool {pool}: subset is for a pool with share = true");
+            Err(FileError::at(text, subset.span().start, message))
+        }
+        None => Ok(None),
     }
-    // Whoever follows the fall-backs must come to an end.
-    for start in 1..=all.len() {
-        let next = |i: &usize| all[*i - 1].fallback;
-        if std::iter::successors(Some(start), next)
-            .nth(all.len())
-            .is_some()
-        {
+}
+
+/// Every chain of fallbacks has an end.
+fn check_fallbacks(pools: &[PoolSettings]) -> Result<(), FileError> {
+    for (start, pool) in pools.iter().enumerate() {
+        let next = |position: &usize| pools[*position - 1].fallback;
+        let mut chain = std::iter::successors(Some(start + 1), next);
+        if chain.nth(pools.len()).is_some() {
             return Err(FileError::Pool {
-                pool: all[start - 1].name.clone(),
+                pool: pool.name.clone(),
                 message: "its fall-backs go round in a circle".into(),
             });
         }
     }
-    Ok(all)
+    Ok(())
 }
 
 /// What the members of a pool with a name are called, and where they stand. One that has no name
