--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -11,7 +11,7 @@
     Action, BackpressureKind, CancellationMode, Class, Controller, Downstream, Event, Idempotency,
     Micros, Outcome, Request, RequestId, Settings,
 };
-use pipitlever_capture::segment::{restored, state};
+use pipitlever_capture::segment::{restore_controller, serialize_controller};
 
 /// The positions of the classes of [`settings`].
 pub const IDEMPOTENT: usize = 0;
@@ -120,8 +120,10 @@
 /// Executes a step and returns its actions. Now and then the step is repeated with a controller
 /// that was serialized and restored, which has to return the same actions: captures rely on it.
 pub fn step(controller: &mut Controller, now: Micros, events: &[Event]) -> Vec<Action> {
-    let restored = (now / 1000 % RESTORE_INTERVAL == 0)
-        .then(|| restored(&state(controller)).expect("restores its serialized state"));
+    let restored = (now / 1000 % RESTORE_INTERVAL == 0).then(|| {
+        restore_controller(&serialize_controller(controller))
+            .expect("restores its serialized state")
+    });
     let mut actions = Vec::new();
     controller.step(now, events, &mut actions);
     if let Some(mut restored) = restored {
--- a/crates/capture-tools/examples/formats.rs
+++ b/crates/capture-tools/examples/formats.rs
@@ -10,7 +10,7 @@
 use parquet::file::properties::WriterProperties;
 use pipitlever_admission::{Action, Event};
 use pipitlever_capture::record::Record;
-use pipitlever_capture::segment::Reader;
+use pipitlever_capture::segment::{RecordAt, SegmentReader};
 use std::sync::Arc;
 use std::time::Instant;
 
@@ -35,7 +35,7 @@
     };
     for record in records {
         match record {
-            Record::Named(n) => {
+            Record::Identity(n) => {
                 let all = [
                     Some(n.id as i64),
                     Some(n.reference as i64),
@@ -44,24 +44,24 @@
                 row(0, 0, &all, &[]);
             }
             Record::Answer {
-                after,
+                clock_delta,
                 reference,
                 class,
                 ..
             } => {
                 row(
                     1,
-                    *after,
+                    *clock_delta,
                     &[Some(*reference as i64), Some(i64::from(*class))],
                     &[],
                 );
             }
             Record::Step {
-                after,
+                clock_delta,
                 events,
                 actions,
             } => {
-                row(2, *after, &[Some(events.len() as i64)], &[]);
+                row(2, *clock_delta, &[Some(events.len() as i64)], &[]);
                 for event in events.iter() {
                     match event {
                         Event::Arrived(r) => {
@@ -151,12 +151,12 @@
     let mut records = Vec::new();
     for path in std::env::args().skip(1) {
         let bytes = std::fs::read(&path).expect("a file");
-        let mut reader = Reader::open(&bytes).expect("a capture");
-        while let Some((_, record)) = reader.next_record().expect("a whole one") {
+        let mut reader = SegmentReader::open(&bytes).expect("a capture");
+        while let Some(RecordAt { record, .. }) = reader.next_record().expect("a whole one") {
             records.push(record);
         }
     }
-    let arrived = |r: &&Record| matches!(r, Record::Named(_));
+    let arrived = |r: &&Record| matches!(r, Record::Identity(_));
     let requests = records.iter().filter(arrived).count().max(1) as f64;
     let steps = records
         .iter()
--- a/crates/capture-tools/src/diff.rs
+++ b/crates/capture-tools/src/diff.rs
@@ -582,8 +582,8 @@
     }
 
     fn record(&mut self, seen: &Seen) {
-        if let Record::Named(name) = seen.record {
-            name.key.map(|key| self.key_of.insert(name.id, key));
+        if let Record::Identity(name) = seen.record {
+            name.key_digest.map(|key| self.key_of.insert(name.id, key));
         }
         let Record::Step {
             events, actions, ..
--- a/crates/capture-tools/src/export.rs
+++ b/crates/capture-tools/src/export.rs
@@ -14,7 +14,7 @@
 use parquet::basic::Compression;
 use parquet::file::properties::WriterProperties;
 use pipitlever_admission::Controller;
-use pipitlever_capture::record::{Opening, Record, Told};
+use pipitlever_capture::record::{Opening, Record, RecordedAnswer};
 use std::cell::RefCell;
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -193,10 +193,13 @@
     let hex = |v: Option<u64>| Text(v.map(|v| format!("{v:016x}")));
     let told = row.answered.map(|a| a.1);
     let (cooldown, nowhere) = match told {
-        Some(Told::Refused { cooldown, nowhere }) => (Some(cooldown), Some(nowhere)),
+        Some(RecordedAnswer::Rejected {
+            retry_after: cooldown,
+            no_retry: nowhere,
+        }) => (Some(cooldown), Some(nowhere)),
         _ => (None, None),
     };
-    let bytes = if let Some(Told::Served(bytes)) = told {
+    let bytes = if let Some(RecordedAnswer::Served(bytes)) = told {
         Some(u64::from(bytes))
     } else {
         None
--- a/crates/capture-tools/src/rows.rs
+++ b/crates/capture-tools/src/rows.rs
@@ -5,7 +5,7 @@
 use pipitlever_admission::{
     Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, RequestId,
 };
-use pipitlever_capture::record::{By, Name, Opening, Record, Told};
+use pipitlever_capture::record::{AnswerSource, Opening, Record, RecordedAnswer, RequestIdentity};
 use std::collections::{BTreeMap, HashMap};
 
 /// Something in the story of a request.
@@ -20,7 +20,7 @@
     /// Why it was turned away or failed, and what the controller went by before.
     Caused(Cause, ControllerStatus),
     /// Its final answer went out.
-    Answered(Told, By),
+    Answered(RecordedAnswer, AnswerSource),
     /// It was in memory when the capture, or what is there of it, began.
     Found,
 }
@@ -71,7 +71,7 @@
     /// When its caller was known to be gone.
     pub gone: Option<Micros>,
     /// Its final answer.
-    pub answered: Option<(Micros, Told, By)>,
+    pub answered: Option<(Micros, RecordedAnswer, AnswerSource)>,
     /// Its story, with clock and step, where one is wanted.
     pub story: Vec<(Micros, u64, Moment)>,
 }
@@ -93,7 +93,7 @@
     stories: bool,
     done: F,
     live: BTreeMap<RequestId, Row>,
-    names: BTreeMap<RequestId, Name>,
+    names: BTreeMap<RequestId, RequestIdentity>,
     by_reference: HashMap<u64, RequestId>,
     /// Requests of the step at hand.
     touched: Vec<RequestId>,
@@ -136,7 +136,7 @@
             id: Some(id),
             reference: name.map(|n| n.reference),
             sender: name.and_then(|n| n.sender),
-            key: name.and_then(|n| n.key),
+            key: name.and_then(|n| n.key_digest),
             class,
             ..Row::default()
         })
@@ -210,7 +210,14 @@
         self.tell(id, now, step, || Moment::Said(action.clone()));
     }
 
-    fn answer(&mut self, seen: &Seen, reference: u64, class: usize, told: Told, by: By) {
+    fn answer(
+        &mut self,
+        seen: &Seen,
+        reference: u64,
+        class: usize,
+        told: RecordedAnswer,
+        by: AnswerSource,
+    ) {
         let (now, step) = (seen.replay.now(), seen.replay.steps());
         let Some(&id) = self.by_reference.get(&reference) else {
             // The node's own answer: the controller never heard of it.
@@ -245,7 +252,7 @@
             return;
         }
         self.flush();
-        self.names = opening.names.iter().map(|n| (n.id, *n)).collect();
+        self.names = opening.identities.iter().map(|n| (n.id, *n)).collect();
         let found: Vec<RequestId> = self.names.keys().copied().collect();
         for id in found {
             // Its class stands in no name; what the state has of it shows in its story.
@@ -256,7 +263,7 @@
 
     fn record(&mut self, seen: &Seen) {
         match seen.record {
-            Record::Named(name) => {
+            Record::Identity(name) => {
                 // The same try is offered again under a new number: the row of the old one is over.
                 if let Some(&old) = self.by_reference.get(&name.reference) {
                     self.close(old);
@@ -266,11 +273,11 @@
             Record::Answer {
                 reference,
                 class,
-                told,
-                by,
+                answer,
+                source,
                 ..
             } => {
-                self.answer(seen, *reference, *class as usize, *told, *by);
+                self.answer(seen, *reference, *class as usize, *answer, *source);
             }
             Record::Step {
                 events, actions, ..
--- a/crates/capture-tools/src/source.rs
+++ b/crates/capture-tools/src/source.rs
@@ -1,8 +1,8 @@
 //! Finds captures: a file, or all segments in a folder, by node and run.
 
+use pipitlever_capture::directory::FILE_SUFFIX;
 use pipitlever_capture::frame::ReadError;
-use pipitlever_capture::keeper::SUFFIX;
-use pipitlever_capture::segment::Reader;
+use pipitlever_capture::segment::SegmentReader;
 use std::collections::BTreeMap;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -64,7 +64,7 @@
     if std::fs::metadata(path).map_err(error)?.is_dir() {
         for entry in std::fs::read_dir(path).map_err(error)? {
             let file = entry.map_err(error)?.path();
-            if file.to_string_lossy().ends_with(SUFFIX) {
+            if file.to_string_lossy().ends_with(FILE_SUFFIX) {
                 files.push(file);
             }
         }
@@ -78,7 +78,8 @@
     let mut runs: BTreeMap<(u64, String), Vec<Segment>> = BTreeMap::new();
     for path in files {
         let bytes = bytes(&path)?;
-        let reader = Reader::open(&bytes).map_err(|e| Trouble::Unreadable(path.clone(), e))?;
+        let reader =
+            SegmentReader::open(&bytes).map_err(|e| Trouble::Unreadable(path.clone(), e))?;
         // One that was cut off inside its opening has nothing to say but that.
         let (node, run, number) = reader.opening().map_or((String::new(), 0, 0), |o| {
             (o.node.clone(), o.run, o.segment)
--- a/crates/capture-tools/src/verdict.rs
+++ b/crates/capture-tools/src/verdict.rs
@@ -5,7 +5,7 @@
 use crate::words;
 use pipitlever_admission::Controller;
 use pipitlever_capture::record::{Opening, Record};
-use pipitlever_capture::replay::Difference;
+use pipitlever_capture::replay::{ActionMismatch, Difference};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::path::Path;
@@ -102,7 +102,7 @@
         match &gap.lost {
             Some(lost) => {
                 let why = lost
-                    .disk
+                    .disk_error
                     .as_deref()
                     .unwrap_or("the queue to the writer was full");
                 let where_to = if gap.behind { "behind" } else { "before" };
@@ -129,16 +129,19 @@
         step,
         now,
         events,
-        before,
+        status_before,
         recorded,
         replayed,
-        why,
+        causes,
     } = &**d;
-    let (first_recorded, first_replayed) = d.first();
+    let ActionMismatch {
+        recorded: first_recorded,
+        replayed: first_replayed,
+    } = d.first_mismatch();
     json!({
-        "file": file, "step": step, "clock_us": now, "what": "actions", "events": events, "before": before,
+        "file": file, "step": step, "clock_us": now, "what": "actions", "events": events, "before": status_before,
         "recorded": recorded, "replayed": replayed, "first_recorded": first_recorded,
-        "first_replayed": first_replayed, "causes": why, "led_up": latest.before(),
+        "first_replayed": first_replayed, "causes": causes, "led_up": latest.before(),
     })
 }
 
@@ -162,14 +165,17 @@
     d.events
         .iter()
         .for_each(|e| println!("  told:          {}", words::event(e, &latest.classes)));
-    let (recorded, replayed) = d.first();
+    let ActionMismatch { recorded, replayed } = d.first_mismatch();
     let said = |a: Option<&_>| a.map_or("nothing more".to_owned(), words::action);
     println!("  capture says:  {}", said(recorded));
     println!("  this build:    {}", said(replayed));
-    d.why
-        .iter()
-        .for_each(|(id, why)| println!("  its reason:    #{id}: {}", words::cause(why, &d.before)));
-    println!("  it went by:    {}", words::view(&d.before));
+    d.causes.iter().for_each(|(id, why)| {
+        println!(
+            "  its reason:    #{id}: {}",
+            words::cause(why, &d.status_before)
+        )
+    });
+    println!("  it went by:    {}", words::view(&d.status_before));
     latest
         .before()
         .iter()
--- a/crates/capture-tools/src/walk.rs
+++ b/crates/capture-tools/src/walk.rs
@@ -3,9 +3,9 @@
 use crate::source::{self, Run, Trouble};
 use indicatif::{ProgressBar, ProgressStyle};
 use pipitlever_admission::{Controller, ControllerStatus, Event};
-use pipitlever_capture::record::{End, Lost, Opening, Record};
-use pipitlever_capture::replay::{from_start, Difference, Replay};
-use pipitlever_capture::segment::{Reader, Tail};
+use pipitlever_capture::record::{End, LostRecords, Opening, Record};
+use pipitlever_capture::replay::{initial_controller, Difference, Replay, ReplayError};
+use pipitlever_capture::segment::{RecordAt, RestoreError, SegmentReader, Tail};
 use serde::Serialize;
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -50,7 +50,7 @@
     /// The segment that says so, or that does not go on from the one before it.
     pub file: PathBuf,
     /// What it says; nothing if the segments between were taken away.
-    pub lost: Option<Lost>,
+    pub lost: Option<LostRecords>,
 }
 
 /// How a build decides otherwise.
@@ -179,7 +179,7 @@
             let path = &segment.path;
             let bytes = source::bytes(path)?;
             let unreadable = |e| Trouble::Unreadable(path.clone(), e);
-            let mut reader = Reader::open(&bytes).map_err(unreadable)?;
+            let mut reader = SegmentReader::open(&bytes).map_err(unreadable)?;
             self.segments += 1;
             let Some(opening) = reader.opening().cloned() else {
                 self.ended(path, reader.tail());
@@ -190,7 +190,9 @@
             let anew = earlier.is_none();
             let (mut replay, known) = match earlier {
                 Some((replay, _)) => (replay, true),
-                None if opening.first => (Replay::new(from_start(&opening), &opening), true),
+                None if opening.is_initial => {
+                    (Replay::new(initial_controller(&opening), &opening), true)
+                }
                 None => {
                     if opening.segment > 1 {
                         self.gaps.push(Gap {
@@ -199,7 +201,7 @@
                             behind: false,
                         });
                     }
-                    let state = |e| Trouble::State(path.clone(), e);
+                    let state = |e: RestoreError| Trouble::State(path.clone(), e.to_string());
                     (
                         Replay::new(reader.controller().map_err(state)?, &opening),
                         false,
@@ -209,7 +211,7 @@
             // A state that came by replay is held against the one that was recorded, unless this
             // build has another form of it.
             let recorded = reader.controller().ok().filter(|_| known);
-            if !replay.go_on(&opening, recorded.as_ref()) {
+            if !replay.enter_segment(&opening, recorded.as_ref()) {
                 self.differs(
                     path,
                     Otherwise::State {
@@ -223,10 +225,13 @@
             }
             visitor.segment(&opening, replay.controller(), anew);
             let base = self.bytes;
-            while let Some((at, record)) = reader.next_record().map_err(unreadable)? {
-                let damaged =
-                    |why| Trouble::State(path.clone(), format!("offset {at}: damaged: {why}"));
-                let played = replay.feed(&record).map_err(damaged)?;
+            while let Some(RecordAt { offset: at, record }) =
+                reader.next_record().map_err(unreadable)?
+            {
+                let damaged = |why: ReplayError| {
+                    Trouble::State(path.clone(), format!("offset {at}: damaged: {why}"))
+                };
+                let played = replay.apply(&record).map_err(damaged)?;
                 if let Record::Step { events, .. } = &record {
                     self.steps += 1;
                     let arrived = |e: &&Event| matches!(e, Event::Arrived(_));
@@ -235,7 +240,7 @@
                 if let Some(difference) = replay.difference(&record, played.as_ref()) {
                     self.differs(path, Otherwise::Step(Box::new(difference)));
                 }
-                let before = played.map(|p| p.before);
+                let before = played.map(|step| step.status_before);
                 visitor.record(&Seen {
                     opening: &opening,
                     record: &record,
@@ -259,14 +264,14 @@
 
     fn ended(&mut self, path: &Path, tail: Option<Tail>) {
         match tail {
-            Some(Tail::Cut(offset)) => self.cuts.push(Cut {
+            Some(Tail::Truncated(offset)) => self.cuts.push(Cut {
                 file: path.to_owned(),
                 offset,
             }),
-            Some(Tail::Whole(End::Last(lost))) if lost > 0 => {
-                let lost = Some(Lost {
+            Some(Tail::Complete(End::Last(lost))) if lost > 0 => {
+                let lost = Some(LostRecords {
                     records: lost,
-                    ..Lost::default()
+                    ..LostRecords::default()
                 });
                 self.gaps.push(Gap {
                     file: path.to_owned(),
--- a/crates/capture-tools/src/words.rs
+++ b/crates/capture-tools/src/words.rs
@@ -1,7 +1,7 @@
 //! What a controller is told, says and goes by, in plain words.
 
 use pipitlever_admission::{Action, Cause, ControllerStatus, Event, Micros, Mode, Outcome, Stage};
-use pipitlever_capture::record::{By, Told};
+use pipitlever_capture::record::{AnswerSource, RecordedAnswer};
 
 /// A span in milliseconds.
 pub fn ms(span: Micros) -> String {
@@ -253,10 +253,13 @@
 }
 
 /// A final answer, and who made it.
-pub fn answer(told: &Told, by: By) -> String {
+pub fn answer(told: &RecordedAnswer, by: AnswerSource) -> String {
     let what = match told {
-        Told::Served(bytes) => format!("served, {bytes} bytes"),
-        Told::Refused { cooldown, nowhere } => {
+        RecordedAnswer::Served(bytes) => format!("served, {bytes} bytes"),
+        RecordedAnswer::Rejected {
+            retry_after: cooldown,
+            no_retry: nowhere,
+        } => {
             let away = if *cooldown > 0 {
                 format!(", keep away {}", ms(*cooldown))
             } else {
@@ -267,53 +270,59 @@
                 if *nowhere { ", try nowhere" } else { "" }
             )
         }
-        Told::Failed { expired: true } => "failed: out of time".into(),
-        Told::Failed { expired: false } => "failed".into(),
+        RecordedAnswer::Failed { timed_out: true } => "failed: out of time".into(),
+        RecordedAnswer::Failed { timed_out: false } => "failed".into(),
     };
     let who = match by {
-        By::Module => "the module's decision",
-        By::Run => "its run's end",
-        By::Repeat => "the outcome of the try that it repeats",
-        By::Rejected => "the processor rejected it",
-        By::Floor => "the node's own: its version of the settings may have been stale",
-        By::NotUp => "the node's own: its processor was not up yet",
-        By::Full => "the node's own: its requests take all the memory that they may",
-        By::KeysFull => "the node's own: keys take all the memory that they may",
-        By::NoKey => "the node's own: it no longer held its key's entry",
-        By::Overdue => "the node's own: the module had not answered by the due time",
-        By::Store => {
+        AnswerSource::AdmissionController => "the module's decision",
+        AnswerSource::Run => "its run's end",
+        AnswerSource::Duplicate => "the outcome of the try that it repeats",
+        AnswerSource::ProcessorRejected => "the processor rejected it",
+        AnswerSource::StaleSettings => {
+            "the node's own: its version of the settings may have been stale"
+        }
+        AnswerSource::ProcessorNotReady => "the node's own: its processor was not up yet",
+        AnswerSource::MemoryFull => {
+            "the node's own: its requests take all the memory that they may"
+        }
+        AnswerSource::KeysFull => "the node's own: keys take all the memory that they may",
+        AnswerSource::KeyEntryMissing => "the node's own: it no longer held its key's entry",
+        AnswerSource::DeadlineExceeded => {
+            "the node's own: the module had not answered by the due time"
+        }
+        AnswerSource::StoreUnavailable => {
             "the node's own: its store of keys did not work, was slow, or may have lost keys"
         }
-        By::StoreFull => "the node's own: its store of keys had no room",
-        By::Elsewhere => "the node's own: another process of it may have run the key",
+        AnswerSource::StoreFull => "the node's own: its store of keys had no room",
+        AnswerSource::OtherProcess => "the node's own: another process of it may have run the key",
     };
     format!("{what}; {who}")
 }
 
 /// The word for an answer, for tables.
-pub fn told_word(told: &Told) -> &'static str {
+pub fn told_word(told: &RecordedAnswer) -> &'static str {
     match told {
-        Told::Served(_) => "served",
-        Told::Refused { .. } => "refused",
-        Told::Failed { .. } => "failed",
+        RecordedAnswer::Served(_) => "served",
+        RecordedAnswer::Rejected { .. } => "refused",
+        RecordedAnswer::Failed { .. } => "failed",
     }
 }
 
 /// The word for who made an answer, for tables.
-pub fn by_word(by: By) -> &'static str {
+pub fn by_word(by: AnswerSource) -> &'static str {
     match by {
-        By::Module => "module",
-        By::Run => "run",
-        By::Repeat => "repeat",
-        By::Rejected => "rejected",
-        By::Floor => "floor",
-        By::NotUp => "not-up",
-        By::Full => "full",
-        By::KeysFull => "keys-full",
-        By::NoKey => "no-key",
-        By::Overdue => "overdue",
-        By::Store => "store",
-        By::StoreFull => "store-full",
-        By::Elsewhere => "elsewhere",
+        AnswerSource::AdmissionController => "module",
+        AnswerSource::Run => "run",
+        AnswerSource::Duplicate => "repeat",
+        AnswerSource::ProcessorRejected => "rejected",
+        AnswerSource::StaleSettings => "floor",
+        AnswerSource::ProcessorNotReady => "not-up",
+        AnswerSource::MemoryFull => "full",
+        AnswerSource::KeysFull => "keys-full",
+        AnswerSource::KeyEntryMissing => "no-key",
+        AnswerSource::DeadlineExceeded => "overdue",
+        AnswerSource::StoreUnavailable => "store",
+        AnswerSource::StoreFull => "store-full",
+        AnswerSource::OtherProcess => "elsewhere",
     }
 }
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -3,7 +3,7 @@
 
 use pipitlever_admission::{Action, Controller};
 use pipitlever_capture::record::{encode, Opening, Record};
-use pipitlever_capture::segment::{Reader, Writer};
+use pipitlever_capture::segment::{RecordAt, SegmentReader, SegmentWriter};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -106,17 +106,17 @@
 /// The stories of the first requests and the last, each asked for by its name.
 fn all_stories(path: &str) -> String {
     let bytes = std::fs::read(path).unwrap();
-    let mut reader = Reader::open(&bytes).unwrap();
+    let mut reader = SegmentReader::open(&bytes).unwrap();
     let mut references: Vec<u64> = reader
         .opening()
         .unwrap()
-        .names
+        .identities
         .iter()
         .map(|n| n.reference)
         .collect();
-    while let Some((_, record)) = reader.next_record().unwrap() {
+    while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
         match record {
-            Record::Named(name) => references.push(name.reference),
+            Record::Identity(name) => references.push(name.reference),
             Record::Answer { reference, .. } => references.push(reference),
             Record::Step { .. } => {}
         }
@@ -172,12 +172,12 @@
     mut change: impl FnMut(u64, &mut Record),
 ) -> Vec<u8> {
     let bytes = std::fs::read(capture(name)).unwrap();
-    let mut reader = Reader::open(&bytes).unwrap();
+    let mut reader = SegmentReader::open(&bytes).unwrap();
     let (opening, controller) = start(reader.opening().unwrap(), reader.controller().unwrap());
     let mut out = Vec::new();
-    let mut writer = Writer::open(&opening, &controller, &mut out);
+    let mut writer = SegmentWriter::open(&opening, &controller, &mut out);
     let mut steps = 0;
-    while let Some((_, mut record)) = reader.next_record().unwrap() {
+    while let Some(RecordAt { mut record, .. }) = reader.next_record().unwrap() {
         steps += u64::from(matches!(record, Record::Step { .. }));
         change(steps, &mut record);
         let mut bytes = Vec::new();
--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -1,7 +1,8 @@
-//! The directory of captures on a file system, and the thread that writes to it.
+//! A directory of segments on a file system, and the thread that writes to it.
 
-use crate::keeper::{Folder, Keeper, Note};
-use crate::tap::Spool;
+use crate::directory::Directory;
+use crate::recorder::RecordReceiver;
+use crate::writer::{CaptureWriter, WriterEvent};
 use pipitlever_admission::Micros;
 use pipitlever_framing::disk::ActiveFile;
 pub use pipitlever_framing::disk::WriterThread;
@@ -10,38 +11,39 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The writer looks at the queue this often: what is younger is lost with the process.
-pub const LOOK: Duration = Duration::from_millis(25);
+/// How often the writer thread empties the queue. Records younger than this are lost if the process
+/// is killed.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A folder.
+/// A directory of a file system.
 #[derive(Debug)]
-pub struct Disk {
+pub struct CaptureDirectory {
     path: PathBuf,
     file: ActiveFile,
 }
 
-impl Disk {
-    /// The folder at this path; it need not be there yet.
-    pub fn new(path: &Path) -> Disk {
-        Disk {
+impl CaptureDirectory {
+    /// The directory at this path, which [`Directory::list`] creates if it is missing.
+    pub fn new(path: &Path) -> CaptureDirectory {
+        CaptureDirectory {
             path: path.to_owned(),
             file: ActiveFile::default(),
         }
     }
 }
 
-impl Folder for Disk {
+impl Directory for CaptureDirectory {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         fs::create_dir_all(&self.path)?;
-        let mut all = Vec::new();
+        let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // One may go while they are listed.
-            if let (Ok(name), Ok(meta)) = (entry.file_name().into_string(), entry.metadata()) {
-                all.push((name, meta.len()));
+            // A file may be removed while the directory is read: it is left out.
+            if let (Ok(name), Ok(metadata)) = (entry.file_name().into_string(), entry.metadata()) {
+                files.push((name, metadata.len()));
             }
         }
-        Ok(all)
+        Ok(files)
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
@@ -62,30 +64,33 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn holds(&mut self, name: &str) -> bool {
+    fn contains(&mut self, name: &str) -> bool {
         self.path.join(name).exists()
     }
 }
 
-/// Starts the thread that writes a capture. It ends once the loop's side of the queue is dropped and
-/// all of it is written.
+/// Starts the thread that writes a capture. The thread ends once the recorder is dropped and all
+/// records are written. `log` is called with each event for the log.
 ///
 /// # Errors
 ///
-/// If the system starts no further thread.
-pub fn start_writer<F: Folder + Send + 'static>(
-    mut keeper: Keeper<F>,
-    mut spool: Spool,
-    log: impl Fn(&Note) + Send + 'static,
+/// If the system can't start a thread.
+pub fn start_writer<D: Directory + Send + 'static>(
+    mut writer: CaptureWriter<D>,
+    mut receiver: RecordReceiver,
+    log: impl Fn(&WriterEvent) + Send + 'static,
 ) -> io::Result<WriterThread> {
     let start = Instant::now();
     let clock = move || start.elapsed().as_micros() as Micros;
     WriterThread::spawn("capture", move || {
-        spool.emptied_by(std::thread::current());
-        while !spool.ended() {
-            keeper.turn(clock(), &mut spool).iter().for_each(&log);
-            std::thread::park_timeout(LOOK);
+        receiver.set_writer_thread(std::thread::current());
+        while !receiver.is_finished() {
+            writer
+                .write_queued(clock(), &mut receiver)
+                .iter()
+                .for_each(&log);
+            std::thread::park_timeout(POLL_INTERVAL);
         }
-        keeper.finish(clock(), &mut spool).iter().for_each(&log);
+        writer.finish(clock(), &mut receiver).iter().for_each(&log);
     })
 }
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,24 +1,26 @@
-//! Keeps what a [`Controller`](pipitlever_admission::Controller) was told and what it said, and
-//! plays it again.
+//! Records the inputs and outputs of a [`Controller`](pipitlever_admission::Controller), and replays
+//! them.
 //!
-//! A capture is a run of segments. Each begins with the controller's whole state, so each can be
-//! played without those before it. `docs/capture.md` has the format and the options that it was
-//! chosen from.
+//! A capture is a sequence of segments. Each segment begins with the controller's whole state, so it
+//! can be replayed without the segments before it. `docs/capture.md` has the format and the
+//! alternatives that were measured.
 //!
-//! | module | what | I/O |
+//! | module | contents | I/O |
 //! | --- | --- | --- |
-//! | [`frame`] | frames with checksums: what is whole, cut off or damaged | none |
-//! | [`record`] | what a capture says, and its bytes | none |
-//! | [`segment`] | one file from opening to end, read and written | none |
-//! | [`tap`] | the loop's side: a bounded queue that is never waited for | none |
-//! | [`keeper`] | the writer's side: segments, bounds, gaps, faults of the disk | by way of [`keeper::Folder`] |
-//! | [`disk`] | a folder on a file system, and the writer's thread | all |
+//! | [`frame`] | frames with checksums, and the file's magic number | none |
+//! | [`record`] | records and their encoding | none |
+//! | [`segment`] | reading and writing one segment | none |
+//! | [`recorder`] | the event loop's side: a bounded queue that never blocks | none |
+//! | [`writer`] | the writer's side: segments, limits, gaps and disk errors | through [`directory::Directory`] |
+//! | [`directory`] | where segments are stored, and the names of their files | none |
+//! | [`disk`] | a directory of a file system, and the writer thread | all |
 //! | [`replay`] | feeds a capture to this build's controller | none |
 
+pub mod directory;
 pub mod disk;
 pub mod frame;
-pub mod keeper;
 pub mod record;
+pub mod recorder;
 pub mod replay;
 pub mod segment;
-pub mod tap;
+pub mod writer;
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,8 +1,8 @@
-//! What a capture says, and its bytes.
+//! Records of a capture and their encoding.
 //!
-//! Records are in postcard: no names, small figures, so that writing one costs a node little.
-//! Openings are in MessagePack with names, since another build may read them whose state has a
-//! field more; there is one a segment.
+//! Records are encoded in postcard, without field names, so that a record costs the node little.
+//! Openings, one a segment, are in MessagePack with field names, so that a build with additional
+//! fields can read them. The `serde(rename)` attributes keep the names that earlier builds wrote.
 
 use pipitlever_admission::{Action, Event, Micros, RequestId, Settings};
 use serde::{Deserialize, Serialize};
@@ -10,261 +10,207 @@
 use std::borrow::Cow;
 use std::hash::Hasher;
 
-/// What a request is called outside. Never its key, its body or its result.
+/// The keys of the digest of idempotency keys.
+const DIGEST_KEYS: (u64, u64) = (0x7069_7069_746c_6576, 0x6361_7074_7572_6531);
+
+/// The external identifiers of a request. Its idempotency key, body and result are never recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Name {
-    /// Its number with the controller.
+pub struct RequestIdentity {
+    /// The controller's identifier.
     pub id: RequestId,
-    /// Its `ref`, new with every try.
+    /// The `ref` on the wire, new with each attempt.
     pub reference: u64,
-    /// The gateway that sent it, where the wire says.
+    /// The gateway that sent it, if the wire protocol states it.
     pub sender: Option<u64>,
-    /// The digest of its key.
-    pub key: Option<u64>,
+    /// The digest of its idempotency key.
+    #[serde(rename = "key")]
+    pub key_digest: Option<u64>,
 }
 
-/// A key's digest: the same on all nodes and builds, so that its tries can be found in all their
-/// captures.
+/// The digest of an idempotency key. It is the same on all nodes and builds, so that the attempts of
+/// a request can be found in all their captures.
 pub fn digest(key: &str) -> u64 {
     digest_bytes(key.as_bytes())
 }
 
-/// The same of a key as it stands on a wire.
+/// The digest of an idempotency key in the bytes of a wire protocol.
 pub fn digest_bytes(key: &[u8]) -> u64 {
-    // SipHash-2-4 with a key of this project's. It hides no key that can be guessed.
-    let mut hasher = SipHasher24::new_with_keys(0x7069_7069_746c_6576, 0x6361_7074_7572_6531);
+    // SipHash-2-4 with public keys: the digest does not hide a key that can be guessed.
+    let mut hasher = SipHasher24::new_with_keys(DIGEST_KEYS.0, DIGEST_KEYS.1);
     hasher.write(key);
     hasher.finish()
 }
 
-/// A final answer, as far as a capture tells.
+/// The final answer to a request, without its result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Told {
-    /// Served, with a result of so many bytes.
+pub enum RecordedAnswer {
+    /// Served, with a result of this many bytes.
     Served(u32),
-    /// Refused: it never ran.
-    Refused {
-        /// How long to keep away, in microseconds.
-        cooldown: Micros,
-        /// No other node should be tried.
-        nowhere: bool,
+    /// Rejected: the request did not run.
+    #[serde(rename = "Refused")]
+    Rejected {
+        /// The shortest delay before a retry, in microseconds.
+        #[serde(rename = "cooldown")]
+        retry_after: Micros,
+        /// The request should not be retried at any node.
+        #[serde(rename = "nowhere")]
+        no_retry: bool,
     },
-    /// Failed: it may have run.
+    /// Failed: the request may have run.
     Failed {
-        /// Because its time was up.
-        expired: bool,
+        /// Its deadline passed.
+        #[serde(rename = "expired")]
+        timed_out: bool,
     },
 }
 
-/// Who made the final answer.
+/// What decided a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum By {
-    /// The module's action: the replay has its cause.
-    Module,
+pub enum AnswerSource {
+    /// An action of the admission controller. A replay has its cause.
+    #[serde(rename = "Module")]
+    AdmissionController,
     /// The end of its run.
     Run,
-    /// The outcome of the try that it repeats.
-    Repeat,
-    /// The processor did not carry out its start, or the reply to its call.
-    Rejected,
-    /// The node, as it has no module before its processor is up.
-    NotUp,
-    /// The node, as its requests take all the memory that they may.
-    Full,
-    /// The node, as the keys take all the memory that they may.
+    /// The outcome of the original request with the same idempotency key.
+    #[serde(rename = "Repeat")]
+    Duplicate,
+    /// The processor rejected its start, or the reply to its call.
+    #[serde(rename = "Rejected")]
+    ProcessorRejected,
+    /// The node, before its processor was connected.
+    #[serde(rename = "NotUp")]
+    ProcessorNotReady,
+    /// The node, as its requests use all the memory reserved for them.
+    #[serde(rename = "Full")]
+    MemoryFull,
+    /// The node, as idempotency keys use all the memory reserved for them.
     KeysFull,
-    /// The node, as the try held no entry for its key when it was to start.
-    NoKey,
-    /// The node, as the module had not answered by the due time.
-    Overdue,
-    /// The node, as its store does not work, is slow, or may have lost keys: the run never began.
-    Store,
-    /// The node, as its store has no room for another key.
+    /// The node, as the request's idempotency key had no entry when it was to start.
+    #[serde(rename = "NoKey")]
+    KeyEntryMissing,
+    /// The node, as the deadline passed without a decision of the admission controller.
+    #[serde(rename = "Overdue")]
+    DeadlineExceeded,
+    /// The node, as the idempotency store fails, is slow, or may have lost keys. The request did
+    /// not run.
+    #[serde(rename = "Store")]
+    StoreUnavailable,
+    /// The node, as the idempotency store has no capacity for another key.
     StoreFull,
-    /// The node, as another process of it may have run the key.
-    Elsewhere,
+    /// The node, as another process of it may have run a request with the same idempotency key.
+    #[serde(rename = "Elsewhere")]
+    OtherProcess,
     /// The node, as its version of the settings may be stale.
-    Floor,
+    #[serde(rename = "Floor")]
+    StaleSettings,
 }
 
-/// One thing that a capture says. The loop borrows what it writes; whoever reads owns it, as a
-/// [`Record`].
+/// One record of a capture. Borrows its contents when it is written; [`Record`] owns them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry<'a> {
-    /// A request's outside name. It stands before the step of its arrival.
-    Named(Name),
+    /// The identity of a request. Precedes the step in which the request arrives.
+    Identity(RequestIdentity),
     /// One step of the controller.
     Step {
-        /// Its clock, less that of the record before; an opening says where that count begins.
-        after: Micros,
-        /// What it was told, in order.
+        /// The controller's clock, minus the clock of the previous record or of the opening.
+        clock_delta: Micros,
+        /// Its input, in order.
         events: Cow<'a, [Event]>,
-        /// What it said, in order.
+        /// Its output, in order.
         actions: Cow<'a, [Action]>,
     },
-    /// A final answer went out.
+    /// A final answer was sent.
     Answer {
-        /// The clock, less that of the record before.
-        after: Micros,
+        /// The clock, minus the clock of the previous record or of the opening.
+        clock_delta: Micros,
         /// The request's `ref`.
         reference: u64,
-        /// Its class, by position.
+        /// The index of its class.
         class: u32,
-        /// What it was told.
-        told: Told,
-        /// Who made the answer.
-        by: By,
+        /// The answer.
+        answer: RecordedAnswer,
+        /// What decided it.
+        source: AnswerSource,
     },
 }
 
-/// An entry that owns what it says.
+/// A record that owns its contents.
 pub type Record = Entry<'static>;
 
-/// Records that are not there.
+/// Records that a capture does not contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lost {
-    /// How many, at least.
+pub struct LostRecords {
+    /// A lower bound of their number.
     pub records: u64,
-    /// Because the queue to the writer was full.
-    pub queue: u64,
-    /// Because the disk failed; the last error.
-    pub disk: Option<String>,
+    /// How many of them were lost because the queue to the writer was full.
+    #[serde(rename = "queue")]
+    pub queue_full: u64,
+    /// The last disk error, if any were lost because of one.
+    #[serde(rename = "disk")]
+    pub disk_error: Option<String>,
 }
 
-/// How a segment begins, beside the controller's state.
+/// The beginning of a segment, before the controller's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Opening {
-    /// The build that wrote it.
+    /// The version of the build that wrote the segment.
     pub build: String,
     /// The node's name.
     pub node: String,
-    /// The same in all segments of one process: its start in Unix milliseconds.
+    /// The start of the run, in Unix milliseconds; the same in all its segments.
     pub run: u64,
-    /// Counts the segments of a run, from 1.
+    /// The number of the segment in the run, from 1.
     pub segment: u32,
-    /// Steps before this segment, those that were lost included.
+    /// Steps of the run before this segment, including lost ones.
     pub steps: u64,
-    /// No step was taken before: the state follows from settings and seed.
-    pub first: bool,
-    /// The clock of the record before, in Unix microseconds.
+    /// The controller has taken no step yet: its state follows from settings and seed.
+    #[serde(rename = "first")]
+    pub is_initial: bool,
+    /// The clock of the previous record, in Unix microseconds.
     pub now: Micros,
-    /// The names of the classes, by position.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// What the controller was told at its start.
+    /// The settings that the controller was created with.
     pub settings: Settings,
-    /// The seed that it was given.
+    /// The seed that the controller was created with.
     pub seed: u64,
-    /// Outside names of the requests in memory.
-    pub names: Vec<Name>,
-    /// What is missing between the segment before and this one.
-    pub lost: Option<Lost>,
+    /// The identities of the requests in memory.
+    #[serde(rename = "names")]
+    pub identities: Vec<RequestIdentity>,
+    /// The records lost between the previous segment and this one.
+    pub lost: Option<LostRecords>,
 }
 
-/// How a segment ends, when it was not cut off.
+/// The end of a complete segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Another one follows.
+    /// Another segment follows.
     Next,
-    /// The capture ended with it, and so many records behind it are missing.
+    /// The segment is the last one of the run, and this many records after it were lost.
     Last(u64),
 }
 
-/// Appends a record's bytes.
-pub fn encode(record: &Entry, out: &mut Vec<u8>) {
-    let before = std::mem::take(out);
-    // Nothing here has a form that postcard can't write, and a vector takes all.
-    *out = postcard::to_extend(record, before).expect("records can be written");
-}
+/// A record's bytes can't be decoded.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a record can't be read: {0}")]
+pub struct DecodeError(#[from] postcard::Error);
 
-/// Takes a record off the front.
-pub fn decode(bytes: &[u8]) -> Result<(Record, &[u8]), String> {
-    postcard::take_from_bytes(bytes).map_err(|e| format!("a record can't be read: {e}"))
+/// Appends an encoded record to `out`.
+///
+/// # Panics
+///
+/// Never: postcard can represent every record.
+pub fn encode(record: &Entry, out: &mut Vec<u8>) {
+    let buffer = std::mem::take(out);
+    *out = postcard::to_extend(record, buffer).expect("postcard can represent every record");
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use pipitlever_admission::{Outcome, Request};
-
-    #[test]
-    fn records_come_back_as_they_were() {
-        let request = Request {
-            id: 7,
-            timeout: Some(-5),
-            cost: Some(f64::INFINITY),
-            ..Request::default()
-        };
-        let events = vec![
-            Event::Arrived(request),
-            Event::Finished {
-                id: 3,
-                elapsed: i64::MIN,
-                outcome: Outcome::NotStarted,
-            },
-            Event::Timer {
-                tag: 0,
-                cpu_utilization: None,
-                runnable: Some(2.5),
-                memory_utilization: None,
-                connections: None,
-            },
-        ];
-        let actions = vec![
-            Action::Run(7),
-            Action::Reject {
-                id: 8,
-                retry_after: 200_000,
-                no_retry: true,
-            },
-            Action::Backpressure(f64::MIN_POSITIVE),
-        ];
-        let name = Name {
-            id: 7,
-            reference: u64::MAX,
-            sender: Some(4),
-            key: Some(digest("k")),
-        };
-        let answer = Record::Answer {
-            after: 3,
-            reference: 1,
-            class: 2,
-            told: Told::Failed { expired: true },
-            by: By::Overdue,
-        };
-        let step = Record::Step {
-            after: -1_000_000,
-            events: events.into(),
-            actions: actions.into(),
-        };
-        let records = [Record::Named(name), step, answer];
-        let mut bytes = Vec::new();
-        records.iter().for_each(|r| encode(r, &mut bytes));
-        let whole = |bytes: &[u8]| {
-            let (mut rest, mut read) = (bytes, Vec::new());
-            while let Ok((record, after)) = decode(rest) {
-                read.push(record);
-                rest = after;
-            }
-            (read, rest.len())
-        };
-        assert_eq!(whole(&bytes), (records.to_vec(), 0));
-        // Cut off anywhere it yields those that are whole, and no others.
-        for length in 0..bytes.len() {
-            let (read, rest) = whole(&bytes[..length]);
-            assert!(
-                read.len() < records.len() && read[..] == records[..read.len()],
-                "{length}"
-            );
-            let mut again = Vec::new();
-            read.iter().for_each(|r| encode(r, &mut again));
-            assert_eq!(again.len() + rest, length);
-        }
-    }
-
-    #[test]
-    fn a_key_has_the_same_digest_everywhere() {
-        // Captures on disk hold these: another digest would make old ones unsearchable.
-        assert_eq!(digest("k"), 0x9c9c_c252_d58b_4571);
-        assert_ne!(digest("k"), digest("l"));
-    }
+/// Decodes the first record of `bytes`, and returns it with the bytes after it.
+///
+/// # Errors
+///
+/// If `bytes` does not begin with a whole record.
+pub fn decode(bytes: &[u8]) -> Result<(Record, &[u8]), DecodeError> {
+    Ok(postcard::take_from_bytes(bytes)?)
 }
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,67 +1,88 @@
-//! Feeds a capture to this build's controller and compares what it says.
+//! Feeds a capture to this build's controller and compares the actions.
 
 use crate::record::{Opening, Record};
-use crate::segment;
+use crate::segment::serialize_controller;
 use pipitlever_admission::{Action, Cause, Controller, ControllerStatus, Event, Micros, RequestId};
+use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The first place where this build decides otherwise.
+/// This build's controller can't take a step. Only a capture that no node wrote leads to this.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("step {step} is none that this build's controller can take: {panic}")]
+pub struct ReplayError {
+    /// The number of the step in the run, from 1.
+    pub step: u64,
+    /// The message of the controller's panic.
+    pub panic: String,
+}
+
+/// A step in which this build's actions differ from the recorded ones.
 #[derive(Clone, Debug)]
 pub struct Difference {
-    /// The step, counted from the start of the run.
+    /// The number of the step in the run, from 1.
     pub step: u64,
-    /// The controller's clock.
+    /// The controller's clock, in Unix microseconds.
     pub now: Micros,
-    /// What it was told.
+    /// The controller's input.
     pub events: Vec<Event>,
-    /// What it went by before that.
-    pub before: ControllerStatus,
-    /// What the capture has.
+    /// The controller's status before the step.
+    pub status_before: ControllerStatus,
+    /// The recorded actions.
     pub recorded: Vec<Action>,
-    /// What this build says.
+    /// The actions of this build.
     pub replayed: Vec<Action>,
-    /// Its reasons.
-    pub why: Vec<(RequestId, Cause)>,
+    /// The causes of rejections and failures in this build.
+    pub causes: Vec<(RequestId, Cause)>,
+}
+
+/// The first two actions of a step that differ. `None` stands for the end of the list.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ActionMismatch<'a> {
+    /// The recorded action.
+    pub recorded: Option<&'a Action>,
+    /// The action of this build.
+    pub replayed: Option<&'a Action>,
 }
 
 impl Difference {
-    /// The first pair of actions that differ; nothing where a list has ended.
-    pub fn first(&self) -> (Option<&Action>, Option<&Action>) {
-        let same = self
-            .recorded
-            .iter()
-            .zip(&self.replayed)
-            .take_while(|(a, b)| a == b)
+    /// The first actions that differ.
+    pub fn first_mismatch(&self) -> ActionMismatch<'_> {
+        let pairs = self.recorded.iter().zip(&self.replayed);
+        let equal = pairs
+            .take_while(|(recorded, replayed)| recorded == replayed)
             .count();
-        (self.recorded.get(same), self.replayed.get(same))
+        ActionMismatch {
+            recorded: self.recorded.get(equal),
+            replayed: self.replayed.get(equal),
+        }
     }
 }
 
-/// One step, played.
+/// The result of replaying one step.
 #[derive(Clone, Copy, Debug)]
-pub struct Played {
-    /// What the controller went by before it.
-    pub before: ControllerStatus,
-    /// Whether this build said the same.
-    pub same: bool,
+pub struct ReplayedStep {
+    /// The controller's status before the step.
+    pub status_before: ControllerStatus,
+    /// Whether the actions equal the recorded ones.
+    pub is_identical: bool,
 }
 
-/// A controller that is being fed a capture.
+/// A controller that is fed the records of a capture.
 #[derive(Debug)]
 pub struct Replay {
     controller: Controller,
     now: Micros,
-    step: u64,
+    steps: u64,
     actions: Vec<Action>,
 }
 
 impl Replay {
-    /// Goes on from a segment's state.
+    /// Starts at the beginning of a segment, with the controller's state there.
     pub fn new(controller: Controller, opening: &Opening) -> Replay {
         Replay {
             controller,
             now: opening.now,
-            step: opening.steps,
+            steps: opening.steps,
             actions: Vec::new(),
         }
     }
@@ -71,100 +92,113 @@
         &self.controller
     }
 
-    /// What the last step said.
+    /// The actions of the last step.
     pub fn actions(&self) -> &[Action] {
         &self.actions
     }
 
-    /// The clock of the last record.
+    /// The clock of the last record, in Unix microseconds.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Steps so far, from the start of the run.
+    /// The number of steps so far, from the start of the run.
     pub fn steps(&self) -> u64 {
-        self.step
+        self.steps
     }
 
-    /// Takes in a record; a step is played. The error says that the controller can't take the step,
-    /// which only a capture can bring about that no node wrote.
-    pub fn feed(&mut self, record: &Record) -> Result<Option<Played>, String> {
-        let (after, events, recorded) = match record {
-            Record::Named(_) => return Ok(None),
-            Record::Answer { after, .. } => {
-                self.now = self.now.wrapping_add(*after);
-                return Ok(None);
+    /// Applies a record. Returns the result if it is a step.
+    ///
+    /// # Errors
+    ///
+    /// If the controller can't take the step.
+    pub fn apply(&mut self, record: &Record) -> Result<Option<ReplayedStep>, ReplayError> {
+        match record {
+            Record::Identity(_) => Ok(None),
+            Record::Answer { clock_delta, .. } => {
+                self.now = self.now.wrapping_add(*clock_delta);
+                Ok(None)
             }
             Record::Step {
-                after,
+                clock_delta,
                 events,
                 actions,
-            } => (after, events, actions),
-        };
-        let before = self.controller.status();
-        self.now = self.now.wrapping_add(*after);
-        self.step += 1;
+            } => {
+                let status_before = self.controller.status();
+                self.now = self.now.wrapping_add(*clock_delta);
+                self.steps += 1;
+                self.step(events)?;
+                Ok(Some(ReplayedStep {
+                    status_before,
+                    is_identical: **actions == *self.actions,
+                }))
+            }
+        }
+    }
+
+    /// Has the controller take a step.
+    fn step(&mut self, events: &[Event]) -> Result<(), ReplayError> {
         self.actions.clear();
         let (now, actions, controller) = (self.now, &mut self.actions, &mut self.controller);
-        catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions))).map_err(
-            |panic| {
-                let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text
-                    .or(panic.downcast_ref::<&str>().copied())
-                    .unwrap_or("a panic");
-                format!(
-                    "step {} is none that this build's controller can take: {text}",
-                    self.step
-                )
-            },
-        )?;
-        Ok(Some(Played {
-            before,
-            same: **recorded == *self.actions,
-        }))
+        catch_unwind(AssertUnwindSafe(|| controller.step(now, events, actions))).map_err(|panic| {
+            ReplayError {
+                step: self.steps,
+                panic: panic_message(&*panic),
+            }
+        })
     }
 
-    /// How the step that was just played differs; nothing if it doesn't, or the record is no step.
-    pub fn difference(&self, record: &Record, played: Option<&Played>) -> Option<Difference> {
-        let (
-            Record::Step {
-                events, actions, ..
-            },
-            Some(Played {
-                before,
-                same: false,
-            }),
-        ) = (record, played)
+    /// How the step just applied differs from the record; `None` if it does not, or the record is
+    /// no step.
+    pub fn difference(&self, record: &Record, step: Option<&ReplayedStep>) -> Option<Difference> {
+        let Record::Step {
+            events, actions, ..
+        } = record
         else {
             return None;
         };
+        let step = step.filter(|step| !step.is_identical)?;
         Some(Difference {
-            step: self.step,
+            step: self.steps,
             now: self.now,
             events: events.to_vec(),
-            before: *before,
+            status_before: step.status_before,
             recorded: actions.to_vec(),
             replayed: self.actions.clone(),
-            why: self.controller.causes().to_vec(),
+            causes: self.controller.causes().to_vec(),
         })
     }
 
-    /// Takes in a record, and says where this build decides otherwise, if it does.
-    pub fn compare(&mut self, record: &Record) -> Result<Option<Difference>, String> {
-        let played = self.feed(record)?;
-        Ok(self.difference(record, played.as_ref()))
+    /// Applies a record and returns how this build's actions differ from it, if they do.
+    ///
+    /// # Errors
+    ///
+    /// If the controller can't take the step.
+    pub fn compare(&mut self, record: &Record) -> Result<Option<Difference>, ReplayError> {
+        let step = self.apply(record)?;
+        Ok(self.difference(record, step.as_ref()))
     }
 
-    /// Goes on into the next segment. Whether its state, if this build can read it, is the one that
-    /// the replay has come to.
-    pub fn go_on(&mut self, opening: &Opening, recorded: Option<&Controller>) -> bool {
-        (self.now, self.step) = (opening.now, opening.steps);
-        // Both as this build writes them: an older one may not have had every field.
-        recorded.is_none_or(|r| segment::state(&self.controller) == segment::state(r))
+    /// Continues with the next segment. Returns whether the replayed state equals the recorded one
+    /// at its start; true if this build can't read that state.
+    pub fn enter_segment(&mut self, opening: &Opening, recorded: Option<&Controller>) -> bool {
+        self.now = opening.now;
+        self.steps = opening.steps;
+        // Both are compared as this build serializes them: an earlier build may have written fewer
+        // fields.
+        recorded.is_none_or(|recorded| {
+            serialize_controller(&self.controller) == serialize_controller(recorded)
+        })
     }
 }
 
-/// A controller as the opening says it was at the start of the run.
-pub fn from_start(opening: &Opening) -> Controller {
+/// The controller at the start of a run, created from the opening's settings and seed.
+pub fn initial_controller(opening: &Opening) -> Controller {
     Controller::new(opening.settings.clone(), opening.seed)
 }
+
+fn panic_message(panic: &(dyn Any + Send)) -> String {
+    let text = panic.downcast_ref::<String>().map(String::as_str);
+    let text = text.or(panic.downcast_ref::<&str>().copied());
+    text.unwrap_or("a panic").to_owned()
+}
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,221 +1,287 @@
 //! One segment: an opening with the controller's state, frames of records, and an end.
 
-use crate::frame::{self, Frame, FrameReader, ReadError, ReadErrorKind, FORMAT};
+use crate::frame::{append_frame, Frame, FrameReader, ReadError, ReadErrorKind, FORMAT};
 use crate::record::{decode, End, Opening, Record};
-use pipitlever_admission::Controller;
+use pipitlever_admission::{Controller, Event};
+use serde::Serialize;
 
-const OPENING: u8 = 0;
-const RECORDS: u8 = 1;
-const END: u8 = 2;
+/// The first byte of a frame with the opening.
+const OPENING_TAG: u8 = 0;
+/// The first byte of a frame with records.
+const RECORDS_TAG: u8 = 1;
+/// The first byte of a frame with the end.
+const END_TAG: u8 = 2;
+/// In an end frame: another segment follows.
+const END_NEXT: u8 = 0;
+/// In an end frame: the segment is the last one of its run.
+const END_LAST: u8 = 1;
+/// Bytes of the opening's length, little-endian.
+const LENGTH_BYTES: usize = 4;
 
-/// A controller's state, in bytes that are the same for the same state.
-pub fn state(controller: &Controller) -> Vec<u8> {
+/// A controller's state can't be read by this build.
+#[derive(Debug, thiserror::Error)]
+#[error("this build has another state: {0}")]
+pub struct RestoreError(#[from] rmp_serde::decode::Error);
+
+/// Serializes a controller's state. Equal states have equal bytes.
+pub fn serialize_controller(controller: &Controller) -> Vec<u8> {
     let mut bytes = Vec::new();
-    put(controller, &mut bytes);
+    write_message_pack(controller, &mut bytes);
     bytes
 }
 
-fn put(value: &impl serde::Serialize, out: &mut Vec<u8>) {
+fn write_message_pack(value: &impl Serialize, out: &mut Vec<u8>) {
     let mut serializer = rmp_serde::Serializer::new(out).with_struct_map();
     value
         .serialize(&mut serializer)
-        .expect("a vector takes all, and all of it has a form");
+        .expect("MessagePack can represent openings and states, and a vector accepts all bytes");
 }
 
-/// The controller that was in this state. A build whose state has other fields can't take it over.
-pub fn restored(state: &[u8]) -> Result<Controller, String> {
-    rmp_serde::from_slice(state).map_err(|e| format!("this build has another state: {e}"))
+/// Restores a controller from its serialized state.
+///
+/// # Errors
+///
+/// If the state was written by a build whose state has other fields.
+pub fn restore_controller(state: &[u8]) -> Result<Controller, RestoreError> {
+    Ok(rmp_serde::from_slice(state)?)
 }
 
-/// Writes one segment into memory; somebody else brings the bytes to where they stay.
+/// Encodes one segment.
 #[derive(Debug)]
-pub struct Writer {
-    number: u32,
+pub struct SegmentWriter {
+    /// The number of the next frame.
+    next_frame: u32,
 }
 
-impl Writer {
-    /// Begins a segment: its head and its opening.
-    pub fn open(opening: &Opening, controller: &Controller, out: &mut Vec<u8>) -> Writer {
+impl SegmentWriter {
+    /// Begins a segment: appends the file header and the opening frame to `out`.
+    pub fn open(opening: &Opening, controller: &Controller, out: &mut Vec<u8>) -> SegmentWriter {
         FORMAT.write_header(out);
-        // Written in place: a state may be large, and the node's memory small.
-        frame::append_frame(out, 0, |out| {
-            out.push(OPENING);
-            let at = out.len();
-            out.extend_from_slice(&[0; 4]);
-            put(opening, out);
-            let length = (out.len() - at - 4) as u32;
-            out[at..at + 4].copy_from_slice(&length.to_le_bytes());
-            put(controller, out);
+        // Serialized in place, as the state may be large compared with the node's memory.
+        append_frame(out, 0, |out| {
+            out.push(OPENING_TAG);
+            let length_at = out.len();
+            let opening_at = length_at + LENGTH_BYTES;
+            out.extend_from_slice(&[0; LENGTH_BYTES]);
+            write_message_pack(opening, out);
+            let length = (out.len() - opening_at) as u32;
+            out[length_at..opening_at].copy_from_slice(&length.to_le_bytes());
+            write_message_pack(controller, out);
         });
-        Writer { number: 1 }
+        SegmentWriter { next_frame: 1 }
     }
 
-    /// One frame of whole records.
+    /// Appends a frame of whole encoded records to `out`.
     pub fn records(&mut self, records: &[u8], out: &mut Vec<u8>) {
-        self.frame(RECORDS, records, out);
+        self.frame(RECORDS_TAG, records, out);
     }
 
-    /// The end.
+    /// Appends the end frame to `out`.
     pub fn end(&mut self, end: End, out: &mut Vec<u8>) {
         match end {
-            End::Next => self.frame(END, &[0], out),
-            End::Last(lost) => self.frame(END, &[&[1], &lost.to_le_bytes()[..]].concat(), out),
+            End::Next => self.frame(END_TAG, &[END_NEXT], out),
+            End::Last(lost) => {
+                let payload = [&[END_LAST], &lost.to_le_bytes()[..]].concat();
+                self.frame(END_TAG, &payload, out);
+            }
         }
     }
 
-    fn frame(&mut self, kind: u8, rest: &[u8], out: &mut Vec<u8>) {
-        frame::append_frame(out, self.number, |out| {
-            out.push(kind);
-            out.extend_from_slice(rest);
+    fn frame(&mut self, tag: u8, payload: &[u8], out: &mut Vec<u8>) {
+        append_frame(out, self.next_frame, |out| {
+            out.push(tag);
+            out.extend_from_slice(payload);
         });
-        self.number += 1;
+        self.next_frame += 1;
     }
 }
 
-/// How a segment that could be read came to its end.
+/// How the data of a segment ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// As its writer meant it to.
-    Whole(End),
-    /// Cut off: everything before this offset is there.
-    Cut(u64),
+    /// With an end frame.
+    Complete(End),
+    /// Truncated: the data before this offset in bytes is intact.
+    Truncated(u64),
+}
+
+/// A record and its position.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RecordAt {
+    /// The offset of the record's frame in the file, in bytes.
+    pub offset: u64,
+    /// The record.
+    pub record: Record,
 }
 
-/// Reads one segment out of memory.
+/// Reads one segment from memory.
 #[derive(Debug)]
-pub struct Reader<'a> {
+pub struct SegmentReader<'a> {
     frames: FrameReader<'a>,
-    /// The rest of the present frame, and where that frame begins.
-    rest: &'a [u8],
-    at: u64,
+    /// The records of the current frame that are not decoded yet.
+    undecoded: &'a [u8],
+    /// The offset of the current frame, in bytes.
+    frame_offset: u64,
     tail: Option<Tail>,
     opening: Option<Opening>,
     state: &'a [u8],
 }
 
-impl<'a> Reader<'a> {
-    /// Reads the opening. A segment that was cut off inside it has none, and no records.
-    pub fn open(bytes: &'a [u8]) -> Result<Reader<'a>, ReadError> {
+impl<'a> SegmentReader<'a> {
+    /// Reads the opening. A segment that is truncated inside the opening has neither an opening nor
+    /// records.
+    ///
+    /// # Errors
+    ///
+    /// If the bytes are no capture, are of another format version, or the opening is damaged.
+    pub fn open(bytes: &'a [u8]) -> Result<SegmentReader<'a>, ReadError> {
         let mut frames = FrameReader::open(FORMAT, bytes)?;
-        let Some(Frame {
-            offset: at,
-            payload,
-        }) = frames.next_frame()?
-        else {
-            let tail = Some(Tail::Cut(frames.offset()));
-            return Ok(Reader {
+        let Some(Frame { offset, payload }) = frames.next_frame()? else {
+            let tail = Some(Tail::Truncated(frames.offset()));
+            return Ok(SegmentReader {
                 frames,
-                rest: &[],
-                at: 0,
+                undecoded: &[],
+                frame_offset: 0,
                 tail,
                 opening: None,
                 state: &[],
             });
         };
-        let content = |what: String| ReadError {
-            offset: at,
-            kind: ReadErrorKind::Content(what),
-        };
-        let Some((&OPENING, rest)) = payload.split_first() else {
-            return Err(content("no opening at the start".into()));
-        };
-        let split = rest.split_at_checked(4).and_then(|(length, rest)| {
-            rest.split_at_checked(u32::from_le_bytes(length.try_into().ok()?) as usize)
-        });
-        let (words, state) = split.ok_or_else(|| content("an opening that is too short".into()))?;
-        let opening: Opening = rmp_serde::from_slice(words)
-            .map_err(|e| content(format!("the opening can't be read: {e}")))?;
-        Ok(Reader {
+        let (opening, state) = read_opening(offset, payload)?;
+        Ok(SegmentReader {
             frames,
-            rest: &[],
-            at,
+            undecoded: &[],
+            frame_offset: offset,
             tail: None,
             opening: Some(opening),
             state,
         })
     }
 
-    /// How it begins; nothing if it was cut off before that was whole.
+    /// The opening; `None` if the segment is truncated inside it.
     pub fn opening(&self) -> Option<&Opening> {
         self.opening.as_ref()
     }
 
-    /// The state that it begins with, as bytes.
+    /// The serialized state of the controller at the start of the segment.
     pub fn state(&self) -> &'a [u8] {
         self.state
     }
 
-    /// The controller that it begins with, if this build can read it.
-    pub fn controller(&self) -> Result<Controller, String> {
-        restored(self.state)
+    /// The controller at the start of the segment.
+    ///
+    /// # Errors
+    ///
+    /// If this build can't read the state.
+    pub fn controller(&self) -> Result<Controller, RestoreError> {
+        restore_controller(self.state)
     }
 
-    /// The next record, and where its frame begins.
-    pub fn next_record(&mut self) -> Result<Option<(u64, Record)>, ReadError> {
-        loop {
-            if self.tail.is_some() {
-                return Ok(None);
-            }
-            let content = |at, what| ReadError {
-                offset: at,
-                kind: ReadErrorKind::Content(what),
-            };
-            if !self.rest.is_empty() {
-                let (record, rest) = decode(self.rest).map_err(|e| content(self.at, e))?;
-                self.rest = rest;
-                self.check(&record).map_err(|e| content(self.at, e))?;
-                return Ok(Some((self.at, record)));
+    /// Reads the next record; `None` at the end of the segment.
+    ///
+    /// # Errors
+    ///
+    /// If the segment is damaged.
+    pub fn next_record(&mut self) -> Result<Option<RecordAt>, ReadError> {
+        while self.tail.is_none() {
+            if !self.undecoded.is_empty() {
+                return self.decode_record().map(Some);
             }
-            let Some(Frame {
-                offset: at,
-                payload,
-            }) = self.frames.next_frame()?
-            else {
-                self.tail = Some(Tail::Cut(self.frames.offset()));
-                return Ok(None);
-            };
-            self.at = at;
-            match payload.split_first() {
-                Some((&RECORDS, records)) => self.rest = records,
-                Some((&END, rest)) => {
-                    let end = match rest {
-                        [0] => End::Next,
-                        // Without a count, as the first builds wrote it.
-                        [1] => End::Last(0),
-                        [1, lost @ ..] if lost.len() == 8 => {
-                            End::Last(u64::from_le_bytes(lost.try_into().expect("eight bytes")))
-                        }
-                        _ => return Err(content(at, "an end that says nothing known".into())),
-                    };
-                    if self.frames.next_frame()?.is_some() {
-                        return Err(content(at, "something behind the end".into()));
-                    }
-                    self.tail = Some(Tail::Whole(end));
+            self.read_frame()?;
+        }
+        Ok(None)
+    }
+
+    /// How the segment ends, once [`SegmentReader::next_record`] has returned `None`.
+    pub fn tail(&self) -> Option<Tail> {
+        self.tail
+    }
+
+    fn decode_record(&mut self) -> Result<RecordAt, ReadError> {
+        let offset = self.frame_offset;
+        let (record, undecoded) =
+            decode(self.undecoded).map_err(|error| invalid_content(offset, error.to_string()))?;
+        self.undecoded = undecoded;
+        self.check_class(&record)?;
+        Ok(RecordAt { offset, record })
+    }
+
+    /// Reads the next frame: its records are to be decoded, or the segment ends with it.
+    fn read_frame(&mut self) -> Result<(), ReadError> {
+        let Some(Frame { offset, payload }) = self.frames.next_frame()? else {
+            self.tail = Some(Tail::Truncated(self.frames.offset()));
+            return Ok(());
+        };
+        self.frame_offset = offset;
+        match payload.split_first() {
+            Some((&RECORDS_TAG, records)) => self.undecoded = records,
+            Some((&END_TAG, end)) => {
+                let end = read_end(offset, end)?;
+                if self.frames.next_frame()?.is_some() {
+                    return Err(invalid_content(offset, "something behind the end"));
                 }
-                _ => return Err(content(at, "a frame of no known kind".into())),
+                self.tail = Some(Tail::Complete(end));
             }
+            _ => return Err(invalid_content(offset, "a frame of no known kind")),
         }
+        Ok(())
     }
 
-    /// What a controller could not even look up is damage, whatever the checksum says.
-    fn check(&self, record: &Record) -> Result<(), String> {
-        let classes = self
-            .opening
-            .as_ref()
-            .map_or(0, |o| o.settings.classes.len());
-        let class = match record {
-            Record::Named(_) => return Ok(()),
-            Record::Step { events, .. } => events.iter().find_map(|e| match e {
-                pipitlever_admission::Event::Arrived(r) if r.class >= classes => Some(r.class),
+    /// Checks that the record's class exists: the controller indexes its classes unchecked.
+    fn check_class(&self, record: &Record) -> Result<(), ReadError> {
+        let opening = self.opening.as_ref();
+        let classes = opening.map_or(0, |opening| opening.settings.classes.len());
+        let unknown = match record {
+            Record::Identity(_) => None,
+            Record::Step { events, .. } => events.iter().find_map(|event| match event {
+                Event::Arrived(request) if request.class >= classes => Some(request.class),
                 _ => None,
             }),
             Record::Answer { class, .. } => Some(*class as usize).filter(|c| *c >= classes),
         };
-        class.map_or(Ok(()), |c| Err(format!("class {c} of {classes}")))
+        unknown.map_or(Ok(()), |class| {
+            let reason = format!("class {class} of {classes}");
+            Err(invalid_content(self.frame_offset, reason))
+        })
     }
+}
 
-    /// How it ended, once [`Reader::next_record`] has nothing more.
-    pub fn tail(&self) -> Option<Tail> {
-        self.tail
+fn invalid_content(offset: u64, reason: impl Into<String>) -> ReadError {
+    ReadError {
+        offset,
+        kind: ReadErrorKind::Content(reason.into()),
+    }
+}
+
+/// Splits the payload of the first frame into the opening and the controller's state.
+fn read_opening(offset: u64, payload: &[u8]) -> Result<(Opening, &[u8]), ReadError> {
+    let Some((&OPENING_TAG, rest)) = payload.split_first() else {
+        return Err(invalid_content(offset, "no opening at the start"));
+    };
+    let parts = rest
+        .split_at_checked(LENGTH_BYTES)
+        .and_then(|(length, rest)| {
+            let length = u32::from_le_bytes(length.try_into().ok()?);
+            rest.split_at_checked(length as usize)
+        });
+    let Some((opening, state)) = parts else {
+        return Err(invalid_content(offset, "an opening that is too short"));
+    };
+    let opening = rmp_serde::from_slice(opening)
+        .map_err(|error| invalid_content(offset, format!("the opening can't be read: {error}")))?;
+    Ok((opening, state))
+}
+
+/// Reads the payload of an end frame.
+fn read_end(offset: u64, payload: &[u8]) -> Result<End, ReadError> {
+    match payload {
+        [END_NEXT] => Ok(End::Next),
+        // The first builds wrote no count.
+        [END_LAST] => Ok(End::Last(0)),
+        [END_LAST, lost @ ..] if lost.len() == size_of::<u64>() => {
+            let lost = lost.try_into().expect("eight bytes");
+            Ok(End::Last(u64::from_le_bytes(lost)))
+        }
+        _ => Err(invalid_content(offset, "an end that says nothing known")),
     }
 }
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -2,11 +2,17 @@
 //! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`):
 //! either build reads the other's segments, and goes on from its checkpoints.
 
-use pipitlever_admission::*;
+use pipitlever_admission::{
+    Action, BackpressureKind, CancellationMode, Class, Controller, Downstream, Event, Idempotency,
+    Micros, Outcome, Request, RequestId, Safety, Settings, Tenant,
+};
 use pipitlever_capture::record::{
-    decode, digest, encode, By, End, Entry, Lost, Name, Opening, Record, Told,
+    decode, digest, encode, AnswerSource, End, Entry, LostRecords, Opening, Record, RecordedAnswer,
+    RequestIdentity,
+};
+use pipitlever_capture::segment::{
+    restore_controller, serialize_controller, RecordAt, SegmentReader, SegmentWriter,
 };
-use pipitlever_capture::segment::{restored, state, Reader, Writer};
 use std::path::PathBuf;
 
 fn fixture(name: &str) -> PathBuf {
@@ -98,58 +104,67 @@
 }
 
 fn records() -> Vec<Record> {
-    let named = Name {
+    let identity = RequestIdentity {
         id: 300,
         reference: 0x0102_0304_0506_0708,
         sender: Some(4),
-        key: Some(digest("k")),
+        key_digest: Some(digest("k")),
     };
     let answers = [
-        (Told::Served(1_000), By::Module),
         (
-            Told::Refused {
-                cooldown: 250_000,
-                nowhere: true,
+            RecordedAnswer::Served(1_000),
+            AnswerSource::AdmissionController,
+        ),
+        (
+            RecordedAnswer::Rejected {
+                retry_after: 250_000,
+                no_retry: true,
             },
-            By::Run,
+            AnswerSource::Run,
+        ),
+        (
+            RecordedAnswer::Failed { timed_out: true },
+            AnswerSource::Duplicate,
+        ),
+        (
+            RecordedAnswer::Failed { timed_out: false },
+            AnswerSource::ProcessorRejected,
         ),
-        (Told::Failed { expired: true }, By::Repeat),
-        (Told::Failed { expired: false }, By::Rejected),
-        (Told::Served(1), By::NotUp),
-        (Told::Served(2), By::Full),
-        (Told::Served(3), By::KeysFull),
-        (Told::Served(4), By::NoKey),
-        (Told::Served(5), By::Overdue),
-        (Told::Served(6), By::Store),
-        (Told::Served(7), By::StoreFull),
-        (Told::Served(8), By::Elsewhere),
-        (Told::Served(9), By::Floor),
+        (RecordedAnswer::Served(1), AnswerSource::ProcessorNotReady),
+        (RecordedAnswer::Served(2), AnswerSource::MemoryFull),
+        (RecordedAnswer::Served(3), AnswerSource::KeysFull),
+        (RecordedAnswer::Served(4), AnswerSource::KeyEntryMissing),
+        (RecordedAnswer::Served(5), AnswerSource::DeadlineExceeded),
+        (RecordedAnswer::Served(6), AnswerSource::StoreUnavailable),
+        (RecordedAnswer::Served(7), AnswerSource::StoreFull),
+        (RecordedAnswer::Served(8), AnswerSource::OtherProcess),
+        (RecordedAnswer::Served(9), AnswerSource::StaleSettings),
     ];
     let step = Entry::Step {
-        after: 1_234,
+        clock_delta: 1_234,
         events: events().into(),
         actions: actions().into(),
     };
-    let answer = |(told, by)| Entry::Answer {
-        after: 56,
+    let answer = |(answer, source)| Entry::Answer {
+        clock_delta: 56,
         reference: 78,
         class: 2,
-        told,
-        by,
+        answer,
+        source,
     };
-    [Entry::Named(named), step]
+    [Entry::Identity(identity), step]
         .into_iter()
         .chain(answers.into_iter().map(answer))
         .collect()
 }
 
 fn settings() -> Settings {
-    let class = |idempotency, worth: f64| Class {
+    let class = |idempotency, priority_weight: f64| Class {
         latency_objective: 1_000_000,
         deadline: 4_000_000,
         idempotency,
         idempotency_window: 5_000_000,
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.125,
         objective_per_cost: 2.0,
         makes_calls: true,
@@ -254,21 +269,21 @@
         run: 1_700_000_000_123,
         segment: 3,
         steps: 900,
-        first: false,
+        is_initial: false,
         now: 1_700_000_000_123_456,
         classes: vec!["view".into(), "swap".into(), "post".into()],
         settings: settings(),
         seed: 7,
-        names: vec![Name {
+        identities: vec![RequestIdentity {
             id: 17,
             reference: 18,
             sender: None,
-            key: Some(19),
+            key_digest: Some(19),
         }],
-        lost: Some(Lost {
+        lost: Some(LostRecords {
             records: 20,
-            queue: 21,
-            disk: Some("full".into()),
+            queue_full: 21,
+            disk_error: Some("full".into()),
         }),
     }
 }
@@ -276,7 +291,7 @@
 /// A whole segment: opening, checkpoint, records and end.
 fn segment() -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = Writer::open(&opening(), &controller(), &mut bytes);
+    let mut writer = SegmentWriter::open(&opening(), &controller(), &mut bytes);
     let mut payload = Vec::new();
     records()
         .iter()
@@ -306,15 +321,16 @@
         std::fs::write(&path, segment()).unwrap();
     }
     let expected = std::fs::read(path).unwrap();
-    let mut reader = Reader::open(&expected).unwrap();
+    let mut reader = SegmentReader::open(&expected).unwrap();
     assert_eq!(reader.opening(), Some(&opening()));
-    let read = restored(reader.state()).expect("this build takes over the earlier build's state");
+    let read = restore_controller(reader.state())
+        .expect("this build takes over the earlier build's state");
     assert!(
-        state(&read) == reader.state(),
+        serialize_controller(&read) == reader.state(),
         "the state is written as it was read"
     );
     let mut found = Vec::new();
-    while let Some((_, record)) = reader.next_record().unwrap() {
+    while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
         found.push(record);
     }
     assert_eq!(found, records());
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -4,8 +4,8 @@
 use crate::request::IncomingRequest;
 use crate::request_table::{OpenRequest, RequestTable};
 use pipitlever_admission::{Action, Controller, Event, Micros, RequestId, Settings};
-use pipitlever_capture::record::By;
-use pipitlever_capture::tap::Tap;
+use pipitlever_capture::record::AnswerSource;
+use pipitlever_capture::recorder::Recorder;
 use std::collections::VecDeque;
 
 /// Capacity that the buffer of actions keeps after a burst.
@@ -26,7 +26,7 @@
     controller: Option<Controller>,
     pending: VecDeque<PendingEvent>,
     /// Records all events, actions and answers, while a capture runs.
-    capture: Option<Tap>,
+    capture: Option<Recorder>,
     /// Buffer for the actions of a step, reused by the next one.
     actions: Vec<Action>,
 }
@@ -96,8 +96,8 @@
         let controller = self.controller.as_mut()?;
         let mut actions = std::mem::take(&mut self.actions);
         let capture = self.capture.as_mut();
-        if let Some(capture) = capture.filter(|capture| capture.wants_checkpoint(now)) {
-            capture.checkpoint(now, controller, settings, requests.capture_names());
+        if let Some(capture) = capture.filter(|capture| capture.needs_checkpoint(now)) {
+            capture.checkpoint(now, controller, settings, requests.capture_identities());
         }
         controller.step(now, events, &mut actions);
         if let Some(capture) = &mut self.capture {
@@ -113,14 +113,14 @@
     }
 
     /// Starts or ends a capture.
-    pub(crate) fn set_capture(&mut self, capture: Option<Tap>) {
+    pub(crate) fn set_capture(&mut self, capture: Option<Recorder>) {
         self.capture = capture;
     }
 
     /// Records in a capture which request has this number.
     pub(crate) fn capture_request(&mut self, id: RequestId, incoming: &IncomingRequest) {
         if let Some(capture) = &mut self.capture {
-            capture.named(incoming.capture_name(id));
+            capture.identity(incoming.capture_identity(id));
         }
     }
 
@@ -130,7 +130,7 @@
         now: Micros,
         incoming: &IncomingRequest,
         answer: &Answer,
-        by: By,
+        by: AnswerSource,
     ) {
         if let Some(capture) = &mut self.capture {
             let class = incoming.class as u32;
--- a/crates/core/src/core/actions.rs
+++ b/crates/core/src/core/actions.rs
@@ -5,7 +5,7 @@
 use crate::effect::Answer;
 use crate::timers::Timer;
 use pipitlever_admission::{Action, Event, Micros, RequestId};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 
 /// The gauges are queried this long before the controller's timer that uses them.
 const GAUGE_LEAD: Micros = 5_000;
@@ -88,7 +88,7 @@
             retry_after,
             no_retry,
         };
-        self.answer(id, answer, By::Module);
+        self.answer(id, answer, AnswerSource::AdmissionController);
         self.close(id);
     }
 
@@ -98,7 +98,11 @@
         };
         let is_queued = request.is_queued();
         let timed_out = self.now >= request.deadline;
-        self.answer(id, Answer::Failed { timed_out }, By::Module);
+        self.answer(
+            id,
+            Answer::Failed { timed_out },
+            AnswerSource::AdmissionController,
+        );
         if is_queued {
             self.close(id);
         }
--- a/crates/core/src/core/answers.rs
+++ b/crates/core/src/core/answers.rs
@@ -5,11 +5,11 @@
 use crate::request_table::OpenRequest;
 use crate::timers::Timer;
 use pipitlever_admission::RequestId;
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 
 impl Core {
     /// Gives a request its final answer, unless it is answered or abandoned.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, by: By) {
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, by: AnswerSource) {
         let Some(origin) = self.requests.take_origin(id) else {
             return;
         };
--- a/crates/core/src/core/duplicates.rs
+++ b/crates/core/src/core/duplicates.rs
@@ -5,7 +5,7 @@
 use crate::effect::Answer;
 use crate::idempotency_table::CachedOutcome;
 use pipitlever_admission::{Event, Micros, Outcome, RequestId};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 use std::rc::Rc;
 
 impl Core {
@@ -58,7 +58,7 @@
                 (Answer::Unknown { retry_after }, Outcome::Error)
             }
         };
-        self.answer(id, answer, By::Repeat);
+        self.answer(id, answer, AnswerSource::Duplicate);
         self.close(id);
         self.admission.enqueue(Event::Finished {
             id,
@@ -127,7 +127,7 @@
                 outcome: Outcome::Error,
             });
             if let Some(answer) = rejection {
-                self.answer(id, answer.clone(), By::Repeat);
+                self.answer(id, answer.clone(), AnswerSource::Duplicate);
             }
             if let Some(request) = self.close(id).filter(|request| request.origin.is_some()) {
                 self.admission.enqueue_arrival(request);
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -12,7 +12,7 @@
 use crate::request::Reference;
 use crate::run_store::{EndedRun, RunStore, StoreUsage};
 use pipitlever_admission::{Micros, RequestId};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 use pipitlever_idempotency_store::commit_queue::{CommitEvent, RefusalReason, StatusChange};
 use pipitlever_idempotency_store::log::Batch;
 use pipitlever_idempotency_store::record::{Intent, Outcome};
@@ -75,13 +75,15 @@
     pub(super) fn check_store(&self, now: Micros) -> Option<Overload> {
         let store = self.store.as_ref()?;
         let overload = match store.commit_queue.refusal(now)? {
-            RefusalReason::Full => Overload::new(By::StoreFull),
-            RefusalReason::Failing | RefusalReason::Slow => Overload::new(By::Store),
+            RefusalReason::Full => Overload::new(AnswerSource::StoreFull),
+            RefusalReason::Failing | RefusalReason::Slow => {
+                Overload::new(AnswerSource::StoreUnavailable)
+            }
             RefusalReason::Damaged => {
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
                 Overload {
-                    by: By::Store,
+                    by: AnswerSource::StoreUnavailable,
                     retry_after: remaining.clamp(OVERLOAD_RETRY_AFTER, longest),
                 }
             }
@@ -143,7 +145,11 @@
             CommitEvent::IntentDurable(reference) => self.handle_intent_written(reference),
             CommitEvent::IntentAbandoned(reference) => {
                 if let Some(id) = self.requests.id_of(reference) {
-                    self.finish_run(id, FinishedRun::not_started(), By::Store);
+                    self.finish_run(
+                        id,
+                        FinishedRun::not_started(),
+                        AnswerSource::StoreUnavailable,
+                    );
                 }
             }
             CommitEvent::OutcomeDurable(reference) => {
@@ -157,7 +163,7 @@
                     elapsed: ended.elapsed,
                     result: ended.result,
                 };
-                self.finish_run(id, run, By::Run);
+                self.finish_run(id, run, AnswerSource::Run);
             }
         }
     }
@@ -176,7 +182,11 @@
             return self.dispatch_run(id);
         }
         self.void_intent(reference);
-        self.finish_run(id, FinishedRun::not_started(), By::Store);
+        self.finish_run(
+            id,
+            FinishedRun::not_started(),
+            AnswerSource::StoreUnavailable,
+        );
     }
 
     fn void_intent(&mut self, reference: Reference) {
--- a/crates/core/src/core/intake.rs
+++ b/crates/core/src/core/intake.rs
@@ -6,7 +6,7 @@
 use crate::request_table::{OpenRequest, Stage};
 use crate::timers::Timer;
 use pipitlever_admission::{Event, Micros, Request};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 
 /// An answer leaves this long before the caller's deadline, so that it arrives in time.
 const DEADLINE_MARGIN: Micros = 10_000;
@@ -17,20 +17,20 @@
 /// An answer that the node itself gives before the controller has seen the request.
 struct EarlyAnswer {
     answer: Answer,
-    by: By,
+    by: AnswerSource,
 }
 
 /// A limit of the node itself that rejects a request.
 pub(super) struct Overload {
     /// Which limit, for a capture.
-    pub(super) by: By,
+    pub(super) by: AnswerSource,
     /// The delay to advise, in microseconds.
     pub(super) retry_after: Micros,
 }
 
 impl Overload {
     /// A limit with the usual advice.
-    pub(super) fn new(by: By) -> Overload {
+    pub(super) fn new(by: AnswerSource) -> Overload {
         let retry_after = OVERLOAD_RETRY_AFTER;
         Overload { by, retry_after }
     }
@@ -125,7 +125,7 @@
             .is_some_and(|key| self.keys.find_duplicate(key, incoming.arrived_at).is_none());
         if has_new_key {
             if let Some(answer) = self.check_unknown_key(now, incoming.is_retry) {
-                let by = By::Elsewhere;
+                let by = AnswerSource::OtherProcess;
                 return Some(EarlyAnswer { answer, by });
             }
         }
@@ -143,13 +143,13 @@
         has_new_key: bool,
     ) -> Option<Overload> {
         if !self.admission.is_started() {
-            Some(Overload::new(By::NotUp))
+            Some(Overload::new(AnswerSource::ProcessorNotReady))
         } else if self.is_configuration_expired(now) {
-            Some(Overload::new(By::Floor))
+            Some(Overload::new(AnswerSource::StaleSettings))
         } else if self.requests.is_full_for(incoming.bytes()) {
-            Some(Overload::new(By::Full))
+            Some(Overload::new(AnswerSource::MemoryFull))
         } else if has_new_key && self.keys.is_full() {
-            Some(Overload::new(By::KeysFull))
+            Some(Overload::new(AnswerSource::KeysFull))
         } else if has_new_key {
             self.check_store(now)
         } else {
--- a/crates/core/src/core/mod.rs
+++ b/crates/core/src/core/mod.rs
@@ -30,7 +30,7 @@
 use crate::run_store::RunStore;
 use crate::timers::TimerQueue;
 use pipitlever_admission::{Micros, Settings};
-use pipitlever_capture::tap::Tap;
+use pipitlever_capture::recorder::Recorder;
 use std::rc::Rc;
 
 /// Lower limit of the interval between two calls of one request, whatever the settings say.
@@ -105,7 +105,7 @@
     }
 
     /// Starts a capture of all events, actions and answers, or ends it.
-    pub fn set_capture(&mut self, capture: Option<Tap>) {
+    pub fn set_capture(&mut self, capture: Option<Recorder>) {
         self.admission.set_capture(capture);
     }
 
--- a/crates/core/src/core/resend.rs
+++ b/crates/core/src/core/resend.rs
@@ -4,7 +4,7 @@
 use crate::effect::{Answer, RejectedCommand, RunOutcome};
 use crate::request::Reference;
 use pipitlever_admission::{Event, Idempotency, Micros};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 use std::rc::Rc;
 
 impl Core {
@@ -71,7 +71,11 @@
             self.handle_run_finished(now, reference, outcome, elapsed, Rc::from([]));
         } else if !run.is_reply_resent {
             self.advance_to(now);
-            self.answer(id, Answer::Failed { timed_out: false }, By::Rejected);
+            self.answer(
+                id,
+                Answer::Failed { timed_out: false },
+                AnswerSource::ProcessorRejected,
+            );
             self.notify_controller(now, Event::Abandoned(id));
         }
     }
--- a/crates/core/src/core/runs.rs
+++ b/crates/core/src/core/runs.rs
@@ -6,7 +6,7 @@
 use crate::request::Reference;
 use crate::request_table::{Run, Stage};
 use pipitlever_admission::{Event, Idempotency, Micros, Outcome, RequestId};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 use std::rc::Rc;
 
 /// The end of a run.
@@ -134,9 +134,9 @@
             return;
         }
         let by = if outcome == RunOutcome::NotStarted {
-            By::Rejected
+            AnswerSource::ProcessorRejected
         } else {
-            By::Run
+            AnswerSource::Run
         };
         self.finish_run(id, run, by);
         self.process_pending(now);
@@ -144,7 +144,7 @@
 
     /// Answers and closes a request whose run has ended, or will never be started. The event for
     /// the controller is left pending.
-    pub(super) fn finish_run(&mut self, id: RequestId, run: FinishedRun, by: By) {
+    pub(super) fn finish_run(&mut self, id: RequestId, run: FinishedRun, by: AnswerSource) {
         let Some(request) = self.requests.get(id).filter(|r| r.is_running()) else {
             return;
         };
@@ -205,7 +205,7 @@
         };
         let key = request.incoming.idempotency_key.clone();
         let answer = Answer::rejected(self.availability.advised_delay(OVERLOAD_RETRY_AFTER));
-        self.answer(id, answer.clone(), By::Floor);
+        self.answer(id, answer.clone(), AnswerSource::StaleSettings);
         self.close(id);
         self.enqueue_not_started(id);
         if let Some(key) = key {
@@ -216,7 +216,11 @@
     /// Fails a keyed request that owns no entry, or whose entry belongs to an earlier run.
     fn fail_without_key(&mut self, id: RequestId) {
         self.enqueue_not_started(id);
-        self.answer(id, Answer::Failed { timed_out: false }, By::NoKey);
+        self.answer(
+            id,
+            Answer::Failed { timed_out: false },
+            AnswerSource::KeyEntryMissing,
+        );
         self.close(id);
     }
 
--- a/crates/core/src/core/wakeups.rs
+++ b/crates/core/src/core/wakeups.rs
@@ -6,7 +6,7 @@
 use crate::request_table::OpenRequest;
 use crate::timers::Timer;
 use pipitlever_admission::{Event, Micros, RequestId};
-use pipitlever_capture::record::By;
+use pipitlever_capture::record::AnswerSource;
 
 impl Core {
     /// When [`Core::handle_wakeup`] is next due.
@@ -69,7 +69,11 @@
             return;
         }
         let is_queued = self.requests.get(id).is_some_and(OpenRequest::is_queued);
-        self.answer(id, Answer::Failed { timed_out: true }, By::Overdue);
+        self.answer(
+            id,
+            Answer::Failed { timed_out: true },
+            AnswerSource::DeadlineExceeded,
+        );
         if is_queued {
             self.close(id);
         }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{Origin, Reference};
 use pipitlever_admission::Micros;
-use pipitlever_capture::record::Told;
+use pipitlever_capture::record::RecordedAnswer;
 use std::rc::Rc;
 
 /// The final answer of a request.
@@ -40,20 +40,20 @@
     }
 
     /// The answer as a capture records it.
-    pub(crate) fn captured(&self) -> Told {
+    pub(crate) fn captured(&self) -> RecordedAnswer {
         match self {
-            Answer::Served(result) => Told::Served(result.len() as u32),
+            Answer::Served(result) => RecordedAnswer::Served(result.len() as u32),
             Answer::Rejected {
                 retry_after,
                 no_retry,
-            } => Told::Refused {
-                cooldown: *retry_after,
-                nowhere: *no_retry,
+            } => RecordedAnswer::Rejected {
+                retry_after: *retry_after,
+                no_retry: *no_retry,
             },
-            Answer::Failed { timed_out } => Told::Failed {
-                expired: *timed_out,
+            Answer::Failed { timed_out } => RecordedAnswer::Failed {
+                timed_out: *timed_out,
             },
-            Answer::Unknown { .. } => Told::Failed { expired: false },
+            Answer::Unknown { .. } => RecordedAnswer::Failed { timed_out: false },
         }
     }
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::memory_limits::REQUEST_BYTES;
 use pipitlever_admission::{Micros, RequestId};
-use pipitlever_capture::record::{digest, Name};
+use pipitlever_capture::record::{digest, RequestIdentity};
 use std::rc::Rc;
 
 /// Identifies one attempt of a request to the outside: its `ref` on the wire, new with every
@@ -58,13 +58,13 @@
     }
 
     /// The record that identifies the request in a capture.
-    pub(crate) fn capture_name(&self, id: RequestId) -> Name {
-        let key = self.idempotency_key.as_deref().map(digest);
-        Name {
+    pub(crate) fn capture_identity(&self, id: RequestId) -> RequestIdentity {
+        let key_digest = self.idempotency_key.as_deref().map(digest);
+        RequestIdentity {
             id,
             reference: self.reference,
             sender: self.sender,
-            key,
+            key_digest,
         }
     }
 }
--- a/crates/core/src/request_table.rs
+++ b/crates/core/src/request_table.rs
@@ -2,7 +2,7 @@
 
 use crate::request::{IncomingRequest, Origin, Reference};
 use pipitlever_admission::{Micros, Outcome, RequestId};
-use pipitlever_capture::record::Name;
+use pipitlever_capture::record::RequestIdentity;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
@@ -177,10 +177,10 @@
     }
 
     /// The records that identify all requests in a capture.
-    pub(crate) fn capture_names(&self) -> Vec<Name> {
+    pub(crate) fn capture_identities(&self) -> Vec<RequestIdentity> {
         self.requests
             .iter()
-            .map(|(&id, request)| request.incoming.capture_name(id))
+            .map(|(&id, request)| request.incoming.capture_identity(id))
             .collect()
     }
 
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -3,9 +3,9 @@
 use crate::config::operator::Capture;
 use crate::log::log;
 use crate::net::hub::Shared;
-use pipitlever_capture::disk::{start_writer, Disk, WriterThread};
-use pipitlever_capture::keeper::{Keeper, Limits};
-use pipitlever_capture::tap::{queue, About, QUEUE};
+use pipitlever_capture::disk::{start_writer, CaptureDirectory, WriterThread};
+use pipitlever_capture::recorder::{record_queue, RunInfo, DEFAULT_QUEUE_BYTES};
+use pipitlever_capture::writer::{CaptureWriter, Limits};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// How long the end of the process waits for the last records. A disk that hangs costs them, not
@@ -24,7 +24,7 @@
 /// Bytes of the queue, for a process of so much memory: its writer takes as much again while it is
 /// behind.
 fn queue_bytes(memory: usize) -> usize {
-    QUEUE.min(memory / 64)
+    DEFAULT_QUEUE_BYTES.min(memory / 64)
 }
 
 /// What a capture takes of the process's memory at the most, beside one copy of the module's state.
@@ -54,23 +54,24 @@
         let run = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
-        let about = About {
+        let run_info = RunInfo {
             build: env!("CARGO_PKG_VERSION").into(),
             node: self.node.clone(),
             run,
             classes: hub.class_names(),
             seed: self.seed,
-            fresh: hub.core.is_starting(),
+            is_initial: hub.core.is_starting(),
         };
-        let (tap, spool) = queue(about, self.queue);
+        let (recorder, receiver) = record_queue(run_info, self.queue);
         let limits = Limits {
-            segment: wanted.segment,
-            keep: wanted.keep,
+            segment_bytes: wanted.segment,
+            total_bytes: wanted.keep,
         };
-        let keeper = Keeper::new(Disk::new(&wanted.folder), limits, &self.node);
-        match start_writer(keeper, spool, |note| log(&note.to_string())) {
+        let directory = CaptureDirectory::new(&wanted.folder);
+        let writer = CaptureWriter::new(directory, limits, &self.node);
+        match start_writer(writer, receiver, |event| log(&event.to_string())) {
             Ok(thread) => {
-                hub.core.set_capture(Some(tap));
+                hub.core.set_capture(Some(recorder));
                 self.now = Some((wanted, thread));
             }
             Err(error) => log(&format!("capture: stopped: no thread: {error}")),
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -8,9 +8,9 @@
 
 use common::*;
 use pipitlever_admission::{Action, Cause, Event, Mode, Outcome};
-use pipitlever_capture::record::{digest, By, Name, Record, Told};
-use pipitlever_capture::replay::{from_start, Replay};
-use pipitlever_capture::segment::{Reader, Tail};
+use pipitlever_capture::record::{digest, AnswerSource, Record, RecordedAnswer, RequestIdentity};
+use pipitlever_capture::replay::{initial_controller, Replay};
+use pipitlever_capture::segment::{RecordAt, SegmentReader, Tail};
 use serde_json::{json, Value};
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -76,10 +76,10 @@
 /// A capture, played to the same decisions.
 struct Played {
     first: bool,
-    names: Vec<Name>,
+    identities: Vec<RequestIdentity>,
     events: Vec<Event>,
     actions: Vec<Action>,
-    answers: Vec<(u64, Told, By)>,
+    answers: Vec<(u64, RecordedAnswer, AnswerSource)>,
     causes: Vec<Cause>,
     modes: Vec<Mode>,
     tail: Tail,
@@ -88,40 +88,40 @@
 impl Played {
     /// Nothing if there is no whole opening yet.
     fn read(bytes: &[u8]) -> Option<Played> {
-        let mut reader = Reader::open(bytes).unwrap();
+        let mut reader = SegmentReader::open(bytes).unwrap();
         let opening = reader.opening()?.clone();
         let recorded = reader.controller().unwrap();
-        let start = if opening.first {
-            from_start(&opening)
+        let start = if opening.is_initial {
+            initial_controller(&opening)
         } else {
             recorded.clone()
         };
         let mut replay = Replay::new(start, &opening);
         assert!(
-            replay.go_on(&opening, Some(&recorded)),
+            replay.enter_segment(&opening, Some(&recorded)),
             "the start is another one"
         );
         let mut played = Played {
-            first: opening.first,
-            names: opening.names,
+            first: opening.is_initial,
+            identities: opening.identities,
             events: vec![],
             actions: vec![],
             answers: vec![],
             causes: vec![],
             modes: vec![],
-            tail: Tail::Cut(0),
+            tail: Tail::Truncated(0),
         };
-        while let Some((_, record)) = reader.next_record().unwrap() {
+        while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
             let difference = replay.compare(&record).unwrap();
             assert!(difference.is_none(), "{difference:#?}");
             match record {
-                Record::Named(name) => played.names.push(name),
+                Record::Identity(identity) => played.identities.push(identity),
                 Record::Answer {
                     reference,
-                    told,
-                    by,
+                    answer,
+                    source,
                     ..
-                } => played.answers.push((reference, told, by)),
+                } => played.answers.push((reference, answer, source)),
                 Record::Step {
                     events, actions, ..
                 } => {
@@ -141,7 +141,7 @@
     fn refused(&self) -> usize {
         self.answers
             .iter()
-            .filter(|a| matches!(a.1, Told::Refused { .. }))
+            .filter(|a| matches!(a.1, RecordedAnswer::Rejected { .. }))
             .count()
     }
 }
@@ -194,21 +194,24 @@
     leave(node);
     let played = folder.played("one-swap");
     assert!(
-        played.first && matches!(played.tail, Tail::Whole(_)),
+        played.first && matches!(played.tail, Tail::Complete(_)),
         "{:?}",
         played.tail
     );
     let key = Some(digest("a secret key"));
     assert_eq!(
-        played.names,
-        [Name {
+        played.identities,
+        [RequestIdentity {
             id: 1,
             reference,
             sender: Some(4),
-            key
+            key_digest: key
         }]
     );
-    assert_eq!(played.answers, [(reference, Told::Served(15), By::Run)]);
+    assert_eq!(
+        played.answers,
+        [(reference, RecordedAnswer::Served(15), AnswerSource::Run)]
+    );
     let bytes = std::fs::read(&folder.files()[0]).unwrap();
     for secret in ["a secret key", "a secret body", "a secret result"] {
         let found = bytes.windows(secret.len()).any(|w| w == secret.as_bytes());
@@ -248,7 +251,11 @@
     node.signal("-KILL");
     node.wait();
     let played = folder.played("cut-in-mid-drain");
-    assert!(matches!(played.tail, Tail::Cut(_)), "{:?}", played.tail);
+    assert!(
+        matches!(played.tail, Tail::Truncated(_)),
+        "{:?}",
+        played.tail
+    );
     assert!(played.events.iter().any(leaving));
 }
 
@@ -272,7 +279,11 @@
         .iter()
         .filter(|a| matches!(a, Action::ReuseOutcome(_)))
         .count();
-    let repeats = played.answers.iter().filter(|a| a.2 == By::Repeat).count();
+    let repeats = played
+        .answers
+        .iter()
+        .filter(|a| a.2 == AnswerSource::Duplicate)
+        .count();
     assert_eq!((reused, repeats), (3, 3));
 }
 
@@ -316,8 +327,8 @@
     );
     leave(node);
     let played = folder.played("keys-brought-over");
-    let by = |wanted: By| played.answers.iter().filter(|a| a.2 == wanted).count();
-    assert_eq!((by(By::Repeat), by(By::Run)), (2, 1));
+    let by = |wanted: AnswerSource| played.answers.iter().filter(|a| a.2 == wanted).count();
+    assert_eq!((by(AnswerSource::Duplicate), by(AnswerSource::Run)), (2, 1));
     let same = |e: &Event| matches!(e, Event::Arrived(r) if r.duplicate_of.is_some());
     assert_eq!(played.events.iter().filter(|e| same(e)).count(), 2);
 }
@@ -341,8 +352,8 @@
     assert_eq!(gateway.receive()["error"]["code"], -32000);
     leave(node);
     let played = folder.played("link-break");
-    let by: Vec<By> = played.answers.iter().map(|a| a.2).collect();
-    assert_eq!(by, [By::Run, By::Rejected]);
+    let by: Vec<AnswerSource> = played.answers.iter().map(|a| a.2).collect();
+    assert_eq!(by, [AnswerSource::Run, AnswerSource::ProcessorRejected]);
 }
 
 #[test]
@@ -487,7 +498,7 @@
     gateway.receive();
     leave(node);
     let played = folder.played("switched-on-later");
-    assert!(!played.first && matches!(played.tail, Tail::Whole(_)));
+    assert!(!played.first && matches!(played.tail, Tail::Complete(_)));
     assert_eq!(played.answers.len(), 2, "{:?}", played.answers);
 }
 
@@ -514,7 +525,7 @@
     let keep_alive = std::thread::spawn(move || processor.echo_when_asked());
     node.line("capture: writing: ");
     std::fs::remove_dir_all(&folder.0 .0).unwrap();
-    node.line("capture: stopped: the segment was taken away");
+    node.line("capture: stopped: the segment's file was removed");
     node.line("capture: writing: ");
     gateway.send("rota-view", work(9000, None, b"x"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"x"));
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -1,14 +1,14 @@
-//! Any bytes at all as a capture: read to the end or refused, never a panic.
+//! Reads arbitrary bytes as a capture: to the end or to an error, never a panic.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
 use pipitlever_capture::frame;
 use pipitlever_capture::record::decode;
-use pipitlever_capture::segment::Reader;
+use pipitlever_capture::segment::SegmentReader;
 
-/// Reads a segment to its end, as every tool does.
+/// Reads a segment to its end.
 fn read(bytes: &[u8]) {
-    let Ok(mut reader) = Reader::open(bytes) else { return };
+    let Ok(mut reader) = SegmentReader::open(bytes) else { return };
     let _ = reader.controller();
     while let Ok(Some(_)) = reader.next_record() {}
     let _ = reader.tail();
@@ -16,7 +16,7 @@
 
 fuzz_target!(|data: &[u8]| {
     read(data);
-    // Behind checksums that are right, or no input would ever get to what frames hold.
+    // With valid checksums, so that the input reaches the payloads of frames.
     let mut bytes = Vec::new();
     frame::FORMAT.write_header(&mut bytes);
     let (first, rest) = data.split_at(data.len() / 2);
