--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -1,7 +1,7 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
 use crate::config::operator::error::{within, FileError};
-use crate::net::workers::routes::{Label, Named, Sessions, Shared};
+use crate::net::workers::routes::{PoolSettings, SessionSettings, SubsetSettings, WorkerLabel};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use pipitlever_session_affinity::table::MAX_IDLE_SECONDS;
@@ -38,7 +38,7 @@
 }
 
 impl AffinitySection {
-    fn read(self, text: &str) -> Result<Sessions, FileError> {
+    fn read(self, text: &str) -> Result<SessionSettings, FileError> {
         if self.session.get_ref().is_empty() {
             return Err(FileError::at(
                 text,
@@ -46,7 +46,7 @@
                 "session: the variable that names it",
             ));
         }
-        Ok(Sessions {
+        Ok(SessionSettings {
             variable: self.session.into_inner(),
             idle_s: within(
                 text,
@@ -65,7 +65,7 @@
 const SUBSET: usize = 20;
 
 /// Reads pools, in the order of the file; the first place is that of `workers`.
-pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<Named>, FileError> {
+pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, FileError> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
     let mut all = Vec::new();
     for section in sections {
@@ -100,7 +100,7 @@
                 return Err(FileError::at(text, subset.span().start, what));
             }
             (false, None) => None,
-            (true, subset) => Some(Shared {
+            (true, subset) => Some(SubsetSettings {
                 subset: within(text, "subset", subset, SUBSET, [1, 1000])?,
             }),
         };
@@ -117,13 +117,13 @@
                 );
                 return Err(FileError::at(text, at, what));
             }
-            (Some(_), Some(_)) => Some(Shared { subset: usize::MAX }),
+            (Some(_), Some(_)) => Some(SubsetSettings { subset: usize::MAX }),
             (shared, _) => shared,
         };
         let labels = labels(text, &section.member)?;
         let members = members(text, &[], section.member)?;
         let (fallback, was) = (fallback.transpose()?, section.was);
-        all.push(Named {
+        all.push(PoolSettings {
             name,
             fallback,
             members,
@@ -151,8 +151,8 @@
 
 /// What the members of a pool with a name are called, and where they stand. One that has no name
 /// goes by its address.
-fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<Label>, FileError> {
-    let mut all: Vec<Label> = Vec::new();
+fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<WorkerLabel>, FileError> {
+    let mut all: Vec<WorkerLabel> = Vec::new();
     for entry in entries {
         let text_of = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.get_ref().clone());
         let name = text_of(&entry.name).unwrap_or_else(|| entry.address.get_ref().to_string());
@@ -174,7 +174,7 @@
                 format!("the name {name} is given twice"),
             ));
         }
-        all.push(Label {
+        all.push(WorkerLabel {
             name,
             zone: text_of(&entry.zone).unwrap_or_default(),
         });
