--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
 use crate::explain::{explain, Wanted};
-use crate::source::Trouble;
-use crate::{diff, export, stats, verdict};
+use crate::source::ToolError;
+use crate::{diff, export, replay, stats};
 use lexopt::prelude::*;
 use pipitlever_capture::record::digest;
 use std::path::PathBuf;
@@ -110,7 +110,7 @@
             return 0;
         }
         ("replay", [path]) if asked.diff => diff::diff(path.as_ref(), asked.json),
-        ("replay", [path]) => verdict::replay(path.as_ref(), asked.json),
+        ("replay", [path]) => replay::replay(path.as_ref(), asked.json),
         ("explain", [path]) if asked.which => explain(path.as_ref(), &asked.wanted, asked.json),
         ("explain", [_]) => {
             return wrong("explain: which request? --ref, --key, --sender, --refused")
@@ -130,7 +130,7 @@
         Ok(false) => 1,
         Err(trouble) => {
             eprintln!("pipitlever-capture: {trouble}");
-            if matches!(trouble, Trouble::Output(..)) {
+            if matches!(trouble, ToolError::Output(..)) {
                 3
             } else {
                 2
--- /dev/null
+++ b/crates/capture-tools/src/diff/profile.rs
@@ -0,0 +1,140 @@
+//! The durations of recorded runs and their calls.
+
+use crate::cursor::{ReplayedRecord, Visitor};
+use pipitlever_admission::{Action, Event, Micros, Outcome, RequestId};
+use pipitlever_capture::record::Record;
+use std::collections::{BTreeMap, HashMap};
+
+/// The durations of one run: work, a call, work, a call, and so on to the last work.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct RunProfile {
+    /// Work before each call and after the last one, in microseconds.
+    pub work: Vec<Micros>,
+    /// Calls, in microseconds.
+    pub calls: Vec<Micros>,
+    /// How the run ended; `None` while it has not.
+    pub outcome: Option<Outcome>,
+}
+
+/// Identifies a run of a request. Sorts the requests of a class in the order of arrival.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ProfileKey {
+    /// The index of the node's run in the capture.
+    run: usize,
+    class: usize,
+    id: RequestId,
+}
+
+/// A run that has not ended.
+struct OpenRun {
+    class: usize,
+    /// When its current work began.
+    work_since: Micros,
+    profile: RunProfile,
+}
+
+/// The profiles of all runs of a capture.
+#[derive(Default)]
+pub struct RunProfiles {
+    run: usize,
+    profiles: BTreeMap<ProfileKey, RunProfile>,
+    open: HashMap<RequestId, OpenRun>,
+    /// The classes of requests that have not started.
+    classes: HashMap<RequestId, usize>,
+}
+
+impl RunProfiles {
+    /// The profile of a request, or else of the nearest request of its class that arrived before
+    /// it, or else after it. Without any, the run takes no time.
+    pub fn nearest(&self, run: usize, class: usize, id: RequestId) -> RunProfile {
+        let key = |id| ProfileKey { run, class, id };
+        let before = self.profiles.range(key(0)..=key(id)).next_back();
+        let nearest = before.or_else(|| self.profiles.range(key(id)..=key(RequestId::MAX)).next());
+        nearest.map_or_else(
+            || RunProfile {
+                work: vec![0],
+                calls: Vec::new(),
+                outcome: Some(Outcome::Success),
+            },
+            |(_, profile)| profile.clone(),
+        )
+    }
+
+    fn handle_event(&mut self, event: &Event, now: Micros) {
+        match event {
+            Event::Arrived(request) => {
+                self.classes.insert(request.id, request.class);
+            }
+            Event::NeedsCall(id) => {
+                if let Some(open) = self.open.get_mut(id) {
+                    open.profile.work.push(now - open.work_since);
+                }
+            }
+            Event::CallEnded {
+                id,
+                elapsed,
+                outcome: Outcome::Success,
+            } => {
+                if let Some(open) = self.open.get_mut(id) {
+                    open.profile.calls.push(*elapsed);
+                    open.work_since = now;
+                }
+            }
+            Event::Finished { id, outcome, .. } => self.finish(*id, *outcome, now),
+            _ => {}
+        }
+    }
+
+    fn finish(&mut self, id: RequestId, outcome: Outcome, now: Micros) {
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
+        let (class, mut profile) = (open.class, open.profile);
+        // A run that ended during a call has no work after it.
+        if profile.work.len() == profile.calls.len() {
+            profile.work.push(now - open.work_since);
+        }
+        profile.outcome = Some(outcome);
+        if outcome != Outcome::NotStarted {
+            let run = self.run;
+            self.profiles.insert(ProfileKey { run, class, id }, profile);
+        }
+    }
+
+    fn start(&mut self, id: RequestId, now: Micros) {
+        if let Some(class) = self.classes.remove(&id) {
+            let open = OpenRun {
+                class,
+                work_since: now,
+                profile: RunProfile::default(),
+            };
+            self.open.insert(id, open);
+        }
+    }
+}
+
+impl Visitor for RunProfiles {
+    fn record(&mut self, replayed: &ReplayedRecord) {
+        let now = replayed.replay.now();
+        let Record::Step {
+            events, actions, ..
+        } = replayed.record
+        else {
+            return;
+        };
+        for event in events.iter() {
+            self.handle_event(event, now);
+        }
+        for action in actions.iter() {
+            if let Action::Run(id) = action {
+                self.start(*id, now);
+            }
+        }
+    }
+
+    fn run_ended(&mut self) {
+        self.run += 1;
+        self.open.clear();
+        self.classes.clear();
+    }
+}
--- a/crates/capture-tools/src/explain.rs
+++ b/crates/capture-tools/src/explain.rs
@@ -1,9 +1,9 @@
 //! `explain`: the story of a request.
 
-use crate::rows::{Moment, Row, Rows};
-use crate::source::Trouble;
-use crate::walk::{walk, Until};
-use crate::words;
+use crate::cursor::{replay_capture, Extent};
+use crate::rendering;
+use crate::request_records::{RequestRecord, RequestRecords, TimelineEntry};
+use crate::source::ToolError;
 use serde_json::{json, Value};
 use std::path::Path;
 
@@ -25,7 +25,7 @@
 }
 
 impl Wanted {
-    fn fits(&self, row: &Row) -> bool {
+    fn fits(&self, row: &RequestRecord) -> bool {
         let outcome = row.outcome();
         self.reference.is_none_or(|r| row.reference == Some(r))
             && self.key.is_none_or(|k| row.key == Some(k))
@@ -41,73 +41,75 @@
 }
 
 /// The cause of a refusal or failure, in words; nothing of one that was served.
-fn reason(row: &Row) -> Option<String> {
+fn reason(row: &RequestRecord) -> Option<String> {
     let (_, told, by) = row.answered?;
-    if words::told_word(&told) == "served" {
+    if rendering::answer_label(&told) == "served" {
         return None;
     }
     let view = row
-        .story
+        .timeline
         .iter()
         .rev()
         .find_map(|(_, _, moment)| match moment {
-            Moment::Caused(cause, view) => Some(words::cause(cause, view)),
+            TimelineEntry::Caused(cause, view) => Some(rendering::cause(cause, view)),
             _ => None,
         });
     let ended = row
         .ended
-        .map(|(_, _, how)| format!("its run ended {}", words::outcome(how)));
-    match words::by_word(by) {
+        .map(|(_, _, how)| format!("its run ended {}", rendering::outcome(how)));
+    match rendering::answer_source_label(by) {
         "module" => view,
         "run" => ended.or(Some("its run ended".into())),
-        _ => words::answer(&told, by)
+        _ => rendering::answer(&told, by)
             .split_once("; ")
             .map(|(_, who)| who.to_owned()),
     }
 }
 
-fn line(moment: &Moment, classes: &[String]) -> String {
+fn line(moment: &TimelineEntry, classes: &[String]) -> String {
     match moment {
-        Moment::Came(event, view) => {
+        TimelineEntry::Came(event, view) => {
             format!(
                 "{}\n        the node went by: {}",
-                words::event(event, classes),
-                words::view(view)
+                rendering::event(event, classes),
+                rendering::view(view)
             )
         }
-        Moment::Told(event) => words::event(event, classes),
-        Moment::Said(action) => format!("decided: {}", words::action(action)),
-        Moment::Caused(cause, view) => {
+        TimelineEntry::Told(event) => rendering::event(event, classes),
+        TimelineEntry::Said(action) => format!("decided: {}", rendering::action(action)),
+        TimelineEntry::Caused(cause, view) => {
             format!(
                 "because {}\n        the node went by: {}",
-                words::cause(cause, view),
-                words::view(view)
+                rendering::cause(cause, view),
+                rendering::view(view)
             )
         }
-        Moment::Answered(told, by) => format!("answer: {}", words::answer(told, *by)),
-        Moment::Found => {
+        TimelineEntry::Answered(told, by) => format!("answer: {}", rendering::answer(told, *by)),
+        TimelineEntry::Found => {
             "in memory when this part of the capture begins; what was before is not there".into()
         }
     }
 }
 
-fn story(row: &Row, classes: &[String]) -> Value {
+fn story(row: &RequestRecord, classes: &[String]) -> Value {
     let moments: Vec<Value> = row
-        .story
+        .timeline
         .iter()
         .map(|(now, step, moment)| {
             let mut all = json!({"clock_us": now, "step": step, "text": line(moment, classes)});
             match moment {
-                Moment::Came(event, view) => {
+                TimelineEntry::Came(event, view) => {
                     (all["event"], all["view"]) = (json!(event), json!(view))
                 }
-                Moment::Told(event) => all["event"] = json!(event),
-                Moment::Said(action) => all["action"] = json!(action),
-                Moment::Caused(cause, view) => {
+                TimelineEntry::Told(event) => all["event"] = json!(event),
+                TimelineEntry::Said(action) => all["action"] = json!(action),
+                TimelineEntry::Caused(cause, view) => {
                     (all["cause"], all["view"]) = (json!(cause), json!(view))
                 }
-                Moment::Answered(told, by) => (all["answer"], all["by"]) = (json!(told), json!(by)),
-                Moment::Found => {}
+                TimelineEntry::Answered(told, by) => {
+                    (all["answer"], all["by"]) = (json!(told), json!(by))
+                }
+                TimelineEntry::Found => {}
             }
             all
         })
@@ -119,7 +121,7 @@
     })
 }
 
-fn print(row: &Row, classes: &[String]) {
+fn print(row: &RequestRecord, classes: &[String]) {
     let some =
         |name: &str, value: Option<String>| value.map_or(String::new(), |v| format!(" {name}={v}"));
     println!(
@@ -136,23 +138,23 @@
         row.outcome(),
         reason(row).map_or(String::new(), |why| format!(": {why}")),
     );
-    let start = row.story.first().map_or(0, |s| s.0);
-    for (now, step, moment) in &row.story {
+    let start = row.timeline.first().map_or(0, |s| s.0);
+    for (now, step, moment) in &row.timeline {
         let text = line(moment, classes);
         println!(
             "  {} {:+10.1} ms  step {step}: {text}",
-            words::clock(*now),
+            rendering::clock(*now),
             (now - start) as f64 / 1e3
         );
     }
 }
 
 /// Tells the stories of the requests that are asked about. Whether there was any.
-pub fn explain(path: &Path, wanted: &Wanted, as_json: bool) -> Result<bool, Trouble> {
+pub fn explain(path: &Path, wanted: &Wanted, as_json: bool) -> Result<bool, ToolError> {
     let mut found = Vec::new();
     let mut all = 0u64;
     let mut classes: Vec<String> = Vec::new();
-    let mut rows = Rows::new(true, |row: Row| {
+    let mut rows = RequestRecords::new(true, |row: RequestRecord| {
         if wanted.fits(&row) {
             all += 1;
             if found.len() < wanted.most {
@@ -160,7 +162,7 @@
             }
         }
     });
-    let walk = walk(path, Until::End, &mut rows)?;
+    let totals = replay_capture(path, Extent::End, &mut rows)?;
     drop(rows);
     for row in &found {
         if row.class.0 != usize::MAX {
@@ -172,7 +174,7 @@
     }
     // Causes come of a replay: they are those of the node only as long as this build decides as it
     // did.
-    let same = walk.first.is_none();
+    let same = totals.first_divergence.is_none();
     if as_json {
         let stories: Vec<Value> = found.iter().map(|r| story(r, &classes)).collect();
         println!(
--- a/crates/capture-tools/src/export.rs
+++ b/crates/capture-tools/src/export.rs
@@ -1,10 +1,10 @@
-//! `export`: requests and steps as Parquet, for common data tools. `docs/lab.md` has the schema.
+//! `export`: requests and steps as Parquet, for common data tools. `docs/capture-tools.md` has the schema.
 
-use crate::rows::{Row, Rows};
-use crate::source::Trouble;
-use crate::verdict::summary;
-use crate::walk::{walk, Seen, Until, Visitor};
-use crate::words;
+use crate::cursor::{replay_capture, Extent, ReplayedRecord, Visitor};
+use crate::rendering;
+use crate::replay::summary;
+use crate::request_records::{RequestRecord, RequestRecords};
+use crate::source::ToolError;
 use arrow_array::builder::{
     BooleanBuilder, Float64Builder, Int64Builder, StringBuilder, UInt64Builder,
 };
@@ -20,7 +20,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// Rows that are gathered before they are written.
+/// RequestRecords that are gathered before they are written.
 const BATCH: usize = 16 << 10;
 
 /// A value of a row.
@@ -52,8 +52,8 @@
 }
 
 impl Table {
-    fn create(path: &Path, columns: &[(&str, DataType)]) -> Result<Table, Trouble> {
-        let wrong = |e: String| Trouble::Output(path.to_owned(), e);
+    fn create(path: &Path, columns: &[(&str, DataType)]) -> Result<Table, ToolError> {
+        let wrong = |e: String| ToolError::Output(path.to_owned(), e);
         let file = File::create(path).map_err(|e| wrong(e.to_string()))?;
         let fields: Vec<Field> = columns
             .iter()
@@ -133,7 +133,7 @@
         }
     }
 
-    fn close(mut self) -> Result<u64, Trouble> {
+    fn close(mut self) -> Result<u64, ToolError> {
         self.flush();
         let closed = self
             .writer
@@ -141,12 +141,12 @@
             .map_or(Ok(()), |w| w.close().map(|_| ()).map_err(|e| e.to_string()));
         match self.trouble.take().map_or(closed, Err) {
             Ok(()) => Ok(self.total),
-            Err(why) => Err(Trouble::Output(self.path, why)),
+            Err(why) => Err(ToolError::Output(self.path, why)),
         }
     }
 }
 
-fn requests(path: &Path) -> Result<Table, Trouble> {
+fn requests(path: &Path) -> Result<Table, ToolError> {
     use DataType::{Boolean, Float64, Int64, UInt64, Utf8};
     Table::create(
         path,
@@ -187,7 +187,7 @@
     )
 }
 
-fn request(row: &Row) -> Vec<Value> {
+fn request(row: &RequestRecord) -> Vec<Value> {
     use Value::{Flag, Float, Int, Text, Unsigned};
     let text = |word: Option<&str>| Text(word.map(str::to_owned));
     let hex = |v: Option<u64>| Text(v.map(|v| format!("{v:016x}")));
@@ -224,27 +224,27 @@
         Float(row.rank),
         Flag(row.arrived.map(|_| row.retry)),
         Unsigned(row.repeats),
-        text(row.met.map(|m| words::mode(m.0))),
+        text(row.met.map(|m| rendering::mode(m.0))),
         Unsigned(row.met.map(|m| m.1 as u64)),
         Float(row.met.map(|m| m.2)),
         Int(row.started),
         Unsigned(row.arrived.map(|_| u64::from(row.calls))),
         Int(row.ended.map(|e| e.0)),
         Int(row.ended.map(|e| e.1)),
-        text(row.ended.map(|e| words::outcome(e.2))),
+        text(row.ended.map(|e| rendering::outcome(e.2))),
         Int(row.decided.map(|d| d.0)),
-        text(row.decided.map(|d| words::cause_word(&d.1))),
+        text(row.decided.map(|d| rendering::cause_label(&d.1))),
         Int(row.gone),
         Int(row.answered.map(|a| a.0)),
         text(Some(row.outcome())),
-        text(row.answered.map(|a| words::by_word(a.2))),
+        text(row.answered.map(|a| rendering::answer_source_label(a.2))),
         Int(cooldown),
         Flag(nowhere),
         Unsigned(bytes),
     ]
 }
 
-fn steps(path: &Path) -> Result<Table, Trouble> {
+fn steps(path: &Path) -> Result<Table, ToolError> {
     use DataType::{Boolean, Float64, Int64, UInt64, Utf8};
     Table::create(
         path,
@@ -287,35 +287,35 @@
         self.rows.segment(opening, controller, anew);
     }
 
-    fn record(&mut self, seen: &Seen) {
+    fn record(&mut self, replayed: &ReplayedRecord) {
         use Value::{Flag, Float, Int, Text, Unsigned};
-        self.rows.record(seen);
+        self.rows.record(replayed);
         let Record::Step {
             events, actions, ..
-        } = seen.record
+        } = replayed.record
         else {
             return;
         };
-        let view = seen.replay.controller().status();
+        let view = replayed.replay.controller().status();
         let [start, calls] = &view.queues;
         let [abate, onset, discard] = start.thresholds;
         let float = |v: f64| Float(Some(v));
         let count = |v: usize| Unsigned(Some(v as u64));
         self.steps.row(vec![
-            Text(Some(seen.opening.node.clone())),
-            Unsigned(Some(seen.opening.run)),
-            Unsigned(Some(u64::from(seen.opening.segment))),
-            Unsigned(Some(seen.replay.steps())),
-            Int(Some(seen.replay.now())),
+            Text(Some(replayed.opening.node.clone())),
+            Unsigned(Some(replayed.opening.run)),
+            Unsigned(Some(u64::from(replayed.opening.segment))),
+            Unsigned(Some(replayed.replay.steps())),
+            Int(Some(replayed.replay.now())),
             count(events.len()),
             count(actions.len()),
-            Text(Some(words::mode(start.mode).into())),
+            Text(Some(rendering::mode(start.mode).into())),
             float(start.length),
             float(abate),
             float(onset),
             float(discard),
             float(start.priority_cutoff),
-            Text(Some(words::mode(calls.mode).into())),
+            Text(Some(rendering::mode(calls.mode).into())),
             float(calls.length),
             count(view.queued),
             count(view.running),
@@ -343,19 +343,21 @@
 }
 
 /// Writes both tables.
-pub fn export(path: &Path, to: &Path, as_json: bool) -> Result<(), Trouble> {
+pub fn export(path: &Path, to: &Path, as_json: bool) -> Result<(), ToolError> {
     let all = RefCell::new(requests(to)?);
     let mut each = steps(&beside(to))?;
-    let rows = Rows::new(false, |row: Row| all.borrow_mut().row(request(&row)));
+    let rows = RequestRecords::new(false, |row: RequestRecord| {
+        all.borrow_mut().row(request(&row))
+    });
     let mut both = Both {
         rows,
         steps: &mut each,
     };
-    let walk = walk(path, Until::End, &mut both)?;
+    let totals = replay_capture(path, Extent::End, &mut both)?;
     drop(both);
     let (requests, steps) = (all.into_inner().close()?, each.close()?);
     if as_json {
-        let mut said = summary(&walk);
+        let mut said = summary(&totals);
         said["request_rows"] = requests.into();
         said["step_rows"] = steps.into();
         println!("{said}");
@@ -363,6 +365,6 @@
     }
     println!("{}: {requests} requests", to.display());
     println!("{}: {steps} steps", beside(to).display());
-    crate::verdict::print_summary(&walk);
+    crate::replay::print_summary(&totals);
     Ok(())
 }
--- a/crates/capture-tools/src/main.rs
+++ b/crates/capture-tools/src/main.rs
@@ -1,15 +1,16 @@
-//! Tools for operators and maintainers: what a node decided, why, and what this build would decide.
+//! Tools for captures: what a node decided and why, and what this build would decide.
 
 mod command;
+mod cursor;
 mod diff;
 mod explain;
 mod export;
-mod rows;
+mod progress;
+mod rendering;
+mod replay;
+mod request_records;
 mod source;
 mod stats;
-mod verdict;
-mod walk;
-mod words;
 
 fn main() -> std::process::ExitCode {
     std::process::ExitCode::from(command::run())
--- /dev/null
+++ b/crates/capture-tools/src/progress.rs
@@ -0,0 +1,48 @@
+//! A progress bar on the terminal.
+
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::IsTerminal;
+use std::time::{Duration, Instant};
+
+/// A command shows no progress bar if it ends within this time.
+const DELAY: Duration = Duration::from_secs(1);
+
+/// A progress bar, shown on standard error if that is a terminal.
+pub struct Progress {
+    start: Instant,
+    bar: Option<ProgressBar>,
+    total_bytes: u64,
+    is_terminal: bool,
+}
+
+impl Progress {
+    /// The progress through this many bytes.
+    pub fn new(total_bytes: u64) -> Progress {
+        Progress {
+            start: Instant::now(),
+            bar: None,
+            total_bytes,
+            is_terminal: std::io::stderr().is_terminal(),
+        }
+    }
+
+    /// Sets the number of bytes that are done.
+    pub fn set(&mut self, bytes: u64) {
+        if !self.is_terminal || self.start.elapsed() < DELAY {
+            return;
+        }
+        let bar = self.bar.get_or_insert_with(|| {
+            let style = ProgressStyle::with_template("{bar:40} {bytes}/{total_bytes} {eta}");
+            ProgressBar::new(self.total_bytes).with_style(style.expect("a valid template"))
+        });
+        bar.set_position(bytes);
+    }
+}
+
+impl Drop for Progress {
+    fn drop(&mut self) {
+        if let Some(bar) = &self.bar {
+            bar.finish_and_clear();
+        }
+    }
+}
--- a/crates/capture-tools/src/words.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -109,7 +109,7 @@
 }
 
 /// A word for a cause, for tables.
-pub fn cause_word(cause: &Cause) -> &'static str {
+pub fn cause_label(cause: &Cause) -> &'static str {
     match cause {
         Cause::AfterGrace => "after-grace",
         Cause::Shed {
@@ -300,7 +300,7 @@
 }
 
 /// The word for an answer, for tables.
-pub fn told_word(told: &RecordedAnswer) -> &'static str {
+pub fn answer_label(told: &RecordedAnswer) -> &'static str {
     match told {
         RecordedAnswer::Served(_) => "served",
         RecordedAnswer::Rejected { .. } => "refused",
@@ -309,7 +309,7 @@
 }
 
 /// The word for who made an answer, for tables.
-pub fn by_word(by: AnswerSource) -> &'static str {
+pub fn answer_source_label(by: AnswerSource) -> &'static str {
     match by {
         AnswerSource::AdmissionController => "module",
         AnswerSource::Run => "run",
--- a/crates/capture-tools/src/rows.rs
+++ b/crates/capture-tools/src/request_records.rs
@@ -1,16 +1,16 @@
 //! One row a request: what it was, what was decided, how it ended. Explanations, figures and
 //! exports come of it.
 
-use crate::walk::{Seen, Visitor};
+use crate::cursor::{ReplayedRecord, Visitor};
 use pipitlever_admission::{
     Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, RequestId,
 };
 use pipitlever_capture::record::{AnswerSource, Opening, Record, RecordedAnswer, RequestIdentity};
 use std::collections::{BTreeMap, HashMap};
 
-/// Something in the story of a request.
+/// Something in the timeline of a request.
 #[derive(Clone, Debug)]
-pub enum Moment {
+pub enum TimelineEntry {
     /// It came, and this is what the controller went by before it.
     Came(Event, ControllerStatus),
     /// The controller was told of it.
@@ -27,7 +27,7 @@
 
 /// One request.
 #[derive(Clone, Debug, Default)]
-pub struct Row {
+pub struct RequestRecord {
     /// Its node.
     pub node: String,
     /// Its node's start, in Unix milliseconds.
@@ -72,15 +72,15 @@
     pub gone: Option<Micros>,
     /// Its final answer.
     pub answered: Option<(Micros, RecordedAnswer, AnswerSource)>,
-    /// Its story, with clock and step, where one is wanted.
-    pub story: Vec<(Micros, u64, Moment)>,
+    /// Its timeline, with clock and step, where one is wanted.
+    pub timeline: Vec<(Micros, u64, TimelineEntry)>,
 }
 
-impl Row {
+impl RequestRecord {
     /// The word for how it came out.
     pub fn outcome(&self) -> &'static str {
         match &self.answered {
-            Some((_, told, _)) => crate::words::told_word(told),
+            Some((_, told, _)) => crate::rendering::answer_label(told),
             None if self.gone.is_some() => "gone",
             None => "open",
         }
@@ -88,22 +88,22 @@
 }
 
 /// Makes rows as a capture is gone through, and hands on each once it is complete.
-pub struct Rows<F: FnMut(Row)> {
-    /// Whether stories are wanted.
-    stories: bool,
+pub struct RequestRecords<F: FnMut(RequestRecord)> {
+    /// Whether with_timelines are wanted.
+    with_timelines: bool,
     done: F,
-    live: BTreeMap<RequestId, Row>,
+    live: BTreeMap<RequestId, RequestRecord>,
     names: BTreeMap<RequestId, RequestIdentity>,
     by_reference: HashMap<u64, RequestId>,
     /// Requests of the step at hand.
     touched: Vec<RequestId>,
 }
 
-impl<F: FnMut(Row)> Rows<F> {
+impl<F: FnMut(RequestRecord)> RequestRecords<F> {
     /// Nothing yet.
-    pub fn new(stories: bool, done: F) -> Rows<F> {
-        Rows {
-            stories,
+    pub fn new(with_timelines: bool, done: F) -> RequestRecords<F> {
+        RequestRecords {
+            with_timelines,
             done,
             live: BTreeMap::new(),
             names: BTreeMap::new(),
@@ -121,7 +121,7 @@
         self.by_reference.clear();
     }
 
-    fn row(&mut self, opening: &Opening, id: RequestId, class: usize) -> &mut Row {
+    fn row(&mut self, opening: &Opening, id: RequestId, class: usize) -> &mut RequestRecord {
         let name = self.names.remove(&id);
         if let Some(name) = name {
             self.by_reference.insert(name.reference, id);
@@ -130,7 +130,7 @@
             class,
             opening.classes.get(class).cloned().unwrap_or_default(),
         );
-        self.live.entry(id).or_insert_with(|| Row {
+        self.live.entry(id).or_insert_with(|| RequestRecord {
             node: opening.node.clone(),
             run: opening.run,
             id: Some(id),
@@ -138,7 +138,7 @@
             sender: name.and_then(|n| n.sender),
             key: name.and_then(|n| n.key_digest),
             class,
-            ..Row::default()
+            ..RequestRecord::default()
         })
     }
 
@@ -155,31 +155,37 @@
         (self.done)(row);
     }
 
-    fn tell(&mut self, id: RequestId, now: Micros, step: u64, moment: impl FnOnce() -> Moment) {
-        if let Some(row) = self.live.get_mut(&id).filter(|_| self.stories) {
-            row.story.push((now, step, moment()));
+    fn tell(
+        &mut self,
+        id: RequestId,
+        now: Micros,
+        step: u64,
+        moment: impl FnOnce() -> TimelineEntry,
+    ) {
+        if let Some(row) = self.live.get_mut(&id).filter(|_| self.with_timelines) {
+            row.timeline.push((now, step, moment()));
         }
     }
 
-    fn event(&mut self, seen: &Seen, event: &Event, view: &ControllerStatus) {
-        let (now, step) = (seen.replay.now(), seen.replay.steps());
+    fn event(&mut self, replayed: &ReplayedRecord, event: &Event, view: &ControllerStatus) {
+        let (now, step) = (replayed.replay.now(), replayed.replay.steps());
         if let Event::ShutdownNotice(_) = event {
             // It bears on all that is in memory.
             let live: Vec<RequestId> = self.live.keys().copied().collect();
             live.into_iter()
-                .for_each(|id| self.tell(id, now, step, || Moment::Told(event.clone())));
+                .for_each(|id| self.tell(id, now, step, || TimelineEntry::Told(event.clone())));
         }
         let Some(id) = event.request() else { return };
         self.touched.push(id);
         if let Event::Arrived(r) = event {
-            let row = self.row(seen.opening, id, r.class);
+            let row = self.row(replayed.opening, id, r.class);
             row.arrived = Some(now);
             row.queued = Some(r.queue_time);
             (row.patience, row.cost, row.memory_kb) = (r.timeout, r.cost, Some(r.memory_kb));
             (row.rank, row.retry, row.repeats) = (Some(r.priority), r.is_retry, r.duplicate_of);
             let line = &view.queues[0];
             row.met = Some((line.mode, view.queued, line.priority_cutoff));
-            return self.tell(id, now, step, || Moment::Came(event.clone(), *view));
+            return self.tell(id, now, step, || TimelineEntry::Came(event.clone(), *view));
         }
         let Some(row) = self.live.get_mut(&id) else {
             return;
@@ -193,7 +199,7 @@
             Event::Abandoned(_) if row.answered.is_none() => row.gone = Some(now),
             _ => {}
         }
-        self.tell(id, now, step, || Moment::Told(event.clone()));
+        self.tell(id, now, step, || TimelineEntry::Told(event.clone()));
     }
 
     fn action(&mut self, now: Micros, step: u64, action: &Action) {
@@ -207,46 +213,51 @@
             _ => {}
         }
         self.touched.push(id);
-        self.tell(id, now, step, || Moment::Said(action.clone()));
+        self.tell(id, now, step, || TimelineEntry::Said(action.clone()));
     }
 
     fn answer(
         &mut self,
-        seen: &Seen,
+        replayed: &ReplayedRecord,
         reference: u64,
         class: usize,
         told: RecordedAnswer,
         by: AnswerSource,
     ) {
-        let (now, step) = (seen.replay.now(), seen.replay.steps());
+        let (now, step) = (replayed.replay.now(), replayed.replay.steps());
         let Some(&id) = self.by_reference.get(&reference) else {
             // The node's own answer: the controller never heard of it.
-            let name = seen.opening.classes.get(class).cloned().unwrap_or_default();
-            let story = match self.stories {
-                true => vec![(now, step, Moment::Answered(told, by))],
+            let name = replayed
+                .opening
+                .classes
+                .get(class)
+                .cloned()
+                .unwrap_or_default();
+            let timeline = match self.with_timelines {
+                true => vec![(now, step, TimelineEntry::Answered(told, by))],
                 false => Vec::new(),
             };
-            return (self.done)(Row {
-                node: seen.opening.node.clone(),
-                run: seen.opening.run,
+            return (self.done)(RequestRecord {
+                node: replayed.opening.node.clone(),
+                run: replayed.opening.run,
                 reference: Some(reference),
                 class: (class, name),
                 answered: Some((now, told, by)),
-                story,
-                ..Row::default()
+                timeline,
+                ..RequestRecord::default()
             });
         };
         if let Some(row) = self.live.get_mut(&id) {
             row.answered = Some((now, told, by));
         }
-        self.tell(id, now, step, || Moment::Answered(told, by));
-        if !seen.replay.controller().is_tracked(id) {
+        self.tell(id, now, step, || TimelineEntry::Answered(told, by));
+        if !replayed.replay.controller().is_tracked(id) {
             self.close(id);
         }
     }
 }
 
-impl<F: FnMut(Row)> Visitor for Rows<F> {
+impl<F: FnMut(RequestRecord)> Visitor for RequestRecords<F> {
     fn segment(&mut self, opening: &Opening, _: &Controller, anew: bool) {
         if !anew {
             return;
@@ -255,14 +266,14 @@
         self.names = opening.identities.iter().map(|n| (n.id, *n)).collect();
         let found: Vec<RequestId> = self.names.keys().copied().collect();
         for id in found {
-            // Its class stands in no name; what the state has of it shows in its story.
+            // Its class stands in no name; what the state has of it shows in its timeline.
             self.row(opening, id, usize::MAX);
-            self.tell(id, opening.now, opening.steps, || Moment::Found);
+            self.tell(id, opening.now, opening.steps, || TimelineEntry::Found);
         }
     }
 
-    fn record(&mut self, seen: &Seen) {
-        match seen.record {
+    fn record(&mut self, replayed: &ReplayedRecord) {
+        match replayed.record {
             Record::Identity(name) => {
                 // The same try is offered again under a new number: the row of the old one is over.
                 if let Some(&old) = self.by_reference.get(&name.reference) {
@@ -277,27 +288,27 @@
                 source,
                 ..
             } => {
-                self.answer(seen, *reference, *class as usize, *answer, *source);
+                self.answer(replayed, *reference, *class as usize, *answer, *source);
             }
             Record::Step {
                 events, actions, ..
             } => {
-                let (now, step) = (seen.replay.now(), seen.replay.steps());
-                let view = seen
-                    .before
-                    .unwrap_or_else(|| seen.replay.controller().status());
-                events.iter().for_each(|e| self.event(seen, e, &view));
-                for &(id, cause) in seen.replay.controller().causes() {
+                let (now, step) = (replayed.replay.now(), replayed.replay.steps());
+                let view = replayed
+                    .status_before
+                    .unwrap_or_else(|| replayed.replay.controller().status());
+                events.iter().for_each(|e| self.event(replayed, e, &view));
+                for &(id, cause) in replayed.replay.controller().causes() {
                     if let Some(row) = self.live.get_mut(&id) {
                         row.decided.get_or_insert((now, cause));
                     }
-                    self.tell(id, now, step, || Moment::Caused(cause, view));
+                    self.tell(id, now, step, || TimelineEntry::Caused(cause, view));
                 }
                 actions.iter().for_each(|a| self.action(now, step, a));
                 for id in std::mem::take(&mut self.touched) {
-                    let over = |r: &Row| r.answered.is_some() || r.gone.is_some();
+                    let over = |r: &RequestRecord| r.answered.is_some() || r.gone.is_some();
                     if self.live.get(&id).is_some_and(over)
-                        && !seen.replay.controller().is_tracked(id)
+                        && !replayed.replay.controller().is_tracked(id)
                     {
                         self.close(id);
                     }
--- a/crates/capture-tools/src/source.rs
+++ b/crates/capture-tools/src/source.rs
@@ -2,96 +2,133 @@
 
 use pipitlever_capture::directory::FILE_SUFFIX;
 use pipitlever_capture::frame::ReadError;
-use pipitlever_capture::segment::SegmentReader;
+use pipitlever_capture::replay::ReplayError;
+use pipitlever_capture::segment::{RestoreError, SegmentReader};
 use std::collections::BTreeMap;
-use std::fmt;
+use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a capture can't be read.
-#[derive(Debug)]
-pub enum Trouble {
-    /// The file can't be opened or read at all.
-    File(PathBuf, std::io::Error),
-    /// It is damaged, or no capture.
-    Unreadable(PathBuf, ReadError),
-    /// It is whole, but not for this build.
-    State(PathBuf, String),
-    /// There is none.
-    Nothing(PathBuf),
-    /// What was asked for can't be written.
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum ToolError {
+    /// A file or folder can't be opened or read.
+    #[error("{}: {}", .0.display(), .1)]
+    File(PathBuf, #[source] io::Error),
+    /// A file is damaged, or no capture.
+    #[error("{}: {}", .0.display(), .1)]
+    Unreadable(PathBuf, #[source] ReadError),
+    /// This build can't read the controller's state in a segment.
+    #[error("{}: {}", .0.display(), .1)]
+    State(PathBuf, #[source] RestoreError),
+    /// The controller can't take a recorded step.
+    #[error("{}: offset {offset}: damaged: {error}", .path.display())]
+    Step {
+        /// The segment's file.
+        path: PathBuf,
+        /// The offset of the step's frame, in bytes.
+        offset: u64,
+        /// The controller's error.
+        error: ReplayError,
+    },
+    /// A folder has no segments.
+    #[error("{}: no capture there", .0.display())]
+    NoCapture(PathBuf),
+    /// An output file can't be written. Contains the error of the system or of a library.
+    #[error("{}: {}", .0.display(), .1)]
     Output(PathBuf, String),
 }
 
-impl fmt::Display for Trouble {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            Trouble::File(path, error) => write!(f, "{}: {error}", path.display()),
-            Trouble::Unreadable(path, error) => write!(f, "{}: {error}", path.display()),
-            Trouble::State(path, why) => write!(f, "{}: {why}", path.display()),
-            Trouble::Nothing(path) => write!(f, "{}: no capture there", path.display()),
-            Trouble::Output(path, why) => write!(f, "{}: {why}", path.display()),
-        }
-    }
-}
-
-/// One segment's file, and what its opening says.
+/// The file of a segment.
 #[derive(Clone, Debug)]
 pub struct Segment {
-    /// Where it is.
+    /// Its path.
     pub path: PathBuf,
-    /// Its number in the run; 0 if it was cut off before it said.
+    /// Its number in the run; 0 if the file is truncated inside the opening.
     pub number: u32,
-    /// Its bytes.
-    pub size: u64,
+    /// Its size in bytes.
+    pub bytes: u64,
 }
 
-/// The segments of one process, in order.
+/// The segments of one run of a node, in order.
 #[derive(Clone, Debug)]
 pub struct Run {
     /// The segments.
     pub segments: Vec<Segment>,
 }
 
-/// Reads a file whole.
-pub fn bytes(path: &Path) -> Result<Vec<u8>, Trouble> {
-    std::fs::read(path).map_err(|e| Trouble::File(path.to_owned(), e))
+/// Identifies a run of a node. Sorts by the start of the run, in Unix milliseconds.
+#[derive(Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+struct RunKey {
+    start: u64,
+    node: String,
 }
 
-/// All runs at this path, the oldest first.
-pub fn runs(path: &Path) -> Result<Vec<Run>, Trouble> {
-    let error = |e| Trouble::File(path.to_owned(), e);
-    let mut files = Vec::new();
-    if std::fs::metadata(path).map_err(error)?.is_dir() {
-        for entry in std::fs::read_dir(path).map_err(error)? {
-            let file = entry.map_err(error)?.path();
-            if file.to_string_lossy().ends_with(FILE_SUFFIX) {
-                files.push(file);
-            }
-        }
-        files.sort();
-    } else {
-        files.push(path.to_owned());
-    }
+/// Reads a file.
+///
+/// # Errors
+///
+/// If the file can't be read.
+pub fn read_file(path: &Path) -> Result<Vec<u8>, ToolError> {
+    std::fs::read(path).map_err(|error| ToolError::File(path.to_owned(), error))
+}
+
+/// Returns all runs at a path, the oldest first.
+///
+/// # Errors
+///
+/// If the path or a segment can't be read, or a folder has no segments.
+pub fn runs(path: &Path) -> Result<Vec<Run>, ToolError> {
+    let files = segment_files(path).map_err(|error| ToolError::File(path.to_owned(), error))?;
     if files.is_empty() {
-        return Err(Trouble::Nothing(path.to_owned()));
+        return Err(ToolError::NoCapture(path.to_owned()));
     }
-    let mut runs: BTreeMap<(u64, String), Vec<Segment>> = BTreeMap::new();
-    for path in files {
-        let bytes = bytes(&path)?;
-        let reader =
-            SegmentReader::open(&bytes).map_err(|e| Trouble::Unreadable(path.clone(), e))?;
-        // One that was cut off inside its opening has nothing to say but that.
-        let (node, run, number) = reader.opening().map_or((String::new(), 0, 0), |o| {
-            (o.node.clone(), o.run, o.segment)
-        });
-        let size = bytes.len() as u64;
-        runs.entry((run, node))
-            .or_default()
-            .push(Segment { path, number, size });
+    let mut runs: BTreeMap<RunKey, Vec<Segment>> = BTreeMap::new();
+    for file in files {
+        let (run, segment) = read_segment(file)?;
+        runs.entry(run).or_default().push(segment);
     }
-    let run = |mut segments: Vec<Segment>| {
-        segments.sort_by_key(|s| s.number);
+    let sorted = |mut segments: Vec<Segment>| {
+        segments.sort_by_key(|segment| segment.number);
         Run { segments }
     };
-    Ok(runs.into_values().map(run).collect())
+    Ok(runs.into_values().map(sorted).collect())
+}
+
+/// The segments in a folder, in the order of their names; the path itself if it is a file.
+fn segment_files(path: &Path) -> io::Result<Vec<PathBuf>> {
+    if !std::fs::metadata(path)?.is_dir() {
+        return Ok(vec![path.to_owned()]);
+    }
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(path)? {
+        let file = entry?.path();
+        if file.to_string_lossy().ends_with(FILE_SUFFIX) {
+            files.push(file);
+        }
+    }
+    files.sort();
+    Ok(files)
+}
+
+/// Reads the opening of a segment. A file that is truncated inside it belongs to a run of its own.
+fn read_segment(path: PathBuf) -> Result<(RunKey, Segment), ToolError> {
+    let bytes = read_file(&path)?;
+    let reader =
+        SegmentReader::open(&bytes).map_err(|error| ToolError::Unreadable(path.clone(), error))?;
+    let (run, number) = reader.opening().map_or((RunKey::default(), 0), |opening| {
+        let run = RunKey {
+            start: opening.run,
+            node: opening.node.clone(),
+        };
+        (run, opening.segment)
+    });
+    let bytes = bytes.len() as u64;
+    Ok((
+        run,
+        Segment {
+            path,
+            number,
+            bytes,
+        },
+    ))
 }
--- a/crates/capture-tools/src/stats.rs
+++ b/crates/capture-tools/src/stats.rs
@@ -1,10 +1,10 @@
 //! `stats`: outcomes and times by class and second.
 
-use crate::rows::{Row, Rows};
-use crate::source::Trouble;
-use crate::verdict::summary;
-use crate::walk::{walk, Until};
-use crate::words;
+use crate::cursor::{replay_capture, Extent};
+use crate::rendering;
+use crate::replay::summary;
+use crate::request_records::{RequestRecord, RequestRecords};
+use crate::source::ToolError;
 use hdrhistogram::Histogram;
 use pipitlever_admission::Micros;
 use serde_json::{json, Value};
@@ -35,12 +35,14 @@
         }
     }
 
-    fn take(&mut self, row: &Row) {
+    fn take(&mut self, row: &RequestRecord) {
         *self.outcomes.entry(row.outcome()).or_default() += 1;
         if matches!(row.outcome(), "refused" | "failed") {
-            let by = row.answered.map_or("", |a| words::by_word(a.2));
+            let by = row
+                .answered
+                .map_or("", |a| rendering::answer_source_label(a.2));
             let reason = match &row.decided {
-                Some((_, cause)) if by == "module" => words::cause_word(cause),
+                Some((_, cause)) if by == "module" => rendering::cause_label(cause),
                 _ => by,
             };
             *self.reasons.entry(reason).or_default() += 1;
@@ -87,7 +89,7 @@
 }
 
 impl Seconds {
-    fn take(&mut self, class: &str, row: &Row) {
+    fn take(&mut self, class: &str, row: &RequestRecord) {
         let Some(at) = row.arrived.or(row.answered.map(|a| a.0)) else {
             return;
         };
@@ -130,10 +132,10 @@
 }
 
 /// Prints the figures of a capture.
-pub fn stats(path: &Path, as_json: bool) -> Result<(), Trouble> {
+pub fn stats(path: &Path, as_json: bool) -> Result<(), ToolError> {
     let mut classes: BTreeMap<String, Figures> = BTreeMap::new();
     let mut seconds = Seconds::default();
-    let mut rows = Rows::new(false, |row: Row| {
+    let mut rows = RequestRecords::new(false, |row: RequestRecord| {
         let name = if row.class.1.is_empty() {
             "?"
         } else {
@@ -145,7 +147,7 @@
             .take(&row);
         seconds.take(name, &row);
     });
-    let walk = walk(path, Until::End, &mut rows)?;
+    let totals = replay_capture(path, Extent::End, &mut rows)?;
     drop(rows);
     while !seconds.open.is_empty() {
         seconds.pass();
@@ -163,7 +165,7 @@
             .collect();
         println!(
             "{}",
-            json!({"capture": summary(&walk), "classes": all, "seconds": each})
+            json!({"capture": summary(&totals), "classes": all, "seconds": each})
         );
         return Ok(());
     }
@@ -204,6 +206,6 @@
             );
         }
     }
-    crate::verdict::print_summary(&walk);
+    crate::replay::print_summary(&totals);
     Ok(())
 }
