--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::explain::{explain, Wanted};
+use crate::explain::{explain, RequestFilter};
 use crate::source::ToolError;
 use crate::{diff, export, replay, stats};
 use lexopt::prelude::*;
@@ -34,15 +34,15 @@
     json: bool,
     diff: bool,
     parquet: Option<PathBuf>,
-    wanted: Wanted,
+    filter: RequestFilter,
     which: bool,
 }
 
 fn parse(mut parser: lexopt::Parser) -> Result<Asked, lexopt::Error> {
     let mut asked = Asked {
-        wanted: Wanted {
-            most: 20,
-            ..Wanted::default()
+        filter: RequestFilter {
+            limit: 20,
+            ..RequestFilter::default()
         },
         ..Asked::default()
     };
@@ -57,13 +57,13 @@
             Long("json") => asked.json = true,
             Long("diff") => asked.diff = true,
             Long("parquet") => asked.parquet = Some(parser.value()?.into()),
-            Long("ref") => asked.wanted.reference = Some(hex(parser.value()?.string()?)?),
-            Long("key") => asked.wanted.key = Some(digest(&parser.value()?.string()?)),
-            Long("key-digest") => asked.wanted.key = Some(hex(parser.value()?.string()?)?),
-            Long("sender") => asked.wanted.sender = Some(parser.value()?.parse()?),
-            Long("most") => asked.wanted.most = parser.value()?.parse()?,
-            Long("refused") => asked.wanted.refused = true,
-            Long("failed") => asked.wanted.failed = true,
+            Long("ref") => asked.filter.reference = Some(hex(parser.value()?.string()?)?),
+            Long("key") => asked.filter.key_digest = Some(digest(&parser.value()?.string()?)),
+            Long("key-digest") => asked.filter.key_digest = Some(hex(parser.value()?.string()?)?),
+            Long("sender") => asked.filter.sender = Some(parser.value()?.parse()?),
+            Long("most") => asked.filter.limit = parser.value()?.parse()?,
+            Long("refused") => asked.filter.is_rejected = true,
+            Long("failed") => asked.filter.is_failed = true,
             Long("help") | Short('h') => asked.verb = Some("help".into()),
             Long("version") | Short('V') => asked.verb = Some("version".into()),
             Value(word) if asked.verb.is_none() => asked.verb = Some(word.string()?),
@@ -111,7 +111,7 @@
         }
         ("replay", [path]) if asked.diff => diff::diff(path.as_ref(), asked.json),
         ("replay", [path]) => replay::replay(path.as_ref(), asked.json),
-        ("explain", [path]) if asked.which => explain(path.as_ref(), &asked.wanted, asked.json),
+        ("explain", [path]) if asked.which => explain(path.as_ref(), &asked.filter, asked.json),
         ("explain", [_]) => {
             return wrong("explain: which request? --ref, --key, --sender, --refused")
         }
--- a/crates/capture-tools/src/explain.rs
+++ b/crates/capture-tools/src/explain.rs
@@ -1,202 +1,233 @@
-//! `explain`: the story of a request.
+//! `explain`: the timelines of requests.
 
 use crate::cursor::{replay_capture, Extent};
 use crate::rendering;
-use crate::request_records::{RequestRecord, RequestRecords, TimelineEntry};
+use crate::request_records::{RequestRecord, RequestRecords, TimelineEntry, TimelineEvent};
 use crate::source::ToolError;
 use serde_json::{json, Value};
 use std::path::Path;
 
-/// Which requests are asked about: all that fit everything that is named.
+/// Selects requests: those that match all criteria that are set.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
-    /// This `ref`.
+pub struct RequestFilter {
+    /// The `ref`.
     pub reference: Option<u64>,
-    /// A key of this digest.
-    pub key: Option<u64>,
-    /// Of this gateway.
+    /// The digest of the idempotency key.
+    pub key_digest: Option<u64>,
+    /// The gateway.
     pub sender: Option<u64>,
-    /// Refused ones.
-    pub refused: bool,
-    /// Failed ones.
-    pub failed: bool,
-    /// No more than so many.
-    pub most: usize,
+    /// Rejected requests; with `is_failed`, both.
+    pub is_rejected: bool,
+    /// Failed requests.
+    pub is_failed: bool,
+    /// The most requests to print.
+    pub limit: usize,
 }
 
-impl Wanted {
-    fn fits(&self, row: &RequestRecord) -> bool {
-        let outcome = row.outcome();
-        self.reference.is_none_or(|r| row.reference == Some(r))
-            && self.key.is_none_or(|k| row.key == Some(k))
-            && self.sender.is_none_or(|s| row.sender == Some(s))
-            && (!(self.refused || self.failed)
-                || (self.refused && outcome == "refused")
-                || (self.failed && outcome == "failed"))
+impl RequestFilter {
+    fn matches(&self, request: &RequestRecord) -> bool {
+        let matches = |wanted: Option<u64>, value| wanted.is_none() || wanted == value;
+        matches(self.reference, request.reference)
+            && matches(self.key_digest, request.key_digest)
+            && matches(self.sender, request.sender)
+            && self.matches_outcome(request.outcome())
+    }
+
+    fn matches_outcome(&self, outcome: &str) -> bool {
+        let is_any = !self.is_rejected && !self.is_failed;
+        is_any
+            || (self.is_rejected && outcome == "refused")
+            || (self.is_failed && outcome == "failed")
     }
 }
 
 fn hex(value: Option<u64>) -> Option<String> {
-    value.map(|v| format!("{v:016x}"))
+    value.map(|value| format!("{value:016x}"))
 }
 
-/// The cause of a refusal or failure, in words; nothing of one that was served.
-fn reason(row: &RequestRecord) -> Option<String> {
-    let (_, told, by) = row.answered?;
-    if rendering::answer_label(&told) == "served" {
+/// Why a request was rejected or failed, as text; `None` for others.
+fn reason(request: &RequestRecord) -> Option<String> {
+    let answer = request.answer?;
+    if rendering::answer_label(&answer.answer) == "served" {
         return None;
     }
-    let view = row
-        .timeline
-        .iter()
-        .rev()
-        .find_map(|(_, _, moment)| match moment {
-            TimelineEntry::Caused(cause, view) => Some(rendering::cause(cause, view)),
-            _ => None,
-        });
-    let ended = row
-        .ended
-        .map(|(_, _, how)| format!("its run ended {}", rendering::outcome(how)));
-    match rendering::answer_source_label(by) {
-        "module" => view,
-        "run" => ended.or(Some("its run ended".into())),
-        _ => rendering::answer(&told, by)
+    match rendering::answer_source_label(answer.source) {
+        "module" => last_cause(request),
+        "run" => {
+            let end = request.run_end.map_or(String::new(), |end| {
+                format!(" {}", rendering::outcome(end.outcome))
+            });
+            Some(format!("its run ended{end}"))
+        }
+        _ => rendering::answer(&answer.answer, answer.source)
             .split_once("; ")
-            .map(|(_, who)| who.to_owned()),
+            .map(|(_, source)| source.to_owned()),
     }
 }
 
-fn line(moment: &TimelineEntry, classes: &[String]) -> String {
-    match moment {
-        TimelineEntry::Came(event, view) => {
-            format!(
-                "{}\n        the node went by: {}",
-                rendering::event(event, classes),
-                rendering::view(view)
-            )
-        }
-        TimelineEntry::Told(event) => rendering::event(event, classes),
-        TimelineEntry::Said(action) => format!("decided: {}", rendering::action(action)),
-        TimelineEntry::Caused(cause, view) => {
-            format!(
-                "because {}\n        the node went by: {}",
-                rendering::cause(cause, view),
-                rendering::view(view)
-            )
+/// The last cause in the timeline, as text.
+fn last_cause(request: &RequestRecord) -> Option<String> {
+    let mut entries = request.timeline.iter().rev();
+    entries.find_map(|entry| match &entry.event {
+        TimelineEvent::Cause(cause, status) => Some(rendering::cause(cause, status)),
+        _ => None,
+    })
+}
+
+fn render(event: &TimelineEvent, classes: &[String]) -> String {
+    match event {
+        TimelineEvent::Arrived(event, status) => format!(
+            "{}\n        the node went by: {}",
+            rendering::event(event, classes),
+            rendering::view(status)
+        ),
+        TimelineEvent::Event(event) => rendering::event(event, classes),
+        TimelineEvent::Action(action) => format!("decided: {}", rendering::action(action)),
+        TimelineEvent::Cause(cause, status) => format!(
+            "because {}\n        the node went by: {}",
+            rendering::cause(cause, status),
+            rendering::view(status)
+        ),
+        TimelineEvent::Answer(answer, source) => {
+            format!("answer: {}", rendering::answer(answer, *source))
         }
-        TimelineEntry::Answered(told, by) => format!("answer: {}", rendering::answer(told, *by)),
-        TimelineEntry::Found => {
+        TimelineEvent::InMemory => {
             "in memory when this part of the capture begins; what was before is not there".into()
         }
     }
 }
 
-fn story(row: &RequestRecord, classes: &[String]) -> Value {
-    let moments: Vec<Value> = row
+fn entry_json(entry: &TimelineEntry, classes: &[String]) -> Value {
+    let text = render(&entry.event, classes);
+    let mut output = json!({"clock_us": entry.now, "step": entry.step, "text": text});
+    match &entry.event {
+        TimelineEvent::Arrived(event, status) => {
+            output["event"] = json!(event);
+            output["view"] = json!(status);
+        }
+        TimelineEvent::Event(event) => output["event"] = json!(event),
+        TimelineEvent::Action(action) => output["action"] = json!(action),
+        TimelineEvent::Cause(cause, status) => {
+            output["cause"] = json!(cause);
+            output["view"] = json!(status);
+        }
+        TimelineEvent::Answer(answer, source) => {
+            output["answer"] = json!(answer);
+            output["by"] = json!(source);
+        }
+        TimelineEvent::InMemory => {}
+    }
+    output
+}
+
+fn request_json(request: &RequestRecord, classes: &[String]) -> Value {
+    let timeline: Vec<Value> = request
         .timeline
         .iter()
-        .map(|(now, step, moment)| {
-            let mut all = json!({"clock_us": now, "step": step, "text": line(moment, classes)});
-            match moment {
-                TimelineEntry::Came(event, view) => {
-                    (all["event"], all["view"]) = (json!(event), json!(view))
-                }
-                TimelineEntry::Told(event) => all["event"] = json!(event),
-                TimelineEntry::Said(action) => all["action"] = json!(action),
-                TimelineEntry::Caused(cause, view) => {
-                    (all["cause"], all["view"]) = (json!(cause), json!(view))
-                }
-                TimelineEntry::Answered(told, by) => {
-                    (all["answer"], all["by"]) = (json!(told), json!(by))
-                }
-                TimelineEntry::Found => {}
-            }
-            all
-        })
+        .map(|entry| entry_json(entry, classes))
         .collect();
     json!({
-        "node": row.node, "run": row.run, "id": row.id, "ref": hex(row.reference), "sender": row.sender,
-        "key_digest": hex(row.key), "class": row.class.1, "outcome": row.outcome(), "reason": reason(row),
-        "story": moments,
+        "node": request.node,
+        "run": request.run,
+        "id": request.id,
+        "ref": hex(request.reference),
+        "sender": request.sender,
+        "key_digest": hex(request.key_digest),
+        "class": request.class.name,
+        "outcome": request.outcome(),
+        "reason": reason(request),
+        "story": timeline,
     })
 }
 
-fn print(row: &RequestRecord, classes: &[String]) {
-    let some =
-        |name: &str, value: Option<String>| value.map_or(String::new(), |v| format!(" {name}={v}"));
+fn print_request(request: &RequestRecord, classes: &[String]) {
+    let field = |name: &str, value: Option<String>| {
+        value.map_or(String::new(), |value| format!(" {name}={value}"))
+    };
+    let class = match request.class.name.as_str() {
+        "" => "request",
+        class => class,
+    };
     println!(
-        "{} on {}{}{}{}: {}{}",
-        if row.class.1.is_empty() {
-            "request"
-        } else {
-            &row.class.1
-        },
-        row.node,
-        some("ref", hex(row.reference)),
-        some("sender", row.sender.map(|s| s.to_string())),
-        some("key-digest", hex(row.key)),
-        row.outcome(),
-        reason(row).map_or(String::new(), |why| format!(": {why}")),
+        "{class} on {}{}{}{}: {}{}",
+        request.node,
+        field("ref", hex(request.reference)),
+        field("sender", request.sender.map(|sender| sender.to_string())),
+        field("key-digest", hex(request.key_digest)),
+        request.outcome(),
+        reason(request).map_or(String::new(), |reason| format!(": {reason}")),
     );
-    let start = row.timeline.first().map_or(0, |s| s.0);
-    for (now, step, moment) in &row.timeline {
-        let text = line(moment, classes);
+    let start = request.timeline.first().map_or(0, |entry| entry.now);
+    for entry in &request.timeline {
         println!(
-            "  {} {:+10.1} ms  step {step}: {text}",
-            rendering::clock(*now),
-            (now - start) as f64 / 1e3
+            "  {} {:+10.1} ms  step {}: {}",
+            rendering::clock(entry.now),
+            (entry.now - start) as f64 / 1e3,
+            entry.step,
+            render(&entry.event, classes)
         );
     }
 }
 
-/// Tells the stories of the requests that are asked about. Whether there was any.
-pub fn explain(path: &Path, wanted: &Wanted, as_json: bool) -> Result<bool, ToolError> {
-    let mut found = Vec::new();
-    let mut all = 0u64;
-    let mut classes: Vec<String> = Vec::new();
-    let mut rows = RequestRecords::new(true, |row: RequestRecord| {
-        if wanted.fits(&row) {
-            all += 1;
-            if found.len() < wanted.most {
-                found.push(row);
-            }
+/// The names of the classes of these requests, by index.
+fn class_names(requests: &[RequestRecord]) -> Vec<String> {
+    let mut names: Vec<String> = Vec::new();
+    for request in requests {
+        let Some(index) = request.class.index else {
+            continue;
+        };
+        if names.len() <= index {
+            names.resize(index + 1, String::new());
         }
-    });
-    let totals = replay_capture(path, Extent::End, &mut rows)?;
-    drop(rows);
-    for row in &found {
-        if row.class.0 != usize::MAX {
-            if classes.len() <= row.class.0 {
-                classes.resize(row.class.0 + 1, String::new());
+        names[index].clone_from(&request.class.name);
+    }
+    names
+}
+
+/// Prints the timelines of the requests that match the filter. Returns whether there are any.
+///
+/// # Errors
+///
+/// If the capture can't be read.
+pub fn explain(path: &Path, filter: &RequestFilter, as_json: bool) -> Result<bool, ToolError> {
+    let mut requests = Vec::new();
+    let mut found = 0u64;
+    let mut records = RequestRecords::new(true, |request: RequestRecord| {
+        if filter.matches(&request) {
+            found += 1;
+            if requests.len() < filter.limit {
+                requests.push(request);
             }
-            classes[row.class.0].clone_from(&row.class.1);
         }
-    }
-    // Causes come of a replay: they are those of the node only as long as this build decides as it
-    // did.
-    let same = totals.first_divergence.is_none();
+    });
+    let totals = replay_capture(path, Extent::End, &mut records)?;
+    drop(records);
+    let classes = class_names(&requests);
+    // The causes come from the replay: they are the node's only if this build decides as recorded.
+    let is_identical = totals.first_divergence.is_none();
     if as_json {
-        let stories: Vec<Value> = found.iter().map(|r| story(r, &classes)).collect();
-        println!(
-            "{}",
-            json!({"found": all, "identical": same, "requests": stories})
-        );
-        return Ok(all > 0);
+        let requests: Vec<Value> = requests
+            .iter()
+            .map(|request| request_json(request, &classes))
+            .collect();
+        let output = json!({"found": found, "identical": is_identical, "requests": requests});
+        println!("{output}");
+        return Ok(found > 0);
     }
-    if !same {
+    if !is_identical {
         println!(
             "this build decides otherwise than the capture says; causes may not be the node's: see replay"
         );
     }
-    found.iter().for_each(|row| print(row, &classes));
-    if all > found.len() as u64 {
-        println!(
-            "{} more; --most N tells more of them",
-            all - found.len() as u64
-        );
+    for request in &requests {
+        print_request(request, &classes);
+    }
+    let omitted = found - requests.len() as u64;
+    if omitted > 0 {
+        println!("{omitted} more; --most N tells more of them");
     }
-    if all == 0 {
+    if found == 0 {
         println!("no such request");
     }
-    Ok(all > 0)
+    Ok(found > 0)
 }
--- a/crates/capture-tools/src/export.rs
+++ b/crates/capture-tools/src/export.rs
@@ -187,60 +187,72 @@
     )
 }
 
-fn request(row: &RequestRecord) -> Vec<Value> {
+fn request(request: &RequestRecord) -> Vec<Value> {
     use Value::{Flag, Float, Int, Text, Unsigned};
     let text = |word: Option<&str>| Text(word.map(str::to_owned));
     let hex = |v: Option<u64>| Text(v.map(|v| format!("{v:016x}")));
-    let told = row.answered.map(|a| a.1);
-    let (cooldown, nowhere) = match told {
+    let answer = request.answer.map(|answer| answer.answer);
+    let (retry_after, no_retry) = match answer {
         Some(RecordedAnswer::Rejected {
-            retry_after: cooldown,
-            no_retry: nowhere,
-        }) => (Some(cooldown), Some(nowhere)),
+            retry_after,
+            no_retry,
+        }) => (Some(retry_after), Some(no_retry)),
         _ => (None, None),
     };
-    let bytes = if let Some(RecordedAnswer::Served(bytes)) = told {
+    let result_bytes = if let Some(RecordedAnswer::Served(bytes)) = answer {
         Some(u64::from(bytes))
     } else {
         None
     };
     vec![
-        text(Some(&row.node)),
-        Unsigned(Some(row.run)),
-        Unsigned(row.id),
-        hex(row.reference),
-        Unsigned(row.sender),
-        hex(row.key),
+        text(Some(&request.node)),
+        Unsigned(Some(request.run)),
+        Unsigned(request.id),
+        hex(request.reference),
+        Unsigned(request.sender),
+        hex(request.key_digest),
         text(
-            Some(&row.class.1)
+            Some(&request.class.name)
                 .filter(|c| !c.is_empty())
                 .map(String::as_str),
         ),
-        Int(row.arrived),
-        Int(row.queued),
-        Int(row.patience),
-        Float(row.cost),
-        Float(row.memory_kb),
-        Float(row.rank),
-        Flag(row.arrived.map(|_| row.retry)),
-        Unsigned(row.repeats),
-        text(row.met.map(|m| rendering::mode(m.0))),
-        Unsigned(row.met.map(|m| m.1 as u64)),
-        Float(row.met.map(|m| m.2)),
-        Int(row.started),
-        Unsigned(row.arrived.map(|_| u64::from(row.calls))),
-        Int(row.ended.map(|e| e.0)),
-        Int(row.ended.map(|e| e.1)),
-        text(row.ended.map(|e| rendering::outcome(e.2))),
-        Int(row.decided.map(|d| d.0)),
-        text(row.decided.map(|d| rendering::cause_label(&d.1))),
-        Int(row.gone),
-        Int(row.answered.map(|a| a.0)),
-        text(Some(row.outcome())),
-        text(row.answered.map(|a| rendering::answer_source_label(a.2))),
-        Int(cooldown),
-        Flag(nowhere),
-        Unsigned(bytes),
+        Int(request.arrived),
+        Int(request.queue_time),
+        Int(request.timeout),
+        Float(request.cost),
+        Float(request.memory_kb),
+        Float(request.priority),
+        Flag(request.arrived.map(|_| request.is_retry)),
+        Unsigned(request.duplicate_of),
+        text(
+            request
+                .queue_at_arrival
+                .map(|queue| rendering::mode(queue.mode)),
+        ),
+        Unsigned(request.queue_at_arrival.map(|queue| queue.queued as u64)),
+        Float(request.queue_at_arrival.map(|queue| queue.priority_cutoff)),
+        Int(request.started),
+        Unsigned(request.arrived.map(|_| u64::from(request.calls))),
+        Int(request.run_end.map(|end| end.at)),
+        Int(request.run_end.map(|end| end.elapsed)),
+        text(request.run_end.map(|end| rendering::outcome(end.outcome))),
+        Int(request.decision.map(|decision| decision.at)),
+        text(
+            request
+                .decision
+                .map(|decision| rendering::cause_label(&decision.cause)),
+        ),
+        Int(request.abandoned),
+        Int(request.answer.map(|answer| answer.at)),
+        text(Some(request.outcome())),
+        text(
+            request
+                .answer
+                .map(|answer| rendering::answer_source_label(answer.source)),
+        ),
+        Int(retry_after),
+        Flag(no_retry),
+        Unsigned(result_bytes),
     ]
 }
 
--- a/crates/capture-tools/src/request_records.rs
+++ b/crates/capture-tools/src/request_records.rs
@@ -1,285 +1,437 @@
-//! One row a request: what it was, what was decided, how it ended. Explanations, figures and
-//! exports come of it.
+//! One record for each request of a capture: what arrived, what was decided, and how it ended.
 
 use crate::cursor::{ReplayedRecord, Visitor};
+use crate::rendering;
 use pipitlever_admission::{
-    Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, RequestId,
+    Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, Request, RequestId,
 };
 use pipitlever_capture::record::{AnswerSource, Opening, Record, RecordedAnswer, RequestIdentity};
 use std::collections::{BTreeMap, HashMap};
 
-/// Something in the timeline of a request.
+/// Something that happened to a request.
 #[derive(Clone, Debug)]
-pub enum TimelineEntry {
-    /// It came, and this is what the controller went by before it.
-    Came(Event, ControllerStatus),
-    /// The controller was told of it.
-    Told(Event),
-    /// The controller said of it.
-    Said(Action),
-    /// Why it was turned away or failed, and what the controller went by before.
-    Caused(Cause, ControllerStatus),
-    /// Its final answer went out.
-    Answered(RecordedAnswer, AnswerSource),
-    /// It was in memory when the capture, or what is there of it, began.
-    Found,
+pub enum TimelineEvent {
+    /// It arrived. Contains the controller's status before.
+    Arrived(Event, ControllerStatus),
+    /// An event reached the controller.
+    Event(Event),
+    /// The controller decided on an action.
+    Action(Action),
+    /// Why the controller rejected or failed it. Contains the controller's status before.
+    Cause(Cause, ControllerStatus),
+    /// Its final answer was sent.
+    Answer(RecordedAnswer, AnswerSource),
+    /// It was in memory when the capture, or a part of it after a gap, began.
+    InMemory,
 }
 
-/// One request.
+/// An event in the timeline of a request.
+#[derive(Clone, Debug)]
+pub struct TimelineEntry {
+    /// The clock, in Unix microseconds.
+    pub now: Micros,
+    /// The number of the last step of the run.
+    pub step: u64,
+    /// The event.
+    pub event: TimelineEvent,
+}
+
+/// The class of a request.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestClass {
+    /// Its index; `None` for a request that arrived before the capture.
+    pub index: Option<usize>,
+    /// Its name; empty if it is unknown.
+    pub name: String,
+}
+
+/// The state of the queue of requests to start when a request arrived.
+#[derive(Clone, Copy, Debug)]
+pub struct QueueAtArrival {
+    /// The mode of the queue.
+    pub mode: Mode,
+    /// The number of queued requests.
+    pub queued: usize,
+    /// The lowest priority that was admitted.
+    pub priority_cutoff: f64,
+}
+
+/// The end of a run.
+#[derive(Clone, Copy, Debug)]
+pub struct RunEnd {
+    /// When it ended, in Unix microseconds.
+    pub at: Micros,
+    /// Its duration, in microseconds.
+    pub elapsed: Micros,
+    /// How it ended.
+    pub outcome: Outcome,
+}
+
+/// A rejection or failure by the controller.
+#[derive(Clone, Copy, Debug)]
+pub struct ControllerDecision {
+    /// When it was decided, in Unix microseconds.
+    pub at: Micros,
+    /// Why.
+    pub cause: Cause,
+}
+
+/// A final answer.
+#[derive(Clone, Copy, Debug)]
+pub struct FinalAnswer {
+    /// When it was sent, in Unix microseconds.
+    pub at: Micros,
+    /// The answer.
+    pub answer: RecordedAnswer,
+    /// What decided it.
+    pub source: AnswerSource,
+}
+
+/// One request. Times are in Unix microseconds, durations in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRecord {
     /// Its node.
     pub node: String,
-    /// Its node's start, in Unix milliseconds.
+    /// The start of its run, in Unix milliseconds.
     pub run: u64,
-    /// Its number with the controller, if it was told of it.
+    /// The controller's identifier; `None` if the request never reached the controller.
     pub id: Option<RequestId>,
-    /// Its outside name.
+    /// Its `ref`.
     pub reference: Option<u64>,
     /// Its gateway.
     pub sender: Option<u64>,
-    /// Its key's digest.
-    pub key: Option<u64>,
-    /// Its class, by position and name.
-    pub class: (usize, String),
-    /// When the controller was told of it; nothing if that was before the capture.
+    /// The digest of its idempotency key.
+    pub key_digest: Option<u64>,
+    /// Its class.
+    pub class: RequestClass,
+    /// When it reached the controller; `None` if that was before the capture.
     pub arrived: Option<Micros>,
-    /// How long it had stood unread.
-    pub queued: Option<Micros>,
-    /// How long its caller still waited.
-    pub patience: Option<Micros>,
+    /// How long it was unread before.
+    pub queue_time: Option<Micros>,
+    /// How long its client still waits.
+    pub timeout: Option<Micros>,
     /// The cost hint, in microseconds.
     pub cost: Option<f64>,
-    /// The memory that it takes while held, in KB.
+    /// The memory that it uses, in KB.
     pub memory_kb: Option<f64>,
-    /// Its rank.
-    pub rank: Option<f64>,
-    /// A further try.
-    pub retry: bool,
-    /// The try that it repeats.
-    pub repeats: Option<RequestId>,
-    /// Mode, held requests and cut of the line to start when it came.
-    pub met: Option<(Mode, usize, f64)>,
-    /// When it was started.
+    /// Its priority.
+    pub priority: Option<f64>,
+    /// It is a retry.
+    pub is_retry: bool,
+    /// The original request, if it is a duplicate.
+    pub duplicate_of: Option<RequestId>,
+    /// The queue when it arrived.
+    pub queue_at_arrival: Option<QueueAtArrival>,
+    /// When it started.
     pub started: Option<Micros>,
-    /// Calls placed for it.
+    /// The number of calls placed for it.
     pub calls: u32,
-    /// When its run ended, how long that took, and how it ended.
-    pub ended: Option<(Micros, Micros, Outcome)>,
-    /// When the module turned it away or failed it, and why.
-    pub decided: Option<(Micros, Cause)>,
-    /// When its caller was known to be gone.
-    pub gone: Option<Micros>,
+    /// The end of its run.
+    pub run_end: Option<RunEnd>,
+    /// The controller's rejection or failure.
+    pub decision: Option<ControllerDecision>,
+    /// When its client was known to have abandoned it.
+    pub abandoned: Option<Micros>,
     /// Its final answer.
-    pub answered: Option<(Micros, RecordedAnswer, AnswerSource)>,
-    /// Its timeline, with clock and step, where one is wanted.
-    pub timeline: Vec<(Micros, u64, TimelineEntry)>,
+    pub answer: Option<FinalAnswer>,
+    /// What happened to it, if timelines are collected.
+    pub timeline: Vec<TimelineEntry>,
 }
 
 impl RequestRecord {
-    /// The word for how it came out.
+    /// The word for how the request ended in outputs: `served`, `refused`, `failed`, `gone` (its
+    /// client abandoned it) or `open`.
     pub fn outcome(&self) -> &'static str {
-        match &self.answered {
-            Some((_, told, _)) => crate::rendering::answer_label(told),
-            None if self.gone.is_some() => "gone",
+        match &self.answer {
+            Some(answer) => rendering::answer_label(&answer.answer),
+            None if self.abandoned.is_some() => "gone",
             None => "open",
         }
     }
+
+    fn set_arrival(&mut self, request: &Request, now: Micros, status: &ControllerStatus) {
+        self.arrived = Some(now);
+        self.queue_time = Some(request.queue_time);
+        self.timeout = request.timeout;
+        self.cost = request.cost;
+        self.memory_kb = Some(request.memory_kb);
+        self.priority = Some(request.priority);
+        self.is_retry = request.is_retry;
+        self.duplicate_of = request.duplicate_of;
+        let queue = &status.queues[0];
+        self.queue_at_arrival = Some(QueueAtArrival {
+            mode: queue.mode,
+            queued: status.queued,
+            priority_cutoff: queue.priority_cutoff,
+        });
+    }
 }
 
-/// Makes rows as a capture is gone through, and hands on each once it is complete.
+/// Collects request records during a replay, and passes on each once it is complete.
 pub struct RequestRecords<F: FnMut(RequestRecord)> {
-    /// Whether with_timelines are wanted.
     with_timelines: bool,
-    done: F,
-    live: BTreeMap<RequestId, RequestRecord>,
-    names: BTreeMap<RequestId, RequestIdentity>,
+    on_complete: F,
+    open: BTreeMap<RequestId, RequestRecord>,
+    /// Identities of requests that have not arrived yet.
+    identities: BTreeMap<RequestId, RequestIdentity>,
     by_reference: HashMap<u64, RequestId>,
-    /// Requests of the step at hand.
+    /// The requests that the current step concerns.
     touched: Vec<RequestId>,
 }
 
 impl<F: FnMut(RequestRecord)> RequestRecords<F> {
-    /// Nothing yet.
-    pub fn new(with_timelines: bool, done: F) -> RequestRecords<F> {
+    /// Creates a collector.
+    pub fn new(with_timelines: bool, on_complete: F) -> RequestRecords<F> {
         RequestRecords {
             with_timelines,
-            done,
-            live: BTreeMap::new(),
-            names: BTreeMap::new(),
+            on_complete,
+            open: BTreeMap::new(),
+            identities: BTreeMap::new(),
             by_reference: HashMap::new(),
             touched: Vec::new(),
         }
     }
 
-    /// The last rows, as far as they came.
+    /// Passes on all open records as they are.
     fn flush(&mut self) {
-        for (_, row) in std::mem::take(&mut self.live) {
-            (self.done)(row);
+        for (_, request) in std::mem::take(&mut self.open) {
+            (self.on_complete)(request);
         }
-        self.names.clear();
+        self.identities.clear();
         self.by_reference.clear();
     }
 
-    fn row(&mut self, opening: &Opening, id: RequestId, class: usize) -> &mut RequestRecord {
-        let name = self.names.remove(&id);
-        if let Some(name) = name {
-            self.by_reference.insert(name.reference, id);
+    /// The record of a request, created if there is none.
+    fn record_of(
+        &mut self,
+        opening: &Opening,
+        id: RequestId,
+        class: Option<usize>,
+    ) -> &mut RequestRecord {
+        let identity = self.identities.remove(&id);
+        if let Some(identity) = identity {
+            self.by_reference.insert(identity.reference, id);
         }
-        let class = (
-            class,
-            opening.classes.get(class).cloned().unwrap_or_default(),
-        );
-        self.live.entry(id).or_insert_with(|| RequestRecord {
+        self.open.entry(id).or_insert_with(|| RequestRecord {
             node: opening.node.clone(),
             run: opening.run,
             id: Some(id),
-            reference: name.map(|n| n.reference),
-            sender: name.and_then(|n| n.sender),
-            key: name.and_then(|n| n.key_digest),
-            class,
+            reference: identity.map(|identity| identity.reference),
+            sender: identity.and_then(|identity| identity.sender),
+            key_digest: identity.and_then(|identity| identity.key_digest),
+            class: request_class(opening, class),
             ..RequestRecord::default()
         })
     }
 
+    /// Passes on a record that is complete.
     fn close(&mut self, id: RequestId) {
-        let Some(row) = self.live.remove(&id) else {
+        let Some(request) = self.open.remove(&id) else {
             return;
         };
-        if let Some(reference) = row
-            .reference
-            .filter(|r| self.by_reference.get(r) == Some(&id))
-        {
-            self.by_reference.remove(&reference);
+        if let Some(reference) = request.reference {
+            if self.by_reference.get(&reference) == Some(&id) {
+                self.by_reference.remove(&reference);
+            }
         }
-        (self.done)(row);
+        (self.on_complete)(request);
     }
 
-    fn tell(
+    fn add_to_timeline(
         &mut self,
         id: RequestId,
-        now: Micros,
-        step: u64,
-        moment: impl FnOnce() -> TimelineEntry,
+        replayed: &ReplayedRecord,
+        event: impl FnOnce() -> TimelineEvent,
     ) {
-        if let Some(row) = self.live.get_mut(&id).filter(|_| self.with_timelines) {
-            row.timeline.push((now, step, moment()));
+        if let Some(request) = self.open.get_mut(&id).filter(|_| self.with_timelines) {
+            request.timeline.push(TimelineEntry {
+                now: replayed.replay.now(),
+                step: replayed.replay.steps(),
+                event: event(),
+            });
         }
     }
 
-    fn event(&mut self, replayed: &ReplayedRecord, event: &Event, view: &ControllerStatus) {
-        let (now, step) = (replayed.replay.now(), replayed.replay.steps());
+    fn handle_event(
+        &mut self,
+        replayed: &ReplayedRecord,
+        event: &Event,
+        status: &ControllerStatus,
+    ) {
         if let Event::ShutdownNotice(_) = event {
-            // It bears on all that is in memory.
-            let live: Vec<RequestId> = self.live.keys().copied().collect();
-            live.into_iter()
-                .for_each(|id| self.tell(id, now, step, || TimelineEntry::Told(event.clone())));
+            // The notice concerns all requests in memory.
+            let open: Vec<RequestId> = self.open.keys().copied().collect();
+            for id in open {
+                self.add_to_timeline(id, replayed, || TimelineEvent::Event(event.clone()));
+            }
         }
         let Some(id) = event.request() else { return };
         self.touched.push(id);
-        if let Event::Arrived(r) = event {
-            let row = self.row(replayed.opening, id, r.class);
-            row.arrived = Some(now);
-            row.queued = Some(r.queue_time);
-            (row.patience, row.cost, row.memory_kb) = (r.timeout, r.cost, Some(r.memory_kb));
-            (row.rank, row.retry, row.repeats) = (Some(r.priority), r.is_retry, r.duplicate_of);
-            let line = &view.queues[0];
-            row.met = Some((line.mode, view.queued, line.priority_cutoff));
-            return self.tell(id, now, step, || TimelineEntry::Came(event.clone(), *view));
+        let now = replayed.replay.now();
+        if let Event::Arrived(request) = event {
+            self.record_of(replayed.opening, id, Some(request.class))
+                .set_arrival(request, now, status);
+            let arrived = || TimelineEvent::Arrived(event.clone(), *status);
+            return self.add_to_timeline(id, replayed, arrived);
         }
-        let Some(row) = self.live.get_mut(&id) else {
+        let Some(request) = self.open.get_mut(&id) else {
             return;
         };
         match event {
             Event::Finished {
-                elapsed: took,
-                outcome,
-                ..
-            } => row.ended = Some((now, *took, *outcome)),
-            Event::Abandoned(_) if row.answered.is_none() => row.gone = Some(now),
+                elapsed, outcome, ..
+            } => {
+                request.run_end = Some(RunEnd {
+                    at: now,
+                    elapsed: *elapsed,
+                    outcome: *outcome,
+                });
+            }
+            Event::Abandoned(_) if request.answer.is_none() => request.abandoned = Some(now),
             _ => {}
         }
-        self.tell(id, now, step, || TimelineEntry::Told(event.clone()));
+        self.add_to_timeline(id, replayed, || TimelineEvent::Event(event.clone()));
+    }
+
+    fn handle_cause(
+        &mut self,
+        replayed: &ReplayedRecord,
+        id: RequestId,
+        cause: Cause,
+        status: &ControllerStatus,
+    ) {
+        if let Some(request) = self.open.get_mut(&id) {
+            let at = replayed.replay.now();
+            request
+                .decision
+                .get_or_insert(ControllerDecision { at, cause });
+        }
+        self.add_to_timeline(id, replayed, || TimelineEvent::Cause(cause, *status));
     }
 
-    fn action(&mut self, now: Micros, step: u64, action: &Action) {
+    fn handle_action(&mut self, replayed: &ReplayedRecord, action: &Action) {
         let Some(id) = action.request() else { return };
-        let Some(row) = self.live.get_mut(&id) else {
+        let Some(request) = self.open.get_mut(&id) else {
             return;
         };
         match action {
-            Action::Run(_) => row.started = Some(now),
-            Action::PlaceCall(..) => row.calls += 1,
+            Action::Run(_) => request.started = Some(replayed.replay.now()),
+            Action::PlaceCall(..) => request.calls += 1,
             _ => {}
         }
         self.touched.push(id);
-        self.tell(id, now, step, || TimelineEntry::Said(action.clone()));
+        self.add_to_timeline(id, replayed, || TimelineEvent::Action(action.clone()));
     }
 
-    fn answer(
+    fn handle_step(&mut self, replayed: &ReplayedRecord, events: &[Event], actions: &[Action]) {
+        let controller = replayed.replay.controller();
+        let status = replayed
+            .status_before
+            .unwrap_or_else(|| controller.status());
+        for event in events {
+            self.handle_event(replayed, event, &status);
+        }
+        for &(id, cause) in controller.causes() {
+            self.handle_cause(replayed, id, cause, &status);
+        }
+        for action in actions {
+            self.handle_action(replayed, action);
+        }
+        for id in std::mem::take(&mut self.touched) {
+            let is_over =
+                |request: &RequestRecord| request.answer.is_some() || request.abandoned.is_some();
+            if self.open.get(&id).is_some_and(is_over) && !controller.is_tracked(id) {
+                self.close(id);
+            }
+        }
+    }
+
+    fn handle_answer(
         &mut self,
         replayed: &ReplayedRecord,
         reference: u64,
         class: usize,
-        told: RecordedAnswer,
-        by: AnswerSource,
+        answer: FinalAnswer,
     ) {
-        let (now, step) = (replayed.replay.now(), replayed.replay.steps());
         let Some(&id) = self.by_reference.get(&reference) else {
-            // The node's own answer: the controller never heard of it.
-            let name = replayed
-                .opening
-                .classes
-                .get(class)
-                .cloned()
-                .unwrap_or_default();
-            let timeline = match self.with_timelines {
-                true => vec![(now, step, TimelineEntry::Answered(told, by))],
-                false => Vec::new(),
-            };
-            return (self.done)(RequestRecord {
-                node: replayed.opening.node.clone(),
-                run: replayed.opening.run,
-                reference: Some(reference),
-                class: (class, name),
-                answered: Some((now, told, by)),
-                timeline,
-                ..RequestRecord::default()
-            });
+            return self.add_answer_of_node(replayed, reference, class, answer);
         };
-        if let Some(row) = self.live.get_mut(&id) {
-            row.answered = Some((now, told, by));
+        if let Some(request) = self.open.get_mut(&id) {
+            request.answer = Some(answer);
         }
-        self.tell(id, now, step, || TimelineEntry::Answered(told, by));
+        let event = || TimelineEvent::Answer(answer.answer, answer.source);
+        self.add_to_timeline(id, replayed, event);
         if !replayed.replay.controller().is_tracked(id) {
             self.close(id);
         }
     }
+
+    /// Passes on the record of a request that the node answered without the controller.
+    fn add_answer_of_node(
+        &mut self,
+        replayed: &ReplayedRecord,
+        reference: u64,
+        class: usize,
+        answer: FinalAnswer,
+    ) {
+        let entry = TimelineEntry {
+            now: answer.at,
+            step: replayed.replay.steps(),
+            event: TimelineEvent::Answer(answer.answer, answer.source),
+        };
+        (self.on_complete)(RequestRecord {
+            node: replayed.opening.node.clone(),
+            run: replayed.opening.run,
+            reference: Some(reference),
+            class: request_class(replayed.opening, Some(class)),
+            answer: Some(answer),
+            timeline: self.with_timelines.then_some(entry).into_iter().collect(),
+            ..RequestRecord::default()
+        });
+    }
+}
+
+fn request_class(opening: &Opening, index: Option<usize>) -> RequestClass {
+    let name = index.and_then(|index| opening.classes.get(index));
+    RequestClass {
+        index,
+        name: name.cloned().unwrap_or_default(),
+    }
 }
 
 impl<F: FnMut(RequestRecord)> Visitor for RequestRecords<F> {
-    fn segment(&mut self, opening: &Opening, _: &Controller, anew: bool) {
-        if !anew {
+    fn segment(&mut self, opening: &Opening, _: &Controller, is_restart: bool) {
+        if !is_restart {
             return;
         }
         self.flush();
-        self.names = opening.identities.iter().map(|n| (n.id, *n)).collect();
-        let found: Vec<RequestId> = self.names.keys().copied().collect();
-        for id in found {
-            // Its class stands in no name; what the state has of it shows in its timeline.
-            self.row(opening, id, usize::MAX);
-            self.tell(id, opening.now, opening.steps, || TimelineEntry::Found);
+        for identity in &opening.identities {
+            self.identities.insert(identity.id, *identity);
+        }
+        let in_memory: Vec<RequestId> = self.identities.keys().copied().collect();
+        for id in in_memory {
+            // An identity does not contain the class.
+            let with_timelines = self.with_timelines;
+            let request = self.record_of(opening, id, None);
+            if with_timelines {
+                request.timeline.push(TimelineEntry {
+                    now: opening.now,
+                    step: opening.steps,
+                    event: TimelineEvent::InMemory,
+                });
+            }
         }
     }
 
     fn record(&mut self, replayed: &ReplayedRecord) {
         match replayed.record {
-            Record::Identity(name) => {
-                // The same try is offered again under a new number: the row of the old one is over.
-                if let Some(&old) = self.by_reference.get(&name.reference) {
-                    self.close(old);
+            Record::Identity(identity) => {
+                // An attempt that is offered again gets a new identifier: its old record is
+                // complete.
+                if let Some(&previous) = self.by_reference.get(&identity.reference) {
+                    self.close(previous);
                 }
-                self.names.insert(name.id, *name);
+                self.identities.insert(identity.id, *identity);
             }
             Record::Answer {
                 reference,
@@ -288,32 +440,16 @@
                 source,
                 ..
             } => {
-                self.answer(replayed, *reference, *class as usize, *answer, *source);
+                let answer = FinalAnswer {
+                    at: replayed.replay.now(),
+                    answer: *answer,
+                    source: *source,
+                };
+                self.handle_answer(replayed, *reference, *class as usize, answer);
             }
             Record::Step {
                 events, actions, ..
-            } => {
-                let (now, step) = (replayed.replay.now(), replayed.replay.steps());
-                let view = replayed
-                    .status_before
-                    .unwrap_or_else(|| replayed.replay.controller().status());
-                events.iter().for_each(|e| self.event(replayed, e, &view));
-                for &(id, cause) in replayed.replay.controller().causes() {
-                    if let Some(row) = self.live.get_mut(&id) {
-                        row.decided.get_or_insert((now, cause));
-                    }
-                    self.tell(id, now, step, || TimelineEntry::Caused(cause, view));
-                }
-                actions.iter().for_each(|a| self.action(now, step, a));
-                for id in std::mem::take(&mut self.touched) {
-                    let over = |r: &RequestRecord| r.answered.is_some() || r.gone.is_some();
-                    if self.live.get(&id).is_some_and(over)
-                        && !replayed.replay.controller().is_tracked(id)
-                    {
-                        self.close(id);
-                    }
-                }
-            }
+            } => self.handle_step(replayed, events, actions),
         }
     }
 
--- a/crates/capture-tools/src/stats.rs
+++ b/crates/capture-tools/src/stats.rs
@@ -1,8 +1,8 @@
 //! `stats`: outcomes and times by class and second.
 
-use crate::cursor::{replay_capture, Extent};
+use crate::cursor::{replay_capture, Extent, ReplayTotals};
 use crate::rendering;
-use crate::replay::summary;
+use crate::replay::{print_summary, summary};
 use crate::request_records::{RequestRecord, RequestRecords};
 use crate::source::ToolError;
 use hdrhistogram::Histogram;
@@ -11,201 +11,286 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Counts and times of some requests.
-struct Figures {
-    outcomes: BTreeMap<&'static str, u64>,
+/// Significant decimal digits of the times of a class.
+const CLASS_DIGITS: u8 = 3;
+/// Significant decimal digits of the times of a class in one second.
+const SECOND_DIGITS: u8 = 2;
+/// The number of latest seconds with a histogram for each class. Requests end within their
+/// deadlines; a histogram for each second of a day would take gigabytes.
+const OPEN_SECONDS: usize = 120;
+
+/// The number of requests by outcome, see [`RequestRecord::outcome`].
+type OutcomeCounts = BTreeMap<&'static str, u64>;
+
+fn histogram(digits: u8) -> Histogram<u64> {
+    Histogram::new(digits).expect("a valid number of digits")
+}
+
+/// Records a duration in microseconds; a negative one counts as 0.
+fn record(histogram: &mut Histogram<u64>, duration: Micros) {
+    // A histogram without an upper bound accepts every value.
+    let _ = histogram.record(u64::try_from(duration).unwrap_or(0));
+}
+
+fn count(outcomes: &OutcomeCounts, outcome: &str) -> u64 {
+    outcomes.get(outcome).copied().unwrap_or(0)
+}
+
+/// A quantile of times, in milliseconds.
+fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
+    histogram.value_at_quantile(quantile) as f64 / 1e3
+}
+
+/// Counts and times of the requests of a class.
+struct ClassStats {
+    outcomes: OutcomeCounts,
+    /// Rejected and failed requests by reason.
     reasons: BTreeMap<&'static str, u64>,
     retries: u64,
     runs: u64,
-    /// From the arrival to the start, and to the answer, in microseconds.
-    held: Histogram<u64>,
-    answered: Histogram<u64>,
+    /// Times from the arrival to the start, in microseconds.
+    queue_times: Histogram<u64>,
+    /// Times from the arrival to the answer, in microseconds.
+    answer_times: Histogram<u64>,
 }
 
-impl Figures {
-    fn new() -> Figures {
-        let histogram = || Histogram::new(3).expect("three figures are allowed");
-        Figures {
-            outcomes: BTreeMap::new(),
+impl ClassStats {
+    fn new() -> ClassStats {
+        ClassStats {
+            outcomes: OutcomeCounts::new(),
             reasons: BTreeMap::new(),
             retries: 0,
             runs: 0,
-            held: histogram(),
-            answered: histogram(),
+            queue_times: histogram(CLASS_DIGITS),
+            answer_times: histogram(CLASS_DIGITS),
         }
     }
 
-    fn take(&mut self, row: &RequestRecord) {
-        *self.outcomes.entry(row.outcome()).or_default() += 1;
-        if matches!(row.outcome(), "refused" | "failed") {
-            let by = row
-                .answered
-                .map_or("", |a| rendering::answer_source_label(a.2));
-            let reason = match &row.decided {
-                Some((_, cause)) if by == "module" => rendering::cause_label(cause),
-                _ => by,
-            };
-            *self.reasons.entry(reason).or_default() += 1;
+    fn add(&mut self, request: &RequestRecord) {
+        *self.outcomes.entry(request.outcome()).or_default() += 1;
+        if matches!(request.outcome(), "refused" | "failed") {
+            *self.reasons.entry(reason(request)).or_default() += 1;
         }
-        self.retries += u64::from(row.retry);
-        self.runs += u64::from(row.started.is_some());
-        let Some(arrived) = row.arrived else { return };
-        let after = |at: Micros| u64::try_from(at - arrived).unwrap_or(0);
-        // A histogram that grows by itself takes every value.
-        if let Some(started) = row.started {
-            let _ = self.held.record(after(started));
+        self.retries += u64::from(request.is_retry);
+        self.runs += u64::from(request.started.is_some());
+        let Some(arrived) = request.arrived else {
+            return;
+        };
+        if let Some(started) = request.started {
+            record(&mut self.queue_times, started - arrived);
         }
-        if let Some((at, ..)) = row.answered {
-            let _ = self.answered.record(after(at));
+        if let Some(answer) = request.answer {
+            record(&mut self.answer_times, answer.at - arrived);
         }
     }
 
-    fn json(&self) -> Value {
-        let times = |h: &Histogram<u64>| {
-            let at = |q: f64| h.value_at_quantile(q);
-            json!({"count": h.len(), "p50_us": at(0.5), "p90_us": at(0.9), "p99_us": at(0.99), "max_us": h.max()})
-        };
-        json!({"outcomes": self.outcomes, "reasons": self.reasons, "retries": self.retries, "runs": self.runs,
-            "held": times(&self.held), "answered": times(&self.answered)})
+    fn to_json(&self) -> Value {
+        json!({
+            "outcomes": self.outcomes,
+            "reasons": self.reasons,
+            "retries": self.retries,
+            "runs": self.runs,
+            "held": times_json(&self.queue_times),
+            "answered": times_json(&self.answer_times),
+        })
+    }
+
+    fn print(&self, class: &str) {
+        let count = |outcome| count(&self.outcomes, outcome);
+        let requests: u64 = self.outcomes.values().sum();
+        println!(
+            "{class:<16} {requests:>8} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>9.1} {:>8.1} {:>13.1} {:>8.1}",
+            self.retries,
+            self.runs,
+            count("served"),
+            count("refused"),
+            count("failed"),
+            count("gone"),
+            count("open"),
+            quantile_ms(&self.queue_times, 0.5),
+            quantile_ms(&self.queue_times, 0.99),
+            quantile_ms(&self.answer_times, 0.5),
+            quantile_ms(&self.answer_times, 0.99)
+        );
+        for (reason, count) in &self.reasons {
+            println!("  {reason}: {count}");
+        }
     }
 }
 
-/// Figures of one class in one second.
-struct Second {
-    outcomes: BTreeMap<&'static str, u64>,
-    /// Times to the answer, in two figures; given back once the second has passed for good.
-    open: Option<Histogram<u64>>,
-    p99: u64,
+/// Why a request was rejected or failed: the cause of the admission controller's decision, or the
+/// source of the answer.
+fn reason(request: &RequestRecord) -> &'static str {
+    let source = request
+        .answer
+        .map_or("", |answer| rendering::answer_source_label(answer.source));
+    match &request.decision {
+        Some(decision) if source == "module" => rendering::cause_label(&decision.cause),
+        _ => source,
+    }
 }
 
-/// Seconds that may still change. Requests end within their deadlines; a day has many seconds, and
-/// a histogram for each would take gigabytes.
-const OPEN_SECONDS: usize = 120;
+fn times_json(histogram: &Histogram<u64>) -> Value {
+    json!({
+        "count": histogram.len(),
+        "p50_us": histogram.value_at_quantile(0.5),
+        "p90_us": histogram.value_at_quantile(0.9),
+        "p99_us": histogram.value_at_quantile(0.99),
+        "max_us": histogram.max(),
+    })
+}
 
+/// Counts and times of the requests of a class that arrived in one second.
+struct SecondStats {
+    outcomes: OutcomeCounts,
+    /// Times from the arrival to the answer, in microseconds, while the second is open.
+    answer_times: Option<Histogram<u64>>,
+    /// The 99th percentile of the times to the answer, once the second is closed.
+    answer_p99: u64,
+}
+
+impl SecondStats {
+    fn new() -> SecondStats {
+        SecondStats {
+            outcomes: OutcomeCounts::new(),
+            answer_times: Some(histogram(SECOND_DIGITS)),
+            answer_p99: 0,
+        }
+    }
+
+    fn close(&mut self) {
+        let histogram = self.answer_times.take();
+        self.answer_p99 = histogram.map_or(0, |histogram| histogram.value_at_quantile(0.99));
+    }
+}
+
+/// By class name.
+type ClassSeconds = BTreeMap<String, SecondStats>;
+
+/// Figures by second, in Unix time.
 #[derive(Default)]
 struct Seconds {
-    open: BTreeMap<i64, BTreeMap<String, Second>>,
-    passed: BTreeMap<i64, BTreeMap<String, Second>>,
+    /// The latest seconds, which have histograms.
+    open: BTreeMap<i64, ClassSeconds>,
+    closed: BTreeMap<i64, ClassSeconds>,
 }
 
 impl Seconds {
-    fn take(&mut self, class: &str, row: &RequestRecord) {
-        let Some(at) = row.arrived.or(row.answered.map(|a| a.0)) else {
+    fn add(&mut self, class: &str, request: &RequestRecord) {
+        let answered = request.answer.map(|answer| answer.at);
+        let Some(at) = request.arrived.or(answered) else {
             return;
         };
         let second = at.div_euclid(1_000_000);
-        let late = self
-            .passed
-            .last_key_value()
-            .is_some_and(|(last, _)| second <= *last);
-        let by = if late {
-            &mut self.passed
+        let last_closed = self.closed.last_key_value();
+        let seconds = if last_closed.is_some_and(|(last, _)| second <= *last) {
+            &mut self.closed
         } else {
             &mut self.open
-        }
-        .entry(second)
-        .or_default();
-        let new = || Second {
-            outcomes: BTreeMap::new(),
-            open: Histogram::new(2).ok(),
-            p99: 0,
         };
-        let figures = by.entry(class.into()).or_insert_with(new);
-        *figures.outcomes.entry(row.outcome()).or_default() += 1;
-        if let (Some(h), Some((answered, ..))) = (&mut figures.open, row.answered) {
-            let _ = h.record(u64::try_from(answered - at).unwrap_or(0));
+        let classes = seconds.entry(second).or_default();
+        let stats = classes.entry(class.into()).or_insert_with(SecondStats::new);
+        *stats.outcomes.entry(request.outcome()).or_default() += 1;
+        if let (Some(histogram), Some(answered)) = (&mut stats.answer_times, answered) {
+            record(histogram, answered - at);
         }
         while self.open.len() > OPEN_SECONDS {
-            self.pass();
+            self.close_first();
         }
     }
 
-    fn pass(&mut self) {
-        let Some((second, mut by)) = self.open.pop_first() else {
+    fn close_first(&mut self) {
+        let Some((second, mut classes)) = self.open.pop_first() else {
             return;
         };
-        for figures in by.values_mut() {
-            figures.p99 = figures.open.take().map_or(0, |h| h.value_at_quantile(0.99));
+        classes.values_mut().for_each(SecondStats::close);
+        self.closed.insert(second, classes);
+    }
+
+    /// Closes all seconds and returns them.
+    fn close(mut self) -> BTreeMap<i64, ClassSeconds> {
+        while !self.open.is_empty() {
+            self.close_first();
         }
-        self.passed.insert(second, by);
+        self.closed
     }
 }
 
 /// Prints the figures of a capture.
+///
+/// # Errors
+///
+/// If the capture can't be read.
 pub fn stats(path: &Path, as_json: bool) -> Result<(), ToolError> {
-    let mut classes: BTreeMap<String, Figures> = BTreeMap::new();
+    let mut classes: BTreeMap<String, ClassStats> = BTreeMap::new();
     let mut seconds = Seconds::default();
-    let mut rows = RequestRecords::new(false, |row: RequestRecord| {
-        let name = if row.class.1.is_empty() {
-            "?"
-        } else {
-            &row.class.1
+    let mut requests = RequestRecords::new(false, |request: RequestRecord| {
+        let class = match request.class.name.as_str() {
+            "" => "?",
+            class => class,
         };
         classes
-            .entry(name.into())
-            .or_insert_with(Figures::new)
-            .take(&row);
-        seconds.take(name, &row);
+            .entry(class.into())
+            .or_insert_with(ClassStats::new)
+            .add(&request);
+        seconds.add(class, &request);
     });
-    let totals = replay_capture(path, Extent::End, &mut rows)?;
-    drop(rows);
-    while !seconds.open.is_empty() {
-        seconds.pass();
-    }
-    let seconds = seconds.passed;
+    let totals = replay_capture(path, Extent::End, &mut requests)?;
+    drop(requests);
+    let seconds = seconds.close();
     if as_json {
-        let all: BTreeMap<_, _> = classes.iter().map(|(name, f)| (name, f.json())).collect();
-        let each: Vec<Value> = seconds
-            .iter()
-            .flat_map(|(second, by)| {
-                by.iter().map(move |(class, f)| {
-                    json!({"unix_s": second, "class": class, "outcomes": f.outcomes, "answered_p99_us": f.p99})
-                })
-            })
-            .collect();
-        println!(
-            "{}",
-            json!({"capture": summary(&totals), "classes": all, "seconds": each})
-        );
-        return Ok(());
+        print_json(&totals, &classes, &seconds);
+    } else {
+        print_text(&totals, &classes, &seconds);
     }
-    println!("class            requests retries    runs  served refused  failed    gone    open  held p50   p99 ms  answered p50   p99 ms");
-    let ms = |h: &Histogram<u64>, q: f64| h.value_at_quantile(q) as f64 / 1e3;
-    for (name, f) in &classes {
-        let count = |word: &str| f.outcomes.get(word).copied().unwrap_or(0);
-        let all: u64 = f.outcomes.values().sum();
-        println!(
-            "{name:<16} {all:>8} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>9.1} {:>8.1} {:>13.1} {:>8.1}",
-            f.retries,
-            f.runs,
-            count("served"),
-            count("refused"),
-            count("failed"),
-            count("gone"),
-            count("open"),
-            ms(&f.held, 0.5),
-            ms(&f.held, 0.99),
-            ms(&f.answered, 0.5),
-            ms(&f.answered, 0.99)
-        );
-        for (reason, count) in &f.reasons {
-            println!("  {reason}: {count}");
+    Ok(())
+}
+
+fn print_json(
+    totals: &ReplayTotals,
+    classes: &BTreeMap<String, ClassStats>,
+    seconds: &BTreeMap<i64, ClassSeconds>,
+) {
+    let classes: BTreeMap<&String, Value> = classes
+        .iter()
+        .map(|(class, stats)| (class, stats.to_json()))
+        .collect();
+    let mut by_second = Vec::new();
+    for (second, classes) in seconds {
+        for (class, stats) in classes {
+            by_second.push(json!({
+                "unix_s": second,
+                "class": class,
+                "outcomes": stats.outcomes,
+                "answered_p99_us": stats.answer_p99,
+            }));
         }
     }
+    let output = json!({"capture": summary(totals), "classes": classes, "seconds": by_second});
+    println!("{output}");
+}
+
+fn print_text(
+    totals: &ReplayTotals,
+    classes: &BTreeMap<String, ClassStats>,
+    seconds: &BTreeMap<i64, ClassSeconds>,
+) {
+    println!("class            requests retries    runs  served refused  failed    gone    open  held p50   p99 ms  answered p50   p99 ms");
+    for (class, stats) in classes {
+        stats.print(class);
+    }
     println!("\nunix second  class            requests  served refused  failed  answered p99 ms");
-    for (second, by) in &seconds {
-        for (class, f) in by {
-            let count = |word: &str| f.outcomes.get(word).copied().unwrap_or(0);
+    for (second, classes) in seconds {
+        for (class, stats) in classes {
             println!(
                 "{second:>11}  {class:<16} {:>8} {:>7} {:>7} {:>7} {:>16.1}",
-                f.outcomes.values().sum::<u64>(),
-                count("served"),
-                count("refused"),
-                count("failed"),
-                f.p99 as f64 / 1e3
+                stats.outcomes.values().sum::<u64>(),
+                count(&stats.outcomes, "served"),
+                count(&stats.outcomes, "refused"),
+                count(&stats.outcomes, "failed"),
+                stats.answer_p99 as f64 / 1e3
             );
         }
     }
-    crate::replay::print_summary(&totals);
-    Ok(())
+    print_summary(totals);
 }
