--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -3,9 +3,9 @@
 use crate::explain::{explain, RequestFilter};
 use crate::source::ToolError;
 use crate::{diff, export, replay, stats};
-use lexopt::prelude::*;
+use lexopt::{Arg, Parser, ValueExt};
 use pipitlever_capture::record::digest;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 const HELP: &str = "\
 pipitlever-capture: tools for what a node has captured
@@ -25,121 +25,160 @@
 It ends with 0 when all is well (identical; found; written), 1 when it isn't (different; no such request), 2 when
 a capture can't be read, 3 when the command line is wrong or a file can't be written.
 ";
+/// Requests that `explain` prints unless `--most` is given.
+const DEFAULT_LIMIT: usize = 20;
 
-/// What was asked for.
+/// The exit code of the program.
+#[derive(Clone, Copy)]
+enum Exit {
+    /// Identical, found or written.
+    Success = 0,
+    /// Different, or no such request.
+    Negative = 1,
+    /// A capture can't be read.
+    Unreadable = 2,
+    /// The command line is wrong, or a file can't be written.
+    Usage = 3,
+}
+
+/// The arguments of the command line.
 #[derive(Default)]
-struct Asked {
-    verb: Option<String>,
-    words: Vec<String>,
-    json: bool,
-    diff: bool,
+struct Arguments {
+    command: Option<String>,
+    operands: Vec<String>,
+    as_json: bool,
+    with_diff: bool,
     parquet: Option<PathBuf>,
     filter: RequestFilter,
-    which: bool,
+    /// A criterion of the filter was given.
+    has_filter: bool,
 }
 
-fn parse(mut parser: lexopt::Parser) -> Result<Asked, lexopt::Error> {
-    let mut asked = Asked {
-        filter: RequestFilter {
-            limit: 20,
-            ..RequestFilter::default()
-        },
-        ..Asked::default()
-    };
-    let hex =
-        |text: String| u64::from_str_radix(&text, 16).map_err(|_| format!("{text} is not hex"));
-    while let Some(arg) = parser.next()? {
-        asked.which |= matches!(
-            arg,
-            Long("ref" | "key" | "key-digest" | "sender" | "refused" | "failed")
+fn parse_hex(text: &str) -> Result<u64, String> {
+    u64::from_str_radix(text, 16).map_err(|_| format!("{text} is not hex"))
+}
+
+fn parse(mut parser: Parser) -> Result<Arguments, lexopt::Error> {
+    let mut arguments = Arguments::default();
+    let filter = &mut arguments.filter;
+    filter.limit = DEFAULT_LIMIT;
+    while let Some(argument) = parser.next()? {
+        arguments.has_filter |= matches!(
+            argument,
+            Arg::Long("ref" | "key" | "key-digest" | "sender" | "refused" | "failed")
         );
-        match arg {
-            Long("json") => asked.json = true,
-            Long("diff") => asked.diff = true,
-            Long("parquet") => asked.parquet = Some(parser.value()?.into()),
-            Long("ref") => asked.filter.reference = Some(hex(parser.value()?.string()?)?),
-            Long("key") => asked.filter.key_digest = Some(digest(&parser.value()?.string()?)),
-            Long("key-digest") => asked.filter.key_digest = Some(hex(parser.value()?.string()?)?),
-            Long("sender") => asked.filter.sender = Some(parser.value()?.parse()?),
-            Long("most") => asked.filter.limit = parser.value()?.parse()?,
-            Long("refused") => asked.filter.is_rejected = true,
-            Long("failed") => asked.filter.is_failed = true,
-            Long("help") | Short('h') => asked.verb = Some("help".into()),
-            Long("version") | Short('V') => asked.verb = Some("version".into()),
-            Value(word) if asked.verb.is_none() => asked.verb = Some(word.string()?),
-            Value(word) => asked.words.push(word.string()?),
+        match argument {
+            Arg::Long("json") => arguments.as_json = true,
+            Arg::Long("diff") => arguments.with_diff = true,
+            Arg::Long("parquet") => arguments.parquet = Some(parser.value()?.into()),
+            Arg::Long("ref") => filter.reference = Some(parse_hex(&parser.value()?.string()?)?),
+            Arg::Long("key") => filter.key_digest = Some(digest(&parser.value()?.string()?)),
+            Arg::Long("key-digest") => {
+                filter.key_digest = Some(parse_hex(&parser.value()?.string()?)?);
+            }
+            Arg::Long("sender") => filter.sender = Some(parser.value()?.parse()?),
+            Arg::Long("most") => filter.limit = parser.value()?.parse()?,
+            Arg::Long("refused") => filter.is_rejected = true,
+            Arg::Long("failed") => filter.is_failed = true,
+            Arg::Long("help") | Arg::Short('h') => arguments.command = Some("help".into()),
+            Arg::Long("version") | Arg::Short('V') => arguments.command = Some("version".into()),
+            Arg::Value(value) if arguments.command.is_none() => {
+                arguments.command = Some(value.string()?);
+            }
+            Arg::Value(value) => arguments.operands.push(value.string()?),
             other => return Err(other.unexpected()),
         }
     }
-    Ok(asked)
+    Ok(arguments)
 }
 
-/// Does what the command line says; the code to end with.
-pub fn run() -> u8 {
-    // A capture that no node wrote may bring the module to a panic: it is caught, and told as
-    // damage.
-    let usual = std::panic::take_hook();
+/// Hides the panic messages of the admission controller. Captures that no node wrote can make it
+/// panic; the replay catches the panic and reports damage.
+fn hide_controller_panics() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        let module = info
+        let is_controller = info
             .location()
-            .is_some_and(|l| l.file().contains("src/policy/"));
-        if !module {
-            usual(info);
+            .is_some_and(|location| location.file().contains("src/policy/"));
+        if !is_controller {
+            default_hook(info);
         }
     }));
-    let asked = match parse(lexopt::Parser::from_env()) {
-        Ok(asked) => asked,
-        Err(error) => return wrong(&error.to_string()),
+}
+
+/// Runs the command of the command line and returns the exit code.
+pub fn run() -> u8 {
+    hide_controller_panics();
+    let exit = match parse(Parser::from_env()) {
+        Ok(arguments) => run_command(&arguments),
+        Err(error) => usage_error(&error.to_string()),
     };
-    let verb = asked.verb.as_deref().unwrap_or("help");
-    let done = match (verb, &asked.words[..]) {
+    exit as u8
+}
+
+fn run_command(arguments: &Arguments) -> Exit {
+    let command = arguments.command.as_deref().unwrap_or("help");
+    match (command, &arguments.operands[..]) {
         ("help", []) => {
             print!("{HELP}");
-            return 0;
+            Exit::Success
         }
         ("version", []) => {
             println!("pipitlever-capture {}", env!("CARGO_PKG_VERSION"));
-            return 0;
+            Exit::Success
         }
         ("digest", [key]) => {
-            let digest = format!("{:016x}", digest(key));
-            match asked.json {
-                true => println!("{}", serde_json::json!({ "digest": digest })),
-                false => println!("{digest}"),
-            }
-            return 0;
+            print_digest(key, arguments.as_json);
+            Exit::Success
         }
-        ("replay", [path]) if asked.diff => diff::diff(path.as_ref(), asked.json),
-        ("replay", [path]) => replay::replay(path.as_ref(), asked.json),
-        ("explain", [path]) if asked.which => explain(path.as_ref(), &asked.filter, asked.json),
-        ("explain", [_]) => {
-            return wrong("explain: which request? --ref, --key, --sender, --refused")
+        ("replay" | "explain" | "stats" | "export", [path]) => {
+            run_on_capture(command, path.as_ref(), arguments)
         }
-        ("stats", [path]) => stats::stats(path.as_ref(), asked.json).map(|()| true),
-        ("export", [path]) => match &asked.parquet {
-            Some(file) => export::export(path.as_ref(), file, asked.json).map(|()| true),
-            None => return wrong("export: where to? --parquet FILE"),
-        },
         ("replay" | "explain" | "stats" | "export", _) => {
-            return wrong(&format!("{verb}: one PATH"))
+            usage_error(&format!("{command}: one PATH"))
+        }
+        _ => usage_error(&format!("no command '{command}'")),
+    }
+}
+
+fn print_digest(key: &str, as_json: bool) {
+    let digest = format!("{:016x}", digest(key));
+    if as_json {
+        println!("{}", serde_json::json!({ "digest": digest }));
+    } else {
+        println!("{digest}");
+    }
+}
+
+fn run_on_capture(command: &str, path: &Path, arguments: &Arguments) -> Exit {
+    let as_json = arguments.as_json;
+    let result = match command {
+        "replay" if arguments.with_diff => diff::diff(path, as_json),
+        "replay" => replay::replay(path, as_json),
+        "stats" => stats::stats(path, as_json).map(|()| true),
+        "explain" if arguments.has_filter => explain(path, &arguments.filter, as_json),
+        "explain" => {
+            return usage_error("explain: which request? --ref, --key, --sender, --refused")
         }
-        _ => return wrong(&format!("no command '{verb}'")),
+        _ => match &arguments.parquet {
+            Some(file) => export::export(path, file, as_json).map(|()| true),
+            None => return usage_error("export: where to? --parquet FILE"),
+        },
     };
-    match done {
-        Ok(true) => 0,
-        Ok(false) => 1,
-        Err(trouble) => {
-            eprintln!("pipitlever-capture: {trouble}");
-            if matches!(trouble, ToolError::Output(..)) {
-                3
-            } else {
-                2
+    match result {
+        Ok(true) => Exit::Success,
+        Ok(false) => Exit::Negative,
+        Err(error) => {
+            eprintln!("pipitlever-capture: {error}");
+            match error {
+                ToolError::Output(..) => Exit::Usage,
+                _ => Exit::Unreadable,
             }
         }
     }
 }
 
-fn wrong(what: &str) -> u8 {
-    eprintln!("pipitlever-capture: {what}; see 'pipitlever-capture help'");
-    3
+fn usage_error(message: &str) -> Exit {
+    eprintln!("pipitlever-capture: {message}; see 'pipitlever-capture help'");
+    Exit::Usage
 }
--- a/crates/capture-tools/src/rendering.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -1,14 +1,15 @@
-//! What a controller is told, says and goes by, in plain words.
+//! Events, actions, causes and statuses of the admission controller as text. Operators read these
+//! sentences and scripts compare them: the wording is part of the tools' output.
 
 use pipitlever_admission::{Action, Cause, ControllerStatus, Event, Micros, Mode, Outcome, Stage};
 use pipitlever_capture::record::{AnswerSource, RecordedAnswer};
 
-/// A span in milliseconds.
-pub fn ms(span: Micros) -> String {
-    format!("{:.1} ms", span as f64 / 1e3)
+/// A duration, in milliseconds.
+pub fn ms(duration: Micros) -> String {
+    format!("{:.1} ms", duration as f64 / 1e3)
 }
 
-/// A reading of a node's clock, as Unix seconds.
+/// A node's clock, in Unix seconds.
 pub fn clock(now: Micros) -> String {
     format!(
         "{}.{:06}",
@@ -17,7 +18,7 @@
     )
 }
 
-/// A line's mode.
+/// The mode of a queue.
 pub fn mode(mode: Mode) -> &'static str {
     match mode {
         Mode::Normal => "normal",
@@ -26,7 +27,7 @@
     }
 }
 
-/// How something ended.
+/// The outcome of a run or a call.
 pub fn outcome(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Success => "well",
@@ -40,7 +41,7 @@
     }
 }
 
-/// Where a request stands.
+/// The stage of a request.
 pub fn stage(stage: Stage) -> &'static str {
     match stage {
         Stage::Queued => "held",
@@ -51,7 +52,7 @@
     }
 }
 
-/// Why a request was turned away or failed, with what the controller went by.
+/// Why a request was rejected or failed, with the controller's figures.
 pub fn cause(cause: &Cause, view: &ControllerStatus) -> String {
     match cause {
         Cause::AfterGrace => "it arrived too long after the notice to leave to be run".into(),
@@ -108,7 +109,7 @@
     }
 }
 
-/// A word for a cause, for tables.
+/// The label of a cause in tables.
 pub fn cause_label(cause: &Cause) -> &'static str {
     match cause {
         Cause::AfterGrace => "after-grace",
@@ -140,7 +141,7 @@
     }
 }
 
-/// What the controller went by.
+/// The controller's status.
 pub fn view(view: &ControllerStatus) -> String {
     let [start, calls] = &view.queues;
     let line = |l: &pipitlever_admission::QueueStatus| {
@@ -168,7 +169,7 @@
     )
 }
 
-/// An event, with the class's name where it has one.
+/// An event, with the name of its class.
 pub fn event(event: &Event, classes: &[String]) -> String {
     let some = |value: Option<f64>| value.map_or("?".to_owned(), |v| format!("{v:.2}"));
     match event {
@@ -216,7 +217,7 @@
     }
 }
 
-/// An action.
+/// An action of the controller.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Run(id) => format!("run #{id}"),
@@ -252,9 +253,9 @@
     }
 }
 
-/// A final answer, and who made it.
-pub fn answer(told: &RecordedAnswer, by: AnswerSource) -> String {
-    let what = match told {
+/// A final answer and what decided it, separated by `; `.
+pub fn answer(answer: &RecordedAnswer, source: AnswerSource) -> String {
+    let what = match answer {
         RecordedAnswer::Served(bytes) => format!("served, {bytes} bytes"),
         RecordedAnswer::Rejected {
             retry_after: cooldown,
@@ -273,7 +274,7 @@
         RecordedAnswer::Failed { timed_out: true } => "failed: out of time".into(),
         RecordedAnswer::Failed { timed_out: false } => "failed".into(),
     };
-    let who = match by {
+    let who = match source {
         AnswerSource::AdmissionController => "the module's decision",
         AnswerSource::Run => "its run's end",
         AnswerSource::Duplicate => "the outcome of the try that it repeats",
@@ -299,18 +300,18 @@
     format!("{what}; {who}")
 }
 
-/// The word for an answer, for tables.
-pub fn answer_label(told: &RecordedAnswer) -> &'static str {
-    match told {
+/// The label of an answer in tables.
+pub fn answer_label(answer: &RecordedAnswer) -> &'static str {
+    match answer {
         RecordedAnswer::Served(_) => "served",
         RecordedAnswer::Rejected { .. } => "refused",
         RecordedAnswer::Failed { .. } => "failed",
     }
 }
 
-/// The word for who made an answer, for tables.
-pub fn answer_source_label(by: AnswerSource) -> &'static str {
-    match by {
+/// The label of what decided an answer in tables.
+pub fn answer_source_label(source: AnswerSource) -> &'static str {
+    match source {
         AnswerSource::AdmissionController => "module",
         AnswerSource::Run => "run",
         AnswerSource::Duplicate => "repeat",
