--- a/crates/capture-tools/src/words.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -1,14 +1,15 @@
-//! What a controller is told, says and goes by, in plain words.
+//! Events, actions, causes and statuses of the admission controller as text. Operators read these
+//! sentences and scripts compare them: the wording is part of the tools' output.
 
 use pipitlever_admission::{Action, Cause, ControllerStatus, Event, Micros, Mode, Outcome, Stage};
-use pipitlever_capture::record::{By, Told};
+use pipitlever_capture::record::{AnswerSource, RecordedAnswer};
 
-/// A span in milliseconds.
-pub fn ms(span: Micros) -> String {
-    format!("{:.1} ms", span as f64 / 1e3)
+/// A duration, in milliseconds.
+pub fn ms(duration: Micros) -> String {
+    format!("{:.1} ms", duration as f64 / 1e3)
 }
 
-/// A reading of a node's clock, as Unix seconds.
+/// A node's clock, in Unix seconds.
 pub fn clock(now: Micros) -> String {
     format!(
         "{}.{:06}",
@@ -17,7 +18,7 @@
     )
 }
 
-/// A line's mode.
+/// The mode of a queue.
 pub fn mode(mode: Mode) -> &'static str {
     match mode {
         Mode::Normal => "normal",
@@ -26,7 +27,7 @@
     }
 }
 
-/// How something ended.
+/// The outcome of a run or a call.
 pub fn outcome(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Success => "well",
@@ -40,7 +41,7 @@
     }
 }
 
-/// Where a request stands.
+/// The stage of a request.
 pub fn stage(stage: Stage) -> &'static str {
     match stage {
         Stage::Queued => "held",
@@ -51,7 +52,7 @@
     }
 }
 
-/// Why a request was turned away or failed, with what the controller went by.
+/// Why a request was rejected or failed, with the controller's figures.
 pub fn cause(cause: &Cause, view: &ControllerStatus) -> String {
     match cause {
         Cause::AfterGrace => "it arrived too long after the notice to leave to be run".into(),
@@ -108,8 +109,8 @@
     }
 }
 
-/// A word for a cause, for tables.
-pub fn cause_word(cause: &Cause) -> &'static str {
+/// The label of a cause in tables.
+pub fn cause_label(cause: &Cause) -> &'static str {
     match cause {
         Cause::AfterGrace => "after-grace",
         Cause::Shed {
@@ -140,7 +141,7 @@
     }
 }
 
-/// What the controller went by.
+/// The controller's status.
 pub fn view(view: &ControllerStatus) -> String {
     let [start, calls] = &view.queues;
     let line = |l: &pipitlever_admission::QueueStatus| {
@@ -168,7 +169,7 @@
     )
 }
 
-/// An event, with the class's name where it has one.
+/// An event, with the name of its class.
 pub fn event(event: &Event, classes: &[String]) -> String {
     let some = |value: Option<f64>| value.map_or("?".to_owned(), |v| format!("{v:.2}"));
     match event {
@@ -216,7 +217,7 @@
     }
 }
 
-/// An action.
+/// An action of the controller.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Run(id) => format!("run #{id}"),
@@ -252,11 +253,14 @@
     }
 }
 
-/// A final answer, and who made it.
-pub fn answer(told: &Told, by: By) -> String {
-    let what = match told {
-        Told::Served(bytes) => format!("served, {bytes} bytes"),
-        Told::Refused { cooldown, nowhere } => {
+/// A final answer and what decided it, separated by `; `.
+pub fn answer(answer: &RecordedAnswer, source: AnswerSource) -> String {
+    let what = match answer {
+        RecordedAnswer::Served(bytes) => format!("served, {bytes} bytes"),
+        RecordedAnswer::Rejected {
+            retry_after: cooldown,
+            no_retry: nowhere,
+        } => {
             let away = if *cooldown > 0 {
                 format!(", keep away {}", ms(*cooldown))
             } else {
@@ -267,53 +271,59 @@
                 if *nowhere { ", try nowhere" } else { "" }
             )
         }
-        Told::Failed { expired: true } => "failed: out of time".into(),
-        Told::Failed { expired: false } => "failed".into(),
+        RecordedAnswer::Failed { timed_out: true } => "failed: out of time".into(),
+        RecordedAnswer::Failed { timed_out: false } => "failed".into(),
     };
-    let who = match by {
-        By::Module => "the module's decision",
-        By::Run => "its run's end",
-        By::Repeat => "the outcome of the try that it repeats",
-        By::Rejected => "the processor rejected it",
-        By::Floor => "the node's own: its version of the settings may have been stale",
-        By::NotUp => "the node's own: its processor was not up yet",
-        By::Full => "the node's own: its requests take all the memory that they may",
-        By::KeysFull => "the node's own: keys take all the memory that they may",
-        By::NoKey => "the node's own: it no longer held its key's entry",
-        By::Overdue => "the node's own: the module had not answered by the due time",
-        By::Store => {
+    let who = match source {
+        AnswerSource::AdmissionController => "the module's decision",
+        AnswerSource::Run => "its run's end",
+        AnswerSource::Duplicate => "the outcome of the try that it repeats",
+        AnswerSource::ProcessorRejected => "the processor rejected it",
+        AnswerSource::StaleSettings => {
+            "the node's own: its version of the settings may have been stale"
+        }
+        AnswerSource::ProcessorNotReady => "the node's own: its processor was not up yet",
+        AnswerSource::MemoryFull => {
+            "the node's own: its requests take all the memory that they may"
+        }
+        AnswerSource::KeysFull => "the node's own: keys take all the memory that they may",
+        AnswerSource::KeyEntryMissing => "the node's own: it no longer held its key's entry",
+        AnswerSource::DeadlineExceeded => {
+            "the node's own: the module had not answered by the due time"
+        }
+        AnswerSource::StoreUnavailable => {
             "the node's own: its store of keys did not work, was slow, or may have lost keys"
         }
-        By::StoreFull => "the node's own: its store of keys had no room",
-        By::Elsewhere => "the node's own: another process of it may have run the key",
+        AnswerSource::StoreFull => "the node's own: its store of keys had no room",
+        AnswerSource::OtherProcess => "the node's own: another process of it may have run the key",
     };
     format!("{what}; {who}")
 }
 
-/// The word for an answer, for tables.
-pub fn told_word(told: &Told) -> &'static str {
-    match told {
-        Told::Served(_) => "served",
-        Told::Refused { .. } => "refused",
-        Told::Failed { .. } => "failed",
+/// The label of an answer in tables.
+pub fn answer_label(answer: &RecordedAnswer) -> &'static str {
+    match answer {
+        RecordedAnswer::Served(_) => "served",
+        RecordedAnswer::Rejected { .. } => "refused",
+        RecordedAnswer::Failed { .. } => "failed",
     }
 }
 
-/// The word for who made an answer, for tables.
-pub fn by_word(by: By) -> &'static str {
-    match by {
-        By::Module => "module",
-        By::Run => "run",
-        By::Repeat => "repeat",
-        By::Rejected => "rejected",
-        By::Floor => "floor",
-        By::NotUp => "not-up",
-        By::Full => "full",
-        By::KeysFull => "keys-full",
-        By::NoKey => "no-key",
-        By::Overdue => "overdue",
-        By::Store => "store",
-        By::StoreFull => "store-full",
-        By::Elsewhere => "elsewhere",
+/// The label of what decided an answer in tables.
+pub fn answer_source_label(source: AnswerSource) -> &'static str {
+    match source {
+        AnswerSource::AdmissionController => "module",
+        AnswerSource::Run => "run",
+        AnswerSource::Duplicate => "repeat",
+        AnswerSource::ProcessorRejected => "rejected",
+        AnswerSource::StaleSettings => "floor",
+        AnswerSource::ProcessorNotReady => "not-up",
+        AnswerSource::MemoryFull => "full",
+        AnswerSource::KeysFull => "keys-full",
+        AnswerSource::KeyEntryMissing => "no-key",
+        AnswerSource::DeadlineExceeded => "overdue",
+        AnswerSource::StoreUnavailable => "store",
+        AnswerSource::StoreFull => "store-full",
+        AnswerSource::OtherProcess => "elsewhere",
     }
 }
--- /dev/null
+++ b/crates/capture-tools/src/request_records.rs
@@ -0,0 +1,459 @@
+//! One record for each request of a capture: what arrived, what was decided, and how it ended.
+
+use crate::cursor::{ReplayedRecord, Visitor};
+use crate::rendering;
+use pipitlever_admission::{
+    Action, Cause, Controller, ControllerStatus, Event, Micros, Mode, Outcome, Request, RequestId,
+};
+use pipitlever_capture::record::{AnswerSource, Opening, Record, RecordedAnswer, RequestIdentity};
+use std::collections::{BTreeMap, HashMap};
+
+/// Something that happened to a request.
+#[derive(Clone, Debug)]
+pub enum TimelineEvent {
+    /// It arrived. Contains the controller's status before.
+    Arrived(Event, ControllerStatus),
+    /// An event reached the controller.
+    Event(Event),
+    /// The controller decided on an action.
+    Action(Action),
+    /// Why the controller rejected or failed it. Contains the controller's status before.
+    Cause(Cause, ControllerStatus),
+    /// Its final answer was sent.
+    Answer(RecordedAnswer, AnswerSource),
+    /// It was in memory when the capture, or a part of it after a gap, began.
+    InMemory,
+}
+
+/// An event in the timeline of a request.
+#[derive(Clone, Debug)]
+pub struct TimelineEntry {
+    /// The clock, in Unix microseconds.
+    pub now: Micros,
+    /// The number of the last step of the run.
+    pub step: u64,
+    /// The event.
+    pub event: TimelineEvent,
+}
+
+/// The class of a request.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct RequestClass {
+    /// Its index; `None` for a request that arrived before the capture.
+    pub index: Option<usize>,
+    /// Its name; empty if it is unknown.
+    pub name: String,
+}
+
+/// The state of the queue of requests to start when a request arrived.
+#[derive(Clone, Copy, Debug)]
+pub struct QueueAtArrival {
+    /// The mode of the queue.
+    pub mode: Mode,
+    /// The number of queued requests.
+    pub queued: usize,
+    /// The lowest priority that was admitted.
+    pub priority_cutoff: f64,
+}
+
+/// The end of a run.
+#[derive(Clone, Copy, Debug)]
+pub struct RunEnd {
+    /// When it ended, in Unix microseconds.
+    pub at: Micros,
+    /// Its duration, in microseconds.
+    pub elapsed: Micros,
+    /// How it ended.
+    pub outcome: Outcome,
+}
+
+/// A rejection or failure by the controller.
+#[derive(Clone, Copy, Debug)]
+pub struct ControllerDecision {
+    /// When it was decided, in Unix microseconds.
+    pub at: Micros,
+    /// Why.
+    pub cause: Cause,
+}
+
+/// A final answer.
+#[derive(Clone, Copy, Debug)]
+pub struct FinalAnswer {
+    /// When it was sent, in Unix microseconds.
+    pub at: Micros,
+    /// The answer.
+    pub answer: RecordedAnswer,
+    /// What decided it.
+    pub source: AnswerSource,
+}
+
+/// One request. Times are in Unix microseconds, durations in microseconds.
+#[derive(Clone, Debug, Default)]
+pub struct RequestRecord {
+    /// Its node.
+    pub node: String,
+    /// The start of its run, in Unix milliseconds.
+    pub run: u64,
+    /// The controller's identifier; `None` if the request never reached the controller.
+    pub id: Option<RequestId>,
+    /// Its `ref`.
+    pub reference: Option<u64>,
+    /// Its gateway.
+    pub sender: Option<u64>,
+    /// The digest of its idempotency key.
+    pub key_digest: Option<u64>,
+    /// Its class.
+    pub class: RequestClass,
+    /// When it reached the controller; `None` if that was before the capture.
+    pub arrived: Option<Micros>,
+    /// How long it was unread before.
+    pub queue_time: Option<Micros>,
+    /// How long its client still waits.
+    pub timeout: Option<Micros>,
+    /// The cost hint, in microseconds.
+    pub cost: Option<f64>,
+    /// The memory that it uses, in KB.
+    pub memory_kb: Option<f64>,
+    /// Its priority.
+    pub priority: Option<f64>,
+    /// It is a retry.
+    pub is_retry: bool,
+    /// The original request, if it is a duplicate.
+    pub duplicate_of: Option<RequestId>,
+    /// The queue when it arrived.
+    pub queue_at_arrival: Option<QueueAtArrival>,
+    /// When it started.
+    pub started: Option<Micros>,
+    /// The number of calls placed for it.
+    pub calls: u32,
+    /// The end of its run.
+    pub run_end: Option<RunEnd>,
+    /// The controller's rejection or failure.
+    pub decision: Option<ControllerDecision>,
+    /// When its client was known to have abandoned it.
+    pub abandoned: Option<Micros>,
+    /// Its final answer.
+    pub answer: Option<FinalAnswer>,
+    /// What happened to it, if timelines are collected.
+    pub timeline: Vec<TimelineEntry>,
+}
+
+impl RequestRecord {
+    /// The word for how the request ended in outputs: `served`, `refused`, `failed`, `gone` (its
+    /// client abandoned it) or `open`.
+    pub fn outcome(&self) -> &'static str {
+        match &self.answer {
+            Some(answer) => rendering::answer_label(&answer.answer),
+            None if self.abandoned.is_some() => "gone",
+            None => "open",
+        }
+    }
+
+    fn set_arrival(&mut self, request: &Request, now: Micros, status: &ControllerStatus) {
+        self.arrived = Some(now);
+        self.queue_time = Some(request.queue_time);
+        self.timeout = request.timeout;
+        self.cost = request.cost;
+        self.memory_kb = Some(request.memory_kb);
+        self.priority = Some(request.priority);
+        self.is_retry = request.is_retry;
+        self.duplicate_of = request.duplicate_of;
+        let queue = &status.queues[0];
+        self.queue_at_arrival = Some(QueueAtArrival {
+            mode: queue.mode,
+            queued: status.queued,
+            priority_cutoff: queue.priority_cutoff,
+        });
+    }
+}
+
+/// Collects request records during a replay, and passes on each once it is complete.
+pub struct RequestRecords<F: FnMut(RequestRecord)> {
+    with_timelines: bool,
+    on_complete: F,
+    open: BTreeMap<RequestId, RequestRecord>,
+    /// Identities of requests that have not arrived yet.
+    identities: BTreeMap<RequestId, RequestIdentity>,
+    by_reference: HashMap<u64, RequestId>,
+    /// The requests that the current step concerns.
+    touched: Vec<RequestId>,
+}
+
+impl<F: FnMut(RequestRecord)> RequestRecords<F> {
+    /// Creates a collector.
+    pub fn new(with_timelines: bool, on_complete: F) -> RequestRecords<F> {
+        RequestRecords {
+            with_timelines,
+            on_complete,
+            open: BTreeMap::new(),
+            identities: BTreeMap::new(),
+            by_reference: HashMap::new(),
+            touched: Vec::new(),
+        }
+    }
+
+    /// Passes on all open records as they are.
+    fn flush(&mut self) {
+        for (_, request) in std::mem::take(&mut self.open) {
+            (self.on_complete)(request);
+        }
+        self.identities.clear();
+        self.by_reference.clear();
+    }
+
+    /// The record of a request, created if there is none.
+    fn record_of(
+        &mut self,
+        opening: &Opening,
+        id: RequestId,
+        class: Option<usize>,
+    ) -> &mut RequestRecord {
+        let identity = self.identities.remove(&id);
+        if let Some(identity) = identity {
+            self.by_reference.insert(identity.reference, id);
+        }
+        self.open.entry(id).or_insert_with(|| RequestRecord {
+            node: opening.node.clone(),
+            run: opening.run,
+            id: Some(id),
+            reference: identity.map(|identity| identity.reference),
+            sender: identity.and_then(|identity| identity.sender),
+            key_digest: identity.and_then(|identity| identity.key_digest),
+            class: request_class(opening, class),
+            ..RequestRecord::default()
+        })
+    }
+
+    /// Passes on a record that is complete.
+    fn close(&mut self, id: RequestId) {
+        let Some(request) = self.open.remove(&id) else {
+            return;
+        };
+        if let Some(reference) = request.reference {
+            if self.by_reference.get(&reference) == Some(&id) {
+                self.by_reference.remove(&reference);
+            }
+        }
+        (self.on_complete)(request);
+    }
+
+    fn add_to_timeline(
+        &mut self,
+        id: RequestId,
+        replayed: &ReplayedRecord,
+        event: impl FnOnce() -> TimelineEvent,
+    ) {
+        if let Some(request) = self.open.get_mut(&id).filter(|_| self.with_timelines) {
+            request.timeline.push(TimelineEntry {
+                now: replayed.replay.now(),
+                step: replayed.replay.steps(),
+                event: event(),
+            });
+        }
+    }
+
+    fn handle_event(
+        &mut self,
+        replayed: &ReplayedRecord,
+        event: &Event,
+        status: &ControllerStatus,
+    ) {
+        if let Event::ShutdownNotice(_) = event {
+            // The notice concerns all requests in memory.
+            let open: Vec<RequestId> = self.open.keys().copied().collect();
+            for id in open {
+                self.add_to_timeline(id, replayed, || TimelineEvent::Event(event.clone()));
+            }
+        }
+        let Some(id) = event.request() else { return };
+        self.touched.push(id);
+        let now = replayed.replay.now();
+        if let Event::Arrived(request) = event {
+            self.record_of(replayed.opening, id, Some(request.class))
+                .set_arrival(request, now, status);
+            let arrived = || TimelineEvent::Arrived(event.clone(), *status);
+            return self.add_to_timeline(id, replayed, arrived);
+        }
+        let Some(request) = self.open.get_mut(&id) else {
+            return;
+        };
+        match event {
+            Event::Finished {
+                elapsed, outcome, ..
+            } => {
+                request.run_end = Some(RunEnd {
+                    at: now,
+                    elapsed: *elapsed,
+                    outcome: *outcome,
+                });
+            }
+            Event::Abandoned(_) if request.answer.is_none() => request.abandoned = Some(now),
+            _ => {}
+        }
+        self.add_to_timeline(id, replayed, || TimelineEvent::Event(event.clone()));
+    }
+
+    fn handle_cause(
+        &mut self,
+        replayed: &ReplayedRecord,
+        id: RequestId,
+        cause: Cause,
+        status: &ControllerStatus,
+    ) {
+        if let Some(request) = self.open.get_mut(&id) {
+            let at = replayed.replay.now();
+            request
+                .decision
+                .get_or_insert(ControllerDecision { at, cause });
+        }
+        self.add_to_timeline(id, replayed, || TimelineEvent::Cause(cause, *status));
+    }
+
+    fn handle_action(&mut self, replayed: &ReplayedRecord, action: &Action) {
+        let Some(id) = action.request() else { return };
+        let Some(request) = self.open.get_mut(&id) else {
+            return;
+        };
+        match action {
+            Action::Run(_) => request.started = Some(replayed.replay.now()),
+            Action::PlaceCall(..) => request.calls += 1,
+            _ => {}
+        }
+        self.touched.push(id);
+        self.add_to_timeline(id, replayed, || TimelineEvent::Action(action.clone()));
+    }
+
+    fn handle_step(&mut self, replayed: &ReplayedRecord, events: &[Event], actions: &[Action]) {
+        let controller = replayed.replay.controller();
+        let status = replayed
+            .status_before
+            .unwrap_or_else(|| controller.status());
+        for event in events {
+            self.handle_event(replayed, event, &status);
+        }
+        for &(id, cause) in controller.causes() {
+            self.handle_cause(replayed, id, cause, &status);
+        }
+        for action in actions {
+            self.handle_action(replayed, action);
+        }
+        for id in std::mem::take(&mut self.touched) {
+            let is_over =
+                |request: &RequestRecord| request.answer.is_some() || request.abandoned.is_some();
+            if self.open.get(&id).is_some_and(is_over) && !controller.is_tracked(id) {
+                self.close(id);
+            }
+        }
+    }
+
+    fn handle_answer(
+        &mut self,
+        replayed: &ReplayedRecord,
+        reference: u64,
+        class: usize,
+        answer: FinalAnswer,
+    ) {
+        let Some(&id) = self.by_reference.get(&reference) else {
+            return self.add_answer_of_node(replayed, reference, class, answer);
+        };
+        if let Some(request) = self.open.get_mut(&id) {
+            request.answer = Some(answer);
+        }
+        let event = || TimelineEvent::Answer(answer.answer, answer.source);
+        self.add_to_timeline(id, replayed, event);
+        if !replayed.replay.controller().is_tracked(id) {
+            self.close(id);
+        }
+    }
+
+    /// Passes on the record of a request that the node answered without the controller.
+    fn add_answer_of_node(
+        &mut self,
+        replayed: &ReplayedRecord,
+        reference: u64,
+        class: usize,
+        answer: FinalAnswer,
+    ) {
+        let entry = TimelineEntry {
+            now: answer.at,
+            step: replayed.replay.steps(),
+            event: TimelineEvent::Answer(answer.answer, answer.source),
+        };
+        (self.on_complete)(RequestRecord {
+            node: replayed.opening.node.clone(),
+            run: replayed.opening.run,
+            reference: Some(reference),
+            class: request_class(replayed.opening, Some(class)),
+            answer: Some(answer),
+            timeline: self.with_timelines.then_some(entry).into_iter().collect(),
+            ..RequestRecord::default()
+        });
+    }
+}
+
+fn request_class(opening: &Opening, index: Option<usize>) -> RequestClass {
+    let name = index.and_then(|index| opening.classes.get(index));
+    RequestClass {
+        index,
+        name: name.cloned().unwrap_or_default(),
+    }
+}
+
+impl<F: FnMut(RequestRecord)> Visitor for RequestRecords<F> {
+    fn segment(&mut self, opening: &Opening, _: &Controller, is_restart: bool) {
+        if !is_restart {
+            return;
+        }
+        self.flush();
+        for identity in &opening.identities {
+            self.identities.insert(identity.id, *identity);
+        }
+        let in_memory: Vec<RequestId> = self.identities.keys().copied().collect();
+        for id in in_memory {
+            // An identity does not contain the class.
+            let with_timelines = self.with_timelines;
+            let request = self.record_of(opening, id, None);
+            if with_timelines {
+                request.timeline.push(TimelineEntry {
+                    now: opening.now,
+                    step: opening.steps,
+                    event: TimelineEvent::InMemory,
+                });
+            }
+        }
+    }
+
+    fn record(&mut self, replayed: &ReplayedRecord) {
+        match replayed.record {
+            Record::Identity(identity) => {
+                // An attempt that is offered again gets a new identifier: its old record is
+                // complete.
+                if let Some(&previous) = self.by_reference.get(&identity.reference) {
+                    self.close(previous);
+                }
+                self.identities.insert(identity.id, *identity);
+            }
+            Record::Answer {
+                reference,
+                class,
+                answer,
+                source,
+                ..
+            } => {
+                let answer = FinalAnswer {
+                    at: replayed.replay.now(),
+                    answer: *answer,
+                    source: *source,
+                };
+                self.handle_answer(replayed, *reference, *class as usize, answer);
+            }
+            Record::Step {
+                events, actions, ..
+            } => self.handle_step(replayed, events, actions),
+        }
+    }
+
+    fn run_ended(&mut self) {
+        self.flush();
+    }
+}
