--- a/crates/cluster-testing/src/lib.rs
+++ b/crates/cluster-testing/src/lib.rs
@@ -7,13 +7,21 @@
 //! - [`workload`]: clients that retry against emulated nodes, next to the simulated membership.
 //! - [`process_control`]: several real processes of the program, with signals and restarts.
 //! - [`network_relay`]: a relay between every two real processes that injects network faults.
-//! - [`stand_ins`]: a processor and clients for the real processes, and the check that no request
-//!   was lost or ran twice.
+//! - [`stand_ins`]: a processor and clients for the real processes, and the verification that no
+//!   request ran twice.
+//! - [`open_loop`]: requests at a fixed rate.
+//! - [`process_usage`]: CPU time and memory of a process.
 
+mod event_queue;
 pub mod membership_simulation;
 pub mod network_relay;
+pub mod open_loop;
 pub mod process_control;
+pub mod process_usage;
 pub mod session_simulation;
 pub mod simulated_peers;
 pub mod stand_ins;
 pub mod workload;
+
+/// The name of the cluster that real processes are members of.
+const CLUSTER_NAME: &str = "rig";
--- a/fuzz/fuzz_targets/words.rs
+++ b/fuzz/fuzz_targets/messages.rs
@@ -1,5 +1,5 @@
-//! What else comes from members and from disks: what they tell of their load, words about versions,
-//! and the files of an elector and of a floor.
+//! Arbitrary bytes as messages of other members and as files: load reports, messages about
+//! configuration versions, and the files of an acceptor and of the minimum version.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
