--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -37,7 +37,7 @@
     let (config, stored_version) = crate::config::versions::begin(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     // Two processes cannot share a store, and a port that the system picks is used by no other one.
-    let meeting_place = hot_restart::place(config.listen).filter(|_| config.store.is_none());
+    let meeting_place = hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
     let opened = async { Some(OpenedSockets::open(&config, meeting_place.as_deref()).await) };
     let interrupted = async {
         signals.wait_for_shutdown().await;
@@ -74,7 +74,7 @@
 ) -> Result<(), String> {
     loop {
         let signal = async { Ok(LoopEvent::Signal(signals.next().await)) };
-        let failure = async { Err(services.failure.wait().await) };
+        let failure = async { Err(services.failure.wait().await.to_string()) };
         let version = async {
             Ok(LoopEvent::ApplyVersion(
                 next_version(&services.versions).await,
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -3,7 +3,7 @@
 
 use crate::config::platform::Config;
 use crate::net::connections::Front;
-use crate::net::hot_restart::{self, PredecessorConnection};
+use crate::net::hot_restart::{self, AdoptedSockets, FrontListener, PredecessorConnection};
 use crate::net::{after_ms, membership};
 use pipitlever_reactor::{Async, Timer};
 use std::io::ErrorKind;
@@ -17,9 +17,6 @@
 /// Time between two attempts to bind an address, in milliseconds.
 const BIND_RETRY_MS: u64 = 25;
 
-/// The listening socket of one front end.
-pub type FrontListener = (Front, SocketAddr, Async<TcpListener>);
-
 /// The sockets of a process, and its connection to the one that it replaces.
 pub struct OpenedSockets {
     /// The process that this one replaces, if there is one.
@@ -41,19 +38,18 @@
     ) -> Result<OpenedSockets, String> {
         let mut predecessor = match meeting_place {
             Some(place) if config.listen.port() != 0 => {
-                hot_restart::meet(place, &config.name, config.listen).await?
+                hot_restart::connect_to_predecessor(place, &config.name, config.listen)
+                    .await
+                    .map_err(|error| error.to_string())?
             }
             _ => None,
         };
-        let (passed_fronts, passed_membership) = match &mut predecessor {
-            Some(predecessor) => (
-                std::mem::take(&mut predecessor.sockets),
-                predecessor.fleet.take(),
-            ),
-            None => (Vec::new(), None),
+        let passed = match &mut predecessor {
+            Some(predecessor) => std::mem::take(&mut predecessor.sockets),
+            None => AdoptedSockets::default(),
         };
-        let fronts = open_fronts(config, passed_fronts).await?;
-        let membership = open_membership(config, passed_membership).await?;
+        let fronts = open_fronts(config, passed.fronts).await?;
+        let membership = open_membership(config, passed.membership).await?;
         Ok(OpenedSockets {
             predecessor,
             fronts,
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -2,13 +2,15 @@
 
 use crate::config::platform::Config;
 use crate::lifecycle::capture::Capturing;
-use crate::lifecycle::sockets::{FrontListener, OpenedSockets};
+use crate::lifecycle::sockets::OpenedSockets;
 use crate::lifecycle::{limits, store};
 use crate::log::log;
 use crate::net::config_versions::Act;
 use crate::net::event_loop::{NodeState, SharedState};
 use crate::net::front::Fronts;
-use crate::net::hot_restart::{self, FailureSignal, PredecessorConnection, SuccessorListener};
+use crate::net::hot_restart::{
+    self, FailureSignal, FrontListener, PredecessorConnection, SuccessorListener,
+};
 use crate::net::{control, ledger, membership, processor, registry, run_core_timer, workers};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -161,7 +163,7 @@
     if config.store.is_some() {
         return None;
     }
-    hot_restart::place(address)
+    hot_restart::socket_path(address)
 }
 
 fn log_listeners(name: &str, listeners: &[FrontListener]) {
@@ -240,8 +242,8 @@
     };
     let (state, failure) = (state.clone(), failure.clone());
     let take_over = async move {
-        if let Err(what) = predecessor.take_over(&state, serve).await {
-            failure.found(what);
+        if let Err(error) = predecessor.take_over(&state, serve).await {
+            failure.report(error);
         }
     };
     executor.spawn(take_over).detach();
--- /dev/null
+++ b/crates/node/src/net/hot_restart/adopted_sockets.rs
@@ -0,0 +1,72 @@
+//! The sockets that a predecessor passes on.
+
+use super::error::HotRestartError;
+use super::{MEMBERSHIP_TCP, MEMBERSHIP_UDP};
+use crate::net::connections::Front;
+use crate::net::membership::Sockets;
+use pipitlever_hot_restart::message::{ListeningSocket, Welcome};
+use pipitlever_reactor::Async;
+use rustix::fd::OwnedFd;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+
+/// A front end's listening socket.
+pub type FrontListener = (Front, SocketAddr, Async<TcpListener>);
+
+/// The sockets of the front ends, and those of the membership protocol.
+#[derive(Default)]
+pub struct AdoptedSockets {
+    /// The front ends' listeners.
+    pub fronts: Vec<FrontListener>,
+    /// The membership sockets, if the node is in a fleet.
+    pub membership: Option<Sockets>,
+}
+
+impl AdoptedSockets {
+    /// Checks that the sockets are those of the node of this name whose gateways connect to
+    /// `listen`.
+    pub fn new(
+        welcome: &Welcome,
+        passed: Vec<OwnedFd>,
+        node_name: &str,
+        listen: SocketAddr,
+    ) -> Result<AdoptedSockets, HotRestartError> {
+        if welcome.node_name != node_name {
+            return Err(HotRestartError::OtherNode {
+                predecessor: welcome.node_name.clone(),
+                this: node_name.to_owned(),
+            });
+        }
+        if welcome.sockets.len() != passed.len() {
+            return Err(HotRestartError::SocketCount {
+                listed: welcome.sockets.len(),
+                passed: passed.len(),
+            });
+        }
+        let (mut fronts, mut udp, mut tcp) = (Vec::new(), None, None);
+        for (listed, socket) in welcome.sockets.iter().zip(passed) {
+            match listed.protocol.as_str() {
+                MEMBERSHIP_UDP => udp = Some(UdpSocket::from(socket)),
+                MEMBERSHIP_TCP => tcp = Some(TcpListener::from(socket)),
+                _ => fronts.push(front_listener(listed, socket, listen)?),
+            }
+        }
+        let membership = udp.zip(tcp).map(|(udp, tcp)| Sockets { udp, tcp });
+        Ok(AdoptedSockets { fronts, membership })
+    }
+}
+
+fn front_listener(
+    listed: &ListeningSocket,
+    socket: OwnedFd,
+    listen: SocketAddr,
+) -> Result<FrontListener, HotRestartError> {
+    let front = Front::from_name(&listed.protocol)
+        .ok_or_else(|| HotRestartError::UnknownProtocol(listed.protocol.clone()))?;
+    let listener = TcpListener::from(socket);
+    let address = listener.local_addr().map_err(HotRestartError::Socket)?;
+    if address != listed.address || (front == Front::Gateway && address != listen) {
+        return Err(HotRestartError::OtherAddress(address));
+    }
+    let listener = Async::<TcpListener>::new(listener).map_err(HotRestartError::Socket)?;
+    Ok((front, address, listener))
+}
--- /dev/null
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -0,0 +1,302 @@
+//! The successor's side: connects to the predecessor, receives its sockets and keys, and serves in
+//! its place.
+
+use super::adopted_sockets::AdoptedSockets;
+use super::error::HotRestartError;
+use super::peer::PeerProcess;
+use super::{CHUNK_BYTES, MESSAGE_TIMEOUT_MS};
+use crate::log::log;
+use crate::net::event_loop::SharedState;
+use crate::net::{after_ms, timeout_at};
+use futures_lite::future;
+use pipitlever_hot_restart::message::{self, Decoder, Message, Welcome};
+use pipitlever_hot_restart::successor::{Action, ConnectionLoss, Phase, Successor};
+use pipitlever_idempotency_store::record::Salt;
+use pipitlever_reactor::{Async, Timer};
+use rustix::fd::OwnedFd;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::os::unix::net::UnixStream;
+use std::path::Path;
+use std::time::Instant;
+
+/// How long to wait for a process that shuts down, in milliseconds.
+const SHUTDOWN_TIMEOUT_MS: u64 = 3000;
+/// Time between two attempts to connect, in milliseconds.
+const RECONNECT_INTERVAL_MS: u64 = 25;
+/// How long a process may take to exit after its connection has ended, in milliseconds.
+const EXIT_TIMEOUT_MS: u64 = 500;
+/// Time between two checks whether this process is ready, in milliseconds.
+const READY_CHECK_MS: u64 = 5;
+/// Share of the processor's memory that a successor has at least, even if its predecessor uses all.
+const MIN_MEMORY_SHARE: f64 = 0.05;
+/// Size of the buffer that the welcome is read into, in bytes.
+const WELCOME_BUFFER_BYTES: usize = 4096;
+
+/// A predecessor that has passed its sockets on.
+pub struct PredecessorConnection {
+    stream: Async<UnixStream>,
+    peer: PeerProcess,
+    decoder: Decoder,
+    successor: Successor,
+    /// Salt of the node's payload digests.
+    pub salt: Salt,
+    /// The sockets, until they are taken.
+    pub sockets: AdoptedSockets,
+}
+
+/// Connects to the process at this path and receives its sockets; none if there is no process.
+///
+/// # Errors
+///
+/// A process is there and this one cannot take over from it, which goes on serving.
+pub async fn connect_to_predecessor(
+    path: &Path,
+    node_name: &str,
+    listen: SocketAddr,
+) -> Result<Option<PredecessorConnection>, HotRestartError> {
+    let deadline = after_ms(SHUTDOWN_TIMEOUT_MS);
+    loop {
+        let stream = match UnixStream::connect(path) {
+            Ok(stream) => stream,
+            // No process, or the socket of one that crashed.
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::NotFound | ErrorKind::ConnectionRefused
+                ) =>
+            {
+                return Ok(None);
+            }
+            Err(source) => {
+                let path = path.to_owned();
+                return Err(HotRestartError::Connect { path, source });
+            }
+        };
+        let Some(peer) = PeerProcess::of(&stream) else {
+            let path = path.to_owned();
+            return Err(HotRestartError::OtherUser { path });
+        };
+        let stream = Async::<UnixStream>::new(stream).map_err(HotRestartError::Socket)?;
+        let receiving = receive_welcome(&stream);
+        match timeout_at(after_ms(MESSAGE_TIMEOUT_MS), receiving).await {
+            Some(Ok(Some(received))) => {
+                return received.connect(stream, peer, node_name, listen).map(Some);
+            }
+            // It shuts down, exited, or has another successor.
+            Some(Ok(None)) if Instant::now() < deadline => {
+                Timer::at(after_ms(RECONNECT_INTERVAL_MS)).await;
+            }
+            Some(Ok(None)) => return Err(HotRestartError::Rejected),
+            Some(Err(error)) => return Err(error),
+            None => return Err(HotRestartError::WelcomeTimeout),
+        }
+    }
+}
+
+/// A welcome and the sockets that were passed with it.
+struct ReceivedWelcome {
+    successor: Successor,
+    decoder: Decoder,
+    welcome: Welcome,
+    sockets: Vec<OwnedFd>,
+}
+
+impl ReceivedWelcome {
+    fn connect(
+        self,
+        stream: Async<UnixStream>,
+        peer: PeerProcess,
+        node_name: &str,
+        listen: SocketAddr,
+    ) -> Result<PredecessorConnection, HotRestartError> {
+        let sockets = AdoptedSockets::new(&self.welcome, self.sockets, node_name, listen)?;
+        Ok(PredecessorConnection {
+            stream,
+            peer,
+            decoder: self.decoder,
+            successor: self.successor,
+            salt: Salt(self.welcome.salt),
+            sockets,
+        })
+    }
+}
+
+/// Sends the greeting and receives the welcome; none if the connection ends first.
+async fn receive_welcome(
+    stream: &Async<UnixStream>,
+) -> Result<Option<ReceivedWelcome>, HotRestartError> {
+    let mut successor = Successor::connecting();
+    let mut decoder = Decoder::default();
+    if stream.write_all(&message::greeting()).await.is_err() {
+        return Ok(None);
+    }
+    let (mut bytes, mut sockets) = ([0; WELCOME_BUFFER_BYTES], Vec::new());
+    loop {
+        match stream.receive_with(&mut bytes, &mut sockets).await {
+            Ok(length) if length > 0 => decoder.feed(&bytes[..length]),
+            _ => return Ok(None),
+        }
+        let Some(message) = decoder.next_message()? else {
+            continue;
+        };
+        let Action::AdoptSockets(welcome) = successor.handle_message(message)? else {
+            return Err(HotRestartError::NoWelcome);
+        };
+        return Ok(Some(ReceivedWelcome {
+            successor,
+            decoder,
+            welcome,
+            sockets,
+        }));
+    }
+}
+
+/// Whether the connection is to be read further.
+#[derive(PartialEq, Eq)]
+enum Progress {
+    Continue,
+    Finished,
+}
+
+impl PredecessorConnection {
+    /// Takes over once this process is ready, and follows the predecessor until it exits. `serve`
+    /// begins to serve, with the predecessor's membership state.
+    ///
+    /// # Errors
+    ///
+    /// This process has to exit, and the predecessor goes on serving.
+    pub async fn take_over(
+        mut self,
+        state: &SharedState,
+        serve: impl Fn(Option<Vec<u8>>),
+    ) -> Result<(), HotRestartError> {
+        if self.wait_until_ready(state).await? == Progress::Continue {
+            self.receive_keys(state, &serve).await?;
+        }
+        // The connection may end while both processes run, and two must not serve.
+        let has_exited = !self.successor.must_check_exit()
+            || self
+                .peer
+                .wait_for_exit(Some(after_ms(EXIT_TIMEOUT_MS)))
+                .await;
+        match self.successor.handle_disconnect(has_exited) {
+            ConnectionLoss::Abort => return Err(HotRestartError::Disconnected),
+            ConnectionLoss::KeysComplete => log("hot restart: complete, the predecessor exited"),
+            ConnectionLoss::KeysIncomplete | ConnectionLoss::NoPredecessor => {
+                log("hot restart: the predecessor exited before all keys were received: unknown keys are rejected for a window");
+                state
+                    .borrow_mut()
+                    .with_core(|core, now| core.distrust_unknown_keys(now));
+            }
+        }
+        state
+            .borrow_mut()
+            .with_core(|core, now| core.resolve_orphaned_keys(now));
+        state.borrow_mut().set_memory_share(None);
+        if !state.borrow().is_accepting {
+            serve(None);
+        }
+        Ok(())
+    }
+
+    /// Waits until this process is ready to serve, or the connection ends.
+    async fn wait_until_ready(&mut self, state: &SharedState) -> Result<Progress, HotRestartError> {
+        let ready = async {
+            while state.borrow().core.is_starting() {
+                Timer::at(after_ms(READY_CHECK_MS)).await;
+            }
+            None
+        };
+        let mut byte = [0];
+        let ended = async { Some(self.stream.read(&mut byte).await) };
+        match future::or(ready, ended).await {
+            None => Ok(Progress::Continue),
+            Some(Ok(length)) if length > 0 => Err(HotRestartError::PrematureMessage),
+            Some(_) => Ok(Progress::Finished),
+        }
+    }
+
+    /// Requests the keys and handles messages until the connection ends. Once this process serves,
+    /// an invalid message ends the connection and not the process.
+    async fn receive_keys(
+        &mut self,
+        state: &SharedState,
+        serve: &impl Fn(Option<Vec<u8>>),
+    ) -> Result<(), HotRestartError> {
+        self.successor.handle_ready();
+        let mut bytes = vec![0; CHUNK_BYTES];
+        let mut out = Vec::new();
+        message::encode(&Message::Freeze, &mut out);
+        let deadline = after_ms(MESSAGE_TIMEOUT_MS);
+        loop {
+            if !out.is_empty() {
+                // A failure shows as the end of the connection.
+                let writing = self.stream.write_all(&out);
+                let _ = timeout_at(after_ms(MESSAGE_TIMEOUT_MS), writing).await;
+                out.clear();
+            }
+            let reading = self.stream.read(&mut bytes);
+            let read = match self.successor.phase() {
+                Phase::Mirror => Some(reading.await),
+                _ => timeout_at(deadline, reading).await,
+            };
+            match read {
+                Some(Ok(length)) if length > 0 => self.decoder.feed(&bytes[..length]),
+                Some(_) => return Ok(()),
+                None => return Err(HotRestartError::SnapshotTimeout),
+            }
+            loop {
+                let is_serving = self.successor.phase() == Phase::Mirror;
+                match self.next_action() {
+                    Ok(None) => break,
+                    Ok(Some(action)) => execute(state, serve, action, &mut out),
+                    Err(_) if is_serving => return Ok(()),
+                    Err(error) => return Err(error),
+                }
+            }
+        }
+    }
+
+    fn next_action(&mut self) -> Result<Option<Action>, HotRestartError> {
+        match self.decoder.next_message()? {
+            Some(message) => Ok(Some(self.successor.handle_message(message)?)),
+            None => Ok(None),
+        }
+    }
+}
+
+fn execute(
+    state: &SharedState,
+    serve: &impl Fn(Option<Vec<u8>>),
+    action: Action,
+    out: &mut Vec<u8>,
+) {
+    match action {
+        Action::AdoptSockets(_) => {}
+        Action::ApplyKey(key) => {
+            let mut state = state.borrow_mut();
+            let window_end = state.clock.of_unix(key.window_end);
+            state.with_core(|core, now| core.apply_transferred_key(now, key, window_end));
+        }
+        Action::ReleaseKey(key) => {
+            state
+                .borrow_mut()
+                .with_core(|core, now| core.release_transferred_key(now, &key));
+        }
+        Action::ConfirmSnapshot {
+            is_standby,
+            memory_share,
+        } => {
+            let mut state = state.borrow_mut();
+            state.core.set_standby(is_standby);
+            let share = (1.0 - memory_share).max(MIN_MEMORY_SHARE);
+            state.set_memory_share(Some(share));
+            message::encode(&Message::SnapshotReceived, out);
+        }
+        Action::Serve { membership } => {
+            log("hot restart: took over, this process serves");
+            serve(membership);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/hot_restart/successor_listener.rs
@@ -0,0 +1,116 @@
+//! The predecessor's side: listens for a successor.
+
+use super::peer::PeerProcess;
+use super::successor_session;
+use crate::log::log;
+use crate::net::after_ms;
+use crate::net::event_loop::SharedState;
+use crate::net::front::Fronts;
+use crate::net::notify::Notify;
+use async_executor::LocalExecutor;
+use futures_lite::future;
+use pipitlever_reactor::{Async, Timer};
+use std::cell::RefCell;
+use std::io;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::PathBuf;
+use std::rc::Rc;
+
+/// Pause after a failed accept, in milliseconds.
+const ACCEPT_RETRY_MS: u64 = 50;
+
+/// Listens for a successor.
+pub struct SuccessorListener {
+    pub(super) executor: Rc<LocalExecutor<'static>>,
+    pub(super) state: SharedState,
+    pub(super) fronts: Rc<Fronts>,
+    pub(super) node_name: String,
+    path: PathBuf,
+    /// Stops the task that accepts connections.
+    stop: RefCell<Notify>,
+}
+
+impl SuccessorListener {
+    /// Creates a listener that is not open yet.
+    pub fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        state: SharedState,
+        fronts: Rc<Fronts>,
+        node_name: String,
+        path: PathBuf,
+    ) -> Rc<SuccessorListener> {
+        Rc::new(SuccessorListener {
+            executor,
+            state,
+            fronts,
+            node_name,
+            path,
+            stop: RefCell::default(),
+        })
+    }
+
+    /// Begins to accept connections. Replaces a socket that exists: its process has exited or shuts
+    /// down.
+    pub fn open(self: &Rc<SuccessorListener>) {
+        let listener = match self.bind() {
+            Ok(listener) => listener,
+            Err(error) => {
+                return log(&format!(
+                    "hot restart: off: path={} error={error}",
+                    self.path.display()
+                ));
+            }
+        };
+        let stop = Notify::new();
+        *self.stop.borrow_mut() = stop.clone();
+        let accepting = self.clone().accept_all(listener);
+        self.executor
+            .spawn(future::or(accepting, async move { stop.wait().await }))
+            .detach();
+    }
+
+    /// Binds the socket under a temporary name and renames it, so that a process that finds it can
+    /// always connect.
+    fn bind(&self) -> io::Result<Async<UnixListener>> {
+        let temporary = self.path.with_extension(std::process::id().to_string());
+        // A crashed process with the same id may have left one.
+        let _ = std::fs::remove_file(&temporary);
+        let bound = UnixListener::bind(&temporary).and_then(|listener| {
+            std::fs::rename(&temporary, &self.path)?;
+            Async::<UnixListener>::new(listener)
+        });
+        if bound.is_err() {
+            let _ = std::fs::remove_file(&temporary);
+        }
+        bound
+    }
+
+    async fn accept_all(self: Rc<SuccessorListener>, listener: Async<UnixListener>) {
+        loop {
+            let Ok(stream) = listener.accept().await else {
+                Timer::at(after_ms(ACCEPT_RETRY_MS)).await;
+                continue;
+            };
+            let Some(peer) = PeerProcess::of(&stream) else {
+                log("hot restart: rejected a process of another user");
+                continue;
+            };
+            if let Ok(stream) = Async::<UnixStream>::new(stream) {
+                let session = successor_session::run(self.clone(), stream, peer);
+                self.executor.spawn(session).detach();
+            }
+        }
+    }
+
+    /// Stops to accept. The socket's path belongs to the successor by now.
+    pub(super) fn stop(&self) {
+        self.stop.borrow().notify();
+    }
+
+    /// Stops to accept and removes the socket: a process that starts from then on has no
+    /// predecessor.
+    pub fn close(&self) {
+        self.stop();
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -54,7 +54,7 @@
         let (node, mut processor, door) = self.start();
         assert_eq!(door.call("GET /status").0, 503, "not before it serves");
         processor.up();
-        node.line("handover: taken over");
+        node.line("hot restart: took over");
         assert_eq!(door.call("GET /status").0, 200);
         (node, processor, door)
     }
@@ -128,7 +128,7 @@
     after.complete(&run[1], "fine", b"result 3");
     assert_eq!(served(&late.receive()), base64(b"result 3"));
     assert_eq!(old.wait().code(), Some(0));
-    new.line("handover: the process before this one has ended");
+    new.line("hot restart: complete, the predecessor exited");
     assert_eq!(door.figure("operations.swap-confirm.relayed"), Some(1));
 }
 
@@ -155,10 +155,10 @@
     let (old, mut before, door) = place.first();
     let mut gateway = old.ready();
     let (mut new, ..) = place.start();
-    old.line("handover: a process has come");
+    old.line("hot restart: a successor connected");
     new.signal("-KILL");
     new.wait();
-    old.line("handover: not done, this process serves on");
+    old.line("hot restart: aborted, this process goes on serving");
     gateway.send("swap-confirm", work(9000, Some("k"), b"body"));
     let (words, _) = before.command();
     before.complete(&words[1], "fine", b"result");
@@ -180,7 +180,7 @@
     after.command();
     new.signal("-KILL");
     new.wait();
-    old.line("handover: the process that took over is gone");
+    old.line("hot restart: the successor exited");
     let mut gateway = old.ready();
     let mut further = work(9000, Some("lost"), b"body");
     further["dup"] = json!(1);
@@ -201,10 +201,10 @@
     early.send("swap-confirm", work(9000, Some("lost"), b"body"));
     before.command();
     let (new, mut after, _) = place.start();
-    old.line("handover: a process has come");
+    old.line("hot restart: a successor connected");
     old.signal("-KILL");
     old.wait();
-    new.line("handover: the process before this one died");
+    new.line("hot restart: the predecessor exited before all keys were received");
     after.up();
     let mut gateway = new.ready();
     let mut further = work(9000, Some("lost"), b"body");
@@ -400,7 +400,7 @@
     let (mut new, ..) = place.next();
     new.signal("-KILL");
     new.wait();
-    old.line("handover: the process that took over is gone");
+    old.line("hot restart: the successor exited");
     let mut gateway = old.ready();
     gateway.send("rota-view", work(9000, None, b"view"));
     let (view, _) = before.command();
@@ -437,7 +437,7 @@
     let (mut old, mut before, _) = place.first();
     old.ready();
     let (mut new, mut after, door) = place.start();
-    old.line("handover: a process has come");
+    old.line("hot restart: a successor connected");
     // One before its yes, one that is about to yield.
     for node in [&mut new, &mut old] {
         node.reload(json!({"ledger": nobody().to_string()}));
@@ -447,7 +447,7 @@
     early.send("swap-confirm", work(9000, Some("k"), b"body"));
     let (run, _) = before.command();
     after.up();
-    new.line("handover: taken over");
+    new.line("hot restart: took over");
     old.reload(json!({"ledger": "127.77.0.2:9"}));
     assert_eq!(old.line("reload: "), "reload: done");
     let mut late = new.ready();
