--- a/crates/config-versions/src/file_format.rs
+++ b/crates/config-versions/src/file_format.rs
@@ -2,7 +2,8 @@
 //!
 //! A file is replaced as a whole, by writing a new file and renaming it.
 
-use pipitlever_framing::{append_frame, Format, FrameReader, ReadError, ReadErrorKind};
+pub use pipitlever_framing::ReadError;
+use pipitlever_framing::{append_frame, Format, FrameReader, ReadErrorKind};
 use serde::{Deserialize, Serialize};
 
 /// The header of state files.
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -7,7 +7,7 @@
 use crate::config::platform::Config;
 use crate::log::log;
 use crate::net::config_versions::disk::{load, ACTIVE_FILE};
-use crate::net::config_versions::{usual, Settings};
+use crate::net::config_versions::{default_rules, Settings};
 use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
 use pipitlever_config_versions::node::WithoutLease;
 use pipitlever_config_versions::version::check_acceptors;
@@ -56,7 +56,7 @@
         let at = self.electors.span().start;
         check_acceptors(self.electors.get_ref())
             .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
-        let mut rules = usual(self.electors.into_inner());
+        let mut rules = default_rules(self.electors.into_inner());
         let lease = within(
             text,
             "lease_ms",
@@ -95,7 +95,7 @@
             log(&format!("versions: starting as on a new disk: {why}"));
             None
         }
-        saved => saved?,
+        saved => saved.map_err(|error| error.to_string())?,
     };
     let Some(saved) = saved.filter(|s| s.version.is_some()) else {
         return Ok((config, None));
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -4,7 +4,7 @@
 use crate::config::platform::Config;
 use crate::lifecycle::capture::Capturing;
 use crate::log::log;
-use crate::net::config_versions::Act;
+use crate::net::config_versions::DecidedVersion;
 use crate::net::event_loop::SharedState;
 use crate::net::workers::routes::PoolSettings;
 use serde_json::Value;
@@ -15,7 +15,7 @@
         .borrow()
         .membership
         .as_ref()
-        .is_some_and(|part| part.versions.is_some())
+        .is_some_and(|membership| membership.versions.is_some())
 }
 
 /// What of a configuration the next one is held against, and how it is read.
@@ -69,29 +69,30 @@
         &mut self,
         state: &SharedState,
         capturing: &mut Capturing,
-        (number, content): Act,
+        version: DecidedVersion,
     ) {
-        let Some(part) = state.borrow().membership.clone() else {
+        let DecidedVersion { number, content } = version;
+        let Some(membership) = state.borrow().membership.clone() else {
             return;
         };
         // Once another process of the node is the member, this one ends under the version that it
         // has: what it wrote down meanwhile is that one's to act on.
-        if !part.active() {
+        if !membership.is_member() {
             return;
         }
         let fits = (self.read)(Some(&content)).and_then(|new| self.fits(&new, state).map(|()| new));
         let taken = match fits {
-            Ok(new) => match part.write_down(number, &content).await {
-                Ok(()) if !part.active() => return,
+            Ok(new) => match membership.write_active_version(number, &content).await {
+                Ok(()) if !membership.is_member() => return,
                 Ok(()) => self.take(new, state, capturing),
                 Err(why) => Err(format!("it can't be written down: {why}")),
             },
             Err(why) => Err(why),
         };
-        if let Some(versions) = &part.versions {
+        if let Some(versions) = &membership.versions {
             versions.activation_finished(number, taken);
         }
-        part.notify();
+        membership.notify();
     }
 
     /// Whether another configuration can be taken.
@@ -147,7 +148,7 @@
         }
         capturing.set(state, new.capture);
         match (&state.borrow().membership, &new.fleet) {
-            (Some(part), Some(settings)) => part.retune(settings),
+            (Some(membership), Some(settings)) => membership.set_settings(settings),
             (None, None) => {}
             _ => {
                 log("reload: [fleet] was added or removed: it stays as it was until the next start")
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -8,7 +8,7 @@
 use crate::lifecycle::startup::{self, Services};
 use crate::lifecycle::{shutdown, store};
 use crate::log::log;
-use crate::net::config_versions::Act;
+use crate::net::config_versions::DecidedVersion;
 use crate::net::hot_restart;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
@@ -63,7 +63,7 @@
 enum LoopEvent {
     Signal(Signal),
     /// A config version that the fleet has decided is to be applied.
-    ApplyVersion(Act),
+    ApplyVersion(DecidedVersion),
 }
 
 /// Handles signals and decided config versions until a signal asks for the shutdown.
@@ -92,7 +92,7 @@
 }
 
 /// The next config version to apply; waits for ever if this node's fleet does not decide versions.
-async fn next_version(versions: &Receiver<Act>) -> Act {
+async fn next_version(versions: &Receiver<DecidedVersion>) -> DecidedVersion {
     match versions.recv().await {
         Ok(version) => version,
         Err(_) => future::pending().await,
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -90,7 +90,7 @@
     };
     let address = settings.bind;
     let is_usable =
-        |sockets: &membership::Sockets| address.port() == 0 || sockets.at() == Some(address);
+        |sockets: &membership::Sockets| address.port() == 0 || sockets.address() == Some(address);
     if let Some(sockets) = passed.filter(is_usable) {
         return Ok(Some(sockets));
     }
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -5,12 +5,13 @@
 use crate::lifecycle::sockets::OpenedSockets;
 use crate::lifecycle::{limits, store};
 use crate::log::log;
-use crate::net::config_versions::Act;
+use crate::net::config_versions::DecidedVersion;
 use crate::net::event_loop::{NodeState, SharedState};
 use crate::net::front::Fronts;
 use crate::net::hot_restart::{
     self, FailureSignal, FrontListener, PredecessorConnection, SuccessorListener,
 };
+use crate::net::membership::MembershipDriver;
 use crate::net::{control, ledger, membership, processor, registry, run_core_timer, workers};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -37,7 +38,7 @@
     /// A failure of the hot restart, which ends this process.
     pub failure: FailureSignal,
     /// Decided config versions to apply.
-    pub versions: Receiver<Act>,
+    pub versions: Receiver<DecidedVersion>,
     /// Time from the shutdown signal until the process is killed, in milliseconds.
     pub stop_ms: u64,
 }
@@ -183,7 +184,7 @@
     name: String,
     settings: Option<(membership::Settings, membership::Sockets)>,
     stored_version: Option<StoredVersion>,
-    versions: Sender<Act>,
+    versions: Sender<DecidedVersion>,
 }
 
 impl JoinFleet {
@@ -192,21 +193,18 @@
         let Some((settings, sockets)) = self.settings else {
             return;
         };
-        let versioned = membership::Versioned {
-            saved: self.stored_version,
-            acts: Some(self.versions),
-        };
-        let started = membership::MembershipDriver::begin(
-            self.executor,
-            self.state.clone(),
-            &self.name,
+        let started = MembershipDriver::start(membership::StartOptions {
+            executor: self.executor,
+            state: self.state.clone(),
+            node_name: self.name,
             settings,
             sockets,
-            passed,
-            versioned,
-        );
+            resume_state: passed,
+            stored_version: self.stored_version,
+            decided: Some(self.versions),
+        });
         match started {
-            Ok(part) => self.state.borrow_mut().membership = Some(part),
+            Ok(driver) => self.state.borrow_mut().membership = Some(driver),
             // Requests are served without the fleet, too.
             Err(why) => log(&format!("fleet: off: {why}")),
         }
--- a/crates/node/src/net/config_versions/disk.rs
+++ b/crates/node/src/net/config_versions/disk.rs
@@ -1,133 +1,140 @@
-//! The files of a node's versions: what an elector has voted, and what is acted on. Each is written
-//! anew as a whole, synced, put in place by a rename, and the folder synced: a crash leaves the one
-//! or the other, never half of one. A thread does it, as a disk may take its time and no request
-//! may wait for that.
+//! Files of a node's config versions: the acceptor's state and the active version.
+//!
+//! Each write replaces a whole file: the new content is written and synced under a temporary name,
+//! renamed, and the folder is synced. A crash leaves the old or the new file. A thread writes, as no
+//! request may wait for a disk.
 
 use async_channel::{Receiver, Sender};
 use pipitlever_config_versions::acceptor::AcceptorState;
-use pipitlever_config_versions::file_format::{decode, encode};
+use pipitlever_config_versions::file_format::{decode, encode, ReadError};
 use pipitlever_config_versions::minimum_version::StoredVersion;
 use std::fs::{self, File};
-use std::io::{ErrorKind, Write};
+use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
-/// What an elector has promised, accepted and closed.
+#[cfg(test)]
+mod tests;
+
+/// Name of the file with the acceptor's state.
 pub const ACCEPTOR_FILE: &str = "elector";
-/// The floor, and the version that is acted on.
+/// Name of the file with the minimum version and the active version.
 pub const ACTIVE_FILE: &str = "acting";
 
+/// Why a file could not be read or written.
+#[derive(Debug, Error)]
+pub enum DiskError {
+    /// The system's error.
+    #[error("{}: {source}", path.display())]
+    Io {
+        /// The file or folder.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The file is damaged.
+    #[error("{}: {source}", path.display())]
+    Damaged {
+        /// The file.
+        path: PathBuf,
+        /// Position and kind of the damage.
+        source: ReadError,
+    },
+    /// The writer thread could not be started.
+    #[error("versions: no thread: {0}")]
+    NoThread(io::Error),
+    /// The writer thread has ended.
+    #[error("the disk's thread has ended")]
+    ThreadEnded,
+}
+
 /// A file to be written.
 pub enum DiskWrite {
-    /// An elector's votes, and the number of that write.
+    /// The acceptor's state, and the number of the write.
     Acceptor(Box<AcceptorState>, u64),
-    /// What is about to be acted on.
+    /// The version that is about to be activated.
     Active(StoredVersion),
 }
 
-/// What has become of one.
+/// The result of a write.
 pub enum DiskWriteResult {
-    /// The write of this number is on the disk, or is not.
-    Acceptor(u64, Result<(), String>),
-    /// So is this floor.
-    Active(Result<u64, String>),
+    /// The write of the acceptor's state with this number.
+    Acceptor(u64, Result<(), DiskError>),
+    /// The write of a version; returns the minimum version that is on the disk.
+    Active(Result<u64, DiskError>),
 }
 
-/// What is there: the elector's file only for one that is an elector.
+/// Reads a file; none if it does not exist.
 pub fn load<T: for<'a> serde::Deserialize<'a>>(
     folder: &Path,
     name: &str,
-) -> Result<Option<T>, String> {
+) -> Result<Option<T>, DiskError> {
     let path = folder.join(name);
     match fs::read(&path) {
-        Ok(bytes) => match decode(&bytes) {
-            Ok(kept) => Ok(Some(kept)),
-            Err(e) => Err(format!("{}: at {}: {:?}", path.display(), e.offset, e.kind)),
-        },
-        Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
-        Err(e) => Err(format!("{}: {e}", path.display())),
+        Ok(bytes) => decode(&bytes)
+            .map(Some)
+            .map_err(|source| DiskError::Damaged { path, source }),
+        Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
+        Err(source) => Err(DiskError::Io { path, source }),
     }
 }
 
-fn put(folder: &Path, name: &str, bytes: &[u8]) -> std::io::Result<()> {
-    let (new, place) = (folder.join(format!("{name}.new")), folder.join(name));
-    let mut file = File::create(&new)?;
-    file.write_all(bytes)?;
-    file.sync_all()?;
-    fs::rename(&new, &place)?;
-    // The name, too, is only there for certain once its folder is.
-    File::open(folder)?.sync_all()
+/// Replaces a file.
+fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), DiskError> {
+    let write = || {
+        let temporary = folder.join(format!("{name}.new"));
+        let mut file = File::create(&temporary)?;
+        file.write_all(bytes)?;
+        file.sync_all()?;
+        fs::rename(&temporary, folder.join(name))?;
+        // The rename is durable only once the folder is synced.
+        File::open(folder)?.sync_all()
+    };
+    write().map_err(|source| DiskError::Io {
+        path: folder.to_owned(),
+        source,
+    })
 }
 
-/// Writes one after another until nobody asks any more.
-pub fn start(folder: PathBuf) -> Result<(Sender<DiskWrite>, Receiver<DiskWriteResult>), String> {
-    fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-    let (jobs, todo) = async_channel::unbounded::<DiskWrite>();
-    let (say, done) = async_channel::unbounded();
-    let work = move || {
-        while let Ok(job) = todo.recv_blocking() {
-            let wrong = |e: std::io::Error| format!("{}: {e}", folder.display());
-            let said = match job {
-                DiskWrite::Acceptor(kept, number) => DiskWriteResult::Acceptor(
-                    number,
-                    put(&folder, ACCEPTOR_FILE, &encode(&kept)).map_err(wrong),
-                ),
-                DiskWrite::Active(saved) => {
-                    let put = put(&folder, ACTIVE_FILE, &encode(&saved)).map_err(wrong);
-                    DiskWriteResult::Active(put.map(|()| saved.minimum_version))
-                }
-            };
-            if say.send_blocking(said).is_err() {
+/// The channels of the writer thread.
+pub struct DiskWriter {
+    /// Takes files to write.
+    pub writes: Sender<DiskWrite>,
+    /// Yields the results, in the same order.
+    pub results: Receiver<DiskWriteResult>,
+}
+
+/// Starts the thread that writes files to this folder until the channel closes.
+pub fn start(folder: PathBuf) -> Result<DiskWriter, DiskError> {
+    fs::create_dir_all(&folder).map_err(|source| DiskError::Io {
+        path: folder.clone(),
+        source,
+    })?;
+    let (writes, pending) = async_channel::unbounded();
+    let (completed, results) = async_channel::unbounded();
+    let run = move || {
+        while let Ok(write) = pending.recv_blocking() {
+            if completed.send_blocking(execute(&folder, write)).is_err() {
                 return;
             }
         }
     };
-    let thread = std::thread::Builder::new()
+    std::thread::Builder::new()
         .name("versions".into())
-        .spawn(work);
-    thread
-        .map(|_| (jobs, done))
-        .map_err(|e| format!("versions: no thread: {e}"))
+        .spawn(run)
+        .map_err(DiskError::NoThread)?;
+    Ok(DiskWriter { writes, results })
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A file that was cut at any byte, or spoilt, was never put in place like that: it is an error
-    /// with its name, not an empty disk.
-    #[test]
-    fn a_file_is_whole_or_named_as_damaged() {
-        let folder =
-            std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
-        fs::create_dir_all(&folder).unwrap();
-        assert_eq!(load::<StoredVersion>(&folder, ACTIVE_FILE), Ok(None));
-        let saved = StoredVersion {
-            minimum_version: 7,
-            version: None,
-            content: b"{}".to_vec(),
-        };
-        put(&folder, ACTIVE_FILE, &encode(&saved)).unwrap();
-        assert_eq!(
-            load::<StoredVersion>(&folder, ACTIVE_FILE),
-            Ok(Some(saved.clone()))
-        );
-        let bytes = fs::read(folder.join(ACTIVE_FILE)).unwrap();
-        for at in 0..bytes.len() {
-            let mut spoilt = bytes.clone();
-            spoilt[at] ^= 1;
-            for wrong in [&bytes[..at], &spoilt] {
-                fs::write(folder.join(ACTIVE_FILE), wrong).unwrap();
-                let found = load::<StoredVersion>(&folder, ACTIVE_FILE);
-                assert!(
-                    found.as_ref().is_err_and(|e| e.contains(ACTIVE_FILE)),
-                    "{at}: {found:?}"
-                );
-            }
+fn execute(folder: &Path, write: DiskWrite) -> DiskWriteResult {
+    match write {
+        DiskWrite::Acceptor(state, number) => {
+            let result = replace(folder, ACCEPTOR_FILE, &encode(&state));
+            DiskWriteResult::Acceptor(number, result)
+        }
+        DiskWrite::Active(version) => {
+            let result = replace(folder, ACTIVE_FILE, &encode(&version));
+            DiskWriteResult::Active(result.map(|()| version.minimum_version))
         }
-        // What a crash left of the next one is not looked at.
-        put(&folder, ACTIVE_FILE, &encode(&saved)).unwrap();
-        fs::write(folder.join("acting.new"), b"half of it").unwrap();
-        assert_eq!(load::<StoredVersion>(&folder, ACTIVE_FILE), Ok(Some(saved)));
-        fs::remove_dir_all(&folder).unwrap();
     }
 }
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -1,297 +1,287 @@
-//! The node's part in the fleet's versions: what `pipitlever-versions` decides, by datagrams of the
-//! fleet, a thread for the disk, and a word to the core on whether anything may be done at all.
-//! Only with `[fleet.versions]`.
+//! Driver of config versions: passes datagrams of the fleet, results of the disk and the time to
+//! `pipitlever-config-versions`, and its permission to serve to the core. Only with
+//! `[fleet.versions]`.
 
+mod control;
 pub mod disk;
+mod log_lines;
 
 use crate::log::log;
 use crate::net::event_loop::SharedState;
 use async_channel::{Receiver, Sender};
-use disk::{DiskWrite, DiskWriteResult};
+use disk::{DiskError, DiskWrite, DiskWriteResult, DiskWriter};
 use pipitlever_config_versions::envelope::Envelope;
 use pipitlever_config_versions::message::{GossipPayload, Message};
 use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
 use pipitlever_config_versions::node::{
-    self, Chunk, Event, Node, Permission, Proposal, Role, StoredState, VersionWithContent,
-    WithoutLease,
+    self, Chunk, Event, Node, Permission, Role, StoredState, VersionWithContent, WithoutLease,
 };
-use pipitlever_config_versions::proposer::Outcome;
-use pipitlever_config_versions::version::Version;
 use pipitlever_membership::{ApplicationMessage, Membership, ReceivedMessage};
-use serde::Deserialize;
-use serde_json::{json, value::RawValue, Value};
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// What the operator's file says.
+/// Default length of a lease, in microseconds.
+const DEFAULT_LEASE: i64 = 10_000_000;
+
+/// Settings of config versions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where this node's files are. Each node has its own.
+    /// Folder of this node's files. No other node may use it.
     pub folder: PathBuf,
-    /// What is decided by.
+    /// Acceptors, leases, and what to do without them.
     pub rules: node::Settings,
 }
 
-/// A version that is to be acted on: its number and content.
-pub type Act = (u64, Rc<[u8]>);
+/// The default settings with these acceptors.
+pub fn default_rules(acceptors: Vec<String>) -> node::Settings {
+    node::Settings {
+        acceptors,
+        lease: DEFAULT_LEASE,
+        without_lease: WithoutLease::Serve,
+        unknown_minimum: UnknownMinimum::Wait,
+    }
+}
 
-/// The part.
-pub struct VersionsDriver {
+/// A decided version that is to be activated.
+pub struct DecidedVersion {
+    /// Its number.
+    pub number: u64,
+    /// Its content.
+    pub content: Rc<[u8]>,
+}
+
+/// Connects a node's config versions to the fleet, the disk and the core.
+pub struct ConfigVersionsDriver {
     node: RefCell<Node>,
-    jobs: Sender<DiskWrite>,
+    writes: Sender<DiskWrite>,
     folder: PathBuf,
-    elector: bool,
-    acts: Option<Sender<Act>>,
-    /// The version that the acting loop has in its hands.
-    offered: Cell<u64>,
-    /// What may be done, as it was last told to the core.
-    told: Cell<Option<Permission>>,
+    is_acceptor: bool,
+    /// Takes versions to activate.
+    decided: Option<Sender<DecidedVersion>>,
+    /// The newest version that was sent to be activated.
+    last_decided: Cell<u64>,
+    /// The permission that the core has.
+    last_permission: Cell<Option<Permission>>,
     state: SharedState,
 }
 
-/// What a publisher sends to the door.
-#[derive(Deserialize)]
-struct Published<'a> {
-    base: u64,
-    why: String,
-    #[serde(borrow)]
-    content: &'a RawValue,
+/// A driver that has started, and the results of its disk writes.
+pub struct Started {
+    /// The driver.
+    pub driver: ConfigVersionsDriver,
+    /// Results of the disk writes.
+    pub results: Receiver<DiskWriteResult>,
+}
+
+/// What a driver starts with.
+pub struct StartOptions<'a> {
+    /// This node's name.
+    pub node_name: &'a str,
+    /// The settings.
+    pub settings: &'a Settings,
+    /// The version that is on the disk.
+    pub stored: Option<StoredVersion>,
+    /// Takes versions to activate.
+    pub decided: Option<Sender<DecidedVersion>>,
+    /// Seed of random times.
+    pub seed: u64,
 }
 
-impl VersionsDriver {
-    /// Begins, with what the disk holds. What is to be acted on goes out by the channel, whose
-    /// other end acts and says so.
-    pub fn begin(
+impl ConfigVersionsDriver {
+    /// Starts with what is on the disk.
+    pub fn start(
         state: SharedState,
-        name: &str,
-        settings: &Settings,
-        saved: Option<StoredVersion>,
-        acts: Option<Sender<Act>>,
-        seed: u64,
+        options: StartOptions<'_>,
         now: i64,
-    ) -> Result<(VersionsDriver, Receiver<DiskWriteResult>), String> {
-        let (jobs, done) = disk::start(settings.folder.clone())?;
-        let elector = settings.rules.acceptors.iter().any(|e| e == name);
-        let role = if elector {
-            Role::Acceptor(disk::load(&settings.folder, disk::ACCEPTOR_FILE)?)
+    ) -> Result<Started, DiskError> {
+        let StartOptions {
+            node_name,
+            settings,
+            stored,
+            decided,
+            seed,
+        } = options;
+        let folder = settings.folder.clone();
+        let DiskWriter { writes, results } = disk::start(folder.clone())?;
+        let is_acceptor = settings
+            .rules
+            .acceptors
+            .iter()
+            .any(|name| name == node_name);
+        let role = if is_acceptor {
+            Role::Acceptor(disk::load(&folder, disk::ACCEPTOR_FILE)?)
         } else {
             Role::Learner
         };
-        let saved = saved.unwrap_or_default();
-        let content = saved.content.into();
-        let stored = StoredState {
+        let stored = stored.unwrap_or_default();
+        let content = stored.content.into();
+        let stored_state = StoredState {
             role,
-            active: saved
+            active: stored
                 .version
                 .map(|version| VersionWithContent { version, content }),
-            minimum_version: saved.minimum_version,
+            minimum_version: stored.minimum_version,
         };
-        let node = Node::new(name, settings.rules.clone(), stored, seed, now);
+        let node = Node::new(node_name, settings.rules.clone(), stored_state, seed, now);
         log(&format!(
-            "versions: started active_version={} minimum_version={} acceptor={elector}",
+            "versions: started active_version={} minimum_version={} acceptor={is_acceptor}",
             node.active_version(),
             node.minimum_version().number()
         ));
-        let (offered, told) = (Cell::new(node.active_version()), Cell::new(None));
-        let (node, folder) = (RefCell::new(node), settings.folder.clone());
-        let versions = VersionsDriver {
-            node,
-            jobs,
+        let driver = ConfigVersionsDriver {
+            last_decided: Cell::new(node.active_version()),
+            last_permission: Cell::new(None),
+            node: RefCell::new(node),
+            writes,
             folder,
-            elector,
-            acts,
-            offered,
-            told,
+            is_acceptor,
+            decided,
             state,
         };
-        Ok((versions, done))
+        Ok(Started { driver, results })
     }
 
-    /// Takes in what members have said, does what is due, and says what comes of it.
-    pub fn turn(&self, fleet: &mut Membership, now: i64, heard: Vec<ReceivedMessage>) {
+    /// Handles messages of members, and executes what follows from them and from the time.
+    pub fn update(&self, fleet: &mut Membership, now: i64, messages: Vec<ReceivedMessage>) {
         let mut node = self.node.borrow_mut();
-        for ReceivedMessage {
-            sender: from,
-            content,
-        } in heard
-        {
-            match content {
-                ApplicationMessage::Piggyback(bytes) => {
-                    if let Some(gossip) = GossipPayload::decode(&bytes) {
-                        node.handle_gossip(now, &gossip);
-                    }
-                }
-                ApplicationMessage::Direct(bytes) => match Envelope::decode(&bytes) {
-                    Some(Envelope::Register(bytes)) => {
-                        if let Some(message) = Message::decode(&bytes) {
-                            node.handle_message(now, &from, &message);
-                        }
-                    }
-                    Some(Envelope::ChunkRequest { digest, offset }) => {
-                        let chunk = node.content_chunk(digest, offset as usize);
-                        let reply = Envelope::Chunk {
-                            digest,
-                            offset,
-                            content_length: chunk.as_ref().map(|c| c.content_length as u32),
-                            bytes: chunk.map_or(Vec::new(), |c| c.bytes),
-                        };
-                        fleet.send_application_message(&from, reply.encode());
-                    }
-                    Some(Envelope::Chunk {
-                        digest,
-                        offset,
-                        content_length,
-                        bytes,
-                    }) => {
-                        let chunk = content_length.map(|length| Chunk {
-                            bytes,
-                            content_length: length as usize,
-                        });
-                        node.handle_chunk(now, &from, digest, offset as usize, chunk);
-                    }
-                    None => {}
-                },
-            }
+        for message in messages {
+            handle_message(&mut node, fleet, now, message);
         }
-        let mut spread = node.next_wakeup() <= now && node.handle_timeout(now);
+        let mut gossips_now = node.next_wakeup() <= now && node.handle_timeout(now);
         if let Some(write) = node.take_write() {
-            // A thread that has ended writes nothing, and nothing that rests on it is ever said.
+            // If the thread has ended, the write never finishes, and nothing that depends on it is
+            // ever sent.
             let _ = self
-                .jobs
+                .writes
                 .try_send(DiskWrite::Acceptor(Box::new(write.state), write.number));
         }
-        // Not put together each time: a content is wanted now and then.
-        if node.is_fetching() {
-            let there = fleet
-                .members()
-                .iter()
-                .filter(|(_, m)| m.record.state.is_active());
-            let others: Vec<&str> = there
-                .map(|(name, _)| name)
-                .filter(|name| *name != fleet.local_name())
-                .collect();
-            if let Some(request) = node.next_chunk_request(now, &others) {
-                let envelope = Envelope::ChunkRequest {
-                    digest: request.digest,
-                    offset: request.offset as u32,
-                };
-                fleet.send_application_message(&request.recipient, envelope.encode());
-            }
-        }
+        request_chunk(&mut node, fleet, now);
         for outgoing in node.take_outgoing() {
             let envelope = Envelope::register(&outgoing.message);
             fleet.send_application_message(&outgoing.recipient, envelope.encode());
         }
-        if let Some(VersionWithContent { version, content }) = node
-            .version_to_activate()
-            .filter(|v| v.version.number > self.offered.get())
-        {
-            if node.minimum_version().allows(version.number) {
-                self.offered.set(version.number);
-                self.acts
-                    .iter()
-                    .for_each(|acts| drop(acts.try_send((version.number, content.clone()))));
-            }
-        }
+        self.send_decided(&node);
         for event in node.take_events() {
-            spread |= matches!(event, Event::Learned { .. });
-            log(&format!("versions: {}", line(&event)));
+            gossips_now |= matches!(event, Event::Learned { .. });
+            log(&format!("versions: {}", log_lines::event(&event)));
         }
         fleet.set_piggyback(node.gossip().encode());
-        if spread {
+        if gossips_now {
             fleet.gossip_piggyback(now);
         }
-        let may = node.permission(now);
+        let permission = node.permission(now);
         drop(node);
-        self.tell(may);
+        self.update_permission(permission);
     }
 
-    /// Tells the core what may be done, and until when: it looks at the time itself, at each
+    /// Sends a version to be activated, once each.
+    fn send_decided(&self, node: &Node) {
+        let Some(VersionWithContent { version, content }) = node.version_to_activate() else {
+            return;
+        };
+        let number = version.number;
+        if number <= self.last_decided.get() || !node.minimum_version().allows(number) {
+            return;
+        }
+        self.last_decided.set(number);
+        if let Some(decided) = &self.decided {
+            let content = content.clone();
+            let _ = decided.try_send(DecidedVersion { number, content });
+        }
+    }
+
+    /// Passes a changed permission to the core, which compares its end with the time of each
     /// request.
-    fn tell(&self, may: Permission) {
-        if self.told.replace(Some(may)) == Some(may) {
+    fn update_permission(&self, permission: Permission) {
+        if self.last_permission.replace(Some(permission)) == Some(permission) {
             return;
         }
-        let serves = self.node.borrow().serves_without_lease();
-        // A turn may come from within the state's own; the next one is soon.
+        let serves_without_lease = self.node.borrow().serves_without_lease();
+        // The state may be borrowed by the caller; the next update is soon.
         let Ok(mut state) = self.state.try_borrow_mut() else {
-            return self.told.set(None);
+            return self.last_permission.set(None);
         };
-        let until = match may {
-            Permission::Granted { .. } if serves => Some(i64::MAX),
+        let expiry = match permission {
+            Permission::Granted { .. } if serves_without_lease => Some(i64::MAX),
             Permission::Granted { until } => Some(until),
             _ => None,
         };
-        if state.core.set_configuration_expiry(until) {
-            log(&format!(
-                "versions: {}",
-                if until.is_some() { "serving" } else { why(may) }
-            ));
+        if state.core.set_configuration_expiry(expiry) {
+            let line = match expiry {
+                Some(_) => "serving",
+                None => log_lines::permission(permission),
+            };
+            log(&format!("versions: {line}"));
         }
     }
 
-    /// When it wants to be woken.
-    pub fn due(&self) -> i64 {
+    /// When the next update is due.
+    pub fn next_wakeup(&self) -> i64 {
         self.node.borrow().next_wakeup()
     }
 
-    /// What the disk thread has done.
-    pub fn done(&self, now: i64, done: DiskWriteResult) -> Option<Result<u64, String>> {
-        match done {
+    /// Handles the result of a disk write. Returns that of an active version.
+    pub fn handle_write_result(
+        &self,
+        now: i64,
+        result: DiskWriteResult,
+    ) -> Option<Result<u64, DiskError>> {
+        match result {
             DiskWriteResult::Acceptor(number, result) => {
-                let written = result.is_ok();
-                let _ = result.inspect_err(|why| {
+                if let Err(error) = &result {
                     log(&format!(
-                        "versions: could not write the acceptor's state: {why}"
-                    ))
-                });
-                self.node.borrow_mut().write_finished(now, number, written);
+                        "versions: could not write the acceptor's state: {error}"
+                    ));
+                }
+                self.node
+                    .borrow_mut()
+                    .write_finished(now, number, result.is_ok());
                 None
             }
             DiskWriteResult::Active(result) => Some(result),
         }
     }
 
-    /// Has it written down that a version is about to be acted on.
-    pub fn write(&self, number: u64, content: &[u8]) {
+    /// Begins to write a version that is about to be activated.
+    pub fn write_active(&self, number: u64, content: &[u8]) {
         let node = self.node.borrow();
-        let version = Some(node.newest().clone()).filter(|v| v.number == number);
+        let version = Some(node.newest().clone()).filter(|version| version.number == number);
         let minimum_version = node.minimum_version().number().max(number);
-        let _ = self.jobs.try_send(DiskWrite::Active(StoredVersion {
+        let _ = self.writes.try_send(DiskWrite::Active(StoredVersion {
             minimum_version,
             version,
             content: content.to_vec(),
         }));
     }
 
-    /// Another process of this node was the member for a while, and is gone: what it has voted and
-    /// acted on is on the disk. A disk that can't be read is like a new one: its elector is found
-    /// out, and a majority says where to go on.
+    /// Resumes after a successor that was the member has exited: its votes and its active version
+    /// are on the disk. A disk that cannot be read is treated like a new one: the mismatch of the
+    /// acceptor's state is detected, and a quorum provides the present version.
     pub fn resume(&self, now: i64) {
-        let said = |why: String| log(&format!("versions: starting as on a new disk: {why}"));
-        let role = if self.elector {
-            Role::Acceptor(
-                disk::load(&self.folder, disk::ACCEPTOR_FILE)
-                    .map_err(said)
-                    .ok()
-                    .flatten(),
-            )
+        let role = if self.is_acceptor {
+            Role::Acceptor(self.reload(disk::ACCEPTOR_FILE))
         } else {
             Role::Learner
         };
-        let saved: Option<StoredVersion> = disk::load(&self.folder, disk::ACTIVE_FILE)
-            .map_err(said)
-            .ok()
-            .flatten();
+        let stored: Option<StoredVersion> = self.reload(disk::ACTIVE_FILE);
+        let minimum_version = stored.map_or(0, |stored| stored.minimum_version);
         let mut node = self.node.borrow_mut();
-        node.resume(now, role, saved.map_or(0, |saved| saved.minimum_version));
-        self.offered.set(node.active_version());
-        self.told.set(None);
+        node.resume(now, role, minimum_version);
+        self.last_decided.set(node.active_version());
+        self.last_permission.set(None);
         self.state.borrow_mut().core.set_configuration_expiry(None);
     }
 
-    /// A version was taken as a whole, or can't be.
+    /// Reads a file; none if it is missing or cannot be read.
+    fn reload<T: for<'a> serde::Deserialize<'a>>(&self, name: &str) -> Option<T> {
+        disk::load(&self.folder, name).unwrap_or_else(|error| {
+            log(&format!("versions: starting as on a new disk: {error}"));
+            None
+        })
+    }
+
+    /// Records whether a version could be activated.
     pub fn activation_finished(&self, number: u64, result: Result<(), String>) {
         let mut node = self.node.borrow_mut();
         match result {
@@ -300,133 +290,83 @@
         }
     }
 
-    /// The process before this one acted on this version.
-    pub fn handed(&self, number: u64) {
+    /// Records the version that was active in the predecessor.
+    pub fn inherit_version(&self, number: u64) {
         self.node.borrow_mut().inherit_version(number);
     }
 
-    /// The version that is acted on.
-    pub fn acting(&self) -> u64 {
+    /// The active version.
+    pub fn active_version(&self) -> u64 {
         self.node.borrow().active_version()
     }
 
-    /// Begins to publish what an operator sent: what is said to that, and whether it is a yes.
-    pub fn publish(&self, now: i64, unix_ms: u64, body: &[u8]) -> (bool, String) {
-        let published: Published = match serde_json::from_slice(body) {
-            Ok(published) => published,
-            Err(e) => return (false, format!("no publication: {e}\n")),
-        };
-        let Published { base, why, content } = published;
-        let content = content.get().as_bytes().to_vec();
-        let proposal = Proposal {
-            base,
-            content,
-            acceptors: None,
-            reverts: None,
-            proposed_at_ms: unix_ms,
-            reason: why,
-        };
-        match self.node.borrow_mut().propose(now, proposal) {
-            Ok(number) => (true, format!("publishing {number}\n")),
-            Err(error) => (false, format!("{error}\n")),
-        }
-    }
-
-    /// Begins to close all versions below one.
-    pub fn close(&self, now: i64, floor: u64) -> (bool, String) {
-        match self.node.borrow_mut().retire_below(now, floor) {
-            Ok(()) => (true, format!("retiring all versions below {floor}\n")),
-            Err(error) => (false, format!("{error}\n")),
-        }
-    }
-
-    /// An operator says what the floor is.
-    pub fn accept_floor(&self, number: u64) -> (bool, String) {
-        self.node.borrow_mut().set_minimum_version(number);
-        (true, format!("the minimum version is {number}\n"))
-    }
-
-    /// Until when a majority of electors is known to have been heard.
-    pub fn leased_until(&self) -> i64 {
+    /// When the lease expires that a quorum of acceptors has granted.
+    pub fn lease_expires_at(&self) -> i64 {
         self.node.borrow().lease_expires_at().unwrap_or(i64::MIN)
     }
-
-    /// How it stands, for the door.
-    pub fn view(&self, now: i64) -> Value {
-        let node = self.node.borrow();
-        let may = node.permission(now);
-        let lease_ms = node
-            .lease_expires_at()
-            .map(|until| (until - now).max(0) / 1000);
-        json!({
-            "acting": node.active_version(), "decided": node.newest().number, "floor": node.minimum_version().number(),
-            "floor_known": node.minimum_version().is_known(), "may_act": matches!(may, Permission::Granted { .. }),
-            "why": if matches!(may, Permission::Granted { .. }) { "" } else { why(may) },
-            "lease_ms": lease_ms, "unfit": node.rejected_version().map(|v| format!("{}: {}", v.number, v.reason)),
-        })
-    }
-}
-
-fn why(may: Permission) -> &'static str {
-    match may {
-        Permission::Granted { .. } => "serving",
-        Permission::Retired => "refusing: the active version is retired",
-        Permission::LeaseExpired => "refusing: the lease has expired",
-        Permission::MinimumUnknown => {
-            "refusing: no quorum of acceptors has answered yet, so the minimum version is unknown"
-        }
-        Permission::BelowMinimum => "refusing: the active version is below the minimum version",
-    }
 }
 
-fn line(event: &Event) -> String {
-    match event {
-        Event::Learned { number, sender } => {
-            format!("learned of a decided version number={number} sender={sender}")
-        }
-        Event::Fetched { number, sender } => {
-            format!("fetched the content number={number} sender={sender}")
-        }
-        Event::Activated { number } => format!("activated number={number}"),
-        Event::ActivationRejected { number, reason } => {
-            format!("could not activate number={number} reason={reason}")
+/// Handles a message of a member; an invalid one is ignored.
+fn handle_message(node: &mut Node, fleet: &mut Membership, now: i64, message: ReceivedMessage) {
+    let sender = message.sender;
+    let envelope = match message.content {
+        ApplicationMessage::Piggyback(bytes) => {
+            if let Some(gossip) = GossipPayload::decode(&bytes) {
+                node.handle_gossip(now, &gossip);
+            }
+            return;
         }
-        Event::LeaseAcquired { number } => format!("acquired the lease number={number}"),
-        Event::LeaseExpired { number } => format!("the lease expired number={number}"),
-        Event::DiskMismatch => {
-            "the acceptor's disk was replaced or restored from a backup: it no longer votes".into()
+        ApplicationMessage::Direct(bytes) => Envelope::decode(&bytes),
+    };
+    match envelope {
+        Some(Envelope::Register(bytes)) => {
+            if let Some(message) = Message::decode(&bytes) {
+                node.handle_message(now, &sender, &message);
+            }
         }
-        Event::ProposalFinished(outcome) => outcome_line(outcome),
-        Event::Retired { minimum_version } => {
-            format!("retired all versions below minimum_version={minimum_version}")
+        Some(Envelope::ChunkRequest { digest, offset }) => {
+            let chunk = node.content_chunk(digest, offset as usize);
+            let reply = Envelope::Chunk {
+                digest,
+                offset,
+                content_length: chunk.as_ref().map(|chunk| chunk.content_length as u32),
+                bytes: chunk.map_or(Vec::new(), |chunk| chunk.bytes),
+            };
+            fleet.send_application_message(&sender, reply.encode());
         }
-        Event::MinimumVersionKnown { minimum_version } => {
-            format!("the minimum version is known minimum_version={minimum_version}")
+        Some(Envelope::Chunk {
+            digest,
+            offset,
+            content_length,
+            bytes,
+        }) => {
+            let chunk = content_length.map(|length| Chunk {
+                bytes,
+                content_length: length as usize,
+            });
+            node.handle_chunk(now, &sender, digest, offset as usize, chunk);
         }
+        None => {}
     }
 }
 
-fn outcome_line(outcome: &Outcome) -> String {
-    match outcome {
-        Outcome::Decided(Version { number, .. }) => format!("published number={number}"),
-        Outcome::OtherDecided(Version {
-            number, proposer, ..
-        }) => format!(
-            "not published, another version was decided number={number} proposer={proposer}"
-        ),
-        Outcome::Undecided { accepted_by } => format!(
-            "not published, no quorum answered in time accepted_by={}",
-            accepted_by.join(",")
-        ),
+/// Requests the next chunk of a content that is being fetched.
+fn request_chunk(node: &mut Node, fleet: &mut Membership, now: i64) {
+    if !node.is_fetching() {
+        return;
     }
-}
-
-/// What is usual: leases of ten seconds, and no act that is not known to be right.
-pub fn usual(acceptors: Vec<String>) -> node::Settings {
-    node::Settings {
-        acceptors,
-        lease: 10_000_000,
-        without_lease: WithoutLease::Serve,
-        unknown_minimum: UnknownMinimum::Wait,
+    let local = fleet.local_name();
+    let others: Vec<&str> = fleet
+        .members()
+        .iter()
+        .filter(|(name, member)| member.record.state.is_active() && *name != local)
+        .map(|(name, _)| name)
+        .collect();
+    if let Some(request) = node.next_chunk_request(now, &others) {
+        let envelope = Envelope::ChunkRequest {
+            digest: request.digest,
+            offset: request.offset as u32,
+        };
+        fleet.send_application_message(&request.recipient, envelope.encode());
     }
 }
--- a/crates/node/src/net/control/operations.rs
+++ b/crates/node/src/net/control/operations.rs
@@ -77,15 +77,15 @@
         let membership = self.membership.clone()?;
         let versions = membership.versions.as_ref()?;
         let now = self.clock.now();
-        let (is_success, text) = match operation {
+        let response = match operation {
             Operation::Publish => versions.publish(now, unix_ms(), body),
-            Operation::RetireBelow(minimum) => versions.close(now, *minimum),
-            Operation::AcceptMinimum(number) => versions.accept_floor(*number),
+            Operation::RetireBelow(minimum) => versions.retire_below(now, *minimum),
+            Operation::AcceptMinimum(number) => versions.accept_minimum(*number),
             _ => return None,
         };
-        log(&format!("control: fleet: {}", text.trim_end()));
+        log(&format!("control: fleet: {}", response.text.trim_end()));
         membership.notify();
-        Some(TextResponse { is_success, text })
+        Some(TextResponse::new(response.is_success, response.text))
     }
 
     fn status(&self) -> TextResponse {
@@ -129,7 +129,7 @@
         let _ = writeln!(text, "edge.cfg_accepted:{}|c", files.accepted);
         let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.rejected);
         if let Some(membership) = &self.membership {
-            membership::figures(membership, &mut text);
+            membership::write_metrics(membership, &mut text);
         }
         text
     }
--- a/crates/node/src/net/hot_restart/successor_session.rs
+++ b/crates/node/src/net/hot_restart/successor_session.rs
@@ -172,7 +172,10 @@
     let phase = state.hot_restart.predecessor.phase();
     let has_yielded = state.hot_restart.predecessor.has_yielded();
     if has_yielded && !std::mem::replace(&mut sent.is_yielded, true) {
-        let membership = state.membership.as_ref().map(|driver| driver.pass_on());
+        let membership = state
+            .membership
+            .as_ref()
+            .map(|driver| driver.resume_state());
         message::encode(&Message::Yielded { membership }, chunk);
     }
     if chunk.is_empty() && !sent.is_snapshot_complete && phase == Phase::Freeze {
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -1,464 +1,389 @@
-//! The node's part in the fleet: datagrams, connections and timers for what `pipitlever-fleet`
-//! decides. Only with `[fleet]`.
+//! Driver of the node's membership in its fleet: passes datagrams, connections and the time to
+//! `pipitlever-membership`, and its application messages to the drivers of config versions,
+//! subsetting and session affinity. Only with `[fleet]`.
+
+mod control;
+mod settings;
+mod start;
+mod tasks;
+
+pub use control::{view, write_metrics};
+pub use settings::{Settings, Sockets};
+pub use start::StartOptions;
 
 use crate::log::log;
 use crate::net::clock::Clock;
-use crate::net::config_versions::{self, Act, VersionsDriver};
+use crate::net::config_versions::disk::DiskError;
+use crate::net::config_versions::ConfigVersionsDriver;
 use crate::net::event_loop::SharedState;
 use crate::net::notify::Notify;
-use crate::net::session_affinity::{SessionAffinity, SessionLookup};
+use crate::net::session_affinity::{SessionAffinityDriver, SessionLookup};
 use crate::net::subsetting::{PartitionPolicy, SubsettingDriver};
-use crate::net::{after_ms, timeout_at};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
-use futures_lite::future;
-use pipitlever_config_versions::minimum_version::StoredVersion;
-use pipitlever_membership::config::MembershipConfig;
-use pipitlever_membership::local_member::LocalMember;
-use pipitlever_membership::local_member::ResumeState;
+use pipitlever_membership::message::DecodeError;
 use pipitlever_membership::record::ServiceState;
 use pipitlever_membership::service_state::ServiceStateFilter;
-use pipitlever_membership::sync::SyncSession;
-use pipitlever_membership::{ApplicationMessage, Membership};
-use pipitlever_reactor::{Async, Timer};
-use pipitlever_subsetting::node::Timing;
+use pipitlever_membership::{ApplicationMessage, Membership, ReceivedMessage};
+use pipitlever_reactor::Async;
 use std::cell::{Cell, RefCell};
-use std::hash::{BuildHasher, RandomState};
-use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-mod control;
-mod loops;
-mod settings;
-
-pub use control::{figures, view};
-use loops::{connections, datagrams, dials, wakes};
-pub use settings::{Settings, Sockets};
+/// Descriptors that the membership may use: its two sockets, a connection that it makes, and those
+/// that it accepts.
+pub const DESCRIPTORS: usize = 3 + MAX_SYNCS;
+/// Most sync connections of other members at one time.
+const MAX_SYNCS: usize = 8;
+/// Shortest time between two log lines on malformed messages.
+const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Descriptors that the fleet may take: its two sockets, and connections.
-pub const DESCRIPTORS: usize = 3 + MOST_SESSIONS;
-/// Connections of others at one time; those beyond are closed, and come again.
-const MOST_SESSIONS: usize = 8;
-/// Datagrams read before others have their turn.
-const TURN: usize = 16;
-/// A connection is over by then, in milliseconds; and each of its reads by then.
-const SESSION_MS: u64 = 10_000;
-const READ_MS: u64 = 2_000;
-/// How often it is looked at how the node is, in milliseconds.
-const LOOK_MS: u64 = 250;
-/// What can't be understood is named in the log so often at most.
-const NAMED: Duration = Duration::from_secs(60);
-
-/// Counted since the start of the process.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Datagrams sent, those that the system took no more, and those read.
+pub struct Counters {
+    /// Datagrams sent.
     pub sent: u64,
     /// Datagrams that could not be sent.
     pub unsent: u64,
-    /// Datagrams read.
-    pub heard: u64,
-    /// Datagrams and connections that could not be understood.
+    /// Datagrams received.
+    pub received: u64,
+    /// Datagrams and connections that could not be decoded.
     pub malformed: u64,
-    /// Connections that were made, here or from there, and went to their end.
+    /// Syncs that completed, initiated by either side.
     pub synced: u64,
-    /// Connections that did not.
-    pub broken: u64,
+    /// Syncs that failed.
+    pub failed_syncs: u64,
 }
 
-/// The node's part.
+/// Results of writing an active config version: the minimum version that is on the disk.
+type WriteResults = (
+    Sender<Result<u64, DiskError>>,
+    Receiver<Result<u64, DiskError>>,
+);
+
+/// Connects a node's membership to its sockets and to the node's state.
 pub struct MembershipDriver {
     fleet: RefCell<Membership>,
-    /// VersionsDriver of the settings, if the fleet decides them.
-    pub versions: Option<VersionsDriver>,
-    /// Its part of pools that are shared, if any is.
-    pub sharing: Option<SubsettingDriver>,
-    apart: PartitionPolicy,
-    /// Its part in sessions that stay with their workers, if any do.
-    pub affinity: Option<SessionAffinity>,
-    steady: RefCell<ServiceStateFilter>,
+    /// Config versions, if the fleet decides them.
+    pub versions: Option<ConfigVersionsDriver>,
+    /// Subsetting, if any pool is divided among the fleet.
+    pub subsetting: Option<SubsettingDriver>,
+    partition_policy: PartitionPolicy,
+    /// Session affinity, if any pool has it.
+    pub session_affinity: Option<SessionAffinityDriver>,
+    service_state: RefCell<ServiceStateFilter>,
     clock: Clock,
     state: SharedState,
     executor: Rc<LocalExecutor<'static>>,
     udp: Async<UdpSocket>,
     tcp: Async<TcpListener>,
-    from: SocketAddr,
-    woken: Notify,
-    dial: Notify,
-    next: Cell<i64>,
-    sessions: Cell<usize>,
-    /// What reads and wakes; gone while another process of the node is the member.
+    bind: SocketAddr,
+    /// Notified when the next wakeup is earlier than before, or there is something to send.
+    wakeup_changed: Notify,
+    sync_requested: Notify,
+    next_wakeup: Cell<i64>,
+    open_syncs: Cell<usize>,
+    /// Empty while another process of the node is the member.
     tasks: RefCell<Vec<Task<()>>>,
-    counts: Cell<Counts>,
-    named: Cell<Option<Instant>>,
-    /// What has become of writing down a version that is to be acted on.
-    written: Written,
+    counters: Cell<Counters>,
+    /// When a malformed message was last logged.
+    last_malformed: Cell<Option<Instant>>,
+    version_written: WriteResults,
 }
 
-/// What has become of writing down a version: the floor that is on the disk, or why it is not.
-type Written = (Sender<Result<u64, String>>, Receiver<Result<u64, String>>);
-
-/// What a part begins with where the fleet decides versions.
-#[derive(Default)]
-pub struct Versioned {
-    /// What was on the disk.
-    pub saved: Option<StoredVersion>,
-    /// Where versions go that are to be acted on.
-    pub acts: Option<Sender<Act>>,
-}
-
-/// The version that a member says it acts on.
-fn acting(payload: &[u8]) -> Option<u64> {
+/// The active config version in a member's payload.
+fn active_version(payload: &[u8]) -> Option<u64> {
     Some(u64::from_le_bytes(payload.get(..8)?.try_into().ok()?))
 }
 
 impl MembershipDriver {
-    /// Begins to take part: as the process before it in this node did, which has passed this on, or
-    /// as a new member.
-    pub fn begin(
-        executor: Rc<LocalExecutor<'static>>,
-        state: SharedState,
-        name: &str,
-        settings: Settings,
-        sockets: Sockets,
-        passed: Option<Vec<u8>>,
-        versioned: Versioned,
-    ) -> Result<Rc<MembershipDriver>, String> {
-        let wrong = |e: std::io::Error| format!("fleet: {e}");
-        let clock = state.borrow().clock;
-        let times = settings.times();
-        let Settings {
-            name: fleet,
-            bind,
-            mut advertise,
-            seeds,
-            zone,
-            rules,
-            versions,
-            apart,
-        } = settings;
-        let at = sockets.udp.local_addr().map_err(wrong)?;
-        if advertise.port() == 0 {
-            advertise.set_port(at.port());
-        }
-        let passed = passed.and_then(|bytes| ResumeState::decode(&bytes));
-        let contacts = passed.as_ref().map_or(Vec::new(), |p| p.contacts.clone());
-        let handed = passed
-            .as_ref()
-            .and_then(|p| acting(&p.record.details.payload));
-        let own = match passed {
-            Some(passed) => LocalMember::resumed(passed.record),
-            // Not from the seed: two processes must never have the same.
-            None => LocalMember::new(
-                RandomState::new().hash_one(std::process::id()),
-                advertise,
-                &zone,
-            ),
-        };
-        let now = clock.now();
-        let mut decisions = Membership::new(
-            rules,
-            &fleet,
-            name,
-            own,
-            RandomState::new().hash_one(now),
-            now,
-        );
-        decisions.set_seeds(seeds);
-        decisions.set_contacts(contacts);
-        log(&format!(
-            "fleet: serving: fleet={fleet} member={name} bind={at} advertise={advertise}"
-        ));
-        let Versioned { saved, acts } = versioned;
-        let mut done = None;
-        let versions = match versions {
-            Some(settings) => {
-                let seed = RandomState::new().hash_one(now);
-                let (versions, written) =
-                    VersionsDriver::begin(state.clone(), name, &settings, saved, acts, seed, now)?;
-                handed.inspect(|number| versions.handed(*number));
-                // From here on it hears what is not about the view.
-                decisions.set_piggyback(Vec::new());
-                done = Some(written);
-                Some(versions)
-            }
-            None => None,
-        };
-        let sharing = SubsettingDriver::begin(&state, name, times, now);
-        let sessions = SessionAffinity::begin(&state, name, RandomState::new().hash_one(now), now);
-        if sessions.is_some() && versions.is_none() {
-            // From here on it hears what is not about the view.
-            decisions.set_piggyback(Vec::new());
-        }
-        let part = Rc::new(MembershipDriver {
-            fleet: RefCell::new(decisions),
-            versions,
-            sharing,
-            apart,
-            affinity: sessions,
-            steady: RefCell::new(ServiceStateFilter::new(now)),
-            clock,
-            state,
-            executor,
-            udp: Async::<UdpSocket>::new(sockets.udp).map_err(wrong)?,
-            tcp: Async::<TcpListener>::new(sockets.tcp).map_err(wrong)?,
-            from: bind,
-            woken: Notify::new(),
-            dial: Notify::new(),
-            next: Cell::new(now),
-            sessions: Cell::new(0),
-            tasks: RefCell::default(),
-            counts: Cell::default(),
-            named: Cell::default(),
-            written: async_channel::unbounded(),
-        });
-        part.start();
-        if let Some(done) = done {
-            let writer = part.clone();
-            let written = async move {
-                while let Ok(done) = done.recv().await {
-                    let said = writer
-                        .versions
-                        .as_ref()
-                        .and_then(|v| v.done(writer.clock.now(), done));
-                    if let Some(written) = said {
-                        let _ = writer.written.0.try_send(written);
-                    }
-                    // What rests on it can be said now.
-                    writer.woken.notify();
-                }
-            };
-            part.executor.spawn(written).detach();
-        }
-        Ok(part)
-    }
-
-    /// Takes part again, after another process of the node has for a while.
-    pub fn resume(self: &Rc<MembershipDriver>) {
-        self.versions
-            .iter()
-            .for_each(|versions| versions.resume(self.clock.now()));
-        self.affinity
-            .iter()
-            .for_each(|sessions| sessions.pause(false));
-        self.start();
-    }
-
-    fn start(self: &Rc<MembershipDriver>) {
-        let part = || self.clone();
+    fn start_tasks(self: &Rc<MembershipDriver>) {
         let tasks = [
-            self.executor.spawn(datagrams(part())),
-            self.executor.spawn(wakes(part())),
-            self.executor.spawn(connections(part())),
-            self.executor.spawn(dials(part())),
+            self.executor.spawn(tasks::read_datagrams(self.clone())),
+            self.executor.spawn(tasks::run_timer(self.clone())),
+            self.executor.spawn(tasks::accept_syncs(self.clone())),
+            self.executor.spawn(tasks::initiate_syncs(self.clone())),
         ];
         *self.tasks.borrow_mut() = tasks.into();
     }
 
-    /// Another process of the node is the member from now on: nothing is read any more that is for
-    /// it.
+    /// Stops to read, as a successor is the member from now on.
     pub fn pause(&self) {
         self.tasks.borrow_mut().clear();
-        self.affinity
-            .iter()
-            .for_each(|sessions| sessions.pause(true));
+        if let Some(sessions) = &self.session_affinity {
+            sessions.set_paused(true);
+        }
     }
 
-    /// What that process goes on with.
-    pub fn pass_on(&self) -> Vec<u8> {
+    /// Resumes after the successor has exited.
+    pub fn resume(self: &Rc<MembershipDriver>) {
+        if let Some(versions) = &self.versions {
+            versions.resume(self.clock.now());
+        }
+        if let Some(sessions) = &self.session_affinity {
+            sessions.set_paused(false);
+        }
+        self.start_tasks();
+    }
+
+    /// The state with which a successor resumes.
+    pub fn resume_state(&self) -> Vec<u8> {
         self.fleet.borrow().resume_state().encode()
     }
 
     /// Whether this process is the member.
-    pub fn active(&self) -> bool {
+    pub fn is_member(&self) -> bool {
         !self.tasks.borrow().is_empty()
     }
 
-    /// The sockets, to be passed on.
+    /// The sockets, to be passed on to a successor.
     pub fn sockets(&self) -> (&UdpSocket, &TcpListener) {
         (self.udp.get_ref(), self.tcp.get_ref())
     }
 
-    /// Takes over what may change while the node runs.
-    pub fn retune(&self, settings: &Settings) {
-        self.turn(|fleet, _| {
+    /// Applies the settings that may change while the node runs.
+    pub fn set_settings(&self, settings: &Settings) {
+        self.update(|fleet, _| {
             fleet.set_seeds(settings.seeds.clone());
             fleet.set_config(settings.rules.clone());
         });
     }
 
-    /// It leaves, and says so.
+    /// Leaves the fleet.
     pub fn leave(&self) {
-        if self.active() {
-            self.turn(|fleet, now| fleet.leave(now));
+        if self.is_member() {
+            self.update(|fleet, now| fleet.leave(now));
         }
     }
 
-    /// What it has counted.
-    pub fn counts(&self) -> Counts {
-        self.counts.get()
+    /// Reads the membership.
+    pub fn read<T>(&self, read: impl FnOnce(&Membership, i64) -> T) -> T {
+        read(&self.fleet.borrow(), self.clock.now())
     }
 
-    /// Looks at the view.
-    pub fn look<T>(&self, look: impl FnOnce(&Membership, i64) -> T) -> T {
-        look(&self.fleet.borrow(), self.clock.now())
+    /// Wakes the timer task.
+    pub fn notify(&self) {
+        self.wakeup_changed.notify();
     }
 
-    fn count(&self, count: impl FnOnce(&mut Counts)) {
-        let mut counts = self.counts.get();
-        count(&mut counts);
-        self.counts.set(counts);
+    fn count(&self, count: impl FnOnce(&mut Counters)) {
+        let mut counters = self.counters.get();
+        count(&mut counters);
+        self.counters.set(counters);
     }
 
-    /// Tells the decisions something, and carries out what comes of it.
-    fn turn<T>(&self, tell: impl FnOnce(&mut Membership, i64) -> T) -> T {
+    fn handle_datagram(&self, bytes: &[u8]) {
+        self.count(|counters| counters.received += 1);
+        let handled = self.update(|fleet, now| fleet.handle_datagram(now, bytes));
+        if let Err(error) = handled {
+            self.record_malformed("a datagram", &error);
+        }
+    }
+
+    fn record_malformed(&self, what: &str, error: &DecodeError) {
+        self.count(|counters| counters.malformed += 1);
+        let now = Instant::now();
+        let last = self.last_malformed.get();
+        if last.is_none_or(|last| last + MALFORMED_LOG_INTERVAL <= now) {
+            self.last_malformed.set(Some(now));
+            log(&format!("fleet: could not decode {what}: {error}"));
+        }
+    }
+
+    /// Updates the membership, and executes what follows: application messages, datagrams, events
+    /// and wakeups.
+    fn update<T>(&self, update: impl FnOnce(&mut Membership, i64) -> T) -> T {
         let mut fleet = self.fleet.borrow_mut();
-        let told = tell(&mut fleet, self.clock.now());
+        let output = update(&mut fleet, self.clock.now());
         let now = self.clock.now();
-        let mut heard = Vec::new();
-        while let Some(message) = fleet.take_application_message() {
-            match (&self.affinity, &message.content) {
-                (Some(sessions), ApplicationMessage::Direct(bytes))
-                    if sessions.heard(now, &message.sender, bytes) => {}
-                _ => heard.push(message),
-            }
-        }
+        let messages = self.take_messages(&mut fleet, now);
         if let Some(versions) = &self.versions {
-            versions.turn(&mut fleet, now, heard);
+            versions.update(&mut fleet, now, messages);
         }
-        if let Some(sessions) = &self.affinity {
-            sessions.turn(&mut fleet, now, self.acting());
+        if let Some(sessions) = &self.session_affinity {
+            sessions.update(&mut fleet, now, self.active_version());
         }
-        let mut unsent = 0;
-        let out = fleet.take_datagrams();
-        for datagram in &out {
-            // One that the system does not take is like one that is lost on its way.
-            unsent += u64::from(
-                self.udp
-                    .get_ref()
-                    .send_to(&datagram.payload, datagram.destination)
-                    .is_err(),
-            );
-        }
-        self.count(|c| {
-            (c.sent, c.unsent) = (c.sent + out.len() as u64 - unsent, c.unsent + unsent)
-        });
+        self.send_datagrams(&mut fleet);
         let (events, lost) = fleet.take_events();
-        events
-            .iter()
-            .for_each(|event| log(&format!("fleet: {event}")));
+        for event in &events {
+            log(&format!("fleet: {event}"));
+        }
         if lost > 0 {
-            log(&format!("fleet: {lost} lines were left out"));
+            log(&format!("fleet: dropped log lines count={lost}"));
         }
         if fleet.has_sync_target() {
-            self.dial.notify();
+            self.sync_requested.notify();
         }
-        if self
-            .sharing
-            .as_ref()
-            .is_some_and(|sharing| sharing.stale(&fleet))
-        {
-            self.woken.notify();
+        let subsetting = self.subsetting.as_ref();
+        if subsetting.is_some_and(|subsetting| subsetting.is_outdated(&fleet)) {
+            self.wakeup_changed.notify();
         }
-        let parts = self.versions.as_ref().map_or(i64::MAX, VersionsDriver::due);
-        let parts = self
-            .affinity
-            .as_ref()
-            .map_or(parts, |sessions| sessions.due().min(parts));
-        let next = parts.min(fleet.next_wakeup());
-        if next < self.next.replace(next) {
-            self.woken.notify();
+        let next = self.next_wakeup(&mut fleet);
+        if next < self.next_wakeup.replace(next) {
+            self.wakeup_changed.notify();
         }
-        told
+        output
     }
 
-    /// Writes down that a version is about to be acted on; it is on the disk once this has come to
-    /// its end.
-    pub async fn write_down(&self, number: u64, content: &[u8]) -> Result<(), String> {
-        let Some(versions) = &self.versions else {
-            return Ok(());
-        };
-        versions.write(number, content);
-        let written = self.written.1.recv().await;
-        written
-            .map_err(|_| "the disk's thread has ended".to_owned())?
-            .map(drop)
+    /// Passes messages on sessions to their driver, and returns all others.
+    fn take_messages(&self, fleet: &mut Membership, now: i64) -> Vec<ReceivedMessage> {
+        let mut others = Vec::new();
+        while let Some(message) = fleet.take_application_message() {
+            let is_handled = match (&self.session_affinity, &message.content) {
+                (Some(sessions), ApplicationMessage::Direct(bytes)) => {
+                    sessions.handle_message(now, &message.sender, bytes)
+                }
+                _ => false,
+            };
+            if !is_handled {
+                others.push(message);
+            }
+        }
+        others
     }
 
-    /// It should look at what there is to do.
-    pub fn notify(&self) {
-        self.woken.notify();
+    /// Sends datagrams. One that the system does not accept counts as lost.
+    fn send_datagrams(&self, fleet: &mut Membership) {
+        let datagrams = fleet.take_datagrams();
+        let socket = self.udp.get_ref();
+        let unsent = datagrams
+            .iter()
+            .filter(|datagram| {
+                socket
+                    .send_to(&datagram.payload, datagram.destination)
+                    .is_err()
+            })
+            .count() as u64;
+        self.count(|counters| {
+            counters.sent += datagrams.len() as u64 - unsent;
+            counters.unsent += unsent;
+        });
     }
 
-    fn misunderstood(&self, what: &str, why: &pipitlever_membership::message::DecodeError) {
-        self.count(|c| c.malformed += 1);
-        let now = Instant::now();
-        if self.named.get().is_none_or(|at| at + NAMED <= now) {
-            self.named.set(Some(now));
-            log(&format!("fleet: {what} was not understood: {why}"));
+    /// The earliest wakeup of the membership and its applications.
+    fn next_wakeup(&self, fleet: &mut Membership) -> i64 {
+        let versions = self.versions.as_ref();
+        let sessions = self.session_affinity.as_ref();
+        fleet
+            .next_wakeup()
+            .min(versions.map_or(i64::MAX, ConfigVersionsDriver::next_wakeup))
+            .min(sessions.map_or(i64::MAX, SessionAffinityDriver::next_wakeup))
+    }
+
+    /// Handles a wakeup: updates shares, and advertises this node's state and payload.
+    fn handle_timer(&self) {
+        let observed = self.observed_service_state();
+        let now = self.clock.now();
+        let service_state = self.service_state.borrow_mut().observe(now, observed);
+        let share_expires_at = self.share_expires_at();
+        self.update(|fleet, now| {
+            if let Some(subsetting) = &self.subsetting {
+                subsetting.update(fleet, now, share_expires_at);
+            }
+            let payload = self.payload();
+            if let Some(sessions) = &self.session_affinity {
+                sessions.update_ejected_workers(now);
+                sessions.log_moves(now);
+            }
+            fleet.set_service_state(service_state, &payload);
+            if fleet.next_wakeup() <= now {
+                fleet.handle_wakeup(now);
+            }
+        });
+    }
+
+    /// The payload of this node's record: active config version, flags of session affinity, load
+    /// report of subsetting. Each part is present if it or a later one is in use.
+    fn payload(&self) -> Vec<u8> {
+        let mut payload = Vec::new();
+        let has_flags = self.subsetting.is_some() || self.session_affinity.is_some();
+        if self.versions.is_some() || has_flags {
+            payload.extend(self.active_version().to_le_bytes());
+        }
+        if has_flags {
+            let sessions = self.session_affinity.as_ref();
+            payload.push(sessions.map_or(0, SessionAffinityDriver::flags));
         }
+        if let Some(subsetting) = &self.subsetting {
+            payload.extend(subsetting.load_report());
+        }
+        payload
+    }
+
+    /// Writes a config version that is about to be activated, and waits until it is on the disk.
+    pub async fn write_active_version(&self, number: u64, content: &[u8]) -> Result<(), DiskError> {
+        let Some(versions) = &self.versions else {
+            return Ok(());
+        };
+        versions.write_active(number, content);
+        let written = self.version_written.1.recv().await;
+        written.map_err(|_| DiskError::ThreadEnded)?.map(drop)
     }
 
-    /// The version that it acts on; 0 where none are decided.
-    fn acting(&self) -> u64 {
-        self.versions.as_ref().map_or(0, VersionsDriver::acting)
+    /// The active config version; 0 if the fleet does not decide versions.
+    fn active_version(&self) -> u64 {
+        let versions = self.versions.as_ref();
+        versions.map_or(0, ConfigVersionsDriver::active_version)
     }
 
-    /// The worker of a session, if any takes it: known here, or told by others in a moment.
-    pub async fn session(&self, pool: usize, looked: SessionLookup) -> Option<SocketAddr> {
-        let sessions = self.affinity.as_ref()?;
-        let (now, version) = (self.clock.now(), self.acting());
-        match sessions.want(now, version, pool, looked) {
-            Ok(at) => {
-                // What it had to say of that goes out with the next turn, which is soon.
-                self.woken.notify();
-                at
+    /// Resolves the worker of a session, here or with a directory replica; none if no worker takes
+    /// the session.
+    pub async fn resolve_session(&self, pool: usize, lookup: SessionLookup) -> Option<SocketAddr> {
+        let sessions = self.session_affinity.as_ref()?;
+        let (now, version) = (self.clock.now(), self.active_version());
+        match sessions.resolve(now, version, pool, lookup) {
+            Ok(worker) => {
+                // Messages that follow are sent with the next update.
+                self.wakeup_changed.notify();
+                worker
             }
-            Err(waiting) => {
-                self.turn(|_, _| ());
-                sessions.wait(|| self.clock.now(), waiting).await
+            Err(pending) => {
+                self.update(|_, _| ());
+                sessions
+                    .wait_for_resolution(|| self.clock.now(), pending)
+                    .await
             }
         }
     }
 
-    /// A run could not begin at its session's worker: where it goes instead, if anywhere.
-    pub fn unreachable(
+    /// Moves a session away from a worker that could not be reached. Returns its new worker.
+    pub fn handle_unreachable_worker(
         &self,
         pool: usize,
-        looked: SessionLookup,
-        at: SocketAddr,
+        lookup: SessionLookup,
+        worker: SocketAddr,
     ) -> Option<SocketAddr> {
-        let next = self
-            .affinity
-            .as_ref()?
-            .unreachable(self.clock.now(), pool, looked, at);
-        self.woken.notify();
+        let sessions = self.session_affinity.as_ref()?;
+        let next = sessions.handle_unreachable_worker(self.clock.now(), pool, lookup, worker);
+        self.wakeup_changed.notify();
         next
     }
 
-    /// Until when this node's parts of what is shared are nobody else's.
-    fn parts_until(&self) -> i64 {
-        match (self.apart, &self.versions) {
-            (PartitionPolicy::MinimumShare, Some(versions)) => versions.leased_until(),
+    /// Until when no other node has this node's shares of divided pools.
+    fn share_expires_at(&self) -> i64 {
+        match (self.partition_policy, &self.versions) {
+            (PartitionPolicy::MinimumShare, Some(versions)) => versions.lease_expires_at(),
             _ => i64::MAX,
         }
     }
 
-    /// How the node is.
-    fn standing(&self) -> ServiceState {
+    /// The service state as it is now.
+    fn observed_service_state(&self) -> ServiceState {
         let state = self.state.borrow();
-        match () {
-            () if state.is_draining() => ServiceState::Draining,
-            () if state.core.is_starting()
-                || !state.is_accepting
-                || state.core.is_configuration_expired(self.clock.now()) =>
-            {
-                ServiceState::Starting
-            }
-            () if state.core.is_standby() => ServiceState::Standby,
-            () if state.core.is_overloaded() => ServiceState::Overloaded,
-            () => ServiceState::Serving,
+        let is_starting = state.core.is_starting()
+            || !state.is_accepting
+            || state.core.is_configuration_expired(self.clock.now());
+        if state.is_draining() {
+            ServiceState::Draining
+        } else if is_starting {
+            ServiceState::Starting
+        } else if state.core.is_standby() {
+            ServiceState::Standby
+        } else if state.core.is_overloaded() {
+            ServiceState::Overloaded
+        } else {
+            ServiceState::Serving
         }
     }
 }
--- a/crates/node/src/net/membership/settings.rs
+++ b/crates/node/src/net/membership/settings.rs
@@ -1,50 +1,64 @@
-//! What the operator's file says of the fleet, and the sockets that are opened for it.
+//! Settings and sockets of the membership protocol.
 
-use super::*;
+use crate::net::config_versions;
+use crate::net::subsetting::PartitionPolicy;
+use pipitlever_membership::config::MembershipConfig;
+use pipitlever_subsetting::node::Timing;
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// What the operator's file says.
+/// Longest time between two looks at the node's state, in milliseconds.
+pub const STATE_CHECK_MS: u64 = 250;
+/// How long a lost share of a pool stays reserved where there are no leases, in microseconds.
+const DEFAULT_RESERVATION: i64 = 10_000_000;
+/// A lease may last longer by this fraction on a slow clock.
+const CLOCK_DRIFT_DIVISOR: i64 = 40;
+/// Attempts to find a port that is free for both UDP and TCP.
+const MAX_BIND_ATTEMPTS: u32 = 20;
+
+/// Settings of a node's membership in its fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name: another fleet's members are not heard.
+    /// Name of the fleet. Messages of other fleets are ignored.
     pub name: String,
-    /// Where datagrams and connections come in, and go out from.
+    /// Local address of datagrams and connections.
     pub bind: SocketAddr,
-    /// How others reach it.
+    /// Address at which other members reach this node.
     pub advertise: SocketAddr,
-    /// Where others may be met.
+    /// Addresses of members to join through.
     pub seeds: Vec<SocketAddr>,
-    /// Where it stands; may be empty.
+    /// The node's zone; may be empty.
     pub zone: String,
-    /// Times and bounds.
+    /// Times and limits of the protocol.
     pub rules: MembershipConfig,
-    /// VersionsDriver of the settings, if the fleet decides them.
+    /// Config versions, if the fleet decides them.
     pub versions: Option<config_versions::Settings>,
-    /// What a node keeps to of a pool that is shared while it may be cut off.
+    /// The share of a divided pool that a node keeps while it may be partitioned.
     pub apart: PartitionPolicy,
 }
 
 impl Settings {
-    /// News reaches all within the first, as a rule; what a node had that is gone is nobody's for
-    /// the second.
-    pub(super) fn times(&self) -> Timing {
-        let hold = 2 * self.rules.probe_interval + 2 * LOOK_MS as i64 * 1000;
-        // From the last word that one that is cut off had of a majority until its lease is over, by
-        // any clock.
-        let reserve = self
+    /// Times of subsetting: an update reaches all members within the first; a lost share stays
+    /// reserved for the second.
+    pub(super) fn timing(&self) -> Timing {
+        let max_propagation = 2 * self.rules.probe_interval + 2 * STATE_CHECK_MS as i64 * 1000;
+        // From the last message that a partitioned member received of a quorum until its lease has
+        // expired by any clock.
+        let reservation = self
             .versions
             .as_ref()
-            .map_or(RESERVE, |v| v.rules.lease + v.rules.lease / 40 + hold);
+            .map_or(DEFAULT_RESERVATION, |versions| {
+                let lease = versions.rules.lease;
+                lease + lease / CLOCK_DRIFT_DIVISOR + max_propagation
+            });
         Timing {
-            max_propagation: hold,
-            reservation: reserve,
+            max_propagation,
+            reservation,
         }
     }
 }
 
-/// What a node had of a pool is nobody's for so long where there are no leases, in microseconds.
-const RESERVE: i64 = 10_000_000;
-
-/// The sockets, which pass from one process of the node to the next.
+/// The sockets, which a predecessor passes on to its successor.
 pub struct Sockets {
     /// For datagrams.
     pub udp: UdpSocket,
@@ -53,27 +67,27 @@
 }
 
 impl Sockets {
-    /// Both on one port.
-    pub fn bind(at: SocketAddr) -> std::io::Result<Sockets> {
-        let mut tries = 0;
+    /// Binds both to one port.
+    pub fn bind(address: SocketAddr) -> io::Result<Sockets> {
+        let mut attempts = 0;
         loop {
-            let udp = UdpSocket::bind(at)?;
+            let udp = UdpSocket::bind(address)?;
             match TcpListener::bind(udp.local_addr()?) {
-                // The system picked a port for the one that is taken for the other.
-                Err(e)
-                    if at.port() == 0
-                        && e.kind() == std::io::ErrorKind::AddrInUse
-                        && tries < 20 =>
+                // The port that the system picked for UDP is in use for TCP.
+                Err(error)
+                    if address.port() == 0
+                        && error.kind() == ErrorKind::AddrInUse
+                        && attempts < MAX_BIND_ATTEMPTS =>
                 {
-                    tries += 1
+                    attempts += 1;
                 }
                 tcp => return Ok(Sockets { udp, tcp: tcp? }),
             }
         }
     }
 
-    /// Where they are.
-    pub fn at(&self) -> Option<SocketAddr> {
+    /// Their address.
+    pub fn address(&self) -> Option<SocketAddr> {
         self.udp.local_addr().ok()
     }
 }
--- /dev/null
+++ b/crates/node/src/net/membership/start.rs
@@ -0,0 +1,193 @@
+//! Starts the membership driver, as a new member or as the member that the predecessor was.
+
+use super::{active_version, MembershipDriver, Settings, Sockets};
+use crate::log::log;
+use crate::net::config_versions::disk::{DiskError, DiskWriteResult};
+use crate::net::config_versions::{self, ConfigVersionsDriver, DecidedVersion};
+use crate::net::event_loop::SharedState;
+use crate::net::notify::Notify;
+use crate::net::session_affinity::SessionAffinityDriver;
+use crate::net::subsetting::SubsettingDriver;
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use pipitlever_config_versions::minimum_version::StoredVersion;
+use pipitlever_membership::local_member::{LocalMember, ResumeState};
+use pipitlever_membership::service_state::ServiceStateFilter;
+use pipitlever_membership::Membership;
+use pipitlever_reactor::Async;
+use std::cell::{Cell, RefCell};
+use std::hash::{BuildHasher, RandomState};
+use std::io;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::rc::Rc;
+use thiserror::Error;
+
+/// Why the membership could not be started.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// A socket could not be set up.
+    #[error("fleet: {0}")]
+    Socket(#[from] io::Error),
+    /// The files of config versions could not be read.
+    #[error(transparent)]
+    Versions(#[from] DiskError),
+}
+
+/// What a driver starts with.
+pub struct StartOptions {
+    /// Runs its tasks.
+    pub executor: Rc<LocalExecutor<'static>>,
+    /// The node's state.
+    pub state: SharedState,
+    /// The node's name.
+    pub node_name: String,
+    /// The settings.
+    pub settings: Settings,
+    /// The sockets.
+    pub sockets: Sockets,
+    /// The predecessor's membership state, if this process replaces one.
+    pub resume_state: Option<Vec<u8>>,
+    /// The config version that is on the disk.
+    pub stored_version: Option<StoredVersion>,
+    /// Takes config versions to activate.
+    pub decided: Option<Sender<DecidedVersion>>,
+}
+
+/// A random number. Seeds must differ between processes, so that the configured one is not used.
+fn random_seed(input: i64) -> u64 {
+    RandomState::new().hash_one(input)
+}
+
+/// The local member, and contacts of an earlier process.
+struct Identity {
+    local_member: LocalMember,
+    contacts: Vec<SocketAddr>,
+    /// The config version that was active in the predecessor.
+    active_version: Option<u64>,
+}
+
+impl Identity {
+    fn new(resume_state: Option<Vec<u8>>, advertise: SocketAddr, zone: &str) -> Identity {
+        match resume_state.and_then(|bytes| ResumeState::decode(&bytes)) {
+            Some(resumed) => Identity {
+                active_version: active_version(&resumed.record.details.payload),
+                contacts: resumed.contacts,
+                local_member: LocalMember::resumed(resumed.record),
+            },
+            None => Identity {
+                active_version: None,
+                contacts: Vec::new(),
+                local_member: LocalMember::new(
+                    random_seed(i64::from(std::process::id())),
+                    advertise,
+                    zone,
+                ),
+            },
+        }
+    }
+}
+
+impl MembershipDriver {
+    /// Starts the driver and its tasks.
+    pub fn start(options: StartOptions) -> Result<Rc<MembershipDriver>, StartError> {
+        let StartOptions {
+            executor,
+            state,
+            node_name,
+            settings,
+            sockets,
+            resume_state,
+            stored_version,
+            decided,
+        } = options;
+        let clock = state.borrow().clock;
+        let now = clock.now();
+        let timing = settings.timing();
+        let bound = sockets.udp.local_addr()?;
+        let mut advertise = settings.advertise;
+        if advertise.port() == 0 {
+            advertise.set_port(bound.port());
+        }
+        let identity = Identity::new(resume_state, advertise, &settings.zone);
+        let mut fleet = Membership::new(
+            settings.rules,
+            &settings.name,
+            &node_name,
+            identity.local_member,
+            random_seed(now),
+            now,
+        );
+        fleet.set_seeds(settings.seeds);
+        fleet.set_contacts(identity.contacts);
+        log(&format!(
+            "fleet: serving: fleet={} member={node_name} bind={bound} advertise={advertise}",
+            settings.name
+        ));
+        let (versions, results) = match settings.versions {
+            Some(version_settings) => {
+                let options = config_versions::StartOptions {
+                    node_name: &node_name,
+                    settings: &version_settings,
+                    stored: stored_version,
+                    decided,
+                    seed: random_seed(now),
+                };
+                let started = ConfigVersionsDriver::start(state.clone(), options, now)?;
+                if let Some(number) = identity.active_version {
+                    started.driver.inherit_version(number);
+                }
+                (Some(started.driver), Some(started.results))
+            }
+            None => (None, None),
+        };
+        let subsetting = SubsettingDriver::start(&state, &node_name, timing, now);
+        let session_affinity =
+            SessionAffinityDriver::start(&state, &node_name, random_seed(now), now);
+        if versions.is_some() || session_affinity.is_some() {
+            // Enables application messages.
+            fleet.set_piggyback(Vec::new());
+        }
+        let driver = Rc::new(MembershipDriver {
+            fleet: RefCell::new(fleet),
+            versions,
+            subsetting,
+            partition_policy: settings.apart,
+            session_affinity,
+            service_state: RefCell::new(ServiceStateFilter::new(now)),
+            clock,
+            state,
+            executor,
+            udp: Async::<UdpSocket>::new(sockets.udp)?,
+            tcp: Async::<TcpListener>::new(sockets.tcp)?,
+            bind: settings.bind,
+            wakeup_changed: Notify::new(),
+            sync_requested: Notify::new(),
+            next_wakeup: Cell::new(now),
+            open_syncs: Cell::new(0),
+            tasks: RefCell::default(),
+            counters: Cell::default(),
+            last_malformed: Cell::default(),
+            version_written: async_channel::unbounded(),
+        });
+        driver.start_tasks();
+        if let Some(results) = results {
+            let handling = handle_write_results(driver.clone(), results);
+            driver.executor.spawn(handling).detach();
+        }
+        Ok(driver)
+    }
+}
+
+/// Handles the results of disk writes.
+async fn handle_write_results(driver: Rc<MembershipDriver>, results: Receiver<DiskWriteResult>) {
+    while let Ok(result) = results.recv().await {
+        let versions = driver.versions.as_ref();
+        let now = driver.clock.now();
+        let written = versions.and_then(|versions| versions.handle_write_result(now, result));
+        if let Some(written) = written {
+            let _ = driver.version_written.0.try_send(written);
+        }
+        // Messages that depend on the write can be sent now.
+        driver.notify();
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -0,0 +1,393 @@
+//! Driver of session affinity: resolves the workers of sessions for runs, and passes messages of
+//! `pipitlever-session-affinity` in datagrams of the fleet. Only with `[pool.affinity]`.
+
+mod report;
+
+use crate::net::event_loop::SharedState;
+use crate::net::workers::routes::PoolSettings;
+use async_channel::{Receiver, Sender};
+use pipitlever_load_balancing::pool::MemberMode;
+use pipitlever_membership::members::Member;
+use pipitlever_membership::Membership;
+use pipitlever_session_affinity::directory::{
+    DirectorySettings, Peer, Pool, Resolution, SessionDirectory, SessionKey, WorkerSettings,
+};
+use pipitlever_session_affinity::message::Message;
+use pipitlever_session_affinity::WorkerId;
+use report::LoggedMoves;
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+/// Longest time that a request waits for the resolution of its session, in microseconds.
+const LOOKUP_TIMEOUT: i64 = 60_000;
+/// Most sessions that a node stores, at some 25 bytes each.
+const MAX_SESSIONS: usize = 1 << 20;
+/// Offset of the flags in a member's payload, in bytes: they follow the active config version.
+const FLAGS_OFFSET: usize = 8;
+/// Flag of a member that has a directory replica.
+const HAS_REPLICA: u8 = 1;
+/// Flag of a member whose replica is bootstrapped.
+const IS_BOOTSTRAPPED: u8 = 2;
+
+/// A pool with session affinity, and its index among the node's pools.
+struct AffinityPool {
+    index: usize,
+    settings: PoolSettings,
+}
+
+/// The membership view of the last update.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct SeenView {
+    digest: u64,
+    is_converged: bool,
+}
+
+/// What a run looks up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SessionLookup {
+    /// The worker of the session with this digest.
+    Session(u64),
+    /// The worker of the first attempt with this idempotency key; the address is that of its
+    /// session's present worker, which the first attempt goes to.
+    Key(u64, SocketAddr),
+}
+
+/// A lookup whose resolution is pending.
+pub struct PendingLookup {
+    pool: usize,
+    key: SessionKey,
+    resolution: Receiver<Resolution>,
+}
+
+/// Connects a node's directory of sessions to the membership and to the pools.
+pub struct SessionAffinityDriver {
+    directory: RefCell<SessionDirectory>,
+    pools: RefCell<Vec<AffinityPool>>,
+    /// The configuration that the pools are of.
+    generation: Cell<u64>,
+    seen: Cell<SeenView>,
+    /// Pending lookups, by request number.
+    pending: RefCell<HashMap<u64, Sender<Resolution>>>,
+    last_request: Cell<u64>,
+    logged_moves: RefCell<LoggedMoves>,
+    /// Whether a successor is the member, so that nothing can be sent or received.
+    is_paused: Cell<bool>,
+    state: SharedState,
+}
+
+impl SessionAffinityDriver {
+    /// Starts the driver; none if no pool has session affinity.
+    pub fn start(
+        state: &SharedState,
+        node_name: &str,
+        token: u64,
+        now: i64,
+    ) -> Option<SessionAffinityDriver> {
+        let pools = affinity_pools(state);
+        if pools.is_empty() {
+            return None;
+        }
+        let unix_seconds = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |since_epoch| since_epoch.as_secs() as u32);
+        let settings = DirectorySettings {
+            lookup_timeout: LOOKUP_TIMEOUT,
+            max_sessions: MAX_SESSIONS,
+        };
+        let directory = SessionDirectory::new(
+            node_name,
+            settings,
+            directory_pools(&pools),
+            unix_seconds,
+            token,
+            now,
+        );
+        Some(SessionAffinityDriver {
+            directory: RefCell::new(directory),
+            pools: RefCell::new(pools),
+            generation: Cell::new(0),
+            seen: Cell::new(SeenView {
+                digest: 0,
+                is_converged: false,
+            }),
+            pending: RefCell::default(),
+            last_request: Cell::new(0),
+            logged_moves: RefCell::default(),
+            is_paused: Cell::new(false),
+            state: state.clone(),
+        })
+    }
+
+    /// Handles a member's message. Returns false if it is not about sessions.
+    pub fn handle_message(&self, now: i64, sender: &str, bytes: &[u8]) -> bool {
+        let Some(message) = Message::decode(bytes) else {
+            return false;
+        };
+        self.directory
+            .borrow_mut()
+            .handle_message(now, sender, &message);
+        true
+    }
+
+    /// Applies another configuration, if there is one.
+    fn update_pools(&self, directory: &mut SessionDirectory, now: i64, version: u64) {
+        let generation = self
+            .state
+            .try_borrow()
+            .map_or(self.generation.get(), |state| state.pools.generation);
+        if self.generation.replace(generation) != generation {
+            let pools = affinity_pools(&self.state);
+            directory.set_pools(now, version, directory_pools(&pools));
+            *self.pools.borrow_mut() = pools;
+        }
+    }
+
+    /// Passes the view and the time to the directory, sends its messages and completes pending
+    /// lookups.
+    pub fn update(&self, fleet: &mut Membership, now: i64, version: u64) {
+        let mut directory = self.directory.borrow_mut();
+        self.update_pools(&mut directory, now, version);
+        let seen = SeenView {
+            digest: fleet.digest(),
+            is_converged: fleet.is_converged(),
+        };
+        if self.seen.replace(seen) != seen {
+            directory.handle_membership_change(now, peers(fleet), seen.is_converged);
+        }
+        directory.handle_wakeup(now);
+        for message in directory.take_messages() {
+            fleet.send_application_message(&message.recipient, message.payload);
+        }
+        let mut pending = self.pending.borrow_mut();
+        for resolved in directory.take_resolutions() {
+            if let Some(sender) = pending.remove(&resolved.request) {
+                // The run may have been abandoned.
+                let _ = sender.try_send(resolved.resolution);
+            }
+        }
+    }
+
+    /// Passes the workers that fail here to the directory. A slow worker keeps its sessions.
+    pub fn update_ejected_workers(&self, now: i64) {
+        let Ok(mut state) = self.state.try_borrow_mut() else {
+            return;
+        };
+        let mut directory = self.directory.borrow_mut();
+        for (i, pool) in self.pools.borrow().iter().enumerate() {
+            let placement = &directory.pools()[i];
+            let members = &pool.settings.members;
+            let worker_id = |address: &SocketAddr| {
+                placement.id(members.iter().position(|m| m.address == *address)?)
+            };
+            let ejected: Vec<WorkerId> = state
+                .pools
+                .pool(pool.index)
+                .failing_members()
+                .filter_map(worker_id)
+                .collect();
+            directory.set_ejected_workers(now, i, &ejected);
+        }
+    }
+
+    /// When the next update is due.
+    pub fn next_wakeup(&self) -> i64 {
+        self.directory.borrow().next_wakeup()
+    }
+
+    /// The flags in this node's payload.
+    pub fn flags(&self) -> u8 {
+        if self.directory.borrow().is_bootstrapped() {
+            HAS_REPLICA | IS_BOOTSTRAPPED
+        } else {
+            HAS_REPLICA
+        }
+    }
+
+    /// The position of a pool among those with session affinity.
+    fn position(&self, pool: usize) -> Option<usize> {
+        let pools = self.pools.borrow();
+        pools.iter().position(|affinity| affinity.index == pool)
+    }
+
+    /// Resolves a session's worker: at once, or as a pending lookup.
+    pub fn resolve(
+        &self,
+        now: i64,
+        version: u64,
+        pool: usize,
+        lookup: SessionLookup,
+    ) -> Result<Option<SocketAddr>, PendingLookup> {
+        let mut directory = self.directory.borrow_mut();
+        self.update_pools(&mut directory, now, version);
+        let Some(pool) = self.position(pool) else {
+            return Ok(None);
+        };
+        let Some(key) = self.session_key(&directory, pool, lookup) else {
+            return Ok(None);
+        };
+        if self.is_paused.get() {
+            let resolution = directory.resolve_locally(now, pool, key);
+            return Ok(self.worker_address(&directory, pool, resolution));
+        }
+        let request = self.last_request.get() + 1;
+        self.last_request.set(request);
+        match directory.resolve(now, pool, key, request) {
+            Resolution::Pending => {
+                let (sender, resolution) = async_channel::bounded(1);
+                self.pending.borrow_mut().insert(request, sender);
+                Err(PendingLookup {
+                    pool,
+                    key,
+                    resolution,
+                })
+            }
+            resolution => Ok(self.worker_address(&directory, pool, resolution)),
+        }
+    }
+
+    fn worker_id(
+        &self,
+        directory: &SessionDirectory,
+        pool: usize,
+        address: SocketAddr,
+    ) -> Option<WorkerId> {
+        let pools = self.pools.borrow();
+        let mut members = pools[pool].settings.members.iter();
+        let position = members.position(|member| member.address == address)?;
+        directory.pools()[pool].id(position)
+    }
+
+    fn session_key(
+        &self,
+        directory: &SessionDirectory,
+        pool: usize,
+        lookup: SessionLookup,
+    ) -> Option<SessionKey> {
+        match lookup {
+            SessionLookup::Session(digest) => Some(SessionKey::Session(digest)),
+            SessionLookup::Key(digest, worker) => {
+                let worker = self.worker_id(directory, pool, worker)?;
+                Some(SessionKey::IdempotencyKey(digest, worker))
+            }
+        }
+    }
+
+    fn worker_address(
+        &self,
+        directory: &SessionDirectory,
+        pool: usize,
+        resolution: Resolution,
+    ) -> Option<SocketAddr> {
+        let Resolution::Worker(worker) = resolution else {
+            return None;
+        };
+        let position = directory.pools()[pool].position(worker)?;
+        let pools = self.pools.borrow();
+        let member = pools[pool].settings.members.get(position)?;
+        Some(member.address)
+    }
+
+    /// Waits for a pending lookup. If it is dropped, the local replica decides.
+    pub async fn wait_for_resolution(
+        &self,
+        now: impl Fn() -> i64,
+        lookup: PendingLookup,
+    ) -> Option<SocketAddr> {
+        let PendingLookup {
+            pool,
+            key,
+            resolution,
+        } = lookup;
+        let received = resolution.recv().await;
+        let directory = self.directory.borrow();
+        let resolution = received.unwrap_or_else(|_| directory.resolve_locally(now(), pool, key));
+        self.worker_address(&directory, pool, resolution)
+    }
+
+    /// Records whether a successor is the member. Pending lookups are dropped.
+    pub fn set_paused(&self, is_paused: bool) {
+        self.is_paused.set(is_paused);
+        self.pending.borrow_mut().clear();
+    }
+
+    /// Moves a session away from a worker that could not be reached. Returns its new worker.
+    pub fn handle_unreachable_worker(
+        &self,
+        now: i64,
+        pool: usize,
+        lookup: SessionLookup,
+        worker: SocketAddr,
+    ) -> Option<SocketAddr> {
+        let mut directory = self.directory.borrow_mut();
+        let pool = self.position(pool)?;
+        let worker = self.worker_id(&directory, pool, worker)?;
+        let key = self.session_key(&directory, pool, lookup)?;
+        let next = directory.handle_unreachable(now, pool, key, worker)?;
+        self.worker_address(&directory, pool, Resolution::Worker(next))
+    }
+}
+
+/// The pools with session affinity.
+fn affinity_pools(state: &SharedState) -> Vec<AffinityPool> {
+    let state = state.borrow();
+    let pools = state
+        .pools
+        .settings()
+        .enumerate()
+        .filter(|(_, settings)| settings.sessions.is_some())
+        .map(|(index, settings)| AffinityPool {
+            index,
+            settings: settings.clone(),
+        });
+    pools.collect()
+}
+
+fn directory_pools(pools: &[AffinityPool]) -> Vec<Pool> {
+    pools
+        .iter()
+        .filter_map(|pool| directory_pool(&pool.settings))
+        .collect()
+}
+
+/// A pool in the terms of the directory. Standby members accept no sessions.
+fn directory_pool(settings: &PoolSettings) -> Option<Pool> {
+    let sessions = settings.sessions.as_ref()?;
+    let workers = settings
+        .members
+        .iter()
+        .zip(&settings.labels)
+        .map(|(member, label)| WorkerSettings {
+            name: label.name.clone(),
+            weight: member.weight,
+            accepts_sessions: member.mode == MemberMode::Active && !member.is_standby,
+            is_draining: member.mode == MemberMode::Draining,
+        });
+    Some(Pool {
+        name: settings.name.clone(),
+        previous_names: settings.was.clone(),
+        workers: workers.collect(),
+        idle_timeout_seconds: sessions.idle_s,
+        failure_grace: sessions.patience,
+        drain_grace: sessions.linger,
+    })
+}
+
+/// The other members with a directory replica. Suspected members are included.
+fn peers(fleet: &Membership) -> Vec<Peer> {
+    let local = fleet.local_name();
+    let others = fleet
+        .members()
+        .iter()
+        .filter(|(name, member)| member.record.state.is_active() && *name != local);
+    let peer = |(name, member): (&str, &Member)| {
+        let payload = &member.record.details.payload;
+        let flags = payload.get(FLAGS_OFFSET).copied().unwrap_or(0);
+        (flags & HAS_REPLICA != 0).then(|| Peer {
+            name: name.to_owned(),
+            is_bootstrapped: flags & IS_BOOTSTRAPPED != 0,
+        })
+    };
+    others.filter_map(peer).collect()
+}
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -1,11 +1,12 @@
-//! The node's part in pools that the nodes of a fleet divide among themselves: the view goes to
-//! what `pipitlever-share` decides, and what comes of it to the pools. Only with `share = true` on
-//! a pool.
+//! Driver of subsetting: passes the membership view and the state of the pools to
+//! `pipitlever-subsetting`, and this node's shares to the pools. Only with `share = true` on a pool.
 
 use crate::log::log;
-use crate::net::event_loop::SharedState;
+use crate::net::event_loop::{NodeState, SharedState};
 use crate::net::workers::pools::{is_divided, PoolShare};
-use crate::net::workers::routes::PoolSettings;
+use crate::net::workers::routes::{PoolSettings, WorkerLabel};
+use pipitlever_load_balancing::pool::Member as PoolMember;
+use pipitlever_membership::members::Member as FleetMember;
 use pipitlever_membership::record::State;
 use pipitlever_membership::Membership;
 use pipitlever_subsetting::assignment::{Worker, WorkerShare};
@@ -14,251 +15,309 @@
 use pipitlever_subsetting::probe_turn::ProbeTurn;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
+use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// What a node keeps to that may be cut off from the others.
+/// Offset of the load report in a member's payload, in bytes: it follows the active config version
+/// and the flags of session affinity.
+const LOAD_REPORT_OFFSET: usize = 9;
+
+/// The share of a divided pool that a node keeps while it may be partitioned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PartitionPolicy {
-    /// Its part, no more of it: the other side may have that too by then.
+    /// Its share. The other side of the partition may come to use it too.
     #[default]
     KeepShare,
-    /// One run for each worker from the moment at which no majority of electors is heard: the sum
-    /// stays within the bound.
+    /// One run for each worker from the end of its lease, which keeps the sum within the limit.
     MinimumShare,
 }
 
-/// What was last handed to a pool of the state.
-struct Given {
-    /// The pool, by position among the state's.
-    pool: usize,
-    /// The workers that are is_divided: names and addresses.
-    workers: Vec<(String, SocketAddr)>,
+/// The name and the address of a worker.
+#[derive(Clone, Debug)]
+struct WorkerAddress {
+    name: String,
+    address: SocketAddr,
+}
+
+/// A pool that the nodes of the fleet divide.
+struct DividedPool {
+    /// Its index among the node's pools.
+    index: usize,
+    /// The workers that are divided.
+    workers: Vec<WorkerAddress>,
 }
 
-/// The part.
+/// The inputs of the last update.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct SeenView {
+    digest: u64,
+    is_partitioned: bool,
+}
+
+/// Connects a node's subsetting to the membership and to the pools.
 pub struct SubsettingDriver {
     node: RefCell<Node>,
-    given: RefCell<Vec<Given>>,
-    files: RefCell<Vec<PoolSettings>>,
-    /// News reaches all within this, in microseconds.
-    hold: i64,
-    /// The view that was last looked at, and whether this node was cut off then.
-    seen: Cell<(u64, bool)>,
+    pools: RefCell<Vec<DividedPool>>,
+    settings: RefCell<Vec<PoolSettings>>,
+    /// Longest time for an update to reach all members, in microseconds.
+    max_propagation: i64,
+    seen: Cell<SeenView>,
     state: SharedState,
 }
 
-/// A pool as it is is_divided.
-fn shared(file: &PoolSettings) -> Option<Pool> {
-    let subset = file.shared?.subset;
-    let of = file
-        .members
-        .iter()
-        .zip(&file.labels)
-        .filter(|(m, _)| is_divided(m));
-    let worker = |(m, label): (
-        &pipitlever_load_balancing::pool::Member<SocketAddr>,
-        &crate::net::workers::routes::WorkerLabel,
-    )| Worker {
-        name: label.name.clone(),
-        zone: label.zone.clone(),
-        weight: m.weight,
-        tier: m.tier,
-        concurrency_limit: m.max_runs,
-    };
-    // By its first name: a rename divides nothing anew.
-    let name = file.was.first().unwrap_or(&file.name).clone();
-    Some(Pool {
-        name,
-        subset_size: subset,
-        workers: of.map(worker).collect(),
-    })
-}
-
 impl SubsettingDriver {
-    /// Begins, if any pool is shared.
-    pub fn begin(
+    /// Starts the driver; none if no pool is divided.
+    pub fn start(
         state: &SharedState,
-        name: &str,
+        node_name: &str,
         timing: Timing,
         now: i64,
     ) -> Option<SubsettingDriver> {
-        let files: Vec<PoolSettings> = state.borrow().pools.settings().cloned().collect();
-        let pools: Vec<Pool> = files.iter().filter_map(shared).collect();
+        let settings: Vec<PoolSettings> = state.borrow().pools.settings().cloned().collect();
+        let pools: Vec<Pool> = settings.iter().filter_map(subsetting_pool).collect();
         if pools.is_empty() {
             return None;
         }
-        let names: Vec<&str> = pools.iter().map(|p| &p.name[..]).collect();
+        let names: Vec<&str> = pools.iter().map(|pool| pool.name.as_str()).collect();
         log(&format!(
             "subsetting: started pools={} reservation_ms={}",
             names.join(","),
             timing.reservation / 1000
         ));
-        let given = RefCell::new(given(&files));
-        let hold = timing.max_propagation;
-        let (node, files) = (
-            RefCell::new(Node::new(name, timing, pools, now)),
-            RefCell::new(files),
-        );
         Some(SubsettingDriver {
-            node,
-            given,
-            files,
-            hold,
-            seen: Cell::new((0, false)),
+            max_propagation: timing.max_propagation,
+            pools: RefCell::new(divided_pools(&settings)),
+            settings: RefCell::new(settings),
+            node: RefCell::new(Node::new(node_name, timing, pools, now)),
+            seen: Cell::new(SeenView {
+                digest: 0,
+                is_partitioned: false,
+            }),
             state: state.clone(),
         })
     }
 
-    /// Whether the view has changed since it was last looked at.
-    pub fn stale(&self, fleet: &Membership) -> bool {
-        fleet.digest() != self.seen.get().0
+    /// Whether the membership view has changed since the last update.
+    pub fn is_outdated(&self, fleet: &Membership) -> bool {
+        fleet.digest() != self.seen.get().digest
     }
 
-    /// Looks at the view, the file and the pools, and hands the pools what is this node's, `until`
-    /// others may have it.
-    pub fn turn(&self, fleet: &Membership, now: i64, until: i64) {
-        let alone = until <= now;
-        // What is not looked at again by then is not known to be right: the process stood still.
-        let until = until.min(now + self.hold);
-        // A turn may come from within the state's own; the next one is soon.
+    /// Updates this node's shares from the view, the settings and the pools. Other nodes may have
+    /// the shares from `expires_at` on.
+    pub fn update(&self, fleet: &Membership, now: i64, expires_at: i64) {
+        let is_partitioned = expires_at <= now;
+        // Without another update by then the process was stopped, and its shares may be outdated.
+        let expires_at = expires_at.min(now + self.max_propagation);
+        // The state may be borrowed by the caller; the next update is soon.
         let Ok(mut state) = self.state.try_borrow_mut() else {
             return;
         };
         let mut node = self.node.borrow_mut();
-        if state.pools.settings().ne(self.files.borrow().iter()) {
-            let files: Vec<PoolSettings> = state.pools.settings().cloned().collect();
-            node.set_pools(now, files.iter().filter_map(shared).collect());
-            *self.given.borrow_mut() = given(&files);
-            *self.files.borrow_mut() = files;
-            self.seen.set((0, alone));
+        self.update_settings(&mut node, &state, now, is_partitioned);
+        let seen = SeenView {
+            digest: fleet.digest(),
+            is_partitioned,
+        };
+        if self.seen.replace(seen) != seen {
+            node.update_members(now, fleet_members(fleet), is_partitioned);
         }
-        if self.seen.replace((fleet.digest(), alone)) != (fleet.digest(), alone) {
-            node.update_members(now, members(fleet), alone);
+        self.exchange_ejections(&mut node, &mut state, now);
+        node.tick(now);
+        self.apply_shares(&mut node, &mut state, now, expires_at);
+    }
+
+    /// Applies changed settings of the pools.
+    fn update_settings(&self, node: &mut Node, state: &NodeState, now: i64, is_partitioned: bool) {
+        if state.pools.settings().eq(self.settings.borrow().iter()) {
+            return;
         }
-        for (i, given) in self.given.borrow().iter().enumerate() {
-            node.record_demand(i, state.pools.take_demand(given.pool));
-            let pool = state.pools.pool(given.pool);
-            let at = |address: &SocketAddr| given.workers.iter().position(|w| w.1 == *address);
-            let out: Vec<usize> = pool.ejected_members().filter_map(at).collect();
-            node.set_ejected(i, &out);
-            for worker in out {
-                pool.set_probe_deferred(
-                    &given.workers[worker].1,
-                    node.probe_turn(i, worker) == ProbeTurn::Other,
-                );
+        let settings: Vec<PoolSettings> = state.pools.settings().cloned().collect();
+        node.set_pools(now, settings.iter().filter_map(subsetting_pool).collect());
+        *self.pools.borrow_mut() = divided_pools(&settings);
+        *self.settings.borrow_mut() = settings;
+        self.seen.set(SeenView {
+            digest: 0,
+            is_partitioned,
+        });
+    }
+
+    /// Passes demand and ejected workers to the node, and its decisions on who probes them to the
+    /// pools.
+    fn exchange_ejections(&self, node: &mut Node, state: &mut NodeState, now: i64) {
+        let pools = self.pools.borrow();
+        for (i, divided) in pools.iter().enumerate() {
+            node.record_demand(i, state.pools.take_demand(divided.index));
+            let pool = state.pools.pool(divided.index);
+            let position = |address: &SocketAddr| {
+                let mut workers = divided.workers.iter();
+                workers.position(|worker| worker.address == *address)
+            };
+            let ejected: Vec<usize> = pool.ejected_members().filter_map(position).collect();
+            node.set_ejected(i, &ejected);
+            for worker in ejected {
+                let is_deferred = node.probe_turn(i, worker) == ProbeTurn::Other;
+                pool.set_probe_deferred(&divided.workers[worker].address, is_deferred);
             }
         }
         for position in node.take_recovered() {
-            let given = &self.given.borrow()[position.pool];
+            let divided = &pools[position.pool];
+            let address = &divided.workers[position.worker].address;
             state
                 .pools
-                .pool(given.pool)
-                .hasten_probation(now, &given.workers[position.worker].1);
+                .pool(divided.index)
+                .hasten_probation(now, address);
         }
-        node.tick(now);
-        for (i, given) in self.given.borrow().iter().enumerate() {
-            let uses = node.worker_shares(now, i);
-            let names = given.workers.iter().map(|w| w.0.clone());
-            let uses: HashMap<String, WorkerShare> = names.zip(uses).collect();
-            let inside = uses.values().filter(|u| u.in_subset).count();
-            let runs: usize = uses
-                .values()
-                .filter(|u| u.in_subset)
-                .map(|u| u.concurrency_limit)
-                .sum();
-            let (pool, load_fraction) = (given.pool, node.load_fraction(i));
+    }
+
+    /// Sets this node's shares in the pools, and logs changes.
+    fn apply_shares(&self, node: &mut Node, state: &mut NodeState, now: i64, expires_at: i64) {
+        for (i, divided) in self.pools.borrow().iter().enumerate() {
+            let shares = node.worker_shares(now, i);
+            let load_fraction = node.load_fraction(i);
+            let subset = Subset::of(&shares);
+            let names = divided.workers.iter().map(|worker| worker.name.clone());
             let share = PoolShare {
-                workers: uses,
+                workers: names.zip(shares).collect(),
                 load_fraction,
-                expires_at: until,
+                expires_at,
             };
-            if state.pools.set_share(now, pool, share) {
-                let name = &self.files.borrow()[pool].name;
-                let all = given.workers.len();
+            if state.pools.set_share(now, divided.index, share) {
                 log(&format!(
-                    "subsetting: assigned pool={name} workers={inside} of={all} runs={runs} load_fraction={load_fraction:.3}"
+                    "subsetting: assigned pool={} workers={} of={} runs={} load_fraction={load_fraction:.3}",
+                    self.settings.borrow()[divided.index].name,
+                    subset.workers,
+                    divided.workers.len(),
+                    subset.runs
                 ));
             }
         }
     }
 
-    /// What is told with the view.
-    pub fn told(&self) -> Vec<u8> {
+    /// This node's load report, to be gossiped in its payload.
+    pub fn load_report(&self) -> Vec<u8> {
         self.node.borrow().load_report().encode()
     }
 
-    /// What it has of each pool, for the door's figures.
-    pub fn figures(&self, now: i64, text: &mut String) {
-        use std::fmt::Write;
+    /// Appends the metrics in the statsd form. Writing to a string cannot fail.
+    pub fn write_metrics(&self, now: i64, text: &mut String) {
         let mut node = self.node.borrow_mut();
-        for (i, given) in self.given.borrow().iter().enumerate() {
-            let uses = node.worker_shares(now, i);
-            let runs: usize = uses
-                .iter()
-                .filter(|u| u.in_subset)
-                .map(|u| u.concurrency_limit)
-                .sum();
-            let workers = uses.iter().filter(|u| u.in_subset).count();
-            let name = &self.files.borrow()[given.pool].name;
-            // A string takes all that is written to it.
-            let _ = writeln!(
-                text,
-                "edge.share.{name}.runs:{runs}|g\nedge.share.{name}.workers:{workers}|g"
-            );
+        for (i, divided) in self.pools.borrow().iter().enumerate() {
+            let Subset { workers, runs } = Subset::of(&node.worker_shares(now, i));
+            let name = &self.settings.borrow()[divided.index].name;
+            let _ = writeln!(text, "edge.share.{name}.runs:{runs}|g");
+            let _ = writeln!(text, "edge.share.{name}.workers:{workers}|g");
         }
     }
 
-    /// How it stands, for the door.
+    /// The state for the control endpoint.
     pub fn view(&self, now: i64) -> Value {
         let mut node = self.node.borrow_mut();
-        let given = self.given.borrow();
-        let pools = given.iter().enumerate().map(|(i, given)| {
-            let uses = node.worker_shares(now, i);
-            let worker = |((name, address), u): (&(String, SocketAddr), WorkerShare)| {
-                let address = address.to_string();
-                json!({"name": name, "address": address, "used": u.in_subset, "weight": u.weight, "most_runs": u.concurrency_limit})
-            };
-            let workers: Vec<Value> = given.workers.iter().zip(uses).map(worker).collect();
-            let name = &self.files.borrow()[given.pool].name;
-            json!({"pool": name, "part": node.load_fraction(i), "workers": workers})
-        });
-        json!(pools.collect::<Vec<_>>())
+        let mut pools = Vec::new();
+        for (i, divided) in self.pools.borrow().iter().enumerate() {
+            let shares = node.worker_shares(now, i);
+            let workers: Vec<Value> = divided
+                .workers
+                .iter()
+                .zip(shares)
+                .map(|(worker, share)| worker_view(worker, &share))
+                .collect();
+            let name = &self.settings.borrow()[divided.index].name;
+            pools.push(json!({"pool": name, "part": node.load_fraction(i), "workers": workers}));
+        }
+        json!(pools)
+    }
+}
+
+fn worker_view(worker: &WorkerAddress, share: &WorkerShare) -> Value {
+    json!({
+        "name": worker.name,
+        "address": worker.address.to_string(),
+        "used": share.in_subset,
+        "weight": share.weight,
+        "most_runs": share.concurrency_limit,
+    })
+}
+
+/// Size of a node's subset of a pool.
+struct Subset {
+    workers: usize,
+    /// Sum of their concurrency limits.
+    runs: usize,
+}
+
+impl Subset {
+    fn of(shares: &[WorkerShare]) -> Subset {
+        let in_subset = shares.iter().filter(|share| share.in_subset);
+        Subset {
+            workers: in_subset.clone().count(),
+            runs: in_subset.map(|share| share.concurrency_limit).sum(),
+        }
     }
 }
 
-fn given(files: &[PoolSettings]) -> Vec<Given> {
-    let of = |(pool, file): (usize, &PoolSettings)| {
-        file.shared?;
-        let workers = file
-            .members
-            .iter()
-            .zip(&file.labels)
-            .filter(|(m, _)| is_divided(m));
-        let workers = workers
-            .map(|(m, label)| (label.name.clone(), m.address))
-            .collect();
-        Some(Given { pool, workers })
+/// The members of a pool that are divided, with their labels.
+fn divided_members(
+    settings: &PoolSettings,
+) -> impl Iterator<Item = (&PoolMember<SocketAddr>, &WorkerLabel)> {
+    settings
+        .members
+        .iter()
+        .zip(&settings.labels)
+        .filter(|(member, _)| is_divided(member))
+}
+
+/// A pool in the terms of subsetting; none if it is not divided. The first name identifies it, so
+/// that a new name does not change the subsets.
+fn subsetting_pool(settings: &PoolSettings) -> Option<Pool> {
+    let subset_size = settings.shared?.subset;
+    let workers = divided_members(settings).map(|(member, label)| Worker {
+        name: label.name.clone(),
+        zone: label.zone.clone(),
+        weight: member.weight,
+        tier: member.tier,
+        concurrency_limit: member.max_runs,
+    });
+    Some(Pool {
+        name: settings.was.first().unwrap_or(&settings.name).clone(),
+        subset_size,
+        workers: workers.collect(),
+    })
+}
+
+fn divided_pools(settings: &[PoolSettings]) -> Vec<DividedPool> {
+    let divided = settings
+        .iter()
+        .enumerate()
+        .filter(|(_, settings)| settings.shared.is_some());
+    let pool = |(index, settings): (usize, &PoolSettings)| {
+        let workers = divided_members(settings).map(|(member, label)| WorkerAddress {
+            name: label.name.clone(),
+            address: member.address,
+        });
+        DividedPool {
+            index,
+            workers: workers.collect(),
+        }
     };
-    files.iter().enumerate().filter_map(of).collect()
+    divided.map(pool).collect()
 }
 
-/// The members, by name. Who has left has no part; who is down has, for a while.
-fn members(fleet: &Membership) -> Vec<Member> {
-    let there = fleet
+/// The members of the fleet. One that has left has no share; one that is down has, for a while.
+fn fleet_members(fleet: &Membership) -> Vec<Member> {
+    let present = fleet
         .members()
         .iter()
-        .filter(|(_, m)| !m.is_tombstone && m.record.state != State::Left);
-    let member = |(name, m): (&str, &pipitlever_membership::members::Member)| Member {
+        .filter(|(_, member)| !member.is_tombstone && member.record.state != State::Left);
+    let convert = |(name, member): (&str, &FleetMember)| Member {
         name: name.to_owned(),
-        zone: m.record.details.zone.clone(),
-        report: load_report(&m.record.details.payload),
-        down_since: (m.record.state == State::Down).then_some(m.state_since),
+        zone: member.record.details.zone.clone(),
+        report: load_report(&member.record.details.payload),
+        down_since: (member.record.state == State::Down).then_some(member.state_since),
     };
-    there.map(member).collect()
+    present.map(convert).collect()
 }
 
-/// What a member tells of its part: what stands behind the version that it acts on, and its flags.
+/// The load report in a member's payload.
 fn load_report(payload: &[u8]) -> Option<LoadReport> {
-    LoadReport::decode(payload.get(9..)?)
+    LoadReport::decode(payload.get(LOAD_REPORT_OFFSET..)?)
 }
--- a/crates/node/src/net/workers/session_route.rs
+++ b/crates/node/src/net/workers/session_route.rs
@@ -23,7 +23,7 @@
         let session = state.borrow().pools.session(run)?;
         let membership = state.borrow().membership.clone()?;
         let lookup = SessionLookup::Session(session);
-        let worker = membership.session(run.pool, lookup).await;
+        let worker = membership.resolve_session(run.pool, lookup).await;
         let mut route = SessionRoute {
             membership,
             lookups: vec![lookup],
@@ -43,13 +43,15 @@
         };
         let lookup = SessionLookup::Key(key, worker);
         self.lookups.push(lookup);
-        self.worker = self.membership.session(run.pool, lookup).await;
+        self.worker = self.membership.resolve_session(run.pool, lookup).await;
     }
 
     /// Moves the session and the key away from a worker that could not be reached.
     pub fn move_from(&mut self, pool: usize, worker: SocketAddr) {
         for lookup in &self.lookups {
-            self.worker = self.membership.unreachable(pool, *lookup, worker);
+            self.worker = self
+                .membership
+                .handle_unreachable_worker(pool, *lookup, worker);
         }
     }
 }
