--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -152,7 +152,7 @@
     }
     let ledger = ledger::run(executor.clone(), state.clone());
     executor.spawn(ledger).detach();
-    let heartbeats = registry::reports(state.clone(), config.name.clone());
+    let heartbeats = registry::run(state.clone(), config.name.clone());
     executor.spawn(heartbeats).detach();
     let workers = workers::run(executor.clone(), state.clone());
     executor.spawn(workers).detach();
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -101,7 +101,7 @@
             let wait = self.settings.wait;
             let durable = RunStore::new(gate, machine.since_boot - now, wait, suspect);
             for key in &mut self.found.keys {
-                key.window_end = state.clock.of_unix(key.window_end);
+                key.window_end = state.clock.unix_to_clock(key.window_end);
             }
             state.attach_store(durable, self.found.keys, salt);
         }
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,48 +1,52 @@
-//! The node's clock: monotonic microseconds that start at the Unix time of the process's start.
+//! The node's clock: monotonic microseconds that begin at the Unix time of the process's start.
 
 use pipitlever_admission::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Reads time from the standard library alone.
+/// A monotonic clock, and its conversion from and to Unix time.
+///
+/// The two drift apart when the system's clock is set. A Unix time is therefore converted once, when
+/// it is read, and not stored.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    base: Micros,
+    /// Unix time at the start, in microseconds.
+    start_unix: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
-            base: unix(),
+            start_unix: unix_now(),
         }
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Micros {
-        self.base + self.start.elapsed().as_micros() as Micros
+        self.start_unix + self.start.elapsed().as_micros() as Micros
     }
 
-    /// A Unix time on this clock. The two drift apart when the system's clock is set, so each Unix
-    /// time is carried over once, when it is read, and never held.
-    pub fn of_unix(&self, at: Micros) -> Micros {
-        self.now() - (unix() - at)
+    /// Converts a Unix time to a time of this clock.
+    pub fn unix_to_clock(&self, unix: Micros) -> Micros {
+        self.now() - (unix_now() - unix)
     }
 
-    /// What leads from a time of this clock to Unix time, now.
-    pub fn ahead_to_unix(&self) -> Micros {
-        unix() - self.now()
+    /// The current difference of Unix time and this clock, to be added to a time of this clock.
+    pub fn unix_offset(&self) -> Micros {
+        unix_now() - self.now()
     }
 
-    /// A time of this clock as an instant to wait for.
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros((at - self.base).max(0) as u64)
+    /// Converts a time of this clock to an instant.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.start + Duration::from_micros((time - self.start_unix).max(0) as u64)
     }
 }
 
-fn unix() -> Micros {
+/// The current Unix time, in microseconds.
+fn unix_now() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_micros() as Micros)
+        .map_or(0, |since_epoch| since_epoch.as_micros() as Micros)
 }
--- a/crates/node/src/net/config_versions/disk.rs
+++ b/crates/node/src/net/config_versions/disk.rs
@@ -1,8 +1,8 @@
 //! Files of a node's config versions: the acceptor's state and the active version.
 //!
-//! Each write replaces a whole file: the new content is written and synced under a temporary name,
-//! renamed, and the folder is synced. A crash leaves the old or the new file. A thread writes, as no
-//! request may wait for a disk.
+//! Each write replaces a whole file: the new content is written and synced under a temporary name
+//! and renamed, and the folder is synced. A crash leaves the old or the new file. A thread writes,
+//! as no request may wait for a disk.
 
 use async_channel::{Receiver, Sender};
 use pipitlever_config_versions::acceptor::AcceptorState;
--- a/crates/node/src/net/connections/mod.rs
+++ b/crates/node/src/net/connections/mod.rs
@@ -261,8 +261,9 @@
 
     /// Ends a lingering close.
     pub fn end_linger(&mut self, lingering: Lingering) {
+        let Lingering { is_unidentified } = lingering;
         self.lingering -= 1;
-        self.unidentified_lingering -= usize::from(lingering.is_unidentified);
+        self.unidentified_lingering -= usize::from(is_unidentified);
         self.freed.notify();
     }
 
@@ -300,10 +301,10 @@
         ending.count() + self.lingering
     }
 
-    /// Evicts one connection, if any may be evicted: first the unidentified one that has been silent
-    /// for longest, then the identified one that was used least recently. While more than half of
-    /// the connections are unidentified, only those are evicted: each of them ends soon in any case,
-    /// and a flood of them must not evict identified clients.
+    /// Evicts one connection, if any may be evicted: first the unidentified one that has been
+    /// silent for longest, then the identified one that was used least recently. While more than
+    /// half of the connections are unidentified, only those are evicted: each of them ends soon in
+    /// any case, and a flood of them must not evict identified clients.
     pub fn evict_one(&mut self, now: Micros) -> bool {
         let unidentified = self.connections.values().filter(|c| !c.is_identified);
         let is_flooded = 2 * unidentified.count() > self.connections.len();
--- a/crates/node/src/net/event_loop/front_connections.rs
+++ b/crates/node/src/net/event_loop/front_connections.rs
@@ -7,7 +7,8 @@
 use pipitlever_wire::jsonrpc;
 
 impl NodeState {
-    /// Registers an accepted connection, which stays in the table until [`NodeState::disconnected`].
+    /// Registers an accepted connection, which stays in the table until
+    /// [`NodeState::disconnected`].
     pub fn connected(&mut self, front: Front) -> ConnectionHandle {
         self.core.counters.connections_accepted += 1;
         let handle = self.connections.add(self.clock.now(), front);
--- a/crates/node/src/net/event_loop/gateway_requests.rs
+++ b/crates/node/src/net/event_loop/gateway_requests.rs
@@ -91,7 +91,7 @@
         {
             return Err(ErrorCode::InvalidParams);
         }
-        let sent_at = self.clock.of_unix(micros(work.arrived_at_ms));
+        let sent_at = self.clock.unix_to_clock(micros(work.arrived_at_ms));
         // A client's clock that is ahead must not stretch the window of its key.
         let arrived_at = sent_at.min(self.clock.now());
         let key = work.idempotency_key.clone().filter(|_| is_keyed);
--- a/crates/node/src/net/event_loop/responses.rs
+++ b/crates/node/src/net/event_loop/responses.rs
@@ -99,10 +99,10 @@
             b"",
         ),
         Answer::Failed { timed_out: true } => {
-            uwsgi::write_response(out, Status::GatewayTimeout, None, b"")
+            uwsgi::write_response(out, Status::GatewayTimeout, None, b"");
         }
         Answer::Failed { timed_out: false } => {
-            uwsgi::write_response(out, Status::BadGateway, None, b"")
+            uwsgi::write_response(out, Status::BadGateway, None, b"");
         }
     }
 }
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -120,9 +120,10 @@
         ConnectionEnd::PeerClosed
     };
     let writing = async {
-        match write(&state, id, &stream, &outbox).await {
-            true => ConnectionEnd::ResponsesSent,
-            false => ConnectionEnd::PeerClosed,
+        if write(&state, id, &stream, &outbox).await {
+            ConnectionEnd::ResponsesSent
+        } else {
+            ConnectionEnd::PeerClosed
         }
     };
     let closing = async {
--- a/crates/node/src/net/hot_restart/error.rs
+++ b/crates/node/src/net/hot_restart/error.rs
@@ -46,7 +46,9 @@
     #[error("hot restart: the predecessor's first message is not a welcome")]
     NoWelcome,
     /// The predecessor belongs to another node.
-    #[error("hot restart: the predecessor belongs to another node predecessor={predecessor} this={this}")]
+    #[error(
+        "hot restart: the predecessor belongs to another node predecessor={predecessor} this={this}"
+    )]
     OtherNode {
         /// The predecessor's node.
         predecessor: String,
@@ -54,7 +56,10 @@
         this: String,
     },
     /// The welcome lists other sockets than were passed.
-    #[error("hot restart: the predecessor passed other sockets than its welcome lists listed={listed} passed={passed}")]
+    #[error(
+        "hot restart: the predecessor passed other sockets than its welcome lists \
+         listed={listed} passed={passed}"
+    )]
     SocketCount {
         /// Sockets in the welcome.
         listed: usize,
--- a/crates/node/src/net/hot_restart/predecessor_connection.rs
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -184,7 +184,10 @@
             ConnectionLoss::Abort => return Err(HotRestartError::Disconnected),
             ConnectionLoss::KeysComplete => log("hot restart: complete, the predecessor exited"),
             ConnectionLoss::KeysIncomplete | ConnectionLoss::NoPredecessor => {
-                log("hot restart: the predecessor exited before all keys were received: unknown keys are rejected for a window");
+                log(
+                    "hot restart: the predecessor exited before all keys were received: \
+                     unknown keys are rejected for a window",
+                );
                 state
                     .borrow_mut()
                     .with_core(|core, now| core.distrust_unknown_keys(now));
@@ -276,7 +279,7 @@
         Action::AdoptSockets(_) => {}
         Action::ApplyKey(key) => {
             let mut state = state.borrow_mut();
-            let window_end = state.clock.of_unix(key.window_end);
+            let window_end = state.clock.unix_to_clock(key.window_end);
             state.with_core(|core, now| core.apply_transferred_key(now, key, window_end));
         }
         Action::ReleaseKey(key) => {
--- a/crates/node/src/net/hot_restart/successor_session.rs
+++ b/crates/node/src/net/hot_restart/successor_session.rs
@@ -158,11 +158,11 @@
     is_yielded: bool,
 }
 
-/// Encodes the messages that are due, at most [`CHUNK_BYTES`] of keys. Returns whether there is any.
-/// All keys precede `SnapshotComplete`; changed keys follow it.
+/// Encodes the messages that are due, at most [`CHUNK_BYTES`] of keys. Returns whether there is
+/// any. All keys precede `SnapshotComplete`; changed keys follow it.
 fn next_chunk(state: &SharedState, chunk: &mut Vec<u8>, sent: &mut SentMessages) -> bool {
     let mut state = state.borrow_mut();
-    let unix_offset = state.clock.ahead_to_unix();
+    let unix_offset = state.clock.unix_offset();
     while chunk.len() < CHUNK_BYTES {
         let Some(message) = state.core.next_key_update(unix_offset) else {
             break;
--- a/crates/node/src/net/ledger/calls.rs
+++ b/crates/node/src/net/ledger/calls.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Most connections to the ledger, one for each call in flight. The admission controller's own limit
-/// is far lower with any real settings; this one bounds the process's descriptors.
+/// Most connections to the ledger, one for each call in flight. The admission controller's own
+/// limit is far lower with any real settings; this one bounds the process's descriptors.
 pub const MAX_CONNECTIONS: usize = 48;
 
 /// A call to the ledger.
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger/mod.rs
@@ -21,8 +21,8 @@
 /// after 10 s, but some are closed or lost sooner, and a call written to such a one may be lost
 /// without proof.
 const REUSE_MS: u64 = 250;
-/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes a
-/// reply at once.
+/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes
+/// a reply at once.
 const REPLY_TIMEOUT_MS: u64 = 250;
 /// Longest time for connecting, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1000;
--- a/crates/node/src/net/membership/start.rs
+++ b/crates/node/src/net/membership/start.rs
@@ -103,56 +103,72 @@
         let clock = state.borrow().clock;
         let now = clock.now();
         let timing = settings.timing();
-        let bound = sockets.udp.local_addr()?;
-        let mut advertise = settings.advertise;
-        if advertise.port() == 0 {
-            advertise.set_port(bound.port());
-        }
+        let advertise = advertised_address(&settings, &sockets)?;
         let identity = Identity::new(resume_state, advertise, &settings.zone);
-        let mut fleet = Membership::new(
-            settings.rules,
-            &settings.name,
-            &node_name,
-            identity.local_member,
-            random_seed(now),
-            now,
-        );
-        fleet.set_seeds(settings.seeds);
-        fleet.set_contacts(identity.contacts);
+        let inherited_version = identity.active_version;
+        let mut fleet = create_membership(&node_name, &settings, identity, now);
         log(&format!(
-            "fleet: serving: fleet={} member={node_name} bind={bound} advertise={advertise}",
-            settings.name
+            "fleet: serving: fleet={} member={node_name} bind={} advertise={advertise}",
+            settings.name,
+            sockets.udp.local_addr()?
         ));
-        let (versions, results) = match settings.versions {
+        let (versions, write_results) = match &settings.versions {
             Some(version_settings) => {
                 let options = config_versions::StartOptions {
                     node_name: &node_name,
-                    settings: &version_settings,
+                    settings: version_settings,
                     stored: stored_version,
                     decided,
                     seed: random_seed(now),
                 };
                 let started = ConfigVersionsDriver::start(state.clone(), options, now)?;
-                if let Some(number) = identity.active_version {
+                if let Some(number) = inherited_version {
                     started.driver.inherit_version(number);
                 }
                 (Some(started.driver), Some(started.results))
             }
             None => (None, None),
         };
-        let subsetting = SubsettingDriver::start(&state, &node_name, timing, now);
-        let session_affinity =
-            SessionAffinityDriver::start(&state, &node_name, random_seed(now), now);
-        if versions.is_some() || session_affinity.is_some() {
+        let applications = Applications {
+            versions,
+            subsetting: SubsettingDriver::start(&state, &node_name, timing, now),
+            session_affinity: SessionAffinityDriver::start(
+                &state,
+                &node_name,
+                random_seed(now),
+                now,
+            ),
+        };
+        if applications.versions.is_some() || applications.session_affinity.is_some() {
             // Enables application messages.
             fleet.set_piggyback(Vec::new());
         }
-        let driver = Rc::new(MembershipDriver {
+        let driver =
+            MembershipDriver::new(executor, state, fleet, applications, &settings, sockets)?;
+        driver.start_tasks();
+        if let Some(results) = write_results {
+            let handling = handle_write_results(driver.clone(), results);
+            driver.executor.spawn(handling).detach();
+        }
+        Ok(driver)
+    }
+
+    fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        state: SharedState,
+        fleet: Membership,
+        applications: Applications,
+        settings: &Settings,
+        sockets: Sockets,
+    ) -> io::Result<Rc<MembershipDriver>> {
+        let clock = state.borrow().clock;
+        let now = clock.now();
+        Ok(Rc::new(MembershipDriver {
             fleet: RefCell::new(fleet),
-            versions,
-            subsetting,
+            versions: applications.versions,
+            subsetting: applications.subsetting,
             partition_policy: settings.apart,
-            session_affinity,
+            session_affinity: applications.session_affinity,
             service_state: RefCell::new(ServiceStateFilter::new(now)),
             clock,
             state,
@@ -168,14 +184,43 @@
             counters: Cell::default(),
             last_malformed: Cell::default(),
             version_written: async_channel::unbounded(),
-        });
-        driver.start_tasks();
-        if let Some(results) = results {
-            let handling = handle_write_results(driver.clone(), results);
-            driver.executor.spawn(handling).detach();
-        }
-        Ok(driver)
+        }))
+    }
+}
+
+/// The drivers that use application messages and the payload.
+struct Applications {
+    versions: Option<ConfigVersionsDriver>,
+    subsetting: Option<SubsettingDriver>,
+    session_affinity: Option<SessionAffinityDriver>,
+}
+
+/// The address for other members, with the bound port if none is configured.
+fn advertised_address(settings: &Settings, sockets: &Sockets) -> io::Result<SocketAddr> {
+    let mut advertise = settings.advertise;
+    if advertise.port() == 0 {
+        advertise.set_port(sockets.udp.local_addr()?.port());
     }
+    Ok(advertise)
+}
+
+fn create_membership(
+    node_name: &str,
+    settings: &Settings,
+    identity: Identity,
+    now: i64,
+) -> Membership {
+    let mut fleet = Membership::new(
+        settings.rules.clone(),
+        &settings.name,
+        node_name,
+        identity.local_member,
+        random_seed(now),
+        now,
+    );
+    fleet.set_seeds(settings.seeds.clone());
+    fleet.set_contacts(identity.contacts);
+    fleet
 }
 
 /// Handles the results of disk writes.
--- a/crates/node/src/net/membership/tasks.rs
+++ b/crates/node/src/net/membership/tasks.rs
@@ -10,8 +10,8 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Size of the datagram buffer, in bytes. The longest valid datagram is shorter, so that a truncated
-/// one cannot be taken for a whole one.
+/// Size of the datagram buffer, in bytes. The longest valid datagram is shorter, so that a
+/// truncated one cannot be taken for a whole one.
 const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
 /// Datagrams that are read before other tasks run.
 const DATAGRAMS_PER_TURN: usize = 16;
--- a/crates/node/src/net/session_affinity/report.rs
+++ b/crates/node/src/net/session_affinity/report.rs
@@ -33,7 +33,8 @@
             let unreachable = new.unreachable.saturating_sub(old.unreachable);
             if removed + failed + unreachable > 0 {
                 log(&format!(
-                    "sessions: pool={} moved: removed={removed} failed={failed} unreachable={unreachable}",
+                    "sessions: pool={} moved: removed={removed} failed={failed} \
+                     unreachable={unreachable}",
                     placement.pool.name
                 ));
                 logged.logged_at = now;
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -1,5 +1,6 @@
 //! Driver of subsetting: passes the membership view and the state of the pools to
-//! `pipitlever-subsetting`, and this node's shares to the pools. Only with `share = true` on a pool.
+//! `pipitlever-subsetting`, and this node's shares to the pools. Only with `share = true` on a
+//! pool.
 
 use crate::log::log;
 use crate::net::event_loop::{NodeState, SharedState};
@@ -183,7 +184,8 @@
             };
             if state.pools.set_share(now, divided.index, share) {
                 log(&format!(
-                    "subsetting: assigned pool={} workers={} of={} runs={} load_fraction={load_fraction:.3}",
+                    "subsetting: assigned pool={} workers={} of={} runs={} \
+                     load_fraction={load_fraction:.3}",
                     self.settings.borrow()[divided.index].name,
                     subset.workers,
                     divided.workers.len(),
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -192,8 +192,8 @@
     }
 }
 
-/// Sends a packet to a worker and reads its response; none if no whole one arrives. `is_sent` is set
-/// once the worker may have received part of the packet.
+/// Sends a packet to a worker and reads its response; none if no whole one arrives. `is_sent` is
+/// set once the worker may have received part of the packet.
 async fn exchange(
     worker: SocketAddr,
     packet: &[u8],
--- a/crates/node/src/net/workers/pools/mod.rs
+++ b/crates/node/src/net/workers/pools/mod.rs
@@ -193,7 +193,7 @@
             };
             let selection = entry.pool.select(now, request);
             entry.log_events();
-            let assigned = assigned_run(index, selection);
+            let assigned = assigned_run(index, &selection);
             if assigned.is_some() {
                 return assigned;
             }
@@ -221,7 +221,7 @@
         };
         let selection = entry.pool.select_member(now, request, &address);
         entry.log_events();
-        assigned_run(run.pool, selection)
+        assigned_run(run.pool, &selection)
     }
 
     /// The digest of a run's session, if its pool has session affinity and its packet names one.
@@ -285,8 +285,8 @@
     }
 }
 
-fn assigned_run(pool: usize, selection: Selection<SocketAddr>) -> Option<AssignedRun> {
-    match selection {
+fn assigned_run(pool: usize, selection: &Selection<SocketAddr>) -> Option<AssignedRun> {
+    match *selection {
         Selection::Selected {
             run,
             member,
--- a/crates/node/src/net/workers/pools/pool_entry.rs
+++ b/crates/node/src/net/workers/pools/pool_entry.rs
@@ -75,9 +75,9 @@
     }
 }
 
-/// The members as this node uses them. In a divided pool, workers outside the node's subset are in a
-/// lower priority tier with one run each, for when no other is usable. Configured tiers are doubled
-/// to make place for those.
+/// The members as this node uses them. In a divided pool, workers outside the node's subset are in
+/// a lower priority tier with one run each, for when no other is usable. Configured tiers are
+/// doubled to leave a tier between them for those.
 fn local_members(
     settings: &PoolSettings,
     shares: &HashMap<String, WorkerShare>,
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -387,7 +387,7 @@
     predecessor.join().unwrap();
     let (code, log) = starter.join().unwrap();
     assert!(
-        code == Some(1) && log.contains("has broken off"),
+        code == Some(1) && log.contains("the predecessor closed the connection and still runs"),
         "{code:?} {log}"
     );
 }
