--- a/crates/node/src/net/hot_restart/predecessor_connection.rs
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -133,7 +133,10 @@
     }
     let (mut bytes, mut sockets) = ([0; WELCOME_BUFFER_BYTES], Vec::new());
     loop {
-        match stream.receive_with(&mut bytes, &mut sockets).await {
+        match stream
+            .receive_with_descriptors(&mut bytes, &mut sockets)
+            .await
+        {
             Ok(length) if length > 0 => decoder.feed(&bytes[..length]),
             _ => return Ok(None),
         }
--- a/crates/node/src/net/hot_restart/successor_session.rs
+++ b/crates/node/src/net/hot_restart/successor_session.rs
@@ -144,7 +144,7 @@
     });
     let mut bytes = message::greeting();
     message::encode(&welcome, &mut bytes);
-    let sending = stream.send_with(&bytes, &passed);
+    let sending = stream.send_with_descriptors(&bytes, &passed);
     match timeout_at(after_ms(MESSAGE_TIMEOUT_MS), sending).await {
         Some(Ok(sent)) => Ok(bytes.split_off(sent)),
         _ => Err(SessionEnd::WelcomeNotSent),
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -21,6 +21,7 @@
 use crate::net::subsetting::{PartitionPolicy, SubsettingDriver};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
+use pipitlever_membership::event::EventBatch;
 use pipitlever_membership::message::DecodeError;
 use pipitlever_membership::record::ServiceState;
 use pipitlever_membership::service_state::ServiceStateFilter;
@@ -205,7 +206,7 @@
             sessions.update(&mut fleet, now, self.active_version());
         }
         self.send_datagrams(&mut fleet);
-        let (events, lost) = fleet.take_events();
+        let EventBatch { events, lost } = fleet.take_events();
         for event in &events {
             log(&format!("fleet: {event}"));
         }
