--- a/crates/node/src/net/workers/routes.rs
+++ b/crates/node/src/net/workers/routes.rs
@@ -1,10 +1,10 @@
-//! Which path is which class, who does its work, and the limits of the uwsgi front.
+//! Settings of the uwsgi front end: routes from paths to classes, and pools of workers.
 
 use pipitlever_load_balancing::pool::Member;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Who does the work of a class, whichever front its requests come by.
+/// What runs the requests of a class, whichever front end they arrive on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Backend {
@@ -14,97 +14,97 @@
     Workers,
 }
 
-/// Paths that begin so are requests of this class.
+/// A path prefix and the class of its requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Route {
-    /// The beginning of the path.
+    /// The prefix.
     pub path: String,
-    /// The class, by its name in the settings.
+    /// Name of the class.
     pub class: String,
-    /// Who does its work.
+    /// What runs its requests.
     pub backend: Backend,
-    /// The pool of workers; the one of `workers` where none is named.
+    /// Name of the pool of workers; the unnamed pool if there is none.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
-    /// Tries with one key go to the same worker while it is well.
+    /// Whether attempts with the same idempotency key go to the same worker while it is healthy.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub sticky: bool,
-    /// How long a client waits that doesn't say, in milliseconds, where it differs from the file's.
+    /// Timeout of requests that carry none, in milliseconds, if it differs from that of [`Uwsgi`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
 
-/// What a worker is called, and where it stands.
+/// Name and zone of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLabel {
-    /// Its name; its address, where the file gives none.
+    /// Its name; its address if none is configured.
     pub name: String,
     /// Its zone; may be empty.
     pub zone: String,
 }
 
-/// How the nodes of a fleet divide a pool among themselves.
+/// How the nodes of a fleet divide a pool (subsetting).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
-    /// About so many of its workers each node uses.
+    /// Number of workers that each node uses, approximately.
     pub subset: usize,
 }
 
-/// How long-lived sessions stay with their workers.
+/// Session affinity: how long sessions stay with their workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
     /// The variable of a request's packet that names its session.
     pub variable: String,
-    /// A session that nobody wanted for so many seconds is forgotten.
+    /// Time without a request after which a session is dropped, in seconds.
     pub idle_s: u32,
-    /// A worker that fails keeps its sessions for so long, in microseconds.
+    /// Time for which a failing worker keeps its sessions, in microseconds.
     pub patience: i64,
-    /// One that drains does for so long, in microseconds.
+    /// Time for which a draining worker keeps its sessions, in microseconds.
     pub linger: i64,
 }
 
 /// A pool of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolSettings {
-    /// Its name; none for the one of `workers`.
+    /// Its name; empty for the pool of `workers`.
     pub name: String,
-    /// The pool whose turn it is when nobody of this one can take a run, by position.
+    /// Index of the pool that takes runs when no member of this one can.
     pub fallback: Option<usize>,
     /// Its members.
     pub members: Vec<Member<SocketAddr>>,
-    /// What each of them is called; none where the pool has no name.
+    /// Labels of the members, in the same order; empty if the pool has no name.
     pub labels: Vec<WorkerLabel>,
-    /// Whether the nodes of the fleet divide it among themselves.
+    /// Subsetting, if the nodes of the fleet divide the pool.
     pub shared: Option<SubsetSettings>,
-    /// What it was called before, the oldest first.
+    /// Its earlier names, the oldest first.
     pub was: Vec<String>,
-    /// Whether sessions stay with its workers.
+    /// Session affinity, if the pool has it.
     pub sessions: Option<SessionSettings>,
 }
 
-/// The front, the workers, the routes.
+/// The uwsgi front end, the workers and the routes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Uwsgi {
-    /// Where uwsgi clients connect; without it there is no such front.
+    /// Address of the front end; none if there is no uwsgi front end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
-    /// Where the workers accept that are all alike.
+    /// Addresses of workers with default settings.
     pub workers: Vec<SocketAddr>,
-    /// Those of which more is said.
+    /// Workers with settings of their own.
     #[serde(skip)]
     pub special: Vec<Member<SocketAddr>>,
-    /// Pools with a name.
+    /// Named pools.
     #[serde(skip)]
     pub named: Vec<PoolSettings>,
-    /// How long a client waits that doesn't say, in milliseconds.
+    /// Timeout of requests that carry none, in milliseconds.
     pub deadline_ms: u64,
-    /// The longest body.
+    /// Longest body, in bytes.
     pub most_body: usize,
-    /// The longest response of a worker.
+    /// Longest response of a worker, in bytes.
     pub most_response: usize,
-    /// The memory booked for a request while it is held, in KB.
+    /// Memory that is reserved for a request, in KB.
     pub room_kb: f64,
-    /// The routes; the longest path that fits decides.
+    /// The routes; the longest matching prefix decides.
     #[serde(rename = "route", skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<Route>,
 }
@@ -126,7 +126,7 @@
 }
 
 impl Uwsgi {
-    /// All workers, as members of a pool.
+    /// The members of the unnamed pool.
     pub fn members(&self) -> Vec<Member<SocketAddr>> {
         self.workers
             .iter()
@@ -136,7 +136,7 @@
             .collect()
     }
 
-    /// All pools: first that of `workers`, then those with a name.
+    /// All pools: the unnamed one, then the named ones.
     pub fn pools(&self) -> Vec<PoolSettings> {
         let members = self.members();
         let first = PoolSettings {
@@ -148,7 +148,7 @@
             .collect()
     }
 
-    /// The pool of a route, by position among all pools.
+    /// The index of a route's pool.
     pub fn pool(&self, route: &Route) -> usize {
         let name = route.pool.as_deref().unwrap_or_default();
         self.pools()
@@ -157,15 +157,15 @@
             .unwrap_or_default()
     }
 
-    /// The route of a path. `/a` takes `/a` and `/a/b`, not `/ab`.
+    /// The route of a path. The prefix `/a` matches `/a` and `/a/b`, but not `/ab`.
     pub fn route(&self, path: &str) -> Option<&Route> {
-        let fits = |r: &&Route| {
-            let rest = path.strip_prefix(r.path.trim_end_matches('/'));
+        let matches = |route: &&Route| {
+            let rest = path.strip_prefix(route.path.trim_end_matches('/'));
             rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
         };
         self.routes
             .iter()
-            .filter(fits)
-            .max_by_key(|r| r.path.trim_end_matches('/').len())
+            .filter(matches)
+            .max_by_key(|route| route.path.trim_end_matches('/').len())
     }
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -320,9 +320,9 @@
     let first = cluster.held(0, "n2").unwrap();
     // After which word, of either process, which of them dies, and how much later.
     let (met, taken, done) = (
-        "a process has come to take over",
-        "taken over, this process serves",
-        "done, the other process serves",
+        "a successor connected",
+        "took over, this process serves",
+        "yielded, the successor serves",
     );
     let steps = [
         (met, true, 0),
