--- a/crates/node/src/cli/import/mod.rs
+++ b/crates/node/src/cli/import/mod.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::net::workers::routes::Uwsgi;
+use crate::net::worker_pools::routes::Uwsgi;
 use pipitlever_load_balancing::pool::Member;
 use serde::Serialize;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::net::workers::routes::{Backend, PoolSettings, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, PoolSettings, Uwsgi};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/node/src/config/operator/mod.rs
+++ b/crates/node/src/config/operator/mod.rs
@@ -15,7 +15,7 @@
 pub use store::{OnDamage, Store};
 
 use crate::net::membership;
-use crate::net::workers::routes::Uwsgi;
+use crate::net::worker_pools::routes::Uwsgi;
 use capture::CaptureSection;
 use error::FileError;
 use fleet::FleetSection;
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -1,7 +1,9 @@
 //! `[[pool]]` of the operator's file, and the workers in it.
 
 use crate::config::operator::error::{within, FileError};
-use crate::net::workers::routes::{PoolSettings, SessionSettings, SubsetSettings, WorkerLabel};
+use crate::net::worker_pools::routes::{
+    PoolSettings, SessionSettings, SubsetSettings, WorkerLabel,
+};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use pipitlever_membership::record::MAX_NAME_BYTES;
 use pipitlever_session_affinity::table::MAX_IDLE_SECONDS;
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -2,7 +2,7 @@
 
 use super::error::{within, FileError};
 use super::pools::{find_label, members, WorkerEntry};
-use crate::net::workers::routes::{Backend, PoolSettings, Route, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, PoolSettings, Route, Uwsgi};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -4,7 +4,7 @@
 use crate::config::versions::Content;
 use crate::net::event_loop::{RequestSettings, Upstreams};
 use crate::net::membership;
-use crate::net::workers::routes::{Backend, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, Uwsgi};
 use pipitlever_settings::PlatformSettings;
 use serde::Deserialize;
 use serde_json::Value;
--- a/crates/node/src/lifecycle/limits.rs
+++ b/crates/node/src/lifecycle/limits.rs
@@ -3,7 +3,7 @@
 use crate::config::platform::Config;
 use crate::lifecycle::capture;
 use crate::net::event_loop::ProcessLimits;
-use crate::net::{control, ledger, membership};
+use crate::net::{control_connections, ledger_calls, membership};
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
@@ -27,7 +27,7 @@
     + SIGNALS
     + PROCESSOR
     + REGISTRY
-    + ledger::calls::MAX_CONNECTIONS
+    + ledger_calls::MAX_CONNECTIONS
     + LISTENERS
     + HOT_RESTART
     + FILES;
@@ -41,7 +41,7 @@
     };
     // One descriptor for each waiting connection and one for each that is being answered.
     let control = match config.control {
-        Some(_) => 2 * control::connections::MAX_CONNECTIONS,
+        Some(_) => 2 * control_connections::MAX_CONNECTIONS,
         None => 0,
     };
     let membership = match config.fleet {
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -6,7 +6,7 @@
 use crate::log::log;
 use crate::net::config_versions::DecidedVersion;
 use crate::net::event_loop::SharedState;
-use crate::net::workers::routes::PoolSettings;
+use crate::net::worker_pools::routes::PoolSettings;
 use serde_json::Value;
 
 /// Whether the fleet decides what this node acts on.
--- a/crates/node/src/net/control/mod.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -1,12 +1,11 @@
 //! Control endpoint: reads one request a connection and answers it.
 
-pub mod connections;
 mod operations;
 
+use crate::net::control_connections::ControlHandle;
 use crate::net::event_loop::SharedState;
 use crate::net::{after_ms, graceful_close, timeout_at};
 use async_executor::LocalExecutor;
-use connections::ControlHandle;
 use futures_lite::future;
 use pipitlever_reactor::{Async, Timer};
 use pipitlever_wire::control::{self, ControlRequest, RequestError, RequestReader};
--- a/crates/node/src/net/event_loop/classes.rs
+++ b/crates/node/src/net/event_loop/classes.rs
@@ -1,7 +1,7 @@
 //! Definitions of the request classes, by their index in the core's class table.
 
 use super::RequestSettings;
-use crate::net::workers::routes::Backend;
+use crate::net::worker_pools::routes::Backend;
 use pipitlever_admission::Idempotency;
 use pipitlever_core::ClassAssignment;
 use std::ops::Index;
--- a/crates/node/src/net/event_loop/effects.rs
+++ b/crates/node/src/net/event_loop/effects.rs
@@ -1,9 +1,9 @@
 //! Executes the core's effects on the drivers' queues.
 
 use super::NodeState;
-use crate::net::ledger::calls::LedgerCall;
-use crate::net::processor::connection::ProcessorCommand;
-use crate::net::workers::pools::WorkerRun;
+use crate::net::ledger_calls::LedgerCall;
+use crate::net::processor_connection::ProcessorCommand;
+use crate::net::worker_pools::WorkerRun;
 use pipitlever_admission::{Micros, Outcome};
 use pipitlever_core::{Effect, Reference};
 use std::rc::Rc;
--- a/crates/node/src/net/event_loop/settings.rs
+++ b/crates/node/src/net/event_loop/settings.rs
@@ -1,6 +1,6 @@
 //! The parts of a configuration that may change while the node runs.
 
-use crate::net::workers::routes::{PoolSettings, Uwsgi};
+use crate::net::worker_pools::routes::{PoolSettings, Uwsgi};
 use pipitlever_admission::{Micros, Settings};
 use std::net::SocketAddr;
 
--- a/crates/node/src/net/event_loop/uwsgi_requests.rs
+++ b/crates/node/src/net/event_loop/uwsgi_requests.rs
@@ -1,7 +1,7 @@
 //! Turns uwsgi packets into requests.
 
 use super::NodeState;
-use crate::net::workers::routes::Backend;
+use crate::net::worker_pools::routes::Backend;
 use pipitlever_admission::Micros;
 use pipitlever_core::{IncomingRequest, Origin};
 use pipitlever_wire::jsonrpc;
--- a/crates/node/src/net/event_loop/worker_runs.rs
+++ b/crates/node/src/net/event_loop/worker_runs.rs
@@ -1,7 +1,7 @@
 //! Assigns runs to workers within the limit on connections.
 
 use super::NodeState;
-use crate::net::workers::pools::{AssignedRun, AttemptedWorker, WorkerRun};
+use crate::net::worker_pools::{AssignedRun, AttemptedWorker, WorkerRun};
 use std::net::SocketAddr;
 
 impl NodeState {
--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,10 +1,8 @@
 //! Ledger calls: a small pool of connections, each with one call at a time, so that a corrupt reply
 //! costs no other call.
 
-pub mod calls;
-
 use crate::net::event_loop::SharedState;
-use crate::net::ledger::calls::{IdleConnection, LedgerCall, StartedCall};
+use crate::net::ledger_calls::{IdleConnection, LedgerCall, StartedCall};
 use crate::net::{after_ms, timeout_at};
 use async_executor::LocalExecutor;
 use futures_lite::future;
--- a/crates/node/src/net/processor/mod.rs
+++ b/crates/node/src/net/processor.rs
@@ -1,7 +1,5 @@
 //! Keeps the connection to the processor, and reconnects whenever it breaks.
 
-pub mod connection;
-
 use crate::log::log;
 use crate::net::event_loop::SharedState;
 use crate::net::{after_ms, timeout_at};
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -4,7 +4,7 @@
 mod report;
 
 use crate::net::event_loop::SharedState;
-use crate::net::workers::routes::PoolSettings;
+use crate::net::worker_pools::routes::PoolSettings;
 use async_channel::{Receiver, Sender};
 use pipitlever_load_balancing::pool::MemberMode;
 use pipitlever_membership::members::Member;
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -4,8 +4,8 @@
 
 use crate::log::log;
 use crate::net::event_loop::{NodeState, SharedState};
-use crate::net::workers::pools::{is_divided, PoolShare};
-use crate::net::workers::routes::{PoolSettings, WorkerLabel};
+use crate::net::worker_pools::routes::{PoolSettings, WorkerLabel};
+use crate::net::worker_pools::{is_divided, PoolShare};
 use pipitlever_load_balancing::pool::Member as PoolMember;
 use pipitlever_membership::members::Member as FleetMember;
 use pipitlever_membership::record::State;
--- a/crates/node/src/net/workers/pools/mod.rs
+++ b/crates/node/src/net/worker_pools/mod.rs
@@ -1,13 +1,14 @@
 //! The node's pools of workers: worker selection, fallback pools, retries, and the queue of runs.
 
 mod pool_entry;
+pub mod routes;
 #[cfg(test)]
 mod tests;
 
 pub use pool_entry::is_divided;
 
 use crate::net::notify::Notify;
-use crate::net::workers::routes::PoolSettings;
+use crate::net::worker_pools::routes::PoolSettings;
 use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes;
 use pipitlever_core::Reference;
--- a/crates/node/src/net/workers/pools/pool_entry.rs
+++ b/crates/node/src/net/worker_pools/pool_entry.rs
@@ -2,7 +2,7 @@
 
 use super::PoolShare;
 use crate::log::log;
-use crate::net::workers::routes::{PoolSettings, WorkerLabel};
+use crate::net::worker_pools::routes::{PoolSettings, WorkerLabel};
 use pipitlever_admission::Micros;
 use pipitlever_load_balancing::pool::{Member, MemberMode, Pool, PoolConfig};
 use pipitlever_subsetting::assignment::WorkerShare;
--- a/crates/node/src/net/workers/pools/tests.rs
+++ b/crates/node/src/net/worker_pools/tests.rs
@@ -1,5 +1,5 @@
 use super::{PoolShare, WorkerPools, WorkerRun};
-use crate::net::workers::routes::{PoolSettings, SubsetSettings, WorkerLabel};
+use crate::net::worker_pools::routes::{PoolSettings, SubsetSettings, WorkerLabel};
 use pipitlever_admission::Micros;
 use pipitlever_core::Reference;
 use pipitlever_load_balancing::pool::Member;
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -1,12 +1,10 @@
 //! Runs on uwsgi workers: one connection a run, closed at its end.
 
-pub mod pools;
-pub mod routes;
 mod session_route;
 
 use crate::net::event_loop::SharedState;
 use crate::net::timeout_at;
-use crate::net::workers::pools::{AssignedRun, AttemptedWorker, FailedAttempt, WorkerRun};
+use crate::net::worker_pools::{AssignedRun, AttemptedWorker, FailedAttempt, WorkerRun};
 use async_executor::LocalExecutor;
 use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes;
--- a/crates/node/src/net/workers/session_route.rs
+++ b/crates/node/src/net/workers/session_route.rs
@@ -4,7 +4,7 @@
 use crate::net::event_loop::SharedState;
 use crate::net::membership::MembershipDriver;
 use crate::net::session_affinity::SessionLookup;
-use crate::net::workers::pools::WorkerRun;
+use crate::net::worker_pools::WorkerRun;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/crates/subsetting/mutants.sh
+++ b/crates/subsetting/mutants.sh
@@ -26,6 +26,6 @@
 mutant 'a failed node proves a recovery' $src/probe_turn.rs '!ejected_now.contains(&node) && is_member(node)' '!ejected_now.contains(&node)' $turns
 mutant 'a node reports twice within the propagation time' $src/node/mod.rs 'let may_report = now > earliest;' 'let may_report = true || now > earliest;' $node
 mutant 'a report costs nothing' $src/load.rs 'self.tokens -= 1.0;' '' $load
-mutant 'a process that was stopped goes on' crates/node/src/net/workers/pools/pool_entry.rs 'if now < self.share.expires_at {' 'if true {' -p pipitlever-node --lib pools
+mutant 'a process that was stopped goes on' crates/node/src/net/worker_pools/pool_entry.rs 'if now < self.share.expires_at {' 'if true {' -p pipitlever-node --lib pools
 mutant 'no node waits for its turn' crates/node/src/net/subsetting.rs 'node.probe_turn(i, worker) == ProbeTurn::Other' 'false' $processes subsets
 exit "$missed"
