--- a/crates/node/src/net/ledger/mod.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,10 +1,8 @@
 //! Ledger calls: a small pool of connections, each with one call at a time, so that a corrupt reply
 //! costs no other call.
 
-pub mod calls;
-
 use crate::net::event_loop::SharedState;
-use crate::net::ledger::calls::{IdleConnection, LedgerCall, StartedCall};
+use crate::net::ledger_calls::{IdleConnection, LedgerCall, StartedCall};
 use crate::net::{after_ms, timeout_at};
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -21,8 +19,8 @@
 /// after 10 s, but some are closed or lost sooner, and a call written to such a one may be lost
 /// without proof.
 const REUSE_MS: u64 = 250;
-/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes a
-/// reply at once.
+/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes
+/// a reply at once.
 const REPLY_TIMEOUT_MS: u64 = 250;
 /// Longest time for connecting, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1000;
