--- a/crates/benchmarks/tests/cost.rs
+++ b/crates/benchmarks/tests/cost.rs
@@ -1,9 +1,9 @@
-//! What a request costs the node in allocations and copies, held against `bench/baseline.toml`.
-//! Counts, not times: one request after the other, each counted by itself until nothing more comes
-//! of it, and the least, or the median, of many.
+//! Compares the allocations and copied bytes of a request with `baseline.toml`. Each request is
+//! counted by itself until the node is idle again; the result is the minimum of many requests, or
+//! the median for copied bytes.
 //!
-//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline; the commit
-//! says why.
+//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline. The commit
+//! gives the reason.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -18,16 +18,16 @@
 /// How much a figure may grow over its baseline.
 const GROWTH: f64 = 1.1;
 
-/// Allocations and their bytes so far.
+/// Allocations, allocated bytes and copied bytes so far.
 fn counts(node: &mut Node) -> [u64; 3] {
     node.ask();
     let line = node.line("counted: ");
     ["allocations", "bytes", "copied"].map(|name| Node::counter(&line, name))
 }
 
-/// The least allocations of many times and their bytes, and the bytes copied in the median, less
-/// what the counting itself takes. A timer in between, or a table that needs room, adds allocations
-/// to one time or another, and never takes away; what each request needs is in all.
+/// The minimum of the allocations and allocated bytes of many requests, and the median of the copied
+/// bytes, without the cost of counting. Timers and growing tables add allocations to some requests
+/// and remove none, so that the minimum is what each request needs.
 fn cost(node: &mut Node, mut once: impl FnMut()) -> [u64; 3] {
     let step = |node: &mut Node, last: [u64; 3]| {
         let now = counts(node);
@@ -44,7 +44,7 @@
     for _ in 0..TIMES {
         let first = counts(node);
         once();
-        // What follows the answer belongs to it, too: until nothing but the counting is left.
+        // The work after the response counts, too, until only the cost of counting is left.
         let mut counted = 0;
         let mut last = first;
         loop {
@@ -63,7 +63,7 @@
     [least[0], least[1], copied[TIMES / 2]]
 }
 
-/// A node, its gateway, and a processor that serves every run with a result of so many bytes.
+/// A node and its gateway, with a processor that serves every run with a result of `result` bytes.
 fn pair(result: usize) -> (Node, common::Gateway) {
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address().to_string()}), None);
@@ -74,7 +74,7 @@
     (node, gateway)
 }
 
-/// A node with cores for many at once, and its processor.
+/// A node with enough cores for many concurrent requests, and its processor.
 fn wide() -> Node {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
@@ -92,86 +92,98 @@
     assert!(answer["result"].is_object(), "{answer}");
 }
 
-fn measured() -> BTreeMap<&'static str, [u64; 3]> {
-    let mut all = BTreeMap::new();
+/// The allocations, allocated bytes and copied bytes of each case.
+type Costs = BTreeMap<&'static str, [u64; 3]>;
+
+fn measure_all() -> Costs {
+    let mut costs = Costs::new();
+    measure_single_requests(&mut costs);
+    measure_cancellation(&mut costs);
+    measure_uwsgi(&mut costs);
+    measure_concurrent_requests(&mut costs);
+    measure_overload(&mut costs);
+    measure_large_body(&mut costs);
+    costs
+}
+
+/// Requests one at a time: read, keyed, retried, health check, and rejected on arrival.
+fn measure_single_requests(costs: &mut Costs) {
     let (mut node, mut gateway) = pair(200);
     served(&mut gateway, "rota-view", None, &[7; 200]);
-    all.insert(
-        "view",
-        cost(&mut node, || {
-            served(&mut gateway, "rota-view", None, &[7; 200])
-        }),
-    );
-    let mut keys = 0;
+    let view = || served(&mut gateway, "rota-view", None, &[7; 200]);
+    costs.insert("view", cost(&mut node, view));
+    let mut last_key = 0;
     let swap = || {
-        keys += 1;
-        served(
-            &mut gateway,
-            "swap-confirm",
-            Some(&format!("key-{keys:028}")),
-            &[7; 200],
-        );
+        last_key += 1;
+        let key = format!("key-{last_key:028}");
+        served(&mut gateway, "swap-confirm", Some(&key), &[7; 200]);
     };
-    all.insert("swap", cost(&mut node, swap));
-    let again = || {
-        served(
-            &mut gateway,
-            "swap-confirm",
-            Some(&format!("key-{:028}", 1)),
-            &[7; 200],
-        )
+    costs.insert("swap", cost(&mut node, swap));
+    let retry = || {
+        let key = format!("key-{:028}", 1);
+        served(&mut gateway, "swap-confirm", Some(&key), &[7; 200]);
     };
-    all.insert("repeat", cost(&mut node, again));
-    let alive = || {
+    costs.insert("repeat", cost(&mut node, retry));
+    let health_check = || {
         gateway.send("alive", json!({}));
         assert_eq!(gateway.receive()["result"]["healthy"], true);
     };
-    all.insert("health", cost(&mut node, alive));
-    // Its time is over as it comes, so it is refused at once.
-    let refused = || {
+    costs.insert("health", cost(&mut node, health_check));
+    // The deadline has passed when the request arrives, so that it is rejected at once.
+    let rejected = || {
         let mut late = work(300, None, &[7; 200]);
         late["since"] = json!(late["since"].as_u64().unwrap() - 1000);
         gateway.send("rota-view", late);
         assert_eq!(gateway.receive()["error"]["code"], -32000);
     };
-    all.insert("refused", cost(&mut node, refused));
+    costs.insert("refused", cost(&mut node, rejected));
+}
+
+/// A duplicate that waits for the run of its key and is cancelled.
+fn measure_cancellation(costs: &mut Costs) {
     let mut processor = Processor::new();
     let mut node = Node::start(json!({"processor": processor.address().to_string()}), None);
     processor.accept();
     processor.say(b"hi running 60000\r\n");
     let mut gateway = node.ready();
     gateway.send("swap-confirm", work(60_000, Some("stands"), b""));
-    let stands = processor.begin();
+    let run = processor.begin();
     std::thread::spawn(move || processor.serve(0));
-    // A repeat that waits for the run, taken back: nothing else of it is left.
     let cancelled = || {
         let id = gateway.send("swap-confirm", work(50_000, Some("stands"), b""));
         gateway.notify("cancelRequest", json!({"id": id}));
         assert_eq!(gateway.receive()["error"]["code"], -32800);
     };
-    all.insert("cancel", cost(&mut node, cancelled));
-    drop(stands);
+    costs.insert("cancel", cost(&mut node, cancelled));
+    drop(run);
+}
+
+/// A read request by uwsgi.
+fn measure_uwsgi(costs: &mut Costs) {
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties, Some(&uwsgi_file(None, "processor")));
+    let config = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(config, Some(&uwsgi_file(None, "processor")));
     processor.accept();
     processor.say(b"hi running 60000\r\n");
     node.ready();
     std::thread::spawn(move || processor.serve(200));
-    let at = node.uwsgi.unwrap();
-    let get = packet("/view", &[], b"");
-    let plain = || {
-        let mut stream = std::net::TcpStream::connect(at).unwrap();
-        std::io::Write::write_all(&mut stream, &get).unwrap();
+    let address = node.uwsgi.unwrap();
+    let request = packet("/view", &[], b"");
+    let view = || {
+        let mut stream = std::net::TcpStream::connect(address).unwrap();
+        std::io::Write::write_all(&mut stream, &request).unwrap();
         assert_eq!(response(stream).0, 200);
     };
-    all.insert("uwsgi", cost(&mut node, plain));
-    // 32 in one write, of a node that has the cores for them.
+    costs.insert("uwsgi", cost(&mut node, view));
+}
+
+/// 32 requests in one write, and one request of each of 200 gateways.
+fn measure_concurrent_requests(costs: &mut Costs) {
     let mut node = wide();
     let mut gateway = Gateway::new(node.gateways, 1);
     let doc = base64(&[7; 200]);
     let (mut out, mut line) = (Vec::new(), String::new());
-    let many = || {
+    let batch = || {
         out.clear();
         for _ in 0..32 {
             gateway.request(&mut out, "rota-view", None, &doc);
@@ -182,10 +194,9 @@
             assert!(answered(&line).1, "{line}");
         }
     };
-    all.insert("view-32", cost(&mut node, many));
-    // One each of 200 gateways.
+    costs.insert("view-32", cost(&mut node, batch));
     let mut gateways: Vec<Gateway> = (0..200)
-        .map(|n| Gateway::new(node.gateways, 2 + n))
+        .map(|number| Gateway::new(node.gateways, 2 + number))
         .collect();
     let round = || {
         for gateway in &mut gateways {
@@ -197,20 +208,22 @@
             gateway.line(&mut line);
         }
     };
-    all.insert("gateways-200", cost(&mut node, round));
-    // A node whose cores are taken, and that has a line: what comes is refused at once.
-    let mut node = Node::start(
-        json!({"processor": standin::processor(None).to_string()}),
-        None,
-    );
+    costs.insert("gateways-200", cost(&mut node, round));
+}
+
+/// A request that is rejected at once, since all cores are in use and requests are queued.
+fn measure_overload(costs: &mut Costs) {
+    let config = json!({"processor": standin::processor(None).to_string()});
+    let mut node = Node::start(config, None);
     node.ready();
-    let mut full = Gateway::new(node.gateways, 1);
-    out.clear();
+    let doc = base64(&[7; 200]);
+    let (mut out, mut line) = (Vec::new(), String::new());
+    let mut saturating = Gateway::new(node.gateways, 1);
     for _ in 0..30 {
-        full.request(&mut out, "rota-view", None, &doc);
+        saturating.request(&mut out, "rota-view", None, &doc);
     }
-    full.say(&out);
-    full.line(&mut line);
+    saturating.say(&out);
+    saturating.line(&mut line);
     assert!(line.contains("-32000"), "{line}");
     let mut gateway = Gateway::new(node.gateways, 2);
     let overload = || {
@@ -220,21 +233,20 @@
         gateway.line(&mut line);
         assert!(line.contains("-32000"), "{line}");
     };
-    all.insert("overload", cost(&mut node, overload));
+    costs.insert("overload", cost(&mut node, overload));
+}
+
+/// A read request with a body of 2 KiB and a result of 4 KiB.
+fn measure_large_body(costs: &mut Costs) {
     let (mut node, mut gateway) = pair(4096);
     served(&mut gateway, "rota-view", None, &[7; 2048]);
-    all.insert(
-        "large",
-        cost(&mut node, || {
-            served(&mut gateway, "rota-view", None, &[7; 2048])
-        }),
-    );
-    all
+    let large = || served(&mut gateway, "rota-view", None, &[7; 2048]);
+    costs.insert("large", cost(&mut node, large));
 }
 
 #[test]
 fn no_request_costs_more_than_it_did() {
-    let now = measured();
+    let now = measure_all();
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/baseline.toml");
     if std::env::var_os("PIPITLEVER_BASELINE").is_some() {
         let line = |(case, [count, bytes, copied]): (&&str, &[u64; 3])| {
@@ -262,7 +274,7 @@
     );
 }
 
-/// Buffers that are kept must not keep what a burst made of them.
+/// Reused buffers must release the memory that a burst has added to them.
 #[test]
 fn a_burst_of_large_bodies_is_given_back() {
     let held = |node: &mut Node| {
@@ -291,7 +303,7 @@
             (0..count).for_each(|_| gateway.line(&mut line));
         }
     };
-    // As many requests as later, so that the tables have their size.
+    // As many requests as later, so that the tables have reached their size.
     burst(&small, 32);
     burst(&small, 1);
     let before = held(&mut node);
@@ -299,7 +311,7 @@
     let full = held(&mut node);
     burst(&small, 1);
     let after = held(&mut node);
-    // 256 bodies and results take 1.5 MB. What is left is what each buffer may keep.
+    // 256 bodies and results take 1.5 MB; the rest is the capacity that each buffer may retain.
     assert!(
         after < before + (256 << 10),
         "{before} before, {full} behind the burst, {after} at rest"
