--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,6 +1,6 @@
-//! The node with an allocator that counts. For each line on its standard input it says on standard
-//! error how many allocations it has made so far, of how many bytes, how many of these it holds,
-//! and how many it has copied on the way of requests.
+//! The node with a counting allocator. For each line on standard input it writes to standard error
+//! the number of allocations so far, the bytes allocated and still in use, and the bytes copied while
+//! requests were processed.
 
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
@@ -13,13 +13,13 @@
 fn main() -> std::process::ExitCode {
     std::thread::spawn(|| {
         for _ in std::io::stdin().lock().lines().map_while(Result::ok) {
-            let s = ALLOCATOR.stats();
-            let made = s.allocations + s.reallocations;
+            let stats = ALLOCATOR.stats();
+            let allocations = stats.allocations + stats.reallocations;
             let copied = pipitlever_node::COPIED.load(Relaxed);
-            let held = s.bytes_allocated - s.bytes_deallocated;
+            let in_use = stats.bytes_allocated - stats.bytes_deallocated;
             eprintln!(
-                "counted: allocations={made} bytes={} copied={copied} held={held}",
-                s.bytes_allocated
+                "counted: allocations={allocations} bytes={} copied={copied} held={in_use}",
+                stats.bytes_allocated
             );
         }
     });
--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -1,5 +1,5 @@
-//! A node that is killed at every point of a keyed request's way and started again, hundreds of
-//! times, with a processor that counts what it was told to write.
+//! Kills a node at each point of the lifecycle of a request with an idempotency key, and restarts it,
+//! hundreds of times. The processor counts the runs of each key.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -13,28 +13,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The window of a key, in microseconds.
+/// The retention of an idempotency key, in microseconds.
 const WINDOW: u64 = 8_000_000;
 
-/// What the processor does with a run.
+/// The behaviour of the processor's runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Runs {
-    /// It ends at once.
+    /// Runs end at once.
     End,
-    /// It goes on until the node is gone, and its end is never told.
+    /// Runs do not end, and are lost with the node.
     Lost,
-    /// It goes on, and the next process is told of its end.
+    /// Runs outlive the node, and the next process is notified of their results.
     Outlive,
 }
 
-/// Writes by body, and runs whose end is still to be told.
+/// The number of runs by body, and the runs whose results are still to be sent.
 struct State {
     writes: HashMap<Vec<u8>, u64>,
     runs: Runs,
     outlived: Vec<(String, Vec<u8>)>,
 }
 
-/// A processor that outlives nodes.
+/// A processor that outlives the node's processes.
 struct Processor {
     at: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -137,7 +137,7 @@
     Nothing,
 }
 
-/// Sends one on either front and waits for what comes.
+/// Sends a request on either protocol and waits for the outcome.
 fn ask(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Heard {
     ask_at(
         (node.gateways, node.uwsgi.expect("the front is on")),
--- a/crates/benchmarks/tests/standin/mod.rs
+++ b/crates/benchmarks/tests/standin/mod.rs
@@ -1,16 +1,16 @@
-//! Stand-ins that are quick enough to measure a node with, and that say the same in the same pieces
-//! every time.
+//! Stand-ins that are fast enough to measure a node, and write the same bytes in the same pieces in
+//! each run.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Everything ends within this time, or has failed.
+/// The longest time that any wait takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A processor that answers all commands of a read in one write, each run with a result of so many
-/// bytes, or none at all.
+/// Starts a processor that answers all commands of a read in one write. Each run has a result of
+/// `result` bytes; with `None` no run ends.
 pub fn processor(result: Option<usize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
--- a/crates/benchmarks/tests/syscalls.rs
+++ b/crates/benchmarks/tests/syscalls.rs
@@ -1,12 +1,10 @@
-//! What a request costs in system calls, by name, held against `bench/baseline.toml`. Needs strace.
+//! Compares the system calls of a request, by name, with `baseline-syscalls.toml`. Needs strace.
 //!
-//! Requests come one at a time or so many in one write, and everything that follows is waited for;
-//! what each name is called at the least, of many times, is what the request needs: a timer in
-//! between only adds.
+//! Requests are sent one at a time or several in one write, and the node is idle before the next
+//! one. The result is the minimum count of each call of many requests, since timers only add calls.
 //!
-//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline; the commit
-//! says why. With `PIPITLEVER_PROGRAM=FILE` another build is counted, and nothing is held against
-//! anything.
+//! `PIPITLEVER_BASELINE=1 cargo test -p pipitlever-benchmarks` records a new baseline. The commit
+//! gives the reason. With `PIPITLEVER_PROGRAM=FILE` another build is counted and not compared.
 #![cfg(target_os = "linux")]
 
 #[path = "../../node/tests/common/mod.rs"]
@@ -37,7 +35,7 @@
 
 impl Traced {
     fn start(case: &str, result: usize) -> Traced {
-        // Cores for 32 at once: what is refused is another case.
+        // Enough cores for 32 concurrent requests, so that none is rejected.
         let mut settings = common::configuration(&json!({}))["settings"].clone();
         settings["familyInfo"]["cpus"] = json!(64);
         let parties = json!({"processor": standin::processor(Some(result)).to_string(), "settings": settings});
--- a/crates/cluster-testing/tests/membership.rs
+++ b/crates/cluster-testing/tests/membership.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn runs_of_one_seed_are_equal() {
+fn membership_runs_of_one_seed_are_equal() {
     let course = |seed| {
         let mut simulation = converged(8, 10, seed);
         simulation.network.loss = 0.1;
--- a/crates/cluster-testing/tests/sessions.rs
+++ b/crates/cluster-testing/tests/sessions.rs
@@ -413,7 +413,7 @@
 }
 
 #[test]
-fn runs_of_one_seed_are_equal() {
+fn session_runs_of_one_seed_are_equal() {
     let run = |seed| {
         let mut cluster = Cluster::new(8, 5, 200, seed);
         cluster.simulation.kill(3);
