--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -8,7 +8,7 @@
 use crate::lifecycle::startup::{self, Services};
 use crate::lifecycle::{shutdown, store};
 use crate::log::log;
-use crate::net::config_versions::Act;
+use crate::net::config_versions::DecidedVersion;
 use crate::net::hot_restart;
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
@@ -37,7 +37,7 @@
     let (config, stored_version) = crate::config::versions::begin(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     // Two processes cannot share a store, and a port that the system picks is used by no other one.
-    let meeting_place = hot_restart::place(config.listen).filter(|_| config.store.is_none());
+    let meeting_place = hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
     let opened = async { Some(OpenedSockets::open(&config, meeting_place.as_deref()).await) };
     let interrupted = async {
         signals.wait_for_shutdown().await;
@@ -63,7 +63,7 @@
 enum LoopEvent {
     Signal(Signal),
     /// A config version that the fleet has decided is to be applied.
-    ApplyVersion(Act),
+    ApplyVersion(DecidedVersion),
 }
 
 /// Handles signals and decided config versions until a signal asks for the shutdown.
@@ -74,7 +74,7 @@
 ) -> Result<(), String> {
     loop {
         let signal = async { Ok(LoopEvent::Signal(signals.next().await)) };
-        let failure = async { Err(services.failure.wait().await) };
+        let failure = async { Err(services.failure.wait().await.to_string()) };
         let version = async {
             Ok(LoopEvent::ApplyVersion(
                 next_version(&services.versions).await,
@@ -92,7 +92,7 @@
 }
 
 /// The next config version to apply; waits for ever if this node's fleet does not decide versions.
-async fn next_version(versions: &Receiver<Act>) -> Act {
+async fn next_version(versions: &Receiver<DecidedVersion>) -> DecidedVersion {
     match versions.recv().await {
         Ok(version) => version,
         Err(_) => future::pending().await,
--- a/crates/node/src/net/workers/pools/mod.rs
+++ b/crates/node/src/net/worker_pools/mod.rs
@@ -1,13 +1,14 @@
 //! The node's pools of workers: worker selection, fallback pools, retries, and the queue of runs.
 
 mod pool_entry;
+pub mod routes;
 #[cfg(test)]
 mod tests;
 
 pub use pool_entry::is_divided;
 
 use crate::net::notify::Notify;
-use crate::net::workers::routes::PoolSettings;
+use crate::net::worker_pools::routes::PoolSettings;
 use pipitlever_admission::Micros;
 use pipitlever_capture::record::digest_bytes;
 use pipitlever_core::Reference;
@@ -193,7 +194,7 @@
             };
             let selection = entry.pool.select(now, request);
             entry.log_events();
-            let assigned = assigned_run(index, selection);
+            let assigned = assigned_run(index, &selection);
             if assigned.is_some() {
                 return assigned;
             }
@@ -221,7 +222,7 @@
         };
         let selection = entry.pool.select_member(now, request, &address);
         entry.log_events();
-        assigned_run(run.pool, selection)
+        assigned_run(run.pool, &selection)
     }
 
     /// The digest of a run's session, if its pool has session affinity and its packet names one.
@@ -285,8 +286,8 @@
     }
 }
 
-fn assigned_run(pool: usize, selection: Selection<SocketAddr>) -> Option<AssignedRun> {
-    match selection {
+fn assigned_run(pool: usize, selection: &Selection<SocketAddr>) -> Option<AssignedRun> {
+    match *selection {
         Selection::Selected {
             run,
             member,
--- a/fuzz/fuzz_targets/capture.rs
+++ b/fuzz/fuzz_targets/capture.rs
@@ -4,11 +4,11 @@
 use libfuzzer_sys::fuzz_target;
 use pipitlever_capture::frame;
 use pipitlever_capture::record::decode;
-use pipitlever_capture::segment::Reader;
+use pipitlever_capture::segment::SegmentReader;
 
 /// Reads a segment to its end.
 fn read_segment(bytes: &[u8]) {
-    let Ok(mut reader) = Reader::open(bytes) else {
+    let Ok(mut reader) = SegmentReader::open(bytes) else {
         return;
     };
     let _ = reader.controller();
