--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -1,6 +1,6 @@
-//! Captures of past failures and hard cases, each replayed by the program itself: another process
-//! than the node that made them, and every time.
+//! The commands on captures of past failures and hard cases, run as processes.
 
+use parquet::file::reader::{FileReader, SerializedFileReader};
 use pipitlever_admission::{Action, Controller};
 use pipitlever_capture::record::{encode, Opening, Record};
 use pipitlever_capture::segment::{RecordAt, SegmentReader, SegmentWriter};
@@ -16,7 +16,15 @@
     folder().join(format!("{name}.plc"))
 }
 
-fn lab(args: &[&str]) -> (i32, String, String) {
+/// The exit code and the outputs of a command.
+#[derive(Debug)]
+struct ToolOutput {
+    code: i32,
+    stdout: String,
+    stderr: String,
+}
+
+fn run_tool(args: &[&str]) -> ToolOutput {
     let Output {
         status,
         stdout,
@@ -26,20 +34,24 @@
         .output()
         .unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (
-        status.code().expect("no signal"),
-        text(stdout),
-        text(stderr),
-    )
+    ToolOutput {
+        code: status.code().expect("not ended by a signal"),
+        stdout: text(stdout),
+        stderr: text(stderr),
+    }
 }
 
 fn json(args: &[&str]) -> Value {
-    let (code, out, err) = lab(&[args, &["--json"]].concat());
+    let ToolOutput {
+        code,
+        stdout: out,
+        stderr: err,
+    } = run_tool(&[args, &["--json"]].concat());
     assert!(code < 2, "{args:?}: {code} {out} {err}");
     serde_json::from_str(&out).unwrap_or_else(|e| panic!("{e}: {out}"))
 }
 
-/// A file of this test's own.
+/// Writes a file to the temporary directory.
 fn temporary(name: &str, bytes: &[u8]) -> PathBuf {
     let path =
         std::env::temp_dir().join(format!("pipitlever-capture-{}-{name}", std::process::id()));
@@ -49,7 +61,7 @@
 
 #[test]
 fn every_capture_replays_to_identical_decisions() {
-    // The capture, whether it is cut off, and what its stories tell.
+    // The capture, whether it is truncated, and a part of its timelines.
     let cases = [
         ("gone-after-the-end", false, "nobody awaits #1"),
         ("one-swap", false, "answer: served, 15 bytes; its run's end"),
@@ -81,30 +93,38 @@
     ];
     let all = std::fs::read_dir(folder()).unwrap().count();
     assert_eq!(all, cases.len(), "each capture has its line here");
-    for (name, cut, tells) in cases {
+    for (name, is_truncated, expected) in cases {
         let path = capture(name);
         assert!(path.metadata().unwrap().len() < 300 << 10, "{name}");
         let path = path.to_str().unwrap();
         for _ in 0..2 {
-            let (code, out, err) = lab(&["replay", path]);
+            let ToolOutput {
+                code,
+                stdout: out,
+                stderr: err,
+            } = run_tool(&["replay", path]);
             assert!(
                 code == 0 && out.contains("identical"),
                 "{name}: {code} {out} {err}"
             );
-            assert_eq!(out.contains("cut: "), cut, "{name}: {out}");
+            assert_eq!(out.contains("cut: "), is_truncated, "{name}: {out}");
         }
-        let (code, out, err) = lab(&["replay", "--diff", path]);
+        let ToolOutput {
+            code,
+            stdout: out,
+            stderr: err,
+        } = run_tool(&["replay", "--diff", path]);
         assert!(
             code == 0 && out.contains("identical"),
             "{name}: {code} {out} {err}"
         );
-        let told = all_stories(path);
-        assert!(told.contains(tells), "{name}: {told}");
+        let timelines = all_timelines(path);
+        assert!(timelines.contains(expected), "{name}: {timelines}");
     }
 }
 
-/// The stories of the first requests and the last, each asked for by its name.
-fn all_stories(path: &str) -> String {
+/// The timelines of the first and the last requests, each selected by its `ref`.
+fn all_timelines(path: &str) -> String {
     let bytes = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&bytes).unwrap();
     let mut references: Vec<u64> = reader
@@ -112,7 +132,7 @@
         .unwrap()
         .identities
         .iter()
-        .map(|n| n.reference)
+        .map(|identity| identity.reference)
         .collect();
     while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
         match record {
@@ -129,17 +149,18 @@
         .rev()
         .take(6);
     references.extend(last.collect::<Vec<_>>());
-    let story = |r: &u64| lab(&["explain", path, "--ref", &format!("{r:x}")]).1;
-    references.iter().map(story).collect()
+    let timeline =
+        |reference: &u64| run_tool(&["explain", path, "--ref", &format!("{reference:x}")]).stdout;
+    references.iter().map(timeline).collect()
 }
 
 #[test]
-fn every_refusal_and_failure_has_a_reason() {
+fn every_rejection_and_failure_has_a_reason() {
     for file in std::fs::read_dir(folder()).unwrap() {
         let path = file.unwrap().path();
         let path = path.to_str().unwrap();
-        let told = json(&["explain", path, "--refused", "--failed", "--most", "10000"]);
-        for request in told["requests"].as_array().unwrap() {
+        let output = json(&["explain", path, "--refused", "--failed", "--most", "10000"]);
+        for request in output["requests"].as_array().unwrap() {
             let reason = request["reason"]
                 .as_str()
                 .unwrap_or_else(|| panic!("{path}: {request}"));
@@ -153,7 +174,7 @@
                 .sum()
         };
         assert_eq!(
-            told["found"].as_u64(),
+            output["found"].as_u64(),
             Some(count("refused") + count("failed")),
             "{path}"
         );
@@ -165,7 +186,7 @@
     }
 }
 
-/// A capture written again, with other records or another start.
+/// A copy of a capture with other records or another start.
 fn rewritten(
     name: &str,
     start: impl FnOnce(&Opening, Controller) -> (Opening, Controller),
@@ -188,20 +209,22 @@
     out
 }
 
-fn as_it_was(opening: &Opening, controller: Controller) -> (Opening, Controller) {
+fn unchanged(opening: &Opening, controller: Controller) -> (Opening, Controller) {
     (opening.clone(), controller)
 }
 
 #[test]
-fn the_first_difference_is_told_with_what_led_to_it() {
-    let bytes = rewritten("burst-into-discard", as_it_was, |step, record| {
+fn the_first_difference_is_printed_with_the_steps_before_it() {
+    let bytes = rewritten("burst-into-discard", unchanged, |step, record| {
         if let (30, Record::Step { actions, .. }) = (step, record) {
             actions.to_mut().push(Action::Backpressure(0.25));
         }
     });
     let path = temporary("different.plc", &bytes);
     let path = path.to_str().unwrap();
-    let (code, out, _) = lab(&["replay", path]);
+    let ToolOutput {
+        code, stdout: out, ..
+    } = run_tool(&["replay", path]);
     assert_eq!(code, 1, "{out}");
     for part in [
         "different: step 30 ",
@@ -211,9 +234,9 @@
     ] {
         assert!(out.contains(part), "{part}: {out}");
     }
-    let told = json(&["replay", path]);
+    let output = json(&["replay", path]);
     assert_eq!(
-        (&told["verdict"], &told["difference"]["step"]),
+        (&output["verdict"], &output["difference"]["step"]),
         (&"different".into(), &30.into())
     );
     let all = json(&["replay", "--diff", path]);
@@ -221,30 +244,31 @@
 }
 
 #[test]
-fn a_changed_module_is_judged_to_the_end() {
-    // A module that thinks that it has half the cores stands for one that was changed.
-    let fewer = |opening: &Opening, _| {
+fn a_changed_controller_is_compared_over_the_whole_capture() {
+    // A controller with half the cores stands for a changed one.
+    let fewer_cores = |opening: &Opening, _| {
         let mut opening = opening.clone();
         opening.settings.cores = 3.0;
         let controller = Controller::new(opening.settings.clone(), opening.seed);
         (opening, controller)
     };
-    let bytes = rewritten("burst-into-discard", fewer, |_, _| {});
+    let bytes = rewritten("burst-into-discard", fewer_cores, |_, _| {});
     let path = temporary("fewer.plc", &bytes);
     let path = path.to_str().unwrap();
-    assert_eq!(lab(&["replay", path]).0, 1);
-    let (code, out, _) = lab(&["replay", "--diff", path]);
+    assert_eq!(run_tool(&["replay", path]).code, 1);
+    let ToolOutput {
+        code, stdout: out, ..
+    } = run_tool(&["replay", "--diff", path]);
     assert_eq!(code, 1, "{out}");
     assert!(out.contains("this build"), "{out}");
     let all = json(&["replay", "--diff", path]);
     let views = &all["classes"]["rota-view"];
     let count = |side: &str, what: &str| views[side][what].as_u64().unwrap();
-    // It starts fewer at once, and nothing is lost on the way: every request has a fate on both
-    // sides.
+    // It starts fewer requests, and every request has one decision on both sides.
     for side in ["capture", "this_build"] {
-        let fates = ["open", "ran", "refused", "failed", "joined"].map(|f| count(side, f));
+        let decisions = ["open", "ran", "refused", "failed", "joined"].map(|f| count(side, f));
         assert_eq!(
-            fates.iter().sum::<u64>(),
+            decisions.iter().sum::<u64>(),
             views["requests"].as_u64().unwrap(),
             "{side}: {views}"
         );
@@ -260,7 +284,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_told_with_file_and_offset() {
+fn unreadable_captures_are_reported_with_file_and_offset() {
     let bytes = std::fs::read(capture("drain-with-held")).unwrap();
     let end = bytes.len();
     let flipped = |at: usize| {
@@ -268,7 +292,7 @@
         bytes[at] ^= 4;
         bytes
     };
-    // The bytes, the code, and what is said of them.
+    // The bytes, the exit code, and a part of the output.
     let cases = [
         (bytes[..end - 1].to_vec(), 0, "cut: "),
         (bytes[..end / 2].to_vec(), 0, "cut: "),
@@ -282,23 +306,31 @@
         (flipped(end - 1), 2, ": damaged"),
         (b"{\"name\":\"n1\"}".to_vec(), 2, "this is no capture"),
     ];
-    for (i, (bytes, wanted, says)) in cases.into_iter().enumerate() {
-        let path = temporary(&format!("unreadable-{i}.plc"), &bytes);
-        let (code, out, err) = lab(&["replay", path.to_str().unwrap()]);
-        assert_eq!(code, wanted, "{i}: {out} {err}");
-        let said = if code == 2 { err } else { out };
+    for (index, (bytes, expected_code, expected)) in cases.into_iter().enumerate() {
+        let path = temporary(&format!("unreadable-{index}.plc"), &bytes);
+        let ToolOutput {
+            code,
+            stdout: out,
+            stderr: err,
+        } = run_tool(&["replay", path.to_str().unwrap()]);
+        assert_eq!(code, expected_code, "{index}: {out} {err}");
+        let message = if code == 2 { err } else { out };
         assert!(
-            said.contains(says) && said.contains(path.to_str().unwrap()),
-            "{i}: {said}"
+            message.contains(expected) && message.contains(path.to_str().unwrap()),
+            "{index}: {message}"
         );
     }
-    // In the very middle of a longer one, too.
+    // Damage anywhere in a longer capture.
     let long = std::fs::read(capture("burst-into-discard")).unwrap();
     for at in (16..long.len()).step_by(997) {
         let mut damaged = long.clone();
         damaged[at] ^= 1;
         let path = temporary("flipped.plc", &damaged);
-        let (code, out, err) = lab(&["replay", path.to_str().unwrap()]);
+        let ToolOutput {
+            code,
+            stdout: out,
+            stderr: err,
+        } = run_tool(&["replay", path.to_str().unwrap()]);
         assert!(
             code == 2 && err.contains("offset "),
             "{at}: {code} {out} {err}"
@@ -307,7 +339,7 @@
 }
 
 #[test]
-fn a_folder_is_played_run_by_run() {
+fn a_folder_is_replayed_run_by_run() {
     let played = json(&["replay", folder().to_str().unwrap()]);
     let count = std::fs::read_dir(folder()).unwrap().count();
     assert_eq!(
@@ -319,13 +351,12 @@
 
 #[test]
 fn requests_and_steps_are_exported_as_tables() {
-    use parquet::file::reader::{FileReader, SerializedFileReader};
     let path = capture("burst-into-discard");
     let to = std::env::temp_dir().join(format!(
         "pipitlever-capture-{}-burst.parquet",
         std::process::id()
     ));
-    let told = json(&[
+    let output = json(&[
         "export",
         path.to_str().unwrap(),
         "--parquet",
@@ -345,7 +376,7 @@
         .unwrap()
         .map(|r| r.unwrap().to_string())
         .collect();
-    assert_eq!(told["request_rows"].as_u64(), Some(rows.len() as u64));
+    assert_eq!(output["request_rows"].as_u64(), Some(rows.len() as u64));
     let of = |what: &str| rows.iter().filter(|r| r.contains(what)).count() as u64;
     assert_eq!(of("outcome: \"refused\""), refused, "{}", rows[0]);
     assert!(
@@ -356,17 +387,17 @@
     let steps = SerializedFileReader::new(std::fs::File::open(steps).unwrap()).unwrap();
     let count = steps.metadata().file_metadata().num_rows() as u64;
     assert_eq!(
-        (told["step_rows"].as_u64(), told["steps"].as_u64()),
+        (output["step_rows"].as_u64(), output["steps"].as_u64()),
         (Some(count), Some(count))
     );
 }
 
 #[test]
-fn the_command_line_says_what_is_wrong() {
+fn errors_of_the_command_line_are_reported() {
     let path = capture("one-swap");
     let path = path.to_str().unwrap();
     let key = "9c9cc252d58b4571";
-    // What was typed, the code, and what stands in the output and in the errors.
+    // The arguments, the exit code, and parts of the output and of the errors.
     let cases: [(&[&str], i32, &str, &str); 13] = [
         (&[], 0, "pipitlever-capture replay PATH", ""),
         (
@@ -408,10 +439,10 @@
         ),
     ];
     for (args, code, output, errors) in cases {
-        let ran = lab(args);
-        assert_eq!(ran.0, code, "{args:?}: {ran:?}");
+        let ran = run_tool(args);
+        assert_eq!(ran.code, code, "{args:?}: {ran:?}");
         assert!(
-            ran.1.contains(output) && ran.2.contains(errors),
+            ran.stdout.contains(output) && ran.stderr.contains(errors),
             "{args:?}: {ran:?}"
         );
     }
