--- a/crates/capture-tools/src/export/requests.rs
+++ b/crates/capture-tools/src/export/requests.rs
@@ -49,20 +49,30 @@
     Value::Text(value.map(|value| format!("{value:016x}")))
 }
 
-/// The values of a request, in the order of [`COLUMNS`].
-pub fn row(request: &RequestRecord) -> Vec<Value> {
-    let answer = request.answer.map(|answer| answer.answer);
-    let (retry_after, no_retry) = match answer {
+/// The advice of a rejection: the shortest delay before a retry in microseconds, and whether there
+/// should be none.
+fn rejection(answer: Option<RecordedAnswer>) -> (Option<i64>, Option<bool>) {
+    match answer {
         Some(RecordedAnswer::Rejected {
             retry_after,
             no_retry,
         }) => (Some(retry_after), Some(no_retry)),
         _ => (None, None),
-    };
-    let result_bytes = match answer {
+    }
+}
+
+/// The size of the result, in bytes.
+fn result_bytes(answer: Option<RecordedAnswer>) -> Option<u64> {
+    match answer {
         Some(RecordedAnswer::Served(bytes)) => Some(u64::from(bytes)),
         _ => None,
-    };
+    }
+}
+
+/// The values of a request, in the order of [`COLUMNS`].
+pub fn row(request: &RequestRecord) -> Vec<Value> {
+    let answer = request.answer.map(|answer| answer.answer);
+    let (retry_after, no_retry) = rejection(answer);
     vec![
         text(Some(&request.node)),
         Value::Unsigned(Some(request.run)),
@@ -111,6 +121,6 @@
         ),
         Value::Integer(retry_after),
         Value::Boolean(no_retry),
-        Value::Unsigned(result_bytes),
+        Value::Unsigned(result_bytes(answer)),
     ]
 }
--- a/crates/capture-tools/src/replay.rs
+++ b/crates/capture-tools/src/replay.rs
@@ -170,7 +170,9 @@
     let file = located.file.display();
     match &located.divergence {
         Divergence::State { steps } => {
-            println!("different: the state after step {steps}, where {file} begins, is another one")
+            println!(
+                "different: the state after step {steps}, where {file} begins, is another one"
+            );
         }
         Divergence::Step(difference) => {
             println!(
