--- a/crates/capture-tools/src/diff/mod.rs
+++ b/crates/capture-tools/src/diff/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! After the first difference the recorded events no longer fit: the capture has the end of a run
 //! that this build did not start, or none for one that it did. From a request's first difference on
-//! its run and its calls are therefore simulated with their recorded durations, or with those of the
-//! nearest run of its class if the capture has none. Arrivals, abandonments, gauges and the shutdown
-//! notice are replayed as recorded: neither the retries of gateways nor the effect of the number of
-//! runs on their durations is simulated.
+//! its run and its calls are therefore simulated with their recorded durations, or with those of
+//! the nearest run of its class if the capture has none. Arrivals, abandonments, gauges and the
+//! shutdown notice are replayed as recorded: neither the retries of gateways nor the effect of the
+//! number of runs on their durations is simulated.
 
 mod comparison;
 mod divergent_replay;
--- a/crates/capture-tools/src/explain.rs
+++ b/crates/capture-tools/src/explain.rs
@@ -2,7 +2,8 @@
 
 use crate::cursor::{replay_capture, Extent};
 use crate::rendering;
-use crate::request_records::{RequestRecord, RequestRecords, TimelineEntry, TimelineEvent};
+use crate::request_record::{RequestRecord, TimelineEntry, TimelineEvent};
+use crate::request_records::RequestRecords;
 use crate::source::ToolError;
 use serde_json::{json, Value};
 use std::path::Path;
--- a/crates/capture-tools/src/export/mod.rs
+++ b/crates/capture-tools/src/export/mod.rs
@@ -7,7 +7,8 @@
 
 use crate::cursor::{replay_capture, Extent, ReplayedRecord, Visitor};
 use crate::replay::{print_summary, summary};
-use crate::request_records::{RequestRecord, RequestRecords};
+use crate::request_record::RequestRecord;
+use crate::request_records::RequestRecords;
 use crate::source::ToolError;
 use pipitlever_admission::Controller;
 use pipitlever_capture::record::Opening;
--- a/crates/capture-tools/src/export/requests.rs
+++ b/crates/capture-tools/src/export/requests.rs
@@ -2,7 +2,7 @@
 
 use super::table::{Column, ColumnType, Value};
 use crate::rendering;
-use crate::request_records::RequestRecord;
+use crate::request_record::RequestRecord;
 use pipitlever_capture::record::RecordedAnswer;
 
 /// The columns, in order.
--- a/crates/capture-tools/src/main.rs
+++ b/crates/capture-tools/src/main.rs
@@ -8,6 +8,7 @@
 mod progress;
 mod rendering;
 mod replay;
+mod request_record;
 mod request_records;
 mod source;
 mod stats;
--- a/crates/capture-tools/src/rendering.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -53,59 +53,61 @@
 }
 
 /// Why a request was rejected or failed, with the controller's figures.
-pub fn cause(cause: &Cause, view: &ControllerStatus) -> String {
+pub fn cause(cause: &Cause, status: &ControllerStatus) -> String {
     match cause {
         Cause::AfterGrace => "it arrived too long after the notice to leave to be run".into(),
         Cause::Shed {
-            is_call_queue: calls,
-            mode: m,
-            priority: worth,
-            cutoff: cut,
+            is_call_queue,
+            mode: queue_mode,
+            priority,
+            cutoff,
         } => {
-            let line = &view.queues[usize::from(*calls)];
-            let what = if *calls {
+            let queue = &status.queues[usize::from(*is_call_queue)];
+            let queue_name = if *is_call_queue {
                 "the line for calls"
             } else {
                 "the line to start"
             };
-            let [l, h, r] = line.thresholds;
-            let count = format!("{} waiting, L {l:.0} H {h:.0} R {r:.0}", line.length);
-            match m {
-                Mode::Discard => format!("{what} was in discard and takes none ({count})"),
+            let [low, high, discard] = queue.thresholds;
+            let figures = format!(
+                "{} waiting, L {low:.0} H {high:.0} R {discard:.0}",
+                queue.length
+            );
+            match queue_mode {
+                Mode::Discard => format!("{queue_name} was in discard and takes none ({figures})"),
                 _ => format!(
-                    "{what} was in {} and takes a worth of {cut:.3} and more; its own is {worth:.3} ({count})",
-                    mode(*m)
+                    "{queue_name} was in {} and takes a worth of {cutoff:.3} and more; its own is {priority:.3} ({figures})",
+                    mode(*queue_mode)
                 ),
             }
         }
-        Cause::OutOfMemory {
-            used,
-            requested: more,
-        } => {
-            format!("memory: {used:.0} KB in use and {more:.0} KB wanted; a tenth has to stay free")
+        Cause::OutOfMemory { used, requested } => {
+            format!("memory: {used:.0} KB in use and {requested:.0} KB wanted; a tenth has to stay free")
         }
-        Cause::ObjectiveMissed(at) => {
+        Cause::ObjectiveMissed(at_stage) => {
             format!(
                 "its aim passed while it was {}, and a later answer earns nothing",
-                stage(*at)
+                stage(*at_stage)
             )
         }
-        Cause::DeadlineExceeded(at) => format!("its due time came while it was {}", stage(*at)),
+        Cause::DeadlineExceeded(at_stage) => {
+            format!("its due time came while it was {}", stage(*at_stage))
+        }
         Cause::CannotFinishInTime {
             expected,
-            remaining: left,
+            remaining,
         } => {
             format!(
                 "it could not have ended in time: {} expected, {} left",
                 ms(*expected),
-                ms(*left)
+                ms(*remaining)
             )
         }
-        Cause::ExceedsMemory { requested: more } => {
-            format!("memory: it needs {more:.0} KB more, and nothing runs")
+        Cause::ExceedsMemory { requested } => {
+            format!("memory: it needs {requested:.0} KB more, and nothing runs")
         }
         Cause::Stalled => "the cores stood still: all were taken, and nothing ended".into(),
-        Cause::CallFailed(how) => format!("its call ended: {}", outcome(*how)),
+        Cause::CallFailed(failure) => format!("its call ended: {}", outcome(*failure)),
     }
 }
 
@@ -191,19 +193,27 @@
         Event::ShutdownNotice(left) => format!("notice to leave, {} left", ms(*left)),
         Event::Finished {
             id,
-            elapsed: took,
-            outcome: how,
+            elapsed,
+            outcome: run_outcome,
         } => {
-            format!("run of #{id} ended {} after {}", outcome(*how), ms(*took))
+            format!(
+                "run of #{id} ended {} after {}",
+                outcome(*run_outcome),
+                ms(*elapsed)
+            )
         }
         Event::Abandoned(id) => format!("nobody awaits #{id}"),
         Event::NeedsCall(id) => format!("#{id} needs a call"),
         Event::CallEnded {
             id,
-            elapsed: took,
-            outcome: how,
+            elapsed,
+            outcome: run_outcome,
         } => {
-            format!("call of #{id} ended {} after {}", outcome(*how), ms(*took))
+            format!(
+                "call of #{id} ended {} after {}",
+                outcome(*run_outcome),
+                ms(*elapsed)
+            )
         }
         Event::Timer {
             cpu_utilization: core_use,
@@ -224,16 +234,16 @@
         Action::ReuseOutcome(id) => format!("answer #{id} from the one it repeats"),
         Action::Reject {
             id,
-            retry_after: backoff,
+            retry_after,
             no_retry,
         } => {
-            let away = if *backoff > 0 {
-                format!(", keep away {}", ms(*backoff))
+            let delay = if *retry_after > 0 {
+                format!(", keep away {}", ms(*retry_after))
             } else {
                 String::new()
             };
             format!(
-                "refuse #{id}{away}{}",
+                "refuse #{id}{delay}{}",
                 if *no_retry { ", try nowhere" } else { "" }
             )
         }
@@ -261,13 +271,13 @@
             retry_after: cooldown,
             no_retry: nowhere,
         } => {
-            let away = if *cooldown > 0 {
+            let delay = if *cooldown > 0 {
                 format!(", keep away {}", ms(*cooldown))
             } else {
                 String::new()
             };
             format!(
-                "refused{away}{}",
+                "refused{delay}{}",
                 if *nowhere { ", try nowhere" } else { "" }
             )
         }
--- a/crates/capture-tools/src/stats.rs
+++ b/crates/capture-tools/src/stats.rs
@@ -3,7 +3,8 @@
 use crate::cursor::{replay_capture, Extent, ReplayTotals};
 use crate::rendering;
 use crate::replay::{print_summary, summary};
-use crate::request_records::{RequestRecord, RequestRecords};
+use crate::request_record::RequestRecord;
+use crate::request_records::RequestRecords;
 use crate::source::ToolError;
 use hdrhistogram::Histogram;
 use pipitlever_admission::Micros;
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,8 +1,8 @@
-//! Records the inputs and outputs of a [`Controller`](pipitlever_admission::Controller), and replays
-//! them.
+//! Records the inputs and outputs of a [`Controller`](pipitlever_admission::Controller), and
+//! replays them.
 //!
-//! A capture is a sequence of segments. Each segment begins with the controller's whole state, so it
-//! can be replayed without the segments before it. `docs/capture.md` has the format and the
+//! A capture is a sequence of segments. Each segment begins with the controller's whole state, so
+//! it can be replayed without the segments before it. `docs/capture.md` has the format and the
 //! alternatives that were measured.
 //!
 //! | module | contents | I/O |
@@ -22,5 +22,6 @@
 pub mod record;
 pub mod recorder;
 pub mod replay;
+mod retry_timer;
 pub mod segment;
 pub mod writer;
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -27,8 +27,8 @@
     pub key_digest: Option<u64>,
 }
 
-/// The digest of an idempotency key. It is the same on all nodes and builds, so that the attempts of
-/// a request can be found in all their captures.
+/// The digest of an idempotency key. It is the same on all nodes and builds, so that the attempts
+/// of a request can be found in all their captures.
 pub fn digest(key: &str) -> u64 {
     digest_bytes(key.as_bytes())
 }
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The event loop's side of a capture: writes records into a bounded queue and never blocks.
 //!
-//! A record that does not fit into the queue is counted instead, and so are the records after it, as
-//! a controller can't be replayed past a missing step. Recording resumes with a checkpoint.
+//! A record that does not fit into the queue is counted instead, and so are the records after it,
+//! as a controller can't be replayed past a missing step. Recording resumes with a checkpoint.
 
 use crate::record::{
     encode, AnswerSource, Entry, LostRecords, Opening, RecordedAnswer, RequestIdentity,
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -1,12 +1,13 @@
 //! Writes records into segments within the configured limits, on a directory that may fail at any
 //! time.
 //!
-//! The total size of a node's segments never exceeds its limit: the oldest segment is removed first.
-//! Records that can't be written are counted, and the next segment states the gap.
+//! The total size of a node's segments never exceeds its limit: the oldest segment is removed
+//! first. Records that can't be written are counted, and the next segment states the gap.
 
 use crate::directory::{sanitize_node_name, Directory, SegmentName};
 use crate::record::{End, LostRecords, Opening};
 use crate::recorder::{Checkpoint, QueuedMessage, RecordReceiver};
+use crate::retry_timer::RetryTimer;
 use crate::segment::SegmentWriter;
 use pipitlever_admission::Micros;
 use std::collections::VecDeque;
@@ -17,10 +18,6 @@
 const FRAME_BYTES: usize = 64 << 10;
 /// Added to the capacity of a frame's buffer for its headers, in bytes.
 const FRAME_OVERHEAD_BYTES: usize = 32;
-/// The delay before the directory is tried again after a failure. Doubles with each failure.
-const FIRST_RETRY_DELAY: Micros = 1_000_000;
-/// The longest delay before the directory is tried again.
-const MAX_RETRY_DELAY: Micros = 30_000_000;
 /// How often the writer checks that the open segment's file still exists.
 const FILE_CHECK_INTERVAL: Micros = 1_000_000;
 
@@ -77,32 +74,6 @@
     count: u64,
 }
 
-/// When the directory is tried again after a failure.
-#[derive(Debug)]
-struct RetryTimer {
-    /// `None` unless the last attempt failed.
-    retry_at: Option<Micros>,
-    next_delay: Micros,
-}
-
-impl RetryTimer {
-    fn new() -> RetryTimer {
-        RetryTimer {
-            retry_at: None,
-            next_delay: FIRST_RETRY_DELAY,
-        }
-    }
-
-    fn record_failure(&mut self, now: Micros) {
-        self.retry_at = Some(now + self.next_delay);
-        self.next_delay = (2 * self.next_delay).min(MAX_RETRY_DELAY);
-    }
-
-    fn is_waiting(&self, now: Micros) -> bool {
-        self.retry_at.is_some_and(|retry_at| now < retry_at)
-    }
-}
-
 /// Writes the segments of a node into a directory.
 #[derive(Debug)]
 pub struct CaptureWriter<D> {
@@ -244,9 +215,9 @@
         }
     }
 
-    /// Removes the oldest segments until `needed` further bytes stay within the limit. Returns false
-    /// if they can't, even without any closed segment. A segment that can't be removed is an error,
-    /// as disk usage would grow with every new one.
+    /// Removes the oldest segments until `needed` further bytes stay within the limit. Returns
+    /// false if they can't, even without any closed segment. A segment that can't be removed is an
+    /// error, as disk usage would grow with every new one.
     fn free_space(&mut self, needed: u64) -> io::Result<bool> {
         while self.total_bytes() + needed > self.limits.total_bytes {
             let Some(oldest) = self.closed.front() else {
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,4 +1,5 @@
-//! Asynchronous sockets and timers for tasks of a single-threaded executor, over epoll (Linux only).
+//! Asynchronous sockets and timers for tasks of a single-threaded executor, over epoll (Linux
+//! only).
 //!
 //! The interface is the part of async-io's that the node uses. `docs/request-path.md` has the
 //! measurements behind a reactor of its own: with async-io each wait costs five system calls, and a
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -259,8 +259,8 @@
         Async::register(stream, true)
     }
 
-    /// Writes a part of `bytes`, passes the descriptors along with its first byte (`SCM_RIGHTS`), and
-    /// returns the number of bytes written.
+    /// Writes a part of `bytes`, passes the descriptors along with its first byte (`SCM_RIGHTS`),
+    /// and returns the number of bytes written.
     ///
     /// # Errors
     ///
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -88,8 +88,8 @@
     assert!((1..=2).contains(&polls), "{polls}");
 }
 
-/// epoll's own time-out is rounded up to whole milliseconds: with it a timer of 3.3 ms would fire at
-/// least 0.7 ms late.
+/// epoll's own time-out is rounded up to whole milliseconds: with it a timer of 3.3 ms would fire
+/// at least 0.7 ms late.
 #[test]
 fn timers_are_accurate_to_less_than_a_millisecond() {
     let delays = (0..50).map(|_| {
