--- a/crates/cluster-testing/src/session_simulation.rs
+++ b/crates/cluster-testing/src/session_simulation/mod.rs
@@ -2,12 +2,17 @@
 //! duplicated, nodes start and fail, networks are partitioned, and each node applies a version of
 //! the configuration at its own time. Runs with the same seed and the same calls are equal.
 
+mod delivery;
+mod model;
+
+pub use model::{pool, FaultSettings, RouteOutcome, SimulatedWorker, TableSizes};
+
 use crate::event_queue::EventQueue;
+use delivery::Event;
 use fastrand::Rng;
 use pipitlever_session_affinity::directory::{
-    DirectorySettings, Peer, Pool, Resolution, SessionDirectory, SessionKey, WorkerSettings,
+    DirectorySettings, Pool, Resolution, SessionDirectory, SessionKey,
 };
-use pipitlever_session_affinity::message::Message;
 
 /// Microseconds of virtual time.
 pub type Micros = i64;
@@ -15,115 +20,9 @@
 const SECOND: Micros = 1_000_000;
 const LOOKUP_TIMEOUT: Micros = 60_000;
 const MAX_SESSIONS: usize = 4_000_000;
-const IDLE_TIMEOUT_SECONDS: u32 = 36 * 3600;
-const DRAIN_GRACE: Micros = 36 * 3600 * SECOND;
-/// The delay of a late message.
-const LATE_DELAY: Micros = 2 * SECOND;
 /// The only pool of the simulation.
 const POOL_INDEX: usize = 0;
 
-/// Faults of messages, and delays of membership and configuration updates.
-#[derive(Clone, Copy, Debug)]
-pub struct FaultSettings {
-    /// The percentage of messages that are lost.
-    pub loss_percent: f64,
-    /// The percentage of messages that are delivered twice.
-    pub duplication_percent: f64,
-    /// The maximum delay of a message in microseconds.
-    pub max_delay: Micros,
-    /// The percentage of messages that are delayed by two seconds.
-    pub late_percent: f64,
-    /// The maximum time in microseconds until a node learns of a change of the membership or of a
-    /// version.
-    pub max_propagation_delay: Micros,
-}
-
-/// A worker of a version.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SimulatedWorker {
-    /// The number in the worker's name.
-    pub number: u32,
-    /// The weight for the placement of new sessions.
-    pub weight: f64,
-    /// Whether new sessions are placed on the worker; a worker that accepts none is draining.
-    pub accepts_sessions: bool,
-}
-
-impl SimulatedWorker {
-    /// A worker of weight 1 that accepts sessions.
-    pub fn new(number: u32) -> SimulatedWorker {
-        SimulatedWorker {
-            number,
-            weight: 1.0,
-            accepts_sessions: true,
-        }
-    }
-
-    fn name(number: u32) -> String {
-        format!("w{number}")
-    }
-
-    fn settings(&self) -> WorkerSettings {
-        WorkerSettings {
-            name: SimulatedWorker::name(self.number),
-            weight: self.weight,
-            accepts_sessions: self.accepts_sessions,
-            is_draining: !self.accepts_sessions,
-        }
-    }
-}
-
-/// The pool of these workers. Sessions stay on an ejected worker for `failure_grace` microseconds.
-pub fn pool(workers: &[SimulatedWorker], failure_grace: Micros) -> Pool {
-    Pool {
-        name: "p".into(),
-        previous_names: Vec::new(),
-        workers: workers.iter().map(SimulatedWorker::settings).collect(),
-        idle_timeout_seconds: IDLE_TIMEOUT_SECONDS,
-        failure_grace,
-        drain_grace: DRAIN_GRACE,
-    }
-}
-
-/// Where a node routes a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RouteOutcome {
-    /// To a worker.
-    Worker {
-        /// The worker's number.
-        number: u32,
-        /// The time in microseconds that the lookup took.
-        waited: Micros,
-    },
-    /// To no worker.
-    Unavailable,
-}
-
-/// Sessions in the tables of all running nodes.
-#[derive(Clone, Copy, Debug)]
-pub struct TableSizes {
-    /// Sessions in the largest table.
-    pub max_sessions: usize,
-    /// Bytes of all tables.
-    pub total_bytes: usize,
-}
-
-enum Event {
-    Message {
-        sender: usize,
-        recipient: usize,
-        payload: Vec<u8>,
-    },
-    Wakeup(usize),
-    /// A node learns of the current membership.
-    MembershipChange(usize),
-    /// A node applies a version.
-    Activation {
-        node: usize,
-        version: usize,
-    },
-}
-
 struct Node {
     /// `None` while the node does not run.
     directory: Option<SessionDirectory>,
@@ -333,136 +232,6 @@
         self.now = self.now.max(until);
     }
 
-    fn handle_event(&mut self, event: Event) {
-        let affected = match event {
-            Event::Message {
-                sender,
-                recipient,
-                payload,
-            } => {
-                self.deliver(sender, recipient, &payload);
-                recipient
-            }
-            Event::Wakeup(index) => {
-                if self.nodes[index].wakeup > self.now {
-                    return;
-                }
-                self.wake(index);
-                index
-            }
-            Event::MembershipChange(index) => {
-                self.update_peers(index);
-                index
-            }
-            Event::Activation { node, version } => {
-                self.activate(node, version);
-                node
-            }
-        };
-        self.process_output(affected);
-    }
-
-    fn deliver(&mut self, sender: usize, recipient: usize, payload: &[u8]) {
-        // A partition also stops the messages that are on their way.
-        if self.nodes[sender].group != self.nodes[recipient].group {
-            return;
-        }
-        let Some(directory) = &mut self.nodes[recipient].directory else {
-            return;
-        };
-        if let Some(message) = Message::decode(payload) {
-            directory.handle_message(self.now, &Node::name(sender), &message);
-        }
-    }
-
-    fn wake(&mut self, index: usize) {
-        let node = &mut self.nodes[index];
-        node.wakeup = Micros::MAX;
-        if let Some(directory) = &mut node.directory {
-            directory.handle_wakeup(self.now);
-        }
-    }
-
-    fn update_peers(&mut self, index: usize) {
-        let group = self.nodes[index].group;
-        let is_peer = |peer: usize, node: &Node| {
-            peer != index && node.group == group && node.directory.is_some()
-        };
-        let peers: Vec<Peer> = self
-            .nodes
-            .iter()
-            .enumerate()
-            .filter(|(peer, node)| is_peer(*peer, node))
-            .map(|(peer, node)| Peer {
-                name: Node::name(peer),
-                is_bootstrapped: node.is_bootstrap_announced,
-            })
-            .collect();
-        if let Some(directory) = &mut self.nodes[index].directory {
-            directory.handle_membership_change(self.now, peers, true);
-        }
-    }
-
-    fn activate(&mut self, index: usize, version: usize) {
-        let node = &mut self.nodes[index];
-        if version <= node.active_version {
-            return;
-        }
-        if let Some(directory) = &mut node.directory {
-            node.active_version = version;
-            let pools = vec![self.versions[version].clone()];
-            directory.set_pools(self.now, version as u64, pools);
-        }
-    }
-
-    /// Sends a node's messages, schedules its next wakeup, and announces that it has bootstrapped.
-    fn process_output(&mut self, index: usize) {
-        let node = &mut self.nodes[index];
-        let Some(directory) = &mut node.directory else {
-            return;
-        };
-        let messages = directory.take_messages();
-        let next_wakeup = directory.next_wakeup().max(self.now + 1);
-        let is_bootstrapped = directory.is_bootstrapped();
-        let was_announced = std::mem::replace(&mut node.is_bootstrap_announced, is_bootstrapped);
-        for message in messages {
-            let recipient = message.recipient[1..].parse().expect("a node's number");
-            self.send(index, recipient, &message.payload);
-        }
-        let node = &mut self.nodes[index];
-        if next_wakeup < node.wakeup {
-            node.wakeup = next_wakeup;
-            self.queue.schedule(next_wakeup, Event::Wakeup(index));
-        }
-        if was_announced != is_bootstrapped {
-            self.announce_membership();
-        }
-    }
-
-    fn send(&mut self, sender: usize, recipient: usize, payload: &[u8]) {
-        self.sent_bytes += payload.len() as u64;
-        let copies = 1 + usize::from(self.draws(self.faults.duplication_percent));
-        for _ in 0..copies {
-            if self.draws(self.faults.loss_percent) {
-                continue;
-            }
-            let is_late = self.draws(self.faults.late_percent);
-            let delay = self.rng.i64(1..=self.faults.max_delay.max(1));
-            let event = Event::Message {
-                sender,
-                recipient,
-                payload: payload.to_vec(),
-            };
-            let at = self.now + if is_late { LATE_DELAY } else { delay };
-            self.queue.schedule(at, event);
-        }
-    }
-
-    /// Draws whether an event of this probability happens.
-    fn draws(&mut self, percent: f64) -> bool {
-        self.rng.f64() * 100.0 < percent
-    }
-
     /// Routes a request of a session that arrives at a node.
     pub fn route_session(&mut self, index: usize, session: u64) -> RouteOutcome {
         self.resolve(index, SessionKey::Session(session))
