--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -5,8 +5,8 @@
 
 /// A monotonic clock, and its conversion from and to Unix time.
 ///
-/// The two drift apart when the system's clock is set. A Unix time is therefore converted once, when
-/// it is read, and not stored.
+/// The two drift apart when the system's clock is set. A Unix time is therefore converted once,
+/// when it is read, and not stored.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
--- a/crates/node/src/net/membership/start.rs
+++ b/crates/node/src/net/membership/start.rs
@@ -100,8 +100,7 @@
             stored_version,
             decided,
         } = options;
-        let clock = state.borrow().clock;
-        let now = clock.now();
+        let now = state.borrow().clock.now();
         let timing = settings.timing();
         let advertise = advertised_address(&settings, &sockets)?;
         let identity = Identity::new(resume_state, advertise, &settings.zone);
@@ -132,14 +131,9 @@
         let applications = Applications {
             versions,
             subsetting: SubsettingDriver::start(&state, &node_name, timing, now),
-            session_affinity: SessionAffinityDriver::start(
-                &state,
-                &node_name,
-                random_seed(now),
-                now,
-            ),
+            session_affinity: start_session_affinity(&state, &node_name, now),
         };
-        if applications.versions.is_some() || applications.session_affinity.is_some() {
+        if applications.use_messages() {
             // Enables application messages.
             fleet.set_piggyback(Vec::new());
         }
@@ -195,6 +189,21 @@
     session_affinity: Option<SessionAffinityDriver>,
 }
 
+impl Applications {
+    /// Whether any of them uses application messages.
+    fn use_messages(&self) -> bool {
+        self.versions.is_some() || self.session_affinity.is_some()
+    }
+}
+
+fn start_session_affinity(
+    state: &SharedState,
+    node_name: &str,
+    now: i64,
+) -> Option<SessionAffinityDriver> {
+    SessionAffinityDriver::start(state, node_name, random_seed(now), now)
+}
+
 /// The address for other members, with the bound port if none is configured.
 fn advertised_address(settings: &Settings, sockets: &Sockets) -> io::Result<SocketAddr> {
     let mut advertise = settings.advertise;
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -6,9 +6,9 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Time between heartbeats, in milliseconds. The registry drops a node after 3 s without one. If one
-/// datagram in four is lost, four in a row would be lost every few minutes; eleven in a row are not
-/// to be expected.
+/// Time between heartbeats, in milliseconds. The registry drops a node after 3 s without one. If
+/// one datagram in four is lost, four in a row would be lost every few minutes; eleven in a row are
+/// not to be expected.
 const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
 /// The socket of heartbeats, and the registry's address that it was opened for.
