--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -314,19 +314,22 @@
         .for_each(|(i, d)| d.2 = 0.5 + i as f64);
     site.publish(0, "more desks", &operator("desks", "", &all));
     site.acts(&[0, 1, 2, 3, 4], 1);
+    // A node has one run at each worker until all others know of its share of the new ones. The
+    // rename is to keep what it has by then.
+    let shares_are_known = |c: &Cluster| {
+        let more_than_one = |w: &Value| w["most_runs"].as_u64() > Some(1);
+        let workers = |i: usize| c.view(i).map(|v| v["share"][0]["workers"].clone());
+        let known = |i| workers(i).and_then(|w| Some(w.as_array()?.iter().all(more_than_one)));
+        (0..NODES).all(|i| known(i) == Some(true))
+    };
+    site.cluster.wait("all know their shares", shares_are_known);
     site.publish(1, "another name", &operator("counters", "\"desks\"", &all));
     site.acts(&[0, 1, 2, 3, 4], 2);
     // What each node has of the workers goes by the pool's first name, too.
-    let parts = |i: usize| {
-        site.cluster.view(i).unwrap()["share"][0]["workers"]
-            .as_array()
-            .unwrap()
-            .clone()
-    };
     assert!(
-        (0..NODES).all(|i| parts(i).iter().all(|w| w["most_runs"].as_u64() > Some(1))),
+        shares_are_known(&site.cluster),
         "{:?}",
-        parts(0)
+        site.cluster.view(0)
     );
     // Links that lose a fifth, double some, and take their time.
     for (from, to) in (0..NODES).flat_map(|a| (0..NODES).map(move |b| (a, b))) {
