--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -118,6 +118,9 @@
     // A drain says so, a crash doesn't.
     cluster.signal(1, "-TERM");
     cluster.wait("n1 has left", |c| state(c, 0, "n1") == "left");
+    // The log is read by another thread, which may lag behind the view.
+    let has_left = |l: &LogLine| l.node == 0 && l.text.contains("alive -> left incarnation=");
+    assert!(cluster.history.wait(0, has_left).is_some());
     let lines = cluster
         .lines_containing("member=n1")
         .into_iter()
