--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -249,7 +249,7 @@
 fn invalid_content(offset: u64, reason: impl Into<String>) -> ReadError {
     ReadError {
         offset,
-        kind: ReadErrorKind::Content(reason.into()),
+        kind: ReadErrorKind::InvalidPayload(reason.into()),
     }
 }
 
--- a/crates/config-versions/src/file_format.rs
+++ b/crates/config-versions/src/file_format.rs
@@ -40,6 +40,6 @@
 fn damaged(what: &str) -> ReadError {
     ReadError {
         offset: 0,
-        kind: ReadErrorKind::Content(what.into()),
+        kind: ReadErrorKind::InvalidPayload(what.into()),
     }
 }
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -13,10 +13,10 @@
 use crate::run_store::{EndedRun, RunStore, StoreUsage};
 use pipitlever_admission::{Micros, RequestId};
 use pipitlever_capture::record::AnswerSource;
-use pipitlever_idempotency_store::commit_queue::{CommitEvent, RefusalReason, StatusChange};
+use pipitlever_idempotency_store::commit_queue::{CommitEvent, RejectionReason, StatusChange};
 use pipitlever_idempotency_store::log::Batch;
 use pipitlever_idempotency_store::record::{Intent, Outcome};
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use std::io;
 use std::rc::Rc;
 
@@ -29,15 +29,15 @@
 impl Core {
     /// Connects a store, with the keys that it has brought over a restart; their windows end on the
     /// node's clock. To be called before any request arrives.
-    pub fn attach_store(&mut self, mut store: RunStore, recovered: Vec<Recovered>) {
+    pub fn attach_store(&mut self, mut store: RunStore, recovered: Vec<RecoveredKey>) {
         for key in recovered {
             self.restore_recovered(&mut store, key);
         }
         self.store = Some(Box::new(store));
     }
 
-    fn restore_recovered(&mut self, store: &mut RunStore, recovered: Recovered) {
-        let Recovered {
+    fn restore_recovered(&mut self, store: &mut RunStore, recovered: RecoveredKey) {
+        let RecoveredKey {
             intent,
             window_end,
             outcome,
@@ -74,12 +74,12 @@
     /// The reason why the store accepts no new keys, if it accepts none.
     pub(super) fn check_store(&self, now: Micros) -> Option<Overload> {
         let store = self.store.as_ref()?;
-        let overload = match store.commit_queue.refusal(now)? {
-            RefusalReason::Full => Overload::new(AnswerSource::StoreFull),
-            RefusalReason::Failing | RefusalReason::Slow => {
+        let overload = match store.commit_queue.rejection_reason(now)? {
+            RejectionReason::Full => Overload::new(AnswerSource::StoreFull),
+            RejectionReason::Failing | RejectionReason::Slow => {
                 Overload::new(AnswerSource::StoreUnavailable)
             }
-            RefusalReason::Damaged => {
+            RejectionReason::Damaged => {
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
                 Overload {
--- a/crates/core/tests/store.rs
+++ b/crates/core/tests/store.rs
@@ -7,7 +7,7 @@
 use pipitlever_core::{Answer, Core, Reference, RunOutcome, RunStore};
 use pipitlever_idempotency_store::commit_queue::{CommitQueue, CommitQueueConfig, SYNC_TIMEOUT};
 use pipitlever_idempotency_store::record::{Intent, Outcome};
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use std::rc::Rc;
 
 /// The machine's uptime at the start of the node's clock.
@@ -17,7 +17,7 @@
 fn core_with_store(
     waits_for_outcome: bool,
     damage_ends_at: Option<Micros>,
-    recovered: Vec<Recovered>,
+    recovered: Vec<RecoveredKey>,
 ) -> Core {
     let mut core = core();
     let config = CommitQueueConfig {
@@ -32,7 +32,7 @@
     core
 }
 
-fn recovered(reference: Reference, outcome: Option<Outcome>) -> Recovered {
+fn recovered(reference: Reference, outcome: Option<Outcome>) -> RecoveredKey {
     let intent = Intent {
         id: 5,
         reference,
@@ -44,7 +44,7 @@
         expires_at: 1030 * SECOND,
         read_grace: 10 * SECOND,
     };
-    Recovered {
+    RecoveredKey {
         intent,
         window_end: 20 * SECOND,
         outcome,
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -17,19 +17,19 @@
     #[error("this is no {0}")]
     WrongFileType(&'static str),
     /// The file has another version of the format.
-    #[error("format {found}; this build reads format {read}")]
-    Version {
+    #[error("format {found}; this build reads format {supported}")]
+    UnsupportedVersion {
         /// Version of the file.
         found: u16,
         /// Version that this build reads.
-        read: u16,
+        supported: u16,
     },
     /// A checksum does not match.
     #[error("damaged: a checksum does not match")]
     Checksum,
     /// A frame is out of sequence.
     #[error("damaged: frame {found}, expected {expected}")]
-    Number {
+    OutOfSequence {
         /// The next number in sequence.
         expected: u32,
         /// The number in the frame.
@@ -37,8 +37,8 @@
     },
     /// A frame exceeds [`crate::MAX_PAYLOAD_BYTES`]. Contains its length in bytes.
     #[error("damaged: a frame of {0} bytes")]
-    TooLong(u32),
+    FrameTooLarge(u32),
     /// A frame is intact, and its payload is invalid.
     #[error("damaged: {0}")]
-    Content(String),
+    InvalidPayload(String),
 }
--- a/crates/framing/src/reader.rs
+++ b/crates/framing/src/reader.rs
@@ -95,14 +95,14 @@
         }
         let found = read_u32(header, 0);
         if found != self.next_number {
-            return Err(ReadErrorKind::Number {
+            return Err(ReadErrorKind::OutOfSequence {
                 expected: self.next_number,
                 found,
             });
         }
         let length = read_u32(header, LENGTH_OFFSET);
         if length as usize > MAX_PAYLOAD_BYTES {
-            return Err(ReadErrorKind::TooLong(length));
+            return Err(ReadErrorKind::FrameTooLarge(length));
         }
         Ok(length as usize)
     }
@@ -143,8 +143,11 @@
     }
     let found = u16::from_le_bytes([bytes[VERSION_OFFSET], bytes[VERSION_OFFSET + 1]]);
     if found != format.version {
-        let read = format.version;
-        return Err(error(ReadErrorKind::Version { found, read }));
+        let supported = format.version;
+        return Err(error(ReadErrorKind::UnsupportedVersion {
+            found,
+            supported,
+        }));
     }
     Ok(())
 }
--- a/crates/framing/tests/frames.rs
+++ b/crates/framing/tests/frames.rs
@@ -67,7 +67,7 @@
     append_frame(&mut bytes, 1, |out| out.extend_from_slice(b"second"));
     let expected = ReadError {
         offset: FILE_HEADER_BYTES as u64,
-        kind: ReadErrorKind::Number {
+        kind: ReadErrorKind::OutOfSequence {
             expected: 0,
             found: 1,
         },
--- a/crates/idempotency-store/src/commit_queue/mod.rs
+++ b/crates/idempotency-store/src/commit_queue/mod.rs
@@ -12,7 +12,7 @@
 
 pub use config::{CommitQueueConfig, SYNC_TIMEOUT};
 pub use space::Usage;
-pub use status::{RefusalReason, StatusChange};
+pub use status::{RejectionReason, StatusChange};
 
 use crate::log::Batch;
 use crate::record::{Intent, Outcome, Record};
@@ -69,7 +69,7 @@
     /// When expired intents were last removed.
     expired_at: Micros,
     /// The status that was reported last.
-    reported: Option<RefusalReason>,
+    reported: Option<RejectionReason>,
 }
 
 impl CommitQueue {
@@ -101,22 +101,22 @@
     }
 
     /// Why new keyed requests are rejected at present, if they are.
-    pub fn refusal(&self, now: Micros) -> Option<RefusalReason> {
+    pub fn rejection_reason(&self, now: Micros) -> Option<RejectionReason> {
         if self.damaged_until.is_some_and(|until| now < until) {
-            Some(RefusalReason::Damaged)
+            Some(RejectionReason::Damaged)
         } else if self.writer.failure.is_some() {
-            Some(RefusalReason::Failing)
+            Some(RejectionReason::Failing)
         } else if self.writer.is_slow {
-            Some(RefusalReason::Slow)
+            Some(RejectionReason::Slow)
         } else if self.space.is_full() {
-            Some(RefusalReason::Full)
+            Some(RejectionReason::Full)
         } else {
             None
         }
     }
 
     fn is_full(&self, now: Micros) -> bool {
-        self.refusal(now) == Some(RefusalReason::Full)
+        self.rejection_reason(now) == Some(RejectionReason::Full)
     }
 
     /// Queues the intent of a run. [`CommitEvent::IntentDurable`] or
@@ -129,7 +129,7 @@
         events: &mut Vec<CommitEvent>,
     ) {
         // A request that was admitted before the writer failed must not wait for it either.
-        if let Some(RefusalReason::Failing | RefusalReason::Slow) = self.refusal(now) {
+        if let Some(RejectionReason::Failing | RejectionReason::Slow) = self.rejection_reason(now) {
             events.push(CommitEvent::IntentAbandoned(intent.reference));
             return;
         }
@@ -362,21 +362,21 @@
         self.space.usage()
     }
 
-    /// Returns the change of [`CommitQueue::refusal`] since the last call, if it has changed.
+    /// Returns the change of [`CommitQueue::rejection_reason`] since the last call, if there is one.
     pub fn status_change(&mut self, now: Micros) -> Option<StatusChange> {
-        let reason = self.refusal(now);
+        let reason = self.rejection_reason(now);
         if reason == self.reported {
             return None;
         }
         self.reported = reason;
         Some(match reason {
             None => StatusChange::Accepting,
-            Some(RefusalReason::Damaged) => StatusChange::Damaged,
-            Some(RefusalReason::Failing) => StatusChange::Failing {
+            Some(RejectionReason::Damaged) => StatusChange::Damaged,
+            Some(RejectionReason::Failing) => StatusChange::Failing {
                 error: self.writer.failure.clone().unwrap_or_default(),
             },
-            Some(RefusalReason::Slow) => StatusChange::Slow,
-            Some(RefusalReason::Full) => StatusChange::Full {
+            Some(RejectionReason::Slow) => StatusChange::Slow,
+            Some(RejectionReason::Full) => StatusChange::Full {
                 used_bytes: self.space.usage().used_bytes,
                 capacity: self.config.capacity,
             },
--- a/crates/idempotency-store/src/commit_queue/status.rs
+++ b/crates/idempotency-store/src/commit_queue/status.rs
@@ -9,7 +9,7 @@
 
 /// Why keyed requests are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalReason {
+pub enum RejectionReason {
     /// Damage may hide a key that has run.
     Damaged,
     /// The writer failed.
@@ -25,16 +25,16 @@
 pub enum StatusChange {
     /// Keyed requests are accepted again.
     Accepting,
-    /// Rejected for [`RefusalReason::Damaged`].
+    /// Rejected for [`RejectionReason::Damaged`].
     Damaged,
-    /// Rejected for [`RefusalReason::Failing`].
+    /// Rejected for [`RejectionReason::Failing`].
     Failing {
         /// The system's error.
         error: String,
     },
-    /// Rejected for [`RefusalReason::Slow`].
+    /// Rejected for [`RejectionReason::Slow`].
     Slow,
-    /// Rejected for [`RefusalReason::Full`].
+    /// Rejected for [`RejectionReason::Full`].
     Full {
         /// Size of the log, in bytes.
         used_bytes: u64,
--- a/crates/idempotency-store/src/commit_queue/tests.rs
+++ b/crates/idempotency-store/src/commit_queue/tests.rs
@@ -1,7 +1,7 @@
 //! Tests that use the queue's intervals.
 
 use super::config::{EXPIRY_INTERVAL, FULL_RETRY_INTERVAL};
-use super::{CommitEvent, CommitQueue, CommitQueueConfig, RefusalReason, Usage, SYNC_TIMEOUT};
+use super::{CommitEvent, CommitQueue, CommitQueueConfig, RejectionReason, Usage, SYNC_TIMEOUT};
 use crate::log::Batch;
 use crate::record::{Intent, Outcome};
 use crate::Micros;
@@ -135,7 +135,7 @@
             CommitEvent::IntentAbandoned(3)
         ]
     );
-    assert_eq!(queue.refusal(4), Some(RefusalReason::Failing));
+    assert_eq!(queue.rejection_reason(4), Some(RejectionReason::Failing));
     assert_eq!(
         queue.status_change(4).unwrap().to_string(),
         "store: keyed requests rejected reason=failing error=\"no space\""
@@ -163,7 +163,7 @@
         queue.status_change(second_retry).unwrap().to_string(),
         "store: keyed requests accepted"
     );
-    assert_eq!(queue.refusal(second_retry), None);
+    assert_eq!(queue.rejection_reason(second_retry), None);
     assert_eq!(queue.usage(), usage(500, 0));
 }
 
@@ -181,7 +181,7 @@
     let second_retry = queue.next_wakeup(retry).unwrap();
     queue.next_batch(second_retry).unwrap();
     complete(&mut queue, second_retry, Ok(0));
-    assert_eq!(queue.refusal(second_retry), None);
+    assert_eq!(queue.rejection_reason(second_retry), None);
 }
 
 #[test]
@@ -199,12 +199,15 @@
             CommitEvent::IntentAbandoned(2)
         ]
     );
-    assert_eq!(queue.refusal(SYNC_TIMEOUT), Some(RefusalReason::Slow));
+    assert_eq!(
+        queue.rejection_reason(SYNC_TIMEOUT),
+        Some(RejectionReason::Slow)
+    );
     assert_eq!(tick(&mut queue, SYNC_TIMEOUT + 1, 0), []);
     // The abandoned intent is durable after all: its void follows.
     let done = 2 * SYNC_TIMEOUT;
     assert_eq!(complete(&mut queue, done, Ok(100)), []);
-    assert_eq!(queue.refusal(done), None);
+    assert_eq!(queue.rejection_reason(done), None);
     assert_eq!(batch_records(&mut queue, done), 1);
     complete(&mut queue, done, Ok(100));
     assert_eq!(queue.usage(), usage(100, 0));
@@ -216,7 +219,7 @@
 fn a_full_queue_rejects_keys_and_retains_all_outcomes() {
     let mut queue = queue();
     let mut admitted = 0;
-    while queue.refusal(0).is_none() {
+    while queue.rejection_reason(0).is_none() {
         admitted += 1;
         enqueue_intents(&mut queue, 0, &[admitted]);
     }
@@ -238,14 +241,14 @@
         "{used}"
     );
     assert_eq!(
-        queue.refusal(FULL_RETRY_INTERVAL),
-        Some(RefusalReason::Full)
+        queue.rejection_reason(FULL_RETRY_INTERVAL),
+        Some(RejectionReason::Full)
     );
     let retry = queue.next_wakeup(FULL_RETRY_INTERVAL).unwrap();
     assert_eq!(queue.next_batch(retry), Some(Batch::default()));
     assert_eq!(queue.next_wakeup(retry), Some(retry + SYNC_TIMEOUT));
     complete(&mut queue, retry, Ok(2000));
-    assert_eq!(queue.refusal(retry), None);
+    assert_eq!(queue.rejection_reason(retry), None);
 }
 
 #[test]
@@ -270,7 +273,7 @@
 fn damage_rejects_keys_until_its_end() {
     let queue = CommitQueue::new(CONFIG, 0, Some(100), 0);
     assert_eq!(
-        (queue.refusal(99), queue.refusal(100)),
-        (Some(RefusalReason::Damaged), None)
+        (queue.rejection_reason(99), queue.rejection_reason(100)),
+        (Some(RejectionReason::Damaged), None)
     );
 }
--- a/crates/idempotency-store/src/log/compaction.rs
+++ b/crates/idempotency-store/src/log/compaction.rs
@@ -8,7 +8,7 @@
 use super::usage::SECOND;
 use super::Log;
 use crate::record::{Clocks, Record};
-use crate::recovery::Recovered;
+use crate::recovery::RecoveredKey;
 use crate::Micros;
 use std::io;
 
@@ -87,8 +87,8 @@
 }
 
 /// Appends the records of a key, with its times by the clocks of the present boot.
-fn push_key(batch: &mut Batch, key: Recovered, now: &Clocks) {
-    let Recovered {
+fn push_key(batch: &mut Batch, key: RecoveredKey, now: &Clocks) {
+    let RecoveredKey {
         mut intent,
         window_end,
         outcome,
--- a/crates/idempotency-store/src/log/contents.rs
+++ b/crates/idempotency-store/src/log/contents.rs
@@ -4,7 +4,7 @@
 use super::files::{segment_name, segment_number, SegmentFiles};
 use super::segment::Segment;
 use crate::record::{Clocks, Salt};
-use crate::recovery::{Recovered, RecoveryTable};
+use crate::recovery::{RecoveredKey, RecoveryTable};
 use pipitlever_framing::ReadErrorKind;
 
 /// Missing segments that are reported of each gap; these suffice to show it.
@@ -60,7 +60,7 @@
             table.add(record, written, now);
         });
         match segment.error {
-            Some(error) if matches!(error.kind, ReadErrorKind::Version { .. }) => {
+            Some(error) if matches!(error.kind, ReadErrorKind::UnsupportedVersion { .. }) => {
                 let file = segment.file;
                 Err(OpenError::Damaged(Damage { file, error }))
             }
@@ -121,7 +121,7 @@
 
     /// Returns the keys within their windows at `now`, and those whose duplicates may still be
     /// read.
-    pub fn into_keys(self, now: &Clocks) -> Vec<Recovered> {
+    pub fn into_keys(self, now: &Clocks) -> Vec<RecoveredKey> {
         self.table.into_keys(now)
     }
 
--- a/crates/idempotency-store/src/log/error.rs
+++ b/crates/idempotency-store/src/log/error.rs
@@ -15,7 +15,7 @@
 
 impl Damage {
     pub(super) fn new(file: String, offset: u64, problem: &str) -> Damage {
-        let kind = ReadErrorKind::Content(problem.to_owned());
+        let kind = ReadErrorKind::InvalidPayload(problem.to_owned());
         let error = ReadError { offset, kind };
         Damage { file, error }
     }
--- a/crates/idempotency-store/src/log/open.rs
+++ b/crates/idempotency-store/src/log/open.rs
@@ -7,14 +7,14 @@
 use super::usage::SegmentUsage;
 use super::Log;
 use crate::record::Salt;
-use crate::recovery::Recovered;
+use crate::recovery::RecoveredKey;
 use crate::Micros;
 
 /// What the earlier processes left.
 #[derive(Debug)]
 pub struct OpenReport {
     /// The keys within their windows.
-    pub keys: Vec<Recovered>,
+    pub keys: Vec<RecoveredKey>,
     /// Data that was on the disk and can't be read.
     pub damage: Vec<Damage>,
     /// The longest window of any record, and of this process, in microseconds.
--- a/crates/idempotency-store/src/log/segment.rs
+++ b/crates/idempotency-store/src/log/segment.rs
@@ -70,7 +70,7 @@
         while let Some(frame) = frames.next_frame()? {
             let invalid = |problem: String| ReadError {
                 offset: frame.offset,
-                kind: ReadErrorKind::Content(problem),
+                kind: ReadErrorKind::InvalidPayload(problem),
             };
             if let Some(header) = &self.header {
                 let records = decode_records(frame.payload);
@@ -104,7 +104,7 @@
         ),
         // As long as its intent, which may be in another segment.
         Record::Outcome { expires_at, .. } | Record::Void { expires_at, .. } => written
-            .are_of_boot(now)
+            .is_same_boot(now)
             .then(|| expires_at.saturating_sub(now.since_boot)),
     }
 }
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -35,7 +35,7 @@
 impl Clocks {
     /// Whether these clocks, read `earlier`, are of the same boot as `now`, so that their times
     /// since boot can be compared.
-    pub(crate) fn are_of_boot(&self, now: &Clocks) -> bool {
+    pub(crate) fn is_same_boot(&self, now: &Clocks) -> bool {
         !now.boot_id.is_empty() && self.boot_id == now.boot_id && self.since_boot <= now.since_boot
     }
 }
--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -20,7 +20,7 @@
 
 /// A key that a process has recovered.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recovered {
+pub struct RecoveredKey {
     /// The last attempt that may have run.
     pub intent: Intent,
     /// Attempts that reach the machine up to this time are duplicates, in Unix microseconds by the
@@ -30,7 +30,7 @@
     pub outcome: Option<Outcome>,
 }
 
-impl Recovered {
+impl RecoveredKey {
     fn has_result(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Served(_)))
     }
@@ -46,7 +46,7 @@
         .saturating_add(window)
         .saturating_sub(now.wall)
         .min(window);
-    let by_time_since_boot = if written.are_of_boot(now) {
+    let by_time_since_boot = if written.is_same_boot(now) {
         intent
             .expires_at
             .saturating_sub(intent.read_grace)
@@ -126,25 +126,25 @@
     ///
     /// A key with several attempts that may have run has a result if any of them has one, and lasts
     /// as long as the last of them.
-    pub fn into_keys(mut self, now: &Clocks) -> Vec<Recovered> {
+    pub fn into_keys(mut self, now: &Clocks) -> Vec<RecoveredKey> {
         let mut intents: Vec<IntentEntry> = self.intents.into_values().collect();
         // The same order on every reading of the same files.
         intents.sort_by_key(|entry| (entry.intent.arrived_at, entry.intent.id));
-        let mut keys: HashMap<String, Recovered> = HashMap::new();
+        let mut keys: HashMap<String, RecoveredKey> = HashMap::new();
         for entry in intents {
             let id = entry.intent.id;
             let outcome = self.outcomes.remove(&id);
             if outcome.is_none() && self.voids.contains(&id) {
                 continue;
             }
-            let recovered = Recovered {
+            let recovered = RecoveredKey {
                 window_end: now.wall.saturating_add(entry.remaining_window),
                 intent: entry.intent,
                 outcome,
             };
             add_attempt(&mut keys, recovered);
         }
-        let mut keys: Vec<Recovered> = keys.into_values().collect();
+        let mut keys: Vec<RecoveredKey> = keys.into_values().collect();
         keys.sort_by(|a, b| {
             let by_window_end = a.window_end.cmp(&b.window_end);
             by_window_end.then_with(|| a.intent.key.cmp(&b.intent.key))
@@ -153,7 +153,7 @@
     }
 }
 
-fn add_attempt(keys: &mut HashMap<String, Recovered>, attempt: Recovered) {
+fn add_attempt(keys: &mut HashMap<String, RecoveredKey>, attempt: RecoveredKey) {
     let Some(known) = keys.get_mut(&attempt.intent.key) else {
         keys.insert(attempt.intent.key.clone(), attempt);
         return;
--- a/crates/idempotency-store/tests/common/runs.rs
+++ b/crates/idempotency-store/tests/common/runs.rs
@@ -5,7 +5,7 @@
     Batch, Limits, Log, LogContents, OpenReport, SegmentFiles,
 };
 use pipitlever_idempotency_store::record::{Intent, Outcome, Record};
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use std::io;
 
 pub const SECOND: i64 = 1_000_000;
@@ -34,7 +34,7 @@
     LogContents::read(&mut directory.clone()).expect("the log can be read")
 }
 
-pub fn live_keys(directory: &Directory) -> Vec<Recovered> {
+pub fn live_keys(directory: &Directory) -> Vec<RecoveredKey> {
     let now = directory.clone().clocks();
     read(directory).into_keys(&now)
 }
--- a/crates/idempotency-store/tests/compatibility.rs
+++ b/crates/idempotency-store/tests/compatibility.rs
@@ -9,7 +9,7 @@
 use pipitlever_idempotency_store::record::{
     decode_header, decode_records, encode, Clocks, Intent, Outcome, Record, Salt, SegmentHeader,
 };
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use std::path::PathBuf;
 
 const SECOND: i64 = 1_000_000;
@@ -102,7 +102,7 @@
     let (_, found) = Log::open(directory.clone(), LIMITS, WINDOW)
         .expect("the earlier build's directory can be read");
     assert_eq!(found.damage, []);
-    let line = |key: &Recovered| match &key.outcome {
+    let line = |key: &RecoveredKey| match &key.outcome {
         None => format!("{} may-have-run\n", key.intent.key),
         Some(Outcome::Failed) => format!("{} failed\n", key.intent.key),
         Some(Outcome::Served(result)) => format!("{} served {result:?}\n", key.intent.key),
--- a/crates/idempotency-store/tests/histories.rs
+++ b/crates/idempotency-store/tests/histories.rs
@@ -50,7 +50,7 @@
             world.apply(Step::Advance(500));
             world.apply(Step::Write);
         }
-        proptest::prop_assert_eq!(world.refusal(), None);
+        proptest::prop_assert_eq!(world.rejection_reason(), None);
         proptest::prop_assert!(world.is_idle());
     }
 }
@@ -100,5 +100,5 @@
         Step::Write,
         Step::Request(4),
     ]);
-    assert!(world.refusal().is_some() && world.runs_of(3) == 0);
+    assert!(world.rejection_reason().is_some() && world.runs_of(3) == 0);
 }
--- a/crates/idempotency-store/tests/node_model/mod.rs
+++ b/crates/idempotency-store/tests/node_model/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{Directory, Faults};
 use pipitlever_idempotency_store::commit_queue::{
-    CommitEvent, CommitQueue, CommitQueueConfig, RefusalReason,
+    CommitEvent, CommitQueue, CommitQueueConfig, RejectionReason,
 };
 use pipitlever_idempotency_store::log::{Batch, Limits, Log, SegmentFiles};
 use pipitlever_idempotency_store::record::{Clocks, Intent, Outcome};
@@ -222,7 +222,7 @@
                 self.time
             );
         }
-        if known.is_some() || self.node.queue.refusal(since_boot).is_some() {
+        if known.is_some() || self.node.queue.rejection_reason(since_boot).is_some() {
             return;
         }
         self.last_reference += 1;
@@ -359,8 +359,8 @@
     }
 
     /// Why the node rejects keyed requests, if it does.
-    pub fn refusal(&self) -> Option<RefusalReason> {
-        self.node.queue.refusal(self.since_boot())
+    pub fn rejection_reason(&self) -> Option<RejectionReason> {
+        self.node.queue.rejection_reason(self.since_boot())
     }
 
     /// Whether all records are durable.
--- a/crates/node/src/cli/store.rs
+++ b/crates/node/src/cli/store.rs
@@ -3,7 +3,7 @@
 use pipitlever_idempotency_store::disk::StoreDirectory;
 use pipitlever_idempotency_store::log::{Limits, Log, LogContents, SegmentFiles};
 use pipitlever_idempotency_store::record::Outcome;
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use serde_json::json;
 use std::fmt::Display;
 use std::path::Path;
@@ -120,7 +120,7 @@
 }
 
 /// Prints one key. `now` is the wall clock's time, in microseconds.
-fn print_key(found: &Recovered, now: i64, json: bool) {
+fn print_key(found: &RecoveredKey, now: i64, json: bool) {
     let (outcome, bytes) = match &found.outcome {
         None => ("may-have-run", 0),
         Some(Outcome::Failed) => ("failed", 0),
--- a/crates/node/src/net/event_loop/mod.rs
+++ b/crates/node/src/net/event_loop/mod.rs
@@ -39,7 +39,7 @@
 use pipitlever_admission::Micros;
 use pipitlever_core::{ConfigFileCounters, Core, Effect, MemoryLimits, RunStore};
 use pipitlever_idempotency_store::record::Salt;
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use pipitlever_wire::jsonrpc;
 use reference_generator::ReferenceGenerator;
 use shutdown::ShutdownState;
@@ -220,7 +220,7 @@
     }
 
     /// Attaches the idempotency store and the keys that it recovered.
-    pub fn attach_store(&mut self, store: RunStore, recovered: Vec<Recovered>, salt: Salt) {
+    pub fn attach_store(&mut self, store: RunStore, recovered: Vec<RecoveredKey>, salt: Salt) {
         self.salt = salt;
         self.core.attach_store(store, recovered);
     }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -6,7 +6,7 @@
 use pipitlever_idempotency_store::disk::StoreDirectory;
 use pipitlever_idempotency_store::log::{LogContents, SegmentFiles};
 use pipitlever_idempotency_store::record::Outcome;
-use pipitlever_idempotency_store::recovery::Recovered;
+use pipitlever_idempotency_store::recovery::RecoveredKey;
 use serde_json::json;
 
 /// The store of a test.
@@ -14,7 +14,7 @@
     /// The operator's file's section.
     fn section(&self) -> String;
     /// What the next process would find.
-    fn keys(&self) -> Vec<Recovered>;
+    fn keys(&self) -> Vec<RecoveredKey>;
 }
 
 impl Stored for Scratch {
@@ -25,7 +25,7 @@
         )
     }
 
-    fn keys(&self) -> Vec<Recovered> {
+    fn keys(&self) -> Vec<RecoveredKey> {
         let mut disk = StoreDirectory::open_read_only(&self.0).unwrap();
         let contents = LogContents::read(&mut disk).unwrap();
         assert_eq!(contents.damage, []);
@@ -46,7 +46,7 @@
     let mut gateway = node.ready();
     gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
     let (id, _) = processor.begin();
-    let [Recovered {
+    let [RecoveredKey {
         intent,
         outcome: None,
         ..
