--- a/crates/framing/src/disk.rs
+++ b/crates/framing/src/disk.rs
@@ -1,5 +1,4 @@
-//! What the writers of framed files have in common: the file that is written, and the thread that
-//! writes.
+//! Shared parts of the writers of framed files: the active file and the writer thread.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -7,7 +6,7 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::Duration;
 
-/// A writer uses far less.
+/// Stack size of a writer thread, in bytes. Writers use far less.
 const STACK_BYTES: usize = 256 << 10;
 
 /// The file that is being written, if any.
@@ -29,7 +28,7 @@
     ///
     /// # Errors
     ///
-    /// If there is no active file, or the system reports one.
+    /// If there is no active file, or the write fails.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.get()?.0.write_all(bytes)
     }
@@ -42,23 +41,23 @@
     pub fn get(&self) -> io::Result<(&File, &Path)> {
         match &self.0 {
             Some((file, path)) => Ok((file, path)),
-            None => Err(io::Error::other("no segment")),
+            None => Err(io::Error::other("no file is open for writing")),
         }
     }
 }
 
-/// A thread that writes to the disk. It ends by itself; dropping this handle detaches it.
+/// A thread that writes to the disk. Dropping this handle detaches the thread.
 #[derive(Debug)]
 pub struct WriterThread {
     finished: Receiver<()>,
 }
 
 impl WriterThread {
-    /// Starts a thread with this name.
+    /// Starts a thread called `name` that runs `work`.
     ///
     /// # Errors
     ///
-    /// If the system starts no further thread.
+    /// If the system cannot start another thread.
     pub fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> io::Result<WriterThread> {
         let (sender, finished) = channel();
         std::thread::Builder::new()
@@ -66,14 +65,14 @@
             .stack_size(STACK_BYTES)
             .spawn(move || {
                 work();
-                // The handle may be gone.
+                // Sending fails if the handle was dropped.
                 let _ = sender.send(());
             })?;
         Ok(WriterThread { finished })
     }
 
-    /// Waits for the end of the thread. Returns whether it ended within `timeout`: a disk that
-    /// hangs must not prevent the process from ending.
+    /// Waits for the thread to finish. Returns whether it finished within `timeout`: a disk that
+    /// hangs must not prevent the process from exiting.
     pub fn wait(&self, timeout: Duration) -> bool {
         self.finished.recv_timeout(timeout).is_ok()
     }
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -1,22 +1,24 @@
-//! Why a file of frames cannot be read.
+//! Errors on reading a framed file.
 
-/// An error at a place in a file.
+use crate::MAX_PAYLOAD_BYTES;
+
+/// An error at an offset of a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("offset {offset}: {kind}")]
 pub struct ReadError {
     /// Offset in the file, in bytes.
     pub offset: u64,
-    /// What is wrong there.
+    /// Kind of the error.
     pub kind: ReadErrorKind,
 }
 
-/// What is wrong.
+/// Kind of a [`ReadError`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadErrorKind {
     /// The file does not begin with the magic number. Contains [`crate::Format::description`].
     #[error("this is no {0}")]
     WrongFileType(&'static str),
-    /// The file has another version of the format.
+    /// The file is of a format version that this build does not support.
     #[error("format {found}; this build reads format {supported}")]
     UnsupportedVersion {
         /// Version of the file.
@@ -28,17 +30,17 @@
     #[error("damaged: a checksum does not match")]
     Checksum,
     /// A frame is out of sequence.
-    #[error("damaged: frame {found}, expected {expected}")]
+    #[error("damaged: frame number {found}, expected {expected}")]
     OutOfSequence {
-        /// The next number in sequence.
+        /// Expected frame number.
         expected: u32,
-        /// The number in the frame.
+        /// Frame number found.
         found: u32,
     },
-    /// A frame exceeds [`crate::MAX_PAYLOAD_BYTES`]. Contains its length in bytes.
-    #[error("damaged: a frame of {0} bytes")]
+    /// A payload exceeds [`MAX_PAYLOAD_BYTES`]. Contains its length in bytes.
+    #[error("damaged: a payload of {0} bytes exceeds the limit of {MAX_PAYLOAD_BYTES} bytes")]
     FrameTooLarge(u32),
-    /// A frame is intact, and its payload is invalid.
+    /// A frame is intact, but its payload is invalid. Contains the reason.
     #[error("damaged: {0}")]
     InvalidPayload(String),
 }
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -1,6 +1,6 @@
-//! Frames with checksums, and what the writers of framed files have in common.
+//! Frames with checksums, and shared parts of the writers of framed files.
 //!
-//! A reader tells an intact frame from a truncated file and from damage. All numbers are
+//! A reader distinguishes intact frames, a truncated file and damage. All numbers are
 //! little-endian:
 //!
 //! ```text
@@ -22,8 +22,8 @@
 pub const FILE_HEADER_BYTES: usize = 16;
 /// Size of a frame without its payload, in bytes.
 pub const FRAME_HEADER_BYTES: usize = 16;
-/// Upper bound of a payload, in bytes. The state of a controller with 100,000 requests and keys
-/// takes some 20 MB.
+/// Upper bound of a payload, in bytes. The state of an admission controller with 100,000
+/// requests and keys takes some 20 MB.
 pub const MAX_PAYLOAD_BYTES: usize = 64 << 20;
 
 /// A file type.
@@ -33,7 +33,7 @@
     pub magic: [u8; 8],
     /// Version of the payloads; a reader rejects other versions.
     pub version: u16,
-    /// Name of the file type in error messages.
+    /// Name of the file type for error messages.
     pub description: &'static str,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Appends a frame, whose payload `write_payload` appends in place.
+/// Appends a frame. `write_payload` appends its payload in place.
 pub fn append_frame(out: &mut Vec<u8>, number: u32, write_payload: impl FnOnce(&mut Vec<u8>)) {
     let start = out.len();
     let payload_start = start + FRAME_HEADER_BYTES;
--- a/crates/framing/src/reader.rs
+++ b/crates/framing/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of frames.
+//! Reader of framed files.
 
 use crate::{Format, ReadError, ReadErrorKind};
 use crate::{FILE_HEADER_BYTES, FRAME_HEADER_BYTES, MAX_PAYLOAD_BYTES};
@@ -24,14 +24,15 @@
 #[derive(Clone, Debug)]
 pub struct FrameReader<'a> {
     bytes: &'a [u8],
-    /// Where the next frame begins.
+    /// Offset of the next frame, in bytes.
     position: usize,
     next_number: u32,
     is_truncated: bool,
 }
 
 impl<'a> FrameReader<'a> {
-    /// Reads the file header. A file that ends within it counts as truncated and has no frames.
+    /// Reads the file header. A file that ends within its header counts as truncated and has no
+    /// frames.
     ///
     /// # Errors
     ///
@@ -69,7 +70,7 @@
         if self.is_truncated || rest.is_empty() {
             return Ok(None);
         }
-        // After a power cut, blocks that the system had not written yet read as zeros.
+        // After a power failure, blocks that the system had not written yet read as zeros.
         if rest.len() < FRAME_HEADER_BYTES || rest.iter().all(|&byte| byte == 0) {
             self.is_truncated = true;
             return Ok(None);
@@ -87,7 +88,7 @@
         Ok(Some(payload))
     }
 
-    /// Returns the length of the payload, in bytes.
+    /// Checks a frame header and returns the length of the payload, in bytes.
     fn check_frame_header(&self, header: &[u8]) -> Result<usize, ReadErrorKind> {
         let checksum = read_u32(header, HEADER_CHECKSUM_OFFSET);
         if crc32fast::hash(&header[..HEADER_CHECKSUM_OFFSET]) != checksum {
--- a/crates/framing/tests/frames.rs
+++ b/crates/framing/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that are intact, truncated, damaged and out of sequence.
+//! Reading of intact, truncated, damaged and out-of-sequence frames.
 
 use pipitlever_framing::{
     append_frame, Format, FrameReader, ReadError, ReadErrorKind, FILE_HEADER_BYTES,
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,8 +1,8 @@
-//! Hot restart: one process of a node takes over from another one under load.
+//! Hot restart: a new process of a node takes over from the running one under load.
 //!
-//! The package has the messages between the two processes, a state machine for each side, and the
-//! rule for which of the two may run a request of an idempotency key that it does not know. It does
-//! no I/O and reads no clock: callers pass received bytes and the time.
+//! The package contains the messages between the two processes, a state machine for each side, and
+//! the decision which of the two may run a request whose idempotency key has no entry there. It
+//! does no I/O and reads no clock: callers pass received bytes and the time.
 //!
 //! The phases are [`Connect`](predecessor::Phase::Connect), [`Freeze`](predecessor::Phase::Freeze),
 //! [`Transfer`](successor::Phase::Transfer), [`Mirror`](predecessor::Phase::Mirror) and
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -19,24 +19,24 @@
 const LENGTH_BYTES: usize = size_of::<u32>();
 /// Limit on a frame, in bytes: a key with its result and some overhead.
 pub const MAX_FRAME_BYTES: usize = 1 << 20;
-/// Limit on an idempotency key, in bytes. Listeners accept far shorter ones only; a longer one ends
-/// the hot restart rather than being left out.
+/// Limit on an idempotency key, in bytes. Listeners accept only far shorter keys; a key above the
+/// limit aborts the hot restart instead of being omitted.
 pub const MAX_KEY_BYTES: usize = 4096;
 /// Limit on the membership state of a node, in bytes: its own record and some addresses.
 pub const MAX_MEMBERSHIP_BYTES: usize = 16 << 10;
 /// Limit on a result, in bytes: it fits into a frame with its key.
 pub const MAX_RESULT_BYTES: usize = MAX_FRAME_BYTES - MAX_KEY_BYTES - 1024;
 
-/// The outcome of a key's run, as far as it is known.
+/// State of the run of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyState {
-    /// An attempt is queued or runs in the sending process.
+    /// An attempt is queued or in flight in the sending process.
     InProgress,
     /// The run returned this result.
     Served(Vec<u8>),
     /// The run failed and may have taken effect.
     Failed,
-    /// The outcome is not known to any process.
+    /// Neither process has the outcome.
     Unknown,
 }
 
@@ -45,20 +45,20 @@
 pub struct KeyEntry {
     /// The idempotency key.
     pub key: String,
-    /// Digest of class and body of its attempts, with the salt of [`Welcome`].
+    /// Digest of class and body of the key's attempts, with the salt of [`Welcome`].
     pub payload_digest: u64,
     /// Attempts that reach the machine up to this time are duplicates, in Unix microseconds.
     pub window_end: Micros,
-    /// The outcome of its run.
+    /// State of the key's run.
     pub state: KeyState,
 }
 
 /// A listening socket that is passed with [`Welcome`], in the same order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListeningSocket {
-    /// Name of the protocol that is spoken on it.
+    /// Name of the protocol that the socket serves.
     pub protocol: String,
-    /// Its local address.
+    /// Local address of the socket.
     pub address: SocketAddr,
 }
 
@@ -73,16 +73,16 @@
     pub salt: [u64; 2],
 }
 
-/// A message of either side.
+/// A message of the predecessor or the successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Predecessor, phase `Connect`: its identity and sockets.
+    /// Predecessor, phase `Connect`: the predecessor's identity and sockets.
     Welcome(Welcome),
-    /// Successor, start of phase `Freeze`: it is ready and requests the keys.
+    /// Successor, start of phase `Freeze`: requests the keys, as all preparations are complete.
     Freeze,
     /// Predecessor: the entry of a key, sent again whenever it changes.
     Key(KeyEntry),
-    /// Predecessor: a key that was in progress is free again, since no run of it was started.
+    /// Predecessor: removes a key that was in progress, since no run of the key was started.
     KeyReleased(String),
     /// Predecessor, start of phase `Transfer`: all keys were sent, and changes follow.
     SnapshotComplete {
@@ -91,12 +91,12 @@
         /// The share of the processor's memory that the predecessor may still use, from 0 to 1.
         memory_share: f64,
     },
-    /// Successor: it has all keys.
+    /// Successor: confirms that all keys were received.
     SnapshotReceived,
-    /// Predecessor, start of phase `Mirror`: it accepts no connections any more, and the successor
-    /// has the authority over keys until the successor's end.
+    /// Predecessor, start of phase `Mirror`: the predecessor has stopped accepting connections, and
+    /// the successor has the authority over keys until the successor exits.
     Yielded {
-        /// The node's membership state, which passes to the successor; none without a fleet.
+        /// The node's membership state, which the successor adopts; `None` without a fleet.
         membership: Option<Vec<u8>>,
     },
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// A peer's bytes cannot be decoded; its connection has to be closed.
+/// Why the peer's bytes cannot be decoded. The connection has to be closed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The bytes do not start with a greeting of this protocol.
@@ -125,12 +125,12 @@
     /// The greeting has another version.
     #[error("the peer speaks version {0}, this process version {VERSION}")]
     UnsupportedVersion(u16),
-    /// A frame is too long, or is no message of this version.
-    #[error("a message of the peer is malformed")]
+    /// A frame exceeds a limit, or contains no valid message of this version.
+    #[error("malformed message from the peer")]
     Malformed,
 }
 
-/// The greeting that each side sends first.
+/// Returns the greeting that each side sends first.
 pub fn greeting() -> Vec<u8> {
     let mut bytes = GREETING_MAGIC.to_vec();
     bytes.extend_from_slice(&VERSION.to_le_bytes());
@@ -141,14 +141,14 @@
 pub fn encode(message: &Message, out: &mut Vec<u8>) {
     let start = out.len();
     out.extend_from_slice(&[0; LENGTH_BYTES]);
-    // Postcard fails on types that it can't represent, which a message has none of, or on a full
-    // buffer, which a vector never is.
+    // Postcard fails only on types without a representation, which messages do not contain, or on
+    // a full buffer, while a vector grows as needed.
     *out = postcard::to_extend(message, std::mem::take(out)).expect("a message can be encoded");
     let length = (out.len() - start - LENGTH_BYTES) as u32;
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
 }
 
-/// Decodes a peer's greeting and messages from the bytes that it sent.
+/// Decodes the peer's greeting and messages from received bytes.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
@@ -169,11 +169,11 @@
         self.is_greeted
     }
 
-    /// The next message; none until more bytes arrive.
+    /// Returns the next message, or `None` until more bytes arrive.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`] if the peer speaks another protocol or version, or sent a malformed frame.
+    /// [`DecodeError`] if the peer uses another protocol or version, or sent a malformed frame.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         if !self.is_greeted && !self.decode_greeting()? {
             return Ok(None);
@@ -181,7 +181,7 @@
         self.decode_frame()
     }
 
-    /// Decodes the greeting; whether it is complete.
+    /// Decodes the greeting and returns whether all of the greeting has arrived.
     fn decode_greeting(&mut self) -> Result<bool, DecodeError> {
         let rest = &self.bytes[self.consumed..];
         let compared = rest.len().min(GREETING_MAGIC.len());
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -2,36 +2,39 @@
 
 use crate::message::Message;
 
-/// The phase of the hot restart, as the predecessor sees it.
+/// Phase of the hot restart on the predecessor's side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// No successor is connected.
     Standalone,
-    /// A successor has the sockets and prepares.
+    /// A successor has the sockets and prepares its own connections.
     Connect,
-    /// The successor has requested the keys: this process starts no run of a key that it does not
-    /// know. All keys are sent.
+    /// The successor has requested the keys, and all keys are sent. This process starts no run of
+    /// an unknown key.
     Freeze,
     /// The successor serves and has the authority over keys. Changes of keys that are in progress
-    /// here are sent to it.
+    /// in this process are sent to the successor.
     Mirror,
-    /// As `Mirror`, and this process is shutting down: it does not resume if the successor dies.
+    /// Like `Mirror`, while this process is shutting down: it does not resume if the successor
+    /// exits.
     Retire,
 }
 
-/// Something that the driver has to do.
+/// An action for the driver to take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Use all limits alone again: none is shared with a successor any more.
+    /// Use the whole of each limit again: none is shared with a successor any more.
     RestoreLimits,
-    /// Send all keys, then [`Message::SnapshotComplete`], then changes. Unknown keys belong to the
-    /// successor.
+    /// Send all keys, then [`Message::SnapshotComplete`], then changes. The successor gets the
+    /// authority over unknown keys.
     FreezeKeys,
-    /// Unknown keys belong to this process again: no run of them was started elsewhere.
+    /// Take back the authority over unknown keys: the successor has started no run.
     UnfreezeKeys,
-    /// Stop accepting, ask connected peers to reconnect, and send [`Message::Yielded`].
+    /// Stop accepting connections, instruct connected peers to reconnect, and send
+    /// [`Message::Yielded`].
     Yield,
-    /// Accept again. Runs of unknown keys may have been started by the successor that died.
+    /// Accept connections again. The successor may have started runs of unknown keys before it
+    /// exited.
     Resume,
     /// Close the connection: the successor violates the protocol.
     Disconnect,
@@ -59,10 +62,10 @@
         self.phase
     }
 
-    /// Handles the connection of a successor; whether it is accepted.
+    /// Handles the connection of a successor and returns whether the successor is accepted.
     ///
-    /// There is one successor at a time, and none for a process that is shutting down: its exit
-    /// would end what the successor was promised.
+    /// One successor is accepted at a time, and none while this process is shutting down, since
+    /// its exit would cut the transfer short.
     pub fn handle_connect(&mut self) -> bool {
         let is_accepted = self.phase == Phase::Standalone && !self.is_shutting_down;
         if is_accepted {
@@ -90,8 +93,8 @@
         }
     }
 
-    /// Whether the successor may serve. The end of its connection proves nothing then: its process
-    /// has to exit before [`Predecessor::handle_disconnect`] is called.
+    /// Whether the successor may serve. The end of its connection does not show that it has stopped
+    /// serving: its process has to exit before [`Predecessor::handle_disconnect`] is called.
     pub fn has_yielded(&self) -> bool {
         matches!(self.phase, Phase::Mirror | Phase::Retire)
     }
@@ -101,7 +104,7 @@
         match self.phase {
             Phase::Standalone | Phase::Retire => &[],
             Phase::Connect => self.return_to_standalone(&[Action::RestoreLimits]),
-            // It serves only after it has received `Yielded`.
+            // The successor serves only after it has received `Yielded`.
             Phase::Freeze => {
                 self.return_to_standalone(&[Action::UnfreezeKeys, Action::RestoreLimits])
             }
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Starts the shutdown of this process; whether a successor serves in its place, so that the
-    /// node continues.
+    /// Starts the shutdown of this process and returns whether a successor serves in its place, so
+    /// that the node continues.
     pub fn begin_shutdown(&mut self) -> bool {
         self.is_shutting_down = true;
         if self.phase == Phase::Mirror {
--- a/crates/hot-restart/src/successor.rs
+++ b/crates/hot-restart/src/successor.rs
@@ -1,34 +1,34 @@
-//! State machine of the successor: the new process, and when it may serve.
+//! State machine of the successor: the new process, which serves once the predecessor has yielded.
 
 use crate::message::{KeyEntry, Message, Welcome};
 use thiserror::Error;
 
-/// The phase of the hot restart, as the successor sees it.
+/// Phase of the hot restart on the successor's side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It has sent its greeting and waits for [`Message::Welcome`].
+    /// The greeting was sent; [`Message::Welcome`] is awaited.
     Connect,
-    /// It has the sockets and prepares its own connections.
+    /// The sockets were received, and this process prepares its own connections.
     Prepare,
-    /// It has requested the keys and receives them.
+    /// The keys were requested and are being received.
     Freeze,
-    /// It has confirmed all keys and waits for [`Message::Yielded`].
+    /// All keys were received and confirmed; [`Message::Yielded`] is awaited.
     Transfer,
-    /// It serves. The predecessor answers the requests that it has read, and sends changes of their
-    /// keys.
+    /// This process serves. The predecessor answers the requests that it has already read, and
+    /// sends changes of their keys.
     Mirror,
     /// No predecessor is connected.
     Standalone,
 }
 
-/// Something that the driver has to do.
+/// An action for the driver to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Take over the sockets that were passed with this message.
     AdoptSockets(Welcome),
-    /// Enter a key, or its new state.
+    /// Add a key, or replace its state.
     ApplyKey(KeyEntry),
-    /// Remove a key: no run of it was started.
+    /// Remove a key: no run of the key was started.
     ReleaseKey(String),
     /// Send [`Message::SnapshotReceived`] and adopt the predecessor's standby state and memory
     /// share.
@@ -38,9 +38,9 @@
         /// The share of the processor's memory that the predecessor may still use, from 0 to 1.
         memory_share: f64,
     },
-    /// Accept connections, with the membership state that the predecessor passed on.
+    /// Accept connections, with the membership state of the predecessor.
     Serve {
-        /// The node's membership state; none without a fleet.
+        /// The node's membership state; `None` without a fleet.
         membership: Option<Vec<u8>>,
     },
 }
@@ -52,18 +52,19 @@
 #[error("unexpected message in phase {0:?}")]
 pub struct UnexpectedMessage(pub Phase);
 
-/// The consequence of the connection's end.
+/// How the loss of the connection to the predecessor has to be handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionLoss {
     /// There is no predecessor: start without one.
     NoPredecessor,
-    /// The predecessor died before all keys were received: a run of an unknown key may have been
-    /// started.
+    /// The predecessor exited before all keys were received: it may have started a run of an
+    /// unknown key.
     KeysIncomplete,
-    /// The predecessor died after all keys were received. The outcome of keys that were in progress
-    /// there is unknown.
+    /// The predecessor exited after all keys were received. The outcome of keys that were in
+    /// progress there is unknown.
     KeysComplete,
-    /// The predecessor is alive and has not yielded: exit, so that it continues alone.
+    /// The predecessor is still running and has not yielded: exit, so that the predecessor
+    /// continues alone.
     Abort,
 }
 
@@ -93,7 +94,7 @@
         self.phase
     }
 
-    /// Handles the end of the preparations: the connection to the processor is up. Whether
+    /// Handles the end of the preparations: the connection to the processor is up. Returns whether
     /// [`Message::Freeze`] has to be sent.
     pub fn handle_ready(&mut self) -> bool {
         let requests_keys = self.phase == Phase::Prepare;
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Whether the predecessor may be alive and serve after its connection has ended, so that its
-    /// process has to be looked at for [`Successor::handle_disconnect`].
+    /// Whether the predecessor may still be running and serving after its connection has ended, so
+    /// that the caller has to check its process for [`Successor::handle_disconnect`].
     pub fn must_check_exit(&self) -> bool {
         matches!(self.phase, Phase::Prepare | Phase::Freeze | Phase::Transfer)
     }
--- a/crates/hot-restart/tests/compatibility.rs
+++ b/crates/hot-restart/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! Messages of a hot restart, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-hot-restart --test compatibility`): a
-//! process of either build replaces one of the other.
+//! Hot restart messages are compared with fixtures written by the build of commit 5f02f56
+//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-hot-restart --test compatibility`), so
+//! that a process of either build can replace one of the other.
 
 use pipitlever_hot_restart::message::{
     encode, greeting, Decoder, KeyEntry, KeyState, ListeningSocket, Message, Welcome,
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn messages_are_those_of_the_earlier_build() {
+fn messages_match_those_of_the_earlier_build() {
     let mut samples = vec![("greeting", greeting())];
     for (name, message) in messages() {
         let mut bytes = Vec::new();
--- a/crates/hot-restart/tests/key_authority.rs
+++ b/crates/hot-restart/tests/key_authority.rs
@@ -1,4 +1,4 @@
-//! Decisions about keys that a process does not know.
+//! Decisions on requests with unknown keys.
 
 use pipitlever_hot_restart::key_authority::{KeyAuthority, UnknownKeyDecision};
 
@@ -29,7 +29,7 @@
     let mut authority = KeyAuthority::default();
     authority.set_remote(true);
     authority.handle_keys_lost(100);
-    // A second loss doesn't shorten the first.
+    // A second loss with an earlier end does not shorten the period of the first.
     authority.handle_keys_lost(50);
     assert_eq!(
         authority.decide(100, false, true),
--- a/crates/hot-restart/tests/protocol.rs
+++ b/crates/hot-restart/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! Decoding of split, malformed and foreign bytes; both state machines over all phases.
+//! Decoding of split and malformed input and of other protocols; both state machines in all
+//! phases.
 
 use pipitlever_hot_restart::message::{
     encode, greeting, DecodeError, Decoder, KeyEntry, KeyState, ListeningSocket, Message, Welcome,
@@ -46,7 +47,7 @@
     ]
 }
 
-/// Decodes bytes that arrive in these chunks.
+/// Decodes the messages of `chunks`, which arrive one by one.
 fn decode(chunks: &[&[u8]]) -> Result<Vec<Message>, DecodeError> {
     let (mut decoder, mut messages) = (Decoder::default(), Vec::new());
     for chunk in chunks {
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn messages_are_decoded_whatever_the_chunks() {
+fn messages_are_decoded_from_chunks_of_any_size() {
     let mut bytes = greeting();
     for message in &all_messages() {
         encode(message, &mut bytes);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn foreign_protocols_other_versions_and_malformed_frames_are_distinguished() {
+fn other_protocols_other_versions_and_malformed_frames_are_distinguished() {
     let cases = [
         (
             b"GET / HTTP/1.1".to_vec(),
@@ -192,11 +193,11 @@
     assert!(predecessor.has_yielded());
     assert!(
         predecessor.begin_shutdown(),
-        "the successor's death during the shutdown does not bring this process back"
+        "this process does not resume if the successor exits during the shutdown"
     );
 }
 
-/// A successor that has received the sockets, the keys and the right to serve, as far as `phase`.
+/// A successor that has received the predecessor's messages up to `phase`.
 fn successor_in(phase: successor::Phase) -> Successor {
     let mut successor = Successor::connecting();
     for message in all_messages() {
@@ -206,7 +207,8 @@
         if successor.phase() == phase {
             break;
         }
-        // Messages of other phases and of the other side are rejected.
+        // `all_messages` contains messages of other phases and of the successor, which are
+        // rejected.
         let _ = successor.handle_message(message);
     }
     assert_eq!(successor.phase(), phase);
@@ -296,7 +298,7 @@
         (Phase::Prepare, true, [KeysIncomplete, Abort]),
         (Phase::Freeze, true, [KeysIncomplete, Abort]),
         (Phase::Transfer, true, [KeysComplete, Abort]),
-        // It serves, whether the predecessor is alive or not.
+        // The successor serves, whether or not the predecessor is still running.
         (Phase::Mirror, false, [KeysComplete, KeysComplete]),
     ];
     for (phase, must_check_exit, [exited, alive]) in cases {
