--- a/crates/idempotency-store/examples/engines.rs
+++ b/crates/idempotency-store/examples/engines.rs
@@ -1,8 +1,8 @@
 //! Compares the log with redb: `cargo run --release -p pipitlever-idempotency-store --example
 //! engines [DIRECTORY]`.
 //!
-//! Each key has an intent that is synced, and then an outcome with a result of 400 bytes that is
-//! synced. With `group`, 16 keys share each sync; with `each`, every record has its own.
+//! For each key an intent is written and synced, then an outcome with a result of 400 bytes. In the
+//! mode `group` several keys share each sync; in the mode `each` every record has its own sync.
 
 use pipitlever_idempotency_store::disk::StoreDirectory;
 use pipitlever_idempotency_store::log::{Batch, Limits, Log};
@@ -13,7 +13,7 @@
 use std::time::Instant;
 
 const TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("keys");
-/// In microseconds.
+/// Window of the keys, in microseconds.
 const WINDOW: i64 = 3_600_000_000;
 const PAGE_KB: u64 = 4;
 
@@ -72,13 +72,13 @@
 }
 
 struct Figures {
-    /// In seconds.
+    /// Duration of each write with its sync, in seconds.
     sync_times: Vec<f64>,
     written_bytes: u64,
     directory_bytes: u64,
-    /// In seconds.
+    /// Duration of opening, in seconds.
     open_time: f64,
-    /// Growth of resident memory on opening.
+    /// Growth of resident memory on opening, in KB.
     memory_kb: u64,
 }
 
@@ -146,8 +146,8 @@
     }
 }
 
-/// Writes the records of some keys in one transaction. Each key has one value: the outcome is added
-/// to the intent.
+/// Writes the records of some keys in one transaction. Each key has one value: the intent alone
+/// (`part` 0), or the intent followed by the outcome (`part` 1).
 fn write_redb(database: &Database, references: std::ops::Range<u64>, part: usize) {
     let clocks = Clocks {
         wall: 0,
--- a/crates/idempotency-store/src/commit_queue/mod.rs
+++ b/crates/idempotency-store/src/commit_queue/mod.rs
@@ -1,10 +1,10 @@
 //! The commit queue: write-ahead logging of runs with group commit. No I/O and no clock.
 //!
-//! A run starts only once its intent is durable. One batch at a time is being written; records that
-//! arrive meanwhile go with the next batch, so that one sync commits all of them. The writer may be
-//! slow or fail. Then an intent that is not durable is abandoned and its run never starts, and new
-//! keyed requests are rejected until the writer has completed a batch. Outcomes stay in the queue
-//! until they are written.
+//! A run starts only once its intent is durable. One batch is written at a time; records that
+//! arrive meanwhile are added to the next batch, so that one sync commits all of them. If the
+//! writer fails or is slow, intents that are not durable are abandoned and their runs never start,
+//! and new keyed requests are rejected until the writer has completed a batch. Outcomes stay in
+//! the queue until they are written.
 
 mod config;
 mod space;
@@ -23,7 +23,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
 
-/// The result of something that was queued.
+/// The result of a queued record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitEvent {
     /// The intent of this reference is durable: the run may start.
@@ -45,11 +45,11 @@
 #[derive(Clone, Copy, Debug)]
 struct OpenIntent {
     id: u64,
-    /// By the time since boot.
+    /// Expiry of the intent, by the time since boot.
     expires_at: Micros,
 }
 
-/// The commit queue before a log.
+/// The queue of records that are to be written to a log.
 #[derive(Debug)]
 pub struct CommitQueue {
     config: CommitQueueConfig,
@@ -64,20 +64,20 @@
     outcome_references: HashMap<u64, u64>,
     space: Space,
     writer: WriterStatus,
-    /// Until then damage may hide keys.
+    /// Until this time damage may hide keys.
     damaged_until: Option<Micros>,
-    /// When expired intents were last removed.
+    /// When expired open intents were last removed.
     expired_at: Micros,
-    /// The status that was reported last.
+    /// Rejection reason that was last reported by [`CommitQueue::status_change`].
     reported: Option<RejectionReason>,
 }
 
 impl CommitQueue {
-    /// Creates the queue before a log of `used_bytes`. Rejects keyed requests until
+    /// Creates the queue of a log of `used_bytes`. Keyed requests are rejected until
     /// `damaged_until`.
     ///
-    /// Intents are numbered from `first_id`. It should be random, so that the numbers differ from
-    /// those of earlier processes.
+    /// The ids of intents start after `first_id`, which should be random, so that the ids differ
+    /// from those of earlier processes.
     pub fn new(
         config: CommitQueueConfig,
         used_bytes: u64,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Why new keyed requests are rejected at present, if they are.
+    /// Why new keyed requests are rejected at present; `None` if they are accepted.
     pub fn rejection_reason(&self, now: Micros) -> Option<RejectionReason> {
         if self.damaged_until.is_some_and(|until| now < until) {
             Some(RejectionReason::Damaged)
@@ -120,15 +120,15 @@
     }
 
     /// Queues the intent of a run. [`CommitEvent::IntentDurable`] or
-    /// [`CommitEvent::IntentAbandoned`] follows; the latter at once while the writer fails or is
-    /// slow. The intent's id is overwritten.
+    /// [`CommitEvent::IntentAbandoned`] follows, the latter immediately while the writer fails or
+    /// is slow. The queue assigns the intent's id.
     pub fn enqueue_intent(
         &mut self,
         now: Micros,
         mut intent: Intent,
         events: &mut Vec<CommitEvent>,
     ) {
-        // A request that was admitted before the writer failed must not wait for it either.
+        // A request that was admitted before the writer failed must not wait for the writer either.
         if let Some(RejectionReason::Failing | RejectionReason::Slow) = self.rejection_reason(now) {
             events.push(CommitEvent::IntentAbandoned(intent.reference));
             return;
@@ -156,7 +156,7 @@
     }
 
     /// Adopts an intent that an earlier process wrote, so that its outcome can be enqueued. Returns
-    /// whether it did; it does not if the reference is in use.
+    /// `false`, without effect, if the reference is in use.
     pub fn adopt_intent(&mut self, reference: u64, id: u64, expires_at: Micros) -> bool {
         if self.has_open_intent(reference) {
             return false;
@@ -167,8 +167,8 @@
         true
     }
 
-    /// Queues the outcome of a run. Returns whether it did; it does not if the intent is unknown or
-    /// expired.
+    /// Queues the outcome of a run. Returns `false`, without effect, if the reference has no open
+    /// intent: the intent is unknown or expired, or has an outcome already.
     pub fn enqueue_outcome(&mut self, reference: u64, outcome: Outcome) -> bool {
         let Some(OpenIntent { id, expires_at }) = self.close_intent(reference) else {
             return false;
@@ -182,7 +182,7 @@
         true
     }
 
-    /// Queues that a run whose intent was enqueued will never start.
+    /// Queues the void of an intent: its run has not started and never will.
     pub fn enqueue_void(&mut self, reference: u64) {
         if let Some(OpenIntent { id, expires_at }) = self.close_intent(reference) {
             self.enqueue(Record::Void { id, expires_at });
@@ -196,7 +196,7 @@
     }
 
     /// Returns the next batch, if one is to be written now. An empty batch makes the writer reclaim
-    /// space and show whether it works.
+    /// space, and tests whether writes succeed again.
     pub fn next_batch(&mut self, now: Micros) -> Option<Batch> {
         if self.in_flight.is_some() || now < self.writer.not_before {
             return None;
@@ -224,8 +224,7 @@
         Some(batch)
     }
 
-    /// Records that the writer has completed the batch: `result` is the size of the log in bytes,
-    /// or the error.
+    /// Handles the result of the batch in flight: the size of the log in bytes, or the error.
     pub fn complete_batch(
         &mut self,
         now: Micros,
@@ -256,7 +255,7 @@
         }
     }
 
-    /// A record is durable.
+    /// Handles a record that is durable.
     fn commit(&mut self, record: &Record, events: &mut Vec<CommitEvent>) {
         self.space.release(record);
         match record {
@@ -275,21 +274,23 @@
         }
     }
 
-    /// A record may be durable or not.
+    /// Handles a record of a failed batch, which may or may not be durable.
     fn roll_back(&mut self, record: Record, events: &mut Vec<CommitEvent>) {
         if let Record::Intent(Intent { reference, .. }) = record {
             self.space.release(&record);
             if !self.abandoned.remove(&reference) {
                 events.push(CommitEvent::IntentAbandoned(reference));
             }
-            // If it is durable, the next process would take it for a run.
+            // Without a void, the next process would have to assume that the run of a durable
+            // intent may have started.
             self.enqueue_void(reference);
         } else {
             self.queue.push_front(record);
         }
     }
 
-    /// Abandons intents that no batch has contained: nothing of them needs to be written.
+    /// Abandons intents that have not been part of a batch yet. They need no void, as they can't be
+    /// on the disk.
     fn abandon_queued_intents(&mut self, events: &mut Vec<CommitEvent>) {
         let mut others = VecDeque::with_capacity(self.queue.len());
         for record in std::mem::take(&mut self.queue) {
@@ -305,12 +306,12 @@
         self.queue = others;
     }
 
-    /// Abandons intents that have waited for [`SYNC_TIMEOUT`], and forgets open intents that have
-    /// expired by the time `since_boot`.
+    /// Abandons all intents that are not durable once the batch in flight has taken
+    /// [`SYNC_TIMEOUT`], and removes open intents that have expired by the time `since_boot`.
     pub fn tick(&mut self, now: Micros, since_boot: Micros, events: &mut Vec<CommitEvent>) {
         if now >= self.expired_at + EXPIRY_INTERVAL {
             self.expired_at = now;
-            self.forget_expired_intents(since_boot);
+            self.remove_expired_intents(since_boot);
         }
         let Some(batch) = &self.in_flight else {
             return;
@@ -328,16 +329,16 @@
         self.abandon_queued_intents(events);
     }
 
-    fn forget_expired_intents(&mut self, since_boot: Micros) {
+    fn remove_expired_intents(&mut self, since_boot: Micros) {
         let before = self.open_intents.len();
         self.open_intents
             .retain(|_, open| open.expires_at >= since_boot);
-        let forgotten = before - self.open_intents.len();
-        self.space.release_outcomes(forgotten as u64);
+        let removed = before - self.open_intents.len();
+        self.space.release_outcomes(removed as u64);
     }
 
-    /// When [`CommitQueue::tick`] or [`CommitQueue::next_batch`] has to be called next, if nothing
-    /// else happens.
+    /// When [`CommitQueue::tick`] or [`CommitQueue::next_batch`] has to be called next, unless
+    /// another method is called before.
     pub fn next_wakeup(&self, now: Micros) -> Option<Micros> {
         if let Some(batch) = &self.in_flight {
             return (!self.writer.is_slow).then_some(batch.started_at + SYNC_TIMEOUT);
@@ -362,7 +363,7 @@
         self.space.usage()
     }
 
-    /// Returns the change of [`CommitQueue::rejection_reason`] since the last call, if there is one.
+    /// Returns the change of [`CommitQueue::rejection_reason`] since the last call, if any.
     pub fn status_change(&mut self, now: Micros) -> Option<StatusChange> {
         let reason = self.rejection_reason(now);
         if reason == self.reported {
--- a/crates/idempotency-store/src/commit_queue/space.rs
+++ b/crates/idempotency-store/src/commit_queue/space.rs
@@ -1,11 +1,11 @@
-//! Space of the log that is used and reserved.
+//! Accounting of the log's used and reserved space.
 
 use super::config::CommitQueueConfig;
 use crate::record::{
     Intent, Outcome, Record, INTENT_OVERHEAD_BYTES, MAX_KEY_BYTES, OUTCOME_OVERHEAD_BYTES,
 };
 
-/// Upper bound of a record's part of frame and segment headers, in bytes.
+/// Upper bound of a record's share of frame and segment headers, in bytes.
 const FRAMING_BYTES: u64 = 48;
 
 /// Space of the log, in bytes.
@@ -51,7 +51,7 @@
         self.usage.reserved_bytes -= max_record_bytes(record);
     }
 
-    /// Reserves space for outcomes that are not known yet.
+    /// Reserves space for the outcomes of `count` open intents.
     pub(super) fn reserve_outcomes(&mut self, count: u64) {
         self.usage.reserved_bytes += count * self.max_outcome_bytes();
     }
@@ -64,7 +64,7 @@
         FRAMING_BYTES + OUTCOME_OVERHEAD_BYTES + self.config.max_result_bytes as u64
     }
 
-    /// Whether one more run would not fit.
+    /// Whether the records of one more run would not fit.
     pub(super) fn is_full(&self) -> bool {
         let max_intent_bytes = FRAMING_BYTES + INTENT_OVERHEAD_BYTES + MAX_KEY_BYTES as u64;
         let run = max_intent_bytes + self.max_outcome_bytes();
--- a/crates/idempotency-store/src/commit_queue/status.rs
+++ b/crates/idempotency-store/src/commit_queue/status.rs
@@ -10,9 +10,9 @@
 /// Why keyed requests are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Damage may hide a key that has run.
+    /// Damage in the log may hide a key that has run.
     Damaged,
-    /// The writer failed.
+    /// The last batch failed.
     Failing,
     /// The writer has not completed a batch within [`SYNC_TIMEOUT`].
     Slow,
@@ -29,7 +29,7 @@
     Damaged,
     /// Rejected for [`RejectionReason::Failing`].
     Failing {
-        /// The system's error.
+        /// Error of the failed batch.
         error: String,
     },
     /// Rejected for [`RejectionReason::Slow`].
@@ -65,7 +65,7 @@
     }
 }
 
-/// State of the writer, by the results of its batches.
+/// State of the writer, derived from the results of its batches.
 #[derive(Debug)]
 pub(super) struct WriterStatus {
     /// The error of the last batch, if it failed.
--- a/crates/idempotency-store/src/commit_queue/tests.rs
+++ b/crates/idempotency-store/src/commit_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that use the queue's intervals.
+//! Unit tests of the commit queue that use its private intervals.
 
 use super::config::{EXPIRY_INTERVAL, FULL_RETRY_INTERVAL};
 use super::{CommitEvent, CommitQueue, CommitQueueConfig, RejectionReason, Usage, SYNC_TIMEOUT};
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn one_sync_commits_all_waiting_records() {
+fn one_sync_commits_all_queued_records() {
     let mut queue = queue();
     assert_eq!(enqueue_intents(&mut queue, 0, &[1]), []);
     assert_eq!(batch_records(&mut queue, 0), 1);
-    // These arrive while the first is written, and go together.
+    // Records that arrive while the first one is written form the next batch.
     enqueue_intents(&mut queue, 10, &[2, 3]);
     assert_eq!((queue.next_batch(10), queue.pending_records()), (None, 3));
     assert_eq!(
@@ -141,7 +141,7 @@
         "store: keyed requests rejected reason=failing error=\"no space\""
     );
     assert_eq!(queue.status_change(5), None);
-    // The run of a request that was admitted before never starts either.
+    // An intent that is enqueued while the writer fails is abandoned immediately.
     assert_eq!(
         enqueue_intents(&mut queue, 5, &[4]),
         [CommitEvent::IntentAbandoned(4)]
@@ -149,7 +149,8 @@
     assert_eq!(queue.next_batch(5), None);
     let retry = queue.next_wakeup(5).unwrap();
     assert!(retry > 5);
-    // The outcome of the first run, and the void of the second, whose intent may be durable.
+    // The batch contains the outcome of the first run and the void of the second, whose intent may
+    // be durable.
     assert_eq!(batch_records(&mut queue, retry), 2);
     assert_eq!(fail(&mut queue, retry), []);
     let second_retry = queue.next_wakeup(retry).unwrap();
@@ -175,7 +176,7 @@
     queue.next_batch(0);
     fail(&mut queue, 0);
     let retry = queue.next_wakeup(0).unwrap();
-    // The void of the first intent.
+    // This batch contains the void of the intent.
     queue.next_batch(retry).unwrap();
     fail(&mut queue, retry);
     let second_retry = queue.next_wakeup(retry).unwrap();
@@ -204,7 +205,7 @@
         Some(RejectionReason::Slow)
     );
     assert_eq!(tick(&mut queue, SYNC_TIMEOUT + 1, 0), []);
-    // The abandoned intent is durable after all: its void follows.
+    // The abandoned intent becomes durable nevertheless: its void follows.
     let done = 2 * SYNC_TIMEOUT;
     assert_eq!(complete(&mut queue, done, Ok(100)), []);
     assert_eq!(queue.rejection_reason(done), None);
--- a/crates/idempotency-store/src/disk.rs
+++ b/crates/idempotency-store/src/disk.rs
@@ -10,9 +10,9 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A process that uses the directory holds the lock of this file.
+/// Lock file. A process that uses the directory holds the lock.
 const LOCK_FILE: &str = "lock";
-/// Changes with each boot of the machine.
+/// Contains an id that changes with each boot of the machine.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1000;
@@ -22,10 +22,10 @@
 pub struct StoreDirectory {
     path: PathBuf,
     active: ActiveFile,
-    /// The directory itself: names of new files have to be synced, too.
+    /// Handle of the directory, which is synced to make the names of new files durable.
     directory: File,
     boot_id: String,
-    /// Held while the directory is in use.
+    /// Exclusive lock; `None` if the directory is opened for reading only.
     _lock: Option<File>,
 }
 
@@ -76,7 +76,7 @@
     fn list(&mut self) -> io::Result<Vec<String>> {
         let mut names = Vec::new();
         for entry in fs::read_dir(&self.path)? {
-            // Segments have UTF-8 names.
+            // Names that are not UTF-8 are skipped: segments have UTF-8 names.
             names.extend(entry?.file_name().into_string());
         }
         Ok(names)
@@ -101,9 +101,10 @@
     fn sync(&mut self) -> io::Result<()> {
         let (file, path) = self.active.get()?;
         file.sync_data()?;
-        // A file is lost with its name. Only the first sync of a file has a name to write.
+        // A file whose directory entry is lost is lost as well. Only the first sync of a file has
+        // an entry to write.
         self.directory.sync_data()?;
-        // Data in a file or a directory that was removed is lost, though its sync succeeds.
+        // If the file or its directory was removed, the sync succeeds but the data is lost.
         fs::metadata(path).map(drop)
     }
 
@@ -128,8 +129,8 @@
     }
 }
 
-/// The thread that writes batches to the log. It ends after its present batch once this handle is
-/// dropped.
+/// The thread that writes batches to the log. The thread exits once this handle is dropped and the
+/// submitted batches are written.
 #[derive(Debug)]
 pub struct BatchWriter {
     batches: Sender<Batch>,
@@ -141,7 +142,7 @@
     ///
     /// # Errors
     ///
-    /// If the system starts no further thread.
+    /// If the system cannot start another thread.
     pub fn start<F: SegmentFiles + Send + 'static>(
         mut log: Log<F>,
         on_written: impl Fn(io::Result<u64>) + Send + 'static,
@@ -156,9 +157,9 @@
         Ok(BatchWriter { batches })
     }
 
-    /// Submits the next batch. The result of the one before has to have arrived.
+    /// Submits the next batch. The caller must have received the result of the previous batch.
     pub fn write(&self, batch: Batch) {
-        // The thread ends only after this handle.
+        // Does not fail: the thread receives until this handle is dropped.
         let _ = self.batches.send(batch);
     }
 }
--- a/crates/idempotency-store/src/lib.rs
+++ b/crates/idempotency-store/src/lib.rs
@@ -1,15 +1,15 @@
-//! Durable memory of idempotent requests: the outcomes that duplicates get after a restart.
+//! Durable store of idempotent requests, and of the outcomes that duplicates get after a restart.
 //!
-//! Before a run with an idempotency key starts, its intent is on the disk; when the run has ended,
-//! so is its outcome. The next process on the same directory knows, for each key within its window,
-//! whether a run may have started and how it ended.
+//! A run with an idempotency key starts only after its intent is on the disk, and its outcome is
+//! written when the run has ended. The next process on the same directory recovers, for each key
+//! within its window, whether a run may have started and how it ended.
 //!
 //! - [`record`]: the records and their encoding.
-//! - [`recovery`]: what the records mean to the next process.
+//! - [`recovery`]: recovery of keys and outcomes from the records, by the next process.
 //! - [`commit_queue`]: the write-ahead queue with group commit. Decides which records are written
 //!   next, which runs may start, and when keyed requests are rejected. No I/O and no clock.
-//! - [`log`]: the segmented log. Its files are a trait ([`log::SegmentFiles`]), so that tests can
-//!   lose pages and fail syncs.
+//! - [`log`]: the segmented log. File access goes through a trait ([`log::SegmentFiles`]), so that
+//!   tests can simulate lost pages and failed syncs.
 //! - [`disk`]: the directory on a file system, and the thread that writes to it.
 //!
 //! `docs/idempotency-store.md` compares the alternatives, with measurements.
--- a/crates/idempotency-store/src/log/batch.rs
+++ b/crates/idempotency-store/src/log/batch.rs
@@ -1,4 +1,4 @@
-//! Records that are written together.
+//! Batches of records.
 
 use crate::record::{encode, Record};
 use crate::Micros;
@@ -6,7 +6,7 @@
 /// Size and expiry of a record in a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordExpiry {
-    /// When the record is of no further use, by the time since boot.
+    /// When the record expires, by the time since boot.
     pub expires_at: Micros,
     /// Length of the encoded record, in bytes.
     pub bytes: u32,
@@ -17,7 +17,7 @@
 pub struct Batch {
     /// The encoded records.
     pub bytes: Vec<u8>,
-    /// Of each record.
+    /// Expiry and size of each record.
     pub expiries: Vec<RecordExpiry>,
 }
 
--- a/crates/idempotency-store/src/log/compaction.rs
+++ b/crates/idempotency-store/src/log/compaction.rs
@@ -1,4 +1,5 @@
-//! Reclaiming of space: while the log is written, and for a store that is not in use.
+//! Reclaiming of space: incrementally while the log is written, and by compaction of a store that
+//! is not in use.
 
 use super::batch::Batch;
 use super::contents::LogContents;
@@ -12,12 +13,14 @@
 use crate::Micros;
 use std::io;
 
-/// Space is reclaimed at most this often, in microseconds: expired segments may not be removable.
+/// Minimum interval between two reclaims, in microseconds. Limits the work while expired segments
+/// can't be removed.
 const RECLAIM_INTERVAL: Micros = SECOND;
 
 impl<F: SegmentFiles> Log<F> {
-    /// Drops expired segments, and writes the live records of the oldest one again if most of it
-    /// has expired. Does nothing while less than half of the capacity is used.
+    /// Drops expired segments. If the oldest segment has not expired but at least half of it has,
+    /// its live records are rewritten to a new segment. Does nothing while at most half of the
+    /// capacity is used.
     pub(super) fn reclaim_space(&mut self) -> io::Result<()> {
         if self.used_bytes() <= self.limits.capacity / 2 || self.segments.len() < 2 {
             return Ok(());
@@ -52,13 +55,13 @@
         if !live.is_empty() {
             self.append(&live)?;
         }
-        // All live records are in a newer segment; this one goes with the next that begins.
+        // All live records are in a newer segment; the start of the next one drops this segment.
         self.segments[0].expires_at = Micros::MIN;
         self.start_segment()
     }
 
-    /// Writes all live records into one new segment and drops the others: for a store that is not
-    /// in use.
+    /// Writes all live records into one new segment and drops the others. The store must not be in
+    /// use by another process.
     ///
     /// # Errors
     ///
@@ -86,7 +89,7 @@
     }
 }
 
-/// Appends the records of a key, with its times by the clocks of the present boot.
+/// Appends the records of a key, with times converted to the clocks of the current boot.
 fn push_key(batch: &mut Batch, key: RecoveredKey, now: &Clocks) {
     let RecoveredKey {
         mut intent,
--- a/crates/idempotency-store/src/log/contents.rs
+++ b/crates/idempotency-store/src/log/contents.rs
@@ -7,7 +7,7 @@
 use crate::recovery::{RecoveredKey, RecoveryTable};
 use pipitlever_framing::ReadErrorKind;
 
-/// Missing segments that are reported of each gap; these suffice to show it.
+/// Upper bound of the missing segments that are reported for each gap in the numbers.
 const MAX_REPORTED_MISSING: usize = 64;
 
 /// All segments of a directory.
@@ -19,7 +19,8 @@
     pub damage: Vec<Damage>,
     /// Numbers of segments that should exist and do not.
     pub missing: Vec<u64>,
-    /// Filled while reading: all records at once would take several times their encoded size.
+    /// Filled while reading, since all decoded records together would take several times the memory
+    /// of their encodings.
     pub(super) table: RecoveryTable,
 }
 
@@ -29,7 +30,7 @@
     /// # Errors
     ///
     /// If the file system reports an error, or a segment is of another version of the format.
-    /// Damage is no error; it is in [`LogContents::damage`].
+    /// Damage is not an error; it is listed in [`LogContents::damage`].
     pub fn read(files: &mut impl SegmentFiles) -> Result<LogContents, OpenError> {
         let names = files.list()?;
         let mut numbers: Vec<u64> = names.iter().filter_map(|n| segment_number(n)).collect();
@@ -40,7 +41,8 @@
             contents.read_segment(files, number, &now)?;
         }
         let oldest = contents.oldest_needed();
-        // Older segments were dropped, as all of their records had expired, but not removed yet.
+        // Older segments were dropped, as all of their records had expired; their files were not
+        // removed yet.
         contents
             .segments
             .retain(|segment| oldest.is_none_or(|oldest| segment.number >= oldest));
@@ -102,12 +104,12 @@
         let segment = &self.segments[index];
         let next_header = (self.segments.get(index + 1)).and_then(|next| next.header.as_ref());
         match next_header.and_then(|header| header.previous_durable_bytes) {
-            // This much was synced.
+            // Length of the part that was synced.
             Some(durable) => segment.readable < durable,
             // The last batch of the last segment may be incomplete: it was not synced, and no run
             // relied on it. A complete frame with other contents is damage.
             None if index + 1 >= started => !segment.has_unwritten_tail,
-            // The next segment does not say what was synced: all of it may have been.
+            // The next header does not record how much was synced: the whole segment may have been.
             None => segment.error.is_some() || segment.readable < segment.size,
         }
     }
@@ -140,6 +142,10 @@
     let file = segment.file.clone();
     match segment.error.clone() {
         Some(error) => Damage { file, error },
-        None => Damage::new(file, segment.readable, "the rest is missing"),
+        None => Damage::new(
+            file,
+            segment.readable,
+            "the data after this offset is missing",
+        ),
     }
 }
--- a/crates/idempotency-store/src/log/error.rs
+++ b/crates/idempotency-store/src/log/error.rs
@@ -3,13 +3,13 @@
 use pipitlever_framing::{ReadError, ReadErrorKind};
 use std::io;
 
-/// A place where data that was on the disk can't be read any more.
+/// Data that was on the disk and can't be read any more.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: {error}")]
 pub struct Damage {
     /// Name of the file.
     pub file: String,
-    /// Place in the file, and what is wrong there.
+    /// Offset in the file, and kind of the damage.
     pub error: ReadError,
 }
 
@@ -27,7 +27,7 @@
     /// The file system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A segment is of another version of the format, or, for a compaction, damaged.
+    /// A segment is of another version of the format, or is damaged, which prevents a compaction.
     #[error("{0}")]
     Damaged(Damage),
 }
--- a/crates/idempotency-store/src/log/files.rs
+++ b/crates/idempotency-store/src/log/files.rs
@@ -1,17 +1,20 @@
-//! The files of a log, and its limits.
+//! Access to the files of a log, and the limits of a log.
 
 use crate::record::Clocks;
 use std::io;
 
-/// Suffix of the names of segments.
+/// Suffix of the file names of segments.
 pub const SUFFIX: &str = ".pls";
-/// Digits in the name of a segment.
+/// Number of digits in the file name of a segment.
 const NUMBER_DIGITS: usize = 12;
 
 /// A directory of files, one of which is written at a time.
 ///
 /// All methods return the errors of the file system.
-#[expect(clippy::missing_errors_doc, reason = "said of the trait as a whole")]
+#[expect(
+    clippy::missing_errors_doc,
+    reason = "documented for the trait as a whole"
+)]
 pub trait SegmentFiles {
     /// Lists the names of all files.
     fn list(&mut self) -> io::Result<Vec<String>>;
@@ -35,12 +38,12 @@
     /// Size of all segments together, in bytes. The log reclaims space to stay within it; the
     /// commit queue bounds what is written.
     pub capacity: u64,
-    /// Size from which on a segment is complete, in bytes.
+    /// Size from which a segment is complete and the next batch goes to a new one, in bytes.
     pub segment_size: u64,
 }
 
 impl Limits {
-    /// Segments per log, within the bounds of their size.
+    /// Number of segments per log, unless the bounds of the segment size apply.
     const SEGMENTS: u64 = 16;
     const MIN_SEGMENT_SIZE: u64 = 16 << 10;
     const MAX_SEGMENT_SIZE: u64 = 16 << 20;
@@ -60,7 +63,7 @@
     format!("{number:0NUMBER_DIGITS$}{SUFFIX}")
 }
 
-/// The number of the segment with this file name, if it is one.
+/// The number in a file name, if this is the name of a segment.
 pub(super) fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(SUFFIX)?;
     if digits.len() != NUMBER_DIGITS {
--- a/crates/idempotency-store/src/log/mod.rs
+++ b/crates/idempotency-store/src/log/mod.rs
@@ -1,15 +1,15 @@
-//! The segmented log, bounded in size, on files that may fail at any time.
+//! The segmented log, bounded in size, on files whose operations may fail at any time.
 //!
-//! A frame holds a batch of records. It is either completely durable or counts for nothing, as no
-//! run relies on a batch that was not synced. After any failure nothing is appended to the same
-//! segment, since its tail may be incomplete: a new segment begins, and its header says how much of
-//! the previous one is known to be on the disk. A reader can therefore tell a truncated tail from
-//! damage: what was synced has to be there.
+//! A frame contains a batch of records. A frame that is not completely durable is ignored on
+//! reading, as no run relies on a batch that was not synced. After any failure nothing is appended
+//! to the same segment, since its tail may be incomplete: a new segment is started, whose header
+//! records how much of the previous one is known to be on the disk. A reader can therefore
+//! distinguish a truncated tail from damage: all synced bytes must be readable.
 //!
 //! A segment is dropped once all of its records have expired. The header of the next segment
-//! records that first, so a segment that is missing without such a record is damage, too. Where
-//! records with long windows keep a segment alive, its live records are written again and the
-//! segment is dropped.
+//! records the drop first, so that a segment missing without such an entry counts as damage. Where
+//! a few records with long windows prevent a segment from expiring, its live records are copied to
+//! a new segment and the old one is dropped.
 
 mod batch;
 mod compaction;
@@ -36,17 +36,17 @@
 use std::io;
 use usage::SegmentUsage;
 
-/// The log, as one process writes it.
+/// The log of the process that writes to it.
 #[derive(Debug)]
 pub struct Log<F> {
     files: F,
     limits: Limits,
     salt: Salt,
-    /// The oldest first. The last one is being written while there is a `next_frame`.
+    /// Segments, the oldest first. The last one may be appended to while `next_frame` is set.
     segments: VecDeque<SegmentUsage>,
-    /// Number of the next frame, while the last segment may be appended to.
+    /// Number of the next frame; `None` if the next batch needs a new segment.
     next_frame: Option<u32>,
-    /// How much of the last segment is known to be on the disk, in bytes.
+    /// Length of the part of the last segment that is known to be on the disk, in bytes.
     durable_bytes: Option<u64>,
     /// Number of the next segment.
     next_segment: u64,
@@ -70,17 +70,17 @@
         self.files.clocks()
     }
 
-    /// The files, for tests.
+    /// The files of the log, for tests.
     pub fn files_mut(&mut self) -> &mut F {
         &mut self.files
     }
 
-    /// Makes a batch durable as a whole. An empty batch reclaims space, and shows whether the files
-    /// work again after an error.
+    /// Writes a batch and makes it durable, all records or none. An empty batch reclaims space, and
+    /// tests whether writes succeed again after an error.
     ///
     /// # Errors
     ///
-    /// If the files report an error. The batch may be durable all the same.
+    /// If the files report an error. The batch may be durable nevertheless.
     pub fn write(&mut self, batch: &Batch) -> io::Result<()> {
         self.reclaim_space()?;
         if batch.is_empty() {
@@ -104,7 +104,7 @@
             out.extend_from_slice(&batch.bytes);
         });
         crash_point("before-append");
-        // Counted even if the append fails: any part of it may be on the disk.
+        // Counted even if the append fails, since any part of the frame may be on the disk.
         segment.bytes += bytes.len() as u64;
         self.files.append(&bytes)?;
         crash_point("before-sync");
@@ -116,7 +116,7 @@
         Ok(())
     }
 
-    /// Begins a segment, and drops the oldest ones that have expired.
+    /// Starts a new segment, and drops the oldest ones that have expired.
     fn start_segment(&mut self) -> io::Result<()> {
         self.next_frame = None;
         let clocks = self.files.clocks();
@@ -136,8 +136,8 @@
         let mut bytes = Vec::new();
         FORMAT.write_header(&mut bytes);
         append_frame(&mut bytes, 0, |out| encode(&header, out));
-        // Replaces a file of this number that was not completely started; no batch was written to
-        // it.
+        // A file of this number that already exists was not completely started: no batch was
+        // written to it, and it is replaced.
         self.files.create(&segment_name(number))?;
         self.files.append(&bytes)?;
         self.files.sync()?;
@@ -150,8 +150,8 @@
         Ok(())
     }
 
-    /// Removes the oldest segments. One that can't be removed still counts, and is tried again when
-    /// the next segment begins.
+    /// Removes the oldest segments. A segment that can't be removed stays in the list, and its
+    /// removal is retried when the next segment is started.
     fn remove_oldest(&mut self, count: usize) {
         for _ in 0..count {
             let name = segment_name(self.segments[0].number);
--- a/crates/idempotency-store/src/log/open.rs
+++ b/crates/idempotency-store/src/log/open.rs
@@ -10,7 +10,7 @@
 use crate::recovery::RecoveredKey;
 use crate::Micros;
 
-/// What the earlier processes left.
+/// Keys and damage found in the files of earlier processes.
 #[derive(Debug)]
 pub struct OpenReport {
     /// The keys within their windows.
@@ -65,9 +65,9 @@
     }
 }
 
-/// Segments at the end that were not completely started are started again. If they stayed, the
-/// header of the next one could not say how much of the last complete one is on the disk, and its
-/// incomplete tail would look like damage.
+/// Drops segments at the end that were not completely started, so that their numbers are used
+/// again. If they stayed, the header of the next segment could not record how much of the last
+/// completely started one is on the disk, whose incomplete tail would then look like damage.
 fn drop_unstarted_segments(contents: &mut LogContents) {
     while let Some(last) = contents.segments.last() {
         if last.header.is_some() || contents.is_damaged(last) {
@@ -77,8 +77,8 @@
     }
 }
 
-/// How much of the last segment is on the disk, in bytes: its incomplete tail is not, and the end
-/// of a damaged segment is taken to be.
+/// Length of the part of the last segment that counts as on the disk, in bytes: without an
+/// incomplete tail, but the whole of a damaged segment.
 fn durable_bytes(contents: &LogContents, last: &Segment) -> u64 {
     if contents.is_damaged(last) {
         last.size
@@ -100,8 +100,8 @@
             .saturating_add(read_grace);
         SegmentUsage::missing(number, expires_at)
     });
-    // All segments of a damaged log stay until nothing can be hidden there any more, so that each
-    // restart until then reports the damage.
+    // All segments of a damaged log are retained until every key that the damage may hide has
+    // expired, so that each restart until then reports the damage.
     let is_damaged = !contents.damage.is_empty();
     let found = contents.segments.iter().map(|segment| {
         let remaining = segment.remaining.filter(|_| !is_damaged);
--- a/crates/idempotency-store/src/log/segment.rs
+++ b/crates/idempotency-store/src/log/segment.rs
@@ -7,12 +7,12 @@
 use pipitlever_framing::{FrameReader, ReadError, ReadErrorKind};
 
 /// File systems write in blocks of at least this size, in bytes. A block that was not written
-/// before a power cut reads as zeros.
+/// before a power failure reads as zeros.
 const BLOCK_BYTES: usize = 512;
-/// No frame begins with this many zeros, as its header has a checksum.
+/// No frame begins with this many zeros, as a frame header has a checksum.
 const MIN_ZEROS: usize = 8;
 
-/// One segment, as far as it can be read.
+/// The readable part of a segment, and the reason why it ends.
 #[derive(Clone, Debug)]
 pub struct Segment {
     /// Number of the segment.
@@ -27,15 +27,16 @@
     pub header: Option<SegmentHeader>,
     /// Why the segment can't be read to its end, unless it is truncated.
     pub error: Option<ReadError>,
-    /// How long a record of the segment is needed from now on, in microseconds; `None` if the
-    /// clocks can't tell.
+    /// The longest time that a record of the segment is still needed, in microseconds; `None` if
+    /// the clocks of another boot leave this open.
     pub(super) remaining: Option<Micros>,
-    /// Whether the part that can't be read looks like blocks which were never written.
+    /// False if reading ended with an error and the rest does not look like blocks that were never
+    /// written.
     pub(super) has_unwritten_tail: bool,
 }
 
 impl Segment {
-    /// Reads a segment, and passes its records on with the clocks of the segment's header.
+    /// Reads a segment, and calls `on_record` with each record and the clocks of the header.
     pub(super) fn read(
         number: u64,
         bytes: &[u8],
@@ -53,7 +54,7 @@
             has_unwritten_tail: true,
         };
         if let Err(error) = segment.read_frames(bytes, now, &mut on_record) {
-            // Whether this is damage depends on the segments after this one.
+            // Whether the error is damage depends on the segments after this one.
             segment.has_unwritten_tail = is_unwritten(bytes, error.offset as usize);
             segment.error = Some(error);
         }
@@ -85,7 +86,10 @@
                 let header = decode_header(frame.payload);
                 let header = header.map_err(|error| invalid(error.to_string()))?;
                 if header.number != self.number {
-                    return Err(invalid(format!("this is segment {}", header.number)));
+                    return Err(invalid(format!(
+                        "the header is of segment {}",
+                        header.number
+                    )));
                 }
                 self.header = Some(header);
             }
@@ -95,25 +99,26 @@
     }
 }
 
-/// How long a record is needed from now on, in microseconds, if the clocks can tell.
+/// How long a record is still needed, in microseconds; `None` if the record is of another boot and
+/// has no wall clock time.
 fn remaining_use(record: &Record, written: &Clocks, now: &Clocks) -> Option<Micros> {
     match record {
         Record::Intent(intent) => Some(
             remaining_window(intent, written, now)
                 .map_or(0, |window| window.saturating_add(intent.read_grace)),
         ),
-        // As long as its intent, which may be in another segment.
+        // Needed as long as its intent, which may be in another segment.
         Record::Outcome { expires_at, .. } | Record::Void { expires_at, .. } => written
             .is_same_boot(now)
             .then(|| expires_at.saturating_sub(now.since_boot)),
     }
 }
 
-/// Whether the bytes from `offset` on look as after a power cut: blocks that were not written are
-/// zeros.
+/// Whether the bytes from `offset` on look as after a power failure: blocks that were not written
+/// are zeros.
 fn is_unwritten(bytes: &[u8], offset: usize) -> bool {
     let is_zero = |bytes: &[u8]| bytes.iter().all(|&byte| byte == 0);
-    // Less than a block may be left, of which only the length was written.
+    // The rest may be shorter than a block: only the new length of the file was written.
     if bytes.get(offset..).is_some_and(is_zero) {
         return true;
     }
--- a/crates/idempotency-store/src/log/usage.rs
+++ b/crates/idempotency-store/src/log/usage.rs
@@ -1,4 +1,4 @@
-//! What a process remembers of a segment on the disk.
+//! Size and expiry of the segments on the disk, as tracked in memory.
 
 use super::batch::Batch;
 use crate::Micros;
@@ -14,13 +14,13 @@
     pub(super) bytes: u64,
     /// When all of its records have expired, by the time since boot, in microseconds.
     pub(super) expires_at: Micros,
-    /// Bytes of records by the second in which they expire. A segment of an earlier process is
-    /// counted as a whole.
+    /// Bytes of records by the second in which they expire. All bytes of an earlier process's
+    /// segment count as expiring together.
     bytes_by_expiry: BTreeMap<i64, u64>,
 }
 
 impl SegmentUsage {
-    /// A segment that this process has started.
+    /// Usage of a segment that this process has started.
     pub(super) fn started(number: u64, bytes: u64) -> SegmentUsage {
         SegmentUsage {
             number,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A segment of an earlier process.
+    /// Usage of a segment of an earlier process.
     pub(super) fn found(number: u64, bytes: u64, expires_at: Micros) -> SegmentUsage {
         SegmentUsage {
             number,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// A segment that should exist and does not.
+    /// Usage of a segment that should exist but does not.
     pub(super) fn missing(number: u64, expires_at: Micros) -> SegmentUsage {
         SegmentUsage {
             expires_at,
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -1,5 +1,5 @@
-//! The records of the log, and their encoding (postcard: the order of fields and variants is
-//! fixed).
+//! The records of the log and their encoding: postcard, which is positional, so that the order of
+//! fields and variants must not change.
 
 use crate::Micros;
 use pipitlever_framing::Format;
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 use std::io;
 
-/// The file type of a segment.
+/// File format of a segment.
 pub const FORMAT: Format = Format {
     magic: *b"PLSTORE\0",
     version: 1,
@@ -21,30 +21,31 @@
 /// Upper bound of an encoded outcome without its result, and of a void, in bytes.
 pub const OUTCOME_OVERHEAD_BYTES: u64 = 48;
 
-/// The clocks of a machine at one moment.
+/// A reading of the machine's clocks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Clocks {
-    /// Unix time, in microseconds. It may be set forwards and backwards.
+    /// Unix time, in microseconds. This clock may be set forwards and backwards.
     pub wall: Micros,
-    /// Time since boot, in microseconds, suspended time included. It is never set.
+    /// Time since boot, in microseconds, suspended time included. This clock is never set.
     pub since_boot: Micros,
     /// Identifies the boot; empty if unknown.
     pub boot_id: String,
 }
 
 impl Clocks {
-    /// Whether these clocks, read `earlier`, are of the same boot as `now`, so that their times
-    /// since boot can be compared.
+    /// Whether this earlier reading is of the same boot as `now`, so that the times since boot can
+    /// be compared.
     pub(crate) fn is_same_boot(&self, now: &Clocks) -> bool {
         !now.boot_id.is_empty() && self.boot_id == now.boot_id && self.since_boot <= now.since_boot
     }
 }
 
-/// A run with an idempotency key is about to start.
+/// Announces a run with an idempotency key, before the run starts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Number of the intent, given by the store. A client's reference can occur again, by mistake
-    /// or on purpose, and must not mix up the records of two keys.
+    /// Id of the intent, assigned by the store. Records refer to it and not to the client's
+    /// reference, which a client may reuse, by mistake or on purpose: the records of two keys must
+    /// not be mixed up.
     pub id: u64,
     /// The client's reference of the attempt.
     pub reference: u64,
@@ -56,26 +57,27 @@
     pub payload_digest: u64,
     /// When the attempt reached the machine, in Unix microseconds.
     pub arrived_at: Micros,
-    /// Attempts that reach the machine within this time of it are duplicates, in microseconds.
+    /// Attempts that reach the machine within this time of `arrived_at` are duplicates, in
+    /// microseconds.
     pub window: Micros,
-    /// When the intent is of no further use, by [`Clocks::since_boot`].
+    /// When the intent expires, by [`Clocks::since_boot`].
     pub expires_at: Micros,
-    /// A duplicate that arrived within the window may be read this long after its end, in
-    /// microseconds: the window ends this long before `expires_at`.
+    /// Upper bound of the time from the end of the window until a duplicate that arrived within
+    /// the window is read, in microseconds. The window ends this long before `expires_at`.
     pub read_grace: Micros,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It succeeded with this result.
+    /// The run succeeded with this result.
     Served(Vec<u8>),
-    /// It failed, and may have had its effect.
+    /// The run failed, and may have taken effect.
     Failed,
 }
 
-/// A record of the log. Records of one run share its intent's id; the order of records has no
-/// meaning.
+/// A record of the log. The records of a run share the id of its intent; their order is not
+/// significant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// The run may have started.
@@ -84,7 +86,7 @@
     Outcome {
         /// Id of the intent.
         id: u64,
-        /// When the record is of no further use, by [`Clocks::since_boot`].
+        /// When the record expires, by [`Clocks::since_boot`].
         expires_at: Micros,
         /// How the run ended.
         outcome: Outcome,
@@ -93,13 +95,13 @@
     Void {
         /// Id of the intent.
         id: u64,
-        /// When the record is of no further use, by [`Clocks::since_boot`].
+        /// When the record expires, by [`Clocks::since_boot`].
         expires_at: Micros,
     },
 }
 
 impl Record {
-    /// When the record is of no further use, by [`Clocks::since_boot`].
+    /// When the record expires and is of no further use, by [`Clocks::since_boot`].
     pub fn expires_at(&self) -> Micros {
         match self {
             Record::Intent(Intent { expires_at, .. })
@@ -116,8 +118,8 @@
     pub number: u64,
     /// The oldest segment that was not dropped yet.
     pub oldest: u64,
-    /// How much of the previous segment is known to be on the disk, in bytes. If less of it is
-    /// there, data was lost.
+    /// Length of the part of the previous segment that is known to be on the disk, in bytes. If
+    /// less is readable, data was lost.
     pub previous_durable_bytes: Option<u64>,
     /// The clocks when the segment was started.
     pub clocks: Clocks,
@@ -125,7 +127,8 @@
     pub salt: Salt,
 }
 
-/// Key of a store's digests. Without it no client can construct two bodies with equal digests.
+/// Secret key of a store's payload digests, which prevents clients from constructing two bodies
+/// with equal digests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Salt(pub [u64; 2]);
 
@@ -140,8 +143,8 @@
         Ok(Salt([random()?, random()?]))
     }
 
-    /// Returns the digest of a class and a body. It is the same after a restart, and whichever
-    /// protocol front the request arrives by.
+    /// Returns the digest of a class and a body. The digest does not depend on the process or on
+    /// the protocol front that received the request.
     pub fn digest(&self, class: &str, body: &[u8]) -> u64 {
         let mut hasher = SipHasher24::new_with_keys(self.0[0], self.0[1]);
         hasher.write(&(class.len() as u64).to_le_bytes());
@@ -155,17 +158,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// A record is invalid.
-    #[error("a record can't be read: {0}")]
+    #[error("cannot decode a record: {0}")]
     Record(#[source] postcard::Error),
     /// The header of a segment is invalid.
-    #[error("the segment header can't be read: {0}")]
+    #[error("cannot decode the segment header: {0}")]
     Header(#[source] postcard::Error),
 }
 
 /// Appends the encoding of a value.
 pub fn encode(value: &impl Serialize, out: &mut Vec<u8>) {
     let before = std::mem::take(out);
-    // Every type here has a postcard encoding, and a vector has space for it.
+    // Every type of this module has a postcard encoding, and a vector grows as needed.
     *out = postcard::to_extend(value, before).expect("records can be encoded");
 }
 
--- a/crates/idempotency-store/src/recovery.rs
+++ b/crates/idempotency-store/src/recovery.rs
@@ -1,30 +1,30 @@
-//! What the records of earlier processes mean. No I/O and no clock.
+//! Recovery of keys from the records of earlier processes. No I/O and no clock.
 //!
 //! | records of a key within its window | a duplicate gets |
 //! | --- | --- |
 //! | none | a run, as a first attempt |
-//! | an intent alone | a failure at once: its run may have started |
+//! | an intent alone | an immediate failure: the run may have started |
 //! | an intent and an outcome | the outcome, byte for byte |
-//! | an intent and a void | a run, as a first attempt: none ever started |
+//! | an intent and a void | a run, as a first attempt: the earlier run never started |
 //! | damage that may hide an intent | a rejection, until the longest window has passed |
 //!
-//! The window counts from the arrival of the attempt that ran, by the wall clock. That clock may
-//! have been set meanwhile, so an entry ends at the later of two times: by the wall clock, and by
-//! the time since boot, which is never set. After a reboot the time since boot says nothing, and
-//! the whole window counts again from the restart. A clock that jumps therefore never allows a
-//! second run; at most, keys are remembered for a whole window from the restart.
+//! The window starts at the arrival of the attempt that ran, by the wall clock. The wall clock may
+//! have been set since, so the window ends at the later of two times: by the wall clock, and by the
+//! time since boot, which is never set. After a reboot the times since boot cannot be compared, and
+//! a whole window counts from the restart. A clock change therefore never allows a second run; at
+//! worst, keys are retained for a whole window from the restart.
 
 use crate::record::{Clocks, Intent, Outcome, Record};
 use crate::Micros;
 use std::collections::{HashMap, HashSet};
 
-/// A key that a process has recovered.
+/// A key recovered from the records of earlier processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredKey {
-    /// The last attempt that may have run.
+    /// Intent of the last attempt that may have run, or of the first one that has a result.
     pub intent: Intent,
     /// Attempts that reach the machine up to this time are duplicates, in Unix microseconds by the
-    /// present clock.
+    /// current wall clock.
     pub window_end: Micros,
     /// How the run ended, if known.
     pub outcome: Option<Outcome>,
@@ -36,11 +36,12 @@
     }
 }
 
-/// Returns the rest of an intent's window, in microseconds; negative while its duplicates may still
-/// be read, and `None` after that. `written` are the clocks of the process that wrote the intent.
+/// Returns the remaining time of an intent's window, in microseconds: negative after its end while
+/// duplicates may still be read, and `None` after that. `written` are the clocks at the start of
+/// the segment that contains the intent.
 pub fn remaining_window(intent: &Intent, written: &Clocks, now: &Clocks) -> Option<Micros> {
     let window = intent.window.max(0);
-    // No entry lasts longer than its window from now on, whatever the clocks were.
+    // Never more than a whole window remains, even if the clocks were set back.
     let by_wall_clock = intent
         .arrived_at
         .saturating_add(window)
@@ -62,16 +63,16 @@
 #[derive(Clone, Debug)]
 struct IntentEntry {
     intent: Intent,
-    /// The longest rest of the window of all copies of the intent.
+    /// The longest remaining window among all copies of the intent.
     remaining_window: Micros,
 }
 
-/// Collects records, in any order and with any number of copies.
+/// Collects records in any order; a record may occur several times.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveryTable {
-    /// By id.
+    /// Intents by id.
     intents: HashMap<u64, IntentEntry>,
-    /// By the intent's id.
+    /// Outcomes by the intent's id.
     outcomes: HashMap<u64, Outcome>,
     /// Ids of intents whose runs never started.
     voids: HashSet<u64>,
@@ -104,7 +105,7 @@
         entry.remaining_window = entry.remaining_window.max(remaining_window);
     }
 
-    /// A result takes precedence over a failure, should both exist.
+    /// If a run has both a result and a failure, the result takes precedence.
     fn add_outcome(&mut self, id: u64, outcome: Outcome) {
         let known = self.outcomes.entry(id).or_insert_with(|| outcome.clone());
         if *known == Outcome::Failed {
@@ -122,13 +123,13 @@
         self.longest_window
     }
 
-    /// Returns the keys within their windows, by the end of the window.
+    /// Returns the keys within their windows, sorted by the end of the window.
     ///
-    /// A key with several attempts that may have run has a result if any of them has one, and lasts
-    /// as long as the last of them.
+    /// Where several attempts of a key may have run, the key has a result if any of the attempts
+    /// has one, and the latest end of their windows.
     pub fn into_keys(mut self, now: &Clocks) -> Vec<RecoveredKey> {
         let mut intents: Vec<IntentEntry> = self.intents.into_values().collect();
-        // The same order on every reading of the same files.
+        // Makes the result deterministic for the same files.
         intents.sort_by_key(|entry| (entry.intent.arrived_at, entry.intent.id));
         let mut keys: HashMap<String, RecoveredKey> = HashMap::new();
         for entry in intents {
--- a/crates/idempotency-store/tests/common/mod.rs
+++ b/crates/idempotency-store/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A directory that fails as real ones do, and loses on a power cut what was not synced.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! A simulated directory with injectable faults, which loses unsynced data on a power failure.
+#![allow(dead_code, reason = "no test file uses all items of this module")]
 
 pub mod runs;
 
@@ -10,17 +10,17 @@
 use std::io;
 use std::rc::Rc;
 
-/// Pages are written to the disk one by one, in any order. In bytes.
+/// Size of a page, in bytes. Pages are written to the disk one by one, in any order.
 const PAGE: usize = 512;
-/// Time since boot after a power cut, in microseconds.
+/// Time since boot after a power failure, in microseconds.
 const BOOT_TIME: i64 = 1_000_000;
 
-/// Errors of the file system, until they are set otherwise.
+/// Faults of the file system, which stay in effect until they are changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Only this many bytes of each append are written, if any.
     pub append_limit: Option<usize>,
-    /// Syncs fail. What they were to sync may be on the disk or not.
+    /// Syncs fail. The data to be synced may or may not be on the disk.
     pub fail_syncs: bool,
     /// Creations and appends fail.
     pub read_only: bool,
@@ -33,7 +33,7 @@
     bytes: Vec<u8>,
     /// Length of the part that is on the disk.
     synced: usize,
-    /// Whether the file's name is on the disk.
+    /// Whether the file's directory entry is on the disk.
     is_name_synced: bool,
 }
 
@@ -43,11 +43,11 @@
         self.is_name_synced = true;
     }
 
-    /// Loses what was not synced, as far as `is_lost` decides.
+    /// Loses unsynced data: `is_lost` decides on the length of the file and on each page.
     fn lose_unsynced(&mut self, is_lost: &mut impl FnMut() -> bool) {
         let synced = self.synced;
         if is_lost() {
-            // The new length was not written either.
+            // The new length of the file is lost as well.
             let mut length = synced;
             while length < self.bytes.len() && is_lost() {
                 length = ((length / PAGE + 1) * PAGE).min(self.bytes.len());
@@ -64,7 +64,7 @@
     }
 }
 
-/// State of the directory and of the machine, which outlives processes.
+/// State of the directory and of the machine, which persists when a process exits.
 #[derive(Clone, Debug, Default)]
 pub struct Machine {
     files: BTreeMap<String, File>,
@@ -83,7 +83,7 @@
         let name = self.active.clone().expect("a file was created");
         self.files
             .get_mut(&name)
-            .ok_or_else(|| io::Error::other("gone"))
+            .ok_or_else(|| io::Error::other("the active file was removed"))
     }
 }
 
@@ -96,7 +96,7 @@
         self.0.borrow_mut()
     }
 
-    /// Time passes.
+    /// Advances both clocks.
     pub fn advance(&self, micros: i64) {
         let mut machine = self.machine();
         machine.wall += micros;
@@ -126,23 +126,23 @@
         self.machine().files.remove(name);
     }
 
-    /// The power fails and the machine boots again. `draw` decides what of the unsynced data is on
-    /// the disk.
-    pub fn power_cut(&self, mut draw: impl FnMut() -> bool) {
+    /// The power fails and the machine boots again. `random_bool` decides which of the unsynced
+    /// data is on the disk.
+    pub fn power_cut(&self, mut random_bool: impl FnMut() -> bool) {
         let mut machine = self.machine();
         machine.active = None;
         machine.boots += 1;
         machine.since_boot = BOOT_TIME;
         machine
             .files
-            .retain(|_, file| file.is_name_synced || draw());
+            .retain(|_, file| file.is_name_synced || random_bool());
         for file in machine.files.values_mut() {
-            file.lose_unsynced(&mut draw);
+            file.lose_unsynced(&mut random_bool);
             file.sync();
         }
     }
 
-    /// The process ends. What was written is retained by the system.
+    /// The process is killed. The system retains all written data, synced or not.
     pub fn kill(&self) {
         let mut machine = self.machine();
         machine.active = None;
@@ -165,7 +165,7 @@
     fn create(&mut self, name: &str) -> io::Result<()> {
         let mut machine = self.machine();
         if machine.faults.read_only {
-            return Err(io::Error::other("read-only"));
+            return Err(io::Error::other("read-only file system"));
         }
         machine.files.insert(name.to_owned(), File::default());
         machine.active = Some(name.to_owned());
@@ -191,7 +191,7 @@
     fn sync(&mut self) -> io::Result<()> {
         let mut machine = self.machine();
         if machine.faults.fail_syncs {
-            return Err(io::Error::other("sync"));
+            return Err(io::Error::other("sync failed"));
         }
         machine.active_file()?.sync();
         Ok(())
--- a/crates/idempotency-store/tests/common/runs.rs
+++ b/crates/idempotency-store/tests/common/runs.rs
@@ -1,4 +1,4 @@
-//! A log with some runs in it.
+//! Helpers that write and read logs with the records of runs.
 
 use super::Directory;
 use pipitlever_idempotency_store::log::{
@@ -16,7 +16,7 @@
     capacity: 64 << 10,
     segment_size: 8 << 10,
 };
-/// Keys of [`filled`].
+/// Number of keys in [`filled_log`].
 pub const KEYS: u64 = 30;
 
 pub fn directory() -> Directory {
@@ -70,7 +70,7 @@
     log.write(&batch)
 }
 
-/// Writes an intent and its outcome, which becomes durable with it.
+/// Writes an intent and its outcome in one batch.
 pub fn write_run(
     log: &mut Log<Directory>,
     directory: &Directory,
@@ -85,13 +85,13 @@
     write(log, &records)
 }
 
-/// The result of a key of [`filled`].
+/// The result of a key of [`filled_log`].
 pub fn result_of(reference: u64) -> Vec<u8> {
     vec![reference as u8 + 1; 600]
 }
 
-/// Writes some segments of keys with their results.
-pub fn filled(directory: &Directory) -> Log<Directory> {
+/// Writes [`KEYS`] keys with their results, in at least three segments.
+pub fn filled_log(directory: &Directory) -> Log<Directory> {
     let (mut log, _) = open(directory);
     for reference in 0..KEYS {
         let result = result_of(reference);
--- a/crates/idempotency-store/tests/compatibility.rs
+++ b/crates/idempotency-store/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! Records and segments of the idempotency store, compared with fixtures written by the build of
+//! Records and segments of the idempotency store are compared with fixtures written by the build of
 //! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-idempotency-store --test
-//! compatibility`): either build reads the other's directory.
+//! compatibility`), so that each build can read the directory of the other.
 
 mod common;
 
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn records_and_digests_are_those_of_the_earlier_build() {
+fn records_and_digests_match_those_of_the_earlier_build() {
     let mut samples = Vec::new();
     for (name, record) in records() {
         let mut bytes = Vec::new();
@@ -97,7 +97,7 @@
     pipitlever_test_fixtures::assert_bytes(fixture("records.txt"), &samples);
 }
 
-/// What the earlier build finds in the directory of `store.txt`, a line for each key.
+/// The keys recovered from a directory, one line for each.
 fn recovered_keys(directory: &Directory) -> String {
     let (_, found) = Log::open(directory.clone(), LIMITS, WINDOW)
         .expect("the earlier build's directory can be read");
@@ -110,8 +110,8 @@
     found.keys.iter().map(line).collect()
 }
 
-/// Writes a directory with a live key, one served, one failed, one void and many that were
-/// compacted away.
+/// Writes a directory of 12 keys, three each without an outcome, served, failed and void, and
+/// compacts its log.
 fn write_directory() -> Directory {
     let directory = Directory::default();
     directory.machine().wall = 1_000_000 * SECOND;
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_folder_of_the_earlier_build_is_recovered() {
+fn a_directory_of_the_earlier_build_is_recovered() {
     let text = std::fs::read_to_string(fixture("store.txt")).unwrap_or_default();
     if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
         let mut directory = write_directory();
--- a/crates/idempotency-store/tests/damage.rs
+++ b/crates/idempotency-store/tests/damage.rs
@@ -1,9 +1,9 @@
-//! The log on a directory that fails: damage is distinguished from a truncated tail.
+//! The log on a faulty directory: damage has to be distinguished from a truncated tail.
 
 mod common;
 
 use common::runs::{
-    directory, filled, intent, live_keys, open, outcome, read, result_of, write, KEYS, LIMITS,
+    directory, filled_log, intent, live_keys, open, outcome, read, result_of, write, KEYS, LIMITS,
     SECOND, WINDOW,
 };
 use common::Faults;
@@ -13,13 +13,14 @@
 use proptest::test_runner::RngSeed;
 
 #[test]
-fn any_flipped_bit_is_reported_as_damage_at_its_place() {
+fn any_flipped_bit_is_reported_as_damage_at_its_offset() {
     let directory = directory();
-    drop(filled(&directory));
+    drop(filled_log(&directory));
     let names = directory.names();
     for name in [&names[0], &names[1], names.last().unwrap()] {
         let length = directory.clone().read(name).unwrap().len();
-        // All of the beginning and of the end, and some of each frame's header and payload.
+        // Each of the first and last 64 bytes, and every seventh byte between, so that headers and
+        // payloads of frames are covered.
         let offsets = (0..64)
             .chain((64..length).step_by(7))
             .chain(length - 64..length);
@@ -46,7 +47,7 @@
 #[test]
 fn a_truncated_tail_is_normal_and_an_earlier_truncation_is_damage() {
     let directory = directory();
-    drop(filled(&directory));
+    drop(filled_log(&directory));
     let names = directory.names();
     let last = names.last().unwrap();
     let complete = directory.clone().read(last).unwrap();
@@ -59,12 +60,12 @@
         previous_keys = keys;
     }
     directory.modify(last, |bytes| bytes.clone_from(&complete));
-    // A segment that another one follows.
+    // A truncated segment that is followed by another one.
     directory.modify(&names[0], |bytes| bytes.truncate(bytes.len() - 1));
     let damage = read(&directory).damage;
     assert_eq!(damage.len(), 1);
     assert_eq!(damage[0].file, names[0]);
-    // A segment that is missing.
+    // A missing segment.
     directory.delete(&names[1]);
     assert!(read(&directory)
         .damage
@@ -72,13 +73,13 @@
         .any(|damage| damage.to_string().contains("this segment is missing")));
 }
 
-/// Damage is reported at each start until it can hide no key any more, whatever was written
-/// meanwhile.
+/// Damage is reported at each start until all keys that it may hide have expired, even if records
+/// were written in between.
 #[test]
 fn damage_is_reported_after_each_restart() {
     for is_missing in [false, true] {
         let directory = directory();
-        drop(filled(&directory));
+        drop(filled_log(&directory));
         let names = directory.names();
         if is_missing {
             directory.delete(&names[0]);
@@ -93,7 +94,7 @@
             write(&mut log, &[intent(&directory, 100 + start, WINDOW)]).unwrap();
             directory.advance(SECOND);
         }
-        // Once they have expired, its segments are dropped with the first one that begins.
+        // Once all records have expired, the segments are dropped when the next one is started.
         let (mut log, _) = open(&directory);
         directory.advance(60 * SECOND);
         for run in 0..60 {
@@ -111,7 +112,7 @@
 #[test]
 fn another_version_of_the_format_is_rejected() {
     let directory = directory();
-    drop(filled(&directory));
+    drop(filled_log(&directory));
     directory.modify(&directory.names()[0], |bytes| {
         let format = pipitlever_framing::Format {
             version: 2,
@@ -130,7 +131,7 @@
     );
 }
 
-/// After a failure nothing is appended to the same segment, and what was durable stays readable.
+/// After a failure nothing is appended to the same segment, and durable records stay readable.
 #[test]
 fn failures_lose_nothing_that_was_durable() {
     let kinds = [
@@ -187,7 +188,7 @@
     }
 }
 
-/// The same cases on every run.
+/// Settings with a fixed seed: the same cases on every run.
 fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         cases: 400,
@@ -200,8 +201,8 @@
 proptest::proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Whatever happens to the bytes: no panic, no result that was not written, and no key that is
-    /// missing without reported damage.
+    /// Arbitrary changes of the files cause no panic and no result that was not written. No key is
+    /// missing without reported damage, unless the last segment was changed.
     #[test]
     fn corrupted_files_yield_no_wrong_result(
         changes in proptest::collection::vec(
@@ -210,7 +211,7 @@
         )
     ) {
         let directory = directory();
-        drop(filled(&directory));
+        drop(filled_log(&directory));
         let names = directory.names();
         let last = names.last().unwrap();
         let mut changed_last = false;
--- a/crates/idempotency-store/tests/histories.rs
+++ b/crates/idempotency-store/tests/histories.rs
@@ -6,7 +6,7 @@
 mod common;
 mod node_model;
 
-use node_model::{Step, World};
+use node_model::{Simulation, Step};
 use pipitlever_idempotency_store::commit_queue::SYNC_TIMEOUT;
 use proptest::prelude::{any, prop_oneof, Just, ProptestConfig, Strategy};
 use proptest::test_runner::RngSeed;
@@ -25,7 +25,7 @@
     ]
 }
 
-/// The same cases on every run, so that the result of the test does not vary.
+/// Settings with a fixed seed: the same cases on every run, so that the result does not vary.
 fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         cases: 600,
@@ -42,24 +42,24 @@
     fn no_key_runs_twice_and_no_durable_outcome_is_lost(
         steps in proptest::collection::vec(step(), 1..160)
     ) {
-        let mut world = World::new();
-        world.apply_all(&steps);
-        // Once the disk works again, so does the store, without a restart.
-        world.apply(Step::SetFault(0));
+        let mut simulation = Simulation::new();
+        simulation.apply_all(&steps);
+        // Once the disk works again, the store accepts keyed requests without a restart.
+        simulation.apply(Step::SetFault(0));
         for _ in 0..200 {
-            world.apply(Step::Advance(500));
-            world.apply(Step::Write);
+            simulation.apply(Step::Advance(500));
+            simulation.apply(Step::Write);
         }
-        proptest::prop_assert_eq!(world.rejection_reason(), None);
-        proptest::prop_assert!(world.is_idle());
+        proptest::prop_assert_eq!(simulation.rejection_reason(), None);
+        proptest::prop_assert!(simulation.is_idle());
     }
 }
 
-/// Histories of the kinds that the random ones are meant to contain.
+/// One fixed history for each kind of event that the random histories are meant to contain.
 #[test]
 fn histories_of_each_kind() {
-    let mut world = World::new();
-    world.apply_all(&[
+    let mut simulation = Simulation::new();
+    simulation.apply_all(&[
         Step::Request(1),
         Step::Write,
         Step::EndRun(true),
@@ -67,38 +67,42 @@
         Step::Kill,
         Step::Request(1),
     ]);
-    assert_eq!((world.runs_of(1), world.durable_outcomes()), (1, 1));
-    world.apply_all(&[
+    assert_eq!(
+        (simulation.runs_of(1), simulation.durable_outcomes()),
+        (1, 1)
+    );
+    simulation.apply_all(&[
         Step::JumpWallClock(7200),
         Step::Request(1),
         Step::JumpWallClock(-7200),
         Step::Request(1),
     ]);
-    assert_eq!(world.runs_of(1), 1);
-    // After the window, by every clock.
+    assert_eq!(simulation.runs_of(1), 1);
+    // After the end of the window by every clock.
     for _ in 0..12 {
-        world.apply(Step::Advance(4000));
+        simulation.apply(Step::Advance(4000));
     }
-    world.apply_all(&[Step::Request(1), Step::Write]);
-    assert_eq!(world.runs_of(1), 2);
-    // A slow writer: the intent is abandoned, and its run does not start once it is durable.
+    simulation.apply_all(&[Step::Request(1), Step::Write]);
+    assert_eq!(simulation.runs_of(1), 2);
+    // A slow writer: the intent is abandoned, and its run does not start even when the intent
+    // becomes durable.
     let past_timeout = (SYNC_TIMEOUT / 1000) as u16 + 1;
-    world.apply_all(&[
+    simulation.apply_all(&[
         Step::Request(2),
         Step::WriteSlowly,
         Step::Advance(past_timeout),
     ]);
-    assert!(!world.knows(2) && world.runs_of(2) == 0);
-    world.apply_all(&[Step::Write, Step::Write, Step::Request(2), Step::Write]);
-    assert_eq!(world.runs_of(2), 1);
+    assert!(!simulation.has_key(2) && simulation.runs_of(2) == 0);
+    simulation.apply_all(&[Step::Write, Step::Write, Step::Request(2), Step::Write]);
+    assert_eq!(simulation.runs_of(2), 1);
     // An intent without an outcome: its duplicates do not run.
-    world.apply_all(&[Step::PowerCut(7), Step::Request(2), Step::Write]);
-    assert_eq!(world.runs_of(2), 1);
-    world.apply_all(&[
+    simulation.apply_all(&[Step::PowerCut(7), Step::Request(2), Step::Write]);
+    assert_eq!(simulation.runs_of(2), 1);
+    simulation.apply_all(&[
         Step::SetFault(2),
         Step::Request(3),
         Step::Write,
         Step::Request(4),
     ]);
-    assert!(world.rejection_reason().is_some() && world.runs_of(3) == 0);
+    assert!(simulation.rejection_reason().is_some() && simulation.runs_of(3) == 0);
 }
--- a/crates/idempotency-store/tests/log.rs
+++ b/crates/idempotency-store/tests/log.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::runs::{
-    directory, filled, live_keys, open, read, result_of, write_run, HOUR, KEYS, LIMITS, READ_GRACE,
-    SECOND, WINDOW,
+    directory, filled_log, live_keys, open, read, result_of, write_run, HOUR, KEYS, LIMITS,
+    READ_GRACE, SECOND, WINDOW,
 };
 use pipitlever_idempotency_store::log::OpenReport;
 use pipitlever_idempotency_store::record::Outcome;
@@ -12,7 +12,7 @@
 #[test]
 fn written_keys_are_recovered() {
     let directory = directory();
-    drop(filled(&directory));
+    drop(filled_log(&directory));
     directory.advance(5 * SECOND);
     let (_, report) = open(&directory);
     assert_eq!(report.keys.len() as u64, KEYS);
@@ -22,14 +22,14 @@
         assert_eq!(key.outcome, Some(Outcome::Served(result)));
         assert_eq!(key.window_end, directory.machine().wall + 15 * SECOND);
     }
-    // A duplicate that arrived within the window may be read until the end of the grace.
+    // A duplicate that arrived within the window may be read until the end of the read grace.
     directory.advance(23 * SECOND);
     assert_eq!(open(&directory).1.keys.len() as u64, KEYS);
     directory.advance(SECOND);
     assert!(open(&directory).1.keys.is_empty());
 }
 
-/// An hour's keys in a log that has space for a minute's.
+/// Writes the keys of an hour to a log that has space for those of about a minute.
 #[test]
 fn expired_segments_are_reclaimed() {
     let directory = directory();
@@ -42,13 +42,13 @@
         assert_eq!(directory.size(), log.used_bytes());
     }
     assert!(max_size <= LIMITS.capacity, "{max_size}");
-    // Those within their windows, and those within the grace.
+    // Keys within their windows, and keys within the read grace.
     let expected = (WINDOW + READ_GRACE) / SECOND;
     assert_eq!(live_keys(&directory).len() as i64, expected);
 }
 
-/// Some keys with a window of an hour among many of 20 seconds: live records are written again, and
-/// their segments are dropped.
+/// Writes a few keys with a window of an hour among many with 20 seconds: the live records have to
+/// be copied to new segments, so that the old segments can be dropped.
 #[test]
 fn long_windows_do_not_prevent_reclaiming() {
     let directory = directory();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn files_that_cannot_be_removed_only_take_space() {
+fn files_that_cannot_be_removed_cause_no_write_errors() {
     let directory = directory();
     let (mut log, _) = open(&directory);
     let mut failures = 0;
@@ -90,7 +90,7 @@
 #[test]
 fn compaction_retains_live_keys() {
     let directory = directory();
-    drop(filled(&directory));
+    drop(filled_log(&directory));
     directory.advance(5 * SECOND);
     let size_before = directory.size();
     let (mut log, before) = open(&directory);
--- a/crates/idempotency-store/tests/node_model/mod.rs
+++ b/crates/idempotency-store/tests/node_model/mod.rs
@@ -1,4 +1,4 @@
-//! A model of a node with a store, on a machine that fails.
+//! Simulation of a node with a store, on a machine with disk failures, crashes and clock changes.
 
 use crate::common::{Directory, Faults};
 use pipitlever_idempotency_store::commit_queue::{
@@ -27,21 +27,21 @@
 pub enum Step {
     /// An attempt with this key arrives.
     Request(u8),
-    /// The oldest run ends, and succeeds or not.
+    /// The oldest run ends. Contains whether the run succeeds.
     EndRun(bool),
     /// The writer takes a batch and completes it.
     Write,
     /// The writer takes a batch, and completes it with the next step of this kind or of `Write`.
     WriteSlowly,
-    /// Milliseconds pass.
+    /// Time advances by this many milliseconds.
     Advance(u16),
-    /// The disk fails in some way from now on, or works again.
+    /// Sets the faults of the disk by kind; 0 clears them.
     SetFault(u8),
     /// The process is killed and starts again.
     Kill,
-    /// The power fails and the machine boots again. Contains the seed of what is lost.
+    /// The power fails and the machine boots again. Contains the seed that selects the lost data.
     PowerCut(u64),
-    /// The wall clock jumps by some seconds, and the process restarts.
+    /// The wall clock is set by this many seconds, and the process restarts.
     JumpWallClock(i32),
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// A key in the memory of a node.
+/// A node's entry of a key.
 #[derive(Clone, Debug)]
 struct KnownKey {
     reference: u64,
@@ -84,14 +84,14 @@
     reference: u64,
 }
 
-/// An attempt, as seen from outside. No clock change affects its arrival.
+/// An attempt, with its arrival by a clock that is never set.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     key: u8,
     arrived_at: i64,
 }
 
-/// One process.
+/// A process of the node.
 struct Node {
     queue: CommitQueue,
     log: Log<Directory>,
@@ -102,7 +102,7 @@
 }
 
 impl Node {
-    /// Each start numbers its intents from another `first_id`.
+    /// Starts a process. `first_id` has to differ on each start.
     fn start(directory: &Directory, first_id: u64) -> Node {
         let (log, report) =
             Log::open(directory.clone(), LIMITS, WINDOW).expect("the log can be read");
@@ -140,8 +140,8 @@
     }
 }
 
-/// A node, its machine, and what an observer from outside knows.
-pub struct World {
+/// A node, its machine, and the observed runs and outcomes by which the invariants are checked.
+pub struct Simulation {
     directory: Directory,
     node: Node,
     /// Time since the start that no clock change affects, in microseconds.
@@ -152,17 +152,17 @@
     started_runs: HashMap<u8, Vec<i64>>,
     /// Outcomes that were reported as durable, with the arrival of the attempt, by key.
     durable_outcomes: HashMap<u8, (i64, Outcome)>,
-    /// By reference.
+    /// Attempts by reference.
     attempts: HashMap<u64, Attempt>,
 }
 
-impl World {
-    pub fn new() -> World {
+impl Simulation {
+    pub fn new() -> Simulation {
         let directory = Directory::default();
         directory.machine().wall = 1_000_000 * SECOND;
         directory.machine().since_boot = 500 * SECOND;
         let node = Node::start(&directory, 0);
-        World {
+        Simulation {
             directory,
             node,
             time: 0,
@@ -214,7 +214,7 @@
         let known = known.filter(|known| since_boot <= known.window_end);
         let durable = self.durable_outcomes.get(&key);
         if let Some((arrived_at, outcome)) = durable.filter(|d| self.time <= d.0 + WINDOW) {
-            // Each duplicate gets the durable outcome, whatever happened since.
+            // Invariant: each duplicate within the window gets the durable outcome.
             assert_eq!(
                 known.and_then(|known| known.outcome.as_ref()),
                 Some(outcome),
@@ -283,7 +283,7 @@
     fn start_run(&mut self, reference: u64) {
         let Attempt { key, arrived_at } = self.attempts[&reference];
         let earlier = self.started_runs.entry(key).or_default();
-        // The invariant: an attempt that arrived within the window of one that ran does not run.
+        // Invariant: an attempt that arrived within the window of one that ran does not run.
         assert!(
             earlier.iter().all(|run| arrived_at > run + WINDOW),
             "key {key} runs again: {earlier:?}"
@@ -303,7 +303,11 @@
             Outcome::Failed
         };
         if self.node.known_key(key, reference).is_some() {
-            let known = self.node.keys.get_mut(&key).expect("known as above");
+            let known = self
+                .node
+                .keys
+                .get_mut(&key)
+                .expect("the key was found above");
             known.outcome = Some(outcome.clone());
         }
         self.node.queue.enqueue_outcome(reference, outcome);
@@ -346,7 +350,7 @@
 
     fn cut_power(&mut self, mut seed: u64) {
         self.directory.power_cut(|| {
-            // A SplitMix64 generator: the same history on every machine.
+            // A SplitMix64 generator, which makes the history the same on every machine.
             seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
             let mixed = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             (mixed ^ (mixed >> 27)) & 1 == 1
@@ -368,8 +372,8 @@
         self.node.queue.is_idle()
     }
 
-    /// Whether the node has the key in memory.
-    pub fn knows(&self, key: u8) -> bool {
+    /// Whether the node has an entry of the key.
+    pub fn has_key(&self, key: u8) -> bool {
         self.node.keys.contains_key(&key)
     }
 
--- a/crates/idempotency-store/tests/recovery.rs
+++ b/crates/idempotency-store/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of keys from records: clocks, and the table of decisions.
+//! Recovery of keys from records: clock changes, and the outcome for each combination of records.
 
 use pipitlever_idempotency_store::record::{Clocks, Intent, Outcome, Record};
 use pipitlever_idempotency_store::recovery::{remaining_window, RecoveryTable};
@@ -15,7 +15,7 @@
     }
 }
 
-/// An intent that arrived at these times.
+/// An intent whose attempt arrived at these times.
 fn intent(id: u64, wall: Micros, since_boot: Micros) -> Intent {
     Intent {
         id,
@@ -30,8 +30,8 @@
     }
 }
 
-/// The rest of the window of an intent that arrived at wall clock 1,000 s, 50 s after boot, by the
-/// clocks of the restart.
+/// Remaining window after a restart, for an intent that arrived at wall clock time 1,000 s, 50 s
+/// after boot.
 #[test]
 fn no_clock_change_shortens_a_window() {
     let written = clocks(1_000_000_000, 50_000_000, "a");
@@ -45,10 +45,10 @@
         // The wall clock was set forwards by an hour: the time since boot applies.
         (clocks(4_605_000_000, 55_000_000, "a"), Some(15_000_000)),
         (clocks(4_600_000_000, 79_000_000, "a"), None),
-        // It was set back by an hour: a window from now, and no longer.
+        // The wall clock was set back by an hour: a window from now, and no longer.
         (clocks(-2_595_000_000, 55_000_000, "a"), Some(WINDOW)),
         (clocks(990_000_000, 60_000_000, "a"), Some(WINDOW)),
-        // Another boot, whatever its clocks: a window from now.
+        // Another boot, with any clocks: a window from now.
         (clocks(1_005_000_000, 3_000_000, "b"), Some(WINDOW)),
         (clocks(9_000_000_000, 90_000_000, "b"), Some(WINDOW)),
         // The boot is unknown, or its time since boot is less than before.
@@ -62,13 +62,13 @@
             "{now:?}"
         );
     }
-    // The intent was written in an unknown boot.
+    // The boot in which the intent was written is unknown.
     let written = clocks(1_000_000_000, 50_000_000, "");
     let now = clocks(9_000_000_000, 90_000_000, "a");
     assert_eq!(remaining_window(&intent, &written, &now), Some(WINDOW));
 }
 
-fn ended(id: u64, outcome: Outcome) -> Record {
+fn outcome_record(id: u64, outcome: Outcome) -> Record {
     Record::Outcome {
         id,
         expires_at: 0,
@@ -76,14 +76,14 @@
     }
 }
 
-/// The outcome of the key, if the key is known at all.
+/// `None` if the key is not recovered; otherwise its outcome, if known.
 type Expected = Option<Option<Outcome>>;
 
 fn cases() -> Vec<(&'static str, Vec<Record>, Expected)> {
     let first = || Record::Intent(intent(1, 500, 500));
     let second = || Record::Intent(intent(2, 800, 800));
-    let served = |id| ended(id, Outcome::Served(vec![9]));
-    let failed = |id| ended(id, Outcome::Failed);
+    let served = |id| outcome_record(id, Outcome::Served(vec![9]));
+    let failed = |id| outcome_record(id, Outcome::Failed);
     let void = |id| Record::Void { id, expires_at: 0 };
     let unknown = Some(None);
     let result = Some(Some(Outcome::Served(vec![9])));
