--- a/crates/idempotency-store/src/commit_queue/status.rs
+++ b/crates/idempotency-store/src/commit_queue/status.rs
@@ -9,10 +9,10 @@
 
 /// Why keyed requests are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RefusalReason {
-    /// Damage may hide a key that has run.
+pub enum RejectionReason {
+    /// Damage in the log may hide a key that has run.
     Damaged,
-    /// The writer failed.
+    /// The last batch failed.
     Failing,
     /// The writer has not completed a batch within [`SYNC_TIMEOUT`].
     Slow,
@@ -25,16 +25,16 @@
 pub enum StatusChange {
     /// Keyed requests are accepted again.
     Accepting,
-    /// Rejected for [`RefusalReason::Damaged`].
+    /// Rejected for [`RejectionReason::Damaged`].
     Damaged,
-    /// Rejected for [`RefusalReason::Failing`].
+    /// Rejected for [`RejectionReason::Failing`].
     Failing {
-        /// The system's error.
+        /// Error of the failed batch.
         error: String,
     },
-    /// Rejected for [`RefusalReason::Slow`].
+    /// Rejected for [`RejectionReason::Slow`].
     Slow,
-    /// Rejected for [`RefusalReason::Full`].
+    /// Rejected for [`RejectionReason::Full`].
     Full {
         /// Size of the log, in bytes.
         used_bytes: u64,
@@ -65,7 +65,7 @@
     }
 }
 
-/// State of the writer, by the results of its batches.
+/// State of the writer, derived from the results of its batches.
 #[derive(Debug)]
 pub(super) struct WriterStatus {
     /// The error of the last batch, if it failed.
--- a/crates/idempotency-store/src/commit_queue/tests.rs
+++ b/crates/idempotency-store/src/commit_queue/tests.rs
@@ -1,7 +1,7 @@
-//! Tests that use the queue's intervals.
+//! Unit tests of the commit queue that use its private intervals.
 
 use super::config::{EXPIRY_INTERVAL, FULL_RETRY_INTERVAL};
-use super::{CommitEvent, CommitQueue, CommitQueueConfig, RefusalReason, Usage, SYNC_TIMEOUT};
+use super::{CommitEvent, CommitQueue, CommitQueueConfig, RejectionReason, Usage, SYNC_TIMEOUT};
 use crate::log::Batch;
 use crate::record::{Intent, Outcome};
 use crate::Micros;
@@ -68,11 +68,11 @@
 }
 
 #[test]
-fn one_sync_commits_all_waiting_records() {
+fn one_sync_commits_all_queued_records() {
     let mut queue = queue();
     assert_eq!(enqueue_intents(&mut queue, 0, &[1]), []);
     assert_eq!(batch_records(&mut queue, 0), 1);
-    // These arrive while the first is written, and go together.
+    // Records that arrive while the first one is written form the next batch.
     enqueue_intents(&mut queue, 10, &[2, 3]);
     assert_eq!((queue.next_batch(10), queue.pending_records()), (None, 3));
     assert_eq!(
@@ -135,13 +135,13 @@
             CommitEvent::IntentAbandoned(3)
         ]
     );
-    assert_eq!(queue.refusal(4), Some(RefusalReason::Failing));
+    assert_eq!(queue.rejection_reason(4), Some(RejectionReason::Failing));
     assert_eq!(
         queue.status_change(4).unwrap().to_string(),
         "store: keyed requests rejected reason=failing error=\"no space\""
     );
     assert_eq!(queue.status_change(5), None);
-    // The run of a request that was admitted before never starts either.
+    // An intent that is enqueued while the writer fails is abandoned immediately.
     assert_eq!(
         enqueue_intents(&mut queue, 5, &[4]),
         [CommitEvent::IntentAbandoned(4)]
@@ -149,7 +149,8 @@
     assert_eq!(queue.next_batch(5), None);
     let retry = queue.next_wakeup(5).unwrap();
     assert!(retry > 5);
-    // The outcome of the first run, and the void of the second, whose intent may be durable.
+    // The batch contains the outcome of the first run and the void of the second, whose intent may
+    // be durable.
     assert_eq!(batch_records(&mut queue, retry), 2);
     assert_eq!(fail(&mut queue, retry), []);
     let second_retry = queue.next_wakeup(retry).unwrap();
@@ -163,7 +164,7 @@
         queue.status_change(second_retry).unwrap().to_string(),
         "store: keyed requests accepted"
     );
-    assert_eq!(queue.refusal(second_retry), None);
+    assert_eq!(queue.rejection_reason(second_retry), None);
     assert_eq!(queue.usage(), usage(500, 0));
 }
 
@@ -175,13 +176,13 @@
     queue.next_batch(0);
     fail(&mut queue, 0);
     let retry = queue.next_wakeup(0).unwrap();
-    // The void of the first intent.
+    // This batch contains the void of the intent.
     queue.next_batch(retry).unwrap();
     fail(&mut queue, retry);
     let second_retry = queue.next_wakeup(retry).unwrap();
     queue.next_batch(second_retry).unwrap();
     complete(&mut queue, second_retry, Ok(0));
-    assert_eq!(queue.refusal(second_retry), None);
+    assert_eq!(queue.rejection_reason(second_retry), None);
 }
 
 #[test]
@@ -199,12 +200,15 @@
             CommitEvent::IntentAbandoned(2)
         ]
     );
-    assert_eq!(queue.refusal(SYNC_TIMEOUT), Some(RefusalReason::Slow));
+    assert_eq!(
+        queue.rejection_reason(SYNC_TIMEOUT),
+        Some(RejectionReason::Slow)
+    );
     assert_eq!(tick(&mut queue, SYNC_TIMEOUT + 1, 0), []);
-    // The abandoned intent is durable after all: its void follows.
+    // The abandoned intent becomes durable nevertheless: its void follows.
     let done = 2 * SYNC_TIMEOUT;
     assert_eq!(complete(&mut queue, done, Ok(100)), []);
-    assert_eq!(queue.refusal(done), None);
+    assert_eq!(queue.rejection_reason(done), None);
     assert_eq!(batch_records(&mut queue, done), 1);
     complete(&mut queue, done, Ok(100));
     assert_eq!(queue.usage(), usage(100, 0));
@@ -216,7 +220,7 @@
 fn a_full_queue_rejects_keys_and_retains_all_outcomes() {
     let mut queue = queue();
     let mut admitted = 0;
-    while queue.refusal(0).is_none() {
+    while queue.rejection_reason(0).is_none() {
         admitted += 1;
         enqueue_intents(&mut queue, 0, &[admitted]);
     }
@@ -238,14 +242,14 @@
         "{used}"
     );
     assert_eq!(
-        queue.refusal(FULL_RETRY_INTERVAL),
-        Some(RefusalReason::Full)
+        queue.rejection_reason(FULL_RETRY_INTERVAL),
+        Some(RejectionReason::Full)
     );
     let retry = queue.next_wakeup(FULL_RETRY_INTERVAL).unwrap();
     assert_eq!(queue.next_batch(retry), Some(Batch::default()));
     assert_eq!(queue.next_wakeup(retry), Some(retry + SYNC_TIMEOUT));
     complete(&mut queue, retry, Ok(2000));
-    assert_eq!(queue.refusal(retry), None);
+    assert_eq!(queue.rejection_reason(retry), None);
 }
 
 #[test]
@@ -270,7 +274,7 @@
 fn damage_rejects_keys_until_its_end() {
     let queue = CommitQueue::new(CONFIG, 0, Some(100), 0);
     assert_eq!(
-        (queue.refusal(99), queue.refusal(100)),
-        (Some(RefusalReason::Damaged), None)
+        (queue.rejection_reason(99), queue.rejection_reason(100)),
+        (Some(RejectionReason::Damaged), None)
     );
 }
