--- a/crates/admission/src/interface/status.rs
+++ b/crates/admission/src/interface/status.rs
@@ -124,7 +124,8 @@
     /// Requests on the cores.
     pub running: usize,
     /// Requests that wait for a call, whether it was placed or not.
-    pub at_call: usize,
+    #[serde(rename = "at_call")]
+    pub waiting_for_call: usize,
     /// The limit on requests on the cores.
     #[serde(rename = "run_limit")]
     pub concurrency_limit: f64,
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -42,7 +42,7 @@
             queues: Queue::ALL.map(|queue| self.queue_status(queue)),
             queued: self.queued.len(),
             running: self.running() as usize,
-            at_call: self.at_call(),
+            waiting_for_call: self.waiting_for_call(),
             concurrency_limit: self.concurrency.limit,
             reading: self.reading,
             calls_in_flight: self.calls.occupancy(),
@@ -65,7 +65,7 @@
         }
     }
 
-    fn at_call(&self) -> usize {
+    fn waiting_for_call(&self) -> usize {
         self.requests
             .values()
             .filter(|entry| matches!(entry.stage, Stage::AwaitingCall | Stage::InCall))
--- a/crates/admission/tests/downstream_calls.rs
+++ b/crates/admission/tests/downstream_calls.rs
@@ -252,7 +252,7 @@
         }
         let status = controller.status();
         assert_eq!(status.calls_in_flight, 4.0);
-        assert_eq!(status.at_call, 12 - rejections);
+        assert_eq!(status.waiting_for_call, 12 - rejections);
         rejections
     };
     assert_eq!(rejections(2_000), 0, "eight wait for calls of 2 ms");
--- a/crates/capture-tools/src/export/steps.rs
+++ b/crates/capture-tools/src/export/steps.rs
@@ -65,7 +65,7 @@
         float(calls.length),
         count(status.queued),
         count(status.running),
-        count(status.at_call),
+        count(status.waiting_for_call),
         float(status.concurrency_limit),
         float(status.reading),
         float(status.calls_in_flight),
--- a/crates/capture-tools/src/rendering.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -163,7 +163,7 @@
         view.running,
         view.concurrency_limit,
         view.reading.max(0.0),
-        view.at_call,
+        view.waiting_for_call,
         view.calls_in_flight,
         view.call_limit,
         view.memory_kb,
--- a/crates/load-balancing/src/pool/ejection.rs
+++ b/crates/load-balancing/src/pool/ejection.rs
@@ -134,7 +134,7 @@
     }
 
     /// Brings the probation of a member forward, because another node's probe succeeded.
-    pub fn hasten_probation(&mut self, now: Micros, address: &A) {
+    pub fn shorten_ejection(&mut self, now: Micros, address: &A) {
         let member = self
             .members
             .iter_mut()
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -166,7 +166,7 @@
             state
                 .pools
                 .pool(divided.index)
-                .hasten_probation(now, address);
+                .shorten_ejection(now, address);
         }
     }
 
