--- a/crates/admission/src/interface/actions.rs
+++ b/crates/admission/src/interface/actions.rs
@@ -11,7 +11,7 @@
     /// Answer a duplicate from the outcome of the request that it duplicates.
     #[serde(rename = "Reuse")]
     ReuseOutcome(RequestId),
-    /// Reject a request. It never ran, or it is an idempotent one that still runs.
+    /// Reject a request that never ran, or an idempotent one that is still running.
     #[serde(rename = "Refuse")]
     Reject {
         /// The request.
@@ -22,7 +22,7 @@
         /// Whether the caller should not retry elsewhere.
         no_retry: bool,
     },
-    /// Answer a request with an error. It may have taken effect.
+    /// Answer a request with an error. The request may have taken effect.
     Fail(RequestId),
     /// Retain the key of a request for this time, so that duplicates are recognized.
     #[serde(rename = "Keep")]
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -6,23 +6,23 @@
 /// How a run or a downstream call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It succeeded.
+    /// The run or the call succeeded.
     #[serde(rename = "Done")]
     Success,
-    /// It failed and may have taken effect.
+    /// The run or the call failed and may have taken effect.
     Error,
-    /// Downstream rejected the call: it never ran.
+    /// The downstream server rejected the call, which therefore never ran.
     #[serde(rename = "Busy")]
     Rejected,
     /// The call timed out and may have taken effect.
     TimedOut,
-    /// No connection could be established for the call: it never ran.
+    /// No connection could be established for the call, which therefore never ran.
     Unreachable,
-    /// The connection of the call broke; it may have taken effect.
+    /// The connection broke during the call, which may have taken effect.
     Reset,
-    /// The run was cancelled, or it ended during its call because its answer was already sent.
+    /// The run was cancelled, or ended during its call because the request was already answered.
     Cancelled,
-    /// Nothing was started, as the request had already concluded.
+    /// The run was not started, because the request had already been concluded.
     #[serde(rename = "Moot")]
     NotStarted,
 }
@@ -32,29 +32,29 @@
 pub struct Request {
     /// The number of the request.
     pub id: RequestId,
-    /// The position of its class in the settings.
+    /// The index of the class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// The position of its tenant in the settings, if it belongs to one.
+    /// The index of the tenant in [`Settings::tenants`](super::Settings::tenants), if any.
     pub tenant: Option<usize>,
-    /// Whether it names the object that it reads or writes.
+    /// Whether the request names the object that it reads or writes.
     pub has_key: bool,
-    /// How long its caller still waits, if known.
+    /// The time until the caller stops waiting for the answer, if known.
     #[serde(rename = "patience")]
     pub timeout: Option<Micros>,
     /// The expected amount of work in the units of its class, if known.
     pub cost: Option<f64>,
-    /// The memory that it occupies while queued, in kilobytes.
+    /// The memory that the request occupies while queued, in kilobytes.
     pub memory_kb: f64,
     /// The priority from 0 to below 1; a higher one is admitted first.
     #[serde(rename = "rank")]
     pub priority: f64,
-    /// Whether it is marked as a retry or as a second copy.
+    /// Whether the request is marked as a retry or as a second copy.
     #[serde(rename = "retry")]
     pub is_retry: bool,
-    /// Whether it is a write.
+    /// Whether the request is a write.
     #[serde(rename = "write")]
     pub is_write: bool,
-    /// The time since it reached the machine, before it was read.
+    /// The time between the arrival of the request at the machine and its reading.
     #[serde(rename = "queued")]
     pub queue_time: Micros,
     /// The request with a retained key that this one duplicates.
@@ -77,7 +77,7 @@
         /// The time since its start, including all waits.
         #[serde(rename = "took")]
         elapsed: Micros,
-        /// How it ended.
+        /// How the run or the reuse ended.
         outcome: Outcome,
     },
     /// The caller of a request no longer waits for the answer.
@@ -92,7 +92,7 @@
         /// The time since the call was placed.
         #[serde(rename = "took")]
         elapsed: Micros,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
     },
     /// A timer expired.
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -9,9 +9,9 @@
     /// Idempotent: safe to run again.
     #[serde(rename = "Free")]
     Idempotent,
-    /// Has an idempotency key; runs at most once on this server within the class's window.
+    /// Has an idempotency key: runs at most once on this server within the class's window.
     Keyed,
-    /// Not idempotent, and has no key: must never run twice.
+    /// Not idempotent and without a key: must never run twice.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
@@ -54,7 +54,7 @@
     pub quota_rps: f64,
 }
 
-/// What the server calls.
+/// The downstream layer that the server calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Downstream {
     /// The server makes no calls.
@@ -95,9 +95,9 @@
 /// Limits that keep the server available and its answers in time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// How long after its deadline an answer still counts.
+    /// How long after the deadline of a request its answer still counts.
     pub answer_slack: Micros,
-    /// The time after its start within which a cold server reaches full speed.
+    /// The time that a cold server takes from its start to reach full speed.
     #[serde(rename = "cold_for")]
     pub warmup_time: Micros,
     /// The minimum speed of a cold server at its start, as a share of full speed.
@@ -136,7 +136,7 @@
     /// Whether the server has just started and is slow at first.
     #[serde(rename = "cold")]
     pub is_cold: bool,
-    /// What the server calls.
+    /// The downstream layer that the server calls.
     #[serde(rename = "below")]
     pub downstream: Downstream,
     /// This server's share of the shared dependency: the mean number of calls in flight.
--- a/crates/admission/src/interface/status.rs
+++ b/crates/admission/src/interface/status.rs
@@ -4,7 +4,7 @@
 use super::{Micros, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// The mode of a hysteresis control (Gaidamaka et al. 2014, section 2).
+/// The mode of a hysteresis controller (Gaidamaka et al. 2014, section 2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Mode {
     /// All requests are admitted.
@@ -18,7 +18,7 @@
 /// The stage of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// Queued until it is started; the modes follow the number of these requests.
+    /// Queued until its start; the modes follow the number of these requests.
     #[serde(rename = "Held")]
     Queued,
     /// Waits for the outcome of the request that it duplicates.
@@ -34,12 +34,13 @@
     InCall,
 }
 
-/// Why a request was rejected or failed, with the values that decided.
+/// Why a request was rejected or failed, with the values that the decision was based on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Cause {
-    /// It arrived too long after the shutdown notice to run.
+    /// The request arrived too long after the shutdown notice to run.
     AfterGrace,
-    /// A hysteresis control shed it, because of the mode or of its priority.
+    /// The hysteresis controller of a queue shed the request, because of the mode or of the
+    /// priority.
     #[serde(rename = "Line")]
     Shed {
         /// Whether the queue of requests that need a call shed it, rather than the start queue.
@@ -55,7 +56,7 @@
         #[serde(rename = "cut")]
         cutoff: f64,
     },
-    /// The memory budget had no capacity for it or for its key.
+    /// The memory budget had no capacity for the request or for its key.
     #[serde(rename = "Memory")]
     OutOfMemory {
         /// The memory in use, in kilobytes.
@@ -64,13 +65,13 @@
         #[serde(rename = "more")]
         requested: f64,
     },
-    /// Its latency objective passed in this stage, and a later answer has no weight.
+    /// The latency objective passed in this stage, and a later answer has no weight.
     #[serde(rename = "PastAim")]
     ObjectiveMissed(Stage),
-    /// Its deadline passed in this stage.
+    /// The deadline passed in this stage.
     #[serde(rename = "Due")]
     DeadlineExceeded(Stage),
-    /// It could not have finished in time.
+    /// The request could not have finished in time.
     #[serde(rename = "TooLate")]
     CannotFinishInTime {
         /// The least time that such a request is expected to take.
@@ -79,27 +80,27 @@
         #[serde(rename = "left")]
         remaining: Micros,
     },
-    /// It needs more memory than is available with no other request running.
+    /// The request needs more memory than is available while no other request runs.
     #[serde(rename = "NeverFits")]
     ExceedsMemory {
-        /// The memory that it needs, in kilobytes.
+        /// The memory that the request needs, in kilobytes.
         #[serde(rename = "more")]
         requested: f64,
     },
     /// The cores are stalled.
     #[serde(rename = "Still")]
     Stalled,
-    /// Its downstream call ended with this outcome and may have taken effect.
+    /// The downstream call ended with this outcome and may have taken effect.
     #[serde(rename = "Call")]
     CallFailed(Outcome),
 }
 
-/// The status of a queue and of its hysteresis control.
+/// The status of a queue and of its hysteresis controller.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QueueStatus {
     /// The mode.
     pub mode: Mode,
-    /// The length of the queue that the mode follows.
+    /// The queue length that determines the mode.
     #[serde(rename = "count")]
     pub length: f64,
     /// The thresholds in force: abatement (L), onset (H) and discard (R).
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -9,7 +9,11 @@
 //! use pipitlever_admission::*;
 //!
 //! let settings = Settings {
-//!     classes: vec![Class { latency_objective: 500_000, deadline: 2_000_000, ..Class::default() }],
+//!     classes: vec![Class {
+//!         latency_objective: 500_000,
+//!         deadline: 2_000_000,
+//!         ..Class::default()
+//!     }],
 //!     cores: 4.0,
 //!     memory_kb: 100_000.0,
 //!     ..Settings::default()
--- a/crates/admission/src/policy/admission.rs
+++ b/crates/admission/src/policy/admission.rs
@@ -1,7 +1,7 @@
 //! Arrival of requests: registration, admission and rejection.
 //!
-//! A request is admitted or rejected in the step in which it arrives, before it costs more than its
-//! reading.
+//! A request is admitted or rejected in the step in which it arrives, so that a rejected request
+//! costs no more than its reading.
 
 use super::controller::{Controller, Queue, RequestEntry};
 use super::hysteresis::OBSERVATION_OBJECTIVES;
@@ -9,7 +9,7 @@
 use crate::interface::{Action, Cause, Idempotency, Micros, Mode, Request, RequestId, Stage};
 
 impl Controller {
-    /// Registers a request that was read. From here on it occupies memory and has to be answered.
+    /// Registers a request that was read, which from now on occupies memory and has to be answered.
     pub(super) fn register(&mut self, request: &Request) {
         let class = self.class(request.class);
         let arrived_at = self.now - request.queue_time;
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Answers a duplicate from the outcome of its original. Running it could cause a second
-    /// effect, and rejecting it would claim that there was none.
+    /// Answers a duplicate from the outcome of its original. Running the duplicate could take
+    /// effect a second time, and rejecting it would claim that the original had no effect.
     fn admit_duplicate(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let entry = self.requests.get_mut(&id).expect("registered");
         entry.stage = Stage::AwaitingOriginal;
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Records an arrival at the queues that its request would join, and returns why the request
-    /// has to be rejected, if it has to.
+    /// Records an arrival at the queues that its request would join. Returns the cause if the
+    /// request has to be rejected.
     fn rejection_cause(&mut self, request: &Request) -> Option<Cause> {
         let shed = self.record_at_queues(request);
         let arrived_at = self.now - request.queue_time;
@@ -141,7 +141,7 @@
         actions.push(Action::RetainKey(request.id, lifetime));
     }
 
-    /// How long the key of a request has to be retained, if it has to.
+    /// How long the key of a request has to be retained; `None` if it need not be.
     fn key_lifetime(&self, request: &Request) -> Option<Micros> {
         let class = self.class(request.class);
         let is_cacheable_read =
@@ -178,8 +178,8 @@
     }
 
     /// Whether the caller of a rejected request should not retry elsewhere: where a later answer
-    /// has no weight, or where the whole fleet is overloaded and another attempt only costs its
-    /// reading.
+    /// has no weight, or where the whole fleet is overloaded, so that another attempt would only
+    /// cause the cost of reading it.
     fn discourages_retry(&self, id: RequestId) -> bool {
         let entry = &self.requests[&id];
         let late_weight = self.class(entry.class).late_weight;
@@ -189,7 +189,7 @@
     }
 
     /// The time after which a rejected caller should retry: the time that the excess of the start
-    /// queue takes to be served, spread at random.
+    /// queue takes to be served, with random jitter.
     fn retry_after(&mut self) -> Micros {
         let max = self.settings.max_retry_after;
         let retry_after = if self.shutdown.is_some() {
--- a/crates/admission/src/policy/call_limit.rs
+++ b/crates/admission/src/policy/call_limit.rs
@@ -1,8 +1,8 @@
 //! The limit on downstream calls in flight.
 //!
-//! The limit decreases multiplicatively when calls fail or slow down, and else grows, between the
-//! bounds of [`CallLimit::bounds`]. For a shared dependency the mean number of calls in flight is
-//! enforced by a credit that accumulates at the limit and is spent by the calls in flight.
+//! The limit decreases multiplicatively when calls fail or slow down, and grows otherwise, within
+//! the bounds of [`CallLimit::bounds`]. For a shared dependency the mean number of calls in flight
+//! is enforced by a credit that accumulates at the limit and is spent by the calls in flight.
 
 use super::concurrency_limit::USABLE_CONCURRENCY;
 use super::hysteresis::{HARMLESS_WAIT, LONGEST_WAIT};
@@ -163,7 +163,8 @@
     ) {
         self.in_flight -= 1.0;
         match outcome {
-            // A rejected call costs the credit of an average one, or it would be repeated at once.
+            // A rejected call uses the credit of an average call; otherwise it would be repeated
+            // immediately.
             Outcome::Rejected | Outcome::Unreachable => self.credit -= self.latency.mean,
             Outcome::TimedOut | Outcome::Cancelled => {
                 self.abandoned_until.push_back(now + settings.call_linger);
--- a/crates/admission/src/policy/control_loop.rs
+++ b/crates/admission/src/policy/control_loop.rs
@@ -15,8 +15,8 @@
 /// Smaller changes of the backpressure level are not advertised.
 const LEVEL_CHANGE: f64 = 0.02;
 
-/// A caller that returns within this share of the latency objective benefits from an open
-/// connection.
+/// An idle connection is useful if its caller sends the next request within this share of the
+/// latency objective.
 const USEFUL_IDLE: f64 = 0.5;
 /// The number of open connections per core that do no harm.
 const HARMLESS_CONNECTIONS: f64 = 4.0;
@@ -40,7 +40,8 @@
     fn adjust_concurrency(&mut self) {
         let running = self.running();
         let mean_core_time = self.concurrency.mean_core_time;
-        // Where no run ends, runs do not wait for a disk: more of them would stall as well.
+        // Idle cores suggest that runs wait for a disk, but not if no run ends: then additional
+        // runs would stall as well.
         let since_progress = (self.now - self.stall.last_progress) as f64;
         let is_progressing =
             since_progress <= PROGRESS_INTERVALS * mean_core_time / running.max(1.0);
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Idle connections fill the connection table, which costs cores and then locks callers out.
-    /// The timeout shrinks while more connections are open than callers that soon return need and
-    /// than do no harm.
+    /// Limits idle connections, which use CPU time and fill the connection table until new callers
+    /// cannot connect. The timeout shrinks while more connections are open than can be reused soon
+    /// ([`USEFUL_IDLE`]) plus the number that is harmless ([`HARMLESS_CONNECTIONS`]).
     fn adjust_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let arrival_rate = self.queue_control(Queue::Start).arrival_rate;
         let useful = USEFUL_IDLE * arrival_rate * self.objective / MICROS_PER_SECOND
--- a/crates/admission/src/policy/controller.rs
+++ b/crates/admission/src/policy/controller.rs
@@ -15,14 +15,16 @@
 const TICK_TAG: u64 = 0;
 /// The shortest interval between two ticks.
 const MIN_TICK: Micros = 1000;
-/// The latency objective where no class is in force.
+/// The latency objective if no class is in force.
 const DEFAULT_OBJECTIVE: Micros = 1_000_000;
-/// The core time of a run, as a share of the shortest latency objective, until runs were measured.
+/// The assumed core time of a run, as a share of the shortest latency objective, until runs have
+/// been measured.
 const INITIAL_CORE_TIME: f64 = 0.25;
-/// Waits before reading of up to this share of the latency objective are random variation.
+/// Delays before reading of up to this share of the latency objective are attributed to random
+/// variation.
 const NORMAL_READ_DELAY: f64 = 0.3;
 
-/// A queue with a hysteresis control.
+/// A queue with a hysteresis controller.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Queue {
     /// Requests that wait to start.
@@ -32,7 +34,7 @@
 }
 
 impl Queue {
-    /// All queues, in the order in which the controller holds their controls.
+    /// All queues, in the order of [`Controller::queue_controls`].
     pub(crate) const ALL: [Queue; 2] = [Queue::Start, Queue::Call];
 }
 
@@ -103,7 +105,7 @@
     /// The requests that wait to start.
     #[serde(rename = "held")]
     pub(crate) queued: BTreeSet<RequestId>,
-    /// The controls of the queues, in the order of [`Queue::ALL`].
+    /// The hysteresis controllers of the queues, in the order of [`Queue::ALL`].
     #[serde(rename = "gates")]
     pub(crate) queue_controls: [HysteresisController; 2],
     /// The backpressure level that was last advertised.
@@ -231,7 +233,7 @@
                 self.admit_or_reject(request, actions);
             }
         }
-        self.give_up_expired(actions);
+        self.expire_requests(actions);
         self.place_calls(actions);
         self.update_modes();
         self.start_queued(actions);
@@ -244,8 +246,8 @@
         self.started_at = Some(self.now);
         self.concurrency.started_at = self.now;
         self.calls.credit_at = self.now;
-        // Health checks answered without the controller cost next to nothing and never load the
-        // downstream layer.
+        // Health checks that are answered without the controller cost almost nothing and do not
+        // load the downstream layer.
         actions.push(Action::Health(true));
         actions.push(self.tick_timer());
     }
@@ -320,7 +322,7 @@
         run.limit / run.mean_core_time.max(1.0) * MICROS_PER_SECOND * run.success_rate
     }
 
-    /// The length of a queue as its mode sees it.
+    /// The length of a queue that determines its mode.
     pub(crate) fn queue_length(&self, queue: Queue) -> f64 {
         match queue {
             Queue::Start => self.start_queue_length(),
@@ -328,9 +330,10 @@
         }
     }
 
-    /// The queued requests, and those that are not read yet: reading takes the cores that runs
-    /// need. Their number follows from the reported read delays by Little's law. Unread requests
-    /// alone never cause the discard mode, in which the server would only read in order to reject.
+    /// The number of queued requests and of those that are not read yet, as reading uses the cores
+    /// that runs need. The number of unread requests is estimated from the reported read delays by
+    /// Little's law. Unread requests alone never cause the discard mode, in which the server would
+    /// read requests only to reject them.
     fn start_queue_length(&self) -> f64 {
         let queued = self.queued.len() as f64;
         let delay = (self.read_delay - NORMAL_READ_DELAY * self.objective).max(0.0);
@@ -341,7 +344,7 @@
     }
 
     /// The requests that wait for their call, and the queued requests of calling classes beyond the
-    /// abatement threshold of the start queue: fewer than those will soon be started.
+    /// abatement threshold of the start queue; up to that threshold they will be started soon.
     fn call_queue_length(&self) -> f64 {
         let to_call = self
             .queued
--- a/crates/admission/src/policy/hysteresis.rs
+++ b/crates/admission/src/policy/hysteresis.rs
@@ -19,11 +19,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The share of the latency objective that a queue can take without harm; gives L.
+/// The share of the latency objective that requests can be queued without harm; determines L.
 pub(crate) const HARMLESS_WAIT: f64 = 0.1;
-/// Leaves most of the latency objective to reading, running and calling; gives H.
+/// The share that leaves most of the latency objective to reading, runs and calls; determines H.
 const ACCEPTABLE_WAIT: f64 = 0.2;
-/// Beyond this share the last request of the queue is unlikely to meet its objective; gives R.
+/// The share beyond which the last request of the queue is unlikely to meet its objective;
+/// determines R.
 pub(crate) const LONGEST_WAIT: f64 = 0.4;
 
 /// The admitted rate over the completion rate in overload at length L, and how much less it is at
@@ -32,8 +33,8 @@
 const ADMITTED_SHARE_DROP: f64 = 0.6;
 /// A decaying cutoff below this value becomes 0.
 const NEGLIGIBLE_CUTOFF: f64 = 0.02;
-/// The factor by which the cutoff decays per control interval in normal mode. Callers that the
-/// backpressure level held back return gradually.
+/// The factor by which the cutoff decays per control interval in normal mode. The decay lets
+/// callers that reduced their traffic at the advertised backpressure level return gradually.
 const CUTOFF_DECAY: f64 = 0.97;
 /// The share of the distance by which the cutoff falls towards a lower target per control interval.
 const CUTOFF_FALL: f64 = 0.1;
@@ -53,8 +54,8 @@
 
 impl Hysteresis {
     /// Sets each threshold to the number of requests that `completion_rate` (per second) serves in
-    /// a share of the latency objective (microseconds). Slow servers, heavy requests and runs that
-    /// fail lower the rate and with it the thresholds.
+    /// a share of the latency objective (microseconds). Slow servers, expensive requests and failed
+    /// runs lower the rate and with it the thresholds.
     fn set_thresholds(&mut self, completion_rate: f64, objective: f64) {
         let served = completion_rate * objective / MICROS_PER_SECOND;
         // Random variation alone exceeds small counts, so one standard deviation of a Poisson
@@ -65,7 +66,7 @@
         self.discard = (LONGEST_WAIT * served).floor().max(self.onset + 2.0);
     }
 
-    /// Moves to the mode that follows from the present mode at this queue length.
+    /// Applies the mode transitions at this queue length.
     pub(crate) fn update_mode(&mut self, length: f64) {
         self.mode = match self.mode {
             _ if length >= self.discard => Mode::Discard,
@@ -79,11 +80,11 @@
     }
 }
 
-/// What the control loop measured of a queue.
+/// The measurements of a queue by the control loop.
 pub(crate) struct QueueObservation {
     /// Requests per second that leave the queue successfully.
     pub(crate) completion_rate: f64,
-    /// The length that the mode follows.
+    /// The length that determines the mode.
     pub(crate) length: f64,
     /// The part of the length that lowers the admitted rate.
     pub(crate) waiting: f64,
@@ -91,7 +92,7 @@
     pub(crate) uptime: Micros,
 }
 
-/// The control of one queue: the modes, and the cutoff that separates high from low priorities.
+/// The controller of one queue: the modes, and the cutoff that separates high from low priorities.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct HysteresisController {
     #[serde(rename = "modes")]
@@ -108,8 +109,8 @@
 }
 
 impl HysteresisController {
-    /// A control in normal mode, for a queue with this completion rate (per second) and latency
-    /// objective (microseconds).
+    /// Creates a controller in normal mode, for a queue with this completion rate (per second) and
+    /// latency objective (microseconds).
     pub(crate) fn new(completion_rate: f64, objective: f64) -> HysteresisController {
         let mut hysteresis = Hysteresis {
             mode: Mode::Normal,
@@ -188,7 +189,7 @@
         priorities.get(position).copied().unwrap_or(0.0)
     }
 
-    /// Raises the cutoff at once, and lowers it gradually.
+    /// Raises the cutoff immediately, or lowers it gradually.
     fn move_cutoff_towards(&mut self, target: f64) {
         self.cutoff = if target > self.cutoff {
             target
--- a/crates/admission/src/policy/latency.rs
+++ b/crates/admission/src/policy/latency.rs
@@ -4,7 +4,7 @@
 
 /// Microseconds in a second. Times are microseconds, and rates are per second.
 pub(crate) const MICROS_PER_SECOND: f64 = 1e6;
-/// The least rate per second that is divided by.
+/// The lower bound of a rate per second that is used as a divisor.
 pub(crate) const MIN_RATE: f64 = 1e-9;
 
 /// The weight of a new value in an exponentially weighted moving average: about the last ten values
@@ -15,10 +15,10 @@
 
 /// A moving average, and an estimate of its best value.
 ///
-/// The best value follows the mean quickly downwards and slowly upwards. The least value ever seen
-/// would be an outlier of widely spread times and make ordinary times look slow; so would one of
-/// the first values, which counts for long where values are rare. Both estimates therefore start as
-/// the plain mean of the first values.
+/// The best value follows the mean quickly downwards and slowly upwards. The minimum of all values
+/// would be an outlier if values vary widely, and make ordinary ones look slow. So would one of the
+/// first values, which keeps its influence for a long time if values are rare; both estimates
+/// therefore start as the plain mean of the first values.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
--- a/crates/admission/src/policy/lifecycle.rs
+++ b/crates/admission/src/policy/lifecycle.rs
@@ -22,7 +22,7 @@
                 .record_end(&self.settings, self.now, elapsed as f64, Outcome::Cancelled);
         }
         if outcome == Outcome::NotStarted {
-            // It says nothing about runs, and left no outcome for duplicates.
+            // There is no run to measure, and no outcome for duplicates.
             self.memory.release_key(id);
             return;
         }
@@ -32,7 +32,6 @@
         self.record_run(&entry, elapsed, outcome);
     }
 
-    /// Updates the run statistics.
     fn record_run(&mut self, entry: &RequestEntry, elapsed: Micros, outcome: Outcome) {
         let core_time = elapsed - entry.off_core_time - self.stall.total_stalled;
         let core_time = core_time.max(1) as f64;
@@ -42,7 +41,7 @@
             class.run_time.record(elapsed as f64);
             class.core_time.record(core_time);
             class.cost.record(entry.cost);
-            // A large request is not a slow one.
+            // The expected time is scaled by cost, so that a large request does not count as slow.
             let expected = class.core_time.best * class.relative_cost(entry.cost);
             let stretch = core_time / expected.max(1.0);
             run.stretch += SMOOTHING * (stretch - run.stretch);
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -6,8 +6,8 @@
 //! latency objective or multiples of the number of cores.
 //!
 //! A step processes its events ([`lifecycle`]), runs the control loop when it is due
-//! ([`control_loop`]), admits or rejects what arrived ([`admission`]), and then gives up requests,
-//! places calls and starts runs ([`scheduling`]).
+//! ([`control_loop`]), admits or rejects the arrivals ([`admission`]), and then ends requests that
+//! cannot be served in time, places calls and starts runs ([`scheduling`]).
 
 mod admission;
 mod call_limit;
--- a/crates/admission/src/policy/priority.rs
+++ b/crates/admission/src/policy/priority.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The share of its priority that a marked retry loses: less of its time is left than of a first
-/// attempt's.
+/// The share by which the priority of a marked retry is reduced, as a retry has less time left than
+/// a first attempt.
 const RETRY_REDUCTION: f64 = 0.1;
 /// The share of marked retries above which the whole fleet is considered overloaded.
 const FLEET_OVERLOAD_RETRIES: f64 = 0.2;
 
-/// What effective priorities depend on beyond the request itself.
+/// The state, beyond the request itself, that effective priorities depend on.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct PriorityEstimator {
     /// The times of recent first attempts of each tenant.
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Follows a change of the number of tenants.
+    /// Adapts to a changed number of tenants.
     pub(crate) fn resize(&mut self, tenant_count: usize) {
         self.tenant_arrivals.resize(tenant_count, VecDeque::new());
     }
 
-    /// Whether so many arrivals are retries that other servers must be overloaded as well.
+    /// Whether the share of retries indicates that other servers are overloaded as well.
     pub(crate) fn is_fleet_overloaded(&self) -> bool {
         self.retry_share > FLEET_OVERLOAD_RETRIES
     }
--- a/crates/admission/src/policy/scheduling.rs
+++ b/crates/admission/src/policy/scheduling.rs
@@ -1,17 +1,17 @@
-//! Scheduling of admitted requests: giving up those that cannot be served in time, placing calls,
-//! and starting runs by earliest objective first.
+//! Scheduling of admitted requests: ending those that cannot be served in time, placing calls, and
+//! starting runs by earliest objective first.
 
 use super::controller::{Controller, RequestEntry};
 use crate::interface::{Action, CancellationMode, Cause, Idempotency, Micros, RequestId, Stage};
 
-/// The expected run time of a request as a share of the mean. Run times spread, so that most
-/// requests take less than the mean.
+/// The expected run time of a request as a share of the mean. The distribution of run times is
+/// skewed, so that most requests take less than the mean.
 const EXPECTED_RUN_TIME: f64 = 0.7;
-/// The share of the cores that reading cannot take from runs, or a flood of requests would stop all
-/// work.
+/// The share of the cores that is reserved for runs. Without it, reading a flood of requests would
+/// leave no capacity for runs.
 const RESERVED_FOR_RUNS: f64 = 0.5;
 
-/// What to do with the first request of the start queue.
+/// The decision on the first request of the start queue.
 enum StartDecision {
     /// Start it and reserve this much more memory, in kilobytes.
     Start {
@@ -23,9 +23,9 @@
 }
 
 impl Controller {
-    /// Answers requests whose deadline has passed, and gives up those that cannot be answered in
-    /// time.
-    pub(super) fn give_up_expired(&mut self, actions: &mut Vec<Action>) {
+    /// Rejects or fails unanswered requests whose deadline has passed, or that can no longer be
+    /// answered in time.
+    pub(super) fn expire_requests(&mut self, actions: &mut Vec<Action>) {
         let expired: Vec<(RequestId, Cause)> = self
             .requests
             .iter()
@@ -33,11 +33,11 @@
             .filter_map(|(&id, entry)| Some((id, self.expiry_cause(entry)?)))
             .collect();
         for (id, cause) in expired {
-            self.give_up(id, cause, actions);
+            self.expire(id, cause, actions);
         }
     }
 
-    /// Why an unanswered request has to be given up, if it has to.
+    /// The cause if an unanswered request has to be ended.
     fn expiry_cause(&self, entry: &RequestEntry) -> Option<Cause> {
         if self.now >= entry.deadline {
             return Some(Cause::DeadlineExceeded(entry.stage));
@@ -62,7 +62,8 @@
         }
     }
 
-    fn give_up(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
+    /// Rejects a queued request or a running idempotent one, and fails any other.
+    fn expire(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
         let entry = &self.requests[&id];
         let is_idempotent = self.class(entry.class).idempotency == Idempotency::Idempotent;
         match entry.stage {
@@ -72,8 +73,7 @@
         }
     }
 
-    /// Rejects an idempotent request that runs: in contrast to a failure, a rejection can tell the
-    /// caller not to retry.
+    /// Rejects an idempotent request that runs. Unlike a failure, a rejection can carry `no_retry`.
     fn reject_running(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
         let entry = self.requests.get_mut(&id).expect("unanswered request");
         entry.is_answered = true;
@@ -127,8 +127,8 @@
         }
     }
 
-    /// The number of requests that may be on the cores, beside those being read: reading shares the
-    /// cores with runs and cannot be deferred.
+    /// The number of requests that may be on the cores in addition to those being read: reading
+    /// shares the cores with runs and cannot be deferred.
     fn start_limit(&self) -> f64 {
         (self.concurrency.limit - self.reading.max(0.0))
             .max(RESERVED_FOR_RUNS * self.settings.cores)
@@ -144,8 +144,8 @@
         (self.requests.len() - unstarted) as f64
     }
 
-    /// The queued request with the earliest objective. In a short queue that was admitted by
-    /// priority this order lets all requests meet their objectives.
+    /// The queued request with the earliest objective. The queue is short, as requests are admitted
+    /// by priority, so that this order lets all of them meet their objectives.
     fn earliest_queued(&self) -> Option<RequestId> {
         self.queued
             .iter()
@@ -166,7 +166,7 @@
             entry.objective_at
         };
         let remaining = latest_end - self.now;
-        // On an idle server a request is always tried.
+        // An idle server starts the request regardless of its expected run time.
         if expected > remaining && started > 0.0 {
             return StartDecision::Reject(Cause::CannotFinishInTime {
                 expected,
--- a/crates/admission/src/policy/stall_detector.rs
+++ b/crates/admission/src/policy/stall_detector.rs
@@ -14,7 +14,7 @@
 /// The state of the detector.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct StallDetector {
-    /// The time at which a run last ended, or the cores last had capacity.
+    /// The time at which a run last made progress, or the cores last had capacity.
     #[serde(rename = "since")]
     pub(crate) last_progress: Micros,
     /// Whether the cores are stalled.
@@ -26,7 +26,7 @@
 }
 
 impl StallDetector {
-    /// Records that a run ended, which also ends a stall.
+    /// Records that a run made progress, which ends a stall.
     pub(crate) fn record_progress(&mut self, now: Micros) {
         if std::mem::take(&mut self.is_stalled) {
             self.total_stalled += now - self.last_progress;
--- a/crates/admission/src/status.rs
+++ b/crates/admission/src/status.rs
@@ -1,5 +1,5 @@
-//! Read access to a controller's state, for display and monitoring. Nothing here decides, so this
-//! module is not part of the policy.
+//! Read access to a controller's state, for display and monitoring. This module makes no admission
+//! decisions and is therefore not part of the policy.
 
 use crate::policy::{Controller, Queue};
 use crate::{Cause, ControllerStatus, Mode, QueueStatus, RequestId, RequestStatus, Stage};
--- a/crates/admission/tests/common/invariants.rs
+++ b/crates/admission/tests/common/invariants.rs
@@ -11,7 +11,7 @@
 };
 use std::collections::BTreeMap;
 
-/// A request as the host sees it.
+/// The state of a request as the host observes it.
 #[derive(Clone)]
 struct TrackedRequest {
     request: Request,
@@ -49,7 +49,6 @@
         }
     }
 
-    /// The memory that it occupies, in kilobytes.
     fn memory_kb(&self, settings: &Settings) -> f64 {
         let factor = if self.is_started {
             settings.run_memory_factor
@@ -75,7 +74,7 @@
     }
 }
 
-/// What a test driver can know of a request.
+/// The state of a request that a test driver can observe.
 pub struct RequestView {
     pub is_running: bool,
     pub is_cancelled: bool,
@@ -86,7 +85,7 @@
 }
 
 impl RequestView {
-    /// Whether the run ends at once, as its answer is no longer needed.
+    /// Whether the run ends immediately, as its answer is no longer needed.
     pub fn is_ending(&self) -> bool {
         self.is_cancelled || self.is_answered_off_core
     }
--- a/crates/admission/tests/common/mod.rs
+++ b/crates/admission/tests/common/mod.rs
@@ -20,8 +20,8 @@
 
 const SEED: u64 = 1;
 
-/// Each step of which the time in milliseconds is a multiple of this number is repeated with a
-/// restored state. With long tables, writing the state takes longer than the step.
+/// Each step whose time in milliseconds is a multiple of this number is repeated with a restored
+/// state. Not every step is, as serializing a large state takes longer than the step.
 const RESTORE_INTERVAL: Micros = 64;
 
 /// A server with four cores and an idempotent, a keyed and a non-idempotent class that all make
@@ -117,8 +117,9 @@
     }
 }
 
-/// Executes a step and returns its actions. Now and then the step is repeated with a controller
-/// that was serialized and restored, which has to return the same actions: captures rely on it.
+/// Executes a step and returns its actions. At each [`RESTORE_INTERVAL`] the step is repeated with
+/// a controller that was serialized and restored, which has to return the same actions: captures
+/// rely on it.
 pub fn step(controller: &mut Controller, now: Micros, events: &[Event]) -> Vec<Action> {
     let restored = (now / 1000 % RESTORE_INTERVAL == 0).then(|| {
         restore_controller(&serialize_controller(controller))
--- a/crates/admission/tests/downstream_calls.rs
+++ b/crates/admission/tests/downstream_calls.rs
@@ -46,8 +46,8 @@
     assert!(step(&mut controller, 11_000, &[failed]).contains(&Action::SkipCall(1)));
 }
 
-/// Guards against runs that look slower than they were, so that too much is rejected: the time of a
-/// skipped call is no more core time than that of a successful one.
+/// If the time of a skipped call counted as core time, runs would look slower than they were and
+/// too many requests would be rejected.
 #[test]
 fn the_time_of_a_skipped_call_is_not_core_time() {
     let call_time = 2 * SECOND;
@@ -59,7 +59,7 @@
         step(&mut controller, 1000 + call_time, &[call]);
         let elapsed = 2000 + call_time;
         step(&mut controller, elapsed, &[succeeded(1, elapsed)]);
-        // The thresholds follow from the mean core time once all is at rest.
+        // With no request left, the thresholds follow from the mean core time.
         step(&mut controller, elapsed + SECOND, &[tick()]);
         Thresholds::of(&controller).as_array()
     };
@@ -72,11 +72,11 @@
 #[test]
 fn the_timeout_of_a_call_ends_at_the_deadline_of_its_request() {
     let mut controller = controller(settings());
-    let impatient = Request {
+    let with_timeout = Request {
         timeout: Some(400_000),
         ..request(1, NON_IDEMPOTENT)
     };
-    step(&mut controller, 0, &[Event::Arrived(impatient)]);
+    step(&mut controller, 0, &[Event::Arrived(with_timeout)]);
     let actions = step(&mut controller, 100_000, &[Event::NeedsCall(1)]);
     assert!(actions.contains(&Action::PlaceCall(1, 300_000)));
 }
@@ -203,9 +203,9 @@
     (controller, now + 5000)
 }
 
-/// On a calm day of the fleet test, half of the rejections occurred while four requests waited to
-/// start and a core became free every eighth of a second: the call queue, whose discard threshold
-/// is at least four, counted them as if they waited for a call.
+/// In a fleet test under normal conditions, half of the rejections occurred while four requests
+/// waited to start and a core became free every eighth of a second: the call queue, whose discard
+/// threshold is at least four, counted them as if they waited for a call.
 #[test]
 fn a_burst_that_waits_to_start_does_not_fill_the_call_queue() {
     // With slow calls, the thresholds of the call queue are at their minimum.
@@ -227,8 +227,9 @@
     assert_eq!(rejected, 16);
 }
 
-/// On days with an upgrade, nearly all rejections occurred while four to twelve requests waited for
-/// a call: a few hundredths of a second at the rate at which calls ended.
+/// In fleet tests with an upgrade, nearly all rejections occurred while four to twelve requests
+/// waited for a call. At the rate at which calls ended, that was a wait of a few hundredths of a
+/// second.
 #[test]
 fn the_queue_for_fast_calls_is_as_long_as_is_harmless() {
     let rejections = |call_latency| {
@@ -255,10 +256,10 @@
         assert_eq!(status.waiting_for_call, 12 - rejections);
         rejections
     };
-    assert_eq!(rejections(2_000), 0, "eight wait for calls of 2 ms");
+    assert_eq!(rejections(2_000), 0, "eight may wait for calls of 2 ms");
     assert_eq!(
         rejections(2 * SECOND),
         4,
-        "four, the minimum, wait for calls of 2 s"
+        "only four, the minimum, may wait for calls of 2 s"
     );
 }
--- a/crates/admission/tests/idempotency.rs
+++ b/crates/admission/tests/idempotency.rs
@@ -1,10 +1,10 @@
-//! Requests with idempotency keys take effect once; reads can share an answer.
+//! Requests with idempotency keys take effect at most once, and reads can share an answer.
 
 mod common;
 use common::*;
 use pipitlever_admission::{Action, Event, Request, Settings};
 
-fn retains_a_key(actions: &[Action]) -> bool {
+fn retains_key(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::RetainKey(..)))
 }
 
@@ -70,7 +70,7 @@
     });
     let mut without_cache = controller(settings());
     let actions = step(&mut without_cache, 0, std::slice::from_ref(&read));
-    assert!(!retains_a_key(&actions));
+    assert!(!retains_key(&actions));
     let mut with_cache = controller(Settings {
         read_cache_ttl: 500_000,
         ..settings()
--- a/crates/admission/tests/invariants.rs
+++ b/crates/admission/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants under random workloads with fixed seeds, and each safeguard at its boundary.
+//! The invariants under random workloads with fixed seeds, and single limits at their boundaries.
 
 mod common;
 use common::*;
@@ -28,7 +28,7 @@
     last_keyed: Option<RequestId>,
 }
 
-/// What a workload led to.
+/// The results of a workload.
 struct Outcomes {
     violations: Vec<String>,
     started: usize,
@@ -287,11 +287,11 @@
 #[test]
 fn a_running_request_is_answered_at_its_deadline() {
     let mut controller = controller(settings());
-    let impatient = Request {
+    let with_timeout = Request {
         timeout: Some(300_000),
         ..request(1, NON_IDEMPOTENT)
     };
-    let actions = step(&mut controller, 0, &[Event::Arrived(impatient)]);
+    let actions = step(&mut controller, 0, &[Event::Arrived(with_timeout)]);
     assert_eq!(start_count(&actions), 1);
     let actions = step(&mut controller, 299_999, &[tick()]);
     assert!(!actions.contains(&Action::Fail(1)));
--- a/crates/admission/tests/large_fleets.rs
+++ b/crates/admission/tests/large_fleets.rs
@@ -1,4 +1,5 @@
-//! Findings in large fleets of small servers: rare calls, full connection tables, small counts.
+//! Regression tests for faults in large fleets of small servers: rare calls, full connection
+//! tables, small counts.
 
 mod common;
 use common::*;
@@ -155,8 +156,8 @@
     assert_eq!(shortest_idle_timeout(90.0, 300_000), None);
 }
 
-/// Now and then the first call is ten times faster than usual. At two calls a second it used to
-/// determine the best latency for minutes.
+/// The first call is occasionally ten times faster than usual. At two calls a second it determined
+/// the best latency for minutes.
 #[test]
 fn a_fast_first_call_does_not_make_ordinary_ones_look_slow() {
     let mut controller = controller(Settings {
--- a/crates/admission/tests/policy_files.rs
+++ b/crates/admission/tests/policy_files.rs
@@ -1,15 +1,15 @@
-//! The files of the policy: the deploy file lists each, and each is small.
+//! The source files of the policy: their size, and their entries in the deploy file.
 
 use std::fs;
 
 const POLICY_FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy");
 const MAX_LINES: usize = 400;
 const MAX_LINE_WIDTH: usize = 100;
-/// Fewer files mean that the folder was moved or merged.
+/// A lower number means that the folder was moved or that files were merged.
 const MIN_FILES: usize = 6;
 
-/// The operators lifted the cap of 950 lines for all decision modules together; each of them stays
-/// small, and the deploy file names each as policy.
+/// The limits apply to each decision module; the former limit of 950 lines on all of them together
+/// was lifted by the operators. The deploy file has to list each module as policy.
 #[test]
 fn decision_modules_are_small_and_listed_as_policy() {
     let deploy = include_str!("../../../deploy/balancer.toml");
--- a/crates/admission/tests/random_settings.rs
+++ b/crates/admission/tests/random_settings.rs
@@ -1,4 +1,4 @@
-//! The invariants under random settings from the whole range of valid ones, so of any deployment.
+//! The invariants under random settings from the whole valid range, which covers any deployment.
 
 mod common;
 use common::*;
@@ -41,7 +41,7 @@
 const LAST_ARRIVAL: Micros = 5_800_000;
 const END: Micros = 6_500_000;
 
-/// A random workload of 6.5 seconds: calm, a surge, a stall, a shutdown.
+/// A random workload of 6.5 seconds: base load, a surge, a stall, a shutdown.
 struct Workload<'a> {
     settings: &'a Settings,
     random: fastrand::Rng,
@@ -51,7 +51,7 @@
     keyed: Vec<(usize, RequestId)>,
 }
 
-/// What a workload led to.
+/// The results of a workload.
 struct Outcomes {
     violations: Vec<String>,
     started: usize,
@@ -233,7 +233,7 @@
     check_seeds(0..10);
 }
 
-/// By hand: `cargo test --release --test random_settings -- --ignored`.
+/// Run manually: `cargo test --release --test random_settings -- --ignored`.
 #[test]
 #[ignore = "250 workloads"]
 fn invariants_hold_under_many_settings() {
--- a/crates/admission/tests/regressions.rs
+++ b/crates/admission/tests/regressions.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 
 /// Incident i44e1ba: slow servers left requests unread for seconds while their start queue was
-/// short, so that callers saw no backpressure. Unread requests count: the level rises.
+/// short, so that callers got no backpressure. Unread requests have to raise the level.
 #[test]
 fn long_read_delays_raise_the_backpressure_level() {
     let highest_level = |queue_time: Micros| {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A server that stalled with all cores busy.
+/// A server whose cores are all busy and stalled.
 struct StalledServer {
     controller: Controller,
     now: Micros,
@@ -113,7 +113,7 @@
             step(&mut controller, now, &[succeeded(id, now - started_at)]);
         }
     }
-    // The keyed request takes the last core, and an idempotent one is queued behind it.
+    // The keyed request occupies the last core, and an idempotent one is queued.
     let mut actions = Vec::new();
     for (id, class) in [(STALLED_KEYED, KEYED), (STALLED_KEYED + 1, IDEMPOTENT)] {
         actions.extend(step(&mut controller, now, &[arrival(id, class)]));
@@ -134,7 +134,7 @@
 
 /// Stalled servers of the second deployment admitted a whole queue of requests per latency
 /// objective and lost them all: 15 to 20 requests a second that others could have served. They are
-/// rejected while there is time left, and callers are asked to wait before they retry.
+/// rejected while there is time left, with advice to wait before the retry.
 #[test]
 fn stalled_cores_reject_all_requests_that_others_can_serve() {
     let StalledServer {
@@ -173,7 +173,7 @@
 }
 
 /// Once a run ends, the server admits requests again at its former rate: the duration of a stall
-/// says nothing about the time that runs take.
+/// is not part of the run time.
 #[test]
 fn the_completion_rate_is_the_same_after_a_stall() {
     let StalledServer {
@@ -206,14 +206,14 @@
     for i in 1..40 {
         actions.extend(step(&mut controller, i * 20_000, &[tick()]));
     }
-    let gives_up = |a: &Action| matches!(a, Action::Reject { .. } | Action::Cancel(_));
-    assert!(!actions.iter().any(gives_up), "{actions:?}");
+    let ends_request = |a: &Action| matches!(a, Action::Reject { .. } | Action::Cancel(_));
+    assert!(!actions.iter().any(ends_request), "{actions:?}");
     let actions = step(&mut controller, 800_000, &[arrival(9, IDEMPOTENT)]);
     assert!(actions.contains(&Action::Run(9)));
 }
 
-/// Runs that fail immediately are not fast runs: they made the server look fast and its queue
-/// long, and attracted more requests.
+/// Runs that failed immediately made the server look fast, lengthened its queue and attracted more
+/// requests.
 #[test]
 fn runs_that_fail_immediately_do_not_make_a_server_look_fast() {
     let mut controller = controller(Settings {
