--- a/crates/load-balancing/examples/balance.rs
+++ b/crates/load-balancing/examples/balance.rs
@@ -1,9 +1,9 @@
 //! Compares balancing policies on one simulated pool: `cargo run --release -p
 //! pipitlever-load-balancing --example balance`.
 //!
-//! Every policy gets the same arrivals, run times and faults. The ideal policy knows at each moment
-//! which members respond, how fast, and how many runs each has. The last lines measure the pool's
-//! decisions, in nanoseconds.
+//! Every policy gets the same arrivals, run times and faults. The ideal policy has access to the
+//! present state of each member: whether it responds, its speed, and its number of runs. The last
+//! lines of the output are the durations of the pool's decisions, in nanoseconds.
 
 use pipitlever_load_balancing::consistent_hash::splitmix64;
 use pipitlever_load_balancing::pool::{
@@ -40,7 +40,7 @@
 enum Policy {
     RoundRobin,
     LeastRequests,
-    /// The one with fewer runs of two random members.
+    /// The member with fewer runs of two random ones.
     TwoChoices,
     Pool,
     Ideal,
@@ -193,14 +193,14 @@
     (f64::from(in_flight) / CORES).max(1.0)
 }
 
-struct Figures {
+struct Summary {
     /// Requests that succeeded before their deadline.
     success_ratio: f64,
     p50_ms: f64,
     p99_ms: f64,
 }
 
-fn simulate(policy: Policy, fault: Fault, members: usize, requests: u64) -> Figures {
+fn simulate(policy: Policy, fault: Fault, members: usize, requests: u64) -> Summary {
     let mut balancer = Balancer::new(policy, members);
     let gap = RUN_TIME / CORES / members as f64 / UTILIZATION;
     let scenario = Scenario {
@@ -234,7 +234,7 @@
     while let Some(Reverse(run)) = runs.pop() {
         latencies.extend(balancer.complete(run));
     }
-    figures(latencies, requests)
+    summarize(latencies, requests)
 }
 
 /// The time of a run, at most [`DEADLINE`]. Times of successful runs are exponentially distributed
@@ -251,13 +251,13 @@
     }
 }
 
-fn figures(mut latencies: Vec<Micros>, requests: u64) -> Figures {
+fn summarize(mut latencies: Vec<Micros>, requests: u64) -> Summary {
     latencies.sort_unstable();
     let percentile = |ratio: f64| {
         let index = ((latencies.len() - 1) as f64 * ratio) as usize;
         latencies[index] as f64 / 1000.0
     };
-    Figures {
+    Summary {
         success_ratio: latencies.len() as f64 / requests as f64,
         p50_ms: percentile(0.5),
         p99_ms: percentile(0.99),
@@ -295,14 +295,14 @@
     ];
     let requests = 50_000 * (members as u64).clamp(1, 20);
     for policy in policies {
-        let figures = simulate(policy, fault, members, requests);
+        let summary = simulate(policy, fault, members, requests);
         println!(
             "{members:>5} {:<8} {:<14} served {:.2}%  p50 {:.1} ms  p99 {:.1} ms",
             format!("{fault:?}"),
             format!("{policy:?}"),
-            figures.success_ratio * 100.0,
-            figures.p50_ms,
-            figures.p99_ms,
+            summary.success_ratio * 100.0,
+            summary.p50_ms,
+            summary.p99_ms,
         );
     }
 }
--- a/crates/load-balancing/src/concurrency_limit.rs
+++ b/crates/load-balancing/src/concurrency_limit.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Runs that are evaluated together.
+/// A window of runs that are evaluated together.
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     /// In microseconds.
@@ -99,8 +99,8 @@
         self.effective().max(1.0) as usize
     }
 
-    /// Sets the upper bound, in runs. The learned limit is retained, as a bound that falls for a
-    /// moment says nothing about the member.
+    /// Sets the upper bound, in runs. The learned limit is retained, as a temporarily lower bound
+    /// does not mean that the member has less capacity.
     pub fn set_upper_bound(&mut self, upper_bound: usize) {
         self.upper_bound = upper_bound.max(1) as f64;
     }
--- a/crates/load-balancing/src/lib.rs
+++ b/crates/load-balancing/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`pool`] selects a member: power of two choices by runs in flight, latency and weight, with
 //!   tiers, standby members and sticky keys.
 //! - [`outlier_detection`] ejects members whose runs fail or are slow, and readmits them gradually.
-//! - [`concurrency_limit`] bounds the runs in flight of a member by the latency it shows.
+//! - [`concurrency_limit`] bounds the runs in flight of a member by its observed latency.
 //! - [`retry_budget`] bounds retries to a fraction of the first attempts.
 //! - [`consistent_hash`] maps sticky keys to members.
 //!
--- a/crates/load-balancing/src/outlier_detection.rs
+++ b/crates/load-balancing/src/outlier_detection.rs
@@ -71,8 +71,8 @@
 }
 
 impl EjectionReason {
-    /// Whether the member's runs failed, or `was_failing` before a probe that failed. A slow member
-    /// completes its runs and is not failing.
+    /// Whether the member counts as failing: its runs failed, or its probe failed and `was_failing`
+    /// held before. A slow member completes its runs and is not failing.
     fn is_failure(self, was_failing: bool) -> bool {
         match self {
             EjectionReason::ConsecutiveFailures(_) | EjectionReason::FailureRatio(_) => true,
@@ -217,7 +217,8 @@
     }
 
     /// Extends an ejection that is over by its own duration, because another node probes the member
-    /// first. Happens once an ejection, in case that node does not probe. Returns whether it did.
+    /// first. An ejection is extended at most once, in case that node does not probe. Returns
+    /// whether the ejection was extended.
     pub fn defer_probation(&mut self, now: Micros) -> bool {
         match self.status {
             HealthStatus::Ejected { until, reason }
--- a/crates/load-balancing/src/pool/candidates.rs
+++ b/crates/load-balancing/src/pool/candidates.rs
@@ -1,4 +1,4 @@
-//! Which members the next run can go to.
+//! The members that can get the next run.
 
 use super::{Pool, PoolEvent};
 use crate::outlier_detection::HealthStatus;
--- a/crates/load-balancing/src/pool/config.rs
+++ b/crates/load-balancing/src/pool/config.rs
@@ -35,7 +35,7 @@
 }
 
 impl<A> Member<A> {
-    /// Default of [`Member::max_runs`], above what a worker executes at once.
+    /// Default of [`Member::max_runs`], more than a worker executes concurrently.
     const DEFAULT_MAX_RUNS: usize = 1024;
 
     /// Creates an active member of weight 1 in the first tier.
--- a/crates/load-balancing/src/pool/ejection.rs
+++ b/crates/load-balancing/src/pool/ejection.rs
@@ -7,11 +7,11 @@
 
 /// Interval between comparisons of latencies with the median, in microseconds.
 const LATENCY_COMPARISON_INTERVAL: Micros = SECOND;
-/// A median of fewer members says too little.
+/// The median of fewer members is not representative.
 const MIN_MEMBERS_FOR_MEDIAN: usize = 3;
 
 impl<A: Clone + PartialEq> Pool<A> {
-    /// Applies all transitions whose time has come.
+    /// Applies all transitions that are due.
     pub fn tick(&mut self, now: Micros) {
         if now >= self.next_transition {
             self.apply_transitions(now);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Brings the probation of a member forward, because another node's probe succeeded.
+    /// Shortens the ejection of a member, because another node's probe succeeded.
     pub fn shorten_ejection(&mut self, now: Micros, address: &A) {
         let member = self
             .members
--- a/crates/load-balancing/src/pool/mod.rs
+++ b/crates/load-balancing/src/pool/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `config`: settings of the pool and its members.
 //! - `members`: creation, and changes of the member list.
-//! - `candidates`: which members the next run can go to, by tier, standby use and ejection.
+//! - `candidates`: the members that can get the next run, by tier, standby use and ejection.
 //! - `selection`: requests for a member and their results.
 //! - `select`: selection of a member for a run.
 //! - `runs`: the end of runs, and retries.
@@ -41,7 +41,7 @@
     started_at: Micros,
 }
 
-/// The ids given last.
+/// The ids that were assigned last.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastIds {
     member: u32,
--- a/crates/load-balancing/src/pool/report.rs
+++ b/crates/load-balancing/src/pool/report.rs
@@ -8,7 +8,7 @@
 
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
-/// What a member does at present.
+/// The administrative or health state of a member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ReportedState {
     Removed,
--- a/crates/load-balancing/src/pool/runs.rs
+++ b/crates/load-balancing/src/pool/runs.rs
@@ -67,7 +67,7 @@
             }
             RunOutcome::TimedOut if !was_slow => None,
             RunOutcome::Failed | RunOutcome::TimedOut => {
-                // A member that fails at once must not look fast.
+                // A member that fails immediately must not look fast.
                 let latency = run.latency.max(self.typical_latency as Micros);
                 member.observe_latency(now, latency, decay);
                 member.detector.record_failure()
--- a/crates/load-balancing/src/pool/select.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -20,8 +20,8 @@
 impl<A: Clone + PartialEq> Pool<A> {
     /// Selects a member for a run.
     ///
-    /// A member on probation comes first, as its state is unknown until a run probes it; then the
-    /// member of the sticky key; then the less loaded of two random members.
+    /// A member on probation takes precedence, as its state is unknown until a run probes it; then
+    /// the member of the sticky key; then the less loaded of two random members.
     pub fn select(&mut self, now: Micros, request: SelectionRequest) -> Selection<A> {
         self.begin_selection(now, &request);
         let probed = self.probe_target(now, &request);
@@ -121,10 +121,10 @@
 
     /// Draws the members in slow start that are excluded from this selection.
     ///
-    /// Each is drawn independently of its load: with many processes, each has next to no runs on a
-    /// new member and would take it for idle. A member among [`CHOICES`] drawn ones gets up to that
-    /// many times its share by being the less loaded one, so its probability is divided by that;
-    /// the traffic of all processes together then follows the slow start.
+    /// Each is drawn independently of its load: with many processes, each process has almost no
+    /// runs on a new member, which would therefore look idle. As the least loaded of [`CHOICES`]
+    /// drawn members, it would get up to that many times its share, so its probability is divided
+    /// by [`CHOICES`]; the traffic of all processes together then follows the slow start.
     fn draw_slow_start_exclusions(&mut self, now: Micros) -> Vec<usize> {
         let mut excluded = Vec::new();
         if self.candidates.in_slow_start.len() == self.candidates.usable.len() {
--- a/crates/load-balancing/src/pool/selection.rs
+++ b/crates/load-balancing/src/pool/selection.rs
@@ -1,4 +1,4 @@
-//! What a caller asks of a pool, and what it gets.
+//! Requests for a member of a pool, and their results.
 
 /// Identifies a member within its pool. An address that is removed and added again gets a new id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -11,7 +11,7 @@
 /// A run that needs a member.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SelectionRequest<'a> {
-    /// Whether it may run more than once.
+    /// Whether the run may be executed more than once.
     pub is_idempotent: bool,
     /// Sticky key: requests with the same key go to the same member where possible.
     pub hash_key: Option<u64>,
--- a/crates/load-balancing/src/pool/tracked_member.rs
+++ b/crates/load-balancing/src/pool/tracked_member.rs
@@ -82,8 +82,8 @@
     }
 
     /// The member's latency in microseconds; `typical` if none was observed. The oldest run without
-    /// a response counts with half of its age, so that a member that hangs shows before its runs
-    /// time out.
+    /// a response counts with half of its age, so that a member that hangs is detected before its
+    /// runs time out.
     pub(super) fn latency(&self, now: Micros, decay: Micros, typical: f64) -> f64 {
         let observed = self.latency.map_or(typical, |latency| {
             latency.value * latency.remaining(now, decay)
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Whether the member may get runs, as far as the operator's settings go.
+    /// Whether the operator's settings allow the member to get runs.
     pub(super) fn is_enabled(&self) -> bool {
         !self.is_removed && self.settings.mode == MemberMode::Active
     }
@@ -114,7 +114,7 @@
         self.is_enabled() && self.settings.is_standby
     }
 
-    /// Whether the member is enabled and no standby.
+    /// Whether the member is enabled and not a standby member.
     pub(super) fn is_enabled_primary(&self) -> bool {
         self.is_enabled() && !self.settings.is_standby
     }
@@ -123,7 +123,7 @@
         self.runs.len() < self.limit.allowed_runs()
     }
 
-    /// Whether outlier detection lets the member have runs.
+    /// Whether outlier detection allows the member to get runs.
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
         self.detector.traffic_share(now) > 0.0
     }
--- a/crates/load-balancing/src/retry_budget.rs
+++ b/crates/load-balancing/src/retry_budget.rs
@@ -54,11 +54,11 @@
 /// A request whose last attempt failed.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryRequest {
-    /// Time after which its result is of no use, in microseconds.
+    /// Time after which the result is of no use, in microseconds.
     pub deadline: Micros,
     /// Whether an earlier attempt may have run.
     pub effect: AttemptEffect,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
     /// Attempts so far.
     pub attempts: u32,
--- a/crates/load-balancing/tests/concurrency_limit.rs
+++ b/crates/load-balancing/tests/concurrency_limit.rs
@@ -17,7 +17,7 @@
 }
 
 impl SimulatedMember {
-    /// Uses the limit fully for some rounds, and returns the limit at the end.
+    /// Executes as many runs as the limit allows in each round, and returns the limit at the end.
     fn load(&self, limit: &mut ConcurrencyLimit, now: &mut Micros, rounds: u64) -> usize {
         for round in 0..rounds {
             let runs = limit.allowed_runs();
@@ -46,7 +46,7 @@
     assert_eq!(member(128.0).load(&mut limit(20), &mut 0, 1000), 20);
 }
 
-/// The member takes ten times as long from a moment on: the limit falls and recovers.
+/// The member permanently becomes ten times slower: the limit falls and recovers.
 #[test]
 fn limit_recovers_after_a_lasting_latency_increase() {
     let (mut limit, mut now) = (limit(64), 0);
--- a/crates/load-balancing/tests/simulation.rs
+++ b/crates/load-balancing/tests/simulation.rs
@@ -19,7 +19,7 @@
     Pool::new(PoolConfig::default(), members, 7, 0)
 }
 
-/// Half a minute of idempotent requests.
+/// Simulates half a minute of idempotent requests at a steady rate.
 fn simulate_steadily(
     pool: &mut Pool<usize>,
     members: usize,
@@ -304,7 +304,7 @@
     assert_eq!(simulate(), simulate());
 }
 
-/// Requests whose deadline passes within the usual latency are no evidence against a member.
+/// Requests whose deadline passes within the usual latency do not count as failures of a member.
 #[test]
 fn short_deadlines_eject_no_member() {
     let mut pool = pool(3);
--- a/crates/load-balancing/tests/simulator/mod.rs
+++ b/crates/load-balancing/tests/simulator/mod.rs
@@ -87,31 +87,31 @@
     attempted: Vec<MemberId>,
 }
 
-/// A run that ends.
+/// The scheduled end of a run.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RunEnd {
     run: RunId,
     member: usize,
-    outcome: Ended,
+    outcome: OrderedOutcome,
     request: Request,
 }
 
-/// As [`RunOutcome`], which has no order.
+/// A [`RunOutcome`] with the order that the schedule requires.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Ended {
+enum OrderedOutcome {
     Succeeded,
     Failed,
     Unreachable,
     TimedOut,
 }
 
-impl From<Ended> for RunOutcome {
-    fn from(ended: Ended) -> RunOutcome {
-        match ended {
-            Ended::Succeeded => RunOutcome::Succeeded,
-            Ended::Failed => RunOutcome::Failed,
-            Ended::Unreachable => RunOutcome::Unreachable,
-            Ended::TimedOut => RunOutcome::TimedOut,
+impl From<OrderedOutcome> for RunOutcome {
+    fn from(outcome: OrderedOutcome) -> RunOutcome {
+        match outcome {
+            OrderedOutcome::Succeeded => RunOutcome::Succeeded,
+            OrderedOutcome::Failed => RunOutcome::Failed,
+            OrderedOutcome::Unreachable => RunOutcome::Unreachable,
+            OrderedOutcome::TimedOut => RunOutcome::TimedOut,
         }
     }
 }
@@ -210,32 +210,32 @@
         self.schedule(now + run_time.max(1), Step::End(end));
     }
 
-    fn execute(&self, now: Micros, member: usize, time_left: Micros) -> (Micros, Ended) {
+    fn execute(&self, now: Micros, member: usize, time_left: Micros) -> (Micros, OrderedOutcome) {
         match (self.workload.behavior)(member, now) {
             Behavior::Serves(idle_time) => {
                 let slowdown = (self.in_flight[member] / CORES).max(1.0);
                 let run_time = (idle_time * slowdown) as Micros;
                 if run_time <= time_left {
-                    (run_time, Ended::Succeeded)
+                    (run_time, OrderedOutcome::Succeeded)
                 } else {
-                    (time_left, Ended::Failed)
+                    (time_left, OrderedOutcome::Failed)
                 }
             }
-            Behavior::Hangs => (time_left, Ended::TimedOut),
-            Behavior::Fails => (FAILURE_TIME, Ended::Failed),
-            Behavior::Refuses => (REFUSAL_TIME, Ended::Unreachable),
+            Behavior::Hangs => (time_left, OrderedOutcome::TimedOut),
+            Behavior::Fails => (FAILURE_TIME, OrderedOutcome::Failed),
+            Behavior::Refuses => (REFUSAL_TIME, OrderedOutcome::Unreachable),
         }
     }
 
     fn end(&mut self, now: Micros, end: RunEnd) {
         self.in_flight[end.member] -= 1.0;
         self.pool.complete_run(now, end.run, end.outcome.into());
-        if end.outcome == Ended::Succeeded {
+        if end.outcome == OrderedOutcome::Succeeded {
             self.totals.succeeded += 1;
             self.totals.latencies.push(now - end.request.arrived_at);
             return;
         }
-        let effect = if end.outcome == Ended::Unreachable {
+        let effect = if end.outcome == OrderedOutcome::Unreachable {
             AttemptEffect::NeverRan
         } else {
             AttemptEffect::MayHaveRun
--- a/crates/load-balancing/tests/slow_start.rs
+++ b/crates/load-balancing/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Slow start of a new member under the traffic of many processes, which do not know of each other.
-//! Seeded; no socket and no clock.
+//! Slow start of a new member under the traffic of many processes that share no state. Seeded; no
+//! socket and no clock.
 
 use pipitlever_load_balancing::outlier_detection::OutlierDetectionConfig;
 use pipitlever_load_balancing::pool::{
@@ -19,8 +19,8 @@
 const RATE: f64 = 400.0;
 /// The same during [`BURST`].
 const BURST_RATE: f64 = 600.0;
-/// When the burst takes place. Times count from the moment the first process learns of the new
-/// member.
+/// When the burst takes place. Times are relative to the moment at which the first process adds the
+/// new member.
 const BURST: Range<Micros> = 2 * SECOND..3 * SECOND;
 /// When the simulation starts, so that the other members are busy when the new one is added.
 const START: Micros = -2 * SECOND;
@@ -33,7 +33,7 @@
 struct Scenario {
     processes: usize,
     seed: u64,
-    /// The last process learns of the new member at most this long after the first.
+    /// The last process adds the new member at most this long after the first.
     max_delay: Micros,
     /// When the first process restarts with the new member in its configuration.
     restart_at: Option<Micros>,
@@ -47,8 +47,8 @@
 
 struct Process {
     pool: Pool<usize>,
-    learns_at: Micros,
-    knows_new_member: bool,
+    new_member_added_at: Micros,
+    has_new_member: bool,
 }
 
 fn members(count: usize) -> Vec<Member<usize>> {
@@ -80,12 +80,12 @@
             seed * 100 + index as u64,
             0,
         ),
-        learns_at: if index == 0 {
+        new_member_added_at: if index == 0 {
             0
         } else {
             rng.random_range(0..=scenario.max_delay)
         },
-        knows_new_member: false,
+        has_new_member: false,
     };
     (0..processes).map(process).collect()
 }
@@ -122,14 +122,14 @@
         }
         let index = rng.random_range(0..processes.len());
         let process = &mut processes[index];
-        if !process.knows_new_member && now >= process.learns_at {
-            process.knows_new_member = true;
+        if !process.has_new_member && now >= process.new_member_added_at {
+            process.has_new_member = true;
             process.pool.update(members(MEMBERS + 1), now);
         }
         if !has_restarted && scenario.restart_at.is_some_and(|at| now >= at) {
             has_restarted = true;
             let (config, seed) = (PoolConfig::default(), scenario.seed + 1);
-            processes[0].knows_new_member = true;
+            processes[0].has_new_member = true;
             processes[0].pool = Pool::new(config, members(MEMBERS + 1), seed, now);
             run_ends.retain(|Reverse((_, index, _))| *index != 0);
         }
@@ -139,7 +139,8 @@
         if now >= 0 {
             let window = (now / WINDOW) as usize;
             traffic.runs[window] += f64::from(u8::from(address == NEW_MEMBER));
-            // A restarted process can't tell which members are new, and sends their full share.
+            // A restarted process has no record of which members are new, and sends the new one
+            // its full share.
             let share = if has_restarted && index == 0 {
                 1.0
             } else {
@@ -193,7 +194,7 @@
             }
         }
         println!("{processes} processes: {exceeded} of {windows} windows over the bound");
-        // One window in fifty over the bound is still chance.
+        // Random variation explains up to one window in fifty over the bound.
         if exceeded * 50 > windows {
             violations.push(format!(
                 "{processes} processes: {exceeded} of {windows} windows"
