--- a/crates/admission/tests/downstream_calls.rs
+++ b/crates/admission/tests/downstream_calls.rs
@@ -165,8 +165,8 @@
         let actions = step(&mut controller, now + 10_000, &events);
         let placed = placed_calls(&actions).into_iter();
         in_call.extend(placed.map(|(id, _)| (id, now + CALL_TIME)));
-        let (ended, still_in_call) = in_call.into_iter().partition(|(_, until)| *until <= now);
-        in_call = still_in_call;
+        let (ended, in_flight) = in_call.into_iter().partition(|(_, until)| *until <= now);
+        in_call = in_flight;
         let ended: Vec<(RequestId, Micros)> = ended;
         let events: Vec<Event> = ended
             .iter()
