--- a/crates/core/src/core/hot_restart.rs
+++ b/crates/core/src/core/hot_restart.rs
@@ -31,7 +31,7 @@
 
     /// Handles the death of the other process with keys that are not known here: until their
     /// windows end, runs of unknown keys may have been started there.
-    pub fn distrust_unknown_keys(&mut self, now: Micros) {
+    pub fn handle_keys_lost(&mut self, now: Micros) {
         self.keys.record_updates(false);
         let windows = self.settings.classes.iter().map(|c| c.idempotency_window);
         let longest_window = windows.max().unwrap_or(0);
--- a/crates/core/tests/hot_restart/world.rs
+++ b/crates/core/tests/hot_restart/world.rs
@@ -276,7 +276,7 @@
                         !self.new.is_alive,
                         "it accepts beside a successor that serves"
                     );
-                    self.old.core.distrust_unknown_keys(self.now);
+                    self.old.core.handle_keys_lost(self.now);
                 }
                 _ => {}
             }
@@ -311,7 +311,7 @@
             ConnectionLoss::Abort => self.new.is_alive = false,
             loss => {
                 if loss != ConnectionLoss::KeysComplete {
-                    self.new.core.distrust_unknown_keys(self.now);
+                    self.new.core.handle_keys_lost(self.now);
                 }
                 self.new.core.resolve_orphaned_keys(self.now);
             }
--- a/crates/node/src/net/hot_restart/predecessor_connection.rs
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -193,7 +193,7 @@
                 );
                 state
                     .borrow_mut()
-                    .with_core(|core, now| core.distrust_unknown_keys(now));
+                    .with_core(|core, now| core.handle_keys_lost(now));
             }
         }
         state
--- a/crates/node/src/net/hot_restart/successor_session.rs
+++ b/crates/node/src/net/hot_restart/successor_session.rs
@@ -248,7 +248,7 @@
         Action::Resume => {
             state
                 .borrow_mut()
-                .with_core(|core, now| core.distrust_unknown_keys(now));
+                .with_core(|core, now| core.handle_keys_lost(now));
             // Before the fronts open: the active config version may be outdated by now, and nothing
             // may be admitted before that is known.
             let membership = state.borrow().membership.clone();
