--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -1,4 +1,5 @@
-//! The admission controller with the events that are still to be passed to it, and their capture.
+//! The admission controller, its queue of pending events, and the capture of its inputs and
+//! actions.
 
 use crate::effect::Answer;
 use crate::request::IncomingRequest;
@@ -11,28 +12,28 @@
 /// Capacity that the buffer of actions keeps after a burst.
 const RETAINED_ACTIONS: usize = 256;
 
-/// An event that is still to be passed to the controller.
+/// An event queued for the controller.
 #[derive(Debug)]
 pub(crate) enum PendingEvent {
-    /// The event itself.
+    /// An event that needs no further preparation.
     Event(Event),
-    /// The arrival of a request, which gets its number when the event is passed on.
+    /// The arrival of a request. The request number is assigned when the event leaves the queue.
     Arrival(Box<OpenRequest>),
 }
 
-/// The admission controller, once it is started.
+/// The admission controller, which may not be started yet, and its event queue.
 pub(crate) struct Admission {
     seed: u64,
     controller: Option<Controller>,
     pending: VecDeque<PendingEvent>,
-    /// Records all events, actions and answers, while a capture runs.
+    /// Records all events, actions and answers while a capture is active.
     capture: Option<Recorder>,
-    /// Buffer for the actions of a step, reused by the next one.
+    /// Buffer for the actions of a step, reused by each step.
     actions: Vec<Action>,
 }
 
 impl Admission {
-    /// A controller that is not started.
+    /// Creates the state before the start of the controller.
     pub(crate) fn new(seed: u64) -> Admission {
         Admission {
             seed,
@@ -43,49 +44,47 @@
         }
     }
 
-    /// Starts the controller.
     pub(crate) fn start(&mut self, settings: Settings) {
         self.controller = Some(Controller::new(settings, self.seed));
     }
 
-    /// The controller; none before its start.
+    /// The controller; `None` before its start.
     pub(crate) fn controller(&self) -> Option<&Controller> {
         self.controller.as_ref()
     }
 
-    /// The controller; none before its start.
+    /// The controller; `None` before its start.
     pub(crate) fn controller_mut(&mut self) -> Option<&mut Controller> {
         self.controller.as_mut()
     }
 
-    /// Whether the controller is started.
     pub(crate) fn is_started(&self) -> bool {
         self.controller.is_some()
     }
 
-    /// Appends an event to those still to be passed on.
+    /// Queues an event for the controller.
     pub(crate) fn enqueue(&mut self, event: Event) {
         self.pending.push_back(PendingEvent::Event(event));
     }
 
-    /// Appends the arrival of a request that was open before.
+    /// Queues the arrival of a duplicate whose original did not run, so that it is handled as a
+    /// request of its own.
     pub(crate) fn enqueue_arrival(&mut self, request: OpenRequest) {
         self.pending
             .push_back(PendingEvent::Arrival(Box::new(request)));
     }
 
-    /// Takes the next pending event.
+    /// Removes and returns the first pending event.
     pub(crate) fn next_pending(&mut self) -> Option<PendingEvent> {
         self.pending.pop_front()
     }
 
-    /// Whether there are pending events.
     pub(crate) fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Passes events to the controller and returns its actions, in a buffer to give back to
-    /// [`Admission::recycle`]; none before the controller's start.
+    /// Passes events to the controller and returns its actions; `None` before the controller's
+    /// start. The caller returns the emptied buffer with [`Admission::recycle`].
     pub(crate) fn step(
         &mut self,
         now: Micros,
@@ -106,35 +105,35 @@
         Some(actions)
     }
 
-    /// Takes back the empty buffer of [`Admission::step`].
+    /// Keeps the emptied buffer of [`Admission::step`] for the next step.
     pub(crate) fn recycle(&mut self, mut actions: Vec<Action>) {
         actions.shrink_to(RETAINED_ACTIONS);
         self.actions = actions;
     }
 
-    /// Starts or ends a capture.
+    /// Starts a capture with this recorder, or ends it with `None`.
     pub(crate) fn set_capture(&mut self, capture: Option<Recorder>) {
         self.capture = capture;
     }
 
-    /// Records in a capture which request has this number.
+    /// Records in a capture which request has the number `id`.
     pub(crate) fn capture_request(&mut self, id: RequestId, incoming: &IncomingRequest) {
         if let Some(capture) = &mut self.capture {
             capture.identity(incoming.capture_identity(id));
         }
     }
 
-    /// Records a final answer in a capture, with the part of the node that gave it.
+    /// Records a final answer in a capture, with the component that produced it.
     pub(crate) fn capture_answer(
         &mut self,
         now: Micros,
         incoming: &IncomingRequest,
         answer: &Answer,
-        by: AnswerSource,
+        source: AnswerSource,
     ) {
         if let Some(capture) = &mut self.capture {
             let class = incoming.class as u32;
-            capture.answer(now, incoming.reference, class, answer.captured(), by);
+            capture.answer(now, incoming.reference, class, answer.captured(), source);
         }
     }
 }
--- a/crates/core/src/availability.rs
+++ b/crates/core/src/availability.rs
@@ -5,18 +5,18 @@
 /// The advertised state of a node.
 #[derive(Debug)]
 pub(crate) struct Availability {
-    /// The load level sent with every answer, once the controller has given one.
+    /// The load level sent with every answer; `None` until the controller has computed one.
     pub(crate) load_level: Option<f64>,
-    /// The controller's result for health checks.
+    /// Whether the controller considers the node healthy.
     pub(crate) is_healthy: bool,
     /// Operators have set the node to standby: health checks fail, requests are still served.
     pub(crate) is_standby: bool,
-    /// The version of the settings may be stale from this time on: no request is admitted or
+    /// From this time on the version of the settings may be stale, so no request is admitted or
     /// started.
     pub(crate) configuration_expiry: Micros,
     /// How long a connection may be idle, in microseconds.
     pub(crate) idle_timeout: Micros,
-    /// This process shuts down while the node continues in another one (phase `Retire` of a hot
+    /// This process is shutting down while its successor serves the node (phase `Retire` of a hot
     /// restart).
     pub(crate) is_retiring: bool,
 }
@@ -39,13 +39,13 @@
         now >= self.configuration_expiry
     }
 
-    /// The result of health checks.
+    /// Whether health checks of the node pass.
     pub(crate) fn passes_health_checks(&self, now: Micros) -> bool {
         self.is_healthy && !self.is_standby && !self.is_configuration_expired(now)
     }
 
-    /// The delay to advise to a rejected caller. A process whose node continues in another one
-    /// advises none.
+    /// The retry delay sent to a rejected caller: none from a retiring process, as its successor
+    /// accepts the retry at once.
     pub(crate) fn advised_delay(&self, delay: Micros) -> Micros {
         if self.is_retiring {
             0
--- a/crates/core/src/class_table.rs
+++ b/crates/core/src/class_table.rs
@@ -1,14 +1,14 @@
 //! Table of request classes: the active ones, and those that open requests still belong to.
 //!
-//! A class keeps its index while a request of it is open, whatever a new configuration says. Its
-//! counters belong to its name and outlast it.
+//! A class keeps its index while one of its requests is open, even if a new configuration removes
+//! or redefines the class. Counters are kept by class name, also after the class is removed.
 
 use crate::counters::ClassCounters;
 use std::rc::Rc;
 use thiserror::Error;
 
 /// Limit on classes, active or with open requests, and on class names with counters. It bounds the
-/// table whatever the number of configurations.
+/// size of the table over any number of reconfigurations.
 pub const MAX_CLASSES: usize = 256;
 
 /// The classes of a new configuration do not fit into the table.
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug)]
 struct Slot {
     name: Rc<str>,
-    /// Whether new requests may belong to it.
+    /// Whether the current configuration defines the class, so that it accepts new requests.
     is_active: bool,
-    /// Index of the counters of its name.
+    /// Index of the counters for this class name.
     counters: usize,
 }
 
@@ -31,13 +31,13 @@
     counters: ClassCounters,
 }
 
-/// The index that a class of a new configuration gets.
+/// The index assigned to a class of a new configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassAssignment {
-    /// Its index in the class table.
+    /// The assigned index in the class table.
     pub index: usize,
-    /// The index of the class of the same name before; equal to `index` if its definition has not
-    /// changed, none if the class is new.
+    /// The previous index of the class of this name; equal to `index` if the definition has not
+    /// changed, `None` if the class is new.
     pub previous: Option<usize>,
 }
 
@@ -65,8 +65,9 @@
     /// Computes the indexes of the classes of a configuration, given their names in its order. The
     /// table itself does not change.
     ///
-    /// `is_same(index, class)` says whether the class at an index is defined like a new one, and
-    /// `is_in_use(index)` whether requests of it are open.
+    /// `is_same(index, class)` returns whether the existing class at `index` has the same
+    /// definition as the class at position `class` of the configuration; `is_in_use(index)` returns
+    /// whether the existing class has open requests.
     ///
     /// # Errors
     ///
@@ -100,7 +101,8 @@
         Ok(assignments)
     }
 
-    /// Makes these classes the active ones, at the indexes from [`ClassTable::assign`].
+    /// Activates these classes at the indexes from [`ClassTable::assign`] and deactivates all
+    /// others.
     pub fn apply(&mut self, names: &[Rc<str>], assignments: &[ClassAssignment]) {
         for slot in &mut self.slots {
             slot.is_active = false;
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The index of the active class of a name.
+    /// The index of the active class with this name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.slots
             .iter()
@@ -167,7 +169,7 @@
         self.slots.is_empty()
     }
 
-    /// The index of the class of a name: the active one, or else the last inactive one.
+    /// The index of the active class with this name, or else of the last inactive one.
     fn latest_index_of(&self, name: &str) -> Option<usize> {
         (0..self.slots.len())
             .filter(|&index| &*self.slots[index].name == name)
--- a/crates/core/src/core/actions.rs
+++ b/crates/core/src/core/actions.rs
@@ -11,14 +11,14 @@
 const GAUGE_LEAD: Micros = 5_000;
 
 impl Core {
-    /// Passes an event to the controller, after those that are pending.
+    /// Passes all pending events and then this one to the controller.
     pub(super) fn notify_controller(&mut self, now: Micros, event: Event) {
         self.admission.enqueue(event);
         self.process_pending(now);
     }
 
-    /// Passes the pending events to the controller, one at a time: the actions that follow from one
-    /// may decide what the next one is a duplicate of.
+    /// Passes the pending events to the controller one at a time, since the actions of one event
+    /// may determine which attempt the next arrival duplicates.
     pub(super) fn process_pending(&mut self, now: Micros) {
         while let Some(pending) = self.admission.next_pending() {
             let event = match pending {
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Runs a step of the controller and executes its actions. Events that follow from them are
-    /// left pending.
+    /// Runs a step of the controller and executes its actions. Events that result from the actions
+    /// are left pending.
     pub(super) fn step(&mut self, now: Micros, events: &[Event]) {
         self.advance_to(now);
         let actions = self
@@ -69,13 +69,14 @@
                 self.timers.schedule(at - GAUGE_LEAD, Timer::QueryGauges);
             }
             Action::Cancel(id) => self.stop_run(id),
-            // `controller_settings` rules it out, as no peer has a command for it.
+            // Not issued: `controller_settings` disables it, as no peer has a command for it.
             Action::SkipCall(_) => {}
         }
     }
 
-    /// Answers a request that the controller rejects. `Rejected` promises that the attempt never
-    /// ran, so a running request, which the controller may reject if it is a read, fails.
+    /// Answers a request that the controller rejects. The controller may also reject a running
+    /// read; since `Rejected` guarantees that the attempt did not run, such a request fails
+    /// instead.
     fn reject(&mut self, id: RequestId, retry_after: Micros, no_retry: bool) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/core/src/core/answers.rs
+++ b/crates/core/src/core/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, and the release of everything that a request holds.
+//! Final answers, and the release of a request's entries in all tables.
 
 use crate::core::Core;
 use crate::effect::{Answer, Effect};
@@ -8,8 +8,8 @@
 use pipitlever_capture::record::AnswerSource;
 
 impl Core {
-    /// Gives a request its final answer, unless it is answered or abandoned.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, by: AnswerSource) {
+    /// Sends the final answer of a request, unless it is already answered or abandoned.
+    pub(super) fn answer(&mut self, id: RequestId, answer: Answer, source: AnswerSource) {
         let Some(origin) = self.requests.take_origin(id) else {
             return;
         };
@@ -17,7 +17,7 @@
             return;
         };
         self.admission
-            .capture_answer(self.now, &request.incoming, &answer, by);
+            .capture_answer(self.now, &request.incoming, &answer, source);
         let class = request.incoming.class;
         self.count_answer(class, &answer);
         self.effects.push(Effect::Answer { origin, answer });
@@ -37,7 +37,8 @@
         *of_class += 1;
     }
 
-    /// Removes a request from every table. This is the only place that releases what it holds.
+    /// Removes a request from the request table, its timers and the waiting list of its key. No
+    /// other function removes a request.
     pub(super) fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(id)?;
         self.timers.cancel(request.deadline, Timer::Deadline(id));
--- a/crates/core/src/core/calls.rs
+++ b/crates/core/src/core/calls.rs
@@ -8,13 +8,13 @@
 use pipitlever_admission::{Event, Micros, Outcome, RequestId};
 use std::rc::Rc;
 
-/// A call is cancelled this long after its deadline, by which the layer below answers.
+/// A call is cancelled this long after its deadline, since the layer below answers by the deadline.
 const CALL_GRACE: Micros = 50_000;
-/// Limit on the time that the controller gives a call, in microseconds.
+/// Limit on the timeout that the controller sets for a call, in microseconds.
 const MAX_CALL_TIMEOUT: Micros = 3_600_000_000;
 
 impl Core {
-    /// Handles a run's request for a call, without which it cannot continue.
+    /// Handles a run's request for a call. The run is blocked until it receives the reply.
     pub fn handle_call_requested(&mut self, now: Micros, reference: Reference, body: Rc<[u8]>) {
         let Some(id) = self.requests.id_of(reference) else {
             return;
@@ -30,7 +30,7 @@
         self.notify_controller(now, Event::NeedsCall(id));
     }
 
-    /// Places a call that the controller has decided on.
+    /// Sends a requested call to the layer below, as decided by the controller.
     pub(super) fn place_call(&mut self, id: RequestId, timeout: Micros) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -58,7 +58,7 @@
         });
     }
 
-    /// Handles the end of a call, with a reply if it succeeded.
+    /// Handles the end of a call. `reply` is used only if the call succeeded.
     pub fn handle_call_finished(
         &mut self,
         now: Micros,
@@ -92,9 +92,9 @@
                     body: reply,
                 });
             }
-            // The controller places a rejected call again at once. Against a peer that rejects or
-            // resets within a millisecond that was a loop of 30,000 calls a second, so the
-            // notification is delayed by the interval at which the simulator delivers it.
+            // The controller retries a rejected call immediately. With a peer that rejects or
+            // resets within a millisecond, that caused 30,000 calls a second, so the notification
+            // is delayed by the interval at which the simulator delivers it.
             Outcome::Rejected | Outcome::Unreachable | Outcome::Reset => {
                 call.state = CallState::Rejected { placed_at, outcome };
                 let at = now + self.call_interval;
@@ -105,7 +105,7 @@
         self.notify_call_ended(now, id, placed_at, outcome);
     }
 
-    /// Handles the expiry of a call that has not ended.
+    /// Cancels a call that has not ended by its expiry.
     pub(super) fn handle_call_timeout(&mut self, now: Micros, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Notifies the controller of a call that was rejected an interval ago.
+    /// Notifies the controller of a rejected call, after the delay of one call interval.
     pub(super) fn handle_call_rejection(&mut self, now: Micros, id: RequestId) {
         let run = self.requests.get_mut(id).and_then(|r| r.run_mut());
         let Some(call) = run.and_then(|run| run.call.as_mut()) else {
--- a/crates/core/src/core/configuration.rs
+++ b/crates/core/src/core/configuration.rs
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Starts the controller of a node without a processor: all runs go to workers.
+    /// Starts the controller of a node without a processor, which sends all runs to workers.
     pub fn start_without_processor(&mut self, now: Micros) {
         self.gauges = GaugeSource::RunCount;
         self.start(now, now, false);
     }
 
-    /// Starts the controller, given when the processor started and whether it is cold. Later
-    /// connections to the processor have no effect.
+    /// Starts the controller, given the start time of the processor and whether it is cold. Later
+    /// calls, on further connections to the processor, have no effect.
     pub fn start(&mut self, now: Micros, processor_started_at: Micros, is_cold: bool) {
         if self.admission.is_started() {
             return;
@@ -27,10 +27,11 @@
         self.step(now, &[]);
     }
 
-    /// Replaces the settings; whether anything has changed for the controller.
+    /// Replaces the settings. Returns whether the controller's settings or the active classes have
+    /// changed.
     ///
-    /// The classes have these names and the indexes of [`crate::ClassTable::assign`]. Open requests
-    /// keep the class that they arrived with. `call_interval` is as in [`Core::new`].
+    /// `assignments` are the indexes of the classes from [`crate::ClassTable::assign`]. Open
+    /// requests keep the class that they arrived with. `call_interval` is as in [`Core::new`].
     pub fn reconfigure(
         &mut self,
         mut settings: Settings,
@@ -67,8 +68,8 @@
         true
     }
 
-    /// Sets the limits of this process beside another one of the node, which leaves it this share
-    /// of the processor's memory and half of the concurrency; none if there is no other process.
+    /// Sets the limits of this process while another process of the node runs: `share` of the
+    /// processor's memory and half of the concurrency. `None` removes the restriction.
     pub fn set_memory_share(&mut self, share: Option<f64>, limits: MemoryLimits) {
         self.key_transfer.memory_share = share;
         self.requests.set_max_bytes(limits.requests);
@@ -110,8 +111,8 @@
             .any(|request| request.incoming.class == index)
     }
 
-    /// Passes the settings to the controller, with the indexes of the active classes and of the
-    /// classes that they replace.
+    /// Passes the settings to the controller, with the indexes of the active classes and their
+    /// previous indexes.
     fn reconfigure_controller(&mut self, active: &[(usize, Option<usize>)]) {
         let settings = self.controller_settings();
         if let Some(controller) = self.admission.controller_mut() {
@@ -119,11 +120,11 @@
         }
     }
 
-    /// The settings as the controller gets them: this process's share of the node's.
+    /// The settings for the controller, with this process's share of the node's limits.
     fn controller_settings(&self) -> Settings {
         let mut settings = self.settings.clone();
-        // There is no command to continue a run without its call, so the controller must not skip
-        // one.
+        // The protocol has no command to continue a run without its call, so the controller must
+        // not skip calls.
         for class in &mut settings.classes {
             class.skip_call_weight = 0.0;
         }
--- a/crates/core/src/core/duplicates.rs
+++ b/crates/core/src/core/duplicates.rs
@@ -1,5 +1,5 @@
-//! Duplicates: attempts with the idempotency key of another one. They wait for its outcome, or get
-//! the cached one.
+//! Duplicates: attempts with the idempotency key of another attempt. They wait for the outcome of
+//! that attempt, or are answered with the cached outcome.
 
 use crate::core::Core;
 use crate::effect::Answer;
@@ -9,15 +9,15 @@
 use std::rc::Rc;
 
 impl Core {
-    /// Whether a key belongs to a request of another class or body. That is an error of the client:
-    /// the cached outcome is not this request's, and a second run under the key is not allowed.
+    /// Whether a key belongs to a request of another class or body. Such a request is a client
+    /// error: the cached outcome does not apply to it, and the key must not run twice.
     pub fn is_key_conflict(&self, key: &str, arrived_at: Micros, payload_digest: u64) -> bool {
         self.keys
             .find_duplicate(key, arrived_at)
             .is_some_and(|entry| entry.payload_digest != payload_digest)
     }
 
-    /// Makes an attempt the owner of its key for this long, in microseconds.
+    /// Makes an attempt the owner of its key for `lifetime` microseconds.
     pub(super) fn retain_key(&mut self, id: RequestId, lifetime: Micros) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Gives a duplicate the cached outcome, or has it wait for the outcome.
+    /// Answers a duplicate with the cached outcome, or adds it to those waiting for the outcome.
     pub(super) fn reuse_outcome(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -68,8 +68,8 @@
     }
 
     /// Caches the outcome of a keyed run and answers the duplicates that wait for it. Without an
-    /// outcome the run was never started: the key is free, and waiting duplicates get the answer of
-    /// the original.
+    /// outcome the run was never started: the key is released, and waiting duplicates get the
+    /// answer of the original.
     pub(super) fn share_outcome(
         &mut self,
         key: &Rc<str>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Frees the key of an attempt that the controller has dropped before its run.
+    /// Releases the key of an attempt that the controller has dropped before its run.
     pub(super) fn release_key(&mut self, id: RequestId) {
         // The attempt may have been closed by its answer, so its key is looked up by the owner.
         let Some(key) = self.keys.owned_key(id) else {
@@ -117,8 +117,8 @@
         self.release_waiting(waiting, None);
     }
 
-    /// Handles duplicates of an attempt that never ran: they get its rejection, or arrive at the
-    /// controller again as requests of their own.
+    /// Handles duplicates of an attempt that never ran. They are answered with `rejection`, or
+    /// without one they are passed to the controller again as requests of their own.
     pub(super) fn release_waiting(&mut self, waiting: Vec<RequestId>, rejection: Option<&Answer>) {
         for id in waiting {
             self.admission.enqueue(Event::Finished {
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -1,8 +1,8 @@
-//! Keyed runs of a node with a store: a run starts once its intent is on the disk, and its outcome
-//! is written.
+//! Keyed runs of a node with a store: a run starts once its intent is durable, and its outcome is
+//! written.
 //!
-//! The decisions are those of [`pipitlever_idempotency_store::commit_queue`] and
-//! [`pipitlever_idempotency_store::recovery`].
+//! [`pipitlever_idempotency_store::commit_queue`] and [`pipitlever_idempotency_store::recovery`]
+//! make the decisions.
 
 use crate::core::intake::{Overload, OVERLOAD_RETRY_AFTER};
 use crate::core::runs::FinishedRun;
@@ -20,15 +20,15 @@
 use std::io;
 use std::rc::Rc;
 
-/// A stored entry outlasts its window and the read delay by this time, in which the last reader
-/// answers.
+/// A stored entry is retained this long after its window and the read delay, so that the last
+/// duplicate can still be answered.
 const STORE_LINGER: Micros = 1_000_000;
 /// Capacity that the buffer of commit events keeps after a burst.
 const RETAINED_EVENTS: usize = 256;
 
 impl Core {
-    /// Connects a store, with the keys that it has brought over a restart; their windows end on the
-    /// node's clock. To be called before any request arrives.
+    /// Attaches a store, with the keys that were recovered from it; their windows are on the node's
+    /// clock. Has to be called before any request arrives.
     pub fn attach_store(&mut self, mut store: RunStore, recovered: Vec<Recovered>) {
         for key in recovered {
             self.restore_recovered(&mut store, key);
@@ -47,7 +47,8 @@
             Some(Outcome::Served(result)) => CachedOutcome::Served(Rc::from(result)),
             Some(Outcome::Failed) => CachedOutcome::Failed,
             None => {
-                // A processor that outlived the process may still report the end of the run.
+                // A processor that is still running from before the restart may report the end of
+                // the run.
                 let read_grace = self.keys.read_delay() + STORE_LINGER;
                 let uptime = window_end + read_grace + store.uptime_offset;
                 if store
@@ -59,8 +60,8 @@
                 CachedOutcome::Unknown { window_end }
             }
         };
-        // The owner's number is not known to the controller, which is fine: a duplicate is answered
-        // from the table whatever became of its original.
+        // The controller has no request with the owner's number. It needs none, as a duplicate is
+        // answered from the table even if its original is closed.
         let owner = self.requests.allocate_id();
         self.keys.restore(RestoredKey {
             key: &key,
@@ -71,7 +72,7 @@
         });
     }
 
-    /// The reason why the store accepts no new keys, if it accepts none.
+    /// The reason why the store rejects new keys; `None` if it accepts them.
     pub(super) fn check_store(&self, now: Micros) -> Option<Overload> {
         let store = self.store.as_ref()?;
         let overload = match store.commit_queue.refusal(now)? {
@@ -83,7 +84,7 @@
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
                 Overload {
-                    by: AnswerSource::StoreUnavailable,
+                    source: AnswerSource::StoreUnavailable,
                     retry_after: remaining.clamp(OVERLOAD_RETRY_AFTER, longest),
                 }
             }
@@ -91,8 +92,8 @@
         Some(overload)
     }
 
-    /// Writes the intent of a keyed run, which is dispatched once that is on the disk. Returns
-    /// whether there is a store.
+    /// Queues the intent of a keyed run for writing; the run is dispatched once the intent is
+    /// durable. Returns whether there is a store.
     pub(super) fn write_intent(&mut self, id: RequestId) -> bool {
         let (Some(store), Some(request)) = (&mut self.store, self.requests.get(id)) else {
             return false;
@@ -101,7 +102,7 @@
         let read_grace = self.keys.read_delay() + STORE_LINGER;
         let window = self.settings.classes[incoming.class].idempotency_window;
         let intent = Intent {
-            // The commit queue assigns it.
+            // Assigned by the commit queue.
             id: 0,
             reference: incoming.reference,
             key: incoming.idempotency_key.as_deref().unwrap_or("").to_owned(),
@@ -118,7 +119,7 @@
         true
     }
 
-    /// Handles the events of the commit queue. What follows for the controller is left pending.
+    /// Handles the events of the commit queue. The resulting controller events are left pending.
     pub(super) fn process_store_events(&mut self) {
         loop {
             let Some(store) = &mut self.store else {
@@ -133,7 +134,7 @@
             }
             events.shrink_to(RETAINED_EVENTS);
             if let Some(store) = &mut self.store {
-                // Handling the events may have led to further ones.
+                // Handling the events may have added further ones.
                 events.append(&mut store.events);
                 store.events = events;
             }
@@ -168,7 +169,8 @@
         }
     }
 
-    /// Dispatches a run whose intent is on the disk, if its outcome is still of use.
+    /// Dispatches a run whose intent is durable, if a caller or a duplicate still waits for its
+    /// outcome.
     fn handle_intent_written(&mut self, reference: Reference) {
         let id = self.requests.id_of(reference);
         let request = id.and_then(|id| self.requests.get(id));
@@ -195,7 +197,8 @@
         }
     }
 
-    /// Writes the outcome of a keyed run; whether its answer has to wait for that.
+    /// Queues the outcome of a keyed run for writing. Returns whether the answer has to wait until
+    /// the outcome is durable.
     pub(super) fn write_outcome(&mut self, reference: Reference, run: &FinishedRun) -> bool {
         let Some(store) = &mut self.store else {
             return false;
@@ -224,8 +227,8 @@
         answer_waits
     }
 
-    /// Handles the end of a run that an earlier process started: duplicates of its key get the
-    /// outcome from now on.
+    /// Handles the end of a run that an earlier process started. Later duplicates of its key are
+    /// answered with the outcome.
     pub(super) fn finish_earlier_run(
         &mut self,
         reference: Reference,
@@ -253,24 +256,25 @@
         self.keys.replace_outcome(&key, outcome);
     }
 
-    /// Whether the store has a run of this reference whose end it does not know.
+    /// Whether the store has an intent of this reference without an outcome.
     pub(super) fn store_contains(&self, reference: Reference) -> bool {
         self.store
             .as_ref()
             .is_some_and(|store| store.commit_queue.has_open_intent(reference))
     }
 
-    /// Whether a store remembers keyed runs.
+    /// Whether the node has an idempotency store.
     pub fn has_store(&self) -> bool {
         self.store.is_some()
     }
 
-    /// The next batch for the store's writer, if it should write one now.
+    /// The next batch for the store's writer, if one is due.
     pub fn next_store_batch(&mut self, now: Micros) -> Option<Batch> {
         self.store.as_mut()?.commit_queue.next_batch(now)
     }
 
-    /// Handles the result of the writer's last batch: the bytes in use on the disk, or an error.
+    /// Handles the result of the writer's last batch: the number of bytes in use on disk, or an
+    /// error.
     pub fn handle_store_result(&mut self, now: Micros, result: io::Result<u64>) {
         self.advance_to(now);
         let Some(store) = &mut self.store else {
@@ -283,7 +287,7 @@
         self.process_pending(now);
     }
 
-    /// Rejects requests that have waited for the store for too long.
+    /// Rejects requests that have exceeded the time limit for writing their intent.
     pub(super) fn handle_store_timeouts(&mut self, now: Micros) {
         self.advance_to(now);
         let Some(store) = &mut self.store else {
@@ -295,17 +299,17 @@
         self.process_pending(now);
     }
 
-    /// When [`Core::handle_store_timeouts`] is next due.
+    /// When [`Core::handle_store_timeouts`] has to be called next.
     pub(super) fn next_store_timeout(&self) -> Option<Micros> {
         self.store.as_ref()?.commit_queue.next_wakeup(self.now)
     }
 
-    /// The change, whenever the store has started or stopped to accept keys.
+    /// Returns a change if the store has started or stopped accepting keys since the last call.
     pub fn store_status_change(&mut self, now: Micros) -> Option<StatusChange> {
         self.store.as_mut()?.commit_queue.status_change(now)
     }
 
-    /// Whether all records are on the disk.
+    /// Whether all records are durable.
     pub fn is_store_idle(&self) -> bool {
         self.store
             .as_ref()
--- a/crates/core/src/core/hot_restart.rs
+++ b/crates/core/src/core/hot_restart.rs
@@ -10,42 +10,42 @@
 use pipitlever_hot_restart::message::{KeyEntry, KeyState, Message, MAX_RESULT_BYTES};
 use std::rc::Rc;
 
-/// The share of its memory that the controller reserves at most.
+/// The largest share of its memory that the controller reserves.
 const RESERVABLE_SHARE: f64 = 0.9;
-/// The share of the processor's memory that a process keeps beside another one at the least.
+/// The smallest share of the processor's memory that a process keeps while another one runs.
 const MIN_MEMORY_SHARE: f64 = 0.5;
 
 impl Core {
-    /// Starts the transfer of keys to a successor, which has the authority over unknown keys from
-    /// now on.
+    /// Starts the transfer of keys to the successor, and passes the authority over unknown keys to
+    /// it.
     pub fn freeze_keys(&mut self) {
         self.key_transfer.authority.set_remote(true);
         self.keys.record_updates(true);
     }
 
-    /// Ends the transfer, after the successor has exited without having served.
+    /// Cancels the transfer after the successor has exited without serving requests.
     pub fn unfreeze_keys(&mut self) {
         self.key_transfer.authority.set_remote(false);
         self.keys.record_updates(false);
     }
 
-    /// Handles the death of the other process with keys that are not known here: until their
-    /// windows end, runs of unknown keys may have been started there.
+    /// Handles the exit of the other process before all of its keys were transferred. Until the
+    /// windows of the lost keys end, an unknown key may already have been run there.
     pub fn handle_keys_lost(&mut self, now: Micros) {
         self.keys.record_updates(false);
         let windows = self.settings.classes.iter().map(|c| c.idempotency_window);
         let longest_window = windows.max().unwrap_or(0);
-        // A duplicate that arrived within a window may be read as late as its caller waits.
+        // A duplicate that arrived within the window may be read until its caller stops waiting.
         let until = now + longest_window + self.keys.read_delay();
         self.key_transfer.authority.handle_keys_lost(until);
     }
 
-    /// Whether requests of unknown keys are accepted here.
+    /// Whether this process accepts requests with unknown keys.
     pub fn has_key_authority(&self, now: Micros) -> bool {
         !self.key_transfer.authority.is_uncertain(now)
     }
 
-    /// The answer to a request whose key is not known, unless it is handled as a new one.
+    /// The answer to a request with an unknown key; `None` if the request is handled as a new one.
     pub(super) fn check_unknown_key(&self, now: Micros, is_retry: bool) -> Option<Answer> {
         let authority = &self.key_transfer.authority;
         match authority.decide(now, is_retry, self.retries_are_marked) {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The next key update for the successor, if there is one. `to_unix` leads from the node's
-    /// clock to Unix time, in microseconds.
+    /// The next key update for the successor, if there is one. `to_unix` is the offset from the
+    /// node's clock to Unix time, in microseconds.
     pub fn next_key_update(&mut self, to_unix: Micros) -> Option<Message> {
         let (key, entry) = self.keys.next_update()?;
         let Some(entry) = entry else {
@@ -67,7 +67,8 @@
             Some(CachedOutcome::Served(result)) if result.len() <= MAX_RESULT_BYTES => {
                 KeyState::Served(result.to_vec())
             }
-            // Without the result duplicates fail at the successor, and the key is not run again.
+            // A larger result does not fit into a message. Duplicates then fail at the successor,
+            // and the key is not run again.
             Some(CachedOutcome::Served(_) | CachedOutcome::Failed) => KeyState::Failed,
             Some(CachedOutcome::Unknown { .. }) => KeyState::Unknown,
         };
@@ -79,12 +80,13 @@
         }))
     }
 
-    /// Whether there are key updates that the successor has not received.
+    /// Whether there are key updates that have not been sent to the successor.
     pub fn has_key_updates(&self) -> bool {
         self.keys.has_updates()
     }
 
-    /// Applies a key update of the predecessor; `window_end` is on this node's clock.
+    /// Applies a key update from the predecessor. `window_end` is the end of the entry's window,
+    /// converted to this process's clock.
     pub fn apply_transferred_key(&mut self, now: Micros, entry: KeyEntry, window_end: Micros) {
         let key: Rc<str> = Rc::from(&*entry.key);
         let outcome = match entry.state {
@@ -92,7 +94,7 @@
             KeyState::Served(result) if result.len() <= self.keys.max_result_bytes() => {
                 Some(CachedOutcome::Served(Rc::from(result)))
             }
-            // A result beyond the limit can be neither passed on nor cached.
+            // A result beyond the limit can be neither returned nor cached.
             KeyState::Served(_) | KeyState::Failed => Some(CachedOutcome::Failed),
             KeyState::Unknown => Some(CachedOutcome::Unknown { window_end }),
         };
@@ -102,7 +104,7 @@
             }
             return;
         }
-        // An entry of this process, or one whose outcome is known, is not replaced.
+        // Entries of this process and entries with an outcome are not replaced.
         if self.keys.window_end(&key).is_some() {
             return;
         }
@@ -119,8 +121,8 @@
         });
     }
 
-    /// Handles a key of the predecessor whose run was never started there, and will not be: its
-    /// duplicates become requests of their own.
+    /// Handles a key that the predecessor released without a run. Its waiting duplicates become
+    /// requests of their own.
     pub fn release_transferred_key(&mut self, now: Micros, key: &str) {
         let Some(key) = self.key_transfer.in_progress.take(key) else {
             return;
@@ -132,8 +134,8 @@
         self.process_pending(now);
     }
 
-    /// Handles the exit of the predecessor: the outcome of keys that were in progress there stays
-    /// unknown.
+    /// Handles the exit of the predecessor. Keys that were still in progress there get an unknown
+    /// outcome.
     pub fn resolve_orphaned_keys(&mut self, now: Micros) {
         for key in std::mem::take(&mut self.key_transfer.in_progress) {
             let window_end = self.keys.window_end(&key).unwrap_or(now);
@@ -141,15 +143,15 @@
         }
     }
 
-    /// The share of the processor's memory that this process needs beside another one: half, or
-    /// what it already uses.
+    /// The share of the processor's memory that this process needs while another one runs: half, or
+    /// more if it already uses more.
     pub fn required_memory_share(&self) -> f64 {
         let controller = self.admission.controller();
         let used_kb = controller.map_or(0.0, |controller| controller.status().memory_kb);
         (used_kb / RESERVABLE_SHARE / self.settings.memory_kb).clamp(MIN_MEMORY_SHARE, 1.0)
     }
 
-    /// Whether a keyed run goes on whose outcome is not yet known.
+    /// Whether a keyed run is in progress.
     pub fn has_keyed_runs(&self) -> bool {
         self.requests
             .iter()
--- a/crates/core/src/core/intake.rs
+++ b/crates/core/src/core/intake.rs
@@ -1,4 +1,4 @@
-//! Arrival of requests, and their abandonment by the caller.
+//! Arrival of requests, and their abandonment by callers.
 
 use crate::core::Core;
 use crate::effect::{Answer, Effect};
@@ -8,31 +8,34 @@
 use pipitlever_admission::{Event, Micros, Request};
 use pipitlever_capture::record::AnswerSource;
 
-/// An answer leaves this long before the caller's deadline, so that it arrives in time.
+/// An answer is sent at least this long before the caller's deadline, so that it arrives in time.
 const DEADLINE_MARGIN: Micros = 10_000;
-/// The delay that callers are advised to keep when a limit of the node itself rejects a request, in
+/// The advised retry delay when a request is rejected by a limit of the node itself, in
 /// microseconds.
 pub const OVERLOAD_RETRY_AFTER: Micros = 200_000;
 
-/// An answer that the node itself gives before the controller has seen the request.
+/// An answer to a request that was not passed to the controller.
 struct EarlyAnswer {
     answer: Answer,
-    by: AnswerSource,
+    source: AnswerSource,
 }
 
 /// A limit of the node itself that rejects a request.
 pub(super) struct Overload {
-    /// Which limit, for a capture.
-    pub(super) by: AnswerSource,
-    /// The delay to advise, in microseconds.
+    /// The limit, as recorded in a capture.
+    pub(super) source: AnswerSource,
+    /// The advised retry delay, in microseconds.
     pub(super) retry_after: Micros,
 }
 
 impl Overload {
-    /// A limit with the usual advice.
-    pub(super) fn new(by: AnswerSource) -> Overload {
+    /// A limit with the default retry delay.
+    pub(super) fn new(source: AnswerSource) -> Overload {
         let retry_after = OVERLOAD_RETRY_AFTER;
-        Overload { by, retry_after }
+        Overload {
+            source,
+            retry_after,
+        }
     }
 }
 
@@ -40,17 +43,21 @@
     /// Handles a request. It is answered exactly once from here on, unless its caller abandons it.
     pub fn handle_request(&mut self, now: Micros, incoming: IncomingRequest) {
         self.counters.requests += 1;
-        if let Some(EarlyAnswer { answer, by }) = self.check_acceptance(now, &incoming) {
+        if let Some(EarlyAnswer { answer, source }) = self.check_acceptance(now, &incoming) {
             self.advance_to(now);
             self.admission
-                .capture_answer(self.now, &incoming, &answer, by);
+                .capture_answer(self.now, &incoming, &answer, source);
             self.count_answer(incoming.class, &answer);
             let origin = incoming.origin;
             self.effects.push(Effect::Answer { origin, answer });
             return;
         }
-        // Every entry point passes all pending events on, so this one need not wait for others.
-        debug_assert!(!self.admission.has_pending(), "no event is left over");
+        // Every entry point processes all pending events before it returns, so the arrival can be
+        // passed to the controller directly.
+        debug_assert!(
+            !self.admission.has_pending(),
+            "an earlier entry point left controller events pending"
+        );
         let class_deadline = self.settings.classes[incoming.class].deadline;
         let deadline = incoming
             .deadline
@@ -68,7 +75,7 @@
         self.process_pending(now);
     }
 
-    /// Handles the loss of a caller, or a cancellation: the request needs no answer any more.
+    /// Handles the disconnection of a caller, or a cancellation: the request is not answered.
     pub fn handle_abandoned(&mut self, now: Micros, reference: Reference) {
         let Some(id) = self.requests.id_of(reference) else {
             return;
@@ -83,12 +90,12 @@
         self.notify_controller(now, Event::Abandoned(id));
     }
 
-    /// Whether a request of this reference is open, or a run of it may go on.
+    /// Whether a request of this reference is open, or a run of it may still be in progress.
     pub fn contains_request(&self, reference: Reference) -> bool {
         self.requests.id_of(reference).is_some() || self.store_contains(reference)
     }
 
-    /// Adds a request under a new number; the event that announces it to the controller.
+    /// Adds a request under a new number, and returns the arrival event for the controller.
     pub(super) fn open_request(&mut self, now: Micros, mut request: OpenRequest) -> Event {
         let id = self.requests.allocate_id();
         let incoming = &request.incoming;
@@ -117,7 +124,8 @@
         event
     }
 
-    /// The answer to a request that the node itself does not accept. Such a request never runs.
+    /// The answer to a request that is not passed to the controller; `None` if the request is
+    /// accepted.
     fn check_acceptance(&self, now: Micros, incoming: &IncomingRequest) -> Option<EarlyAnswer> {
         let has_new_key = incoming
             .idempotency_key
@@ -125,17 +133,20 @@
             .is_some_and(|key| self.keys.find_duplicate(key, incoming.arrived_at).is_none());
         if has_new_key {
             if let Some(answer) = self.check_unknown_key(now, incoming.is_retry) {
-                let by = AnswerSource::OtherProcess;
-                return Some(EarlyAnswer { answer, by });
+                let source = AnswerSource::OtherProcess;
+                return Some(EarlyAnswer { answer, source });
             }
         }
-        let Overload { by, retry_after } = self.check_limits(now, incoming, has_new_key)?;
+        let Overload {
+            source,
+            retry_after,
+        } = self.check_limits(now, incoming, has_new_key)?;
         let answer = Answer::rejected(self.availability.advised_delay(retry_after));
-        Some(EarlyAnswer { answer, by })
+        Some(EarlyAnswer { answer, source })
     }
 
-    /// The limit that a request exceeds. No entry of a table may be evicted for it, so new work has
-    /// to wait.
+    /// The limit that rejects a request, if there is one. Table entries are never evicted to admit
+    /// a request.
     fn check_limits(
         &self,
         now: Micros,
--- a/crates/core/src/core/mod.rs
+++ b/crates/core/src/core/mod.rs
@@ -1,4 +1,4 @@
-//! The core's state and its entry points, by concern.
+//! The core's state and its entry points, one module per concern.
 
 mod actions;
 mod answers;
@@ -33,24 +33,24 @@
 use pipitlever_capture::recorder::Recorder;
 use std::rc::Rc;
 
-/// Lower limit of the interval between two calls of one request, whatever the settings say.
+/// Lower limit of the configured interval between two calls of one request.
 const MIN_CALL_INTERVAL: Micros = 1000;
 
 /// The state of a node in memory.
 pub struct Core {
-    /// The latest time passed in. The controller's clock never goes back.
+    /// The latest time passed in. The controller requires a monotonic clock.
     now: Micros,
     settings: Settings,
     admission: Admission,
     requests: RequestTable,
     keys: IdempotencyTable,
     key_transfer: KeyTransfer,
-    /// Remembers keyed runs over a restart, if the node has a store.
+    /// Persists keyed runs over a restart; `None` if the node has no store.
     store: Option<Box<RunStore>>,
     timers: TimerQueue,
     gauges: GaugeSource,
     availability: Availability,
-    /// Effects that no driver has taken yet, in order.
+    /// Effects that the drivers have not taken yet, in order.
     effects: Vec<Effect>,
     /// The shortest interval between two calls of one request.
     call_interval: Micros,
@@ -63,11 +63,11 @@
 }
 
 impl Core {
-    /// A node whose processor is not up yet.
+    /// Creates the core of a node whose controller is not started.
     ///
-    /// The classes of the settings have these names. `call_interval` is the shortest interval
-    /// between two calls of one request, in microseconds, and `max_result_bytes` the limit on a
-    /// result.
+    /// `class_names` are the names of the classes of the settings. `call_interval` is the shortest
+    /// interval between two calls of one request, in microseconds, and `max_result_bytes` the limit
+    /// on a result.
     pub fn new(
         settings: Settings,
         class_names: &[Rc<str>],
@@ -84,7 +84,7 @@
             settings,
             admission: Admission::new(seed),
             requests: RequestTable::new(limits.requests),
-            // A request is read at the latest when its caller stops waiting.
+            // No request is read after its caller has stopped waiting.
             keys: IdempotencyTable::new(limits.keys, max_result_bytes, longest_deadline),
             key_transfer: KeyTransfer::default(),
             store: None,
@@ -100,7 +100,10 @@
 
     /// Swaps the pending effects, in order, for an empty list, whose capacity is reused.
     pub fn take_effects(&mut self, list: &mut Vec<Effect>) {
-        debug_assert!(list.is_empty(), "earlier effects are carried out");
+        debug_assert!(
+            list.is_empty(),
+            "effects of an earlier call were not carried out"
+        );
         std::mem::swap(&mut self.effects, list);
     }
 
@@ -109,7 +112,7 @@
         self.admission.set_capture(capture);
     }
 
-    /// Advances the clock, which never goes back.
+    /// Advances the clock. Earlier times have no effect.
     fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
--- a/crates/core/src/core/resend.rs
+++ b/crates/core/src/core/resend.rs
@@ -1,4 +1,5 @@
-//! Commands to the processor that a lost connection may have swallowed, and rejected commands.
+//! Resending of processor commands that may have been lost with a connection, and handling of
+//! rejected commands.
 
 use crate::core::Core;
 use crate::effect::{Answer, RejectedCommand, RunOutcome};
@@ -9,31 +10,31 @@
 
 impl Core {
     /// Whether a stop may be sent again: the request is answered or abandoned, and its run may
-    /// still go on.
+    /// still be in progress.
     pub fn may_resend_stop(&self, reference: Reference) -> bool {
         self.requests
             .by_reference(reference)
             .is_some_and(|request| request.origin.is_none() && request.is_running())
     }
 
-    /// Whether a start may be sent again, after all notices of the lost connection were handled:
-    /// none concerned the run, the request is unanswered, and its class is idempotent, as the run
-    /// may end at this very moment.
+    /// Whether a start may be sent again, once all notices of the lost connection were handled: the
+    /// run has neither ended nor requested a call, the request is unanswered, and its class is
+    /// idempotent. Other classes are excluded because the run may end while the start is resent.
     pub fn may_resend_start(&self, reference: Reference) -> bool {
         self.requests
             .by_reference(reference)
             .is_some_and(|request| {
                 let class = &self.settings.classes[request.incoming.class];
-                let is_unheard_of = request.run().is_some_and(|run| run.call.is_none());
+                let is_without_call = request.run().is_some_and(|run| run.call.is_none());
                 class.idempotency == Idempotency::Idempotent
                     && request.origin.is_some()
-                    && is_unheard_of
+                    && is_without_call
             })
     }
 
     /// Whether the reply of a call may be sent again: the run has neither ended nor requested
-    /// another call. If the first reply was read after all, the processor rejects the second one,
-    /// and that rejection is ignored.
+    /// another call. If the processor did receive the first reply, it rejects the second one, and
+    /// that rejection is ignored.
     pub fn may_resend_reply(&mut self, reference: Reference) -> bool {
         let Some(id) = self.requests.id_of(reference) else {
             return false;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Handles a command that the processor rejected. The run of a rejected start never ran; a
-    /// rejected stop crossed the end of the run.
+    /// Handles a command that the processor rejected. After a rejected start, the request has not
+    /// run. A rejected stop has no effect, as the run ended before the processor read the stop.
     pub fn handle_command_rejected(
         &mut self,
         now: Micros,
--- a/crates/core/src/core/runs.rs
+++ b/crates/core/src/core/runs.rs
@@ -12,18 +12,18 @@
 /// The end of a run.
 pub(super) struct FinishedRun {
     pub(super) outcome: RunOutcome,
-    /// Time since the run's start, waits included, in microseconds.
+    /// Time since the run's start, including waits for calls, in microseconds.
     pub(super) elapsed: Micros,
     pub(super) result: Rc<[u8]>,
 }
 
-/// What the end of a run means.
+/// The consequences of the end of a run.
 struct Conclusion {
-    /// For the controller.
+    /// The outcome reported to the controller.
     outcome: Outcome,
-    /// For the caller.
+    /// The answer to the caller.
     answer: Answer,
-    /// For duplicates; none if the key has not run.
+    /// The outcome cached for duplicates; `None` if the key has not run.
     cached: Option<CachedOutcome>,
 }
 
@@ -39,8 +39,8 @@
 }
 
 impl Core {
-    /// Starts the run that the controller has decided on. A keyed run waits for the store, if there
-    /// is one.
+    /// Starts a run as decided by the controller. With a store, a keyed run is dispatched once its
+    /// intent is durable.
     pub(super) fn start_run(&mut self, id: RequestId) {
         if self.is_configuration_expired(self.now) {
             return self.reject_unstarted(id);
@@ -51,8 +51,8 @@
         let class = &self.settings.classes[request.incoming.class];
         let is_keyed = class.idempotency == Idempotency::Keyed;
         if is_keyed {
-            // Without an entry duplicates could not be told from new requests, and the entry of
-            // another attempt stands for that attempt's run.
+            // Without an entry, duplicates could not be distinguished from new requests. An entry
+            // owned by another attempt belongs to the run of that attempt.
             let key = request.incoming.idempotency_key.as_deref();
             let entry = self.keys.owned_entry(key.unwrap_or_default(), id);
             let Some(entry) = entry.filter(|entry| !entry.is_started) else {
@@ -78,7 +78,7 @@
         let incoming = &request.incoming;
         self.counters.runs += 1;
         self.classes.counters_mut(incoming.class).forwarded += 1;
-        // A duplicate may use the outcome of a keyed run after its first caller's deadline.
+        // A duplicate may use the outcome of a keyed run after the deadline of the first caller.
         let result_deadline = if incoming.idempotency_key.is_some() {
             let window = self.settings.classes[incoming.class].idempotency_window;
             request.deadline.max(incoming.arrived_at + window)
@@ -94,7 +94,7 @@
     }
 
     /// Stops the run of a request that is answered or abandoned. The request stays open until the
-    /// end of the run is reported, which may be a success that crossed the stop.
+    /// end of the run is reported. The run may still succeed if it ends before the stop is read.
     pub(super) fn stop_run(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Handles the end of a run. `elapsed` counts from its start, waits included, in microseconds.
+    /// Handles the end of a run. `elapsed` is the time since its start, including waits for calls,
+    /// in microseconds.
     pub fn handle_run_finished(
         &mut self,
         now: Micros,
@@ -133,18 +134,18 @@
         if has_key && self.write_outcome(reference, &run) {
             return;
         }
-        let by = if outcome == RunOutcome::NotStarted {
+        let source = if outcome == RunOutcome::NotStarted {
             AnswerSource::ProcessorRejected
         } else {
             AnswerSource::Run
         };
-        self.finish_run(id, run, by);
+        self.finish_run(id, run, source);
         self.process_pending(now);
     }
 
-    /// Answers and closes a request whose run has ended, or will never be started. The event for
-    /// the controller is left pending.
-    pub(super) fn finish_run(&mut self, id: RequestId, run: FinishedRun, by: AnswerSource) {
+    /// Answers and closes a request whose run has ended or will not be started. The event for the
+    /// controller is left pending.
+    pub(super) fn finish_run(&mut self, id: RequestId, run: FinishedRun, source: AnswerSource) {
         let Some(request) = self.requests.get(id).filter(|r| r.is_running()) else {
             return;
         };
@@ -158,7 +159,7 @@
             answer,
             cached,
         } = self.conclude(run.outcome, run.result);
-        self.answer(id, answer.clone(), by);
+        self.answer(id, answer.clone(), source);
         self.close(id);
         self.admission.enqueue(Event::Finished {
             id,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Counts a completed run, and derives what the end of a run means.
+    /// Counts a completed run, and determines the consequences of the end of a run.
     fn conclude(&mut self, outcome: RunOutcome, result: Rc<[u8]>) -> Conclusion {
         let failed = |outcome| Conclusion {
             outcome,
@@ -186,7 +187,7 @@
                     cached: Some(CachedOutcome::Served(result)),
                 }
             }
-            // A result beyond the limit can be neither passed on nor cached.
+            // A result beyond the limit can be neither returned nor cached.
             RunOutcome::Completed | RunOutcome::Failed => failed(Outcome::Error),
             RunOutcome::Aborted => failed(Outcome::Cancelled),
             RunOutcome::NotStarted => Conclusion {
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Rejects a queued request since the configuration that admitted it may be stale. It never
-    /// ran, and its key is free again.
+    /// Rejects a queued request because the configuration under which it was admitted may be stale.
+    /// The request has not run, and its key is released.
     fn reject_unstarted(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/core/src/core/shutdown.rs
+++ b/crates/core/src/core/shutdown.rs
@@ -10,8 +10,8 @@
         self.availability.is_healthy = false;
     }
 
-    /// Handles the shutdown notice while the node continues in another process, whose health and
-    /// load level are the node's from now on.
+    /// Handles the shutdown notice after a hot restart. The successor reports the health and load
+    /// level of the node, so the notice leaves the values of this process unchanged.
     pub fn begin_retirement(&mut self, now: Micros, remaining: Micros) {
         let load_level = self.availability.load_level;
         let is_healthy = self.availability.is_healthy;
--- a/crates/core/src/core/status.rs
+++ b/crates/core/src/core/status.rs
@@ -1,4 +1,4 @@
-//! State that drivers and operators read: health, load level, standby, sizes of tables.
+//! State read by drivers and operators: health, load level, standby, sizes of tables.
 
 use crate::core::Core;
 use crate::request::Reference;
@@ -24,31 +24,31 @@
 }
 
 impl Core {
-    /// Whether the controller is not started yet.
+    /// Whether the controller has not been started yet.
     pub fn is_starting(&self) -> bool {
         !self.admission.is_started()
     }
 
-    /// The load level to send with every answer, once there is one.
+    /// The load level sent with every answer; `None` until the controller has computed one.
     pub fn load_level(&self) -> Option<f64> {
         self.availability.load_level
     }
 
-    /// Replaces the load level that is sent with every answer, and returns the former one.
+    /// Replaces the load level that is sent with every answer, and returns the previous one.
     pub fn replace_load_level(&mut self, level: Option<f64>) -> Option<f64> {
         std::mem::replace(&mut self.availability.load_level, level)
     }
 
-    /// The result of health checks.
+    /// Whether health checks of the node pass.
     pub fn is_healthy(&self) -> bool {
         self.availability.passes_health_checks(self.now)
     }
 
-    /// Sets until when the configuration in force is known to be valid; none if that is not known.
-    /// Returns whether that starts or ends the admission of requests.
+    /// Sets the time until which the active configuration is known to be valid; `None` if its
+    /// validity is not known. Returns whether the change starts or ends the admission of requests.
     ///
-    /// The expiry is checked with each request rather than by a timer: a process that was stopped
-    /// past it finds requests in its sockets.
+    /// The expiry is checked with each request rather than by a timer, because a process that was
+    /// suspended past the expiry may have unread requests in its sockets when it continues.
     pub fn set_configuration_expiry(&mut self, expiry: Option<Micros>) -> bool {
         let new = expiry.unwrap_or(Micros::MIN);
         let old = std::mem::replace(&mut self.availability.configuration_expiry, new);
@@ -60,8 +60,8 @@
         self.availability.is_configuration_expired(now)
     }
 
-    /// Sets or ends standby, in which health checks fail and requests are served; whether that is a
-    /// change.
+    /// Sets or ends standby, in which health checks fail and requests are still served. Returns
+    /// whether the state has changed.
     pub fn set_standby(&mut self, is_standby: bool) -> bool {
         std::mem::replace(&mut self.availability.is_standby, is_standby) != is_standby
     }
@@ -71,14 +71,14 @@
         self.availability.is_standby
     }
 
-    /// Whether the runs make no progress: all cores are taken, and no run ends.
+    /// Whether runs are stalled: all cores are in use, and no run ends.
     pub fn is_stalled(&self) -> bool {
         self.admission
             .controller()
             .is_some_and(Controller::is_stalled)
     }
 
-    /// Whether the controller rejects requests of low priority, or all.
+    /// Whether the controller rejects all requests, or those of low priority.
     pub fn is_overloaded(&self) -> bool {
         self.admission
             .controller()
@@ -120,7 +120,7 @@
         }
     }
 
-    /// How the controller sees an open request.
+    /// The controller's status of an open request.
     pub fn request_status(&self, reference: Reference) -> Option<RequestStatus> {
         let id = self.requests.id_of(reference)?;
         self.admission.controller()?.request_status(id)
--- a/crates/core/src/core/wakeups.rs
+++ b/crates/core/src/core/wakeups.rs
@@ -9,7 +9,7 @@
 use pipitlever_capture::record::AnswerSource;
 
 impl Core {
-    /// When [`Core::handle_wakeup`] is next due.
+    /// When [`Core::handle_wakeup`] has to be called next.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let timer = self.timers.next_expiry();
         [timer, self.next_store_timeout()]
@@ -57,8 +57,8 @@
         self.notify_controller(now, event);
     }
 
-    /// Handles the deadline of a request. The controller answers it in a step; this is the backstop
-    /// if it does not.
+    /// Handles the deadline of a request. The controller normally answers the request in a step; if
+    /// it does not, the request fails here.
     fn handle_deadline(&mut self, now: Micros, id: RequestId) {
         if !self.is_unanswered(id) {
             return;
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -7,19 +7,19 @@
 /// The keys of [`fmt::Display`] are read by tools and differ from the field names.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Requests read whole, on all listeners.
+    /// Requests read completely, on all listeners.
     pub requests: u64,
-    /// Requests with the key of another attempt, answered with that attempt's outcome.
+    /// Duplicates, which are answered with the outcome of the attempt that owns their key.
     pub duplicates: u64,
     /// Answers with a result.
     pub served: u64,
-    /// Answers that promise that the attempt never ran.
+    /// Answers that guarantee that the attempt did not run.
     pub rejected: u64,
-    /// Answers without that promise.
+    /// Answers to attempts that may have run.
     pub failed: u64,
-    /// Requests whose caller left before the answer.
+    /// Requests whose caller disconnected or cancelled before the answer.
     pub abandoned: u64,
-    /// Answers discarded since the peer of their connection does not read.
+    /// Answers discarded because the peer does not read from its connection.
     pub undelivered: u64,
     /// Runs started.
     pub runs: u64,
@@ -27,13 +27,13 @@
     pub runs_completed: u64,
     /// Stop commands for runs whose request was answered or abandoned.
     pub runs_stopped: u64,
-    /// Calls placed with the layer below.
+    /// Calls to the layer below.
     pub calls: u64,
     /// Calls that returned a reply.
     pub calls_completed: u64,
     /// Commands that the processor rejected.
     pub rejected_commands: u64,
-    /// Messages that broke the protocol, of all peers.
+    /// Messages from any peer that violated the protocol.
     pub malformed: u64,
     /// Connections accepted.
     pub connections_accepted: u64,
@@ -41,7 +41,7 @@
     pub accept_errors: u64,
     /// Idle connections closed in favour of new ones.
     pub connections_evicted: u64,
-    /// Connections to the processor that were set up.
+    /// Connections established to the processor.
     pub processor_connections: u64,
 }
 
@@ -50,18 +50,18 @@
 pub struct ClassCounters {
     /// Answers with a result.
     pub served: u64,
-    /// Answers that promise that the attempt never ran.
+    /// Answers that guarantee that the attempt did not run.
     pub rejected: u64,
-    /// Answers without that promise.
+    /// Answers to attempts that may have run.
     pub failed: u64,
     /// Runs started.
     pub forwarded: u64,
 }
 
-/// Configuration files that were read on SIGHUP.
+/// Configuration files read on SIGHUP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigFileCounters {
-    /// Files in force since.
+    /// Files that took effect.
     pub accepted: u64,
     /// Files rejected as invalid.
     pub rejected: u64,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -10,10 +10,10 @@
 pub enum Answer {
     /// The result, unchanged.
     Served(Rc<[u8]>),
-    /// This attempt never ran.
+    /// The attempt did not run.
     Rejected {
-        /// How long the caller should wait before it retries here, in microseconds; 0 for no
-        /// advice.
+        /// How long the caller should wait before a retry at this node, in microseconds; 0 if no
+        /// delay is advised.
         retry_after: Micros,
         /// The caller should not retry at another node.
         no_retry: bool,
@@ -23,7 +23,7 @@
         /// The deadline passed before an outcome was known.
         timed_out: bool,
     },
-    /// A run of this key began before a restart, and its outcome is not known.
+    /// A run of this key started before a restart, and its outcome is not known.
     Unknown {
         /// When a retry of the key may run, in microseconds from now.
         retry_after: Micros,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Something that a driver has to do.
+/// An operation that the core requests from a driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send an answer.
@@ -74,12 +74,12 @@
         reference: Reference,
         /// Its class, by index.
         class: usize,
-        /// The result is of no use after this time.
+        /// No caller uses the result after this time.
         result_deadline: Micros,
         /// The body, as it was received.
         body: Rc<[u8]>,
     },
-    /// Pass the reply of a call on to the run that waits for it.
+    /// Forward the reply of a call to the run that waits for it.
     SendReply {
         /// The request.
         reference: Reference,
@@ -114,13 +114,14 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It returned a result.
+    /// The run returned a result.
     Completed,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped, or ended at a call since its request was over.
+    /// The run was stopped, or ended at a call because its request was already answered or
+    /// abandoned.
     Aborted,
-    /// It was never started.
+    /// The run was never started.
     NotStarted,
 }
 
--- a/crates/core/src/gauges.rs
+++ b/crates/core/src/gauges.rs
@@ -1,11 +1,11 @@
-//! Gauges of the processor, which the admission controller receives with its timers.
+//! Gauges of the processor, passed to the admission controller with its timer events.
 
 use pipitlever_admission::Micros;
 
 /// Gauges older than this are not passed on to the controller.
 const MAX_AGE: Micros = 500_000;
 
-/// The processor's gauges, as far as it reports them.
+/// The processor's gauges; `None` for those that it does not report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// Busy share of the cores, from 0 to 1.
@@ -18,18 +18,18 @@
     pub connections: Option<f64>,
 }
 
-/// Where the gauges come from.
+/// The source of the gauges.
 #[derive(Debug)]
 pub(crate) enum GaugeSource {
-    /// The processor reports them: the last report and its time.
+    /// The processor's last report and the time of its receipt.
     Processor {
         /// When the report was received.
         received_at: Micros,
         /// The report.
         gauges: Gauges,
     },
-    /// There is no processor. Each worker serves one request at a time, so the number of runs is
-    /// the number of cores in use.
+    /// A node without a processor. Each worker serves one request at a time, so the number of runs
+    /// is the number of cores in use.
     RunCount,
 }
 
@@ -37,7 +37,7 @@
     /// A processor that has not reported yet.
     pub(crate) fn processor() -> GaugeSource {
         GaugeSource::Processor {
-            // Older than any limit, without overflow in a difference.
+            // The age exceeds `MAX_AGE` at any time, and its computation does not overflow.
             received_at: Micros::MIN / 2,
             gauges: Gauges::default(),
         }
@@ -54,7 +54,8 @@
         }
     }
 
-    /// The gauges for the controller, given how to count the started runs, and the number of cores.
+    /// The gauges for the controller. `count_running` counts the started runs; it is called only
+    /// for a node without a processor.
     pub(crate) fn read(
         &self,
         now: Micros,
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -5,19 +5,19 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Memory of an entry beside its result, in all tables together, in bytes.
+/// Memory of an entry without its result, over all tables, in bytes.
 const ENTRY_BYTES: usize = 512;
 
-/// The outcome of a keyed run; cached for as long as its entry.
+/// The outcome of a keyed run, cached for the lifetime of its entry.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CachedOutcome {
     /// The run returned this result.
     Served(Rc<[u8]>),
     /// The run failed and may have taken effect.
     Failed,
-    /// An earlier process started the run and did not see its end.
+    /// An earlier process started the run and exited before the run ended.
     Unknown {
-        /// When the window of the key ends.
+        /// The end of the key's idempotency window.
         window_end: Micros,
     },
 }
@@ -25,15 +25,15 @@
 /// The entry of one key.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    /// The attempt that is queued, runs, or ran.
+    /// The attempt that is queued, running or finished.
     pub(crate) owner: RequestId,
-    /// The payload digest of its attempts.
+    /// The payload digest of the owner, which duplicates have to match.
     pub(crate) payload_digest: u64,
     /// Attempts that reach the machine up to this time are duplicates.
     pub(crate) window_end: Micros,
-    /// No duplicate can be read later than this.
+    /// The latest time at which a duplicate can still be read.
     expires_at: Micros,
-    /// Whether a run may have been started: from then on the entry stays for its whole window.
+    /// Whether a run may have been started. The entry is then retained for its whole window.
     pub(crate) is_started: bool,
     /// The outcome, once the run has ended.
     pub(crate) outcome: Option<CachedOutcome>,
@@ -41,19 +41,19 @@
     pub(crate) waiting: Vec<RequestId>,
 }
 
-/// A key that another process started, or whose outcome a store has brought over a restart.
+/// A key that another process owns, or that was recovered from the store after a restart.
 #[derive(Debug)]
 pub(crate) struct RestoredKey<'a> {
     pub(crate) key: &'a Rc<str>,
-    /// A number that no request has.
+    /// A request number that no request uses.
     pub(crate) owner: RequestId,
     pub(crate) payload_digest: u64,
     pub(crate) window_end: Micros,
-    /// None while its run goes on in the other process.
+    /// `None` while the key is queued or running in the other process.
     pub(crate) outcome: Option<CachedOutcome>,
 }
 
-/// All entries. The table is bounded: when full it takes no new key and evicts none.
+/// All entries. The table is bounded: when full, it accepts no new key and evicts no entry.
 #[derive(Debug)]
 pub(crate) struct IdempotencyTable {
     entries: HashMap<Rc<str>, Entry>,
@@ -61,12 +61,12 @@
     keys_by_owner: HashMap<RequestId, Rc<str>>,
     bytes: usize,
     max_bytes: usize,
-    /// Limit on a result, in bytes: a run that has not ended may return one of this size.
+    /// Limit on a result, in bytes. An entry without an outcome is accounted with this size.
     max_result_bytes: usize,
-    /// How long after it reached the machine a duplicate may be read.
+    /// The longest time between the arrival of a duplicate at the machine and its being read.
     read_delay: Micros,
-    /// Keys whose state is still to be sent to a successor, while there is one: all at first, then
-    /// each one that changes.
+    /// Keys whose state has not been sent to the successor yet: all keys at first, then each key
+    /// that changes. `None` while no successor receives keys.
     updates: Option<VecDeque<Rc<str>>>,
 }
 
@@ -89,26 +89,25 @@
         }
     }
 
-    /// Starts to record updates, with the state of all keys first, or stops it.
+    /// Starts to record updates, beginning with the state of all keys, or stops the recording.
     pub(crate) fn record_updates(&mut self, is_recording: bool) {
         self.updates = is_recording.then(|| self.entries.keys().cloned().collect());
     }
 
-    /// Takes the next updated key, with its entry; none if the key is free.
+    /// Removes and returns the next updated key with its entry, which is `None` if the key is free.
     pub(crate) fn next_update(&mut self) -> Option<(Rc<str>, Option<&Entry>)> {
         let key = self.updates.as_mut()?.pop_front()?;
         let entry = self.entries.get(&key);
         Some((key, entry))
     }
 
-    /// Whether there are updates.
     pub(crate) fn has_updates(&self) -> bool {
         self.updates
             .as_ref()
             .is_some_and(|updates| !updates.is_empty())
     }
 
-    /// Replaces the limit. No entry is dropped for it.
+    /// Replaces the limit. Existing entries are kept even if they exceed the new limit.
     pub(crate) fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes;
     }
@@ -128,7 +127,7 @@
         self.bytes + ENTRY_BYTES + self.max_result_bytes > self.max_bytes
     }
 
-    /// The entry that an attempt is a duplicate of, given when it reached the machine.
+    /// The entry of a key, if an attempt that reached the machine at `arrived_at` is its duplicate.
     pub(crate) fn find_duplicate(&self, key: &str, arrived_at: Micros) -> Option<&Entry> {
         self.entries
             .get(key)
@@ -152,15 +151,16 @@
         self.entries.get(key).map(|entry| entry.window_end)
     }
 
-    /// Takes the duplicates that wait for the outcome of a key; none if the key has no entry.
+    /// Removes and returns the duplicates that wait for the outcome of a key; `None` if the key has
+    /// no entry.
     pub(crate) fn take_waiting(&mut self, key: &str) -> Option<Vec<RequestId>> {
         self.entries
             .get_mut(key)
             .map(|entry| std::mem::take(&mut entry.waiting))
     }
 
-    /// Enters an attempt as the owner of its key, or extends the window of its entry. The entry of
-    /// another attempt is replaced only after its window.
+    /// Inserts an entry with this attempt as its owner, or extends the window of the entry that the
+    /// attempt owns. The entry of another attempt is replaced only after its window.
     pub(crate) fn retain(
         &mut self,
         key: &Rc<str>,
@@ -190,7 +190,7 @@
         self.record_update(key);
     }
 
-    /// Enters a key of another process, even beyond the limit.
+    /// Inserts a key of another process, even beyond the limit.
     pub(crate) fn restore(&mut self, restored: RestoredKey) {
         let RestoredKey {
             key,
@@ -223,7 +223,7 @@
         debug_assert_eq!(previous, None, "a run ends once");
     }
 
-    /// Replaces the outcome of a key; the previous one.
+    /// Replaces the outcome of a key and returns the previous one.
     pub(crate) fn replace_outcome(
         &mut self,
         key: &str,
@@ -238,18 +238,18 @@
         previous
     }
 
-    /// Raises the time after which a duplicate may still be read. Existing entries keep their
-    /// expiry.
+    /// Raises the longest time between the arrival of a duplicate and its being read. Existing
+    /// entries keep their expiry.
     pub(crate) fn raise_read_delay(&mut self, read_delay: Micros) {
         self.read_delay = self.read_delay.max(read_delay);
     }
 
-    /// How long after it reached the machine a duplicate may be read, in microseconds.
+    /// The longest time between the arrival of a duplicate at the machine and its being read, in
+    /// microseconds.
     pub(crate) fn read_delay(&self) -> Micros {
         self.read_delay
     }
 
-    /// Takes an entry out.
     pub(crate) fn remove(&mut self, key: &str) -> Option<Entry> {
         let (key, entry) = self.entries.remove_entry(key)?;
         self.record_update(&key);
@@ -259,7 +259,7 @@
         Some(entry)
     }
 
-    /// Drops entries of which no duplicate can be read any more.
+    /// Removes entries for which no duplicate can be read any more.
     pub(crate) fn expire(&mut self, now: Micros) {
         while let Some((_, key)) = self.expiry.first().filter(|(at, _)| *at < now).cloned() {
             self.remove(&key);
@@ -296,7 +296,7 @@
     }
 }
 
-/// Memory of an entry, in bytes. It includes the largest possible result until its own is known.
+/// Memory of an entry, in bytes. Until the result is known, the largest possible one is assumed.
 fn entry_bytes(entry: &Entry, max_result_bytes: usize) -> usize {
     let result = match &entry.outcome {
         Some(CachedOutcome::Served(result)) => result.len(),
--- a/crates/core/src/key_transfer.rs
+++ b/crates/core/src/key_transfer.rs
@@ -1,5 +1,5 @@
-//! What the other process of a hot restart means for this one: keys that are in progress there, and
-//! the memory that the two share.
+//! The state of a hot restart: authority over unknown keys, keys in progress in the predecessor,
+//! and this process's share of memory.
 
 use pipitlever_hot_restart::key_authority::KeyAuthority;
 use std::collections::BTreeSet;
@@ -12,6 +12,7 @@
     pub(crate) authority: KeyAuthority,
     /// Keys that are queued or running in the predecessor.
     pub(crate) in_progress: BTreeSet<Rc<str>>,
-    /// While there is another process: the share of the processor's memory that this one may use.
+    /// The share of the processor's memory that this process may use; `None` while no other process
+    /// of the node runs.
     pub(crate) memory_share: Option<f64>,
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,11 @@
 //! State machine of a node: requests, runs, calls, idempotency keys and their timers.
 //!
-//! [`Core`] turns what drivers report into events of the admission controller, and the controller's
-//! actions into a list of [`Effect`]s that drivers carry out. It does no I/O, reads no clock and
-//! knows no wire format. Admission, order and concurrency limits are the controller's decisions.
+//! [`Core`] translates the inputs of drivers into events of the admission controller, and the
+//! controller's actions into a list of [`Effect`]s that drivers carry out. It does no I/O, reads no
+//! clock and is independent of wire formats. The controller decides about admission, order and
+//! concurrency limits.
 //!
-//! `docs/request-path.md` follows a request through it.
+//! `docs/request-path.md` describes the request lifecycle.
 
 mod admission;
 mod availability;
--- a/crates/core/src/memory_limits.rs
+++ b/crates/core/src/memory_limits.rs
@@ -1,31 +1,31 @@
 //! Limits on the process's own memory, beyond which new work is rejected.
 
-/// Memory of a request beside its body, in all tables together, in bytes.
+/// Memory of a request without its body, over all tables, in bytes.
 pub const REQUEST_BYTES: usize = 1024;
 /// Memory of the process without connections and requests, in bytes.
 pub const PROCESS_BYTES: usize = 8 << 20;
 /// Memory of a connection with its buffers, in bytes.
 pub const CONNECTION_BYTES: usize = 24 << 10;
-/// Lower limit of the memory that is divided: a few requests fit however small the machine is.
+/// Lower limit of the memory divided among the tables, so that a few requests fit on any machine.
 const MIN_DIVIDED_BYTES: usize = 2 << 20;
 
 /// Memory limits of the process's tables, in bytes.
 ///
-/// Work beyond a limit is rejected; no entry is evicted for it. The admission controller accounts
-/// for the processor's memory: these limits keep the process itself within its own.
+/// Work beyond a limit is rejected; no entry is evicted for it. These limits bound the memory of
+/// the process itself; the admission controller accounts for the processor's memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryLimits {
     /// Requests and their bodies.
     pub requests: usize,
     /// Idempotency keys and their cached outcomes.
     pub keys: usize,
-    /// Answers that wait to be written.
+    /// Answers that are queued for writing.
     pub answers: usize,
 }
 
 impl MemoryLimits {
-    /// Divides the memory of a process, in bytes, which has at most this many connections. A tenth
-    /// stays unused.
+    /// Divides the memory of a process, in bytes, that has at most this many connections. A tenth
+    /// of what remains after the fixed costs stays unused.
     pub fn for_process(memory: usize, connections: usize) -> MemoryLimits {
         let fixed = PROCESS_BYTES + connections * CONNECTION_BYTES;
         let divided = memory.saturating_sub(fixed).max(MIN_DIVIDED_BYTES);
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -5,11 +5,10 @@
 use pipitlever_capture::record::{digest, RequestIdentity};
 use std::rc::Rc;
 
-/// Identifies one attempt of a request to the outside: its `ref` on the wire, new with every
-/// attempt.
+/// The external identifier of one attempt of a request: `ref` on the wire, unique per attempt.
 pub type Reference = u64;
 
-/// Where the answer of a request goes. The core passes it through unchanged.
+/// The destination of a request's answer. The core passes it through unchanged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// The connection that the request was read from.
@@ -21,38 +20,38 @@
 /// A request as a listener decoded it.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// Identifies this attempt, new with every attempt.
+    /// Identifies this attempt.
     pub reference: Reference,
-    /// The gateway that sent it, where the protocol says.
+    /// The gateway that sent the request, if the protocol names it.
     pub sender: Option<u64>,
-    /// Its tenant, by index in the settings, where the protocol names a known one.
+    /// The tenant, by index in the settings, if the protocol names a known one.
     pub tenant: Option<usize>,
-    /// Where its answer goes.
+    /// The destination of the answer.
     pub origin: Origin,
-    /// Its class, by index in the class table.
+    /// The class, by index in the class table.
     pub class: usize,
-    /// When it reached the machine.
+    /// When the request reached the machine.
     pub arrived_at: Micros,
-    /// When its caller stops waiting; the class's deadline after the arrival if unset.
+    /// When the caller stops waiting; if unset, the class's deadline counted from the arrival.
     pub deadline: Option<Micros>,
     /// The expected work, in microseconds on one core.
     pub cost: Option<f64>,
-    /// The memory reserved while it is queued, in kilobytes.
+    /// The memory reserved while the request is queued, in kilobytes.
     pub memory_kb: f64,
     /// Its priority, from 0 to under 1; higher is more important.
     pub priority: f64,
-    /// Whether it is marked as a retry or a hedged copy.
+    /// Whether the request is marked as a retry or a hedged copy.
     pub is_retry: bool,
-    /// The same for all attempts of one request, in keyed classes.
+    /// The idempotency key, equal in all attempts of one request; set in keyed classes only.
     pub idempotency_key: Option<Rc<str>>,
-    /// The body, as it was received.
+    /// The body as received.
     pub body: Rc<[u8]>,
-    /// Digest of class and body: the same for all attempts of one request, on every listener.
+    /// Digest of class and body, equal in all attempts of one request on every listener.
     pub payload_digest: u64,
 }
 
 impl IncomingRequest {
-    /// The memory that the request takes in all tables, in bytes.
+    /// Memory of the request over all tables, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         REQUEST_BYTES + self.body.len()
     }
--- a/crates/core/src/request_table.rs
+++ b/crates/core/src/request_table.rs
@@ -1,4 +1,4 @@
-//! Table of open requests, from their arrival to their end.
+//! Table of open requests, from arrival to completion.
 
 use crate::request::{IncomingRequest, Origin, Reference};
 use pipitlever_admission::{Micros, Outcome, RequestId};
@@ -9,20 +9,20 @@
 /// The state of a call that a run waits for.
 #[derive(Debug)]
 pub(crate) enum CallState {
-    /// The controller decides when it is placed.
+    /// The run has requested the call; the controller decides when it is placed.
     Requested,
-    /// The layer below has it.
+    /// The call was sent to the layer below.
     Placed {
-        /// When it was placed.
+        /// When the call was sent.
         placed_at: Micros,
-        /// It is cancelled at this time.
+        /// When the call is cancelled.
         expires_at: Micros,
     },
-    /// The layer below rejected it, and the controller is still to be notified.
+    /// The layer below rejected the call; the controller has not been notified yet.
     Rejected {
-        /// When it was placed.
+        /// When the call was sent.
         placed_at: Micros,
-        /// How it ended.
+        /// How the call ended.
         outcome: Outcome,
     },
 }
@@ -38,18 +38,18 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) started_at: Micros,
-    /// The call that it waits for.
+    /// The call that the run waits for.
     pub(crate) call: Option<Call>,
-    /// The reply of its last call was sent a second time.
+    /// Whether the reply of the last call was sent a second time.
     pub(crate) is_reply_resent: bool,
 }
 
 /// The stage of a request.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// It waits to start, or for the outcome of another attempt of its key.
+    /// The request waits to start, or for the outcome of another attempt of its key.
     Queued,
-    /// Its run may have been started.
+    /// The run of the request may have been started.
     Running(Run),
 }
 
@@ -57,11 +57,11 @@
 #[derive(Debug)]
 pub(crate) struct OpenRequest {
     pub(crate) incoming: IncomingRequest,
-    /// An answer leaves at this time at the latest.
+    /// The latest time at which an answer is sent.
     pub(crate) deadline: Micros,
-    /// Where its answer goes; none once it is answered or abandoned.
+    /// The destination of the answer; `None` once the request is answered or abandoned.
     pub(crate) origin: Option<Origin>,
-    /// The attempt whose outcome it shares.
+    /// The attempt whose outcome this duplicate shares.
     pub(crate) duplicate_of: Option<RequestId>,
     pub(crate) stage: Stage,
 }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// When the call that it has placed expires.
+    /// When the outstanding call expires; `None` if no call was sent.
     pub(crate) fn call_expiry(&self) -> Option<Micros> {
         match self.run()?.call.as_ref()?.state {
             CallState::Placed { expires_at, .. } => Some(expires_at),
@@ -111,7 +111,7 @@
 }
 
 impl RequestTable {
-    /// An empty table for this many bytes.
+    /// An empty table with a limit of this many bytes.
     pub(crate) fn new(max_bytes: usize) -> RequestTable {
         RequestTable {
             requests: BTreeMap::new(),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A number that no request has had.
+    /// Returns a request number that has not been used before.
     pub(crate) fn allocate_id(&mut self) -> RequestId {
         self.last_id += 1;
         self.last_id
@@ -137,7 +137,6 @@
         self.requests.insert(id, request);
     }
 
-    /// Takes a request out.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.requests.remove(&id)?;
         self.ids.remove(&request.incoming.reference);
@@ -146,7 +145,7 @@
         Some(request)
     }
 
-    /// Takes the origin of a request, so that it is answered or abandoned only once.
+    /// Takes the origin of a request, so that the request is answered or abandoned only once.
     pub(crate) fn take_origin(&mut self, id: RequestId) -> Option<Origin> {
         let origin = self.requests.get_mut(&id)?.origin.take()?;
         self.unanswered -= 1;
@@ -189,7 +188,7 @@
         self.bytes + bytes > self.max_bytes
     }
 
-    /// Replaces the limit. No request is dropped for it.
+    /// Replaces the limit. Open requests are kept even if they exceed the new limit.
     pub(crate) fn set_max_bytes(&mut self, max_bytes: usize) {
         self.max_bytes = max_bytes;
     }
--- a/crates/core/src/run_store.rs
+++ b/crates/core/src/run_store.rs
@@ -1,8 +1,7 @@
-//! The connection between the core and the idempotency store, which remembers keyed runs over a
-//! restart.
+//! The core's side of the idempotency store, which persists keyed runs over a restart.
 //!
 //! The store's [`CommitQueue`] decides when a run may start and when an outcome is durable. This
-//! module keeps what the core needs beside it.
+//! module holds the core's state for the runs that the queue handles.
 
 use crate::idempotency_table::CachedOutcome;
 use crate::request::Reference;
@@ -12,29 +11,29 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A run that has ended and whose outcome is not yet on the disk.
+/// A run that has ended and whose outcome is not durable yet.
 #[derive(Debug)]
 pub(crate) struct EndedRun {
     /// Duration of the run, in microseconds.
     pub(crate) elapsed: Micros,
-    /// Its result.
+    /// The result of the run.
     pub(crate) result: Rc<[u8]>,
 }
 
-/// The state of the store as the core sees it.
+/// The commit queue, and the core's state for runs with records in it.
 #[derive(Debug)]
 pub struct RunStore {
-    /// Records that are on their way to the disk.
+    /// Records that are not durable yet.
     pub(crate) commit_queue: CommitQueue,
     /// Offset from the node's clock to the machine's uptime, in microseconds.
     pub(crate) uptime_offset: Micros,
-    /// Whether an answer with a result waits until the result is on the disk.
+    /// Whether an answer with a result is sent only once the result is durable.
     waits_for_outcome: bool,
-    /// Keyed requests are rejected until then, since damage may hide keys.
+    /// New keys are rejected until this time, since a damaged log may have lost keys.
     pub(crate) damage_ends_at: Micros,
-    /// Runs that an earlier process started and did not see the end of, with their key.
+    /// Runs that an earlier process started and whose end was not recorded, with their key.
     pub(crate) earlier_runs: HashMap<Reference, Rc<str>>,
-    /// Runs that have ended and whose outcome is not yet on the disk.
+    /// Runs that have ended and whose outcome is not durable yet.
     pub(crate) ended_runs: HashMap<Reference, EndedRun>,
     /// Buffer for the events of the commit queue.
     pub(crate) events: Vec<CommitEvent>,
@@ -45,18 +44,18 @@
 pub struct StoreUsage {
     /// Bytes in use.
     pub used_bytes: u64,
-    /// Bytes reserved for outcomes to come.
+    /// Bytes reserved for the outcomes of started runs.
     pub reserved_bytes: u64,
-    /// Records that are not yet on the disk.
+    /// Records that are not durable yet.
     pub waiting_records: usize,
 }
 
 impl RunStore {
-    /// Connects a store.
+    /// Creates the state for a store.
     ///
-    /// `uptime_offset` leads from the node's clock to the machine's uptime, in microseconds. With
-    /// `waits_for_outcome` answers wait until their outcome is on the disk. Until `damage_ends_at`
-    /// keyed requests are rejected.
+    /// `uptime_offset` is the offset from the node's clock to the machine's uptime, in
+    /// microseconds. With `waits_for_outcome`, answers with a result are sent only once the result
+    /// is durable. New keys are rejected until `damage_ends_at`.
     pub fn new(
         commit_queue: CommitQueue,
         uptime_offset: Micros,
@@ -74,8 +73,8 @@
         }
     }
 
-    /// Writes the outcome of a run; whether its answer has to wait until the outcome is on the
-    /// disk.
+    /// Queues the outcome of a run for writing. Returns whether the answer has to wait until the
+    /// outcome is durable.
     pub(crate) fn write_outcome(&mut self, reference: Reference, outcome: &CachedOutcome) -> bool {
         let waits = self.waits_for_outcome && matches!(outcome, CachedOutcome::Served(_));
         self.commit_queue
@@ -94,7 +93,7 @@
     }
 }
 
-/// The outcome as the store records it.
+/// Converts an outcome to the store's record format.
 fn stored_outcome(outcome: &CachedOutcome) -> Outcome {
     match outcome {
         CachedOutcome::Served(result) => Outcome::Served(result.to_vec()),
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -3,7 +3,7 @@
 use pipitlever_admission::{Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// What happens when a timer expires. Timers of the same time expire in the order of the variants.
+/// The purpose of a timer. Timers with the same expiry time expire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// Query the gauges ahead of a controller timer.
@@ -12,9 +12,9 @@
     Controller(u64),
     /// The deadline of a request.
     Deadline(RequestId),
-    /// The end of the time that a call may take.
+    /// The timeout of a call.
     CallTimeout(RequestId),
-    /// The time at which the controller is notified of a rejected call.
+    /// The delayed notification of the controller about a rejected call.
     CallRejection(RequestId),
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer that expires at this time.
+    /// Adds a timer that expires at the time `at`.
     pub(crate) fn schedule(&mut self, at: Micros, timer: Timer) {
         self.timers.insert((at, timer));
     }
@@ -35,7 +35,7 @@
         self.timers.remove(&(at, timer));
     }
 
-    /// Takes out the next timer that has expired.
+    /// Removes and returns the next expired timer.
     pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
         self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.pop_first().map(|(_, timer)| timer)
--- a/crates/settings/src/arbitrary.rs
+++ b/crates/settings/src/arbitrary.rs
@@ -1,7 +1,8 @@
-//! Random valid settings over their whole domain, for tests. The strategies generate the platform's
-//! JSON, so that tests also cover its parsing.
+//! Strategies that generate random valid settings over their whole domain, for tests. They generate
+//! the platform's JSON, so that tests also cover its parsing.
 //!
-//! Tests draw from fixed seeds: the order and the ranges of the strategies determine what they get.
+//! Tests use fixed seeds, so a change in the order or the ranges of the strategies changes the
+//! settings that tests run with.
 
 use proptest::arbitrary::any;
 use proptest::collection::vec;
@@ -116,8 +117,8 @@
         )
 }
 
-/// Valid settings of some deployment: one to six classes of any kind, no tenants to four, each
-/// keyword that the platform defines.
+/// Valid settings of a random deployment: one to six classes of any kind, up to four tenants, and
+/// any keyword that the platform defines.
 pub fn platform_settings() -> impl Strategy<Value = Value> {
     vec(class(), 1..7).prop_flat_map(|classes| {
         let fleet = (
--- a/crates/settings/src/controller.rs
+++ b/crates/settings/src/controller.rs
@@ -1,4 +1,4 @@
-//! Conversion of the platform's settings to the admission controller's.
+//! Conversion of the platform's settings to those of the admission controller.
 
 use crate::error::SettingsError;
 use crate::platform::{ClassSettings, PlatformSettings, SafetySettings, ServerSettings};
@@ -7,12 +7,12 @@
 };
 
 impl PlatformSettings {
-    /// The settings in the admission controller's terms.
+    /// Converts the settings to those of the admission controller.
     ///
     /// # Errors
     ///
-    /// Returns the first keyword that the platform does not define. Ranges are not checked here but
-    /// by [`PlatformSettings::validate`].
+    /// Returns the first keyword that the platform does not define. Ranges are checked by
+    /// [`PlatformSettings::validate`].
     pub fn controller_settings(&self) -> Result<Settings, SettingsError> {
         let server = &self.server;
         Ok(Settings {
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,9 +1,9 @@
-//! Errors of settings that parse as JSON but cannot be used.
+//! Errors in settings that are valid JSON but have invalid values.
 
 use pipitlever_admission::Micros;
 use std::ops::RangeInclusive;
 
-/// Why settings cannot be used.
+/// An invalid value in the settings.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The number of classes is outside the supported range.
@@ -21,10 +21,10 @@
         name: String,
         /// The position of the class.
         index: usize,
-        /// What is wrong with it.
+        /// Why the class is invalid.
         reason: ClassError,
     },
-    /// A number that has to be positive is not.
+    /// A number is not positive.
     #[error("{key} {value} is not above 0")]
     NotPositive {
         /// The platform's key.
@@ -35,7 +35,7 @@
     /// A time is outside the supported range.
     #[error(transparent)]
     Time(#[from] TimeOutOfRange),
-    /// A keyword is none of those that the platform defines.
+    /// A keyword is not one that the platform defines.
     #[error("unknown {setting} {keyword}")]
     UnknownKeyword {
         /// The setting that the keyword is for.
@@ -48,7 +48,7 @@
 /// Why a class is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ClassError {
-    /// The name cannot be used in the processor's commands and in statistics.
+    /// The name is not valid in the processor's commands or in statistics.
     #[error("the name has to be 1 to {max_bytes} printable characters without ':' and '|'")]
     Name {
         /// The greatest length of a name in bytes.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! [`PlatformSettings`] mirrors that JSON and is the only place where the platform's key names
 //! occur. [`PlatformSettings::validate`] checks ranges, and
-//! [`PlatformSettings::controller_settings`] maps the values to the admission controller's terms.
-//! All times are microseconds, all memory sizes kilobytes.
+//! [`PlatformSettings::controller_settings`] converts the values to the admission controller's
+//! settings. All times are microseconds, all memory sizes kilobytes.
 
 #[cfg(feature = "arbitrary")]
 pub mod arbitrary;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,10 +1,10 @@
-//! The shape of the platform's JSON. Fields have the names of the field's terms; `rename`
-//! attributes hold the platform's keys where these differ.
+//! The structure of the platform's JSON. Fields are named in this project's terms; `rename`
+//! attributes give the platform's keys where these differ.
 
 use pipitlever_admission::Micros;
 use serde::Deserialize;
 
-/// The settings as the platform hands them out.
+/// The settings as the platform sends them.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PlatformSettings {
@@ -57,7 +57,7 @@
     pub(crate) quota_rps: f64,
 }
 
-/// The properties of the server and of what lies downstream of it.
+/// The properties of the server and of the layer below it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ServerSettings {
@@ -99,7 +99,7 @@
     pub(crate) callers: f64,
 }
 
-/// What clients do.
+/// The properties of clients.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct ClientSettings {
@@ -107,14 +107,14 @@
     pub(crate) marks_retries: bool,
 }
 
-/// Limits on what a server may tell its clients.
+/// Limits on the advice that a server sends to its clients.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct LimitSettings {
     pub(crate) max_retry_after: Micros,
 }
 
-/// Limits that keep a server alive and its answers in time.
+/// Limits that prevent overload of the server and late answers.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct SafetySettings {
@@ -151,12 +151,12 @@
         self.decision_interval
     }
 
-    /// Whether clients mark each retry as one.
+    /// Whether clients mark every retry.
     pub fn marks_retries(&self) -> bool {
         self.clients.marks_retries
     }
 
-    /// Whether requests carry the time that their caller still waits.
+    /// Whether requests carry the remaining time until their caller's deadline.
     pub fn passes_deadline(&self) -> bool {
         self.server.passes_deadline
     }
--- a/crates/settings/src/validate.rs
+++ b/crates/settings/src/validate.rs
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first value found to be out of range. Keywords are not checked here but by
+    /// Returns the first value that is out of range. Keywords are checked by
     /// [`PlatformSettings::controller_settings`].
     pub fn validate(&self) -> Result<(), SettingsError> {
         let allowed = 1..=MAX_CLASSES;
