--- a/crates/core/tests/class_table.rs
+++ b/crates/core/tests/class_table.rs
@@ -1,4 +1,4 @@
-//! The class table: stable indexes over reconfigurations, counters by name, bounded size.
+//! The class table: stable indexes across reconfigurations, counters by name, bounded size.
 
 use pipitlever_core::{ClassAssignment, ClassTable, MAX_CLASSES};
 use std::rc::Rc;
@@ -42,7 +42,7 @@
         reconfigure("a b c", &|index, _| index != 1, &[1]),
         [(0, Some(0)), (3, Some(1)), (2, Some(2))]
     );
-    // a is removed and d is added: the old b's index is free, a's is not.
+    // a is removed and d is added: the index of the old b is free, that of a is not.
     assert_eq!(reconfigure("b d", all, &[0]), [(3, Some(3)), (1, None)]);
     // a returns with the same definition and gets its index back.
     assert_eq!(reconfigure("a b", all, &[0]), [(0, Some(0)), (3, Some(3))]);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A core without drivers: requests in, effects out, no socket and no clock.
-#![allow(dead_code, reason = "each test crate uses a part of it")]
+//! Helpers that call a core directly, without sockets or a clock.
+#![allow(dead_code, reason = "each test crate uses only some of the helpers")]
 
 use pipitlever_admission::{Class, Downstream, Idempotency, Micros, Settings};
 use pipitlever_core::{
@@ -11,10 +11,10 @@
 pub const SECOND: Micros = 1_000_000;
 /// Limit on a result in these tests, in bytes.
 pub const MAX_RESULT_BYTES: usize = 4096;
-/// The interval between two calls of one request in these tests.
+/// The shortest interval between two calls of one request in these tests.
 pub const CALL_INTERVAL: Micros = 2 * MILLISECOND;
 const SEED: u64 = 7;
-/// References from here on belong to [`fill_cores`].
+/// First reference of the requests sent by [`fill_cores`].
 pub const FIRST_FILLER: Reference = 1000;
 
 /// A core with these settings, whose controller is not started.
@@ -33,7 +33,7 @@
     MemoryLimits::for_process(192 << 20, 960)
 }
 
-/// A running core with an idempotent class and a keyed one.
+/// A core with a started controller, an idempotent class and a keyed class.
 pub fn core() -> Core {
     let class = |idempotency| Class {
         latency_objective: 2 * SECOND,
@@ -77,14 +77,14 @@
     }
 }
 
-/// Takes the effects that the core has for its drivers.
+/// Takes the pending effects of the core.
 pub fn take_effects(core: &mut Core) -> Vec<Effect> {
     let mut effects = Vec::new();
     core.take_effects(&mut effects);
     effects
 }
 
-/// The requests whose runs these effects start.
+/// The requests whose runs are started by these effects.
 pub fn started(effects: &[Effect]) -> Vec<Reference> {
     let start = |effect: &Effect| match effect {
         Effect::StartRun { reference, .. } => Some(*reference),
@@ -106,7 +106,7 @@
     Answer::Served(Rc::from(result))
 }
 
-/// The answer if a limit of the node itself rejects a request.
+/// The answer to a request rejected by a limit of the node itself.
 pub fn overloaded() -> Answer {
     Answer::Rejected {
         retry_after: OVERLOAD_RETRY_AFTER,
--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -1,7 +1,7 @@
-//! The core under settings of any deployment, with a simulated processor and layer below.
+//! The core under random valid settings, with a simulated processor and layer below.
 //!
-//! Each request gets one answer by its deadline, no request that ran is rejected, no key runs twice
-//! within its window, and no request is open at the end.
+//! Checks that each request gets one answer by its deadline, no request that ran is rejected, no
+//! key runs twice within its window, and no request is unanswered at the end.
 
 mod common;
 
@@ -20,13 +20,13 @@
 const TICK: Micros = 5 * MILLISECOND;
 const TICKS: u32 = 1600;
 const OVERLOAD: Range<u32> = 300..600;
-/// No run ends in this time.
+/// No run ends during these ticks.
 const STALL: Range<u32> = 600..800;
 const SHUTDOWN_TICK: u32 = 1200;
 const LAST_ARRIVAL_TICK: u32 = 1450;
 const RUN_TIME: Micros = 40 * MILLISECOND;
 
-/// What happened to a request.
+/// The events of a request.
 #[derive(Default)]
 struct History {
     deadline: Micros,
@@ -38,7 +38,7 @@
     answers: Vec<Answer>,
 }
 
-/// Numbers of requests and commands of a simulation.
+/// Numbers of answers and stop commands of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 struct Totals {
     served: usize,
@@ -61,7 +61,7 @@
     histories: HashMap<Reference, History>,
     running: Vec<Reference>,
     calling: Vec<Reference>,
-    /// When the last attempt of a key that ran arrived, by class and key.
+    /// Arrival time of the last attempt that ran, by class and key.
     key_runs: BTreeMap<(usize, Rc<str>), Micros>,
     stopped: usize,
     now: Micros,
@@ -91,12 +91,12 @@
             last_reference: 0,
         };
         let is_cold = simulation.settings.is_cold;
-        simulation.notify(|core, now| core.start(now, now, is_cold));
+        simulation.apply_input(|core, now| core.start(now, now, is_cold));
         simulation
     }
 
-    /// Passes an input to the core and carries out the effects that follow.
-    fn notify(&mut self, input: impl FnOnce(&mut Core, Micros)) {
+    /// Passes an input to the core and carries out the resulting effects.
+    fn apply_input(&mut self, input: impl FnOnce(&mut Core, Micros)) {
         input(&mut self.core, self.now);
         loop {
             let effects = take_effects(&mut self.core);
@@ -124,7 +124,10 @@
     }
 
     fn check_answer(&mut self, reference: Reference, answer: Answer) {
-        let history = self.histories.get_mut(&reference).expect("of a request");
+        let history = self
+            .histories
+            .get_mut(&reference)
+            .expect("a request that was sent");
         let is_late = self.now > history.deadline + self.settings.safety.answer_slack;
         assert!(
             !is_late,
@@ -133,7 +136,7 @@
         );
         assert!(
             !(history.is_started && matches!(answer, Answer::Rejected { .. })),
-            "rejected after its run"
+            "{reference} was rejected after its run had started"
         );
         history.answers.push(answer);
         assert_eq!(
@@ -145,19 +148,23 @@
     }
 
     fn start_run(&mut self, reference: Reference, class: usize) {
-        let history = self.histories.get_mut(&reference).expect("of a request");
+        let history = self
+            .histories
+            .get_mut(&reference)
+            .expect("a request that was sent");
         assert!(
             !history.is_started && history.class == class,
-            "started twice"
+            "{reference} was started twice or with another class"
         );
         history.is_started = true;
         if let Some(key) = history.key.clone() {
             let window = self.settings.classes[class].idempotency_window;
-            let before = self.key_runs.insert((class, key), history.arrived_at);
-            let is_apart = before.is_none_or(|before| history.arrived_at > before + window);
+            let previous = self.key_runs.insert((class, key), history.arrived_at);
+            let is_outside_window =
+                previous.is_none_or(|previous| history.arrived_at > previous + window);
             assert!(
-                is_apart,
-                "a key run twice: {before:?} {} {window}",
+                is_outside_window,
+                "key run twice within its window: arrivals {previous:?} and {}, window {window}",
                 history.arrived_at
             );
         }
@@ -168,10 +175,10 @@
         assert_ne!(
             self.settings.cancellation,
             CancellationMode::Unsupported,
-            "the processor has no such command"
+            "stop command to a processor without cancellation"
         );
         self.stopped += 1;
-        // The stop may cross the end of the run.
+        // The run may have ended before the stop is read.
         if let Some(index) = self.running.iter().position(|r| *r == reference) {
             self.running.swap_remove(index);
             let outcome = RunOutcome::Aborted;
@@ -184,16 +191,16 @@
     fn step(&mut self, tick: u32) {
         self.now += TICK;
         if self.core.next_wakeup().is_some_and(|at| at <= self.now) {
-            self.notify(|core, now| core.handle_wakeup(now));
+            self.apply_input(|core, now| core.handle_wakeup(now));
         }
         self.end_some_runs(tick);
         self.end_some_calls();
         if tick == SHUTDOWN_TICK {
-            self.notify(|core, now| core.begin_shutdown(now, 1500 * MILLISECOND));
+            self.apply_input(|core, now| core.begin_shutdown(now, 1500 * MILLISECOND));
         }
-        let most = if OVERLOAD.contains(&tick) { 3 } else { 1 };
+        let max_arrivals = if OVERLOAD.contains(&tick) { 3 } else { 1 };
         let arrivals = if tick < LAST_ARRIVAL_TICK {
-            self.rng.u32(..=most)
+            self.rng.u32(..=max_arrivals)
         } else {
             0
         };
@@ -216,7 +223,9 @@
             self.running.swap_remove(index);
             let has_downstream = self.settings.downstream != Downstream::None;
             if has_downstream && self.rng.u32(..4) == 0 {
-                self.notify(|core, now| core.handle_call_requested(now, reference, Rc::from([])));
+                self.apply_input(|core, now| {
+                    core.handle_call_requested(now, reference, Rc::from([]));
+                });
                 continue;
             }
             let outcome = if self.rng.u32(..8) == 0 {
@@ -230,7 +239,7 @@
 
     fn end_run(&mut self, reference: Reference, outcome: RunOutcome) {
         let result = Rc::from(*b"result");
-        self.notify(|core, now| {
+        self.apply_input(|core, now| {
             core.handle_run_finished(now, reference, outcome, RUN_TIME, result);
         });
     }
@@ -252,7 +261,7 @@
             };
             self.calling.swap_remove(index);
             let outcome = outcomes[self.rng.usize(..outcomes.len())];
-            self.notify(|core, now| {
+            self.apply_input(|core, now| {
                 core.handle_call_finished(now, reference, outcome, Rc::from([]));
             });
         }
@@ -263,7 +272,7 @@
         let reference = self.last_reference;
         let class = self.rng.usize(..self.settings.classes.len());
         let is_keyed = self.settings.classes[class].idempotency == Idempotency::Keyed;
-        // Attempts of a few keys: some arrive after the window of the last one.
+        // Attempts of few keys, of which some arrive after the window of the previous attempt.
         let key: Option<Rc<str>> =
             is_keyed.then(|| format!("{class}-{}", self.rng.u32(..40)).into());
         let arrived_at = self.now - self.rng.i64(0..20 * MILLISECOND);
@@ -294,14 +303,17 @@
             memory_kb: self.settings.memory_kb / 400.0,
             ..incoming(reference, self.now, None)
         };
-        self.notify(|core, now| core.handle_request(now, request));
+        self.apply_input(|core, now| core.handle_request(now, request));
     }
 
     fn abandon_some_request(&mut self) {
         let reference = 1 + self.rng.u64(..self.last_reference);
-        let history = self.histories.get_mut(&reference).expect("of a request");
+        let history = self
+            .histories
+            .get_mut(&reference)
+            .expect("a request that was sent");
         history.is_abandoned = true;
-        self.notify(|core, now| core.handle_abandoned(now, reference));
+        self.apply_input(|core, now| core.handle_abandoned(now, reference));
     }
 
     /// Ends all runs and checks that each request is answered or abandoned.
@@ -339,7 +351,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(Config::default(), rng);
     let tree = platform_settings().new_tree(&mut runner);
-    let json = tree.expect("a tree").current();
+    let json = tree.expect("the strategy generates settings").current();
     let mut simulation = Simulation::new(seed, &json);
     for tick in 0..TICKS {
         simulation.step(tick);
--- a/crates/core/tests/hot_restart/main.rs
+++ b/crates/core/tests/hot_restart/main.rs
@@ -1,9 +1,10 @@
-//! Exhaustive interleavings of a hot restart, at small size.
+//! Exhaustive exploration of the interleavings of a hot restart, up to a limited number of steps.
 //!
-//! Two processes of one node get attempts of one key. Steps of the hot restart, ends of runs,
-//! callers that leave, the death of either process and the end of their connection happen in every
-//! order. The key runs at most once, no retry is rejected after that, and each attempt that a
-//! process has read is answered once while that process lives.
+//! Two processes of one node receive attempts of one key. Steps of the hot restart, ends of runs,
+//! disconnections of callers, a crash of either process and the end of their connection happen in
+//! every order. Checks that the key runs at most once, that no attempt that arrives after the start
+//! of the run is rejected, and that each attempt that a process has read is answered once unless
+//! that process crashes.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -22,7 +23,7 @@
     world
 }
 
-/// Continues after these steps in every way; the number of ways.
+/// Explores every continuation after these steps, and returns the number of interleavings.
 fn explore(is_queued: bool, steps: &mut Vec<Step>, remaining: usize) -> u64 {
     let world = catch_unwind(|| execute(is_queued, steps));
     let world = world.unwrap_or_else(|_| panic!("is_queued {is_queued}: {steps:?}"));
@@ -36,18 +37,18 @@
         return 1;
     }
     drop(world);
-    let mut ways = 0;
+    let mut interleavings = 0;
     for step in next {
         steps.push(step);
-        ways += explore(is_queued, steps, remaining - 1);
+        interleavings += explore(is_queued, steps, remaining - 1);
         steps.pop();
     }
-    ways
+    interleavings
 }
 
 #[test]
-fn no_interleaving_of_steps_and_deaths_runs_a_key_twice() {
-    // From the start, and from the points where the authority is about to pass on.
+fn no_interleaving_of_steps_and_crashes_runs_a_key_twice() {
+    // From the start, and from states shortly before the key authority is transferred.
     let requested = [Step::Ready, Step::PredecessorReceives];
     let transferred = [
         Step::ArriveAtPredecessor,
@@ -65,11 +66,14 @@
     let yielded = [&transferred[..], &yielded].concat();
     let starts: [(&[Step], usize); 4] =
         [(&[], 7), (&requested, 7), (&transferred, 6), (&yielded, 6)];
-    let mut ways = Vec::new();
+    let mut interleavings = Vec::new();
     for (steps, depth) in starts {
         for is_queued in [false, true] {
-            ways.push(explore(is_queued, &mut steps.to_vec(), depth));
+            interleavings.push(explore(is_queued, &mut steps.to_vec(), depth));
         }
     }
-    assert!(ways.iter().sum::<u64>() > 20_000, "{ways:?}");
+    assert!(
+        interleavings.iter().sum::<u64>() > 20_000,
+        "{interleavings:?}"
+    );
 }
--- a/crates/core/tests/hot_restart/process.rs
+++ b/crates/core/tests/hot_restart/process.rs
@@ -1,4 +1,4 @@
-//! One process of the model, with what its drivers see.
+//! One process of the model, with the effects carried out for it.
 
 use crate::common::{core, incoming, take_effects};
 use pipitlever_admission::Micros;
@@ -16,7 +16,7 @@
     pub answers: Vec<Answer>,
 }
 
-/// One process, with what its drivers saw.
+/// One process, with its started runs and the attempts that it has read.
 pub struct Process {
     pub core: Core,
     pub is_alive: bool,
@@ -57,7 +57,7 @@
             .handle_run_finished(now, reference, outcome, 10, Rc::from(RESULT));
     }
 
-    /// Carries out the core's effects; the number of runs that they start.
+    /// Carries out the core's effects, and returns the number of keyed runs started.
     pub fn carry_out_effects(&mut self) -> u64 {
         let mut started = 0;
         for effect in take_effects(&mut self.core) {
--- a/crates/core/tests/hot_restart/world.rs
+++ b/crates/core/tests/hot_restart/world.rs
@@ -26,7 +26,7 @@
     CompleteAtPredecessor,
     /// The successor's oldest run completes.
     CompleteAtSuccessor,
-    /// The caller of the predecessor's oldest attempt leaves.
+    /// The caller of the predecessor's oldest attempt disconnects.
     Abandon,
     /// The successor is ready and requests the keys.
     Ready,
@@ -36,13 +36,13 @@
     PredecessorReceives,
     /// The successor receives a message, or the end of the connection.
     SuccessorReceives,
-    /// The predecessor dies.
-    PredecessorDies,
-    /// The successor dies.
-    SuccessorDies,
-    /// The predecessor closes the connection, and both live.
+    /// The predecessor crashes.
+    PredecessorCrashes,
+    /// The successor crashes.
+    SuccessorCrashes,
+    /// The predecessor closes the connection, and both processes keep running.
     PredecessorDisconnects,
-    /// The successor closes the connection, and both live.
+    /// The successor closes the connection, and both processes keep running.
     SuccessorDisconnects,
 }
 
@@ -57,8 +57,8 @@
     Step::Send,
     Step::PredecessorReceives,
     Step::SuccessorReceives,
-    Step::PredecessorDies,
-    Step::SuccessorDies,
+    Step::PredecessorCrashes,
+    Step::SuccessorCrashes,
     Step::PredecessorDisconnects,
     Step::SuccessorDisconnects,
 ];
@@ -75,11 +75,11 @@
     /// The predecessor has sent all keys.
     is_snapshot_sent: bool,
     /// The predecessor has seen the end of the connection.
-    has_predecessor_lost: bool,
+    has_predecessor_seen_disconnect: bool,
     /// The successor has seen the end of the connection.
-    has_successor_lost: bool,
+    has_successor_seen_disconnect: bool,
     has_yielded: bool,
-    /// Who has closed the connection.
+    /// The step that closed the connection.
     disconnected_by: Option<Step>,
     attempts: u64,
     runs: u64,
@@ -88,8 +88,8 @@
 }
 
 impl World {
-    /// The successor is connected. With `is_queued` the predecessor's cores are busy, so that the
-    /// key waits there.
+    /// The state once the successor is connected. With `is_queued`, the predecessor's cores are
+    /// busy, so that attempts are queued there.
     pub fn new(is_queued: bool) -> World {
         let mut old = Process::new();
         if is_queued {
@@ -114,8 +114,8 @@
             to_predecessor: VecDeque::new(),
             to_successor: VecDeque::new(),
             is_snapshot_sent: false,
-            has_predecessor_lost: false,
-            has_successor_lost: false,
+            has_predecessor_seen_disconnect: false,
+            has_successor_seen_disconnect: false,
             has_yielded: false,
             disconnected_by: None,
             attempts: 0,
@@ -153,16 +153,16 @@
             }
             Step::Ready => {
                 self.new.is_alive
-                    && !self.has_successor_lost
+                    && !self.has_successor_seen_disconnect
                     && self.successor.phase() == successor::Phase::Prepare
             }
             Step::Send => self.can_send(),
             Step::PredecessorReceives => self.can_predecessor_receive(),
             Step::SuccessorReceives => self.can_successor_receive(),
-            // There is no third process.
-            Step::PredecessorDies | Step::SuccessorDies => both_alive,
+            // At most one process crashes, since there is no third one to serve the node.
+            Step::PredecessorCrashes | Step::SuccessorCrashes => both_alive,
             Step::PredecessorDisconnects => self.is_connected(),
-            // It closes the connection only once it serves; before, it exits instead.
+            // The successor closes the connection only once it serves; before, it exits instead.
             Step::SuccessorDisconnects => {
                 self.is_connected() && self.successor.phase() == successor::Phase::Mirror
             }
@@ -178,21 +178,26 @@
         self.is_connected() && is_requested && has_message
     }
 
-    /// Messages sent before a death are received after it, and then the end of the connection.
+    /// Messages sent before a crash are still received after it, followed by the end of the
+    /// connection.
     fn can_predecessor_receive(&self) -> bool {
         let has_message = self.disconnected_by != Some(Step::PredecessorDisconnects)
             && !self.to_predecessor.is_empty();
-        // After it has yielded it waits for the successor's death.
+        // After it has yielded, the predecessor waits for the exit of the successor.
         let is_disconnected = self.disconnected_by.is_some() && !self.predecessor.has_yielded();
-        let is_over = !self.new.is_alive || is_disconnected;
-        self.old.is_alive && !self.has_predecessor_lost && (has_message || is_over)
+        let is_connection_closed = !self.new.is_alive || is_disconnected;
+        self.old.is_alive
+            && !self.has_predecessor_seen_disconnect
+            && (has_message || is_connection_closed)
     }
 
     fn can_successor_receive(&self) -> bool {
         let has_message = self.disconnected_by != Some(Step::SuccessorDisconnects)
             && !self.to_successor.is_empty();
-        let is_over = !self.old.is_alive || self.disconnected_by.is_some();
-        self.new.is_alive && !self.has_successor_lost && (has_message || is_over)
+        let is_connection_closed = !self.old.is_alive || self.disconnected_by.is_some();
+        self.new.is_alive
+            && !self.has_successor_seen_disconnect
+            && (has_message || is_connection_closed)
     }
 
     /// Executes a step, which has to be possible.
@@ -215,8 +220,8 @@
             Step::Send => self.send(),
             Step::PredecessorReceives => self.predecessor_receives(),
             Step::SuccessorReceives => self.successor_receives(),
-            Step::PredecessorDies => self.old.is_alive = false,
-            Step::SuccessorDies => self.new.is_alive = false,
+            Step::PredecessorCrashes => self.old.is_alive = false,
+            Step::SuccessorCrashes => self.new.is_alive = false,
             Step::PredecessorDisconnects | Step::SuccessorDisconnects => {
                 self.disconnected_by = Some(step);
             }
@@ -267,14 +272,14 @@
     }
 
     fn predecessor_disconnects(&mut self) {
-        self.has_predecessor_lost = true;
+        self.has_predecessor_seen_disconnect = true;
         for action in self.predecessor.handle_disconnect() {
             match action {
                 predecessor::Action::UnfreezeKeys => self.old.core.unfreeze_keys(),
                 predecessor::Action::Resume => {
                     assert!(
                         !self.new.is_alive,
-                        "it accepts beside a successor that serves"
+                        "the predecessor resumes while the successor runs"
                     );
                     self.old.core.handle_keys_lost(self.now);
                 }
@@ -290,7 +295,11 @@
             return self.successor_disconnects();
         };
         let now = self.now;
-        match self.successor.handle_message(message).expect("in turn") {
+        match self
+            .successor
+            .handle_message(message)
+            .expect("a message that the phase allows")
+        {
             successor::Action::ApplyKey(entry) => {
                 let window_end = entry.window_end;
                 self.new.core.apply_transferred_key(now, entry, window_end);
@@ -306,7 +315,7 @@
     }
 
     fn successor_disconnects(&mut self) {
-        self.has_successor_lost = true;
+        self.has_successor_seen_disconnect = true;
         match self.successor.handle_disconnect(!self.old.is_alive) {
             ConnectionLoss::Abort => self.new.is_alive = false,
             loss => {
--- a/crates/core/tests/hot_restart/world/checks.rs
+++ b/crates/core/tests/hot_restart/world/checks.rs
@@ -1,4 +1,4 @@
-//! What holds in the model: at any time, and once everything has ended.
+//! Invariants of the model: at any time, and once no further step is possible.
 
 use super::{Step, World};
 use crate::common::SECOND;
@@ -7,9 +7,9 @@
 use pipitlever_hot_restart::predecessor::Phase;
 
 impl World {
-    /// Checks what holds at any time.
+    /// Checks the invariants that hold at any time.
     pub fn check(&self) {
-        assert!(self.runs <= 1, "run {} times", self.runs);
+        assert!(self.runs <= 1, "the key was run {} times", self.runs);
         for attempt in self.old.attempts.iter().chain(&self.new.attempts) {
             let Attempt { reference, answers } = attempt;
             assert!(answers.len() <= 1, "{reference} was answered {answers:?}");
@@ -24,8 +24,8 @@
         }
     }
 
-    /// Lets everything end that may end without a further attempt or death, and checks what holds
-    /// then.
+    /// Executes all steps that are possible without a further attempt, disconnection or crash, and
+    /// checks the invariants of the final state.
     pub fn settle(mut self) {
         let ending_steps = [
             Step::PredecessorReceives,
@@ -62,12 +62,15 @@
             |process: &Process| process.is_alive && process.core.has_key_authority(self.now);
         assert!(
             !(has_authority(&self.old) && has_authority(&self.new) && self.is_successor_serving()),
-            "both have the authority over keys"
+            "both processes have the authority over unknown keys"
         );
         let is_abandoned = |attempt: &Attempt| self.old.abandoned.contains(&attempt.reference);
         let is_unused_at_predecessor = self.old.attempts.iter().all(is_abandoned);
         if self.is_connected() && is_unused_at_predecessor && !self.new.attempts.is_empty() {
-            assert_eq!(self.runs, 1, "no process runs a key that is waited for");
+            assert_eq!(
+                self.runs, 1,
+                "an attempt waits, but no process has run the key"
+            );
         }
         if self.is_connected() && self.runs == 1 {
             let unanswered = self.new.attempts.iter().find(|a| a.answers.is_empty());
@@ -81,7 +84,7 @@
         if self.old.is_alive && !self.new.is_alive && is_standalone && !self.has_yielded {
             assert!(
                 self.old.core.has_key_authority(self.now),
-                "the successor never served, and its predecessor rejects unknown keys"
+                "the successor has not served, but the predecessor rejects unknown keys"
             );
         }
     }
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -13,7 +13,7 @@
 /// Memory of an idempotency key beside its result, in bytes.
 const KEY_BYTES: usize = 512;
 
-/// Against a peer that rejects within a millisecond, calls once came to 30,000 a second.
+/// Without the interval, a peer that rejected within a millisecond received 30,000 calls a second.
 #[test]
 fn rejected_call_is_retried_after_the_call_interval() {
     for outcome in [Outcome::Rejected, Outcome::Unreachable, Outcome::Reset] {
@@ -37,7 +37,8 @@
     }
 }
 
-/// To fail the duplicate along with it would promise nothing, though neither ever ran.
+/// Guards against failing the duplicate: `Failed` would not guarantee that the request did not run,
+/// although neither attempt ran.
 #[test]
 fn duplicate_of_an_attempt_dropped_before_its_run_becomes_a_request_of_its_own() {
     let mut core = core();
@@ -85,7 +86,7 @@
         core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
         core.handle_run_finished(SECOND + 10, 1, outcome, 10, Rc::from(*b"r"));
         assert_eq!(answers(&take_effects(&mut core)), [(1, answer.clone())]);
-        // Up to the end of the window, counted from the arrival of the attempt that ran.
+        // A duplicate at the end of the window, counted from the arrival of the attempt that ran.
         core.handle_wakeup(21 * SECOND);
         core.handle_request(21 * SECOND, incoming(2, 21 * SECOND, Some("k")));
         let effects = take_effects(&mut core);
@@ -99,7 +100,7 @@
             usize::from(!runs_again),
             "{outcome:?}"
         );
-        // After the window it is a new request.
+        // After the window, an attempt with the key is a new request.
         core.handle_wakeup(42 * SECOND);
         core.handle_request(42 * SECOND, incoming(3, 42 * SECOND, Some("k")));
         assert_eq!(started(&take_effects(&mut core)), [3], "{outcome:?}");
@@ -112,7 +113,7 @@
     core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
     core.handle_run_finished(SECOND + 10, 1, RunOutcome::Completed, 10, Rc::from(*b"r"));
     take_effects(&mut core);
-    // It arrived within the window and is read a second after its end.
+    // The duplicate arrived within the window and is read a second after the end of the window.
     core.handle_wakeup(22 * SECOND);
     let late = IncomingRequest {
         arrived_at: 20 * SECOND,
@@ -125,7 +126,7 @@
 #[test]
 fn full_key_table_rejects_new_keys_and_evicts_none() {
     let mut core = core();
-    // Capacity for one entry, once its result is there.
+    // Capacity for one entry with the largest possible result.
     let limits = MemoryLimits {
         keys: KEY_BYTES + MAX_RESULT_BYTES,
         ..default_limits()
@@ -149,14 +150,19 @@
     core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
     take_effects(&mut core);
     core.handle_wakeup(6 * SECOND);
-    let due = answers(&take_effects(&mut core));
-    assert_eq!(due.len(), 2, "both reach their deadline: {due:?}");
+    let timed_out = answers(&take_effects(&mut core));
+    assert_eq!(
+        timed_out.len(),
+        2,
+        "both reach their deadline: {timed_out:?}"
+    );
     assert!(
-        due.iter()
+        timed_out
+            .iter()
             .all(|(_, answer)| *answer == Answer::Failed { timed_out: true }),
-        "{due:?}"
+        "{timed_out:?}"
     );
-    // The runs end later, and the loss of a caller that was answered has no effect.
+    // The runs end later. The disconnection of a caller that was already answered has no effect.
     core.handle_abandoned(6 * SECOND, 1);
     for reference in [1, 2, 2] {
         let outcome = RunOutcome::Completed;
@@ -169,12 +175,12 @@
         (sizes.requests, sizes.request_bytes, sizes.references),
         (0, 0, 0)
     );
-    // Only the controller's own timer is left.
+    // Only the controller's own timers remain.
     assert_eq!(sizes.request_timers, 0);
     assert_eq!(core.counters.failed, 2);
 }
 
-/// The limits were once 104 MB in all whatever the machine, which has 32 MB in some deployments.
+/// Guards against fixed limits: 104 MB in total exceeded the memory of machines with 32 MB.
 #[test]
 fn memory_limits_fit_the_process() {
     for (memory, connections) in [
@@ -211,8 +217,8 @@
         core.handle_run_finished(SECOND, reference, outcome, 10, Rc::from([]));
     }
     take_effects(&mut core);
-    // Small results leave capacity for more keys. Until its result is known, a key counts with the
-    // largest one.
+    // Until the result of a key is known, the key is accounted with the largest possible result.
+    // Small results then leave capacity for more keys.
     let mut accepted = 0;
     for reference in 10.. {
         let key = reference.to_string();
@@ -233,7 +239,7 @@
         accepted,
         ((8 << 10) - KEY_BYTES - MAX_RESULT_BYTES) / entry_bytes + 1
     );
-    // Everything is released after the window, so that there is capacity again.
+    // All memory is released after the window, so there is capacity again.
     core.handle_wakeup(60 * SECOND);
     let sizes = core.table_sizes();
     assert_eq!(
@@ -244,8 +250,8 @@
     assert_eq!(started(&take_effects(&mut core)), [9]);
 }
 
-/// The controller once got no tenant: one that flooded the fleet had the same priority as those
-/// within their quota.
+/// Guards against requests passed to the controller without their tenant: a tenant beyond its quota
+/// then had the same priority as tenants within their quotas.
 #[test]
 fn tenant_beyond_its_quota_loses_priority() {
     let tenants = [1.0, 1000.0].map(|quota_rps| Tenant { quota_rps }).to_vec();
@@ -271,13 +277,13 @@
     for reference in 2..30 {
         priority(reference, Some(0));
     }
-    let (loud, quiet, unknown) = (
+    let (over_quota, within_quota, without_tenant) = (
         priority(31, Some(0)),
         priority(32, Some(1)),
         priority(33, None),
     );
     assert!(
-        loud < 0.3 && quiet == 0.9 && unknown == 0.9,
-        "{loud} {quiet} {unknown}"
+        over_quota < 0.3 && within_quota == 0.9 && without_tenant == 0.9,
+        "{over_quota} {within_quota} {without_tenant}"
     );
 }
--- a/crates/core/tests/store.rs
+++ b/crates/core/tests/store.rs
@@ -13,7 +13,7 @@
 /// The machine's uptime at the start of the node's clock.
 const UPTIME: Micros = 1000 * SECOND;
 
-/// A core with a store, and the keys that it has brought over a restart.
+/// A core with a store, and the keys recovered from it after a restart.
 fn core_with_store(
     waits_for_outcome: bool,
     damage_ends_at: Option<Micros>,
@@ -87,7 +87,7 @@
     core.handle_store_result(SECOND, Ok(400));
     take_effects(&mut core);
     complete(&mut core, 2 * SECOND, 1, b"done");
-    // A new connection to the processor reports the same end again.
+    // After a reconnection, the processor reports the same end again.
     complete(&mut core, 2 * SECOND, 1, b"done");
     core.handle_request(2 * SECOND, incoming(2, 2 * SECOND, Some("k")));
     assert_eq!(answers(&take_effects(&mut core)), []);
@@ -123,10 +123,10 @@
         core.store_status_change(SECOND).unwrap().to_string(),
         "store: keyed requests rejected reason=failing error=\"no space\""
     );
-    // The disk is tried again at a time that the core has a wakeup for.
+    // The write is retried at a time for which the core requests a wakeup.
     let mut at = SECOND;
     while core.next_store_batch(at).is_none() {
-        at = core.next_wakeup().expect("it is tried again");
+        at = core.next_wakeup().expect("the write is retried");
         core.handle_wakeup(at);
         assert!(at < 2 * SECOND);
     }
@@ -143,7 +143,7 @@
     let mut core = core_with_store(false, None, vec![]);
     core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
     core.next_store_batch(SECOND);
-    // A duplicate that waits for it gets the same answer.
+    // A duplicate that waits for the first attempt gets the same answer.
     core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
     take_effects(&mut core);
     let late = SECOND + SYNC_TIMEOUT;
@@ -171,7 +171,7 @@
     core.handle_request(SECOND, incoming(3, SECOND, Some("b")));
     core.next_store_batch(SECOND);
     core.handle_abandoned(SECOND, 1);
-    // The caller of the second one is gone too, but a duplicate still waits for its outcome.
+    // The caller of request 2 disconnects too, but a duplicate still waits for the outcome.
     core.handle_abandoned(SECOND, 2);
     take_effects(&mut core);
     core.handle_store_result(SECOND, Ok(400));
@@ -199,7 +199,7 @@
         assert!(core.is_key_conflict("k", SECOND, 2) && !core.is_key_conflict("k", SECOND, 1));
         core.handle_request(SECOND, incoming(1, SECOND, Some("k")));
         assert_eq!(answers(&take_effects(&mut core)), [(1, expected)]);
-        // After its window the key is new.
+        // After its window, the key is handled as new.
         let late = 21 * SECOND;
         core.handle_wakeup(late);
         core.handle_request(late, incoming(2, late, Some("k")));
@@ -217,7 +217,7 @@
             RunOutcome::Failed,
             Some(Answer::Failed { timed_out: false }),
         ),
-        // It was never started: the duplicate is the first to run.
+        // The earlier run was never started, so the duplicate runs.
         (RunOutcome::NotStarted, None),
     ];
     for (outcome, expected) in cases {
@@ -248,7 +248,7 @@
         panic!("a new key is rejected")
     };
     assert!(retry_after >= pipitlever_core::OVERLOAD_RETRY_AFTER);
-    // A key that was read intact is answered.
+    // A recovered key is answered.
     core.handle_request(SECOND, incoming(2, SECOND, Some("k")));
     assert_eq!(
         answers(&take_effects(&mut core)),
--- a/crates/settings/tests/validation.rs
+++ b/crates/settings/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Validation of the platform's settings, and their conversion to the controller's.
+//! Validation of the platform's settings, and their conversion to the controller's settings.
 
 use pipitlever_admission::{BackpressureKind, CancellationMode, Downstream, Idempotency};
 use pipitlever_settings::{ClassError, PlatformSettings, SettingsError};
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn class_names_are_unique_words() {
+fn invalid_and_duplicate_class_names_are_reported() {
     let reason = |platform: PlatformSettings| match platform.validate() {
         Err(SettingsError::Class { reason, .. }) => reason,
         other => panic!("{other:?}"),
@@ -126,12 +126,12 @@
         "/familyInfo/say",
         "/familyInfo/stopMode",
     ] {
-        let platform = with(pointer, json!("whim"));
+        let platform = with(pointer, json!("undefined"));
         assert_eq!(platform.validate(), Ok(()));
         let error = platform.controller_settings().expect_err(pointer);
         let SettingsError::UnknownKeyword { keyword, .. } = error else {
             panic!("{error}")
         };
-        assert_eq!(keyword, "whim");
+        assert_eq!(keyword, "undefined");
     }
 }
