--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -92,7 +92,7 @@
     /// This process did not run for this time, in microseconds: it was stopped or starved of CPU.
     LocalDelay(Micros),
     /// A member left the view.
-    Forgotten {
+    Removed {
         /// Name of the member.
         name: String,
         /// Whether it was evicted from a full table rather than expired.
@@ -143,7 +143,7 @@
                 "local delay: this process did not run for_ms={}",
                 delay / 1000
             ),
-            Event::Forgotten { name, evicted } => {
+            Event::Removed { name, evicted } => {
                 let reason = if *evicted { "table_full" } else { "retention" };
                 write!(f, "removed: member={name} reason={reason}")
             }
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -96,7 +96,7 @@
                 .update(&name, |member| member.is_tombstone = true);
             self.dissemination.remove(&name);
             self.convergence.invalidate();
-            self.events.push(Event::Forgotten {
+            self.events.push(Event::Removed {
                 name,
                 evicted: false,
             });
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -161,7 +161,7 @@
         self.prober.schedule.remove(&name);
         self.dissemination.remove(&name);
         if !removed.is_some_and(|member| member.is_tombstone) {
-            self.events.push(Event::Forgotten {
+            self.events.push(Event::Removed {
                 name,
                 evicted: true,
             });
