--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -58,8 +58,8 @@
         4 * log10_of_members(members).ceil().max(1.0) as u32
     }
 
-    /// Returns the minimum suspicion timeout in microseconds. The suspicion has to reach the
-    /// suspect, and the refutation this node, each over several hops.
+    /// Returns the minimum suspicion timeout in microseconds. It covers the propagation of the
+    /// suspicion to the suspect and of the refutation to this node, each over several hops.
     pub fn min_suspicion_timeout(&self, members: usize) -> Micros {
         (self.probe_interval as f64 * (2.0 + log10_of_members(members) / 2.0)) as Micros
     }
--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Events since the last time that they were taken.
+/// Events since the previous batch was taken.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventBatch {
     /// Events, the oldest first.
@@ -50,7 +50,7 @@
     pub lost: u64,
 }
 
-/// A change of the membership view or of this node's part in it.
+/// A change of the membership view or of this node's status.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member changed its state or entered the table.
@@ -84,14 +84,14 @@
         /// The other processes.
         rivals: Vec<Rival>,
     },
-    /// Only one live process uses the name again.
+    /// A name conflict has ended: only one live process uses the name.
     NameConflictResolved {
         /// Member name.
         name: String,
     },
     /// This process did not run for this time, in microseconds: it was stopped or starved of CPU.
     LocalDelay(Micros),
-    /// A member left the view.
+    /// A member was removed from the view.
     Removed {
         /// Name of the member.
         name: String,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`suspicion`] and [`local_health`]: suspicion timeouts and the local health multiplier.
 //! - [`dissemination`]: the queue of updates that are piggybacked on outgoing messages.
 //! - [`sync`]: push-pull synchronization of two tables over a connection.
-//! - [`update_rules`]: what an update about another member does to its current record.
+//! - [`update_rules`]: the effect of an update about another member on its current record.
 //! - [`local_member`]: the record of this process: incarnations, refutation, name conflicts.
 //! - [`spare_capacity`]: whether other members are likely to admit a request rejected here.
 //! - [`service_state`]: debouncing of the service state that this node announces.
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,5 +1,5 @@
-//! Lifeguard local health multiplier: lengthens this node's probe interval while it misses its own
-//! deadlines or its probes fail, since the fault is then likely its own.
+//! Lifeguard local health multiplier: lengthens this node's probe interval while the node misses
+//! its own deadlines or its probes fail, since the fault is then likely local.
 
 use crate::Micros;
 
--- a/crates/membership/src/local_member.rs
+++ b/crates/membership/src/local_member.rs
@@ -52,19 +52,19 @@
     Yielded,
 }
 
-/// When a rival last showed that it is alive.
+/// Time of the latest evidence that a rival is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RivalContact {
     token: u64,
     at: Micros,
 }
 
-/// The member that this process is.
+/// This process as a member: its record, and its conflicts with rivals.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LocalMember {
     /// Record of this process.
     pub record: Record,
-    /// Record of another process of this name, while that one is in effect.
+    /// Record of a rival, while it is in effect instead of this process's record.
     overriding: Option<Record>,
     /// Tokens of processes whose records this one overrode, the latest last.
     overridden_tokens: Vec<u64>,
@@ -74,8 +74,8 @@
 
 impl LocalMember {
     /// Creates the member of a process that has just started. `token` identifies the process and
-    /// is drawn at random. A record that others hold of an earlier process is overridden as soon
-    /// as it is received.
+    /// is drawn at random. A record of an earlier process that is still in other members' views is
+    /// overridden as soon as it is received.
     pub fn new(token: u64, address: SocketAddr, zone: &str) -> LocalMember {
         let details = Details {
             revision: 1,
@@ -125,7 +125,7 @@
         is_changed
     }
 
-    /// Announces from now on that this member leaves.
+    /// Marks this member as leaving and sets the state of its record accordingly.
     pub fn leave(&mut self) {
         self.is_leaving = true;
         self.record.state = State::Left;
@@ -136,7 +136,7 @@
         self.is_leaving
     }
 
-    /// Records that a message of a rival arrived.
+    /// Records that a message arrived from a rival.
     pub fn record_rival_contact(&mut self, token: u64, now: Micros) {
         if let Some(contact) = self
             .rival_contacts
@@ -155,18 +155,18 @@
 
     /// Removes rivals without contact since `deadline`, and returns whether there were any.
     pub fn expire_rivals(&mut self, deadline: Micros) -> bool {
-        let silent: Vec<u64> = self
+        let expired: Vec<u64> = self
             .rival_contacts
             .iter()
             .filter(|contact| contact.at < deadline)
             .map(|contact| contact.token)
             .collect();
         self.rival_contacts
-            .retain(|contact| !silent.contains(&contact.token));
+            .retain(|contact| !expired.contains(&contact.token));
         self.update_details(|details| {
             details
                 .rivals
-                .retain(|rival| !silent.contains(&rival.token));
+                .retain(|rival| !expired.contains(&rival.token));
         })
     }
 
@@ -175,7 +175,7 @@
         if received.token == self.record.token {
             return self.handle_update_of_this_process(received);
         }
-        self.note_rival_contact(received, now);
+        self.record_contact_from_update(received, now);
         if let Some(overriding) = &mut self.overriding {
             if overriding.token == received.token {
                 overriding.merge(received);
@@ -198,8 +198,8 @@
             self.name_rivals(received, now);
             return SelfUpdateOutcome::Contested;
         }
-        // Most likely the record of an earlier process that crashed. Only if that record returns
-        // with a higher incarnation is its process alive.
+        // Most likely the record of an earlier process that crashed. That process is alive only if
+        // its record is received again with a higher incarnation.
         self.overridden_tokens.push(received.token);
         if self.overridden_tokens.len() > MAX_OVERRIDDEN_TOKENS {
             self.overridden_tokens.remove(0);
@@ -212,7 +212,7 @@
         rivals.any(|rival| rival.token == self.record.token)
     }
 
-    /// Lets the record of a rival that names this process take effect.
+    /// Puts the record of a rival that names this process into effect.
     fn yield_to(&mut self, received: &Record) -> SelfUpdateOutcome {
         let is_new = self
             .overriding
@@ -267,8 +267,8 @@
     }
 
     /// Records contact to a rival whose record is higher than this process's record. Only the
-    /// rival itself raises its incarnation, so the record shows that it is alive.
-    fn note_rival_contact(&mut self, received: &Record, now: Micros) {
+    /// rival itself raises its incarnation, so such a record proves that the rival is alive.
+    fn record_contact_from_update(&mut self, received: &Record, now: Micros) {
         if received.state.is_active()
             && (received.incarnation, received.token) > (self.record.incarnation, self.record.token)
         {
@@ -283,7 +283,7 @@
 
     fn handle_update_of_this_process(&mut self, received: &Record) -> SelfUpdateOutcome {
         if let Some(overriding) = &self.overriding {
-            // The rival's record is in effect with its incarnation; refuting a lower one would
+            // The rival's record is in effect; refuting a claim with a lower incarnation would
             // contest the name again.
             if (received.incarnation, received.token) < (overriding.incarnation, overriding.token) {
                 return SelfUpdateOutcome::Unchanged;
@@ -293,7 +293,7 @@
         if received.incarnation < self.record.incarnation {
             return SelfUpdateOutcome::Unchanged;
         }
-        if self.is_behind(received) {
+        if self.is_outdated_by(received) {
             let is_state_claimed = received.state != self.record.state;
             let revision = self.record.details.revision.max(received.details.revision);
             self.record.incarnation = received.incarnation + u64::from(is_state_claimed);
@@ -307,9 +307,9 @@
         SelfUpdateOutcome::Refuted(received.state)
     }
 
-    /// Returns whether a record with this process's token is newer than its own: a record of its
-    /// predecessor at a hot restart, or a forged one.
-    fn is_behind(&self, received: &Record) -> bool {
+    /// Returns whether a record with this process's token is newer than this process's record: one
+    /// of its predecessor at a hot restart, or a forged one.
+    fn is_outdated_by(&self, received: &Record) -> bool {
         let own = &self.record;
         received.incarnation > own.incarnation
             || (received.details.revision > own.details.revision && received.details != own.details)
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -8,7 +8,7 @@
 /// Number of buckets by which two tables are compared.
 pub const BUCKETS: usize = 64;
 
-/// A member as this node sees it.
+/// A member in this node's view.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Replicated record.
@@ -32,7 +32,7 @@
     content_hash: u64,
 }
 
-/// Members to remove because their retention is over.
+/// Members to remove because their retention has expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExpiredMembers {
     /// Members that become tombstones.
@@ -193,7 +193,7 @@
     /// Returns the member to evict for a new one when the table is full: a tombstone, or the
     /// member that has been inactive for longest. A member that announces itself
     /// (`is_self_announced`) may also replace the newest active member that never acknowledged a
-    /// probe of this node. Invented names therefore never evict a member that did.
+    /// probe of this node. Forged names therefore never evict a member that acknowledged one.
     pub fn eviction_candidate(&self, local_name: &str, is_self_announced: bool) -> Option<String> {
         let others = || {
             self.by_name
@@ -213,8 +213,8 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Returns the inactive members whose retention is over. A tombstone is retained for another
-    /// half of the retention.
+    /// Returns the inactive members whose retention has expired. A tombstone is retained for
+    /// another half of the retention.
     pub fn expired(&self, now: Micros, retention: Micros) -> ExpiredMembers {
         let mut expired = ExpiredMembers::default();
         let inactive = self
--- a/crates/membership/src/membership/application.rs
+++ b/crates/membership/src/membership/application.rs
@@ -1,5 +1,5 @@
-//! Messages of layers above membership, such as configuration versions and session affinity. They
-//! travel in the datagrams of the failure detector.
+//! Messages of layers above membership, such as configuration versions and session affinity. The
+//! datagrams of the failure detector carry them.
 
 use crate::config::MembershipConfig;
 use crate::membership::{Membership, OutboundDatagram};
--- a/crates/membership/src/membership/convergence.rs
+++ b/crates/membership/src/membership/convergence.rs
@@ -1,4 +1,4 @@
-//! Convergence of views: which members were heard to have the same view, and when push-pull
+//! Convergence of views: which members reported the digest of this node's view, and when push-pull
 //! synchronization is due because views differ.
 
 use crate::membership::Membership;
@@ -20,7 +20,7 @@
     differing_since: Option<Micros>,
     next_sync_at: Micros,
     sync_target: Option<SocketAddr>,
-    has_met_member: bool,
+    has_discovered_member: bool,
 }
 
 impl Convergence {
@@ -30,11 +30,11 @@
             differing_since: None,
             next_sync_at: now,
             sync_target: None,
-            has_met_member: false,
+            has_discovered_member: false,
         }
     }
 
-    /// Forgets agreements, since the view changed.
+    /// Clears the recorded agreements after a change of the view.
     pub(super) fn invalidate(&mut self) {
         self.agreeing.clear();
     }
@@ -44,12 +44,12 @@
         self.agreeing.len() >= others.min(REQUIRED_AGREEMENT)
     }
 
-    pub(super) fn record_met_member(&mut self) {
-        self.has_met_member = true;
+    pub(super) fn record_discovered_member(&mut self) {
+        self.has_discovered_member = true;
     }
 
-    pub(super) fn has_met_member(&self) -> bool {
-        self.has_met_member
+    pub(super) fn has_discovered_member(&self) -> bool {
+        self.has_discovered_member
     }
 
     pub(super) fn has_sync_target(&self) -> bool {
--- a/crates/membership/src/membership/delay.rs
+++ b/crates/membership/src/membership/delay.rs
@@ -1,10 +1,10 @@
-//! Detection of delays of this process: a process that was stopped or starved of CPU must not blame
-//! others for messages that it has not read yet.
+//! Detection of delays of this process. A process that was stopped or starved of CPU must not treat
+//! other members as failed, since their acks may be among its unread datagrams.
 
 use crate::Micros;
 
 pub(super) struct DelayDetector {
-    /// When the caller was last asked to run the state machine.
+    /// When the next run is expected.
     expected_at: Option<Micros>,
     last_run_at: Micros,
 }
--- a/crates/membership/src/membership/inbound.rs
+++ b/crates/membership/src/membership/inbound.rs
@@ -70,7 +70,7 @@
             }
             Body::Ack { sequence } => {
                 self.handle_ack(now, sequence, &sender.name);
-                // A member that was unknown or down may know much that this node does not.
+                // The table of a member that was unknown or down may differ in many records.
                 let was_inactive = previous_state.is_none_or(|state| !state.is_active());
                 if was_inactive && self.convergence.is_sync_allowed(now) {
                     self.request_sync(now, address);
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Returns the sender's name if this node holds the sender to be in another state than alive:
-    /// the answer then carries that update, so that the sender can refute it.
+    /// Returns the sender's name if this node's record of an active sender is in a state other than
+    /// alive: the reply then carries that record, so that the sender can refute it.
     fn refutable_update<'a>(&self, sender: &'a Update) -> Option<&'a str> {
         let is_presumed_failed = self
             .state_of(&sender.name)
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! State machine of one node: takes in times, datagrams and what the node announces of itself;
-//! produces datagrams, requests for push-pull synchronization, and events.
+//! State machine of one node. Its inputs are times, datagrams and the node's own announcements; its
+//! outputs are datagrams, requests for push-pull synchronization, and events.
 
 use crate::config::MembershipConfig;
 use crate::dissemination::DisseminationQueue;
@@ -120,7 +120,7 @@
         self.reconnector.seeds = seeds;
     }
 
-    /// Sets addresses at which members were a moment ago; each is pinged once.
+    /// Sets recent addresses of members; each is pinged once.
     pub fn set_contacts(&mut self, contacts: Vec<SocketAddr>) {
         self.reconnector.contacts = contacts;
     }
@@ -177,8 +177,8 @@
         self.health.score()
     }
 
-    /// Returns whether the view has converged: no member is suspected, and the members heard from
-    /// last have the same view.
+    /// Returns whether the view has converged: no member is suspected, and the digests last
+    /// received from other members equal the digest of this view.
     pub fn is_converged(&self) -> bool {
         let others = self.members.active_count().saturating_sub(1);
         let is_only_seed = || {
@@ -189,7 +189,7 @@
                 .all(|seed| *seed == own_address)
         };
         self.suspicion_deadlines.is_empty()
-            && (self.convergence.has_met_member() || is_only_seed())
+            && (self.convergence.has_discovered_member() || is_only_seed())
             && self.convergence.has_agreement(others)
     }
 
--- a/crates/membership/src/membership/outbound.rs
+++ b/crates/membership/src/membership/outbound.rs
@@ -93,7 +93,7 @@
         let max_transmissions = self.config.max_transmissions(self.members.active_count());
         let mut queue = std::mem::take(&mut self.dissemination);
         queue.take_batch(max_transmissions, |name| {
-            // A member that left the table meanwhile takes no space.
+            // A member that has since been removed from the table takes no space.
             let Some(update) = self.update_about(now, name) else {
                 return true;
             };
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Sends a ping. A member that is not alive receives its own record with it, so that it can
-    /// refute (Lifeguard's buddy system).
+    /// Sends a ping. If the member is not alive, the ping carries the member's record, so that the
+    /// member can refute it (Lifeguard's buddy system).
     pub(super) fn send_ping(
         &mut self,
         now: Micros,
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -16,7 +16,7 @@
 /// Maximum number of members that are to be probed ahead of the schedule.
 pub(super) const MAX_PRIORITY_TARGETS: usize = 8;
 
-/// Probes in progress and the targets to come.
+/// Probes in progress, and the targets of the next ones.
 pub(super) struct Prober {
     pub(super) schedule: ProbeSchedule,
     pub(super) current: Option<Probe>,
@@ -157,7 +157,7 @@
 
     fn handle_failed_probe(&mut self, now: Micros, probe: &Probe) {
         // Helpers that sent no nack were not reached, or their nacks were lost: the fault may be
-        // this node's.
+        // local.
         let missing_nacks = probe.helpers.len().saturating_sub(probe.nacks) as u32;
         self.health.degrade(if probe.helpers.is_empty() {
             1
--- a/crates/membership/src/membership/reconnect.rs
+++ b/crates/membership/src/membership/reconnect.rs
@@ -1,5 +1,5 @@
-//! Reconnect attempts to seeds, rivals and members that are down. Without them the parts of a
-//! healed partition, which hold each other down, would never merge.
+//! Reconnect attempts to seeds, rivals and members that are down. Without them the sides of a
+//! healed partition, which have declared each other down, would never merge.
 
 use crate::membership::Membership;
 use crate::message::Body;
@@ -12,7 +12,7 @@
 const INITIAL_INTERVAL_PERIODS: Micros = 2;
 /// Maximum interval between attempts, in protocol periods.
 const MAX_INTERVAL_PERIODS: Micros = 16;
-/// Number of suspicion timeouts after which a silent rival is removed.
+/// Number of suspicion timeouts after which a rival without contact is removed.
 const RIVAL_TIMEOUTS: Micros = 3;
 
 /// Schedule of reconnect attempts, with exponential backoff and jitter.
@@ -121,13 +121,13 @@
             sequence,
             target: Some(name.clone()),
         };
-        // Its own record is attached whatever extensions are in use: without it the member could
-        // not refute that it is down.
+        // The member's record is attached whatever Lifeguard extensions are in use: without the
+        // record the member could not refute that it is down.
         self.send(now, address, ping, Some(&name));
     }
 
     /// Picks at random among the members that are down with the fewest attempts, so that nodes
-    /// do not all try the same member.
+    /// do not all ping the same member.
     fn pick_down_member(&mut self) -> Option<String> {
         let mut fewest_attempts = u32::MAX;
         let mut candidates: Vec<&str> = Vec::new();
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -10,8 +10,8 @@
 const EXPIRY_INTERVAL_PERIODS: Micros = 2;
 
 impl Membership {
-    /// Returns when [`Membership::handle_wakeup`] has to be called. To be asked after each change:
-    /// the delay detector compares the last answer with the time of the next call.
+    /// Returns when [`Membership::handle_wakeup`] has to be called. Call this after each change:
+    /// the delay detector compares the last returned time with the time of the next run.
     pub fn next_wakeup(&mut self) -> Micros {
         let wakeup = self.earliest_timer();
         self.delay_detector.expect(wakeup);
@@ -65,7 +65,7 @@
         self.convergence.invalidate();
     }
 
-    /// Gossips queued updates that found no other message to travel with.
+    /// Gossips the updates that are still queued because no other message has carried them.
     fn run_gossip(&mut self, now: Micros) {
         if self.dissemination.is_empty() || now < self.next_gossip_at {
             return;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Turns members whose retention is over into tombstones, and removes old tombstones.
+    /// Turns members whose retention has expired into tombstones, and removes expired tombstones.
     fn remove_expired_members(&mut self, now: Micros) {
         if now < self.next_expiry_at {
             return;
--- a/crates/membership/src/membership/transition.rs
+++ b/crates/membership/src/membership/transition.rs
@@ -1,5 +1,5 @@
-//! Replacement of a member's record, with all that depends on it: suspicion, probe schedule,
-//! dissemination and events.
+//! Replacement of a member's record, and of the state that depends on the record: suspicion, probe
+//! schedule, dissemination and events.
 
 use crate::event::{Cause, Event};
 use crate::membership::Membership;
@@ -7,11 +7,11 @@
 use crate::suspicion::Suspicion;
 use crate::Micros;
 
-/// A new record of a member, and where it comes from.
+/// A new record of a member, and its source.
 pub(super) struct Transition {
-    /// Record from now on.
+    /// New record.
     pub(super) record: Record,
-    /// Member that reported it.
+    /// Member that reported the record.
     pub(super) reported_by: String,
     /// Why the state changes.
     pub(super) cause: Cause,
@@ -83,7 +83,7 @@
             (false, true) => self.prober.schedule.insert(name, &mut self.rng),
             (true, false) => {
                 self.prober.schedule.remove(name);
-                // If this is the start of a partition, its end should be noticed early.
+                // If this is the start of a partition, frequent attempts detect its end early.
                 self.reconnector
                     .reset_backoff(now, self.config.probe_interval);
             }
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Schedules a probe of a suspect with a probability at which a few members of the cluster do
-    /// so; their results confirm or refute the suspicion early.
+    /// Schedules a probe of a suspect with a probability at which a few members of the cluster
+    /// probe the suspect; their results confirm or refute the suspicion early.
     fn maybe_probe_suspect(&mut self, name: &str) {
         let probability = EXPECTED_SUSPECT_PROBES / self.members.active_count().max(1) as f64;
         let targets = &mut self.prober.priority_targets;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Inserts a member that is not in the table, unless its retention is over or the table is
+    /// Inserts a member that is not in the table, unless its retention has expired or the table is
     /// full.
     fn insert_member(&mut self, now: Micros, update: &Update, sender: &str) {
         let Update { name, record, .. } = update;
@@ -112,7 +112,7 @@
             return;
         }
         if is_active {
-            self.convergence.record_met_member();
+            self.convergence.record_discovered_member();
         }
         self.members
             .insert(name, record.clone(), state_since, sender);
--- a/crates/membership/src/message/codec.rs
+++ b/crates/membership/src/message/codec.rs
@@ -15,7 +15,7 @@
 /// Why a message could not be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The message is damaged, truncated, exceeds a limit, or is no message of this protocol.
+    /// The message is damaged, truncated, exceeds a limit, or is not one of this protocol.
     #[error("malformed message")]
     Malformed,
     /// The message has another protocol version.
@@ -27,7 +27,7 @@
 }
 
 /// Start of each message. It is decoded before the checksum is verified, since another version may
-/// have the checksum elsewhere.
+/// have the checksum at another position.
 #[derive(Serialize, Deserialize)]
 struct Preamble {
     magic: [u8; 4],
@@ -42,7 +42,7 @@
 }
 
 /// Encodes `content` with header and checksum.
-pub(super) fn seal<T: Serialize>(fleet: &str, content: &T) -> Vec<u8> {
+pub(super) fn encode_message<T: Serialize>(fleet: &str, content: &T) -> Vec<u8> {
     let header = Header {
         preamble: Preamble {
             magic: MAGIC,
@@ -54,8 +54,11 @@
     postcard::to_allocvec_crc32(&(header, content), CRC.digest()).unwrap_or_default()
 }
 
-/// Decodes what [`seal`] encoded for the same fleet.
-pub(super) fn open<'a, T: Deserialize<'a>>(fleet: &str, bytes: &'a [u8]) -> Result<T, DecodeError> {
+/// Decodes a message that [`encode_message`] encoded for the same fleet.
+pub(super) fn decode_message<'a, T: Deserialize<'a>>(
+    fleet: &str,
+    bytes: &'a [u8],
+) -> Result<T, DecodeError> {
     let (preamble, _) =
         postcard::take_from_bytes::<Preamble>(bytes).map_err(|_| DecodeError::Malformed)?;
     if preamble.magic != MAGIC {
@@ -95,5 +98,5 @@
 /// Appends a frame for a connection of the fleet, delimited by COBS.
 pub fn encode_frame(out: &mut Vec<u8>, fleet: &str, frame: &Frame) {
     // Serializing a byte vector into memory cannot fail.
-    out.extend(postcard::to_allocvec_cobs(&seal(fleet, frame)).unwrap_or_default());
+    out.extend(postcard::to_allocvec_cobs(&encode_message(fleet, frame)).unwrap_or_default());
 }
--- a/crates/membership/src/message/frame_decoder.rs
+++ b/crates/membership/src/message/frame_decoder.rs
@@ -36,10 +36,10 @@
     /// # Errors
     ///
     /// Fails if a frame is malformed or exceeds a limit, or belongs to another protocol version or
-    /// fleet. The connection is then of no further use.
+    /// fleet. The connection then has to be closed.
     pub fn next_frame(&mut self, fleet: &str) -> Result<Option<Frame>, DecodeError> {
         let unread = std::mem::take(&mut self.unread);
-        let (sealed, rest) = match self.accumulator.feed::<Vec<u8>>(&unread) {
+        let (encoded, rest) = match self.accumulator.feed::<Vec<u8>>(&unread) {
             FeedResult::Consumed => return Ok(None),
             FeedResult::OverFull(_) | FeedResult::DeserError(_) => {
                 return Err(DecodeError::Malformed);
@@ -47,7 +47,7 @@
             FeedResult::Success { data, remaining } => (data, remaining.to_vec()),
         };
         self.unread = rest;
-        let frame: Frame = codec::open(fleet, &sealed)?;
+        let frame: Frame = codec::decode_message(fleet, &encoded)?;
         frame
             .is_valid()
             .then_some(Some(frame))
--- a/crates/membership/src/message/mod.rs
+++ b/crates/membership/src/message/mod.rs
@@ -45,11 +45,11 @@
 /// Purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an ack.
+    /// Requests an ack.
     Ping {
         /// Sequence number of the probe.
         sequence: u32,
-        /// Name of the probed member, which alone answers; `None` addresses any member.
+        /// Name of the probed member, the only one that replies; `None` addresses any member.
         target: Option<String>,
     },
     /// Acknowledges a ping.
@@ -57,7 +57,7 @@
         /// Sequence number of the ping.
         sequence: u32,
     },
-    /// Asks the receiver to probe another member (SWIM's ping-req).
+    /// Requests that the receiver probe another member (SWIM's ping-req).
     PingReq {
         /// Sequence number of the sender's probe.
         sequence: u32,
@@ -93,8 +93,8 @@
     pub body: Body,
     /// Piggybacked updates.
     pub updates: Vec<Update>,
-    /// Piggybacked application data. It follows the rest and is omitted if empty, so that a
-    /// datagram without it has the format of builds that do not know it.
+    /// Piggybacked application data. It follows the other fields and is omitted if empty, so that a
+    /// datagram without it has the format of builds that do not support it.
     #[serde(skip)]
     pub piggyback: Vec<u8>,
 }
@@ -103,9 +103,9 @@
     /// Encodes the datagram for the fleet.
     pub fn encode(&self, fleet: &str) -> Vec<u8> {
         if self.piggyback.is_empty() {
-            codec::seal(fleet, self)
+            codec::encode_message(fleet, self)
         } else {
-            codec::seal(fleet, &(self, &self.piggyback))
+            codec::encode_message(fleet, &(self, &self.piggyback))
         }
     }
 
@@ -116,10 +116,11 @@
     /// Fails if the datagram is malformed or exceeds a limit, or belongs to another protocol
     /// version or fleet.
     pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
-        let packet = codec::open::<Packet>(fleet, bytes).or_else(|error| match error {
-            DecodeError::Malformed => Packet::decode_with_piggyback(fleet, bytes),
-            other => Err(other),
-        })?;
+        let packet =
+            codec::decode_message::<Packet>(fleet, bytes).or_else(|error| match error {
+                DecodeError::Malformed => Packet::decode_with_piggyback(fleet, bytes),
+                other => Err(other),
+            })?;
         packet
             .is_valid()
             .then_some(packet)
@@ -127,7 +128,7 @@
     }
 
     fn decode_with_piggyback(fleet: &str, bytes: &[u8]) -> Result<Packet, DecodeError> {
-        let (packet, piggyback): (Packet, Vec<u8>) = codec::open(fleet, bytes)?;
+        let (packet, piggyback): (Packet, Vec<u8>) = codec::decode_message(fleet, bytes)?;
         (piggyback.len() <= MAX_PIGGYBACK_BYTES)
             .then_some(Packet {
                 piggyback,
@@ -165,9 +166,9 @@
         /// Bit set of the buckets whose digests differ.
         buckets: u64,
     },
-    /// Members of the differing buckets; a part of them.
+    /// Some of the members of the differing buckets.
     Members(Vec<Update>),
-    /// All members were sent.
+    /// All members have been sent.
     End,
 }
 
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// When the ping is repeated.
+/// When the ping is sent again.
 const RETRY_AFTER: Fraction = Fraction::tenths(3);
 /// When ping-reqs are sent.
 const PING_REQ_AFTER: Fraction = Fraction::tenths(5);
@@ -142,7 +142,7 @@
     pub nack_at: Micros,
     /// Whether the nack was sent.
     pub is_nack_sent: bool,
-    /// When an ack is of no use any more.
+    /// When the probe is removed; a later ack is ignored.
     pub expires_at: Micros,
 }
 
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -124,7 +124,7 @@
     pub token: u64,
     /// State of the member.
     pub state: State,
-    /// What the member says of itself.
+    /// Part of the record that only the member itself writes.
     pub details: Details,
     /// Latest load reading. It changes often and is not covered by the digest.
     pub load: LoadReading,
--- a/crates/membership/src/service_state.rs
+++ b/crates/membership/src/service_state.rs
@@ -4,9 +4,9 @@
 use crate::record::ServiceState;
 use crate::Micros;
 
-/// How long the node has to be overloaded before it announces that, in microseconds.
+/// How long the node has to be overloaded before it announces overload, in microseconds.
 const OVERLOAD_ONSET: Micros = 1_000_000;
-/// How long the node has to be no longer overloaded before it announces that, in microseconds.
+/// How long the overload has to be over before the node announces recovery, in microseconds.
 const OVERLOAD_RECOVERY: Micros = 3_000_000;
 
 /// Filter between the observed and the announced service state.
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes in the observed state and returns the state to announce. Only transitions between
+    /// Records the observed state and returns the state to announce. Only transitions between
     /// serving and overloaded are delayed.
     pub fn observe(&mut self, now: Micros, observed: ServiceState) -> ServiceState {
         if observed != self.observed {
--- a/crates/membership/src/spare_capacity.rs
+++ b/crates/membership/src/spare_capacity.rs
@@ -1,5 +1,5 @@
 //! Spare capacity elsewhere: whether other members are likely to admit a request that this node
-//! rejects. If not, the response tells the client that a retry is of no use.
+//! rejects. If not, the response advises the client against a retry.
 //!
 //! Each member announces the priority below which it rejects requests. The estimate ignores old
 //! announcements and is disabled while this node is partitioned.
@@ -11,14 +11,14 @@
 /// Age in microseconds beyond which an announcement is ignored and the member counts as admitting
 /// every request.
 const MAX_ANNOUNCEMENT_AGE: Micros = 4_000_000;
-/// Largest cluster in which load announcements arrive often enough to be of use.
+/// Largest cluster in which load announcements arrive often enough for the estimate.
 pub const MAX_MEMBERS: usize = 60;
 /// Number of priority bands that are distinguished.
 const BANDS: usize = 16;
 /// A band is exhausted once less than this fraction of the other members admit its requests.
 const EXHAUSTED_BELOW: f64 = 0.10;
-/// An exhausted band has capacity again from this fraction on; the hysteresis keeps clients from
-/// being sent back and forth.
+/// An exhausted band has capacity again from this fraction on; the hysteresis keeps the estimate,
+/// and with it the advice to clients, from alternating.
 const AVAILABLE_FROM: f64 = 0.25;
 
 /// Priority bands for which the other members have no spare capacity.
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Returns whether hardly any other member admits requests of this priority, which is from 0
-    /// to below 1.
+    /// Returns whether too few other members admit requests of this priority, which is from 0 to
+    /// below 1.
     pub fn is_exhausted(&self, priority: f64) -> bool {
         self.is_band_exhausted[((priority * BANDS as f64) as usize).min(BANDS - 1)]
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -34,8 +34,8 @@
         is_new
     }
 
-    /// Moves the deadline by the time for which this process did not run: a refutation may be
-    /// among the datagrams that it has not read yet.
+    /// Extends the deadline by the time for which this process did not run: a refutation may be
+    /// among its unread datagrams.
     pub fn extend(&mut self, delay: Micros) {
         self.started += delay;
     }
--- a/crates/membership/src/sync.rs
+++ b/crates/membership/src/sync.rs
@@ -29,7 +29,7 @@
     AwaitingDigests,
     /// The peer sends members.
     Receiving,
-    /// The peer has sent all.
+    /// The peer has sent all its members.
     ReceivedAll,
 }
 
@@ -91,8 +91,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the peer sends a malformed or unexpected frame or more members than it may have.
-    /// The connection is then to be closed; updates applied before stay.
+    /// Fails if the peer sends a malformed or unexpected frame, or more members than the limit.
+    /// The connection then has to be closed; updates already applied are not undone.
     pub fn handle_bytes(
         &mut self,
         membership: &mut Membership,
@@ -156,7 +156,8 @@
         encode_frame(&mut self.outgoing, membership.fleet_name(), &differing);
         self.queue_members(membership);
         self.phase = Phase::Receiving;
-        // Applied after the members are queued, which have to match the digests compared.
+        // The sender's record is applied last: the queued members have to match the digests that
+        // were compared.
         self.set_peer(membership, now, sender);
     }
 
@@ -201,7 +202,7 @@
         self.is_end_pending = true;
     }
 
-    /// Returns the bytes to write next; `None` while it is the peer's turn.
+    /// Returns the bytes to write next; `None` while waiting for the peer.
     pub fn next_chunk(&mut self, membership: &Membership, now: Micros) -> Option<Vec<u8>> {
         if self.outgoing.is_empty() && self.is_end_pending {
             let members = self.take_members(membership, now);
@@ -232,7 +233,7 @@
         members
     }
 
-    /// Returns whether both ends have sent all.
+    /// Returns whether both ends have sent all their members.
     pub fn is_complete(&self) -> bool {
         self.phase == Phase::ReceivedAll && !self.is_end_pending && self.outgoing.is_empty()
     }
--- a/crates/membership/src/update_rules.rs
+++ b/crates/membership/src/update_rules.rs
@@ -1,4 +1,4 @@
-//! What an update about another member does to the record that this node has, independent of time.
+//! Effect of an update about another member on this node's record of it, independent of time.
 
 use crate::record::{Record, State};
 
@@ -9,9 +9,10 @@
     Ignored,
     /// The update reports a failed probe: it starts or confirms a suspicion.
     Suspicion,
-    /// The update reports a failure of a member that is alive here. The member becomes a suspect
-    /// and keeps its time to refute: otherwise the parts of a healed partition would declare each
-    /// other down. The record is the suspected one.
+    /// The update reports a failure of a member that is alive in this node's view. The member
+    /// becomes a suspect and has a full suspicion timeout to refute the failure: otherwise the
+    /// sides of a healed partition would declare each other down. The record is that of the
+    /// suspect.
     UnconfirmedFailure(Record),
     /// The merged record replaces the current one.
     Replaced(Record),
--- a/crates/membership/tests/local_member.rs
+++ b/crates/membership/tests/local_member.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         local.handle_update(0, &claim),
         SelfUpdateOutcome::Unchanged,
-        "of the previous incarnation"
+        "the claim is about the previous incarnation"
     );
     claim.incarnation = 2;
     assert_eq!(
@@ -64,7 +64,7 @@
     );
 }
 
-/// Exchanges all records until none changes; returns how often a record was raised.
+/// Exchanges all records until none changes; returns how often an incarnation was raised.
 fn exchange_until_stable(processes: &mut [LocalMember]) -> usize {
     let mut raises = 0;
     loop {
@@ -82,7 +82,10 @@
                 }
             }
         }
-        assert!(raises < 50, "the processes outbid each other without end");
+        assert!(
+            raises < 50,
+            "incarnations keep rising: {raises} overrides without a stable record"
+        );
         if !is_changed {
             return raises;
         }
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn all_live_processes_of_one_name_are_named_and_the_exchange_ends() {
+fn all_live_processes_of_one_name_become_rivals_and_their_records_converge() {
     for count in 2..=5 {
         let mut processes: Vec<LocalMember> = (1..=count).map(local_member).collect();
         exchange_until_stable(&mut processes);
@@ -102,9 +105,13 @@
         let mut tokens: Vec<u64> = record.details.rivals.iter().map(|r| r.token).collect();
         tokens.push(record.token);
         tokens.sort();
-        assert_eq!(tokens, (1..=count).collect::<Vec<_>>(), "all are named");
+        assert_eq!(
+            tokens,
+            (1..=count).collect::<Vec<_>>(),
+            "the record names all processes"
+        );
         assert!(processes.iter().all(LocalMember::is_contested));
-        // When the process whose record is in effect fails, another one's takes effect.
+        // When the process whose record is in effect fails, the record of another takes effect.
         let failed = processes
             .iter()
             .position(|p| p.record.token == record.token)
@@ -130,7 +137,7 @@
 }
 
 #[test]
-fn a_silent_rival_expires() {
+fn a_rival_without_contact_expires() {
     let mut processes = [local_member(1), local_member(2)];
     exchange_until_stable(&mut processes);
     let winner = processes
--- a/crates/membership/tests/members.rs
+++ b/crates/membership/tests/members.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn eviction_prefers_inactive_members_and_spares_verified_ones() {
+fn eviction_prefers_inactive_members_and_excludes_verified_ones() {
     let mut members = Members::default();
     members.insert("local", record(State::Alive, 1), 0, "local");
     members.insert("verified", record(State::Alive, 1), 0, "local");
--- a/crates/membership/tests/message.rs
+++ b/crates/membership/tests/message.rs
@@ -41,7 +41,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_are_no_message(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(Packet::decode("rota", &bytes).is_err());
         let mut decoder = FrameDecoder::default();
         decoder.push(&bytes);
@@ -96,7 +96,7 @@
         |record| record.details.zone = "z".repeat(65),
         |record| record.details.payload = vec![0; 65],
         |record| record.details.address = ([127, 0, 0, 1], 0).into(),
-        // No process could override it.
+        // No higher incarnation is left with which a process could override the record.
         |record| record.incarnation = u64::MAX,
         |record| {
             let rival = Rival {
--- a/crates/membership/tests/model/cluster.rs
+++ b/crates/membership/tests/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The modelled cluster: hosts, messages in flight, and what happens to them.
+//! The modelled cluster: hosts, messages in flight, and the steps of the model.
 
 use pipitlever_membership::local_member::LocalMember;
 use pipitlever_membership::record::{Record, State};
@@ -10,14 +10,14 @@
 /// Maximum number of rounds until views have to be stable.
 pub const MAX_ROUNDS: i64 = 40;
 
-/// Number that stands for a member name.
+/// Member name, modelled as a number.
 pub type Name = usize;
 
 /// A host that runs at most one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Host {
     pub process: Option<LocalMember>,
-    /// Records that the process holds, by name.
+    /// Records in the view of the process, by name.
     pub view: BTreeMap<Name, Record>,
 }
 
@@ -67,7 +67,7 @@
     Crash(usize),
     Leave(usize),
     SetPartitioned(bool),
-    /// A host sends the record that it holds of a name.
+    /// A host sends its record of a name.
     Send(usize, Name),
     /// A host receives the message at this position.
     Deliver(usize, usize),
@@ -86,15 +86,15 @@
     pub crashes: usize,
     pub partitions: usize,
     pub failed_probes: usize,
-    /// Whether later processes have lower tokens: tokens are random.
-    pub has_falling_tokens: bool,
+    /// Whether later processes have lower tokens. Tokens are random, so both orders occur.
+    pub has_decreasing_tokens: bool,
     pub has_leaves: bool,
 }
 
 impl Bounds {
     pub fn start(&self, cluster: &mut Cluster, host: usize) {
         cluster.starts += 1;
-        let token = if self.has_falling_tokens {
+        let token = if self.has_decreasing_tokens {
             100 - cluster.starts
         } else {
             cluster.starts
@@ -123,19 +123,19 @@
             view.insert(name, process.effective_record().clone());
             return;
         }
-        let Some(held) = view.get_mut(&name) else {
+        let Some(current) = view.get_mut(&name) else {
             view.insert(name, record.clone());
             return;
         };
-        match evaluate_update(held, false, record) {
+        match evaluate_update(current, false, record) {
             UpdateEffect::Ignored => {}
             UpdateEffect::Suspicion => {
-                held.merge(record);
+                current.merge(record);
             }
             UpdateEffect::UnconfirmedFailure(suspected) => {
-                held.merge(&suspected);
+                current.merge(&suspected);
             }
-            UpdateEffect::Replaced(replacement) => *held = replacement,
+            UpdateEffect::Replaced(replacement) => *current = replacement,
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Lets the cluster converge without further faults and checks the result.
+    /// Runs the cluster without further faults until it is stable, and checks the views.
     pub fn check_convergence(&self, cluster: &Cluster) -> Result<(), String> {
         let mut cluster = cluster.clone();
         cluster.is_partitioned = false;
@@ -163,7 +163,7 @@
         let running = cluster.running();
         for round in 0.. {
             if round > MAX_ROUNDS {
-                return Err("the views do not become stable".into());
+                return Err(format!("views are not stable after {MAX_ROUNDS} rounds"));
             }
             let previous = cluster.clone();
             self.exchange_views(&mut cluster, &running, round);
@@ -175,7 +175,7 @@
         self.check_views(&cluster, &running)
     }
 
-    /// Lets every running host send its whole view and its own record to all.
+    /// Sends the whole view and the own record of every running host to all running hosts.
     pub fn exchange_views(&self, cluster: &mut Cluster, running: &[usize], round: i64) {
         for &sender in running {
             for (name, record) in cluster.hosts[sender].view.clone() {
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Lets suspicions of processes that do not run proceed by one step, and silent rivals expire.
+    /// Advances suspicions of processes that do not run by one step, and expires rivals without
+    /// contact.
     pub fn run_failure_detectors(&self, cluster: &mut Cluster, running: &[usize]) {
         let tokens: Vec<u64> = running
             .iter()
@@ -201,11 +202,11 @@
         for &host in running {
             let own_name = self.names[host];
             let Host { process, view } = &mut cluster.hosts[host];
-            for (name, held) in view.iter_mut().filter(|(name, _)| **name != own_name) {
+            for (name, current) in view.iter_mut().filter(|(name, _)| **name != own_name) {
                 let has_process = running.iter().any(|host| self.names[*host] == *name);
-                let is_running = has_process && tokens.contains(&held.token);
-                if held.state.is_active() && !is_running {
-                    held.state = if held.state == State::Alive {
+                let is_running = has_process && tokens.contains(&current.token);
+                if current.state.is_active() && !is_running {
+                    current.state = if current.state == State::Alive {
                         State::Suspect
                     } else {
                         State::Down
@@ -222,7 +223,8 @@
         }
     }
 
-    /// Checks that all running hosts have the same view, and that it is right.
+    /// Checks that all running hosts have the same view, and that the view matches the running
+    /// processes.
     pub fn check_views(&self, cluster: &Cluster, running: &[usize]) -> Result<(), String> {
         let Some(first) = running.first() else {
             return Ok(());
@@ -230,17 +232,22 @@
         let view = &cluster.hosts[*first].view;
         for &host in running {
             if cluster.hosts[host].view != *view {
-                return Err(format!("{:?} and {view:?}", cluster.hosts[host].view));
+                return Err(format!(
+                    "views differ: host {host} has {:?}, host {first} has {view:?}",
+                    cluster.hosts[host].view
+                ));
             }
         }
-        for (name, held) in view {
+        for (name, current) in view {
             let processes: Vec<&LocalMember> = running
                 .iter()
                 .filter(|host| self.names[**host] == *name)
                 .filter_map(|host| cluster.hosts[*host].process.as_ref())
                 .collect();
-            if !is_right(held, &processes) {
-                return Err(format!("{name}: {held:?}, and {processes:?} run"));
+            if !matches_processes(current, &processes) {
+                return Err(format!(
+                    "name {name}: {current:?} does not match the running processes {processes:?}"
+                ));
             }
         }
         Ok(())
@@ -259,21 +266,23 @@
         if self.has_leaves && !process.is_leaving() {
             actions.push(Action::Leave(host));
         }
-        for (&name, held) in &cluster.hosts[host].view {
+        for (&name, current) in &cluster.hosts[host].view {
             let message = InFlight {
                 sender: host,
                 name,
-                record: held.clone(),
+                record: current.clone(),
             };
             if cluster.in_flight.len() < MAX_IN_FLIGHT && !cluster.in_flight.contains(&message) {
                 actions.push(Action::Send(host, name));
             }
             let is_other = name != self.names[host];
-            if is_other && held.state == State::Alive && cluster.failed_probes < self.failed_probes
+            if is_other
+                && current.state == State::Alive
+                && cluster.failed_probes < self.failed_probes
             {
                 actions.push(Action::FailProbe(host, name));
             }
-            if is_other && held.state == State::Suspect {
+            if is_other && current.state == State::Suspect {
                 actions.push(Action::ExpireSuspicion(host, name));
             }
         }
@@ -285,16 +294,16 @@
     }
 }
 
-/// Returns whether a record held of a name is right for the processes that run under it.
-pub fn is_right(held: &Record, processes: &[&LocalMember]) -> bool {
+/// Returns whether a record matches the processes that run under its name.
+pub fn matches_processes(record: &Record, processes: &[&LocalMember]) -> bool {
     if processes.is_empty() {
-        return !held.state.is_active();
+        return !record.state.is_active();
     }
     if processes.iter().all(|process| process.is_leaving()) {
-        return held.state == State::Left;
+        return record.state == State::Left;
     }
     if processes.iter().any(|process| process.is_leaving()) {
-        // A leaving process refutes nothing any more.
+        // A leaving process no longer refutes claims.
         return true;
     }
     let mut tokens: Vec<u64> = processes
@@ -302,21 +311,22 @@
         .map(|process| process.record.token)
         .collect();
     tokens.sort();
-    let rivals = held.details.rivals.iter();
+    let rivals = record.details.rivals.iter();
     let mut named: Vec<u64> = rivals
         .map(|rival| rival.token)
-        .chain([held.token])
+        .chain([record.token])
         .collect();
     named.sort();
-    held.state == State::Alive && named == tokens
+    record.state == State::Alive && named == tokens
 }
 
-/// Returns whether some host holds a name down under which a process runs.
+/// Returns whether some host's view has a member down whose process runs.
 pub fn has_false_failure(bounds: &Bounds, cluster: &Cluster) -> bool {
     let running = cluster.running();
     cluster.hosts.iter().any(|host| {
-        host.view.iter().any(|(name, held)| {
-            held.state == State::Down && running.iter().any(|other| bounds.names[*other] == *name)
+        host.view.iter().any(|(name, current)| {
+            current.state == State::Down
+                && running.iter().any(|other| bounds.names[*other] == *name)
         })
     })
 }
--- a/crates/membership/tests/model/main.rs
+++ b/crates/membership/tests/model/main.rs
@@ -1,6 +1,7 @@
 //! Model checking of a small cluster: all interleavings of joins, crashes, restarts, a partition,
 //! false suspicions, several processes of one name, and messages that are delayed, lost or
-//! duplicated. From every reachable state, once faults stop, all views converge to the truth.
+//! duplicated. From every reachable state, once faults stop, all views converge and match the
+//! running processes.
 
 mod cluster;
 
@@ -12,7 +13,8 @@
     type State = Cluster;
     type Action = Action;
 
-    /// All hosts but the last run a process and know each other; the last one is to join.
+    /// All hosts but the last run a process and have each other in their views; the last one joins
+    /// later.
     fn init_states(&self) -> Vec<Cluster> {
         let count = self.names.len();
         let mut cluster = Cluster {
@@ -104,7 +106,7 @@
                 "views converge once faults stop",
                 |bounds: &Bounds, cluster| bounds.check_convergence(cluster).is_ok(),
             ),
-            Property::sometimes("a running member is held down", has_false_failure),
+            Property::sometimes("a running member is considered down", has_false_failure),
         ]
     }
 }
@@ -124,8 +126,10 @@
     }
     assert!(checker.is_done() && checker.unique_state_count() > 1000);
     assert!(
-        checker.discovery("a running member is held down").is_some(),
-        "the model has no faults"
+        checker
+            .discovery("a running member is considered down")
+            .is_some(),
+        "no reachable state has a running member considered down: the model has no faults"
     );
 }
 
@@ -135,7 +139,7 @@
     crashes: 0,
     partitions: 0,
     failed_probes: 0,
-    has_falling_tokens: false,
+    has_decreasing_tokens: false,
     has_leaves: false,
 };
 
@@ -150,17 +154,17 @@
     });
 }
 
-/// Takes minutes; run by hand with `--release -- --ignored`.
+/// Takes minutes; run with `--release -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
 fn larger_models() {
-    for has_falling_tokens in [false, true] {
+    for has_decreasing_tokens in [false, true] {
         check(&Bounds {
             names: vec![0, 1, 2],
             starts: 3,
             partitions: 1,
             failed_probes: 2,
-            has_falling_tokens,
+            has_decreasing_tokens,
             ..DEFAULTS
         });
         check(&Bounds {
@@ -168,7 +172,7 @@
             starts: 4,
             crashes: 1,
             failed_probes: 2,
-            has_falling_tokens,
+            has_decreasing_tokens,
             ..DEFAULTS
         });
         check(&Bounds {
@@ -177,7 +181,7 @@
             crashes: 2,
             partitions: 1,
             failed_probes: 2,
-            has_falling_tokens,
+            has_decreasing_tokens,
             has_leaves: true,
         });
     }
@@ -185,14 +189,14 @@
 
 #[test]
 fn two_members_with_a_crash_a_restart_and_a_partition() {
-    for has_falling_tokens in [false, true] {
+    for has_decreasing_tokens in [false, true] {
         check(&Bounds {
             names: vec![0, 1],
             starts: 3,
             crashes: 1,
             partitions: 1,
             failed_probes: 2,
-            has_falling_tokens,
+            has_decreasing_tokens,
             ..DEFAULTS
         });
     }
@@ -200,13 +204,13 @@
 
 #[test]
 fn two_processes_of_one_name() {
-    for has_falling_tokens in [false, true] {
+    for has_decreasing_tokens in [false, true] {
         check(&Bounds {
             names: vec![0, 1, 0],
             starts: 3,
             crashes: 1,
             failed_probes: 1,
-            has_falling_tokens,
+            has_decreasing_tokens,
             ..DEFAULTS
         });
     }
--- a/crates/membership/tests/record.rs
+++ b/crates/membership/tests/record.rs
@@ -30,7 +30,7 @@
         prop_assert!(
             !is_same || (ab.state >= a.state && ab.details >= a.details && ab.load >= a.load)
         );
-        // The result says whether the record changed.
+        // The return value is true exactly if the record changed.
         let mut changed = a.clone();
         prop_assert_eq!(changed.merge(&b), changed != a);
     }
--- a/crates/membership/tests/service_state.rs
+++ b/crates/membership/tests/service_state.rs
@@ -8,7 +8,7 @@
     let mut filter = ServiceStateFilter::new(0);
     assert_eq!(filter.observe(0, Serving), Serving);
     let mut announced = Vec::new();
-    // Alternates ten times a second.
+    // The observed state alternates ten times a second.
     for i in 0..100 {
         let observed = if i % 2 == 0 { Overloaded } else { Serving };
         announced.push(filter.observe(i * 100_000, observed));
--- a/crates/membership/tests/spare_capacity.rs
+++ b/crates/membership/tests/spare_capacity.rs
@@ -43,12 +43,18 @@
     assert!(!capacity.is_exhausted(0.3));
     cutoffs[6..9].fill(255);
     capacity.update(0, "n0", &members(&cutoffs, 0), false);
-    assert!(!capacity.is_exhausted(0.3), "nor in the other direction");
+    assert!(
+        !capacity.is_exhausted(0.3),
+        "a fraction between the thresholds does not exhaust the band again"
+    );
     let all = [255; 21];
     capacity.update(0, "n0", &members(&all, 0), false);
     assert!(capacity.is_exhausted(0.99));
     capacity.update(MAX_READING_AGE, "n0", &members(&all, 0), false);
-    assert!(capacity.is_exhausted(0.99), "a reading of that age counts");
+    assert!(
+        capacity.is_exhausted(0.99),
+        "a reading of the maximum age counts"
+    );
     capacity.update(MAX_READING_AGE + 1, "n0", &members(&all, 0), false);
     assert!(!capacity.is_exhausted(0.0), "old readings are ignored");
     capacity.update(0, "n0", &members(&all, 0), true);
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -23,7 +23,7 @@
     );
     suspicion.extend(1000);
     assert_eq!(suspicion.deadline(&config, 100), previous + 1000);
-    // In a cluster of two nobody can confirm.
+    // In a cluster of two no other member can confirm the suspicion.
     assert_eq!(
         Suspicion::new(0, "n1").deadline(&config, 2),
         2 * config.min_suspicion_timeout(2)
