--- a/crates/subsetting/examples/compare.rs
+++ b/crates/subsetting/examples/compare.rs
@@ -67,7 +67,7 @@
     subset
 }
 
-/// Each node draws its own workers.
+/// Each node selects workers by a hash of its own name and theirs.
 fn random(nodes: &[String], workers: &[String], subset_size: usize) -> Subsets {
     let subset = |node: &String| {
         let order = shuffled(workers, |worker| hash(&[node, worker, "random"]));
@@ -76,7 +76,7 @@
     nodes.iter().map(subset).collect()
 }
 
-/// Each round shuffles the workers and deals them out to nodes in order (Beyer and others 2016,
+/// Each round shuffles the workers and assigns them to nodes in order (Beyer and others 2016,
 /// chapter 20).
 fn rounds(nodes: &[String], workers: &[String], subset_size: usize) -> Subsets {
     let subset_size = subset_size.min(workers.len());
@@ -187,8 +187,8 @@
     } else {
         (subsets, vec![1.0; workers])
     };
-    let borne = load_per_worker(&loads, &weights, &subsets);
-    let fairness = jain_fairness(&borne, &vec![1.0; workers]);
+    let worker_loads = load_per_worker(&loads, &weights, &subsets);
+    let fairness = jain_fairness(&worker_loads, &vec![1.0; workers]);
     println!(
         "{nodes}/{workers}/{subset_size:<4} {:>12}  {min:.2}..{max:.2}  {moved_by_node:>6} \
          {moved_by_worker:>6}  {fairness:.4}  {milliseconds:.1}",
@@ -196,8 +196,8 @@
     );
 }
 
-/// Prints what happens in a fleet that grows from 10 to 300 nodes and shrinks back, with 100
-/// workers.
+/// Prints the balance, fairness and number of moved pairs of a fleet with 100 workers that grows
+/// from 10 to 300 nodes and shrinks back.
 fn grow_and_shrink() {
     const WORKERS: usize = 100;
     let workers = names("w", WORKERS);
@@ -206,10 +206,10 @@
     for nodes in (10..=300).step_by(10).chain((10..300).step_by(10).rev()) {
         let loads = unequal_loads(nodes);
         let assignment = assign_with_levels(&names("n", nodes), &workers, 20, &levels_of(&loads));
-        let borne = load_per_worker(&loads, &assignment.weights, &assignment.subsets);
-        let mean = borne.iter().sum::<f64>() / WORKERS as f64;
-        worst = worst.max(borne.iter().copied().fold(0.0, f64::max) / mean);
-        min_fairness = min_fairness.min(jain_fairness(&borne, &[1.0; WORKERS]));
+        let worker_loads = load_per_worker(&loads, &assignment.weights, &assignment.subsets);
+        let mean = worker_loads.iter().sum::<f64>() / WORKERS as f64;
+        worst = worst.max(worker_loads.iter().copied().fold(0.0, f64::max) / mean);
+        min_fairness = min_fairness.min(jain_fairness(&worker_loads, &[1.0; WORKERS]));
         if let Some(previous) = &previous {
             moved += moved_pairs(previous, &assignment.subsets);
             pairs += assignment.subsets.iter().map(Vec::len).sum::<usize>();
--- a/crates/subsetting/src/apportionment.rs
+++ b/crates/subsetting/src/apportionment.rs
@@ -1,14 +1,14 @@
 //! Divides whole units in proportion to weights: the largest remainder method (Hamilton 1792), with
-//! ties broken by numbers that all nodes share.
+//! ties broken by numbers that are the same on all nodes.
 
-/// Absorbs rounding errors of sums that should be whole.
+/// Tolerance for rounding errors of sums that should be whole.
 const ROUNDING_ERROR: f64 = 1e-9;
 
 /// Returns the fractional share of each weight.
 ///
 /// Shares are proportional to the weights and lie between `min` and `max`. A share at a bound
-/// leaves the rest to the others. `min` is taken as 0 if there are too few units. Raising a weight
-/// neither lowers its own share nor raises another one.
+/// leaves the remaining units to the others. `min` is taken as 0 if there are too few units.
+/// Raising a weight neither lowers its own share nor raises another one.
 pub fn fractional_shares(total: usize, weights: &[f64], min: usize, max: usize) -> Vec<f64> {
     let count = weights.len();
     let total = total.min(count * max);
@@ -61,13 +61,13 @@
 /// Divides units in proportion to weights, rounded by largest remainders.
 ///
 /// The result adds up to `total`, or to `max` per weight if that is less. Equal remainders are
-/// rounded up in the order of `ties`, highest first.
+/// rounded up in the order of `tie_breakers`, highest first.
 pub fn apportion(
     total: usize,
     weights: &[f64],
     min: usize,
     max: usize,
-    ties: &[u64],
+    tie_breakers: &[u64],
 ) -> Vec<usize> {
     let shares = fractional_shares(total, weights, min, max);
     let mut units: Vec<usize> = shares.iter().map(|share| whole_units(*share)).collect();
@@ -77,7 +77,7 @@
     order.sort_by(|&a, &b| {
         remainder(b)
             .total_cmp(&remainder(a))
-            .then(ties[b].cmp(&ties[a]))
+            .then(tie_breakers[b].cmp(&tie_breakers[a]))
     });
     order.into_iter().take(missing).for_each(|i| units[i] += 1);
     units
--- a/crates/subsetting/src/assignment.rs
+++ b/crates/subsetting/src/assignment.rs
@@ -37,7 +37,7 @@
     pub zone: String,
     /// The weight relative to other workers of its tier, above 0.
     pub weight: f64,
-    /// The priority tier. Each tier is divided by itself.
+    /// The priority tier. Each tier is divided separately.
     pub tier: u32,
     /// The maximum number of concurrent runs, of all nodes together.
     pub concurrency_limit: usize,
@@ -84,19 +84,19 @@
     }
     let loads: Vec<f64> = peers.iter().map(|p| load_of_level(p.level)).collect();
     let mean = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-    // Large enough that every worker gets a node.
+    // Large enough that every worker has at least one node.
     let usual = subset_size.max(workers.div_ceil(peers.len().max(1)));
     let size = |load: &f64| {
-        // In steps of four times the mean, so that a varying load moves no worker: weights even out
-        // smaller differences.
+        // Sizes change in steps of a factor of four relative to the mean load, so that a varying
+        // load moves no worker: weights even out smaller differences.
         let factor = ((load / mean).log2() / 2.0).trunc().exp2().powi(2);
         ((usual as f64 * factor).round() as usize)
             .max(MIN_SUBSET.max(usual / MIN_SUBSET_FRACTION))
             .min(workers)
     };
     let mut sizes: Vec<usize> = loads.iter().map(size).collect();
-    // Low loads can leave fewer pairs than workers: the first nodes get more, so that every worker
-    // gets a node.
+    // Low loads can leave fewer pairs than workers: the first nodes get more workers, so that every
+    // worker has at least one node.
     let mut i = 0;
     while sizes.iter().sum::<usize>() < workers {
         sizes[i] = (sizes[i] + 1).min(workers);
@@ -180,12 +180,12 @@
     let mut limits: Vec<Vec<usize>> = subsets.iter().map(|s| vec![0; s.len()]).collect();
     for (position, (worker, users)) in workers.iter().zip(&users).enumerate() {
         let loads: Vec<f64> = users.iter().map(|user| user.load).collect();
-        let ties: Vec<u64> = users
+        let tie_breakers: Vec<u64> = users
             .iter()
             .map(|user| hash(&[&peers[user.peer].name, &worker.name]))
             .collect();
         let limit = worker.concurrency_limit;
-        let shares = apportion(limit, &loads, 1, limit, &ties);
+        let shares = apportion(limit, &loads, 1, limit, &tie_breakers);
         for (user, share) in users.iter().zip(shares) {
             let index = subsets[user.peer]
                 .binary_search(&position)
@@ -196,7 +196,7 @@
     limits
 }
 
-/// Returns one node's part of the division of a pool.
+/// Returns one node's assignment from the division of a pool.
 ///
 /// A node that is not among the peers has no subset.
 pub fn assign_node(
@@ -237,7 +237,7 @@
     }
 }
 
-/// Returns the share of each worker of a node's subset, by position, where it has one.
+/// Returns the node's share of each worker in its subset, by worker position, without empty shares.
 fn own_shares(
     assignment: &TierAssignment,
     own: usize,
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`assignment`]: the division of one pool.
 //! - [`share_lease`]: a share of a limit that grows only after all others have released theirs.
 //! - [`probe_turn`]: which node probes an ejected worker.
-//! - [`node`]: all of it for one node.
+//! - [`node`]: combines these for one node.
 //!
 //! The crate does no I/O and reads no clock. `docs/subsetting.md` describes the design, the
 //! alternatives compared, and the measurements.
@@ -38,8 +38,8 @@
 /// Terminates each name in the hashed bytes. It does not occur in UTF-8.
 const NAME_END: u8 = 0xff;
 
-/// Hashes a sequence of names. The result is the same on all nodes and in all builds, as nodes make
-/// choices by it.
+/// Hashes a sequence of names. The result is the same on all nodes and in all builds, since nodes
+/// derive their assignments from it.
 pub fn hash(names: &[&str]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEY[0], HASH_KEY[1]);
     for name in names {
--- a/crates/subsetting/src/load.rs
+++ b/crates/subsetting/src/load.rs
@@ -13,19 +13,19 @@
 const WINDOW: Micros = 500_000;
 /// The weight of the previous mean after one window.
 const DECAY_PER_WINDOW: f64 = 0.5;
-/// Windows after which the previous mean no longer counts.
+/// The number of windows after which the previous mean no longer counts.
 const MAX_DECAY_WINDOWS: f64 = 30.0;
 /// The minimum change of the level that is reported.
 const MIN_REPORTED_CHANGE: u8 = 2;
 
-/// Reports that can be saved up.
-const MAX_SAVED_REPORTS: f64 = 4.0;
+/// The maximum number of reports in a burst.
+const MAX_REPORT_BURST: f64 = 4.0;
 /// The traffic that the reports of all nodes may cause at each node, in bytes per second.
 pub const MAX_TRAFFIC: f64 = 2_000.0;
 /// The size of one report on the wire, with the member record around it, in bytes.
 pub const REPORT_BYTES: f64 = 110.0;
-/// How often each node passes on a report is this times the logarithm of the fleet's size, as in
-/// the membership protocol.
+/// The number of times that each node retransmits a report, divided by the decimal logarithm of the
+/// fleet's size, as in the membership protocol.
 const RETRANSMISSIONS: f64 = 4.0;
 
 const MICROS_PER_SECOND: f64 = 1e6;
@@ -54,7 +54,7 @@
 }
 
 impl LoadMeter {
-    /// Returns a meter that has measured nothing.
+    /// Returns a meter without any recorded demand.
     pub fn new(now: Micros) -> LoadMeter {
         LoadMeter {
             requested: 0,
@@ -96,7 +96,7 @@
         self.reported_level
     }
 
-    /// Records that a level is reported.
+    /// Records the level that has been reported.
     pub fn set_reported_level(&mut self, level: u8) {
         self.reported_level = level;
     }
@@ -113,18 +113,19 @@
     /// Returns a full bucket.
     pub fn new(now: Micros) -> ReportLimiter {
         ReportLimiter {
-            tokens: MAX_SAVED_REPORTS,
+            tokens: MAX_REPORT_BURST,
             filled_at: now,
         }
     }
 
-    /// Takes a token, in a fleet of so many nodes. Returns whether there was one.
+    /// Takes a token from the bucket, which fills at the rate for a fleet of `nodes` nodes. Returns
+    /// whether there was one.
     pub fn try_acquire(&mut self, now: Micros, nodes: usize) -> bool {
         let transmissions = RETRANSMISSIONS * (nodes.max(2) as f64).log10().max(1.0);
         let reports_per_second = MAX_TRAFFIC / (REPORT_BYTES * transmissions * nodes.max(1) as f64);
         let elapsed_seconds = (now - self.filled_at).max(0) as f64 / MICROS_PER_SECOND;
         self.filled_at = self.filled_at.max(now);
-        self.tokens = (self.tokens + elapsed_seconds * reports_per_second).min(MAX_SAVED_REPORTS);
+        self.tokens = (self.tokens + elapsed_seconds * reports_per_second).min(MAX_REPORT_BURST);
         let is_allowed = self.tokens >= 1.0;
         if is_allowed {
             self.tokens -= 1.0;
--- a/crates/subsetting/src/load_report.rs
+++ b/crates/subsetting/src/load_report.rs
@@ -10,7 +10,8 @@
 pub const MAX_REPORT_BYTES: usize = 55;
 /// The maximum number of pools in a report.
 pub const MAX_POOLS: usize = 8;
-/// The maximum number of ejected workers in a report. With more, probes are not taken in turns.
+/// The maximum number of ejected workers in a report. With more, nodes do not
+/// coordinate their probes.
 pub const MAX_EJECTED: usize = 14;
 
 /// The length of an encoded pool load, in bytes.
--- a/crates/subsetting/src/node/ejections.rs
+++ b/crates/subsetting/src/node/ejections.rs
@@ -24,8 +24,8 @@
 }
 
 impl Ejections {
-    /// Forgets the workers that this node has ejected, and those that have recovered: positions
-    /// may be those of other workers from now on.
+    /// Clears the workers that this node has ejected, and those that have recovered: positions may
+    /// refer to other workers after a change of the pools.
     pub(super) fn clear_own(&mut self) {
         self.own.clear();
         self.recovered.clear();
@@ -52,7 +52,7 @@
         self.by_worker.get(&worker).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes in the load reports of the other members.
+    /// Updates the ejections of other nodes from their load reports, and records the recoveries.
     pub(super) fn update(&mut self, own_name: &str, members: &[Member]) {
         let by_worker = ejected_by_others(own_name, members);
         let is_member = |name: &str| {
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One node: takes in the membership view and the state of its pools, and returns its shares, its
-//! load report and its probe turns.
+//! One node: computes its shares, load report and probe turns from the membership view and the
+//! state of its pools.
 
 mod ejections;
 mod pool;
@@ -17,7 +17,7 @@
 pub struct Pool {
     /// The name.
     pub name: String,
-    /// About how many workers a node uses.
+    /// The approximate number of workers that a node uses.
     pub subset_size: usize,
     /// The enabled workers, without standby workers.
     pub workers: Vec<Worker>,
@@ -26,7 +26,7 @@
 /// Time limits that the shares depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// The time within which a report reaches all nodes, as a rule.
+    /// The time within which a report normally reaches all nodes.
     pub max_propagation: Micros,
     /// How long the shares of a failed node stay reserved.
     pub reservation: Micros,
@@ -60,7 +60,7 @@
     timing: Timing,
     pools: Vec<PoolState>,
     members: Vec<Member>,
-    /// Whether this node may be partitioned from the others, which may use its shares by now.
+    /// Whether this node may be partitioned from the others, which then may already use its shares.
     is_isolated: bool,
     limiter: ReportLimiter,
     last_report_at: Micros,
@@ -119,7 +119,7 @@
         self.assign(now);
     }
 
-    /// Divides all pools anew.
+    /// Divides all pools again.
     fn assign(&mut self, now: Micros) {
         self.needs_assignment = false;
         let reserved_since = now - self.timing.reservation;
@@ -136,7 +136,7 @@
         for state in &mut self.pools {
             let pool = short_id(&[&state.pool.name]);
             let peer = |member: &&Member| {
-                // The other nodes know the load that this one has reported, so it uses that too.
+                // The other nodes use the load that this node has reported, so it does as well.
                 let report = if member.name == self.name {
                     Some(&self.report)
                 } else {
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Reports loads that have changed, as far as the limits allow. Returns whether it did.
+    /// Reports loads that have changed if the report limits allow it. Returns whether it did.
     fn report_loads(&mut self, now: Micros) -> bool {
-        // At most one report within the propagation time: other nodes could miss an earlier one.
+        // At most one report within the propagation time: other nodes could miss the earlier one.
         let earliest = self
             .last_report_at
             .saturating_add(self.timing.max_propagation);
@@ -250,7 +250,7 @@
             return;
         }
         let ids = self.ejections.own_ids();
-        // Beyond the maximum no probe waits for a turn, so no ejection is reported.
+        // With more than the maximum no probe waits for a turn, so no ejection is reported.
         self.report.ejected = if ids.len() <= MAX_EJECTED {
             ids.into_iter().collect()
         } else {
@@ -258,7 +258,7 @@
         };
     }
 
-    /// Returns whose turn it is to probe a worker that this node has ejected.
+    /// Returns whether this node or another one is to probe a worker that this node has ejected.
     pub fn probe_turn(&self, pool: usize, worker: usize) -> ProbeTurn {
         let state = self.pools.get(pool);
         let Some((state, name)) = state.and_then(|state| {
--- a/crates/subsetting/src/node/pool.rs
+++ b/crates/subsetting/src/node/pool.rs
@@ -8,7 +8,7 @@
 use crate::share_lease::{LoadHistory, LoadLevels, ShareLease};
 use crate::Micros;
 
-/// The share of a worker's limit that a node has at least.
+/// A node's minimum share of a worker's limit.
 const MIN_SHARE: usize = 1;
 
 /// A pool, its measured load, and the node's shares of it.
@@ -17,18 +17,19 @@
     pub(super) meter: LoadMeter,
     /// The node's fraction of the load of all nodes.
     pub(super) load_fraction: f64,
-    /// The shares as last computed, of each worker.
+    /// The last computed share of each worker.
     assigned: Vec<WorkerShare>,
-    /// For workers that each node uses a subset of.
+    /// Leases on shares, for tiers of which each node uses a subset.
     leases: Vec<ShareLease>,
-    /// For workers that all nodes use.
+    /// Known loads, for tiers of which all nodes use all workers.
     history: LoadHistory,
     /// The shares by `history` of each worker, while they don't change with time.
     history_shares: Option<Vec<usize>>,
 }
 
 impl PoolState {
-    /// Returns the state of a pool, with what the previous state has of the same workers.
+    /// Creates the state of a pool. The meter, the history and the leases of workers that remain
+    /// are taken over from the previous state.
     pub(super) fn new(now: Micros, pool: Pool, previous: Option<PoolState>) -> PoolState {
         let lease = |worker: &Worker| {
             previous
--- a/crates/subsetting/src/probe_turn.rs
+++ b/crates/subsetting/src/probe_turn.rs
@@ -33,7 +33,8 @@
 }
 
 /// Returns whether another node has found a worker to have recovered: it had ejected the worker, no
-/// longer does, and is still a member. A node that has failed proves nothing.
+/// longer does, and is still a member. The missing report of a failed node is no evidence of
+/// recovery.
 pub fn has_recovered<'a>(
     mut ejected_before: impl Iterator<Item = &'a str>,
     ejected_now: &[&str],
--- a/crates/subsetting/src/proportional_fitting.rs
+++ b/crates/subsetting/src/proportional_fitting.rs
@@ -1,8 +1,8 @@
-//! Weights that make the workers bear loads in proportion to their configured weights, although
+//! Weights that load the workers in proportion to their configured weights, although
 //! nodes have unequal loads and use different workers: iterative proportional fitting (Deming and
 //! Stephan 1940) over the pairs of nodes and workers.
 
-/// Iterations of the fitting. The last ones change little.
+/// The number of iterations of the fitting. The last ones change the weights only slightly.
 const ITERATIONS: usize = 12;
 /// The minimum factor of a worker's configured weight.
 const MIN_FACTOR: f64 = 0.05;
@@ -29,9 +29,9 @@
     }
     let mut factors = vec![1.0; weights.len()];
     for _ in 0..ITERATIONS {
-        let borne = load_per_worker(loads, &product(weights, &factors), subsets);
-        for i in (0..weights.len()).filter(|&i| is_used[i] && borne[i] > 0.0) {
-            factors[i] = (factors[i] * total_load * weights[i] / total_weight / borne[i])
+        let worker_loads = load_per_worker(loads, &product(weights, &factors), subsets);
+        for i in (0..weights.len()).filter(|&i| is_used[i] && worker_loads[i] > 0.0) {
+            factors[i] = (factors[i] * total_load * weights[i] / total_weight / worker_loads[i])
                 .clamp(MIN_FACTOR, MAX_FACTOR);
         }
     }
@@ -44,14 +44,14 @@
 
 /// Returns the load of each worker, where nodes with these loads divide them by these weights.
 pub fn load_per_worker(loads: &[f64], weights: &[f64], subsets: &[Vec<usize>]) -> Vec<f64> {
-    let mut borne = vec![0.0; weights.len()];
+    let mut worker_loads = vec![0.0; weights.len()];
     for (load, subset) in loads.iter().zip(subsets) {
         let sum: f64 = subset.iter().map(|&worker| weights[worker]).sum();
         for &worker in subset {
-            borne[worker] += proportional_part(*load, weights[worker], sum);
+            worker_loads[worker] += proportional_part(*load, weights[worker], sum);
         }
     }
-    borne
+    worker_loads
 }
 
 /// Returns the part of a load that goes to a worker with this weight, of this sum of weights.
@@ -64,7 +64,7 @@
 }
 
 /// Returns Jain's fairness index (Jain, Chiu and Hawe 1984) of the workers' loads relative to their
-/// weights: 1 if all are equal, 1/n if one of n workers bears everything.
+/// weights: 1 if all are equal, 1/n if one of n workers has the whole load.
 pub fn jain_fairness(loads: &[f64], weights: &[f64]) -> f64 {
     let relative: Vec<f64> = loads.iter().zip(weights).map(|(l, w)| l / w).collect();
     let sum = relative.iter().sum::<f64>();
--- a/crates/subsetting/src/share_lease.rs
+++ b/crates/subsetting/src/share_lease.rs
@@ -1,17 +1,17 @@
-//! Shares of a limit that all nodes divide among themselves, held so that they never add up to more
-//! than the limit.
+//! Shares of a limit that is divided among all nodes. Changes take effect at times at which the
+//! shares never add up to more than the limit.
 //!
 //! A share follows from a node's membership view, and views change at different times. A smaller
 //! share therefore takes effect at once, and a larger one only after every other node has had time
-//! to learn of the change and to release its part.
+//! to receive the change and to release its share.
 //!
-//! [`LoadHistory`] does so where all nodes use all workers. A node assumes its own lowest reported
-//! load and the highest known load of each other node within the last `max_propagation`. If reports
-//! take no longer than that, and no node reports twice within it, then at any time t all nodes know
-//! the loads reported at t - `max_propagation`, and each assumes no more for itself and no less for
-//! the others. So shares add up to at most the limit. [`ShareLease`] is for pools of which each
-//! node uses a subset: there the share is the lowest one computed within the last
-//! `max_propagation`.
+//! [`LoadHistory`] implements this for pools of which all nodes use all workers. A node assumes its
+//! own lowest reported load and the highest known load of each other node within the last
+//! `max_propagation`. If reports take no longer than that, and no node reports twice within it,
+//! then at any time t all nodes know the loads reported at t - `max_propagation`, and each assumes
+//! no more for itself and no less for the others. So shares add up to at most the limit.
+//! [`ShareLease`] is for pools of which each node uses a subset: there the share is the lowest one
+//! computed within the last `max_propagation`.
 
 use crate::apportionment::{apportion, fractional_shares, whole_units};
 use crate::load::load_of_level;
@@ -21,7 +21,7 @@
 /// The load levels of the nodes that share a pool, by name.
 pub type LoadLevels = BTreeMap<String, u8>;
 
-/// The loads that were known at a time.
+/// The loads that were known during an interval.
 #[derive(Clone, Debug)]
 struct KnownLoads {
     levels: LoadLevels,
@@ -29,7 +29,7 @@
     valid_until: Micros,
 }
 
-/// The loads that a node has known, as far back as they matter.
+/// The loads that a node has known within the propagation time.
 #[derive(Clone, Debug)]
 pub struct LoadHistory {
     /// Oldest first. The last entry is current.
@@ -67,7 +67,7 @@
     }
 
     /// Drops loads that were replaced longer ago than `max_propagation`. Returns whether only the
-    /// current ones are left, so that shares no longer change with time.
+    /// current ones are left, in which case shares no longer change with time.
     pub fn expire(&mut self, now: Micros, max_propagation: Micros) -> bool {
         let is_expired =
             |loads: &KnownLoads| loads.valid_until.saturating_add(max_propagation) < now;
@@ -77,8 +77,8 @@
         self.entries.len() == 1
     }
 
-    /// Returns a node's share of a limit. Call [`LoadHistory::expire`] before.
-    pub fn share(&self, node: &str, limit: usize, ties: impl Fn(&str) -> u64) -> usize {
+    /// Returns a node's share of a limit. Call [`LoadHistory::expire`] first.
+    pub fn share(&self, node: &str, limit: usize, tie_breaker: impl Fn(&str) -> u64) -> usize {
         let Some(current) = self.entries.back().map(|last| &last.levels) else {
             return 1;
         };
@@ -87,8 +87,8 @@
         };
         if self.entries.len() == 1 {
             let loads: Vec<f64> = current.values().map(|l| load_of_level(*l)).collect();
-            let ties: Vec<u64> = current.keys().map(|name| ties(name)).collect();
-            return apportion(limit, &loads, 1, limit, &ties)[position];
+            let tie_breakers: Vec<u64> = current.keys().map(|name| tie_breaker(name)).collect();
+            return apportion(limit, &loads, 1, limit, &tie_breakers)[position];
         }
         self.conservative_share(node, limit)
     }
@@ -117,7 +117,7 @@
     }
 }
 
-/// A share that was computed at a time.
+/// A share that was current during an interval.
 #[derive(Clone, Debug)]
 struct ComputedShare {
     share: usize,
--- a/crates/subsetting/src/share_lease/tests.rs
+++ b/crates/subsetting/src/share_lease/tests.rs
@@ -3,7 +3,7 @@
 const MAX_PROPAGATION: Micros = 10;
 
 #[test]
-fn released_capacity_is_used_once_all_nodes_know() {
+fn released_capacity_is_used_after_the_propagation_time() {
     let levels = |b: u8| LoadLevels::from([("a".to_owned(), 4), ("b".to_owned(), b)]);
     let share = |history: &mut LoadHistory, now| {
         history.expire(now, MAX_PROPAGATION);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_smaller_share_takes_effect_at_once_and_a_larger_one_later() {
+fn a_smaller_share_takes_effect_at_once_and_a_larger_one_after_the_propagation_time() {
     let mut lease = ShareLease::new(1, 0);
     lease.set(0, 8);
     assert_eq!(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_share_that_shrinks_and_grows_back_waits_as_well() {
+fn a_share_that_grows_back_also_waits_for_the_propagation_time() {
     let mut lease = ShareLease::new(4, 0);
     lease.set(0, 4);
     lease.set(1, 2);
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -5,7 +5,7 @@
 //! node and a worker are visited in the order of a hash of both names, pairs within a zone first,
 //! and a pair is taken while both sides have capacity. A joining or leaving member changes the
 //! capacity of few others, and the rank of a pair depends on no third name, so few pairs move. A
-//! node that is left short gets workers by exchanges.
+//! node whose subset is then incomplete gets its missing workers by exchanges.
 
 use crate::apportionment::apportion;
 use crate::hash;
@@ -68,11 +68,12 @@
     matrix.subsets()
 }
 
-/// Divides the pairs among the workers by weight. Each worker gets a node if there are enough.
+/// Divides the pairs among the workers by weight. Each worker gets at least one pair if there are
+/// enough.
 fn worker_capacities(pairs: usize, peers: usize, workers: &[Worker]) -> Vec<usize> {
     let weights: Vec<f64> = workers.iter().map(|worker| worker.weight).collect();
-    let ties: Vec<u64> = workers.iter().map(|worker| hash(&[worker.name])).collect();
-    apportion(pairs, &weights, 1, peers, &ties)
+    let tie_breakers: Vec<u64> = workers.iter().map(|worker| hash(&[worker.name])).collect();
+    apportion(pairs, &weights, 1, peers, &tie_breakers)
 }
 
 /// Returns all pairs, highest rank first.
@@ -120,9 +121,9 @@
         self.is_assigned[peer * self.workers + worker] = false;
     }
 
-    /// Assigns one more worker to a node where only workers that it already has are free: another
-    /// node gives up a worker for a free one. The pair of the lowest rank is given up. Returns
-    /// whether there is such a pair.
+    /// Assigns one more worker to a node that already uses all workers with free capacity: moves a
+    /// worker of another node to this node, and assigns a free worker to the other node instead.
+    /// The pair of the lowest rank is moved. Returns whether there is such a pair.
     fn exchange(&mut self, peer: usize, capacity: &mut [usize], pairs: &[Pair]) -> bool {
         let free: Vec<usize> = (0..self.workers).filter(|&i| capacity[i] > 0).collect();
         for pair in pairs.iter().rev() {
--- a/crates/subsetting/tests/apportionment.rs
+++ b/crates/subsetting/tests/apportionment.rs
@@ -35,8 +35,8 @@
             .zip(&before[1..])
             .all(|(after, before)| *after <= before + 1e-6);
         prop_assert!(grows_no_other, "{:?} {:?}", before, after);
-        let ties: Vec<u64> = (0..weights.len() as u64).collect();
-        let units = apportion(total, &weights, min, total, &ties);
+        let tie_breakers: Vec<u64> = (0..weights.len() as u64).collect();
+        let units = apportion(total, &weights, min, total, &tie_breakers);
         let are_rounded = units
             .iter()
             .zip(&before)
@@ -51,8 +51,8 @@
         max in 1usize..40,
         min in 0usize..3,
     ) {
-        let ties: Vec<u64> = (0..weights.len() as u64).collect();
-        let units = apportion(total, &weights, min, max, &ties);
+        let tie_breakers: Vec<u64> = (0..weights.len() as u64).collect();
+        let units = apportion(total, &weights, min, max, &tie_breakers);
         prop_assert_eq!(units.iter().sum::<usize>(), total.min(max * weights.len()));
         prop_assert!(units.iter().all(|&units| units <= max));
         if min * weights.len() <= total {
--- a/crates/subsetting/tests/assignment.rs
+++ b/crates/subsetting/tests/assignment.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn each_tier_is_divided_by_itself() {
+fn each_tier_is_divided_separately() {
     let mut workers = workers(6, 10);
     workers[4..].iter_mut().for_each(|worker| worker.tier = 1);
     let shares = assign_node("n0", &peers(&[0, 0]), &workers, 2).workers;
--- a/crates/subsetting/tests/compatibility.rs
+++ b/crates/subsetting/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Load reports and assignments of shared pools, compared with fixtures written by the build of
 //! commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-subsetting --test
-//! compatibility`): nodes of both builds have to choose alike.
+//! compatibility`): nodes of both builds have to compute the same assignments.
 
 use pipitlever_subsetting::hash;
 use pipitlever_subsetting::load_report::{short_id, LoadReport, PoolLoad};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn reports_and_assignments_are_those_of_the_earlier_build() {
+fn reports_and_assignments_match_the_earlier_build() {
     let report = LoadReport {
         loads: vec![
             PoolLoad {
--- a/crates/subsetting/tests/load.rs
+++ b/crates/subsetting/tests/load.rs
@@ -1,4 +1,4 @@
-//! The measured load, and the limit of its reports.
+//! Measurement of the load, and the rate limit of its reports.
 
 use pipitlever_subsetting::load::{LoadMeter, ReportLimiter, MAX_TRAFFIC, REPORT_BYTES};
 use pipitlever_subsetting::Micros;
@@ -42,14 +42,14 @@
 fn nodes_of_a_larger_fleet_report_less_often() {
     for nodes in [10, 100, 1_000] {
         let mut limiter = ReportLimiter::new(0);
-        // Takes the saved reports first.
-        let saved = (0..9).filter(|_| limiter.try_acquire(0, nodes)).count();
-        assert!(saved < 9);
+        // Takes the tokens of the initial burst first.
+        let burst = (0..9).filter(|_| limiter.try_acquire(0, nodes)).count();
+        assert!(burst < 9);
         let reports = (0..60_000)
             .filter(|step| limiter.try_acquire(step * TENTH, nodes))
             .count();
         let reports_per_second = reports as f64 / 6_000.0 * nodes as f64;
-        // Each node passes on each report 4 x log10(nodes) times.
+        // Each node retransmits each report 4 x log10(nodes) times.
         let transmissions = 4.0 * (nodes as f64).log10().max(1.0);
         let traffic = reports_per_second * REPORT_BYTES * transmissions;
         assert!(traffic < 1.2 * MAX_TRAFFIC, "{nodes}: {traffic} B/s");
@@ -58,6 +58,6 @@
     assert_eq!(
         (0..10).filter(|_| limiter.try_acquire(0, 1_000)).count(),
         4,
-        "a few reports may follow each other at once"
+        "a burst of four reports is allowed"
     );
 }
--- a/crates/subsetting/tests/node.rs
+++ b/crates/subsetting/tests/node.rs
@@ -76,10 +76,10 @@
         (share(&mut node, SECOND), share(&mut node, SECOND + 1)),
         (1, 20)
     );
-    // It releases the share of a joining node at once.
+    // The node releases the share of a joining node at once.
     node.update_members(2 * SECOND, members(&["a", "b", "c", "d"]), false);
     assert_eq!(share(&mut node, 2 * SECOND), 15);
-    // It uses more once others have had time to release theirs.
+    // The node uses a larger share only after the others have had time to release theirs.
     node.update_members(3 * SECOND, members(&["a", "b"]), false);
     assert_eq!(
         (
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_share_of_a_failed_node_stays_reserved_for_a_while() {
+fn the_share_of_a_failed_node_stays_reserved_for_the_configured_time() {
     let mut node = start("a", 60);
     node.update_members(0, members(&["a", "b", "c"]), false);
     let mut view = members(&["a", "b"]);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_own_load_is_reported_and_raises_the_share() {
+fn load_of_this_node_is_reported_and_raises_its_share() {
     let mut node = start("a", 64);
     node.update_members(0, members(&["a", "b"]), false);
     for step in 1..40 {
@@ -152,8 +152,8 @@
     }
     let turns = [nodes[0].1.probe_turn(0, 1), nodes[1].1.probe_turn(0, 1)];
     assert!(turns.contains(&ProbeTurn::Own) && turns.contains(&ProbeTurn::Other));
-    // The node with the turn finds the worker to have recovered. The other one learns that, and has
-    // the turn now.
+    // The node with the turn finds the worker to have recovered. The other node receives its report
+    // and has the turn afterwards.
     let first = usize::from(turns[0] != ProbeTurn::Own);
     nodes[first].1.set_ejected(0, &[]);
     let members = view(&nodes);
@@ -194,12 +194,12 @@
     node.set_ejected(0, &[]);
     assert!(
         node.load_report().ejected.is_empty(),
-        "other nodes would wait for this node's turn without end"
+        "other nodes would wait indefinitely for this node to probe"
     );
 }
 
 #[test]
-fn a_reservation_ends_even_if_the_node_was_not_called_for_long() {
+fn a_reservation_ends_even_if_the_node_was_not_called_for_a_long_time() {
     let mut node = start("a", 60);
     let view = vec![member("a"), failed_member("b", 0)];
     node.update_members(0, view, false);
@@ -213,8 +213,8 @@
     );
 }
 
-/// Guards against a panic of the membership's task: pools beyond the maximum are dropped here, and
-/// the caller's positions count all of them.
+/// Guards against a panic of the membership task: a node drops pools beyond the maximum, but the
+/// caller's positions include them.
 #[test]
 fn ejections_beyond_the_pools_and_workers_of_a_node_are_ignored() {
     let named = |i: usize| Pool {
--- a/crates/subsetting/tests/probe_turn.rs
+++ b/crates/subsetting/tests/probe_turn.rs
@@ -18,13 +18,13 @@
     assert_eq!(
         probe_turn("a", "w", std::iter::empty()),
         ProbeTurn::Own,
-        "a single node need not wait"
+        "a single node does not wait for a turn"
     );
     assert_eq!(prober("w", std::iter::empty()), None);
 }
 
 #[test]
-fn only_a_present_member_proves_a_recovery() {
+fn only_an_active_member_is_evidence_of_a_recovery() {
     let before = ["a", "b"];
     assert!(has_recovered(before.into_iter(), &["b"], |_| true));
     assert!(
--- a/crates/subsetting/tests/proportional_fitting.rs
+++ b/crates/subsetting/tests/proportional_fitting.rs
@@ -14,16 +14,16 @@
         jain_fairness(&after, &equal) > jain_fairness(&before, &equal),
         "{before:?} {after:?}"
     );
-    // Configured weights hold.
+    // Loads follow the configured weights.
     let weights = [1.0, 2.0, 1.0, 2.0];
     let fitted = fit_weights(&equal, &weights, &subsets);
-    let borne = load_per_worker(&equal, &fitted, &subsets);
+    let worker_loads = load_per_worker(&equal, &fitted, &subsets);
     assert!(
-        borne
+        worker_loads
             .iter()
             .zip(weights)
             .all(|(load, weight)| (load - weight * 4.0 / 6.0).abs() < 0.01),
-        "{borne:?}"
+        "{worker_loads:?}"
     );
 }
 
--- a/crates/subsetting/tests/share_lease_model.rs
+++ b/crates/subsetting/tests/share_lease_model.rs
@@ -1,5 +1,5 @@
-//! Model checking of shares: they never add up to more than the limit, in all orders of a small
-//! system of three nodes whose loads change and whose reports take up to the propagation time.
+//! Model checking of shares in a system of three nodes whose loads change and whose reports take up
+//! to the propagation time: in no interleaving do the shares add up to more than the limit.
 
 use pipitlever_subsetting::share_lease::{LoadHistory, LoadLevels};
 use stateright::{Checker, Model, Property};
@@ -36,9 +36,9 @@
 struct System {
     now: i64,
     reports: [Report; NODES],
-    /// The levels that each node knows of each.
+    /// The levels that each node knows of every node.
     known: [[u8; NODES]; NODES],
-    /// What each node has known, as far back as it matters.
+    /// The levels that each node has known within the propagation time.
     histories: Vec<Vec<KnownLevels>>,
     changes: usize,
 }
@@ -50,8 +50,8 @@
         node: usize,
         level: u8,
     },
-    /// A node learns the latest report of another.
-    Learn {
+    /// A node receives the latest report of another node.
+    Receive {
         node: usize,
         reporter: usize,
     },
@@ -79,7 +79,7 @@
 }
 
 impl System {
-    /// Records what a node knows now.
+    /// Records the levels that a node knows now.
     fn record(&mut self, node: usize) {
         let now = self.now;
         let levels = self.known[node];
@@ -87,7 +87,7 @@
         if history.last().is_none_or(|last| last.levels != levels) {
             history.push(KnownLevels { since: now, levels });
         }
-        // Levels replaced longer ago than the propagation time are no part of the state.
+        // Levels replaced longer ago than the propagation time have no effect on shares.
         while history.len() > 1 && history[1].since + MAX_PROPAGATION < now {
             history.remove(0);
         }
@@ -112,8 +112,8 @@
             MAX_PROPAGATION
         };
         loads.expire(now, max_propagation);
-        let ties = |name: &str| name.bytes().map(u64::from).sum();
-        loads.share(&name(node), LIMIT, ties)
+        let tie_breaker = |name: &str| name.bytes().map(u64::from).sum();
+        loads.share(&name(node), LIMIT, tie_breaker)
     }
 
     fn shares(&self, system: &System) -> Vec<usize> {
@@ -153,7 +153,7 @@
         for node in 0..NODES {
             for (reporter, report) in system.reports.iter().enumerate() {
                 if system.known[node][reporter] != report.level {
-                    actions.push(Action::Learn { node, reporter });
+                    actions.push(Action::Receive { node, reporter });
                     is_report_due |= system.now - report.reported_at >= self.propagation;
                 }
             }
@@ -181,7 +181,7 @@
                 next.changes += 1;
                 next.record(node);
             }
-            Action::Learn { node, reporter } => {
+            Action::Receive { node, reporter } => {
                 next.known[node][reporter] = next.reports[reporter].level;
                 next.record(node);
             }
@@ -205,7 +205,7 @@
     }
 }
 
-/// Returns whether some order violates the limit.
+/// Returns whether the shares exceed the limit in some interleaving.
 fn exceeds_limit(model: ShareModel) -> bool {
     let start = Instant::now();
     let checker = model
@@ -226,7 +226,7 @@
     let counterexample = checker.discovery(WITHIN_LIMIT);
     assert!(
         checker.discovery(LARGE_SHARE).is_some(),
-        "the system is too small"
+        "no state was reached in which {LARGE_SHARE}"
     );
     if let Some(path) = counterexample {
         println!("{WITHIN_LIMIT}: {:#?}", path.into_actions());
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn in_no_order_do_shares_add_up_to_more_than_the_limit() {
+fn shares_never_exceed_the_limit_in_any_interleaving() {
     assert!(!exceeds_limit(ShareModel {
         propagation: MAX_PROPAGATION,
         grows_at_once: false
