--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -48,7 +48,7 @@
     Subtract,
 }
 
-/// All members that this node knows, including itself.
+/// All members in this node's table, including the node itself.
 #[derive(Clone, Debug)]
 pub struct Members {
     by_name: BTreeMap<String, Member>,
--- a/crates/membership/src/membership/application.rs
+++ b/crates/membership/src/membership/application.rs
@@ -65,7 +65,8 @@
         self.application.received.pop_front()
     }
 
-    /// Sends a message of the layer above to a member. Returns whether the member is known.
+    /// Sends a message of the layer above to a member. Returns whether the member is in the
+    /// table.
     pub fn send_application_message(&mut self, recipient: &str, content: Vec<u8>) -> bool {
         let Some(destination) = self.address_of(recipient) else {
             return false;
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -74,7 +74,7 @@
 }
 
 impl Membership {
-    /// Creates the view of a node that knows no other member yet. `seed` seeds the random choices.
+    /// Creates a view that contains only this node. `seed` seeds the random choices.
     pub fn new(
         config: MembershipConfig,
         fleet_name: &str,
--- a/crates/membership/tests/model/cluster.rs
+++ b/crates/membership/tests/model/cluster.rs
@@ -175,7 +175,7 @@
         self.check_views(&cluster, &running)
     }
 
-    /// Sends the whole view and the own record of every running host to all running hosts.
+    /// Sends the view and the own record of every running host to all running hosts.
     pub fn exchange_views(&self, cluster: &mut Cluster, running: &[usize], round: i64) {
         for &sender in running {
             for (name, record) in cluster.hosts[sender].view.clone() {
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -72,7 +72,8 @@
 }
 
 impl Node {
-    /// Starts a node. It has the minimum share of each limit until the others know of it.
+    /// Creates the state of a node that has just started. The node has the minimum share of each
+    /// limit until the others have had time to receive its record.
     pub fn new(name: &str, timing: Timing, pools: Vec<Pool>, now: Micros) -> Node {
         let mut node = Node {
             name: name.to_owned(),
--- a/crates/subsetting/src/share_lease.rs
+++ b/crates/subsetting/src/share_lease.rs
@@ -8,7 +8,7 @@
 //! [`LoadHistory`] implements this for pools of which all nodes use all workers. A node assumes its
 //! own lowest reported load and the highest known load of each other node within the last
 //! `max_propagation`. If reports take no longer than that, and no node reports twice within it,
-//! then at any time t all nodes know the loads reported at t - `max_propagation`, and each assumes
+//! then at any time t all nodes have the loads reported at t - `max_propagation`, and each assumes
 //! no more for itself and no less for the others. So shares add up to at most the limit.
 //! [`ShareLease`] is for pools of which each node uses a subset: there the share is the lowest one
 //! computed within the last `max_propagation`.
@@ -21,7 +21,7 @@
 /// The load levels of the nodes that share a pool, by name.
 pub type LoadLevels = BTreeMap<String, u8>;
 
-/// The loads that were known during an interval.
+/// The loads in the membership view during an interval.
 #[derive(Clone, Debug)]
 struct KnownLoads {
     levels: LoadLevels,
@@ -29,7 +29,7 @@
     valid_until: Micros,
 }
 
-/// The loads that a node has known within the propagation time.
+/// The loads that were in a node's membership view within the propagation time.
 #[derive(Clone, Debug)]
 pub struct LoadHistory {
     /// Oldest first. The last entry is current.
@@ -37,7 +37,7 @@
 }
 
 impl LoadHistory {
-    /// Returns the history of a process that has just started, which no other node knows of.
+    /// Returns the history of a process that has just started and is in no other node's view.
     pub fn new(now: Micros) -> LoadHistory {
         let empty = |valid_until| KnownLoads {
             levels: LoadLevels::new(),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Records the loads that are known from now on.
+    /// Records the loads that are in the view from now on.
     pub fn record(&mut self, now: Micros, levels: LoadLevels) {
         if self
             .entries
@@ -93,8 +93,8 @@
         self.conservative_share(node, limit)
     }
 
-    /// Returns the share by the lowest own load, 0 while the node was not known, and by the highest
-    /// load of each other node, including those that have left.
+    /// Returns the share by the lowest own load, 0 while the node was not in the view, and by the
+    /// highest load of each other node, including those that have left.
     fn conservative_share(&self, node: &str, limit: usize) -> usize {
         let mut loads: BTreeMap<&str, f64> = BTreeMap::new();
         for known in &self.entries {
@@ -133,8 +133,8 @@
 }
 
 impl ShareLease {
-    /// Returns the lease of a node that has just joined, with the minimum share: no other node
-    /// knows of it yet.
+    /// Returns the lease of a node that has just joined, with the minimum share: the node is in no
+    /// other node's view yet.
     pub fn new(min_share: usize, now: Micros) -> ShareLease {
         ShareLease {
             entries: VecDeque::from([
--- a/crates/subsetting/tests/share_lease_model.rs
+++ b/crates/subsetting/tests/share_lease_model.rs
@@ -25,7 +25,7 @@
     reported_at: i64,
 }
 
-/// The levels that a node knows since a time.
+/// The levels in a node's view since a time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct KnownLevels {
     since: i64,
@@ -36,9 +36,9 @@
 struct System {
     now: i64,
     reports: [Report; NODES],
-    /// The levels that each node knows of every node.
+    /// The level of every node in each node's view.
     known: [[u8; NODES]; NODES],
-    /// The levels that each node has known within the propagation time.
+    /// The levels that were in each node's view within the propagation time.
     histories: Vec<Vec<KnownLevels>>,
     changes: usize,
 }
@@ -79,7 +79,7 @@
 }
 
 impl System {
-    /// Records the levels that a node knows now.
+    /// Records the levels that are in a node's view now.
     fn record(&mut self, node: usize) {
         let now = self.now;
         let levels = self.known[node];
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns whether all nodes know a node's latest report.
+    /// Returns whether all nodes have received a node's latest report.
     fn is_known_to_all(&self, reporter: usize) -> bool {
         (0..NODES).all(|node| self.known[node][reporter] == self.reports[reporter].level)
     }
@@ -157,7 +157,7 @@
                     is_report_due |= system.now - report.reported_at >= self.propagation;
                 }
             }
-            // A node reports again only once all others know its last report.
+            // A node reports again only after all others have received its last report.
             if system.changes < MAX_CHANGES && system.is_known_to_all(node) {
                 let current = system.reports[node].level;
                 let changed = [1u8, 5].into_iter().filter(|level| *level != current);
