--- a/crates/cluster-testing/src/session_simulation/mod.rs
+++ b/crates/cluster-testing/src/session_simulation/mod.rs
@@ -294,13 +294,13 @@
         .workers
         .iter()
         .position(|worker| worker.name == name)?;
-    state.id(position)
+    state.worker_id_at(position)
 }
 
 /// The number of the worker with this id.
 fn worker_number(directory: &SessionDirectory, id: u32) -> u32 {
     let state = &directory.pools()[POOL_INDEX];
-    let position = state.position(id).expect("the version has the worker");
+    let position = state.worker_index(id).expect("the version has the worker");
     let name = &state.pool.workers[position].name;
     name[1..].parse().expect("a worker's number")
 }
--- a/crates/config-versions/src/envelope.rs
+++ b/crates/config-versions/src/envelope.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Envelope {
     /// An encoded [`Message`].
-    Register(Vec<u8>),
+    ProtocolMessage(Vec<u8>),
     /// Requests a chunk of a content.
     ChunkRequest {
         /// The digest of the content.
@@ -33,8 +33,8 @@
 
 impl Envelope {
     /// Wraps a protocol message.
-    pub fn register(message: &Message) -> Envelope {
-        Envelope::Register(message.encode())
+    pub fn protocol_message(message: &Message) -> Envelope {
+        Envelope::ProtocolMessage(message.encode())
     }
 
     /// Encodes the envelope.
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -182,7 +182,10 @@
 fn envelopes() -> Vec<(&'static str, Envelope)> {
     let digest = Digest::of(b"content");
     vec![
-        ("word-register", Envelope::register(&Message::NewestRequest)),
+        (
+            "word-register",
+            Envelope::protocol_message(&Message::NewestRequest),
+        ),
         (
             "word-want",
             Envelope::ChunkRequest {
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -162,7 +162,7 @@
         }
         request_chunk(&mut node, fleet, now);
         for outgoing in node.take_outgoing() {
-            let envelope = Envelope::register(&outgoing.message);
+            let envelope = Envelope::protocol_message(&outgoing.message);
             fleet.send_application_message(&outgoing.recipient, envelope.encode());
         }
         self.send_decided(&node);
@@ -323,7 +323,7 @@
         ApplicationMessage::Direct(bytes) => Envelope::decode(&bytes),
     };
     match envelope {
-        Some(Envelope::Register(bytes)) => {
+        Some(Envelope::ProtocolMessage(bytes)) => {
             if let Some(message) = Message::decode(&bytes) {
                 node.handle_message(now, &sender, &message);
             }
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -179,7 +179,7 @@
             let placement = &directory.pools()[i];
             let members = &pool.settings.members;
             let worker_id = |address: &SocketAddr| {
-                placement.id(members.iter().position(|m| m.address == *address)?)
+                placement.worker_id_at(members.iter().position(|m| m.address == *address)?)
             };
             let ejected: Vec<WorkerId> = state
                 .pools
@@ -256,7 +256,7 @@
         let pools = self.pools.borrow();
         let mut members = pools[pool].settings.members.iter();
         let position = members.position(|member| member.address == address)?;
-        directory.pools()[pool].id(position)
+        directory.pools()[pool].worker_id_at(position)
     }
 
     fn session_key(
@@ -283,7 +283,7 @@
         let Resolution::Worker(worker) = resolution else {
             return None;
         };
-        let position = directory.pools()[pool].position(worker)?;
+        let position = directory.pools()[pool].worker_index(worker)?;
         let pools = self.pools.borrow();
         let member = pools[pool].settings.members.get(position)?;
         Some(member.address)
--- a/crates/session-affinity/src/directory/inbound.rs
+++ b/crates/session-affinity/src/directory/inbound.rs
@@ -45,20 +45,20 @@
         match message {
             Message::LookupRequest {
                 time,
-                ticket,
+                lookup_id,
                 session,
             } => {
                 self.clock.observe(now, *time);
-                self.reply_to_lookup(now, sender, *ticket, *session);
+                self.reply_to_lookup(now, sender, *lookup_id, *session);
             }
             Message::LookupReply {
                 time,
-                ticket,
+                lookup_id,
                 session,
                 placement,
             } => {
                 self.clock.observe(now, *time);
-                self.handle_lookup_reply(now, sender, *ticket, *session, *placement);
+                self.handle_lookup_reply(now, sender, *lookup_id, *session, *placement);
             }
             Message::Update {
                 time,
@@ -87,12 +87,12 @@
         }
     }
 
-    fn reply_to_lookup(&mut self, now: Micros, sender: &str, ticket: u32, session: SessionId) {
+    fn reply_to_lookup(&mut self, now: Micros, sender: &str, lookup_id: u32, session: SessionId) {
         self.table.touch(now, session);
         let known = self.table.get(now, session);
         let reply = Message::LookupReply {
             time: self.clock.read(now),
-            ticket,
+            lookup_id,
             session,
             placement: known.map(|known| known.placement),
         };
@@ -103,13 +103,13 @@
         &mut self,
         now: Micros,
         sender: &str,
-        ticket: u32,
+        lookup_id: u32,
         session: SessionId,
         placement: Option<Placement>,
     ) {
         if let Some(result) = self
             .lookups
-            .handle_reply(ticket, sender, session, placement)
+            .handle_reply(lookup_id, sender, session, placement)
         {
             return self.complete_lookup(now, result);
         }
--- a/crates/session-affinity/src/directory/pools.rs
+++ b/crates/session-affinity/src/directory/pools.rs
@@ -173,15 +173,15 @@
     }
 
     /// Returns the index of a worker in the configuration.
-    pub fn position(&self, worker: WorkerId) -> Option<usize> {
+    pub fn worker_index(&self, worker: WorkerId) -> Option<usize> {
         self.workers
             .iter()
             .position(|candidate| candidate.id == worker)
     }
 
     /// Returns the identifier of the worker at an index of the configuration.
-    pub fn id(&self, position: usize) -> Option<WorkerId> {
-        self.workers.get(position).map(|worker| worker.id)
+    pub fn worker_id_at(&self, index: usize) -> Option<WorkerId> {
+        self.workers.get(index).map(|worker| worker.id)
     }
 }
 
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -14,8 +14,8 @@
 use crate::worker_selection::select_worker;
 use crate::{Micros, SessionId, WorkerId};
 
-/// Ticket of a lookup without a waiting request, which only verifies a placement.
-const VERIFICATION_TICKET: u32 = 0;
+/// Identifier of a lookup without a waiting request, which only verifies a placement.
+const VERIFICATION_LOOKUP_ID: u32 = 0;
 
 /// What to do with a session that is not in the local table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
             }
             self.table.mark_verified(now, session);
             if self.replicas.is_replica(session, &self.local_name) {
-                self.send_lookup(now, session, VERIFICATION_TICKET);
+                self.send_lookup(now, session, VERIFICATION_LOOKUP_ID);
                 return self.apply_placement(now, pool, session, known.placement);
             }
         }
@@ -81,8 +81,8 @@
             return self.resolve_from_table(now, pool, key, IfUnknown::Place);
         }
         match self.start_lookup(now, pool, key, request) {
-            Some(ticket) => {
-                self.send_lookup(now, session, ticket);
+            Some(lookup_id) => {
+                self.send_lookup(now, session, lookup_id);
                 Resolution::Pending
             }
             None => self.resolve_from_table(now, pool, key, IfUnknown::Reject),
@@ -95,7 +95,7 @@
         ranked.into_iter().any(|name| name != self.local_name)
     }
 
-    /// Starts a lookup and returns its ticket; `None` if there are too many lookups.
+    /// Starts a lookup and returns its identifier; `None` if there are too many lookups.
     fn start_lookup(
         &mut self,
         now: Micros,
@@ -126,10 +126,10 @@
         self.lookups.start(now, deadline, target, nodes, request)
     }
 
-    fn send_lookup(&mut self, now: Micros, session: SessionId, ticket: u32) {
+    fn send_lookup(&mut self, now: Micros, session: SessionId, lookup_id: u32) {
         let request = Message::LookupRequest {
             time: self.clock.read(now),
-            ticket,
+            lookup_id,
             session,
         }
         .encode();
@@ -192,7 +192,7 @@
         for retry in self.lookups.take_retries(now) {
             let request = Message::LookupRequest {
                 time: self.clock.read(now),
-                ticket: retry.ticket,
+                lookup_id: retry.lookup_id,
                 session: retry.session,
             }
             .encode();
@@ -249,7 +249,7 @@
         let state = &self.pools[pool];
         let initial_worker = key
             .initial_worker
-            .filter(|worker| state.position(*worker).is_some());
+            .filter(|worker| state.worker_index(*worker).is_some());
         let selected = initial_worker.or_else(|| self.select_worker(pool, key.session, None));
         let Some(worker) = selected else {
             return Resolution::Unavailable;
--- a/crates/session-affinity/src/directory/tests.rs
+++ b/crates/session-affinity/src/directory/tests.rs
@@ -157,7 +157,7 @@
     let mut directory = single_node(&["a", "b"]);
     let mut newer = self::directory(&["a", "b", "c"]);
     newer.set_pools(0, 1, vec![pool(&["a", "b", "c"])]);
-    let worker = newer.pools[0].id(2).unwrap();
+    let worker = newer.pools[0].worker_id_at(2).unwrap();
     let session = SESSION.in_pool(directory.pools[0].id).session;
     let placement = Placement {
         worker,
@@ -222,7 +222,7 @@
         .find(|candidate| candidate.id != worker)
         .unwrap()
         .id;
-    let remaining = if directory.pools[0].id(0) == Some(other) {
+    let remaining = if directory.pools[0].worker_id_at(0) == Some(other) {
         "a"
     } else {
         "b"
@@ -283,16 +283,16 @@
     assert_eq!(directory.resolve(0, 0, key, 1), Resolution::Pending);
     let session = key.in_pool(directory.pools[0].id).session;
     let replica = directory.replicas.ranked(session, 1)[0].to_owned();
-    let ticket = take_messages(&mut directory)
+    let lookup_id = take_messages(&mut directory)
         .into_iter()
         .find_map(|(_, message)| match message {
-            Message::LookupRequest { ticket, .. } => Some(ticket),
+            Message::LookupRequest { lookup_id, .. } => Some(lookup_id),
             _ => None,
         })
         .expect("the replicas are asked");
     let reply = Message::LookupReply {
         time: 100,
-        ticket,
+        lookup_id,
         session,
         placement: None,
     };
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRetry {
     /// Number of the lookup.
-    pub ticket: u32,
+    pub lookup_id: u32,
     /// The session.
     pub session: SessionId,
     /// Nodes that have not replied.
@@ -77,18 +77,18 @@
 /// Lookups in progress.
 #[derive(Clone, Debug, Default)]
 pub struct PendingLookups {
-    by_ticket: BTreeMap<u32, Lookup>,
-    ticket_by_session: BTreeMap<SessionId, u32>,
-    last_ticket: u32,
+    by_id: BTreeMap<u32, Lookup>,
+    id_by_session: BTreeMap<SessionId, u32>,
+    last_id: u32,
 }
 
 impl PendingLookups {
     /// Lets a request wait for a lookup of the session in progress; returns whether there is one.
     pub fn add_waiter(&mut self, session: SessionId, request: u64) -> bool {
         let lookup = self
-            .ticket_by_session
+            .id_by_session
             .get(&session)
-            .and_then(|ticket| self.by_ticket.get_mut(ticket));
+            .and_then(|lookup_id| self.by_id.get_mut(lookup_id));
         lookup
             .map(|lookup| lookup.waiting_requests.push(request))
             .is_some()
@@ -104,15 +104,15 @@
         nodes: LookupNodes,
         request: u64,
     ) -> Option<u32> {
-        if self.by_ticket.len() >= MAX_LOOKUPS {
+        if self.by_id.len() >= MAX_LOOKUPS {
             return None;
         }
         debug_assert!(nodes.names.len() <= LOOKUP_FANOUT);
-        self.last_ticket = self.last_ticket.wrapping_add(1);
+        self.last_id = self.last_id.wrapping_add(1);
         let pending: Vec<String> = nodes.names.iter().map(|name| (*name).to_owned()).collect();
         let replicas = pending.iter().take(nodes.replica_count).cloned().collect();
-        self.by_ticket.insert(
-            self.last_ticket,
+        self.by_id.insert(
+            self.last_id,
             Lookup {
                 target,
                 pending,
@@ -124,23 +124,22 @@
                 waiting_requests: vec![request],
             },
         );
-        self.ticket_by_session
-            .insert(target.session, self.last_ticket);
-        Some(self.last_ticket)
+        self.id_by_session.insert(target.session, self.last_id);
+        Some(self.last_id)
     }
 
     /// Handles a reply. The first replica that knows the session completes the lookup; if none
     /// does, the last reply completes it.
     pub fn handle_reply(
         &mut self,
-        ticket: u32,
+        lookup_id: u32,
         sender: &str,
         session: SessionId,
         placement: Option<Placement>,
     ) -> Option<LookupResult> {
         let lookup = self
-            .by_ticket
-            .get_mut(&ticket)
+            .by_id
+            .get_mut(&lookup_id)
             .filter(|lookup| lookup.target.session == session)?;
         let position = lookup.pending.iter().position(|name| name == sender)?;
         lookup.pending.remove(position);
@@ -155,15 +154,15 @@
         let is_replica = lookup.replicas.iter().any(|name| name == sender);
         lookup.is_unknown_to_a_replica |= is_replica && placement.is_none();
         if (is_replica && placement.is_some()) || lookup.pending.is_empty() {
-            self.complete(ticket)
+            self.complete(lookup_id)
         } else {
             None
         }
     }
 
-    fn complete(&mut self, ticket: u32) -> Option<LookupResult> {
-        let lookup = self.by_ticket.remove(&ticket)?;
-        self.ticket_by_session.remove(&lookup.target.session);
+    fn complete(&mut self, lookup_id: u32) -> Option<LookupResult> {
+        let lookup = self.by_id.remove(&lookup_id)?;
+        self.id_by_session.remove(&lookup.target.session);
         Some(LookupResult {
             target: lookup.target,
             waiting_requests: lookup.waiting_requests,
@@ -174,20 +173,20 @@
 
     /// Completes the lookup of a session whose placement arrived in an update.
     pub fn resolve(&mut self, session: SessionId, placement: Placement) -> Option<LookupResult> {
-        let ticket = *self.ticket_by_session.get(&session)?;
-        self.by_ticket.get_mut(&ticket)?.best = Some(placement);
-        self.complete(ticket)
+        let lookup_id = *self.id_by_session.get(&session)?;
+        self.by_id.get_mut(&lookup_id)?.best = Some(placement);
+        self.complete(lookup_id)
     }
 
     /// Takes the retries that are due.
     pub fn take_retries(&mut self, now: Micros) -> Vec<LookupRetry> {
-        self.by_ticket
+        self.by_id
             .iter_mut()
             .filter(|(_, lookup)| lookup.retry_at <= now)
-            .map(|(ticket, lookup)| {
+            .map(|(lookup_id, lookup)| {
                 lookup.retry_at = now + RETRY_INTERVAL;
                 LookupRetry {
-                    ticket: *ticket,
+                    lookup_id: *lookup_id,
                     session: lookup.target.session,
                     nodes: lookup.pending.clone(),
                 }
@@ -198,20 +197,20 @@
     /// Completes the lookups whose deadline has passed.
     pub fn take_expired(&mut self, now: Micros) -> Vec<LookupResult> {
         let expired: Vec<u32> = self
-            .by_ticket
+            .by_id
             .iter()
             .filter(|(_, lookup)| lookup.deadline <= now)
-            .map(|(ticket, _)| *ticket)
+            .map(|(lookup_id, _)| *lookup_id)
             .collect();
         expired
             .into_iter()
-            .filter_map(|ticket| self.complete(ticket))
+            .filter_map(|lookup_id| self.complete(lookup_id))
             .collect()
     }
 
     /// Returns when a retry or a deadline is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.by_ticket
+        self.by_id
             .values()
             .map(|lookup| lookup.deadline.min(lookup.retry_at))
             .min()
--- a/crates/session-affinity/src/message.rs
+++ b/crates/session-affinity/src/message.rs
@@ -30,7 +30,7 @@
         /// Time of the sender.
         time: u32,
         /// Number of the lookup; 0 if the sender does not wait for the reply.
-        ticket: u32,
+        lookup_id: u32,
         /// The session.
         session: SessionId,
     },
@@ -39,7 +39,7 @@
         /// Time of the sender.
         time: u32,
         /// Number of the lookup.
-        ticket: u32,
+        lookup_id: u32,
         /// The session.
         session: SessionId,
         /// Its placement; `None` if the sender does not know the session.
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -27,10 +27,10 @@
 
 const SESSION: u64 = 0x0102_0304_0506_0708;
 
-fn lookup_reply(time: u32, ticket: u32, placement: Option<Placement>) -> Message {
+fn lookup_reply(time: u32, lookup_id: u32, placement: Option<Placement>) -> Message {
     Message::LookupReply {
         time,
-        ticket,
+        lookup_id,
         session: SESSION,
         placement,
     }
@@ -53,7 +53,7 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let lookup_request = Message::LookupRequest {
         time: 100_001,
-        ticket: 200,
+        lookup_id: 200,
         session: SESSION,
     };
     let update_ack = Message::UpdateAck {
--- a/crates/session-affinity/tests/lookup.rs
+++ b/crates/session-affinity/tests/lookup.rs
@@ -40,53 +40,59 @@
 #[test]
 fn the_first_replica_that_knows_the_session_completes_a_lookup() {
     let mut lookups = PendingLookups::default();
-    let ticket = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
+    let lookup_id = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
     assert!(lookups.add_waiter(7, 2) && !lookups.add_waiter(8, 3));
-    assert_eq!(lookups.handle_reply(ticket, "a", 7, None), None);
+    assert_eq!(lookups.handle_reply(lookup_id, "a", 7, None), None);
     assert_eq!(
-        lookups.handle_reply(ticket, "a", 7, Some(PLACEMENT)),
+        lookups.handle_reply(lookup_id, "a", 7, Some(PLACEMENT)),
         None,
         "a second reply of one node"
     );
     assert_eq!(
-        lookups.handle_reply(ticket, "x", 7, Some(PLACEMENT)),
+        lookups.handle_reply(lookup_id, "x", 7, Some(PLACEMENT)),
         None,
         "a reply of a node that was not asked"
     );
     assert_eq!(
-        lookups.handle_reply(ticket, "b", 8, Some(PLACEMENT)),
+        lookups.handle_reply(lookup_id, "b", 8, Some(PLACEMENT)),
         None,
         "a reply about another session"
     );
     let result = lookups
-        .handle_reply(ticket, "b", 7, Some(PLACEMENT))
+        .handle_reply(lookup_id, "b", 7, Some(PLACEMENT))
         .unwrap();
     assert_eq!(
         (result.waiting_requests, result.placement),
         (vec![1, 2], Some(PLACEMENT))
     );
-    let ticket = start(&mut lookups, 7, &["a", "b"], 2, 1);
-    assert_eq!(lookups.handle_reply(ticket, "a", 7, None), None);
+    let lookup_id = start(&mut lookups, 7, &["a", "b"], 2, 1);
+    assert_eq!(lookups.handle_reply(lookup_id, "a", 7, None), None);
     assert_eq!(
         lookups
-            .handle_reply(ticket, "b", 7, None)
+            .handle_reply(lookup_id, "b", 7, None)
             .unwrap()
             .placement,
         None
     );
     // A node that is no replica completes nothing while a replica may know better.
-    let ticket = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
-    assert_eq!(lookups.handle_reply(ticket, "c", 7, Some(PLACEMENT)), None);
+    let lookup_id = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
+    assert_eq!(
+        lookups.handle_reply(lookup_id, "c", 7, Some(PLACEMENT)),
+        None
+    );
     let moved = PLACEMENT.moved(2, 0);
     assert_eq!(
         lookups
-            .handle_reply(ticket, "a", 7, Some(moved))
+            .handle_reply(lookup_id, "a", 7, Some(moved))
             .unwrap()
             .placement,
         Some(moved)
     );
-    let ticket = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
-    assert_eq!(lookups.handle_reply(ticket, "c", 7, Some(PLACEMENT)), None);
+    let lookup_id = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
+    assert_eq!(
+        lookups.handle_reply(lookup_id, "c", 7, Some(PLACEMENT)),
+        None
+    );
     assert_eq!(lookups.take_expired(DEADLINE)[0].placement, Some(PLACEMENT));
 }
 
@@ -96,7 +102,7 @@
     start(&mut lookups, 9, &["a"], 1, 4);
     assert!(lookups.take_expired(99).is_empty() && lookups.next_deadline() == Some(DEADLINE));
     let retry = LookupRetry {
-        ticket: 1,
+        lookup_id: 1,
         session: 9,
         nodes: vec!["a".to_owned()],
     };
--- a/crates/session-affinity/tests/model.rs
+++ b/crates/session-affinity/tests/model.rs
@@ -182,7 +182,7 @@
             panic!("a single node resolves at once")
         };
         let position = node.pools()[0]
-            .position(first_worker)
+            .worker_index(first_worker)
             .expect("a worker of the pool");
         let removed = if self.removes_worker_of_session {
             position
