--- a/crates/config-versions/src/acceptor.rs
+++ b/crates/config-versions/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! The Paxos acceptor: promises, accepted versions, retired versions, and the state on its disk.
 //!
 //! Every vote must be durable before it is sent, so each message names the write it depends on. An
-//! acceptor whose disk was replaced or restored from a backup has forgotten votes. It detects that
-//! by the disk stamps that its peers remember, and then no longer votes.
+//! acceptor whose disk was replaced or restored from a backup has lost votes. It detects this by
+//! the disk stamps that its peers have recorded, and then no longer votes.
 
 use crate::message::{AcceptedVersion, Ballot, DiskStamp, Heartbeat, Message, Outgoing};
 use crate::version::{is_quorum, Version};
@@ -32,11 +32,12 @@
 /// Whether an acceptor may vote.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Voting {
-    /// It has restarted and asks its peers about its disk. These have confirmed the disk.
+    /// The acceptor has restarted and verifies its disk with its peers. These peers have confirmed
+    /// the disk.
     Verifying(BTreeSet<String>),
-    /// It votes.
+    /// The acceptor votes.
     Enabled,
-    /// It must not vote: its disk does not match this stamp, which a peer remembers.
+    /// The acceptor must not vote: its disk does not match this stamp, which a peer has recorded.
     Disabled(DiskStamp),
 }
 
@@ -60,8 +61,8 @@
 }
 
 impl Acceptor {
-    /// Starts an acceptor from the state on its disk. An empty disk gets these acceptors and this
-    /// random id.
+    /// Starts an acceptor from the state on its disk. An empty disk is initialized with these
+    /// acceptors and this random id.
     ///
     /// The first write, which records the incarnation, is pending from the start.
     pub fn start(
@@ -122,7 +123,7 @@
 
     /// Returns a heartbeat for this clock reading, to be sent after the last write.
     ///
-    /// Returns `None` unless the acceptor votes: it may have lost retired versions otherwise.
+    /// Returns `None` unless the acceptor votes: its disk may otherwise have lost a retirement.
     pub fn heartbeat(&self, clock: Micros) -> Option<Heartbeat> {
         let latest = self.pending().unwrap_or(&self.state.newest);
         let heartbeat = Heartbeat {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Returns the version that it has accepted and does not know to be decided.
+    /// Returns the version that this acceptor has accepted and that is not known to be decided.
     pub fn pending(&self) -> Option<&Version> {
         self.state
             .accepted
@@ -170,8 +171,8 @@
 
     /// Handles a message and returns the messages it causes.
     ///
-    /// `has_content` tells whether the content of a version is present: a version is accepted only
-    /// if its content can be passed on.
+    /// `has_content` returns whether the content of a version is present: a version is accepted
+    /// only if this node can serve its content.
     pub fn handle_message(
         &mut self,
         sender: &str,
@@ -216,7 +217,7 @@
             Message::DiskUpdated(disk)
             | Message::Promise { disk, .. }
             | Message::Accepted { disk, .. }
-            | Message::Retired { disk, .. } => self.remember_disk(sender, *disk),
+            | Message::Retired { disk, .. } => self.record_disk(sender, *disk),
             Message::Decided(version) => self.learn(version),
             Message::Rejected { .. }
             | Message::NewestRequest
@@ -301,7 +302,7 @@
             .copied()
             .unwrap_or_default();
         if recorded == DiskStamp::default() {
-            self.remember_disk(sender, disk);
+            self.record_disk(sender, disk);
         }
         let response = Message::DiskCheckResponse {
             recorded,
@@ -329,7 +330,7 @@
     }
 
     /// Returns whether the acceptor votes and knows of no version newer than the proposal's base.
-    /// Learns a newer base, and tells the sender of a newer version.
+    /// Learns a newer base, and sends the newest decided version to a sender with an older base.
     fn may_vote_on(
         &mut self,
         sender: &str,
@@ -355,11 +356,11 @@
         out.extend(self.peers().map(|peer| self.defer(peer, update.clone())));
     }
 
-    /// Remembers the latest disk stamp of a peer.
-    fn remember_disk(&mut self, peer: &str, disk: DiskStamp) {
+    /// Records the latest disk stamp of a peer.
+    fn record_disk(&mut self, peer: &str, disk: DiskStamp) {
         let known = self.state.peer_disks.get(peer).copied().unwrap_or_default();
-        // A new disk id replaces the known one without further checks: its acceptor announces it
-        // only once a quorum has let it vote.
+        // A new disk id replaces the recorded one without further checks: the acceptor announces it
+        // only after a quorum has confirmed its disk.
         if disk != known && (disk.disk_id != known.disk_id || disk.vote_count > known.vote_count) {
             self.state.peer_disks.insert(peer.to_owned(), disk);
             self.last_write += 1;
--- a/crates/config-versions/src/file_format.rs
+++ b/crates/config-versions/src/file_format.rs
@@ -1,6 +1,6 @@
 //! The format of state files: a header and one checksummed frame.
 //!
-//! A file is replaced as a whole, by writing a new file and renaming it.
+//! Each update replaces the whole file: a new file is written and then renamed.
 
 pub use pipitlever_framing::ReadError;
 use pipitlever_framing::{append_frame, Format, FrameReader, ReadErrorKind};
@@ -37,9 +37,9 @@
     postcard::from_bytes(frame.payload).map_err(|_| damaged("the payload can't be decoded"))
 }
 
-fn damaged(what: &str) -> ReadError {
+fn damaged(reason: &str) -> ReadError {
     ReadError {
         offset: 0,
-        kind: ReadErrorKind::Content(what.into()),
+        kind: ReadErrorKind::Content(reason.into()),
     }
 }
--- a/crates/config-versions/src/lease.rs
+++ b/crates/config-versions/src/lease.rs
@@ -1,11 +1,11 @@
 //! Leases (Gray and Cheriton 1989): until when a node may act on its active version.
 //!
 //! A heartbeat states the acceptor's clock and the versions it has retired, and reaches a node
-//! through other members with unknown delay. A node therefore asks each acceptor for its clock now
-//! and then. The reading was taken after the request was sent, which bounds the send time of every
-//! later heartbeat from below, on the node's own clock, by the drift of both clocks alone. Clocks
-//! are not synchronized, and a heartbeat that was delayed on the network, or in the socket buffer
-//! of a stopped process, extends a lease only as far as its age allows.
+//! through other members with unknown delay. A node therefore requests the clock of each acceptor
+//! from time to time. The reading was taken after the request was sent, which bounds the send time
+//! of every later heartbeat from below, on the node's own clock, by the drift of both clocks alone.
+//! Clocks are not synchronized, and a heartbeat that was delayed on the network, or in the socket
+//! buffer of a stopped process, extends a lease only as far as its age allows.
 
 use crate::message::Heartbeat;
 use crate::version::{is_quorum, Version};
@@ -14,7 +14,7 @@
 
 const MILLION: Micros = 1_000_000;
 
-/// A clock is asked for again once drift costs more than this fraction of a lease.
+/// A clock is requested again once drift costs more than a lease divided by this number.
 const MAX_DRIFT_FRACTION: Micros = 8;
 
 /// The maximum drift of any clock.
@@ -25,7 +25,7 @@
 }
 
 impl Default for ClockDrift {
-    /// Ten times the 0.1% of a poor quartz or of a clock that is being slewed.
+    /// 1%: ten times the 0.1% of a poor quartz or of a clock that is being slewed.
     fn default() -> ClockDrift {
         ClockDrift { ppm: 10_000 }
     }
@@ -70,7 +70,7 @@
 }
 
 impl Leases {
-    /// Returns the latest heartbeats of these acceptors, to pass on.
+    /// Returns the latest heartbeats of these acceptors, to disseminate.
     pub fn heartbeats(&self, acceptors: &[String]) -> Vec<Heartbeat> {
         acceptors
             .iter()
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Returns whether to ask for an acceptor's clock: it is unknown, or drift since the last
-    /// reading costs too much of a lease.
+    /// Returns whether to request an acceptor's clock: the clock is unknown, the acceptor has
+    /// restarted, or drift since the last reading costs too much of a lease.
     pub fn needs_clock(
         &self,
         acceptor: &str,
@@ -129,7 +129,7 @@
     /// Returns when the node's lease on its active version expires, or `None` without a lease.
     ///
     /// A quorum of the newest known version's acceptors must have sent a heartbeat that neither
-    /// retires the active version nor knows of newer acceptors. The lease starts at the earliest
+    /// retires the active version nor reports newer acceptors. The lease starts at the earliest
     /// send time among the latest heartbeats of that quorum.
     pub fn expires_at(
         &self,
--- a/crates/config-versions/src/lib.rs
+++ b/crates/config-versions/src/lib.rs
@@ -6,11 +6,11 @@
 //! - [`lease`]: how long a node may act on its active version.
 //! - [`retirement`]: fences old versions, so that no lease on them can be renewed.
 //! - [`minimum_version`]: the per-node fence that survives a lost or restored disk.
-//! - [`node`]: all of it for one node.
+//! - [`node`]: the state machine of one node, which combines them.
 //! - [`message`], [`envelope`] and [`file_format`]: messages, their datagrams, and files.
 //!
 //! The crate does no I/O and reads no clock. Callers pass in messages, clock readings and random
-//! seeds, and carry out the messages, writes and events that come back.
+//! seeds, send the returned messages, perform the returned writes and report the returned events.
 //!
 //! `docs/config-versions.md` describes the protocol and why it was chosen.
 
--- a/crates/config-versions/src/message.rs
+++ b/crates/config-versions/src/message.rs
@@ -1,14 +1,15 @@
 //! Messages of the version protocol, in postcard.
 //!
-//! The membership protocol's datagrams carry them, and add the checksum, the protocol version and
-//! the fleet's name. Postcard identifies fields and variants by position: their order is part of
-//! the wire format.
+//! The membership protocol's datagrams carry these messages, and add the checksum, the protocol
+//! version and the fleet's name. Postcard identifies fields and variants by position: their order
+//! is part of the wire format.
 
 use crate::version::{is_valid_name, Version, MAX_NAME_BYTES};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The maximum number of heartbeats in a gossip payload: one more than there are acceptors.
+/// The maximum number of heartbeats in a gossip payload: one more than the maximum number of
+/// acceptors.
 const MAX_HEARTBEATS: usize = 8;
 
 /// A Paxos ballot number: totally ordered, and unique per proposer and process.
@@ -34,7 +35,7 @@
 
 /// Identifies an acceptor's disk and the number of votes written to it.
 ///
-/// Peers remember the latest stamp of each acceptor, so that an acceptor can detect after a restart
+/// Peers record the latest stamp of each acceptor, so that an acceptor can detect after a restart
 /// that its disk was replaced or restored from a backup.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -51,13 +52,14 @@
 pub struct Heartbeat {
     /// The name of the acceptor.
     pub acceptor: String,
-    /// The incarnation of its process.
+    /// The incarnation of the acceptor's process.
     pub incarnation: u64,
-    /// Its clock when it sent the heartbeat.
+    /// The acceptor's clock when it sent the heartbeat.
     pub clock: Micros,
     /// All versions below this one are retired.
     pub minimum_version: u64,
-    /// The version that introduced the latest acceptors this one knows of, decided or pending.
+    /// The number of the version that introduced the latest acceptors known to this acceptor,
+    /// decided or pending.
     pub acceptors_since: u64,
 }
 
@@ -99,14 +101,15 @@
 /// A message of the version protocol.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Phase 1a: a proposer asks an acceptor to reject all lower ballots.
+    /// Phase 1a: a proposer requests the promise to reject all lower ballots.
     Prepare {
         /// The proposer's ballot.
         ballot: Ballot,
         /// The decided version that the proposal builds on.
         base: Version,
     },
-    /// Phase 1b: the acceptor promises that, and reports what it has accepted.
+    /// Phase 1b: the acceptor promises to reject lower ballots, and reports the version it has
+    /// accepted.
     Promise {
         /// The ballot promised.
         ballot: Ballot,
@@ -117,7 +120,7 @@
         /// The stamp of the acceptor's disk.
         disk: DiskStamp,
     },
-    /// Phase 2a: the proposer asks an acceptor to accept a version.
+    /// Phase 2a: the proposer requests that an acceptor accept a version.
     Accept {
         /// The proposer's ballot.
         ballot: Ballot,
@@ -146,9 +149,9 @@
     },
     /// Announces a decided version.
     Decided(Version),
-    /// Asks an acceptor for the newest decided version.
+    /// Requests the newest decided version from an acceptor.
     NewestRequest,
-    /// Asks an acceptor to retire versions.
+    /// Requests that an acceptor retire versions.
     Retire {
         /// All versions below this one are to be retired.
         minimum_version: u64,
@@ -159,26 +162,26 @@
     Retired {
         /// All versions below this one are retired at the acceptor.
         minimum_version: u64,
-        /// A version that the acceptor has accepted and does not know to be decided.
+        /// A version that the acceptor has accepted and that is not known to be decided.
         pending: Option<Version>,
         /// The stamp of the acceptor's disk.
         disk: DiskStamp,
     },
-    /// A restarted acceptor asks its peers which stamp of its disk they remember.
+    /// A restarted acceptor requests the stamp that its peers have recorded for its disk.
     DiskCheckRequest {
-        /// The stamp on its disk.
+        /// The stamp on the acceptor's disk.
         disk: DiskStamp,
     },
     /// Answers a [`Message::DiskCheckRequest`].
     DiskCheckResponse {
-        /// The latest stamp remembered, or the default if none is.
+        /// The latest stamp recorded, or the default if there is none.
         recorded: DiskStamp,
         /// The newest decided version known to the responder.
         newest: Version,
     },
     /// Announces the new stamp of the sender's disk after a vote.
     DiskUpdated(DiskStamp),
-    /// Asks an acceptor for its clock.
+    /// Requests the clock of an acceptor.
     ClockRequest {
         /// The requester's clock, echoed by the response.
         requested_at: Micros,
@@ -192,18 +195,19 @@
         /// The acceptor's clock.
         clock: Micros,
     },
-    /// A restarted process asks an acceptor which versions it knows of.
+    /// A restarted process requests the versions that an acceptor has accepted or knows to be
+    /// decided.
     MinimumVersionRequest {
         /// A random number, echoed by the response.
         nonce: u64,
     },
-    /// Answers a [`Message::MinimumVersionRequest`] with what is on the acceptor's disk.
+    /// Answers a [`Message::MinimumVersionRequest`] from the acceptor's disk.
     MinimumVersionResponse {
         /// The nonce of the request.
         nonce: u64,
         /// The newest version that the acceptor knows to be decided.
         newest: Version,
-        /// The highest version number it knows of, decided or accepted.
+        /// The highest version number known to the acceptor, decided or accepted.
         highest: u64,
     },
 }
--- a/crates/config-versions/src/minimum_version.rs
+++ b/crates/config-versions/src/minimum_version.rs
@@ -1,14 +1,14 @@
-//! The minimum version: the fence of one node, below which it acts on no version.
+//! The minimum version: the fence of one node, which acts on no version below it.
 //!
-//! It is the highest version that any process under the node's name has acted on. A process can't
-//! learn it from its own disk, which may have been lost or restored from a backup. So a new process
-//! asks the acceptors for the highest version that each knows to be decided or has accepted, and
-//! acts on nothing until a quorum has answered.
+//! The minimum version is the highest version that any process under the node's name has acted on.
+//! A process can't learn it from its own disk, which may have been lost or restored from a backup.
+//! A new process therefore queries the acceptors for the highest version that each has accepted or
+//! knows to be decided, and acts on no version until a quorum has answered.
 //!
 //! That is sufficient: a version is acted on only after it is decided, so a quorum has accepted it
 //! durably, and any quorum that answers contains one of these acceptors. Responses echo a random
-//! nonce, which excludes responses to an earlier process, and an acceptor whose disk is in doubt
-//! does not answer.
+//! nonce, which excludes responses to an earlier process, and an acceptor whose disk is not
+//! verified does not answer.
 
 use crate::version::{is_quorum, Version};
 use serde::{Deserialize, Serialize};
@@ -17,11 +17,12 @@
 /// What a node does while its minimum version is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Default)]
 pub enum UnknownMinimum {
-    /// It rejects all requests until a quorum answers or an operator sets the minimum version.
-    /// Stale settings are never applied.
+    /// The node rejects all requests until a quorum answers or an operator sets the minimum
+    /// version. Stale settings are never applied.
     #[default]
     Wait,
-    /// It acts on the version on its disk, which may be older than one it has acted on before.
+    /// The node acts on the version on its disk, which may be older than one it has acted on
+    /// before.
     Serve,
 }
 
@@ -31,13 +32,13 @@
 pub struct StoredVersion {
     /// The minimum version.
     pub minimum_version: u64,
-    /// The active version. `None` while the node acts on its own files.
+    /// The active version. `None` while the node acts on its local files.
     pub version: Option<Version>,
     /// The content of the active version.
     pub content: Vec<u8>,
 }
 
-/// What a process knows of its node's minimum version.
+/// The minimum version of a node, as known to one of its processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct MinimumVersion {
     number: u64,
@@ -121,8 +122,8 @@
         self.is_known = true;
     }
 
-    /// Sets the minimum on an operator's command, also to a lower version. For a register that was
-    /// lost, or that a forged response has driven up.
+    /// Sets the minimum version on an operator's command. The new one may be lower: this is for a
+    /// register that was lost, or a minimum that a forged response has raised.
     pub fn set_by_operator(&mut self, version: u64) {
         self.number = version;
         self.is_known = true;
--- a/crates/config-versions/src/node/activation.rs
+++ b/crates/config-versions/src/node/activation.rs
@@ -1,4 +1,4 @@
-//! Which version the node acts on, and whether it may.
+//! Activation of versions, and the permission to act on the active version.
 
 use super::{Event, Node, WithoutLease};
 use crate::minimum_version::UnknownMinimum;
@@ -27,7 +27,7 @@
 /// Whether a node may act on its active version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// It may act.
+    /// The node may act on the active version.
     Granted {
         /// When the permission ends unless it is renewed.
         until: Micros,
@@ -95,8 +95,8 @@
         )
     }
 
-    /// Returns whether the node may act now. To be checked before each act, as a permission
-    /// expires.
+    /// Returns whether the node may act now. Must be checked before each action, since permissions
+    /// expire.
     pub fn permission(&self, now: Micros) -> Permission {
         if !self.minimum_version.is_known() {
             let may_serve = self.settings.unknown_minimum == UnknownMinimum::Serve
--- a/crates/config-versions/src/node/contents.rs
+++ b/crates/config-versions/src/node/contents.rs
@@ -21,7 +21,7 @@
     pub digest: Digest,
     /// The offset of the chunk, in bytes.
     pub offset: usize,
-    /// The member to ask.
+    /// The member to send the request to.
     pub recipient: String,
 }
 
@@ -39,7 +39,7 @@
 struct Fetch {
     digest: Digest,
     bytes: Vec<u8>,
-    /// The member to ask; any member if `None`.
+    /// The member to request chunks from; any member if `None`.
     source: Option<String>,
     next_request: Micros,
 }
@@ -86,8 +86,8 @@
     /// Starts to fetch a content that is neither cached nor being fetched, instead of the one that
     /// is being fetched.
     fn start_fetch(&mut self, now: Micros, digest: Digest, source: Option<String>) {
-        let is_fetched = self.fetch.as_ref().is_some_and(|f| f.digest == digest);
-        if is_fetched || self.contains(digest) {
+        let is_being_fetched = self.fetch.as_ref().is_some_and(|f| f.digest == digest);
+        if is_being_fetched || self.contains(digest) {
             return;
         }
         self.fetch = Some(Fetch {
@@ -152,7 +152,8 @@
         }
         let bytes = std::mem::take(&mut fetch.bytes);
         if Digest::of(&bytes) != digest {
-            // Which sender's bytes were wrong is unknown: fetch everything again from any member.
+            // It is unknown which sender's bytes were corrupt: fetch the whole content again, from
+            // any member.
             fetch.source = None;
             fetch.next_request = now + CHUNK_RETRY_INTERVAL;
             return false;
@@ -163,8 +164,8 @@
     }
 }
 
-/// Returns whether a chunk fits the content. An empty chunk would be requested again at once,
-/// without end.
+/// Returns whether a chunk lies within the content. An empty chunk of a longer content is invalid:
+/// the same offset would be requested again at once, in an endless loop.
 fn is_valid_chunk(chunk: &Chunk, offset: usize) -> bool {
     chunk.content_length <= MAX_CONTENT_BYTES
         && offset + chunk.bytes.len() <= chunk.content_length
@@ -186,12 +187,12 @@
     /// Returns the next chunk request that is due, to one of these members.
     ///
     /// The recipient is the member that sent the last chunk, or at first the one that announced the
-    /// version; a random one if that is no member any more or does not have the content.
+    /// version; a random member if that one has left or does not have the content.
     pub fn next_chunk_request(&mut self, now: Micros, members: &[&str]) -> Option<ChunkRequest> {
         self.contents.next_request(now, members, &mut self.rng)
     }
 
-    /// Returns a chunk of a content that this node has.
+    /// Returns a chunk of a cached content.
     pub fn content_chunk(&self, digest: Digest, offset: usize) -> Option<Chunk> {
         let content = self.contents.get(digest)?;
         let bytes = content
--- a/crates/config-versions/src/node/error.rs
+++ b/crates/config-versions/src/node/error.rs
@@ -34,7 +34,7 @@
         length: usize,
     },
     /// The reason is empty or too long.
-    #[error("the reason has 1 to {} bytes", MAX_REASON_BYTES)]
+    #[error("the reason must have 1 to {} bytes", MAX_REASON_BYTES)]
     ReasonLength,
     /// The acceptors can't follow the current ones.
     #[error("acceptors: {0}")]
--- a/crates/config-versions/src/node/event.rs
+++ b/crates/config-versions/src/node/event.rs
@@ -1,4 +1,4 @@
-//! Events that a node reports, for logs and figures.
+//! Events that a node reports, for logs and metrics.
 
 use crate::proposer::Outcome;
 
@@ -41,7 +41,8 @@
         /// The active version.
         number: u64,
     },
-    /// A peer remembers another disk, or more votes, of this node's acceptor: it no longer votes.
+    /// A peer has recorded another disk or more votes for this node's acceptor, which therefore no
+    /// longer votes.
     DiskMismatch,
     /// A proposal that was started here has ended.
     ProposalFinished(Outcome),
--- a/crates/config-versions/src/node/messages.rs
+++ b/crates/config-versions/src/node/messages.rs
@@ -28,7 +28,8 @@
 
     /// Handles a message.
     pub fn handle_message(&mut self, now: Micros, sender: &str, message: &Message) {
-        // Messages in this node's own name are forged: its own never leave the process.
+        // A message with this node's name as the sender is forged: the node delivers messages to
+        // itself within the process.
         if sender == self.name {
             return;
         }
@@ -36,7 +37,7 @@
         self.deliver_to_self(now);
     }
 
-    /// Delivers the messages of this node to itself, and those that they cause.
+    /// Delivers the messages that this node has addressed to itself, and those that result.
     pub(super) fn deliver_to_self(&mut self, now: Micros) {
         while let Some(position) = self.outgoing.iter().position(|o| o.recipient == self.name) {
             let Outgoing { recipient, message } = self.outgoing.remove(position);
@@ -45,14 +46,14 @@
     }
 
     fn dispatch(&mut self, now: Micros, sender: &str, message: &Message) {
-        let is_open_to_all = matches!(
+        let allows_any_sender = matches!(
             message,
             Message::NewestRequest
                 | Message::Decided(_)
                 | Message::ClockRequest { .. }
                 | Message::MinimumVersionRequest { .. }
         );
-        if !is_open_to_all && sender != self.name && !self.is_acceptor(sender) {
+        if !allows_any_sender && sender != self.name && !self.is_acceptor(sender) {
             return;
         }
         self.handle_as_learner(now, sender, message);
@@ -67,7 +68,7 @@
         self.newest.acceptors.iter().any(|known| known == name)
     }
 
-    /// Handles a message as far as every node does, whether it is an acceptor or not.
+    /// Handles the messages that every node handles, whether or not it is an acceptor.
     fn handle_as_learner(&mut self, now: Micros, sender: &str, message: &Message) {
         match message {
             Message::NewestRequest => self.send(sender, Message::Decided(self.newest.clone())),
@@ -159,7 +160,7 @@
     }
 
     fn pass_to_acceptor(&mut self, now: Micros, sender: &str, message: &Message) {
-        // `learn` has passed on a decided version, once a quorum has confirmed it.
+        // `learn` passes a decided version to the acceptor once a quorum has confirmed it.
         if matches!(message, Message::Decided(_)) {
             return;
         }
@@ -179,7 +180,7 @@
             self.emit(Event::DiskMismatch);
         }
         self.learn_own(now, &newest);
-        // A version is accepted only once its content is present: the retry finds it.
+        // A version is accepted only once its content is present, so the proposer's retry succeeds.
         if let Message::Accept { version, .. } = message {
             self.fetch_content(now, version.digest, sender);
         }
@@ -205,10 +206,10 @@
         self.emit(Event::ProposalFinished(outcome));
     }
 
-    /// Asks the acceptors for the newest version because a member has mentioned a newer one. Any
-    /// member may do so, falsely too, so requests are rate-limited.
-    fn request_newest(&mut self, now: Micros, mentioned: u64) {
-        if mentioned <= self.newest.number || !self.timers.may_request_newest(now) {
+    /// Requests the newest version from the acceptors because a member has advertised a newer one.
+    /// Any member can advertise a false number, so requests are rate-limited.
+    fn request_newest(&mut self, now: Micros, advertised: u64) {
+        if advertised <= self.newest.number || !self.timers.may_request_newest(now) {
             return;
         }
         for acceptor in self.newest.acceptors.clone() {
@@ -218,15 +219,16 @@
         }
     }
 
-    /// Learns a version that this node's own acceptor or proposer knows to be decided.
+    /// Learns a version that this node's own acceptor or proposer has found to be decided.
     pub(super) fn learn_own(&mut self, now: Micros, version: &Version) {
         let name = self.name.clone();
         self.adopt(now, &name, version);
     }
 
-    /// Learns a version that a member claims to be decided, once a quorum of acceptors does.
+    /// Learns a version that a member claims to be decided, once a quorum of acceptors confirms it.
     ///
-    /// One forged datagram with a high version number would otherwise cut the node off for good.
+    /// Without a quorum, one forged datagram with a high version number would keep the node from
+    /// learning any real version.
     fn learn(&mut self, now: Micros, sender: &str, version: &Version) {
         if version.number <= self.newest.number {
             return;
@@ -245,8 +247,8 @@
 
     /// Returns the newest version whose number a quorum of acceptors confirms.
     ///
-    /// What this node's own acceptor has accepted confirms the number, but not the version: another
-    /// one may have been decided under it.
+    /// A version that this node's own acceptor has accepted confirms only the number: another
+    /// version may have been decided under that number.
     fn confirmed_claim(&self) -> Option<Version> {
         let own_pending = self
             .acceptor
--- a/crates/config-versions/src/node/mod.rs
+++ b/crates/config-versions/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One node: learns versions, fetches their contents, acts on one while it may, and votes if it is
-//! an acceptor.
+//! The state machine of one node: learns versions, fetches their contents, acts on one version
+//! while that is permitted, and votes if the node is an acceptor.
 //!
-//! Drive it as follows: pass in messages and gossip, call [`Node::handle_timeout`] when
+//! Callers pass in messages and gossip, call [`Node::handle_timeout`] when
 //! [`Node::next_wakeup`] is reached, and then carry out [`Node::take_write`],
 //! [`Node::next_chunk_request`], [`Node::take_outgoing`], [`Node::version_to_activate`] and
 //! [`Node::take_events`].
@@ -45,9 +45,9 @@
 /// The node's role in decisions, with the state on its disk.
 #[derive(Clone, Debug)]
 pub enum Role {
-    /// It has no disk for votes and only learns what is decided.
+    /// The node has no disk for votes and only learns decided versions.
     Learner,
-    /// It is an acceptor, with this state on its disk, or an empty disk.
+    /// The node is an acceptor with this state on its disk; `None` if the disk is empty.
     Acceptor(Option<Box<AcceptorState>>),
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a node starts from.
+/// The stored state from which a node starts.
 #[derive(Clone, Debug)]
 pub struct StoredState {
     /// The node's role.
@@ -82,7 +82,7 @@
     rng: Rng,
     /// The newest version known to be decided.
     newest: Version,
-    /// The newest version that each acceptor claims to be decided, until a quorum does.
+    /// The newest version that each acceptor claims to be decided, until a quorum confirms it.
     claims: BTreeMap<String, Version>,
     /// The number of the active version.
     active_version: u64,
@@ -90,7 +90,7 @@
     rejected_version: Option<RejectedVersion>,
     minimum_version: MinimumVersion,
     leases: Leases,
-    /// Whether the last event about a lease reported one.
+    /// Whether the last event about a lease was [`Event::LeaseAcquired`].
     has_lease: bool,
     contents: ContentStore,
     acceptor: Option<Acceptor>,
@@ -150,10 +150,10 @@
         }
     }
 
-    /// Goes on after another process was this node's member for a while and has ended.
+    /// Resumes after another process has run as this member for a while and has exited.
     ///
-    /// What that process voted and acted on is on the disk, so this one restarts from there, under
-    /// the version that it has been acting on itself.
+    /// The votes of that process and the version it acted on are on the disk, so this process
+    /// restarts from the disk. Its active version remains the one that it acted on before.
     pub fn resume(&mut self, now: Micros, role: Role, minimum_version: u64) {
         let disk_id = self.rng.u64(1..);
         self.acceptor = role.start_acceptor(&self.name, &self.settings, disk_id);
@@ -195,7 +195,7 @@
         self.acceptor.as_ref()
     }
 
-    /// Takes the messages to send. Those to names that are no members are to be dropped.
+    /// Takes the messages to send. The caller drops those to names that are not members.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
--- a/crates/config-versions/src/node/operator.rs
+++ b/crates/config-versions/src/node/operator.rs
@@ -13,13 +13,13 @@
 /// A version that an operator proposes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// The number of the version that it builds on.
+    /// The number of the version that the proposal builds on.
     pub base: u64,
     /// The content.
     pub content: Vec<u8>,
     /// The acceptors that decide the next version, if they change.
     pub acceptors: Option<Vec<String>>,
-    /// The number of the version that it reverts, if any.
+    /// The number of the version that the proposal reverts, if any.
     pub reverts: Option<u64>,
     /// The time of the proposal, in milliseconds since the Unix epoch.
     pub proposed_at_ms: u64,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Sets the node's minimum version, also to a lower one.
+    /// Sets the node's minimum version. The new one may be lower.
     pub fn set_minimum_version(&mut self, minimum_version: u64) {
         self.minimum_version.set_by_operator(minimum_version);
         self.emit(Event::MinimumVersionKnown { minimum_version });
--- a/crates/config-versions/src/node/persistence.rs
+++ b/crates/config-versions/src/node/persistence.rs
@@ -62,8 +62,8 @@
         ready
     }
 
-    /// Returns the message if it can be sent now, and keeps it otherwise.
-    fn pass(&mut self, message: DeferredMessage) -> Option<Outgoing> {
+    /// Returns the message if it can be sent now, and defers it otherwise.
+    fn send_or_defer(&mut self, message: DeferredMessage) -> Option<Outgoing> {
         if message.after_write <= self.durable {
             return Some(message.outgoing);
         }
@@ -86,7 +86,8 @@
         })
     }
 
-    /// Records that a write is durable or has failed. A failed write is due again.
+    /// Records that a write is durable or has failed. [`Node::take_write`] returns a failed write
+    /// again.
     pub fn write_finished(&mut self, now: Micros, write: u64, is_durable: bool) {
         for message in self.writes.finish(write, is_durable) {
             self.send_deferred(message);
@@ -96,6 +97,6 @@
 
     /// Sends a message once its write is durable.
     pub(super) fn send_deferred(&mut self, message: DeferredMessage) {
-        self.outgoing.extend(self.writes.pass(message));
+        self.outgoing.extend(self.writes.send_or_defer(message));
     }
 }
--- a/crates/config-versions/src/node/settings.rs
+++ b/crates/config-versions/src/node/settings.rs
@@ -3,12 +3,12 @@
 use crate::minimum_version::UnknownMinimum;
 use crate::Micros;
 
-/// What a node does without a lease while it knows of no retirement of its active version.
+/// What a node does without a lease, unless its active version is known to be retired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WithoutLease {
-    /// It keeps serving, so that the fleet survives the loss of the acceptors.
+    /// The node keeps serving, so that the fleet survives the loss of the acceptors.
     Serve,
-    /// It rejects all requests.
+    /// The node rejects all requests.
     Refuse,
 }
 
--- a/crates/config-versions/src/node/timers.rs
+++ b/crates/config-versions/src/node/timers.rs
@@ -11,8 +11,8 @@
 const HEARTBEATS_PER_LEASE: Micros = 5;
 /// The interval between retries of requests without a response.
 const QUERY_INTERVAL: Micros = 300_000;
-/// How long an accepted version may stay undecided before this node's proposer completes it. Up to
-/// as much again is added at random, so that few acceptors do so at once.
+/// How long an accepted version may stay undecided before this node's proposer completes it. A
+/// random duration up to the same length is added, so that few acceptors do so at the same time.
 const PENDING_TIMEOUT: Micros = 5_000_000;
 
 /// When the node's periodic tasks are due.
@@ -43,7 +43,7 @@
         self.complete_pending_at = None;
     }
 
-    /// Returns whether to ask for the newest version now, at most once per interval.
+    /// Returns whether to request the newest version now, at most once per interval.
     pub(super) fn may_request_newest(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_newest_request;
         if is_due {
@@ -134,7 +134,7 @@
 
     /// Starts a proposer for a version that was accepted and has stayed undecided for too long.
     fn complete_pending(&mut self, now: Micros) {
-        // Drawn in any case, so that simulations with one seed stay comparable.
+        // Drawn even if unused, so that simulations with the same seed stay comparable.
         let timeout = PENDING_TIMEOUT + self.rng.i64(0..PENDING_TIMEOUT);
         let has_pending = self
             .acceptor
--- a/crates/config-versions/src/proposer.rs
+++ b/crates/config-versions/src/proposer.rs
@@ -1,4 +1,5 @@
-//! The Paxos proposer: has a version decided for one number, over as many ballots as it takes.
+//! The Paxos proposer: runs ballots until a version is decided for one number or the deadline
+//! passes.
 
 use crate::message::{AcceptedVersion, Ballot, Message, Outgoing};
 use crate::version::{is_quorum, Version};
@@ -7,8 +8,8 @@
 
 /// The interval between retries of a request.
 const RETRY_INTERVAL: Micros = 200_000;
-/// The back-off after a rejection, times the number of rejections so far. Up to as much again is
-/// added at random.
+/// The back-off after a rejection, multiplied by the number of rejections so far. A random duration
+/// up to the same length is added.
 const BACK_OFF: Micros = 100_000;
 /// The maximum back-off before the random addition.
 const MAX_BACK_OFF: Micros = 2_000_000;
@@ -41,7 +42,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Proposer {
     base: Version,
-    /// The version to propose. Without one it only completes what another proposer began.
+    /// The version to propose. `None` if this proposer only completes a version that another one
+    /// has proposed.
     proposal: Option<Version>,
     ballot: Ballot,
     rejections: u32,
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Returns whether it backs off after a rejection.
+    /// Returns whether the proposer is backing off after a rejection.
     pub fn is_backing_off(&self) -> bool {
         matches!(self.stage, Stage::BackingOff(_))
     }
 
-    /// Returns the round of its ballot.
+    /// Returns the round of the current ballot.
     pub fn round(&self) -> u64 {
         self.ballot.round
     }
@@ -117,7 +119,7 @@
         None
     }
 
-    /// Handles an acceptor's answer. `jitter` is a random number from 0 to 1.
+    /// Handles an acceptor's response. `jitter` is a random number from 0 to 1.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -195,8 +197,8 @@
         };
         accepted_by.insert(sender.to_owned(), minimum_version);
         self.minimum_version = self.minimum_version.max(minimum_version);
-        // A quorum of the new acceptors must have retired what a quorum of the old ones has, before
-        // it may renew leases.
+        // Before a quorum of the new acceptors may renew leases, it must have retired all versions
+        // that a quorum of the old ones has retired.
         let has_retired = |name: &str| {
             accepted_by
                 .get(name)
--- a/crates/config-versions/src/retirement.rs
+++ b/crates/config-versions/src/retirement.rs
@@ -34,7 +34,7 @@
 }
 
 impl Retirement {
-    /// Begins to retire all versions below a minimum, which is at most the newest version.
+    /// Starts to retire all versions below a minimum, which must not exceed the newest version.
     pub fn new(minimum_version: u64, newest: Version, now: Micros) -> Retirement {
         Retirement {
             minimum_version,
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Returns the version below which all are retired.
+    /// Returns the minimum version: all versions below it are to be retired.
     pub fn minimum_version(&self) -> u64 {
         self.minimum_version
     }
 
-    /// Returns the progress.
+    /// Returns the progress of the retirement.
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
 
-    /// Records a newer decided version, whose acceptors count from now on.
+    /// Records a newer decided version, whose acceptors form the quorum from now on.
     pub fn learn(&mut self, version: &Version) {
         if version.number <= self.newest.number {
             return;
@@ -144,7 +144,7 @@
             .as_ref()
             .filter(|pending| pending.number == self.newest.number + 1)
         {
-            // It may be decided already, and then its acceptors may renew leases.
+            // This version may be decided already, in which case its acceptors may renew leases.
             self.pending = Some(version.clone());
         }
         retired_by.insert(sender.to_owned());
--- a/crates/config-versions/src/version.rs
+++ b/crates/config-versions/src/version.rs
@@ -16,8 +16,8 @@
 /// The maximum number of acceptors.
 pub const MAX_ACCEPTORS: usize = 7;
 
-/// Bytes of a digest that are shown to people.
-const SHOWN_DIGEST_BYTES: usize = 8;
+/// The number of bytes of a digest that are displayed.
+const DISPLAYED_DIGEST_BYTES: usize = 8;
 
 /// The SHA-256 digest of a content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 
 impl fmt::Display for Digest {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0[..SHOWN_DIGEST_BYTES]
+        self.0[..DISPLAYED_DIGEST_BYTES]
             .iter()
             .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
@@ -44,9 +44,9 @@
     }
 }
 
-/// The metadata of a version. Its content travels separately.
+/// The metadata of a version. Its content is transferred separately.
 ///
-/// Version 0 precedes the first decision: every node then acts on its own files.
+/// Version 0 precedes the first decision: until then every node acts on its local files.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The version number: one more than that of the version it builds on.
@@ -61,7 +61,7 @@
     pub acceptors_since: u64,
     /// The number of the version that this one reverts, if any.
     pub reverts: Option<u64>,
-    /// A random number that tells apart versions proposed concurrently under one number.
+    /// A random number that distinguishes versions proposed concurrently under one number.
     pub nonce: u64,
     /// The name of the acceptor that proposed the version.
     pub proposer: String,
@@ -107,7 +107,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum AcceptorSetError {
     /// There are too few or too many acceptors.
-    #[error("{count} named: {} to {} are allowed", MIN_ACCEPTORS, MAX_ACCEPTORS)]
+    #[error(
+        "{count} acceptors are named: {} to {} are allowed",
+        MIN_ACCEPTORS,
+        MAX_ACCEPTORS
+    )]
     Count {
         /// The number of acceptors named.
         count: usize,
@@ -116,7 +120,7 @@
     #[error("{0} is named twice")]
     Duplicate(String),
     /// A name is empty or too long.
-    #[error("a name has 1 to {} bytes", MAX_NAME_BYTES)]
+    #[error("the name of an acceptor must have 1 to {} bytes", MAX_NAME_BYTES)]
     NameLength,
     /// More than one acceptor changes from one version to the next.
     #[error("{added} added and {removed} removed: one acceptor may be added or removed at a time")]
--- a/crates/config-versions/tests/common/mod.rs
+++ b/crates/config-versions/tests/common/mod.rs
@@ -27,7 +27,7 @@
     clock_offset: i64,
     pub is_paused: bool,
     pub events: Vec<Event>,
-    /// Whether it sends zeros in place of contents.
+    /// Whether the machine sends zeros in place of contents.
     pub corrupts_contents: bool,
 }
 
@@ -137,7 +137,7 @@
     }
 
     /// Carries out a node's writes, activations and messages.
-    fn settle(&mut self, index: usize) {
+    fn process_outputs(&mut self, index: usize) {
         let now = self.clock(index);
         let machine = &mut self.machines[index];
         let Some(node) = &mut machine.node else {
@@ -207,11 +207,11 @@
             if let Some(node) = &mut machine.node {
                 node.handle_message(now, &name(delivery.sender), &delivery.message);
             }
-            self.settle(recipient);
+            self.process_outputs(recipient);
         }
     }
 
-    /// Runs one node's timers, a gossip exchange now and then, and its chunk requests.
+    /// Runs one node's timers, an occasional gossip exchange, and its chunk requests.
     fn step(&mut self, index: usize) {
         let now = self.clock(index);
         if self.node(index).next_wakeup() <= now {
@@ -226,7 +226,7 @@
             self.exchange_gossip(index, peer);
         }
         self.fetch_chunk(index);
-        self.settle(index);
+        self.process_outputs(index);
     }
 
     fn exchange_gossip(&mut self, index: usize, peer: usize) {
@@ -235,7 +235,7 @@
         self.node(peer).handle_gossip(peer_now, &gossip);
         let gossip = self.node(peer).gossip();
         self.node(index).handle_gossip(now, &gossip);
-        self.settle(peer);
+        self.process_outputs(peer);
     }
 
     fn fetch_chunk(&mut self, index: usize) {
@@ -273,7 +273,7 @@
         let now = self.clock(index);
         let base = self.node(index).newest().number;
         let result = self.node(index).propose(now, proposal(base, content));
-        self.settle(index);
+        self.process_outputs(index);
         result
     }
 
@@ -286,7 +286,7 @@
         {
             assert!(
                 self.now < start + 60 * SECOND,
-                "not all act on {number}: {:?}",
+                "not all nodes act on version {number}: {:?}",
                 self.active_versions()
             );
             self.run(STEP);
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn messages_and_files_are_those_of_the_earlier_build() {
+fn messages_and_files_match_the_earlier_build() {
     let mut samples = Vec::new();
     for (name, message) in consensus_messages().into_iter().chain(other_messages()) {
         let bytes = message.encode();
--- a/crates/config-versions/tests/consensus_model.rs
+++ b/crates/config-versions/tests/consensus_model.rs
@@ -125,7 +125,7 @@
             }),
             Property::always(
                 "a proposal is decided once faults stop",
-                |_, fleet: &Fleet| fleet.heals(),
+                |_, fleet: &Fleet| fleet.recovers(),
             ),
             Property::sometimes("a version is decided", |_, fleet: &Fleet| {
                 !fleet.decided().is_empty()
--- a/crates/config-versions/tests/consensus_system/mod.rs
+++ b/crates/config-versions/tests/consensus_system/mod.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// After all back-offs and retries of a proposer.
+/// A time after all back-offs and retries of a proposer.
 pub const LATER: i64 = 10_000_000;
 /// The names of the nodes.
 pub const NAMES: [&str; 4] = ["a", "b", "c", "d"];
 /// The node that proposes once faults have stopped.
-pub const HEALER: &str = "c";
+pub const RECOVERY_PROPOSER: &str = "c";
 
 /// Returns the first names.
 pub fn acceptors(count: usize) -> Vec<String> {
@@ -178,7 +178,7 @@
 
     /// Returns whether a new proposer succeeds once faults have stopped, and all acceptors learn
     /// the same version.
-    pub fn heals(&self) -> bool {
+    pub fn recovers(&self) -> bool {
         let mut fleet = self.clone();
         fleet.loses_decided = false;
         for node in fleet.nodes.values_mut().map(Arc::make_mut) {
@@ -190,33 +190,36 @@
             let mut envelopes: Vec<_> = fleet.sent.clone().into_iter().collect();
             // Messages from before the faults stopped arrive last.
             envelopes.sort_by_key(|envelope| self.sent.contains(envelope));
-            if fleet.nodes[HEALER].proposer.is_none() && !is_done {
-                fleet.start_healer(50 + round);
+            if fleet.nodes[RECOVERY_PROPOSER].proposer.is_none() && !is_done {
+                fleet.start_recovery_proposer(50 + round);
             }
-            fleet.timeout(HEALER, LATER * (round as i64 + 1));
+            fleet.timeout(RECOVERY_PROPOSER, LATER * (round as i64 + 1));
             for envelope in envelopes {
                 fleet.deliver(envelope.sender, envelope.recipient, &envelope.message);
             }
-            is_done |= matches!(fleet.nodes[HEALER].outcome, Some(Outcome::Decided(_)));
+            is_done |= matches!(
+                fleet.nodes[RECOVERY_PROPOSER].outcome,
+                Some(Outcome::Decided(_))
+            );
             if is_done && fleet.sent.len() == sent_before {
                 break;
             }
             sent_before = fleet.sent.len();
         }
-        let newest = fleet.newest(HEALER);
+        let newest = fleet.newest(RECOVERY_PROPOSER);
         let has_newest = |name: &String| fleet.newest(name) == newest;
         is_done && newest.acceptors.iter().all(has_newest) && fleet.has_one_version_per_number()
     }
 
-    fn start_healer(&mut self, round: u64) {
-        let newest = self.newest(HEALER).clone();
-        let proposal = version(&newest, HEALER, newest.acceptors.clone());
+    fn start_recovery_proposer(&mut self, round: u64) {
+        let newest = self.newest(RECOVERY_PROPOSER).clone();
+        let proposal = version(&newest, RECOVERY_PROPOSER, newest.acceptors.clone());
         let ballot = Ballot {
             round,
-            proposer: HEALER.into(),
+            proposer: RECOVERY_PROPOSER.into(),
             incarnation: 9,
         };
-        let node = Arc::make_mut(self.nodes.get_mut(HEALER).unwrap());
+        let node = Arc::make_mut(self.nodes.get_mut(RECOVERY_PROPOSER).unwrap());
         node.proposer = Some(Proposer::new(newest, Some(proposal), ballot, 0, i64::MAX));
     }
 
--- a/crates/config-versions/tests/lease_drift.rs
+++ b/crates/config-versions/tests/lease_drift.rs
@@ -182,7 +182,10 @@
         }
         let may_act = simulation.may_act(now);
         if let Some(completed_at) = completed_at.filter(|_| may_act) {
-            panic!("it acts {} us after the retirement", now - completed_at);
+            panic!(
+                "the node acts {} us after the retirement",
+                now - completed_at
+            );
         }
         has_acted |= may_act;
         assert!(
@@ -218,7 +221,7 @@
     }
 }
 
-/// Maximum drift, with the last heartbeat right before the retirement: random draws seldom come
+/// Maximum drift, with the last heartbeat right before the retirement: random cases rarely come
 /// close to that.
 #[test]
 fn the_maximum_drift_does_not_break_the_retirement() {
--- a/crates/config-versions/tests/lease_expiry.rs
+++ b/crates/config-versions/tests/lease_expiry.rs
@@ -33,7 +33,8 @@
 fn drift_bounds_a_duration_from_both_sides() {
     for duration in [0, 1, 1000, 10_000_000, 3_600_000_000] {
         for (fast, slow) in [(1.01, 0.99), (0.99, 1.01), (1.0, 1.0)] {
-            // On a clock of the first rate this passes while the duration passes on the other.
+            // The time that passes on a clock with the first rate while the duration passes on a
+            // clock with the second rate.
             let elapsed = duration as f64 * fast / slow;
             assert!(
                 DRIFT.min_elapsed(duration) as f64 <= elapsed + 1.0,
--- a/crates/config-versions/tests/minimum_version_model.rs
+++ b/crates/config-versions/tests/minimum_version_model.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Response {
     acceptor: usize,
-    /// The process that asked.
+    /// The number of the process that sent the request.
     start: u64,
     highest: u64,
 }
@@ -255,7 +255,7 @@
                 process.active = process.written.take()?;
             }
         }
-        // Requests arrive all the time: a process that may act does.
+        // Requests arrive continuously: a process that may act does so.
         if let Some(process) = next.process.as_ref().filter(|p| self.may_act(p)) {
             next.has_violation |= process.active < next.highest;
             next.highest = next.highest.max(process.active);
--- a/crates/config-versions/tests/nodes.rs
+++ b/crates/config-versions/tests/nodes.rs
@@ -1,5 +1,5 @@
-//! Whole nodes in a simulated fleet: every node activates what is decided, and none acts on a
-//! retired version.
+//! Whole nodes in a simulated fleet: every node activates the decided versions, and none acts on a
+//! retired one.
 
 mod common;
 
@@ -95,9 +95,13 @@
             fleet.now - start > 10 * SECOND,
             "leases had not expired yet"
         );
-        assert!(!fleet.may_act(5), "it acts on a retired version");
+        assert!(
+            !fleet.may_act(5),
+            "the lagging node acts on a retired version"
+        );
         assert!((0..5).all(|index| fleet.may_act(index)));
-        // The first messages it receives may be old; it acts on nothing before the newest version.
+        // The first messages that the node receives may be old; it must act on nothing before the
+        // newest version.
         fleet.partition[5] = false;
         fleet.machines[5].is_paused = false;
         assert!(!fleet.may_act(5));
@@ -185,7 +189,7 @@
         "{:?}",
         fleet.active_versions()
     );
-    // An empty chunk does not cause a request at once.
+    // An empty chunk does not cause another request at once.
     let now = fleet.clock(1) + 2 * SECOND;
     let request = fleet.node(1).next_chunk_request(now, &["n2"]).unwrap();
     let empty = Chunk {
@@ -230,8 +234,8 @@
     assert!(matches!(node.permission(0), Permission::Granted { .. }));
 }
 
-/// A forged version must become neither the newest nor change the acceptors, from one bad datagram
-/// or a faulty member: every node would wait for it without end.
+/// Guards against a forged version, from one datagram or a faulty member, that becomes the newest
+/// one or changes the acceptors: every node would wait for its content forever.
 #[test]
 fn a_forged_version_is_not_learned() {
     let mut fleet = Fleet::new(7, 11, WithoutLease::Refuse);
@@ -265,7 +269,7 @@
         for _ in 0..1000 {
             fleet.node(index).handle_gossip(now, &gossip);
         }
-        // The acceptors are asked once per interval, however often a newer version is mentioned.
+        // The acceptors are queried once per interval, however often a newer version is advertised.
         assert!(
             fleet.node(index).take_outgoing().len() <= 3 + 2 * forgeries.len(),
             "n{index}"
@@ -311,7 +315,8 @@
     ]
 }
 
-/// An acceptor may have accepted one version, and another one was decided under its number.
+/// Guards against an acceptor that takes the version it has accepted for the decided one, when
+/// another version was decided under the same number.
 #[test]
 fn an_accepted_version_is_not_taken_for_the_decided_one() {
     let mut fleet = Fleet::new(3, 12, WithoutLease::Refuse);
@@ -353,14 +358,14 @@
     assert_eq!((newest.number, newest.nonce), (2, 8));
 }
 
-/// A successor took over, voted and failed. The first process must go on from what that one wrote:
-/// a promise by its own older state could undo a vote.
+/// A successor took over, voted and failed. The first process must resume from the state that the
+/// successor wrote: a promise based on its own older state could undo a vote.
 #[test]
-fn a_process_that_resumes_goes_on_from_the_disk() {
+fn a_resumed_process_restarts_from_its_disk() {
     let mut fleet = Fleet::new(5, 13, WithoutLease::Refuse);
     assert_eq!(fleet.propose(1, b"one"), Ok(1));
     fleet.run_until_active(&[0, 1, 2, 3, 4], 1);
-    // The process of n0 is set aside while its successor takes part, votes and fails.
+    // The process of n0 is suspended while its successor takes part, votes and fails.
     let predecessor = fleet.machines[0].node.take().unwrap();
     fleet.start(0);
     fleet.node(0).inherit_version(0);
@@ -374,7 +379,7 @@
     assert_eq!(
         fleet.node(0).permission(now),
         Permission::MinimumUnknown,
-        "it acts on version 1, and does not know of version 2"
+        "the process acted on version 1 and has not received version 2"
     );
     fleet.run(STEP);
     let disk = fleet.machines[0].disk.as_ref().unwrap();
--- a/crates/config-versions/tests/persistence.rs
+++ b/crates/config-versions/tests/persistence.rs
@@ -1,5 +1,5 @@
-//! Votes wait for their writes, and an acceptor whose disk is not the one that its peers remember
-//! does not vote.
+//! Votes wait for their writes, and an acceptor whose disk is not the one that its peers have
+//! recorded does not vote.
 
 use pipitlever_config_versions::acceptor::{Acceptor, AcceptorState, DeferredMessage, Voting};
 use pipitlever_config_versions::file_format;
@@ -185,11 +185,11 @@
         acceptor
             .handle_message(PROPOSER, &accept, |_| false)
             .is_empty(),
-        "it accepts nothing without the content"
+        "the acceptor accepts nothing without the content"
     );
     let accepted = acceptor.handle_message(PROPOSER, &accept, |_| true);
     assert!(write_of(&accepted) > promise_write && acceptor.pending().is_some());
-    // The peers are told of the write.
+    // The peers are notified of the write.
     assert!(accepted.iter().any(|reply| {
         reply.outgoing.recipient == "b" && matches!(reply.outgoing.message, Message::DiskUpdated(_))
     }));
@@ -207,8 +207,8 @@
         Some(Outcome::Decided(first.clone()))
     );
     let current = network.state("a");
-    // With its current disk it verifies the disk and votes. Its ballots differ from those of the
-    // previous process, which may have used the same round.
+    // With its current disk the acceptor verifies the disk and votes. Its ballots differ from those
+    // of the previous process, which may have used the same round.
     let previous = Acceptor::start("a", Some(current), &names("abc"), 5);
     network.start("a", Some(previous.state().clone()), "abc", 5);
     assert_ne!(network.acceptors["a"].next_ballot(), previous.next_ballot());
@@ -224,7 +224,7 @@
             "{:?}",
             acceptor.voting()
         );
-        // It promises nothing, and sends no heartbeat.
+        // The acceptor promises nothing, and sends no heartbeat.
         let prepare = Message::Prepare {
             ballot: ballot(9),
             base: first.clone(),
