--- a/crates/config-versions/tests/nodes.rs
+++ b/crates/config-versions/tests/nodes.rs
@@ -358,8 +358,8 @@
     assert_eq!((newest.number, newest.nonce), (2, 8));
 }
 
-/// A successor took over, voted and failed. The first process must resume from the state that the
-/// successor wrote: a promise based on its own older state could undo a vote.
+/// Guards against a process that resumes with its own older state after its successor has taken
+/// over, voted and failed: a promise made from that state could undo a vote of the successor.
 #[test]
 fn a_resumed_process_restarts_from_its_disk() {
     let mut fleet = Fleet::new(5, 13, WithoutLease::Refuse);
--- a/crates/session-affinity/src/directory/chunked_scan.rs
+++ b/crates/session-affinity/src/directory/chunked_scan.rs
@@ -1,5 +1,5 @@
 //! Scans of the whole table that send entries to other nodes. A scan runs in chunks, since requests
-//! wait meanwhile.
+//! wait while a chunk runs.
 
 use crate::directory::SessionDirectory;
 use crate::message::{DirectoryEntry, Message, MAX_ENTRIES};
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Runs the next chunk if that is due.
+    /// Runs the next chunk if one is due.
     pub(super) fn run_scan_chunk(&mut self, now: Micros) {
         if now < self.scans.next_chunk_at {
             return;
--- a/crates/session-affinity/src/directory/inbound.rs
+++ b/crates/session-affinity/src/directory/inbound.rs
@@ -113,7 +113,7 @@
         {
             return self.complete_lookup(now, result);
         }
-        // A reply to a verification, or one that is late.
+        // The reply answers a verification, or arrived after its lookup was completed.
         let Some(known) = self.table.get(now, session) else {
             return;
         };
@@ -125,7 +125,7 @@
                     self.announce(now, session, placement);
                 }
             }
-            // A replica that lacks the entry.
+            // The sender is a replica that lacks the entry.
             None => self.send_entry(now, sender, requested_entry(session, known.placement)),
         }
     }
--- a/crates/session-affinity/src/directory/mod.rs
+++ b/crates/session-affinity/src/directory/mod.rs
@@ -47,7 +47,7 @@
     pub is_bootstrapped: bool,
 }
 
-/// What a request is resolved by.
+/// Key by which a request is resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionKey {
     /// Digest of the session key that the client presents.
@@ -102,7 +102,7 @@
     pub resolution: Resolution,
 }
 
-/// A node's part in the session directory.
+/// The session directory as maintained by one node.
 #[derive(Clone, Debug)]
 pub struct SessionDirectory {
     local_name: String,
@@ -129,7 +129,7 @@
 
 impl SessionDirectory {
     /// Creates the directory of a node that has just started. `unix_seconds` is the machine's
-    /// date, and `token` identifies this start of the node.
+    /// time since the Unix epoch, and `token` identifies the start of this process.
     pub fn new(
         local_name: &str,
         settings: DirectorySettings,
@@ -212,7 +212,7 @@
         std::mem::take(&mut self.resolved)
     }
 
-    /// Returns whether the node knows which nodes to ask; before that it resolves no session.
+    /// Returns whether the nodes to query are known; until then no session is resolved.
     pub fn is_ready(&self) -> bool {
         self.state_transfer.is_ready()
     }
--- a/crates/session-affinity/src/directory/pools.rs
+++ b/crates/session-affinity/src/directory/pools.rs
@@ -1,5 +1,5 @@
-//! State of a pool with session affinity: its workers, and since when each of them drains, is
-//! ejected, or is awaited with a later version.
+//! State of a pool with session affinity: its workers, and the times since which workers have been
+//! draining, ejected, or awaited with a later version.
 
 use crate::worker_selection::Worker;
 use crate::{mix, Micros, WorkerId};
@@ -12,13 +12,14 @@
 /// Configuration of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerSettings {
-    /// Name, which identifies the worker independent of its address.
+    /// Name, which identifies the worker independently of its address.
     pub name: String,
     /// Share of new sessions; above 0.
     pub weight: f64,
     /// Whether the worker accepts new sessions.
     pub accepts_sessions: bool,
-    /// Whether the worker drains: it accepts no new sessions and retains its own for a while.
+    /// Whether the worker drains: a draining worker accepts no new sessions and retains its own for
+    /// a while.
     pub is_draining: bool,
 }
 
@@ -75,8 +76,8 @@
     }
 }
 
-/// Times since which workers are in a condition.
-type Since = BTreeMap<WorkerId, Micros>;
+/// Time at which each worker entered a state.
+type StartTimes = BTreeMap<WorkerId, Micros>;
 
 /// A pool and the state of its workers.
 #[derive(Clone, Debug)]
@@ -89,9 +90,9 @@
     pub(super) id: u64,
     pub(super) workers: Vec<Worker>,
     pub(super) names: BTreeMap<WorkerId, String>,
-    draining: Since,
-    ejected: Since,
-    awaited: Since,
+    draining: StartTimes,
+    ejected: StartTimes,
+    awaited: StartTimes,
 }
 
 impl PoolState {
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -20,14 +20,14 @@
 /// What to do with a session that is not in the local table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IfUnknown {
-    /// It is new: place it.
-    Place,
-    /// It may be on a worker that this node has not learned of: reject the request, which can be
-    /// retried. A guess would move the session.
+    /// The session is new: create a placement.
+    CreatePlacement,
+    /// The session may have a placement that this node has not received: reject the request, which
+    /// can be retried. A new placement could move the session to another worker.
     Reject,
 }
 
-/// Worker of a request's session.
+/// Result of the resolution of a request's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resolution {
     /// The session is on this worker.
@@ -64,7 +64,7 @@
         if let Some(known) = self.table.get(now, session) {
             self.table.touch(now, session);
             // A replica receives an update on each move. Other nodes verify their placement if
-            // they have not done so of late.
+            // they have not done so recently.
             if known.is_verified {
                 return self.apply_placement(now, pool, session, known.placement);
             }
@@ -78,7 +78,7 @@
             return Resolution::Pending;
         }
         if !self.has_other_lookup_nodes(session) {
-            return self.resolve_from_table(now, pool, key, IfUnknown::Place);
+            return self.resolve_from_table(now, pool, key, IfUnknown::CreatePlacement);
         }
         match self.start_lookup(now, pool, key, request) {
             Some(lookup_id) => {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether there is another node to ask about a session.
+    /// Returns whether there is another node to query about a session.
     fn has_other_lookup_nodes(&self, session: SessionId) -> bool {
         let ranked = self.replicas.ranked(session, LOOKUP_FANOUT);
         ranked.into_iter().any(|name| name != self.local_name)
@@ -155,7 +155,7 @@
             return self.apply_placement(now, pool, key.session, known.placement);
         }
         match if_unknown {
-            IfUnknown::Place => self.create_placement(now, pool, key),
+            IfUnknown::CreatePlacement => self.create_placement(now, pool, key),
             IfUnknown::Reject => {
                 self.pools[pool].counters.unanswered += 1;
                 Resolution::Unavailable
@@ -230,7 +230,7 @@
                 let is_new = result.is_unknown_to_a_replica
                     || self.replicas.is_replica(session, &self.local_name);
                 let if_unknown = if is_new {
-                    IfUnknown::Place
+                    IfUnknown::CreatePlacement
                 } else {
                     IfUnknown::Reject
                 };
@@ -297,8 +297,9 @@
         let state = &mut self.pools[pool];
         let cause = match state.move_cause(now, placement.worker) {
             None => return Resolution::Worker(placement.worker),
-            // This node does not have the version yet that added the worker. If the version does
-            // not arrive, as in a partition, the node goes on without moving the session.
+            // This node has not received the version that added the worker. If the version does
+            // not arrive, as in a partition, the node selects another worker for its own requests
+            // without moving the session.
             Some(MoveCause::Removed) if placement.is_newer_than(self.version) => {
                 if state.is_awaiting_version(now, placement.worker) {
                     return Resolution::Unavailable;
@@ -310,7 +311,8 @@
         Resolution::from_worker(self.move_session(now, pool, session, placement, cause))
     }
 
-    /// Moves a session to another worker. If there is none, a session stays on a failed worker.
+    /// Moves a session to another worker. Without another worker, the session stays, unless its
+    /// worker was removed.
     fn move_session(
         &mut self,
         now: Micros,
@@ -343,7 +345,7 @@
             return self.select_worker(pool, session, Some(worker));
         };
         if known.placement.worker != worker {
-            // It has moved meanwhile.
+            // The session has moved meanwhile.
             return Some(known.placement.worker);
         }
         self.move_session(now, pool, session, known.placement, MoveCause::Unreachable)
--- a/crates/session-affinity/src/directory/state_transfer.rs
+++ b/crates/session-affinity/src/directory/state_transfer.rs
@@ -9,10 +9,10 @@
 
 /// Time without a message from a source after which the request is repeated, in microseconds.
 const RETRY_INTERVAL: Micros = 500_000;
-/// Time after which the node goes on without the missing entries, in microseconds; each of them
+/// Time after which the node continues without the missing entries, in microseconds; each of them
 /// has another replica.
 const TRANSFER_TIMEOUT: Micros = 15_000_000;
-/// Maximum number of remembered transfers to other nodes.
+/// Maximum number of recorded transfers to other nodes.
 const MAX_SERVED_TRANSFERS: usize = 64;
 
 /// A transfer to another node.
@@ -25,7 +25,7 @@
 /// Progress of the transfer to this node, and the transfers that it has served.
 #[derive(Clone, Debug)]
 pub(super) struct StateTransfer {
-    /// Identifies this start of the node.
+    /// Identifies the start of this node's process.
     token: u64,
     started: Micros,
     is_complete: bool,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Returns whether the membership view has converged once, so that the nodes to ask are known.
+    /// Returns whether the membership view has converged once, so that the nodes to query are
+    /// known.
     pub(super) fn is_ready(&self) -> bool {
         self.has_view_converged || self.is_complete
     }
@@ -60,8 +61,8 @@
     }
 
     /// Sets the bootstrapped nodes. Nodes that are bootstrapped after the view has converged are
-    /// no sources: they have their entries from the same sources, and nodes that start together
-    /// would wait for each other.
+    /// not sources: their entries come from the same sources, and nodes that start together would
+    /// wait for each other.
     pub(super) fn set_sources(&mut self, bootstrapped: &BTreeSet<String>, is_view_converged: bool) {
         if !self.has_view_converged {
             for name in bootstrapped {
@@ -104,7 +105,7 @@
         Some(next_request.unwrap_or(Micros::MAX).min(timeout))
     }
 
-    /// Returns the sources to ask now.
+    /// Returns the sources to which a request is due, and records it as sent.
     fn take_due_sources(&mut self, now: Micros) -> Vec<String> {
         let mut due = Vec::new();
         for (name, last_contact) in &mut self.sources {
--- a/crates/session-affinity/src/directory/sweep.rs
+++ b/crates/session-affinity/src/directory/sweep.rs
@@ -1,5 +1,6 @@
-//! Periodic removal of idle entries. One partition of the table is swept at a time, since requests
-//! wait meanwhile: whether this node is a replica of a session takes some time to compute.
+//! Periodic removal of idle entries. A sweep covers one partition of the table at a time, because
+//! requests wait during a sweep: computing whether this node is a replica of a session takes some
+//! time.
 
 use crate::directory::{is_idempotency_key, SessionDirectory};
 use crate::Micros;
@@ -35,7 +36,7 @@
 }
 
 impl SessionDirectory {
-    /// Sweeps the next partition if that is due.
+    /// Sweeps the next partition if a sweep is due.
     pub(super) fn run_sweep(&mut self, now: Micros) {
         if now < self.sweeper.next_sweep_at {
             return;
--- a/crates/session-affinity/src/directory/tests.rs
+++ b/crates/session-affinity/src/directory/tests.rs
@@ -174,11 +174,11 @@
         idle_seconds: 0,
     };
     assert_eq!(directory.table.merge(0, entry), MergeOutcome::Applied);
-    // The worker was not removed: this node does not have its version yet.
+    // The worker was not removed: this node has not received the version that adds the worker.
     assert_eq!(directory.resolve(0, 0, SESSION, 1), Resolution::Unavailable);
     assert_eq!(directory.placement(0, 0, SESSION), Some(placement));
-    // If the version does not arrive, as in a partition, the node goes on without moving the
-    // session.
+    // If the version does not arrive, as in a partition, the node selects another worker without
+    // moving the session.
     assert!(matches!(
         directory.resolve(6 * SECOND, 0, SESSION, 1),
         Resolution::Worker(other) if other != worker
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn local_resolution_neither_places_nor_moves_sessions() {
+fn local_resolution_neither_creates_nor_moves_placements() {
     let mut directory = single_node(&["a", "b"]);
     let worker = resolve_to_worker(&mut directory);
     assert_eq!(
@@ -240,34 +240,38 @@
 }
 
 #[test]
-fn nodes_bootstrapped_later_are_no_transfer_sources() {
+fn nodes_bootstrapped_later_are_not_transfer_sources() {
     let mut directory = directory(&["a", "b"]);
     directory.handle_membership_change(0, bootstrapped_peers(&["n1"]), true);
     directory.handle_membership_change(0, bootstrapped_peers(&["n1", "n2", "n3"]), true);
     assert_eq!(take_messages(&mut directory).len(), 1);
-    // Nor is a source that left meanwhile.
+    // The node does not wait for a source that has left.
     directory.handle_membership_change(0, bootstrapped_peers(&["n2", "n3"]), true);
     assert!(directory.is_bootstrapped());
 }
 
-/// A directory with four bootstrapped peers, and a session of which it is no replica.
-fn without_replica_of_a_session() -> (SessionDirectory, SessionKey) {
+/// Returns a directory with four bootstrapped peers, and a session of which its node is not a
+/// replica.
+fn directory_and_key_without_local_replica() -> (SessionDirectory, SessionKey) {
     let mut directory = directory(&["a", "b"]);
     directory.handle_membership_change(0, bootstrapped_peers(&["n1", "n2", "n3", "n4"]), true);
     let pool_id = directory.pools[0].id;
-    let is_elsewhere = |key: &SessionKey| {
+    let is_not_local = |key: &SessionKey| {
         let session = key.in_pool(pool_id).session;
         !directory.replicas.is_replica(session, "n0")
     };
-    let key = (0..).map(SessionKey::Session).find(is_elsewhere);
-    (directory, key.expect("some session is elsewhere"))
+    let key = (0..).map(SessionKey::Session).find(is_not_local);
+    (
+        directory,
+        key.expect("some session has no replica at this node"),
+    )
 }
 
-/// Guards against a session that is placed anew, on another worker, because its replicas took longer
-/// than a lookup to reply.
+/// Guards against a session that is placed again, on another worker, because its replicas replied
+/// after the deadline of the lookup.
 #[test]
 fn a_session_that_no_replica_answered_for_is_not_placed() {
-    let (mut directory, key) = without_replica_of_a_session();
+    let (mut directory, key) = directory_and_key_without_local_replica();
     assert_eq!(directory.resolve(0, 0, key, 1), Resolution::Pending);
     directory.handle_wakeup(60_000);
     let resolved = directory.take_resolutions();
@@ -279,7 +283,7 @@
 
 #[test]
 fn a_session_that_a_replica_does_not_know_is_placed_when_the_lookup_ends() {
-    let (mut directory, key) = without_replica_of_a_session();
+    let (mut directory, key) = directory_and_key_without_local_replica();
     assert_eq!(directory.resolve(0, 0, key, 1), Resolution::Pending);
     let session = key.in_pool(directory.pools[0].id).session;
     let replica = directory.replicas.ranked(session, 1)[0].to_owned();
@@ -289,7 +293,7 @@
             Message::LookupRequest { lookup_id, .. } => Some(lookup_id),
             _ => None,
         })
-        .expect("the replicas are asked");
+        .expect("a lookup request is sent to the replicas");
     let reply = Message::LookupReply {
         time: 100,
         lookup_id,
--- a/crates/session-affinity/src/lib.rs
+++ b/crates/session-affinity/src/lib.rs
@@ -3,7 +3,7 @@
 //! nodes by rendezvous hashing and replicated on two of them; all nodes converge to the same
 //! placement of a session.
 //!
-//! The package does no I/O and reads no clock. `docs/session-affinity.md` has the design, the
+//! The crate does no I/O and reads no clock. `docs/session-affinity.md` has the design, the
 //! alternatives that were compared, and the measurements.
 //!
 //! - [`timestamp`]: hybrid logical clock, which orders placements.
@@ -30,11 +30,11 @@
 pub type Micros = i64;
 /// Digest that identifies a session: of its pool and the key that the client presents.
 pub type SessionId = u64;
-/// Digest that identifies a worker: of its pool and its name, independent of its address.
+/// Digest that identifies a worker: of its pool and its name, independently of its address.
 pub type WorkerId = u32;
 
-/// Combines two identifiers into one digest. It is the same in all builds, since nodes derive the
-/// same choices from it.
+/// Combines two identifiers into one digest. The digest must be the same in all builds, since all
+/// nodes have to derive the same choices from it.
 pub fn mix(a: u64, b: u64) -> u64 {
     pipitlever_load_balancing::consistent_hash::splitmix64(a ^ b.rotate_left(32))
 }
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -6,13 +6,13 @@
 use crate::{Micros, SessionId, WorkerId};
 use std::collections::BTreeMap;
 
-/// Maximum number of concurrent lookups. Beyond it sessions are resolved from the local table, and
-/// unknown ones are rejected.
+/// Maximum number of concurrent lookups. Beyond this number, sessions are resolved from the local
+/// table, and unknown ones are rejected.
 const MAX_LOOKUPS: usize = 4_096;
 /// Interval between retries to nodes that have not replied, in microseconds.
 pub const RETRY_INTERVAL: Micros = 8_000;
 
-/// What is looked up.
+/// Target of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LookupTarget {
     /// Index of the pool.
@@ -23,7 +23,7 @@
     pub initial_worker: Option<WorkerId>,
 }
 
-/// The nodes that a lookup asks.
+/// The nodes that a lookup queries.
 #[derive(Clone, Copy, Debug)]
 pub struct LookupNodes<'a> {
     /// Names of the nodes; replicas come first.
@@ -38,7 +38,7 @@
     target: LookupTarget,
     /// Nodes that have not replied.
     pending: Vec<String>,
-    /// Replicas among the nodes asked.
+    /// Replicas among the nodes queried.
     replicas: Vec<String>,
     /// Whether a replica has replied that it does not know the session.
     is_unknown_to_a_replica: bool,
@@ -52,21 +52,21 @@
 /// Result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupResult {
-    /// What was looked up.
+    /// Target of the lookup.
     pub target: LookupTarget,
-    /// Requests that wait for it.
+    /// Requests that wait for the lookup.
     pub waiting_requests: Vec<u64>,
     /// Placement of the session; `None` if no node that replied knows it.
     pub placement: Option<Placement>,
-    /// Whether a replica has replied that it does not know the session. Without that, a session
-    /// without a placement may have one that no reply has brought in time.
+    /// Whether a replica has replied that it does not know the session. If none has, a session
+    /// without a placement here may still have one that was not reported in time.
     pub is_unknown_to_a_replica: bool,
 }
 
 /// A lookup to send again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRetry {
-    /// Number of the lookup.
+    /// Identifier of the lookup.
     pub lookup_id: u32,
     /// The session.
     pub session: SessionId,
@@ -83,7 +83,7 @@
 }
 
 impl PendingLookups {
-    /// Lets a request wait for a lookup of the session in progress; returns whether there is one.
+    /// Adds a request to the lookup of the session in progress; returns whether there is one.
     pub fn add_waiter(&mut self, session: SessionId, request: u64) -> bool {
         let lookup = self
             .id_by_session
@@ -94,8 +94,8 @@
             .is_some()
     }
 
-    /// Starts a lookup on behalf of a request. Returns its number, or `None` if there are too many
-    /// lookups.
+    /// Starts a lookup on behalf of a request. Returns the identifier of the lookup, or `None` if
+    /// there are too many lookups.
     pub fn start(
         &mut self,
         now: Micros,
--- a/crates/session-affinity/src/message.rs
+++ b/crates/session-affinity/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages about sessions between nodes. They are postcard, which is positional, and travel as
-//! application messages of the membership protocol.
+//! Messages about sessions between nodes, sent as application messages of the membership protocol.
+//! Their encoding is postcard, which identifies fields and variants by position.
 
 use crate::placement::Placement;
 use crate::SessionId;
@@ -25,11 +25,11 @@
 /// A message between nodes. `time` is the sender's hybrid clock, in seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks for the placement of a session that is being requested.
+    /// Requests the placement of a session that is being requested by a client.
     LookupRequest {
         /// Time of the sender.
         time: u32,
-        /// Number of the lookup; 0 if the sender does not wait for the reply.
+        /// Identifier of the lookup; 0 if the sender does not wait for the reply.
         lookup_id: u32,
         /// The session.
         session: SessionId,
@@ -38,7 +38,7 @@
     LookupReply {
         /// Time of the sender.
         time: u32,
-        /// Number of the lookup.
+        /// Identifier of the lookup.
         lookup_id: u32,
         /// The session.
         session: SessionId,
@@ -59,9 +59,9 @@
         /// Sessions that the sender stores.
         sessions: Vec<SessionId>,
     },
-    /// Asks for all entries of which the sender, which has just joined, is a replica.
+    /// Requests all entries of which the sender, which has just joined, is a replica.
     TransferRequest {
-        /// Identifies this start of the sender.
+        /// Identifies the start of the sender's process.
         token: u64,
     },
     /// Reports that the sender has sent all requested entries.
@@ -78,7 +78,8 @@
         postcard::to_extend(self, vec![MARKER]).unwrap_or_default()
     }
 
-    /// Decodes a message; `None` if the bytes are none, or have more than [`MAX_ENTRIES`] sessions.
+    /// Decodes a message; `None` if the bytes are malformed or contain more than [`MAX_ENTRIES`]
+    /// sessions.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let message = postcard::from_bytes(bytes.strip_prefix(&[MARKER])?).ok()?;
         let session_count = match &message {
--- a/crates/session-affinity/src/placement.rs
+++ b/crates/session-affinity/src/placement.rs
@@ -15,16 +15,16 @@
     pub created: Timestamp,
     /// Number of moves since then.
     pub moves: u8,
-    /// Low bits of the configuration version under which the session came to the worker. A node
-    /// with an older version may not know the worker yet.
+    /// Low bits of the configuration version under which the session was assigned to the worker. A
+    /// node with an older version may not have the worker in its configuration yet.
     pub version: u16,
 }
 
 impl Placement {
     /// Returns whether this placement takes precedence over another one of the same session. Of
-    /// two placements made independently the older one does. Of the same placement the one with
-    /// more moves does, since each move has a cause. Of two moves made independently the one under
-    /// the later version does.
+    /// two placements made independently, the older one takes precedence. Of two states of one
+    /// placement, the one with more moves does, since each move has a cause. Of two moves made
+    /// independently, the one under the later version does.
     pub fn takes_precedence_over(&self, other: &Placement) -> bool {
         let key = |placement: &Placement| {
             (
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether the session came to its worker under a later version than `version`.
+    /// Returns whether the session was assigned to its worker under a version later than `version`.
     pub fn is_newer_than(&self, version: u16) -> bool {
         // Versions wrap around; half of the range counts as later.
         (1..1 << 15).contains(&self.version.wrapping_sub(version))
--- a/crates/session-affinity/src/replicas.rs
+++ b/crates/session-affinity/src/replicas.rs
@@ -7,8 +7,8 @@
 
 /// Number of nodes that store the entry of a session.
 pub const REPLICATION_FACTOR: usize = 2;
-/// Number of nodes that a lookup asks: a replica that has just joined may not have the entry yet,
-/// and another one may have failed.
+/// Number of nodes that a lookup queries: a replica that has just joined may not have the entry
+/// yet, and another one may have failed.
 pub const LOOKUP_FANOUT: usize = 3;
 
 /// A node with the digest of its name, by which nodes are sorted.
--- a/crates/session-affinity/src/table.rs
+++ b/crates/session-affinity/src/table.rs
@@ -19,10 +19,10 @@
 const IDLE_STEP_SECONDS: u32 = 4;
 /// Age in seconds from which on an entry has to be verified with its replicas again.
 const MAX_VERIFIED_AGE: u8 = 2;
-/// Smallest number of entries for which the table keeps memory.
+/// Smallest number of entries for which the table retains memory.
 const MIN_RETAINED_ENTRIES: usize = 128;
 
-/// An entry, in 16 bytes: there may be a million.
+/// An entry. Its size is 16 bytes, since a table may hold a million entries.
 #[derive(Clone, Copy, Debug)]
 struct StoredPlacement {
     worker: WorkerId,
@@ -75,7 +75,7 @@
     (second / IDLE_STEP_SECONDS) as u16
 }
 
-/// Hasher that returns the session itself, which is a digest already.
+/// Hasher that returns the session itself, which is already a digest.
 #[derive(Clone, Debug, Default)]
 struct IdentityHasher(u64);
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// Session in two halves, whose alignment lets an entry do without padding.
+/// Session in two halves, whose alignment avoids padding in an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct TableKey {
     high: u32,
@@ -251,7 +251,7 @@
     }
 
     /// Removes the entries for which `retain` returns false; it receives the session and its idle
-    /// time in seconds. Returns memory when most of it is unused.
+    /// time in seconds. Releases memory when most of it is unused.
     pub fn sweep(&mut self, now: Micros, mut retain: impl FnMut(SessionId, u32) -> bool) {
         let second = self.second(now);
         let mut removed_from = Vec::new();
--- a/crates/session-affinity/src/unacknowledged.rs
+++ b/crates/session-affinity/src/unacknowledged.rs
@@ -1,5 +1,5 @@
-//! Updates that replicas have not acknowledged yet. They are retransmitted, since a lost update
-//! would let the next node place the session anew.
+//! Updates that replicas have not acknowledged yet. They are retransmitted, since after a lost
+//! update another node could place the session a second time.
 
 use crate::{Micros, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,7 +31,7 @@
 pub struct Retransmission {
     /// The session.
     pub session: SessionId,
-    /// Replicas that have not acknowledged it.
+    /// Replicas that have not acknowledged the update.
     pub replicas: Vec<String>,
 }
 
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -90,7 +90,7 @@
     (0..SESSIONS).map(select).collect()
 }
 
-/// Returns the nodes that a lookup of each session asks, as text.
+/// Returns the nodes that a lookup of each session queries, as text.
 fn replica_nodes() -> Vec<u8> {
     let names = ["n1", "n2", "n3", "n4", "n5", "n6"];
     let replicas = ReplicaSet::new(names.into_iter());
--- a/crates/session-affinity/tests/lookup.rs
+++ b/crates/session-affinity/tests/lookup.rs
@@ -51,7 +51,7 @@
     assert_eq!(
         lookups.handle_reply(lookup_id, "x", 7, Some(PLACEMENT)),
         None,
-        "a reply of a node that was not asked"
+        "a reply of a node that was not queried"
     );
     assert_eq!(
         lookups.handle_reply(lookup_id, "b", 8, Some(PLACEMENT)),
@@ -74,7 +74,8 @@
             .placement,
         None
     );
-    // A node that is no replica completes nothing while a replica may know better.
+    // A reply of a node that is not a replica does not complete the lookup while the reply of a
+    // replica is pending.
     let lookup_id = start(&mut lookups, 7, &["a", "b", "c"], 2, 1);
     assert_eq!(
         lookups.handle_reply(lookup_id, "c", 7, Some(PLACEMENT)),
--- a/crates/session-affinity/tests/model.rs
+++ b/crates/session-affinity/tests/model.rs
@@ -20,7 +20,7 @@
     lookup_timeout: 60_000,
     max_sessions: 10,
 };
-/// Time that passes between two deliveries while faults have stopped, in microseconds.
+/// Time between two deliveries once faults have stopped, in microseconds.
 const STEP: i64 = 5_000;
 /// Maximum number of steps until no message is in flight.
 const MAX_STEPS: usize = 400;
--- a/crates/session-affinity/tests/replicas.rs
+++ b/crates/session-affinity/tests/replicas.rs
@@ -4,18 +4,18 @@
 use pipitlever_session_affinity::replicas::{ReplicaSet, LOOKUP_FANOUT, REPLICATION_FACTOR};
 
 #[test]
-fn lookups_after_a_join_still_reach_the_previous_replicas() {
+fn lookups_after_a_join_include_the_previous_replicas() {
     let names: Vec<String> = (0..20).map(|i| format!("n{i}")).collect();
     let before = ReplicaSet::new(names[..19].iter().map(String::as_str));
     let after = ReplicaSet::new(names.iter().map(String::as_str));
     let mut replicas_on_new_node = 0;
     for session in 0..10_000 {
         let session = mix(session, 1);
-        let asked = after.ranked(session, LOOKUP_FANOUT);
+        let queried = after.ranked(session, LOOKUP_FANOUT);
         assert!(before
             .ranked(session, REPLICATION_FACTOR)
             .iter()
-            .all(|name| asked.contains(name)));
+            .all(|name| queried.contains(name)));
         replicas_on_new_node += usize::from(after.is_replica(session, "n19"));
     }
     assert!(
