--- a/crates/config-versions/src/acceptor.rs
+++ b/crates/config-versions/src/acceptor.rs
@@ -329,8 +329,9 @@
         }
     }
 
-    /// Returns whether the acceptor votes and knows of no version newer than the proposal's base.
-    /// Learns a newer base, and sends the newest decided version to a sender with an older base.
+    /// Returns whether the acceptor votes and has learned no version newer than the proposal's
+    /// base. Learns a newer base, and sends the newest decided version to a sender with an older
+    /// base.
     fn may_vote_on(
         &mut self,
         sender: &str,
--- a/crates/config-versions/src/minimum_version.rs
+++ b/crates/config-versions/src/minimum_version.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the lowest version that may be acted on, as far as this process knows.
+    /// Returns the lowest version that may be acted on, as known to this process.
     pub fn number(&self) -> u64 {
         self.number
     }
--- a/crates/config-versions/src/retirement.rs
+++ b/crates/config-versions/src/retirement.rs
@@ -156,8 +156,8 @@
                 .as_ref()
                 .is_none_or(|pending| is_retired(&pending.acceptors))
         {
-            // Leases on these versions were renewed before now, as any quorum that renews one from
-            // now on includes an acceptor that has retired them.
+            // No lease on these versions is renewed from now on: any quorum that could renew one
+            // includes an acceptor that has retired them.
             self.stage = Stage::AwaitingExpiry(now + drift.max_elapsed(lease));
         }
     }
--- a/crates/config-versions/tests/lease_expiry.rs
+++ b/crates/config-versions/tests/lease_expiry.rs
@@ -79,7 +79,7 @@
         (100 + 980_000 + LEASE..=100 + 1_000_000 + LEASE).contains(&expires_at),
         "{expires_at}"
     );
-    // A quorum has retired the version, or knows of newer acceptors than this node.
+    // A quorum has retired the version, or reports newer acceptors than this node has.
     leases.record_heartbeat(&heartbeat("b", 5_002_000_000, 2), &acceptors);
     assert_eq!(leases.expires_at(1, &newest, LEASE, DRIFT), None);
     assert!(leases.expires_at(2, &newest, LEASE, DRIFT).is_some());
--- a/crates/config-versions/tests/lease_model.rs
+++ b/crates/config-versions/tests/lease_model.rs
@@ -144,8 +144,8 @@
             actions.push(Action::Tick);
         }
         // The first acceptor's messages arrive at any time. The second one never retires, and its
-        // messages arrive at once (in `Tick`): with it the first one is a quorum for the node, and
-        // with the third one a quorum for the retirement.
+        // messages arrive at once (in `Tick`). The first two are a quorum for the node, and the
+        // first and the third one are a quorum for the retirement.
         for acceptor in [0, 2] {
             actions.push(Action::Retire(acceptor));
             if system.has_retired[acceptor] {
--- a/crates/config-versions/tests/minimum_version.rs
+++ b/crates/config-versions/tests/minimum_version.rs
@@ -12,7 +12,7 @@
 fn any_quorum_reveals_a_restored_disk() {
     let acceptors = names(&["a", "b", "c"]);
     for quorum in [["a", "b"], ["a", "c"], ["b", "c"]] {
-        // Version 5 was decided: b and c have accepted it, and a knows of version 4.
+        // Version 5 was decided: b and c have accepted it, and a reports version 4.
         let mut minimum = MinimumVersion::new(3, NONCE);
         assert!(
             !minimum.allows(3) && !minimum.allows(9),
--- a/crates/session-affinity/src/directory/mod.rs
+++ b/crates/session-affinity/src/directory/mod.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug)]
 struct DirectoryKey {
     session: SessionId,
-    /// Worker if no node knows the key; `None` to select one.
+    /// Worker if no node has an entry for the key; `None` to select one.
     initial_worker: Option<WorkerId>,
 }
 
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -164,8 +164,8 @@
     }
 
     /// Resolves a session by the local table alone, without messages or new placements: for a
-    /// process that handed over to its successor at a hot restart. Sessions that it does not know
-    /// are unavailable; the client's next attempt reaches the successor.
+    /// process that handed over to its successor at a hot restart. Sessions without an
+    /// entry are unavailable; the client's next attempt reaches the successor.
     pub fn resolve_locally(&self, now: Micros, pool: usize, key: SessionKey) -> Resolution {
         let Some(state) = self.pools.get(pool) else {
             return Resolution::Unavailable;
@@ -244,7 +244,7 @@
         }));
     }
 
-    /// Places a session that no node knows.
+    /// Creates the placement of a session for which no node has an entry.
     fn create_placement(&mut self, now: Micros, pool: usize, key: DirectoryKey) -> Resolution {
         let state = &self.pools[pool];
         let initial_worker = key
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -19,7 +19,7 @@
     pub pool: usize,
     /// The session.
     pub session: SessionId,
-    /// Worker for the session if no node knows it; `None` to select one.
+    /// Worker for the session if no node has an entry for it; `None` to select one.
     pub initial_worker: Option<WorkerId>,
 }
 
@@ -40,7 +40,7 @@
     pending: Vec<String>,
     /// Replicas among the nodes queried.
     replicas: Vec<String>,
-    /// Whether a replica has replied that it does not know the session.
+    /// Whether a replica has replied that it has no entry for the session.
     is_unknown_to_a_replica: bool,
     /// Placement that takes precedence among the replies.
     best: Option<Placement>,
@@ -56,9 +56,9 @@
     pub target: LookupTarget,
     /// Requests that wait for the lookup.
     pub waiting_requests: Vec<u64>,
-    /// Placement of the session; `None` if no node that replied knows it.
+    /// Placement of the session; `None` if no node that replied has an entry.
     pub placement: Option<Placement>,
-    /// Whether a replica has replied that it does not know the session. If none has, a session
+    /// Whether a replica has replied that it has no entry for the session. If none has, a session
     /// without a placement here may still have one that was not reported in time.
     pub is_unknown_to_a_replica: bool,
 }
@@ -128,8 +128,8 @@
         Some(self.last_id)
     }
 
-    /// Handles a reply. The first replica that knows the session completes the lookup; if none
-    /// does, the last reply completes it.
+    /// Handles a reply. The first reply of a replica with an entry completes the lookup; without
+    /// one, the last reply completes it.
     pub fn handle_reply(
         &mut self,
         lookup_id: u32,
@@ -171,7 +171,7 @@
         })
     }
 
-    /// Completes the lookup of a session whose placement arrived in an update.
+    /// Completes the lookup of a session whose placement has arrived in an update.
     pub fn resolve(&mut self, session: SessionId, placement: Placement) -> Option<LookupResult> {
         let lookup_id = *self.id_by_session.get(&session)?;
         self.by_id.get_mut(&lookup_id)?.best = Some(placement);
--- a/crates/session-affinity/src/message.rs
+++ b/crates/session-affinity/src/message.rs
@@ -42,7 +42,7 @@
         lookup_id: u32,
         /// The session.
         session: SessionId,
-        /// Its placement; `None` if the sender does not know the session.
+        /// Its placement; `None` if the sender has no entry for the session.
         placement: Option<Placement>,
     },
     /// Replicates directory entries.
