--- a/crates/config-versions/tests/lease_expiry.rs
+++ b/crates/config-versions/tests/lease_expiry.rs
@@ -33,7 +33,8 @@
 fn drift_bounds_a_duration_from_both_sides() {
     for duration in [0, 1, 1000, 10_000_000, 3_600_000_000] {
         for (fast, slow) in [(1.01, 0.99), (0.99, 1.01), (1.0, 1.0)] {
-            // On a clock of the first rate this passes while the duration passes on the other.
+            // The time that passes on a clock with the first rate while the duration passes on a
+            // clock with the second rate.
             let elapsed = duration as f64 * fast / slow;
             assert!(
                 DRIFT.min_elapsed(duration) as f64 <= elapsed + 1.0,
@@ -78,7 +79,7 @@
         (100 + 980_000 + LEASE..=100 + 1_000_000 + LEASE).contains(&expires_at),
         "{expires_at}"
     );
-    // A quorum has retired the version, or knows of newer acceptors than this node.
+    // A quorum has retired the version, or reports newer acceptors than this node has.
     leases.record_heartbeat(&heartbeat("b", 5_002_000_000, 2), &acceptors);
     assert_eq!(leases.expires_at(1, &newest, LEASE, DRIFT), None);
     assert!(leases.expires_at(2, &newest, LEASE, DRIFT).is_some());
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -14,20 +14,20 @@
 use crate::worker_selection::select_worker;
 use crate::{Micros, SessionId, WorkerId};
 
-/// Ticket of a lookup without a waiting request, which only verifies a placement.
-const VERIFICATION_TICKET: u32 = 0;
+/// Identifier of a lookup without a waiting request, which only verifies a placement.
+const VERIFICATION_LOOKUP_ID: u32 = 0;
 
 /// What to do with a session that is not in the local table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum IfUnknown {
-    /// It is new: place it.
-    Place,
-    /// It may be on a worker that this node has not learned of: reject the request, which can be
-    /// retried. A guess would move the session.
+    /// The session is new: create a placement.
+    CreatePlacement,
+    /// The session may have a placement that this node has not received: reject the request, which
+    /// can be retried. A new placement could move the session to another worker.
     Reject,
 }
 
-/// Worker of a request's session.
+/// Result of the resolution of a request's session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resolution {
     /// The session is on this worker.
@@ -64,13 +64,13 @@
         if let Some(known) = self.table.get(now, session) {
             self.table.touch(now, session);
             // A replica receives an update on each move. Other nodes verify their placement if
-            // they have not done so of late.
+            // they have not done so recently.
             if known.is_verified {
                 return self.apply_placement(now, pool, session, known.placement);
             }
             self.table.mark_verified(now, session);
             if self.replicas.is_replica(session, &self.local_name) {
-                self.send_lookup(now, session, VERIFICATION_TICKET);
+                self.send_lookup(now, session, VERIFICATION_LOOKUP_ID);
                 return self.apply_placement(now, pool, session, known.placement);
             }
         }
@@ -78,24 +78,24 @@
             return Resolution::Pending;
         }
         if !self.has_other_lookup_nodes(session) {
-            return self.resolve_from_table(now, pool, key, IfUnknown::Place);
+            return self.resolve_from_table(now, pool, key, IfUnknown::CreatePlacement);
         }
         match self.start_lookup(now, pool, key, request) {
-            Some(ticket) => {
-                self.send_lookup(now, session, ticket);
+            Some(lookup_id) => {
+                self.send_lookup(now, session, lookup_id);
                 Resolution::Pending
             }
             None => self.resolve_from_table(now, pool, key, IfUnknown::Reject),
         }
     }
 
-    /// Whether there is another node to ask about a session.
+    /// Returns whether there is another node to query about a session.
     fn has_other_lookup_nodes(&self, session: SessionId) -> bool {
         let ranked = self.replicas.ranked(session, LOOKUP_FANOUT);
         ranked.into_iter().any(|name| name != self.local_name)
     }
 
-    /// Starts a lookup and returns its ticket; `None` if there are too many lookups.
+    /// Starts a lookup and returns its identifier; `None` if there are too many lookups.
     fn start_lookup(
         &mut self,
         now: Micros,
@@ -126,10 +126,10 @@
         self.lookups.start(now, deadline, target, nodes, request)
     }
 
-    fn send_lookup(&mut self, now: Micros, session: SessionId, ticket: u32) {
+    fn send_lookup(&mut self, now: Micros, session: SessionId, lookup_id: u32) {
         let request = Message::LookupRequest {
             time: self.clock.read(now),
-            ticket,
+            lookup_id,
             session,
         }
         .encode();
@@ -155,7 +155,7 @@
             return self.apply_placement(now, pool, key.session, known.placement);
         }
         match if_unknown {
-            IfUnknown::Place => self.create_placement(now, pool, key),
+            IfUnknown::CreatePlacement => self.create_placement(now, pool, key),
             IfUnknown::Reject => {
                 self.pools[pool].counters.unanswered += 1;
                 Resolution::Unavailable
@@ -164,8 +164,8 @@
     }
 
     /// Resolves a session by the local table alone, without messages or new placements: for a
-    /// process that handed over to its successor at a hot restart. Sessions that it does not know
-    /// are unavailable; the client's next attempt reaches the successor.
+    /// process that handed over to its successor at a hot restart. Sessions without an
+    /// entry are unavailable; the client's next attempt reaches the successor.
     pub fn resolve_locally(&self, now: Micros, pool: usize, key: SessionKey) -> Resolution {
         let Some(state) = self.pools.get(pool) else {
             return Resolution::Unavailable;
@@ -192,7 +192,7 @@
         for retry in self.lookups.take_retries(now) {
             let request = Message::LookupRequest {
                 time: self.clock.read(now),
-                ticket: retry.ticket,
+                lookup_id: retry.lookup_id,
                 session: retry.session,
             }
             .encode();
@@ -230,7 +230,7 @@
                 let is_new = result.is_unknown_to_a_replica
                     || self.replicas.is_replica(session, &self.local_name);
                 let if_unknown = if is_new {
-                    IfUnknown::Place
+                    IfUnknown::CreatePlacement
                 } else {
                     IfUnknown::Reject
                 };
@@ -244,12 +244,12 @@
         }));
     }
 
-    /// Places a session that no node knows.
+    /// Creates the placement of a session for which no node has an entry.
     fn create_placement(&mut self, now: Micros, pool: usize, key: DirectoryKey) -> Resolution {
         let state = &self.pools[pool];
         let initial_worker = key
             .initial_worker
-            .filter(|worker| state.position(*worker).is_some());
+            .filter(|worker| state.worker_index(*worker).is_some());
         let selected = initial_worker.or_else(|| self.select_worker(pool, key.session, None));
         let Some(worker) = selected else {
             return Resolution::Unavailable;
@@ -297,8 +297,9 @@
         let state = &mut self.pools[pool];
         let cause = match state.move_cause(now, placement.worker) {
             None => return Resolution::Worker(placement.worker),
-            // This node does not have the version yet that added the worker. If the version does
-            // not arrive, as in a partition, the node goes on without moving the session.
+            // This node has not received the version that added the worker. If the version does
+            // not arrive, as in a partition, the node selects another worker for its own requests
+            // without moving the session.
             Some(MoveCause::Removed) if placement.is_newer_than(self.version) => {
                 if state.is_awaiting_version(now, placement.worker) {
                     return Resolution::Unavailable;
@@ -310,7 +311,8 @@
         Resolution::from_worker(self.move_session(now, pool, session, placement, cause))
     }
 
-    /// Moves a session to another worker. If there is none, a session stays on a failed worker.
+    /// Moves a session to another worker. Without another worker, the session stays, unless its
+    /// worker was removed.
     fn move_session(
         &mut self,
         now: Micros,
@@ -343,7 +345,7 @@
             return self.select_worker(pool, session, Some(worker));
         };
         if known.placement.worker != worker {
-            // It has moved meanwhile.
+            // The session has moved meanwhile.
             return Some(known.placement.worker);
         }
         self.move_session(now, pool, session, known.placement, MoveCause::Unreachable)
--- a/crates/session-affinity/src/lookup.rs
+++ b/crates/session-affinity/src/lookup.rs
@@ -6,24 +6,24 @@
 use crate::{Micros, SessionId, WorkerId};
 use std::collections::BTreeMap;
 
-/// Maximum number of concurrent lookups. Beyond it sessions are resolved from the local table, and
-/// unknown ones are rejected.
+/// Maximum number of concurrent lookups. Beyond this number, sessions are resolved from the local
+/// table, and unknown ones are rejected.
 const MAX_LOOKUPS: usize = 4_096;
 /// Interval between retries to nodes that have not replied, in microseconds.
 pub const RETRY_INTERVAL: Micros = 8_000;
 
-/// What is looked up.
+/// Target of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LookupTarget {
     /// Index of the pool.
     pub pool: usize,
     /// The session.
     pub session: SessionId,
-    /// Worker for the session if no node knows it; `None` to select one.
+    /// Worker for the session if no node has an entry for it; `None` to select one.
     pub initial_worker: Option<WorkerId>,
 }
 
-/// The nodes that a lookup asks.
+/// The nodes that a lookup queries.
 #[derive(Clone, Copy, Debug)]
 pub struct LookupNodes<'a> {
     /// Names of the nodes; replicas come first.
@@ -38,9 +38,9 @@
     target: LookupTarget,
     /// Nodes that have not replied.
     pending: Vec<String>,
-    /// Replicas among the nodes asked.
+    /// Replicas among the nodes queried.
     replicas: Vec<String>,
-    /// Whether a replica has replied that it does not know the session.
+    /// Whether a replica has replied that it has no entry for the session.
     is_unknown_to_a_replica: bool,
     /// Placement that takes precedence among the replies.
     best: Option<Placement>,
@@ -52,22 +52,22 @@
 /// Result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupResult {
-    /// What was looked up.
+    /// Target of the lookup.
     pub target: LookupTarget,
-    /// Requests that wait for it.
+    /// Requests that wait for the lookup.
     pub waiting_requests: Vec<u64>,
-    /// Placement of the session; `None` if no node that replied knows it.
+    /// Placement of the session; `None` if no node that replied has an entry.
     pub placement: Option<Placement>,
-    /// Whether a replica has replied that it does not know the session. Without that, a session
-    /// without a placement may have one that no reply has brought in time.
+    /// Whether a replica has replied that it has no entry for the session. If none has, a session
+    /// without a placement here may still have one that was not reported in time.
     pub is_unknown_to_a_replica: bool,
 }
 
 /// A lookup to send again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRetry {
-    /// Number of the lookup.
-    pub ticket: u32,
+    /// Identifier of the lookup.
+    pub lookup_id: u32,
     /// The session.
     pub session: SessionId,
     /// Nodes that have not replied.
@@ -77,25 +77,25 @@
 /// Lookups in progress.
 #[derive(Clone, Debug, Default)]
 pub struct PendingLookups {
-    by_ticket: BTreeMap<u32, Lookup>,
-    ticket_by_session: BTreeMap<SessionId, u32>,
-    last_ticket: u32,
+    by_id: BTreeMap<u32, Lookup>,
+    id_by_session: BTreeMap<SessionId, u32>,
+    last_id: u32,
 }
 
 impl PendingLookups {
-    /// Lets a request wait for a lookup of the session in progress; returns whether there is one.
+    /// Adds a request to the lookup of the session in progress; returns whether there is one.
     pub fn add_waiter(&mut self, session: SessionId, request: u64) -> bool {
         let lookup = self
-            .ticket_by_session
+            .id_by_session
             .get(&session)
-            .and_then(|ticket| self.by_ticket.get_mut(ticket));
+            .and_then(|lookup_id| self.by_id.get_mut(lookup_id));
         lookup
             .map(|lookup| lookup.waiting_requests.push(request))
             .is_some()
     }
 
-    /// Starts a lookup on behalf of a request. Returns its number, or `None` if there are too many
-    /// lookups.
+    /// Starts a lookup on behalf of a request. Returns the identifier of the lookup, or `None` if
+    /// there are too many lookups.
     pub fn start(
         &mut self,
         now: Micros,
@@ -104,15 +104,15 @@
         nodes: LookupNodes,
         request: u64,
     ) -> Option<u32> {
-        if self.by_ticket.len() >= MAX_LOOKUPS {
+        if self.by_id.len() >= MAX_LOOKUPS {
             return None;
         }
         debug_assert!(nodes.names.len() <= LOOKUP_FANOUT);
-        self.last_ticket = self.last_ticket.wrapping_add(1);
+        self.last_id = self.last_id.wrapping_add(1);
         let pending: Vec<String> = nodes.names.iter().map(|name| (*name).to_owned()).collect();
         let replicas = pending.iter().take(nodes.replica_count).cloned().collect();
-        self.by_ticket.insert(
-            self.last_ticket,
+        self.by_id.insert(
+            self.last_id,
             Lookup {
                 target,
                 pending,
@@ -124,23 +124,22 @@
                 waiting_requests: vec![request],
             },
         );
-        self.ticket_by_session
-            .insert(target.session, self.last_ticket);
-        Some(self.last_ticket)
+        self.id_by_session.insert(target.session, self.last_id);
+        Some(self.last_id)
     }
 
-    /// Handles a reply. The first replica that knows the session completes the lookup; if none
-    /// does, the last reply completes it.
+    /// Handles a reply. The first reply of a replica with an entry completes the lookup; without
+    /// one, the last reply completes it.
     pub fn handle_reply(
         &mut self,
-        ticket: u32,
+        lookup_id: u32,
         sender: &str,
         session: SessionId,
         placement: Option<Placement>,
     ) -> Option<LookupResult> {
         let lookup = self
-            .by_ticket
-            .get_mut(&ticket)
+            .by_id
+            .get_mut(&lookup_id)
             .filter(|lookup| lookup.target.session == session)?;
         let position = lookup.pending.iter().position(|name| name == sender)?;
         lookup.pending.remove(position);
@@ -155,15 +154,15 @@
         let is_replica = lookup.replicas.iter().any(|name| name == sender);
         lookup.is_unknown_to_a_replica |= is_replica && placement.is_none();
         if (is_replica && placement.is_some()) || lookup.pending.is_empty() {
-            self.complete(ticket)
+            self.complete(lookup_id)
         } else {
             None
         }
     }
 
-    fn complete(&mut self, ticket: u32) -> Option<LookupResult> {
-        let lookup = self.by_ticket.remove(&ticket)?;
-        self.ticket_by_session.remove(&lookup.target.session);
+    fn complete(&mut self, lookup_id: u32) -> Option<LookupResult> {
+        let lookup = self.by_id.remove(&lookup_id)?;
+        self.id_by_session.remove(&lookup.target.session);
         Some(LookupResult {
             target: lookup.target,
             waiting_requests: lookup.waiting_requests,
@@ -172,22 +171,22 @@
         })
     }
 
-    /// Completes the lookup of a session whose placement arrived in an update.
+    /// Completes the lookup of a session whose placement has arrived in an update.
     pub fn resolve(&mut self, session: SessionId, placement: Placement) -> Option<LookupResult> {
-        let ticket = *self.ticket_by_session.get(&session)?;
-        self.by_ticket.get_mut(&ticket)?.best = Some(placement);
-        self.complete(ticket)
+        let lookup_id = *self.id_by_session.get(&session)?;
+        self.by_id.get_mut(&lookup_id)?.best = Some(placement);
+        self.complete(lookup_id)
     }
 
     /// Takes the retries that are due.
     pub fn take_retries(&mut self, now: Micros) -> Vec<LookupRetry> {
-        self.by_ticket
+        self.by_id
             .iter_mut()
             .filter(|(_, lookup)| lookup.retry_at <= now)
-            .map(|(ticket, lookup)| {
+            .map(|(lookup_id, lookup)| {
                 lookup.retry_at = now + RETRY_INTERVAL;
                 LookupRetry {
-                    ticket: *ticket,
+                    lookup_id: *lookup_id,
                     session: lookup.target.session,
                     nodes: lookup.pending.clone(),
                 }
@@ -198,20 +197,20 @@
     /// Completes the lookups whose deadline has passed.
     pub fn take_expired(&mut self, now: Micros) -> Vec<LookupResult> {
         let expired: Vec<u32> = self
-            .by_ticket
+            .by_id
             .iter()
             .filter(|(_, lookup)| lookup.deadline <= now)
-            .map(|(ticket, _)| *ticket)
+            .map(|(lookup_id, _)| *lookup_id)
             .collect();
         expired
             .into_iter()
-            .filter_map(|ticket| self.complete(ticket))
+            .filter_map(|lookup_id| self.complete(lookup_id))
             .collect()
     }
 
     /// Returns when a retry or a deadline is due.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.by_ticket
+        self.by_id
             .values()
             .map(|lookup| lookup.deadline.min(lookup.retry_at))
             .min()
