--- a/crates/benchmarks/tests/cost.rs
+++ b/crates/benchmarks/tests/cost.rs
@@ -9,7 +9,10 @@
 mod common;
 mod standin;
 
-use common::{base64, configuration, packet, response, uwsgi_file, work, Node, Processor};
+use common::{
+    base64, configuration, packet, read_response, request_params, uwsgi_operator_file, Node,
+    Processor,
+};
 use serde_json::{json, Value};
 use standin::{answered, Gateway};
 use std::collections::BTreeMap;
@@ -20,8 +23,8 @@
 
 /// Allocations, allocated bytes and copied bytes so far.
 fn counts(node: &mut Node) -> [u64; 3] {
-    node.ask();
-    let line = node.line("counted: ");
+    node.request_allocation_counts();
+    let line = node.wait_for_line("counted: ");
     ["allocations", "bytes", "copied"].map(|name| Node::counter(&line, name))
 }
 
@@ -68,9 +71,9 @@
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address().to_string()}), None);
     processor.accept();
-    processor.say(b"hi running 60000\r\n");
+    processor.send(b"hi running 60000\r\n");
     let gateway = node.ready();
-    std::thread::spawn(move || processor.serve(result));
+    std::thread::spawn(move || processor.serve_until_disconnected(result));
     (node, gateway)
 }
 
@@ -87,7 +90,7 @@
 }
 
 fn served(gateway: &mut common::Gateway, class: &str, key: Option<&str>, body: &[u8]) {
-    gateway.send(class, work(5000, key, body));
+    gateway.send(class, request_params(5000, key, body));
     let answer = gateway.receive();
     assert!(answer["result"].is_object(), "{answer}");
 }
@@ -131,7 +134,7 @@
     costs.insert("health", cost(&mut node, health_check));
     // The deadline has passed when the request arrives, so that it is rejected at once.
     let rejected = || {
-        let mut late = work(300, None, &[7; 200]);
+        let mut late = request_params(300, None, &[7; 200]);
         late["since"] = json!(late["since"].as_u64().unwrap() - 1000);
         gateway.send("rota-view", late);
         assert_eq!(gateway.receive()["error"]["code"], -32000);
@@ -144,13 +147,13 @@
     let mut processor = Processor::new();
     let mut node = Node::start(json!({"processor": processor.address().to_string()}), None);
     processor.accept();
-    processor.say(b"hi running 60000\r\n");
+    processor.send(b"hi running 60000\r\n");
     let mut gateway = node.ready();
-    gateway.send("swap-confirm", work(60_000, Some("stands"), b""));
+    gateway.send("swap-confirm", request_params(60_000, Some("stands"), b""));
     let run = processor.begin();
-    std::thread::spawn(move || processor.serve(0));
+    std::thread::spawn(move || processor.serve_until_disconnected(0));
     let cancelled = || {
-        let id = gateway.send("swap-confirm", work(50_000, Some("stands"), b""));
+        let id = gateway.send("swap-confirm", request_params(50_000, Some("stands"), b""));
         gateway.notify("cancelRequest", json!({"id": id}));
         assert_eq!(gateway.receive()["error"]["code"], -32800);
     };
@@ -162,17 +165,17 @@
 fn measure_uwsgi(costs: &mut Costs) {
     let mut processor = Processor::new();
     let config = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(config, Some(&uwsgi_file(None, "processor")));
+    let mut node = Node::start(config, Some(&uwsgi_operator_file(None, "processor")));
     processor.accept();
-    processor.say(b"hi running 60000\r\n");
+    processor.send(b"hi running 60000\r\n");
     node.ready();
-    std::thread::spawn(move || processor.serve(200));
-    let address = node.uwsgi.unwrap();
+    std::thread::spawn(move || processor.serve_until_disconnected(200));
+    let address = node.uwsgi_address.unwrap();
     let request = packet("/view", &[], b"");
     let view = || {
         let mut stream = std::net::TcpStream::connect(address).unwrap();
         std::io::Write::write_all(&mut stream, &request).unwrap();
-        assert_eq!(response(stream).0, 200);
+        assert_eq!(read_response(stream).0, 200);
     };
     costs.insert("uwsgi", cost(&mut node, view));
 }
@@ -180,7 +183,7 @@
 /// 32 requests in one write, and one request of each of 200 gateways.
 fn measure_concurrent_requests(costs: &mut Costs) {
     let mut node = wide();
-    let mut gateway = Gateway::new(node.gateways, 1);
+    let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = base64(&[7; 200]);
     let (mut out, mut line) = (Vec::new(), String::new());
     let batch = || {
@@ -196,7 +199,7 @@
     };
     costs.insert("view-32", cost(&mut node, batch));
     let mut gateways: Vec<Gateway> = (0..200)
-        .map(|number| Gateway::new(node.gateways, 2 + number))
+        .map(|number| Gateway::new(node.gateway_address, 2 + number))
         .collect();
     let round = || {
         for gateway in &mut gateways {
@@ -218,14 +221,14 @@
     node.ready();
     let doc = base64(&[7; 200]);
     let (mut out, mut line) = (Vec::new(), String::new());
-    let mut saturating = Gateway::new(node.gateways, 1);
+    let mut saturating = Gateway::new(node.gateway_address, 1);
     for _ in 0..30 {
         saturating.request(&mut out, "rota-view", None, &doc);
     }
     saturating.say(&out);
     saturating.line(&mut line);
     assert!(line.contains("-32000"), "{line}");
-    let mut gateway = Gateway::new(node.gateways, 2);
+    let mut gateway = Gateway::new(node.gateway_address, 2);
     let overload = || {
         out.clear();
         gateway.request(&mut out, "rota-view", None, &doc);
@@ -278,8 +281,8 @@
 #[test]
 fn a_burst_of_large_bodies_is_given_back() {
     let held = |node: &mut Node| {
-        node.ask();
-        Node::counter(&node.line("counted: "), "held")
+        node.request_allocation_counts();
+        Node::counter(&node.wait_for_line("counted: "), "held")
     };
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
@@ -288,7 +291,9 @@
         json!({"processor": standin::processor(Some(4096)).to_string(), "settings": settings});
     let mut node = Node::start(parties, None);
     node.ready();
-    let mut gateways: Vec<Gateway> = (0..8).map(|n| Gateway::new(node.gateways, 1 + n)).collect();
+    let mut gateways: Vec<Gateway> = (0..8)
+        .map(|n| Gateway::new(node.gateway_address, 1 + n))
+        .collect();
     let (small, large) = (base64(&[7; 8]), base64(&[7; 2048]));
     let (mut out, mut line) = (Vec::new(), String::new());
     let mut burst = |doc: &str, count: usize| {
--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -4,7 +4,7 @@
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
 
-use common::{base64, packet, work, Node, Scratch, PATIENCE, PROGRAM};
+use common::{base64, packet, request_params, Node, ScratchDirectory, PROGRAM, TEST_TIMEOUT};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -118,7 +118,7 @@
     }
 }
 
-fn operator(folder: &Scratch, more: &str) -> String {
+fn operator(folder: &ScratchDirectory, more: &str) -> String {
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n\
          [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"processor\"\n\
@@ -140,7 +140,10 @@
 /// Sends a request on either protocol and waits for the outcome.
 fn ask(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Heard {
     ask_at(
-        (node.gateways, node.uwsgi.expect("the front is on")),
+        (
+            node.gateway_address,
+            node.uwsgi_address.expect("the front is on"),
+        ),
         uwsgi,
         key,
         body,
@@ -153,7 +156,7 @@
     let start = Instant::now();
     loop {
         match ask(node, uwsgi, key, body) {
-            Heard::Refused if start.elapsed() < PATIENCE => {}
+            Heard::Refused if start.elapsed() < TEST_TIMEOUT => {}
             heard => return heard,
         }
     }
@@ -163,7 +166,7 @@
 fn settled(node: &Node) {
     loop {
         node.signal("-USR1");
-        if Node::counter(&node.line("store: used="), "waiting") == 0 {
+        if Node::counter(&node.wait_for_line("store: used="), "waiting") == 0 {
             return;
         }
     }
@@ -171,7 +174,7 @@
 
 /// Waits for the node to say this of its store: it may say before that its disk is slow.
 fn said(node: &Node, what: &str) {
-    while !node.line("store: keyed").contains(what) {}
+    while !node.wait_for_line("store: keyed").contains(what) {}
 }
 
 fn ask_at(
@@ -184,7 +187,7 @@
         let Ok(mut stream) = TcpStream::connect(front) else {
             return Heard::Nothing;
         };
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut bytes = Vec::new();
         let sent = stream.write_all(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", key)], body));
         let read = sent.and_then(|()| stream.read_to_end(&mut bytes));
@@ -206,8 +209,8 @@
     let Ok(stream) = TcpStream::connect(gateways) else {
         return Heard::Nothing;
     };
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    let params = work(5000, Some(key), body);
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    let params = request_params(5000, Some(key), body);
     let message = json!({"jsonrpc": "2.0", "id": 1, "method": "swap-confirm", "params": params});
     if (&stream)
         .write_all(format!("{message}\n").as_bytes())
@@ -241,7 +244,7 @@
     settings["categories"][1]["memorySpan"] = json!(WINDOW);
     let parties = json!({"processor": processor.at.to_string(), "settings": settings});
     let env: Vec<_> = point.map(|p| ("PIPITLEVER_POINT", p)).into_iter().collect();
-    let node = Node::start_with(PROGRAM.as_ref(), parties, Some(operator), &env);
+    let node = Node::start_with_environment(PROGRAM.as_ref(), parties, Some(operator), &env);
     node.ready();
     node
 }
@@ -274,7 +277,7 @@
 /// So many cycles of a request, a kill, a restart and repeats. How many writes there were for each
 /// key, by point.
 fn cycles(count: usize, more: &str) -> BTreeMap<(&'static str, Then, u64), u64> {
-    let scratch = Scratch::new(if more.is_empty() {
+    let scratch = ScratchDirectory::new(if more.is_empty() {
         "kills"
     } else {
         "kills-durable"
@@ -299,12 +302,18 @@
         let mut node = start(&processor, &operator, named);
         let heard = match point {
             "during the run" => {
-                let at = (node.gateways, node.uwsgi.expect("the front is on"));
+                let at = (
+                    node.gateway_address,
+                    node.uwsgi_address.expect("the front is on"),
+                );
                 let (key, body) = (key.clone(), body.clone());
                 let sent = body.clone();
                 let asked = std::thread::spawn(move || ask_at(at, first_front, &key, &sent));
                 assert_eq!(
-                    processor.begun.recv_timeout(PATIENCE).expect("it begins"),
+                    processor
+                        .begun
+                        .recv_timeout(TEST_TIMEOUT)
+                        .expect("it begins"),
                     body
                 );
                 node.signal("-KILL");
@@ -341,7 +350,9 @@
                 }
                 Then::Fails => assert_eq!(again, Heard::Failed, "{cycle} {point}"),
                 // Until the processor has told of it.
-                Then::Learns if again == Heard::Failed && asked.elapsed() < PATIENCE => continue,
+                Then::Learns if again == Heard::Failed && asked.elapsed() < TEST_TIMEOUT => {
+                    continue
+                }
                 Then::Learns => assert_eq!(again, Heard::Served(result(&body)), "{cycle} {point}"),
             }
             break;
@@ -371,7 +382,7 @@
     let came = Instant::now();
     while !unwritten.is_empty() {
         assert!(
-            came.elapsed() < 2 * PATIENCE,
+            came.elapsed() < 2 * TEST_TIMEOUT,
             "{} keys are never written",
             unwritten.len()
         );
@@ -412,7 +423,7 @@
 
 #[test]
 fn a_folder_in_use_is_an_error_and_a_damaged_one_refuses() {
-    let scratch = Scratch::new("store-start");
+    let scratch = ScratchDirectory::new("store-start");
     let text = operator(&scratch, "");
     let processor = Processor::start();
     let mut node = start(&processor, &text, None);
@@ -488,7 +499,7 @@
     assert_eq!(ask(&node, true, "another", b"two"), Heard::Refused);
     // Reads go on.
     let mut gateway = node.gateway();
-    gateway.send("rota-view", work(5000, None, b"view"));
+    gateway.send("rota-view", request_params(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
     drop(node);
     let stop = text.replace("max_mb = 8", "max_mb = 8\non_damage = \"stop\"");
@@ -511,7 +522,7 @@
 /// by itself.
 #[test]
 fn a_folder_that_vanishes_refuses_keys_until_it_is_back() {
-    let scratch = Scratch::new("store-gone");
+    let scratch = ScratchDirectory::new("store-gone");
     let text = operator(&scratch, "");
     let processor = Processor::start();
     let node = start(&processor, &text, None);
@@ -529,7 +540,7 @@
     }
     said(&node, "keyed requests rejected reason=failing");
     let mut gateway = node.gateway();
-    gateway.send("rota-view", work(5000, None, b"view"));
+    gateway.send("rota-view", request_params(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
     // What is known is still told.
     assert_eq!(ask(&node, true, "k", b"one"), Heard::Served(result(b"one")));
--- a/crates/benchmarks/tests/panics.rs
+++ b/crates/benchmarks/tests/panics.rs
@@ -6,7 +6,8 @@
 mod common;
 
 use common::{
-    base64, packet, udp, work, Door, Gateway, Node, Processor, Scratch, Worker, PATIENCE, PROGRAM,
+    base64, packet, request_params, udp_socket, ControlEndpoint, Gateway, Node, Processor,
+    ScratchDirectory, Worker, PROGRAM, TEST_TIMEOUT,
 };
 use serde_json::{json, Value};
 use std::net::{TcpListener, TcpStream, UdpSocket};
@@ -21,10 +22,10 @@
 
 /// A node of which one subsystem panics when it is told to, with all that it talks to.
 struct Site {
-    folder: Scratch,
+    folder: ScratchDirectory,
     subsystem: &'static str,
     node: Node,
-    door: Door,
+    door: ControlEndpoint,
     processor: Processor,
     gateway: Gateway,
     ledger: TcpListener,
@@ -40,13 +41,13 @@
 
     /// The same; `prepare` is called with the trigger's path before the start.
     fn start_with(subsystem: &'static str, sections: &str, prepare: fn(&Path)) -> Site {
-        let folder = Scratch::new(&format!("panics-{subsystem}"));
+        let folder = ScratchDirectory::new(&format!("panics-{subsystem}"));
         std::fs::create_dir_all(&folder.0).unwrap();
         let trigger = folder.0.join("trigger");
         prepare(&trigger);
         let mut processor = Processor::new();
         let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (registry, worker) = (udp(), Worker::new());
+        let (registry, worker) = (udp_socket(), Worker::new());
         let parties = json!({
             "processor": processor.address().to_string(),
             "ledger": ledger.local_addr().unwrap().to_string(),
@@ -56,7 +57,7 @@
         });
         let operator = format!(
             "{}{}",
-            common::uwsgi_file(Some(worker.address()), "workers"),
+            common::uwsgi_operator_file(Some(worker.address()), "workers"),
             sections.replace("FOLDER", folder.0.to_str().unwrap())
         );
         let injection = format!("{subsystem}:{}", trigger.display());
@@ -64,9 +65,10 @@
             ("PIPITLEVER_PANIC", injection.as_str()),
             ("TMPDIR", folder.0.to_str().unwrap()),
         ];
-        let node = Node::start_with(PROGRAM.as_ref(), parties, Some(&operator), &environment);
-        let door = node.door();
-        processor.up();
+        let node =
+            Node::start_with_environment(PROGRAM.as_ref(), parties, Some(&operator), &environment);
+        let door = node.control_endpoint();
+        processor.accept_running();
         let gateway = node.ready();
         Site {
             folder,
@@ -93,23 +95,23 @@
     /// Sends a read that begins to run; its id at the processor.
     fn begin_read(&mut self) -> String {
         self.gateway
-            .send("rota-view", work(4000, None, b"in flight"));
+            .send("rota-view", request_params(4000, None, b"in flight"));
         self.processor.begin().0
     }
 
     /// The panic is logged with its place, and the node's status and health fail.
     fn expect_failure(&mut self) {
-        let line = self.node.line("panic: ");
+        let line = self.node.wait_for_line("panic: ");
         let place = "at=crates/node/src/supervision/panic_point.rs:";
         assert!(line.contains(place), "{line}");
         let subsystem = format!("subsystem={} ", self.subsystem);
         assert!(line.contains(&subsystem), "{line}");
         let ending = format!("ending: subsystem={} panicked", self.subsystem);
-        assert_eq!(self.node.line("ending: "), ending);
+        assert_eq!(self.node.wait_for_line("ending: "), ending);
         let (status, text) = self.door.call("GET /status");
         let failed = format!("\r\n\r\nfailed: {}\n", self.subsystem);
         assert!(status == 503 && text.ends_with(&failed), "{status} {text}");
-        assert_eq!(self.door.figure("panics"), Some(1));
+        assert_eq!(self.door.metric("panics"), Some(1));
     }
 
     /// A run that was in flight ends as usual, and the process ends with its own code in time.
@@ -152,7 +154,7 @@
 
 fn uwsgi_client(site: &Site, path: &str, key: &str) -> TcpStream {
     let variables = [("HTTP_IDEMPOTENCY_KEY", key)];
-    site.node.client(&packet(path, &variables, b"x"))
+    site.node.uwsgi_client(&packet(path, &variables, b"x"))
 }
 
 /// The connection that panics is lost, whichever it is; all others get their answers.
@@ -162,7 +164,7 @@
     let mut gateways = vec![site.node.gateway(), site.node.gateway()];
     let mut runs = Vec::new();
     for gateway in &mut gateways {
-        gateway.send("rota-view", work(4000, None, b"in flight"));
+        gateway.send("rota-view", request_params(4000, None, b"in flight"));
         runs.push(site.processor.begin().0);
     }
     site.arm();
@@ -190,7 +192,7 @@
     let mut site = Site::start("processor", "");
     site.begin_read();
     site.arm();
-    site.processor.say(b"used 1 0.5 1 0.1 2\r\n");
+    site.processor.send(b"used 1 0.5 1 0.1 2\r\n");
     site.expect_failure();
     // Its result can't arrive any more; the client is told so before the end.
     assert!(site.answer()["error"]["code"].is_i64());
@@ -239,9 +241,9 @@
     let run = site.begin_read();
     site.arm();
     let _call = TcpStream::connect(site.door.0).unwrap();
-    let line = site.node.line("panic: ");
+    let line = site.node.wait_for_line("panic: ");
     assert!(line.contains("subsystem=control "), "{line}");
-    let ending = site.node.line("ending: ");
+    let ending = site.node.wait_for_line("ending: ");
     assert_eq!(ending, "ending: subsystem=control panicked");
     site.expect_answer_and_exit(&run);
 }
@@ -250,7 +252,7 @@
 fn a_panic_of_the_hot_restart_drains_and_ends_the_node() {
     let mut site = Site::start("hot-restart", "");
     let run = site.begin_read();
-    let name = site.node.gateways.to_string().replace(':', "-");
+    let name = site.node.gateway_address.to_string().replace(':', "-");
     let meeting_place = site.folder.0.join(format!("pipitlever-{name}.sock"));
     site.arm();
     let _stranger = UnixStream::connect(meeting_place).unwrap();
@@ -261,14 +263,14 @@
 const FLEET: &str = "[fleet]\nname = \"panics\"\nbind = \"127.0.0.1:0\"\nprobe_ms = 200\n";
 
 /// A node's view of its fleet.
-fn view(door: &Door) -> Value {
+fn view(door: &ControlEndpoint) -> Value {
     let (_, response) = door.call("GET /fleet");
     let (_, body) = response.split_once("\r\n\r\n").unwrap();
     serde_json::from_str(body).unwrap()
 }
 
 /// Whether a node's view has this member alive.
-fn sees_alive(door: &Door, member: &str) -> bool {
+fn sees_alive(door: &ControlEndpoint, member: &str) -> bool {
     let view = view(door);
     let mut members = view["members"].as_array().unwrap().iter();
     members.any(|m| m["name"] == member && m["state"] == "alive")
@@ -277,7 +279,7 @@
 fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
 }
@@ -289,11 +291,11 @@
     let view = view(&site.door);
     let seed = view["members"][0]["address"].as_str().unwrap();
     let peer = Node::start(
-        json!({"name": "n2", "control": "127.0.0.1:0", "processor": common::nobody().to_string()}),
+        json!({"name": "n2", "control": "127.0.0.1:0", "processor": common::unused_address().to_string()}),
         Some(&format!("{FLEET}seeds = [\"{seed}\"]\n")),
     );
-    let line = peer.line("serving: name=n2 protocol=control");
-    let peer_door = Door(line.rsplit_once("address=").unwrap().1.parse().unwrap());
+    let line = peer.wait_for_line("serving: name=n2 protocol=control");
+    let peer_door = ControlEndpoint(line.rsplit_once("address=").unwrap().1.parse().unwrap());
     wait_until("they know each other", || {
         sees_alive(&peer_door, "n1") && sees_alive(&site.door, "n2")
     });
@@ -312,7 +314,7 @@
     let run = site.begin_read();
     site.arm();
     let mut other = site.node.gateway();
-    other.send("swap-confirm", work(4000, Some("key"), b"x"));
+    other.send("swap-confirm", request_params(4000, Some("key"), b"x"));
     site.expect_failure();
     site.expect_answer_and_exit(&run);
     // The key can't be recorded any more, so that its command never runs.
@@ -322,7 +324,7 @@
 /// In the start, when an acceptor writes for the first time: nothing was admitted yet.
 #[test]
 fn a_panic_of_the_versions_thread_ends_the_node() {
-    let folder = Scratch::new("panics-versions");
+    let folder = ScratchDirectory::new("panics-versions");
     std::fs::create_dir_all(&folder.0).unwrap();
     let trigger = folder.0.join("trigger");
     std::fs::write(&trigger, "").unwrap();
@@ -333,11 +335,13 @@
     );
     let injection = format!("versions:{}", trigger.display());
     let environment = [("PIPITLEVER_PANIC", injection.as_str())];
-    let parties = json!({"processor": common::nobody().to_string(), "stop_ms": STOP_MS});
+    let parties = json!({"processor": common::unused_address().to_string(), "stop_ms": STOP_MS});
     let program = PROGRAM.as_ref();
-    let mut node = Node::start_with(program, parties, Some(&operator), &environment);
-    assert!(node.line("panic: ").contains("subsystem=versions "));
-    let ending = node.line("ending: ");
+    let mut node = Node::start_with_environment(program, parties, Some(&operator), &environment);
+    assert!(node
+        .wait_for_line("panic: ")
+        .contains("subsystem=versions "));
+    let ending = node.wait_for_line("ending: ");
     assert_eq!(ending, "ending: subsystem=versions panicked");
     expect_exit(&mut node);
 }
@@ -348,17 +352,20 @@
     let capture = "[capture]\nfolder = \"FOLDER/captures\"\nsegment_mb = 8\nkeep_mb = 64\n";
     let arm_now = |trigger: &Path| std::fs::write(trigger, "").unwrap();
     let mut site = Site::start_with("capture", capture, arm_now);
-    assert!(site.node.line("panic: ").contains("subsystem=capture "));
-    let told = site.node.line("capture: stopped");
+    assert!(site
+        .node
+        .wait_for_line("panic: ")
+        .contains("subsystem=capture "));
+    let told = site.node.wait_for_line("capture: stopped");
     assert!(told.contains("SIGHUP starts it again"), "{told}");
     assert_eq!(site.door.call("GET /status").0, 200);
-    assert_eq!(site.door.figure("panics"), Some(1));
+    assert_eq!(site.door.metric("panics"), Some(1));
     let run = site.begin_read();
     site.processor.complete(&run, "fine", b"served");
     let answer = site.answer();
     assert_eq!(answer["result"]["doc"], base64(b"served"), "{answer}");
     site.node.signal("-HUP");
-    site.node.line("capture: writing: ");
+    site.node.wait_for_line("capture: writing: ");
     site.node.signal("-TERM");
     assert_eq!(site.node.wait().code(), Some(0));
 }
@@ -370,9 +377,9 @@
     let mut site = Site::start("core", "");
     site.begin_read();
     site.arm();
-    site.node.line("panic: ");
+    site.node.wait_for_line("panic: ");
     assert_eq!(
-        site.node.line("ending: the core"),
+        site.node.wait_for_line("ending: the core"),
         "ending: the core panicked in an update, nothing is drained"
     );
     site.expect_exit();
--- a/crates/benchmarks/tests/speed.rs
+++ b/crates/benchmarks/tests/speed.rs
@@ -49,7 +49,7 @@
 /// CPU in microseconds a request, of so many requests with so many at a time.
 fn cpu(program: &Path, requests: usize, at_once: usize) -> f64 {
     let node = node(program);
-    let mut gateway = Gateway::new(node.gateways, 1);
+    let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = common::base64(&[7; 200]);
     let (mut out, mut line) = (Vec::new(), String::new());
     let before = ticks(&node);
@@ -71,7 +71,7 @@
 /// in microseconds, and by how much the generator was late at the most.
 fn open_loop(program: &Path, rate: u64, length: Duration) -> [f64; 4] {
     let node = node(program);
-    let mut gateway = Gateway::new(node.gateways, 1);
+    let mut gateway = Gateway::new(node.gateway_address, 1);
     let (mut to, mut from) = gateway.split();
     let doc = common::base64(&[7; 200]);
     let count = (rate as f64 * length.as_secs_f64()) as u64;
@@ -122,7 +122,7 @@
     // Few threads for many gateways: the generator is not to be what is measured.
     let threads: Vec<_> = (0..4)
         .map(|thread| {
-            let (at, doc, connected) = (node.gateways, doc.clone(), connected.clone());
+            let (at, doc, connected) = (node.gateway_address, doc.clone(), connected.clone());
             let mine = (0..gateways).filter(move |n| n % 4 == thread);
             std::thread::spawn(move || {
                 let open = if gateways > 32 { 4 } else { 32 };
--- a/crates/benchmarks/tests/syscalls.rs
+++ b/crates/benchmarks/tests/syscalls.rs
@@ -145,7 +145,7 @@
     ];
     for (case, count, class, doc, keyed, result) in cases {
         let traced = Traced::start(case, result);
-        let mut gateway = Gateway::new(traced.node.gateways, 1);
+        let mut gateway = Gateway::new(traced.node.gateway_address, 1);
         let mut keys = 0;
         let (mut out, mut line) = (Vec::new(), String::new());
         let once = || {
@@ -164,7 +164,7 @@
         all.insert(case, traced.cost(once));
     }
     let traced = Traced::start("health", 0);
-    let mut gateway = Gateway::new(traced.node.gateways, 1);
+    let mut gateway = Gateway::new(traced.node.gateway_address, 1);
     let (mut number, mut line) = (0, String::new());
     let once = || {
         number += 1;
--- a/crates/node/tests/capture_cost.rs
+++ b/crates/node/tests/capture_cost.rs
@@ -47,9 +47,9 @@
         "limits": {"memory_mb": 32, "sockets": 384, "cores": 0.5}});
     let mut node = Node::start(limits, capture.then_some(&*section));
     processor.accept();
-    processor.say(b"hi running 60000\r\n");
+    processor.send(b"hi running 60000\r\n");
     let mut gateway = node.ready();
-    std::thread::spawn(move || processor.echo_when_asked());
+    std::thread::spawn(move || processor.echo_until_disconnected());
     let before = usage(node.pid()).0;
     let mut sent = std::collections::HashMap::new();
     let mut took = Vec::new();
@@ -63,7 +63,7 @@
                 "rota-view"
             };
             let key = format!("key-{round}-{next}");
-            let params = work(5000, (next.is_multiple_of(7)).then_some(&*key), &[7; 200]);
+            let params = request_params(5000, (next.is_multiple_of(7)).then_some(&*key), &[7; 200]);
             sent.insert(gateway.send(class, params), Instant::now());
         }
         let answer = gateway.receive();
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -17,11 +17,11 @@
 use std::time::{Duration, Instant};
 
 /// A folder for a node's captures.
-struct Folder(Scratch);
+struct Folder(ScratchDirectory);
 
 impl Folder {
     fn new(name: &str) -> Folder {
-        Folder(Scratch::new(&format!("captures-{name}")))
+        Folder(ScratchDirectory::new(&format!("captures-{name}")))
     }
 
     fn section(&self) -> String {
@@ -50,7 +50,7 @@
             .is_some_and(|f| read(f).is_some_and(|p| there(&p)))
         {
             assert!(
-                start.elapsed() < PATIENCE,
+                start.elapsed() < TEST_TIMEOUT,
                 "it is not on the disk: {:?}",
                 self.files()
             );
@@ -160,7 +160,7 @@
         .extend(parties.as_object().unwrap().clone());
     let node = Node::start(all, Some(&folder.section()));
     processor.accept();
-    processor.say(hi);
+    processor.send(hi);
     let gateway = node.ready();
     (folder, node, processor, gateway)
 }
@@ -168,14 +168,14 @@
 /// The node leaves, and its capture is whole.
 fn leave(mut node: Node) {
     node.signal("-TERM");
-    node.line("counters: ");
+    node.wait_for_line("counters: ");
     assert!(node.wait().success());
 }
 
 /// Sends reads until some are held: so many are begun at once.
 fn fill(gateway: &mut Gateway, processor: &mut Processor, reads: usize) -> Vec<String> {
     for _ in 0..reads {
-        gateway.send("rota-view", work(4000, None, b"read"));
+        gateway.send("rota-view", request_params(4000, None, b"read"));
     }
     // The run limit starts at the cores, of which there are six.
     (0..6).map(|_| processor.begin().0).collect()
@@ -184,7 +184,7 @@
 #[test]
 fn outside_names_and_answers_stand_beside_the_steps() {
     let (folder, node, mut processor, mut gateway) = captured("names", json!({}));
-    let mut params = work(5000, Some("a secret key"), b"a secret body");
+    let mut params = request_params(5000, Some("a secret key"), b"a secret body");
     params["sender"] = json!(4);
     let reference = u64::from_str_radix(params["ref"].as_str().unwrap(), 16).unwrap();
     gateway.send("swap-confirm", params);
@@ -262,12 +262,12 @@
 #[test]
 fn a_key_repeated_while_its_first_try_runs() {
     let (folder, node, mut processor, mut gateway) = captured("repeat", json!({}));
-    gateway.send("swap-confirm", work(5000, Some("key"), b"x"));
+    gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     let (id, _) = processor.begin();
     for _ in 0..3 {
-        gateway.send("swap-confirm", work(5000, Some("key"), b"x"));
+        gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     }
-    gateway.send("rota-view", work(5000, None, b"behind them"));
+    gateway.send("rota-view", request_params(5000, None, b"behind them"));
     let (read, _) = processor.begin();
     processor.complete(&id, "fine", b"once");
     processor.complete(&read, "fine", b"view");
@@ -299,10 +299,10 @@
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties.clone(), Some(&section));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     for key in ["kept", "open"] {
-        gateway.send("swap-confirm", work(5000, Some(key), b"x"));
+        gateway.send("swap-confirm", request_params(5000, Some(key), b"x"));
         let (id, _) = processor.begin();
         if key == "kept" {
             processor.complete(&id, "fine", b"once");
@@ -312,10 +312,10 @@
     node.signal("-KILL");
     node.wait();
     let node = Node::start(parties, Some(&(section + &folder.section())));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     for key in ["kept", "open", "new"] {
-        gateway.send("swap-confirm", work(5000, Some(key), b"x"));
+        gateway.send("swap-confirm", request_params(5000, Some(key), b"x"));
     }
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"new");
@@ -336,19 +336,19 @@
 #[test]
 fn a_link_break_that_makes_starts_doubtful() {
     let (folder, node, mut processor, mut gateway) = captured("link", json!({}));
-    gateway.send("rota-view", work(5000, None, b"read"));
+    gateway.send("rota-view", request_params(5000, None, b"read"));
     let read = processor.begin();
-    processor.cut();
+    processor.disconnect();
     processor.accept();
-    processor.say(b"hi running 60100\r\n");
+    processor.send(b"hi running 60100\r\n");
     // Whether the start was read nobody knows: that of a read goes out again.
     assert_eq!(processor.begin(), read);
     processor.complete(&read.0, "fault", b"");
     assert_eq!(gateway.receive()["error"]["code"], -32001);
     // One that the processor rejects never ran.
-    gateway.send("swap-confirm", work(5000, Some("k"), b"write"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"write"));
     let (write, _) = processor.begin();
-    processor.say(format!("reject begin {write}\r\n").as_bytes());
+    processor.send(format!("reject begin {write}\r\n").as_bytes());
     assert_eq!(gateway.receive()["error"]["code"], -32000);
     leave(node);
     let played = folder.played("link-break");
@@ -361,19 +361,22 @@
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let parties = json!({"ledger": ledger.local_addr().unwrap().to_string()});
     let (folder, node, mut processor, mut gateway) = captured("jam", parties);
-    gateway.send("rota-view", work(600, None, b"read"));
-    gateway.send("swap-confirm", work(5000, Some("k"), b"write"));
+    gateway.send("rota-view", request_params(600, None, b"read"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"write"));
     for _ in 0..2 {
         let (id, _) = processor.begin();
         processor.notice("ask", &id, b"call");
     }
-    let (mut jammed, mut broken) = (Below::accept(&ledger), Below::accept(&ledger));
+    let (mut jammed, mut broken) = (
+        LedgerConnection::accept(&ledger),
+        LedgerConnection::accept(&ledger),
+    );
     let (first, _) = jammed.post();
     let (second, _) = broken.post();
     // One is turned away until its time is up; the other's call may have had its effect.
     broken.reply(&format!("{second} error\r\n"));
     jammed.reply(&format!("{first} queue_full\r\n"));
-    let jam = |mut below: Below| {
+    let jam = |mut below: LedgerConnection| {
         std::thread::spawn(move || {
             while let Some((id, _)) = below.try_post() {
                 below.reply(&format!("{id} queue_full\r\n"));
@@ -385,7 +388,7 @@
     jam(broken);
     std::thread::spawn(move || {
         while let Ok((stream, _)) = ledger.accept() {
-            jam(Below::of(stream));
+            jam(LedgerConnection::from_stream(stream));
         }
     });
     let answers: Vec<Value> = (0..2).map(|_| gateway.receive()).collect();
@@ -446,7 +449,7 @@
     let runs = fill(&mut gateway, &mut processor, 31);
     for other in &mut others {
         for _ in 0..31 {
-            other.send("rota-view", work(4000, None, b"burst"));
+            other.send("rota-view", request_params(4000, None, b"burst"));
         }
     }
     // The last of the burst is refused at once, long before anything has ended.
@@ -478,21 +481,21 @@
         Some(""),
     );
     processor.accept();
-    processor.say(b"hi running 3600000\r\n");
+    processor.send(b"hi running 3600000\r\n");
     let mut gateway = node.ready();
-    gateway.send("swap-confirm", work(9000, Some("k"), b"before"));
+    gateway.send("swap-confirm", request_params(9000, Some("k"), b"before"));
     let (id, _) = processor.begin();
-    node.rewrite_operator(&folder.section());
-    node.line("reload: done");
-    node.line("capture: writing: ");
+    node.rewrite_operator_file(&folder.section());
+    node.wait_for_line("reload: done");
+    node.wait_for_line("capture: writing: ");
     // The run that began before it ends in it, and its repeat is known for one.
     processor.complete(&id, "fine", b"once");
     gateway.receive();
-    gateway.send("swap-confirm", work(9000, Some("k"), b"before"));
+    gateway.send("swap-confirm", request_params(9000, Some("k"), b"before"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
-    node.rewrite_operator("");
-    node.line("reload: done");
-    gateway.send("rota-view", work(9000, None, b"after"));
+    node.rewrite_operator_file("");
+    node.wait_for_line("reload: done");
+    gateway.send("rota-view", request_params(9000, None, b"after"));
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"x");
     gateway.receive();
@@ -510,11 +513,11 @@
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let node = Node::start(parties, Some(&folder.section()));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    node.line("capture: stopped: ");
+    node.wait_for_line("capture: stopped: ");
     let serve = |gateway: &mut Gateway, processor: &mut Processor| {
-        gateway.send("rota-view", work(9000, None, b"x"));
+        gateway.send("rota-view", request_params(9000, None, b"x"));
         let (id, _) = processor.begin();
         processor.complete(&id, "fine", b"x");
         assert_eq!(gateway.receive()["result"]["doc"], base64(b"x"));
@@ -522,12 +525,12 @@
     serve(&mut gateway, &mut processor);
     std::fs::remove_file(&folder.0 .0).unwrap();
     // The node is idle: its own timers are steps, so the capture begins by itself.
-    let keep_alive = std::thread::spawn(move || processor.echo_when_asked());
-    node.line("capture: writing: ");
+    let keep_alive = std::thread::spawn(move || processor.echo_until_disconnected());
+    node.wait_for_line("capture: writing: ");
     std::fs::remove_dir_all(&folder.0 .0).unwrap();
-    node.line("capture: stopped: the segment's file was removed");
-    node.line("capture: writing: ");
-    gateway.send("rota-view", work(9000, None, b"x"));
+    node.wait_for_line("capture: stopped: the segment's file was removed");
+    node.wait_for_line("capture: writing: ");
+    gateway.send("rota-view", request_params(9000, None, b"x"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"x"));
     leave(node);
     drop(keep_alive);
--- a/crates/node/tests/closing.rs
+++ b/crates/node/tests/closing.rs
@@ -25,7 +25,7 @@
         .unwrap()
         .extend(more.as_object().unwrap().clone());
     let node = Node::start(parties, None);
-    processor.up();
+    processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway)
 }
@@ -49,9 +49,9 @@
 
 /// A raw connection that has brought a health check and read its answer.
 fn known(node: &Node) -> TcpStream {
-    let mut stream = TcpStream::connect(node.gateways).unwrap();
+    let mut stream = TcpStream::connect(node.gateway_address).unwrap();
     stream.set_nodelay(true).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
         .write_all(b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"alive\"}\n")
         .unwrap();
@@ -85,7 +85,7 @@
     // What a gateway writes before it has read this has crossed it.
     goaway(&mut stream);
     stream
-        .write_all(line(2, &work(5000, None, b"crossed")).as_bytes())
+        .write_all(line(2, &request_params(5000, None, b"crossed")).as_bytes())
         .unwrap();
     let (id, body) = processor.begin();
     assert_eq!(body, b"crossed");
@@ -98,7 +98,7 @@
 fn half_a_line_on_an_idle_connection_may_become_whole() {
     let (node, mut processor, _gateway) = pair(idle_after(500));
     let mut stream = known(&node);
-    let text = line(2, &work(5000, None, b"in halves"));
+    let text = line(2, &request_params(5000, None, b"in halves"));
     let (first, second) = text.as_bytes().split_at(40);
     stream.write_all(first).unwrap();
     goaway(&mut stream);
@@ -132,19 +132,19 @@
 #[test]
 fn nothing_behind_the_last_word_runs() {
     let (mut node, mut processor, mut gateway) = pair(json!({}));
-    let mut bad = TcpStream::connect(node.gateways).unwrap();
-    bad.set_read_timeout(Some(PATIENCE)).unwrap();
-    let request = line(1, &work(5000, None, b"behind"));
+    let mut bad = TcpStream::connect(node.gateway_address).unwrap();
+    bad.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    let request = line(1, &request_params(5000, None, b"behind"));
     bad.write_all(format!("{}{request}", "{\n".repeat(8)).as_bytes())
         .unwrap();
     assert_eq!(rest(&mut bad).lines().count(), 8);
-    gateway.send("rota-view", work(5000, None, b"after"));
+    gateway.send("rota-view", request_params(5000, None, b"after"));
     let (id, body) = processor.begin();
     assert_eq!(body, b"after");
     processor.complete(&id, "fine", b"");
     gateway.receive();
     node.signal("-TERM");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert_eq!(Node::counter(&counters, "requests"), 1, "{counters}");
     assert!(node.wait().success());
 }
@@ -153,11 +153,11 @@
 #[test]
 fn clients_that_never_stop_sending_are_answered_and_not_reset_by_the_end_of_a_drain() {
     let (mut node, mut processor, _gateway) = pair(json!({"stop_ms": 3000}));
-    let node_at = node.gateways;
+    let node_at = node.gateway_address;
     let client = move || -> (u64, usize) {
         let mut stream = TcpStream::connect(node_at).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut reader = stream.try_clone().unwrap();
         let writer = std::thread::spawn(move || {
             for id in 1.. {
@@ -179,7 +179,7 @@
     };
     let clients: Vec<_> = (0..8).map(|_| std::thread::spawn(client)).collect();
     let mut asking = node.gateway();
-    asking.send("rota-view", work(2500, None, b"running"));
+    asking.send("rota-view", request_params(2500, None, b"running"));
     let (id, _) = processor.begin();
     let start = Instant::now();
     node.signal("-TERM");
@@ -205,33 +205,33 @@
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let more = json!({"ledger": ledger.local_addr().unwrap(), "stop_ms": 4000});
     let (mut node, mut processor, mut gateway) = pair(more);
-    let calling = gateway.send("rota-view", work(3000, None, b"calls"));
+    let calling = gateway.send("rota-view", request_params(3000, None, b"calls"));
     let (call_id, _) = processor.begin();
     processor.notice("ask", &call_id, b"body");
-    let mut below = Below::accept(&ledger);
+    let mut below = LedgerConnection::accept(&ledger);
     below.post();
-    let running = gateway.send("swap-confirm", work(3000, Some("key"), b"runs"));
+    let running = gateway.send("swap-confirm", request_params(3000, Some("key"), b"runs"));
     let (run_id, _) = processor.begin();
-    let repeat = gateway.send("swap-confirm", work(3000, Some("key"), b"runs"));
+    let repeat = gateway.send("swap-confirm", request_params(3000, Some("key"), b"runs"));
     // Read by half: its rest comes after the signal.
-    let half_text = line(1, &work(3000, None, b"half"));
-    let mut half = TcpStream::connect(node.gateways).unwrap();
+    let half_text = line(1, &request_params(3000, None, b"half"));
+    let mut half = TcpStream::connect(node.gateway_address).unwrap();
     half.set_nodelay(true).unwrap();
-    half.set_read_timeout(Some(PATIENCE)).unwrap();
+    half.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     half.write_all(&half_text.as_bytes()[..30]).unwrap();
     // In the kernel's buffers, of a connection that the node has not accepted yet: it stands still
     // meanwhile.
     node.signal("-STOP");
-    let mut unread = TcpStream::connect(node.gateways).unwrap();
-    unread.set_read_timeout(Some(PATIENCE)).unwrap();
+    let mut unread = TcpStream::connect(node.gateway_address).unwrap();
+    unread.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     unread
-        .write_all(line(1, &work(3000, None, b"unread")).as_bytes())
+        .write_all(line(1, &request_params(3000, None, b"unread")).as_bytes())
         .unwrap();
     node.signal("-TERM");
     node.signal("-TERM");
     node.signal("-HUP");
     node.signal("-CONT");
-    node.line("draining: ");
+    node.wait_for_line("draining: ");
     half.write_all(&half_text.as_bytes()[30..]).unwrap();
     let mut begun = vec![processor.begin(), processor.begin()];
     begun.sort_by(|a, b| a.1.cmp(&b.1));
@@ -267,7 +267,7 @@
     );
     assert!(rest(&mut half).contains(&base64(b"half")));
     assert!(rest(&mut unread).contains(&base64(b"unread")));
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert_eq!(
         (
             Node::counter(&counters, "requests"),
@@ -286,10 +286,13 @@
     settings["safety"]["drainGrace"] = json!(300_000);
     let (mut node, mut processor, mut gateway) =
         pair(json!({"settings": settings, "stop_ms": 4000}));
-    gateway.send("rota-view", work(3500, None, b"holds the end back"));
+    gateway.send(
+        "rota-view",
+        request_params(3500, None, b"holds the end back"),
+    );
     let (id, _) = processor.begin();
     node.signal("-TERM");
-    node.line("draining: ");
+    node.wait_for_line("draining: ");
     assert_eq!(gateway.receive()["method"], "goaway");
     // The fronts close a little before the grace is over; what is said to have come after it is
     // late for certain.
@@ -299,7 +302,7 @@
     }
     let mut late = Vec::new();
     for _ in 0..5 {
-        late.push(gateway.send("rota-view", work(3000, None, b"late")));
+        late.push(gateway.send("rota-view", request_params(3000, None, b"late")));
     }
     for number in late {
         let answer = gateway.receive();
@@ -311,7 +314,7 @@
     }
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert_eq!(
         (
             Node::counter(&counters, "runs"),
@@ -329,27 +332,27 @@
 #[test]
 fn resting_clients_keep_the_node_from_nothing_that_it_needs() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
-    let members = udp();
+    let members = udp_socket();
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address(), "ledger": ledger.local_addr().unwrap(),
         "members": members.local_addr().unwrap(), "limits": {"sockets": 120, "memory_mb": 48}});
     // Descriptors that the system refuses beyond the number that the node is told.
-    let node = Node::start_limited(120, parties);
-    processor.up();
+    let node = Node::start_with_descriptor_limit(120, parties);
+    processor.accept_running();
     let mut open = node.ready();
-    open.send("rota-view", work(15000, None, b"open"));
+    open.send("rota-view", request_params(15000, None, b"open"));
     let (open_id, _) = processor.begin();
     // More than there are places, all of which have been heard once and then rest.
     let mut resting: Vec<TcpStream> = (0..150).map(|_| known(&node)).collect();
     let mut newcomer = node.gateway();
-    newcomer.send("rota-view", work(9000, None, b"new"));
+    newcomer.send("rota-view", request_params(9000, None, b"new"));
     let (id, _) = processor.begin();
     processor.notice("ask", &id, b"call");
-    let mut below = Below::accept(&ledger);
+    let mut below = LedgerConnection::accept(&ledger);
     below.post();
     // The link breaks while all places are taken, and is set up again.
-    processor.cut();
-    processor.up();
+    processor.disconnect();
+    processor.accept_running();
     below.reply(&format!("{id} posted 0\r\n\r\n"));
     // A start that the old link may have swallowed goes out again; where it runs already that means
     // nothing.
@@ -368,7 +371,7 @@
     // Those that rested longest were told first.
     goaway(&mut resting[0]);
     node.signal("-USR1");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert_eq!(Node::counter(&counters, "accept_errors"), 0, "{counters}");
     for mut last in resting.into_iter().skip(148) {
         last.set_read_timeout(Some(Duration::from_millis(1)))
@@ -392,13 +395,13 @@
     std::thread::sleep(Duration::from_millis(150));
     node.signal("-STOP");
     let newcomers: Vec<TcpStream> = (0..4)
-        .map(|_| TcpStream::connect(node.gateways).unwrap())
+        .map(|_| TcpStream::connect(node.gateway_address).unwrap())
         .collect();
     node.signal("-CONT");
     // It is answered in a later turn than that in which the newcomers were accepted.
     known(&node);
     node.signal("-USR1");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     let chosen = Node::counter(&counters, "crowded_out");
     assert!(chosen >= 3, "{counters}");
     // The gateway of the start was the first of them.
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Nothing that is waited for takes this long: past it the test has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// The program under test: the node, or the one that counts what it allocates.
 pub const PROGRAM: &str = match (
     option_env!("CARGO_BIN_EXE_pipitlever"),
@@ -25,7 +25,7 @@
 };
 /// Nobody listens there. A port of 127.0.0.1 that was free a moment ago may be another test's by
 /// now.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     "127.77.0.1:9".parse().unwrap()
 }
 
@@ -62,17 +62,17 @@
 }
 
 /// A folder of one test alone, taken away with it. It is not there at first.
-pub struct Scratch(pub PathBuf);
+pub struct ScratchDirectory(pub PathBuf);
 
-impl Scratch {
-    pub fn new(name: &str) -> Scratch {
+impl ScratchDirectory {
+    pub fn new(name: &str) -> ScratchDirectory {
         let path = std::env::temp_dir().join(format!("pipitlever-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&path);
-        Scratch(path)
+        ScratchDirectory(path)
     }
 }
 
-impl Drop for Scratch {
+impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -82,21 +82,21 @@
 pub struct Node {
     child: Child,
     config: (PathBuf, Value),
-    operator: PathBuf,
-    pub gateways: SocketAddr,
-    pub uwsgi: Option<SocketAddr>,
+    operator_file: PathBuf,
+    pub gateway_address: SocketAddr,
+    pub uwsgi_address: Option<SocketAddr>,
     lines: Receiver<String>,
     /// A test has stopped the process, so that it says nothing.
     pub stopped: bool,
     /// Answers that a test has the node give up, by not reading them.
-    pub undelivered: u64,
+    pub expected_undelivered: u64,
 }
 
 impl Node {
-    /// Starts a node with these parties, and an operator's file with this text.
-    pub fn start(parties: Value, operator: Option<&str>) -> Node {
+    /// Starts a node with these entries, and an operator's file with this text.
+    pub fn start(config_entries: Value, operator_file: Option<&str>) -> Node {
         // Another build, for those who count: what is checked is this one.
-        Node::start_program(&Node::program(), parties, operator)
+        Node::start_program(&Node::program(), config_entries, operator_file)
     }
 
     fn program() -> PathBuf {
@@ -104,8 +104,12 @@
     }
 
     /// The same of a program of its own.
-    pub fn start_program(program: &Path, parties: Value, operator: Option<&str>) -> Node {
-        Node::start_with(program, parties, operator, &[])
+    pub fn start_program(
+        program: &Path,
+        config_entries: Value,
+        operator_file: Option<&str>,
+    ) -> Node {
+        Node::start_with_environment(program, config_entries, operator_file, &[])
     }
 
     /// The files of a new node, by the ends of their names.
@@ -120,14 +124,14 @@
     }
 
     /// The same with more in its environment.
-    pub fn start_with(
+    pub fn start_with_environment(
         program: &Path,
-        parties: Value,
-        operator: Option<&str>,
+        config_entries: Value,
+        operator_file: Option<&str>,
         env: &[(&str, &str)],
     ) -> Node {
         let file = Node::files();
-        let config = configuration(&parties);
+        let config = configuration(&config_entries);
         std::fs::write(file("json"), config.to_string()).unwrap();
         let mut command = Command::new(program);
         command
@@ -135,13 +139,13 @@
             .arg("--config")
             .arg(file("json"))
             .envs(env.iter().copied());
-        Node::spawn(command, config, &file, operator)
+        Node::spawn(command, config, &file, operator_file)
     }
 
     /// The same with no more than so many descriptors.
-    pub fn start_limited(descriptors: usize, parties: Value) -> Node {
+    pub fn start_with_descriptor_limit(descriptors: usize, config_entries: Value) -> Node {
         let file = Node::files();
-        let config = configuration(&parties);
+        let config = configuration(&config_entries);
         std::fs::write(file("json"), config.to_string()).unwrap();
         let mut command = Command::new("prlimit");
         command
@@ -156,9 +160,9 @@
         mut command: Command,
         config: Value,
         file: &dyn Fn(&str) -> PathBuf,
-        operator: Option<&str>,
+        operator_file: Option<&str>,
     ) -> Node {
-        if let Some(text) = operator {
+        if let Some(text) = operator_file {
             std::fs::write(file("toml"), text).unwrap();
             command.arg("--operator").arg(file("toml"));
         }
@@ -177,34 +181,34 @@
         let listening = || -> SocketAddr {
             loop {
                 let line = lines
-                    .recv_timeout(PATIENCE)
+                    .recv_timeout(TEST_TIMEOUT)
                     .expect("the node says where it listens");
                 if let Some((_, at)) = line.rsplit_once("listen=") {
                     return at.parse().unwrap();
                 }
             }
         };
-        let gateways = listening();
-        let uwsgi = operator
+        let gateway_address = listening();
+        let uwsgi_address = operator_file
             .filter(|text| text.contains("listen"))
             .map(|_| listening());
         Node {
             child,
             config: (file("json"), config),
-            operator: file("toml"),
-            gateways,
-            uwsgi,
+            operator_file: file("toml"),
+            gateway_address,
+            uwsgi_address,
             lines,
             stopped: false,
-            undelivered: 0,
+            expected_undelivered: 0,
         }
     }
 
     /// Starts a node that does not stay; the code that it ends with, and its log.
-    pub fn fails(parties: Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
+    pub fn run_to_exit(config_entries: Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
         let file =
             std::env::temp_dir().join(format!("pipitlever-{}-fails.json", std::process::id()));
-        std::fs::write(&file, configuration(&parties).to_string()).unwrap();
+        std::fs::write(&file, configuration(&config_entries).to_string()).unwrap();
         let mut command = Command::new(PROGRAM);
         command
             .arg("serve")
@@ -219,13 +223,13 @@
         )
     }
 
-    /// Replaces the configuration by one with these parties, and says so.
-    pub fn reload(&mut self, parties: Value) {
+    /// Replaces the configuration by one with these entries, and says so.
+    pub fn reload(&mut self, config_entries: Value) {
         self.config
             .1
             .as_object_mut()
             .unwrap()
-            .extend(parties.as_object().unwrap().clone());
+            .extend(config_entries.as_object().unwrap().clone());
         let text = self.config.1.to_string();
         self.reload_text(&text);
     }
@@ -240,10 +244,10 @@
     }
 
     /// Replaces the operator's file, and says so.
-    pub fn rewrite_operator(&self, text: &str) {
-        let new = self.operator.with_extension("new");
+    pub fn rewrite_operator_file(&self, text: &str) {
+        let new = self.operator_file.with_extension("new");
         std::fs::write(&new, text).unwrap();
-        std::fs::rename(&new, &self.operator).unwrap();
+        std::fs::rename(&new, &self.operator_file).unwrap();
         self.signal("-HUP");
     }
 
@@ -257,11 +261,11 @@
     }
 
     /// The next line of the log that begins so.
-    pub fn line(&self, start: &str) -> String {
+    pub fn wait_for_line(&self, start: &str) -> String {
         loop {
             let line = self
                 .lines
-                .recv_timeout(PATIENCE)
+                .recv_timeout(TEST_TIMEOUT)
                 .unwrap_or_else(|_| panic!("no line {start}"));
             if line.starts_with(start) {
                 return line;
@@ -270,9 +274,9 @@
     }
 
     /// The operators' door, once the node has said where it is.
-    pub fn door(&self) -> Door {
-        let line = self.line("serving: name=n1 protocol=control");
-        Door(line.rsplit_once("address=").unwrap().1.parse().unwrap())
+    pub fn control_endpoint(&self) -> ControlEndpoint {
+        let line = self.wait_for_line("serving: name=n1 protocol=control");
+        ControlEndpoint(line.rsplit_once("address=").unwrap().1.parse().unwrap())
     }
 
     /// A counter from the line that the node ends with.
@@ -286,7 +290,7 @@
     }
 
     /// Says a line to the program that counts.
-    pub fn ask(&mut self) {
+    pub fn request_allocation_counts(&mut self) {
         self.child.stdin.as_mut().unwrap().write_all(b"\n").unwrap();
     }
 
@@ -299,10 +303,10 @@
     }
 
     pub fn gateway(&self) -> Gateway {
-        let stream = TcpStream::connect(self.gateways).unwrap();
+        let stream = TcpStream::connect(self.gateway_address).unwrap();
         // What is said goes out at once, rather than when the last was acknowledged.
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Gateway {
             lines: BufReader::new(stream.try_clone().unwrap()),
             stream,
@@ -323,23 +327,23 @@
         }
     }
 
-    pub fn client(&self, packet: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.uwsgi.expect("the front is on")).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    pub fn uwsgi_client(&self, packet: &[u8]) -> TcpStream {
+        let mut stream = TcpStream::connect(self.uwsgi_address.expect("the front is on")).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.write_all(packet).unwrap();
         stream
     }
 
     /// One uwsgi request from start to end: status and the whole response.
-    pub fn uwsgi(&self, packet: &[u8]) -> (u16, String) {
-        response(self.client(packet))
+    pub fn uwsgi_request(&self, packet: &[u8]) -> (u16, String) {
+        read_response(self.uwsgi_client(packet))
     }
 }
 
 impl Node {
     /// The figures that the node prints when asked, or printed at its end: counters and what it has
     /// now.
-    fn figures(&self, patience: Duration) -> Option<(String, String)> {
+    fn counters_and_state(&self, patience: Duration) -> Option<(String, String)> {
         let mut counters = None;
         loop {
             let line = self.lines.recv_timeout(patience).ok()?;
@@ -354,14 +358,18 @@
     }
 
     /// What was read is answered, told gone or open, and no answer was given up unwritten.
-    fn check_accounts(&mut self) {
+    fn check_accounting(&mut self) {
         let running = matches!(self.child.try_wait(), Ok(None));
         if running {
             self.signal("-USR1");
         }
         // One that a test has killed, or whose last lines it took, has nothing more to say.
-        let patience = if running { PATIENCE } else { Duration::ZERO };
-        let Some((counters, now)) = self.figures(patience) else {
+        let patience = if running {
+            TEST_TIMEOUT
+        } else {
+            Duration::ZERO
+        };
+        let Some((counters, now)) = self.counters_and_state(patience) else {
             return assert!(
                 !running || self.stopped,
                 "a node that runs prints its figures"
@@ -371,7 +379,11 @@
         let answered = count("served") + count("refused") + count("failed") + count("gone");
         let open = Node::counter(&now, "open");
         assert_eq!(count("requests"), answered + open, "{counters} {now}");
-        assert_eq!(count("undelivered"), self.undelivered, "{counters}");
+        assert_eq!(
+            count("undelivered"),
+            self.expected_undelivered,
+            "{counters}"
+        );
     }
 }
 
@@ -380,7 +392,7 @@
         let checked = match std::thread::panicking() {
             true => Ok(()),
             false => {
-                std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.check_accounts()))
+                std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.check_accounting()))
             }
         };
         // Whatever came of it, no process outlives its test.
@@ -393,21 +405,21 @@
 }
 
 /// The operators' door of a node.
-pub struct Door(pub SocketAddr);
+pub struct ControlEndpoint(pub SocketAddr);
 
-impl Door {
+impl ControlEndpoint {
     /// One call, and what it was answered.
     pub fn call(&self, line: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.0).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
             .write_all(format!("{line} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes())
             .unwrap();
-        response(stream)
+        read_response(stream)
     }
 
     /// A figure by its name, if it is there.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn metric(&self, name: &str) -> Option<u64> {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
         let line = text
@@ -417,7 +429,7 @@
     }
 }
 
-pub fn response(mut stream: TcpStream) -> (u16, String) {
+pub fn read_response(mut stream: TcpStream) -> (u16, String) {
     let mut bytes = Vec::new();
     stream
         .read_to_end(&mut bytes)
@@ -437,19 +449,19 @@
 }
 
 impl Gateway {
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
     pub fn send(&mut self, method: &str, params: Value) -> u64 {
         self.id += 1;
         let message = json!({"jsonrpc": "2.0", "id": self.id, "method": method, "params": params});
-        self.raw(format!("{message}\n").as_bytes());
+        self.send_bytes(format!("{message}\n").as_bytes());
         self.id
     }
 
     pub fn notify(&mut self, method: &str, params: Value) {
-        self.raw(
+        self.send_bytes(
             format!(
                 "{}\n",
                 json!({"jsonrpc": "2.0", "method": method, "params": params})
@@ -470,7 +482,7 @@
 }
 
 /// The parameters of a request that waits so long, with a key if one is given.
-pub fn work(allow: u64, key: Option<&str>, body: &[u8]) -> Value {
+pub fn request_params(allow: u64, key: Option<&str>, body: &[u8]) -> Value {
     static COUNT: AtomicU64 = AtomicU64::new(1);
     let reference = format!("{:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
     let since = SystemTime::now()
@@ -489,7 +501,7 @@
 /// wants.
 pub struct Processor {
     pub listener: TcpListener,
-    link: Option<(TcpStream, BufReader<TcpStream>)>,
+    connection: Option<(TcpStream, BufReader<TcpStream>)>,
     pub hello: String,
     notices: u64,
 }
@@ -499,7 +511,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         Processor {
             listener,
-            link: None,
+            connection: None,
             hello: String::new(),
             notices: 0,
         }
@@ -513,38 +525,43 @@
     pub fn accept(&mut self) {
         let stream = self.listener.accept().unwrap().0;
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        self.link = Some((stream.try_clone().unwrap(), BufReader::new(stream)));
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        self.connection = Some((stream.try_clone().unwrap(), BufReader::new(stream)));
         self.hello = self.read_line();
     }
 
-    pub fn say(&mut self, bytes: &[u8]) {
-        self.link.as_mut().unwrap().0.write_all(bytes).unwrap();
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.connection
+            .as_mut()
+            .unwrap()
+            .0
+            .write_all(bytes)
+            .unwrap();
     }
 
     /// Numbers notices behind those of the link that this one follows.
-    pub fn go_on(&mut self, before: &Processor) {
+    pub fn continue_notice_numbers(&mut self, before: &Processor) {
         self.notices = before.notices;
     }
 
-    pub fn up(&mut self) {
+    pub fn accept_running(&mut self) {
         self.accept();
-        self.say(b"hi running 1000.5\r\n");
+        self.send(b"hi running 1000.5\r\n");
     }
 
     /// Answers what the node still asks on its link, until it closes that.
-    pub fn left(&mut self) {
+    pub fn answer_usage_until_closed(&mut self) {
         loop {
             let line = self.read_line();
             let Some(tag) = line.strip_prefix("usage ") else {
                 return assert_eq!(line, "");
             };
-            self.say(format!("used {tag} 0.5 1 0.1 2\r\n").as_bytes());
+            self.send(format!("used {tag} 0.5 1 0.1 2\r\n").as_bytes());
         }
     }
 
-    pub fn cut(&mut self) {
-        self.link
+    pub fn disconnect(&mut self) {
+        self.connection
             .take()
             .unwrap()
             .0
@@ -554,7 +571,7 @@
 
     fn read_line(&mut self) -> String {
         let mut line = String::new();
-        self.link
+        self.connection
             .as_mut()
             .unwrap()
             .1
@@ -564,12 +581,12 @@
     }
 
     /// Answers nothing but questions for the gauges, for so long.
-    pub fn gauges_until(&mut self, time: Duration) {
+    pub fn answer_usage_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
             let line = self.read_line();
             if let Some(tag) = line.strip_prefix("usage ") {
-                self.say(format!("used {tag} 1.0 2 0.1 2\r\n").as_bytes());
+                self.send(format!("used {tag} 1.0 2 0.1 2\r\n").as_bytes());
             }
         }
     }
@@ -578,11 +595,11 @@
     pub fn command(&mut self) -> (Vec<String>, Vec<u8>) {
         let start = Instant::now();
         loop {
-            assert!(start.elapsed() < PATIENCE, "no command but usage");
+            assert!(start.elapsed() < TEST_TIMEOUT, "no command but usage");
             let words: Vec<String> = self.read_line().split(' ').map(str::to_owned).collect();
             if words[0] == "usage" {
                 let used = format!("used {} 0.5 1 0.1 2\r\n", words[1]);
-                self.say(used.as_bytes());
+                self.send(used.as_bytes());
                 continue;
             }
             if words[0] == "interrupt" {
@@ -594,7 +611,12 @@
                 .parse()
                 .unwrap_or_else(|_| panic!("{words:?}"));
             let mut body = vec![0; length + 2];
-            self.link.as_mut().unwrap().1.read_exact(&mut body).unwrap();
+            self.connection
+                .as_mut()
+                .unwrap()
+                .1
+                .read_exact(&mut body)
+                .unwrap();
             assert_eq!(body.split_off(length), b"\r\n");
             return (words, body);
         }
@@ -610,7 +632,7 @@
     pub fn notice(&mut self, before: &str, after: &str, body: &[u8]) {
         self.notices += 1;
         let head = format!("{before} {} {after} {}\r\n", self.notices, body.len());
-        self.say(&[head.as_bytes(), body, b"\r\n"].concat());
+        self.send(&[head.as_bytes(), body, b"\r\n"].concat());
     }
 
     pub fn complete(&mut self, id: &str, end: &str, result: &[u8]) {
@@ -618,14 +640,14 @@
     }
 
     /// Serves every run with its own body until the node goes.
-    pub fn echo_when_asked(self) {
+    pub fn echo_until_disconnected(self) {
         let bodies = self.echo();
         while bodies.recv().is_ok() {}
     }
 
     /// Serves every run with so many bytes until the node goes.
-    pub fn serve(self, result: usize) {
-        let bodies = self.answer_all(move |_| vec![7; result]);
+    pub fn serve_until_disconnected(self, result_size: usize) {
+        let bodies = self.answer_all(move |_| vec![7; result_size]);
         while bodies.recv().is_ok() {}
     }
 
@@ -641,7 +663,7 @@
         let (sender, bodies) = channel();
         std::thread::spawn(move || loop {
             let mut line = String::new();
-            let (stream, lines) = self.link.as_mut().unwrap();
+            let (stream, lines) = self.connection.as_mut().unwrap();
             if lines.read_line(&mut line).unwrap_or(0) == 0 {
                 return;
             }
@@ -661,22 +683,22 @@
 }
 
 /// A stand-in for the ledger: one connection with a call on it.
-pub struct Below {
+pub struct LedgerConnection {
     lines: BufReader<TcpStream>,
     /// How long the last call was waited for, in milliseconds.
-    pub allowed: u64,
+    pub allowed_ms: u64,
 }
 
-impl Below {
-    pub fn accept(ledger: &TcpListener) -> Below {
-        Below::of(ledger.accept().unwrap().0)
+impl LedgerConnection {
+    pub fn accept(ledger: &TcpListener) -> LedgerConnection {
+        LedgerConnection::from_stream(ledger.accept().unwrap().0)
     }
 
-    pub fn of(stream: TcpStream) -> Below {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        Below {
+    pub fn from_stream(stream: TcpStream) -> LedgerConnection {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        LedgerConnection {
             lines: BufReader::new(stream),
-            allowed: 0,
+            allowed_ms: 0,
         }
     }
 
@@ -690,10 +712,10 @@
         let mut line = String::new();
         self.lines.read_line(&mut line).ok().filter(|&n| n > 0)?;
         let words: Vec<&str> = line.trim_end_matches("\r\n").split(' ').collect();
-        let ["post", id, allowed, length] = words[..] else {
+        let ["post", id, allowed_ms, length] = words[..] else {
             panic!("{line}")
         };
-        self.allowed = allowed.parse().unwrap();
+        self.allowed_ms = allowed_ms.parse().unwrap();
         let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
         self.lines.read_exact(&mut body).unwrap();
         assert_eq!(body.split_off(body.len() - 2), b"\r\n");
@@ -751,7 +773,7 @@
 
     /// The same, if it comes as a whole.
     pub fn try_read(mut stream: TcpStream) -> Option<(TcpStream, Vec<u8>)> {
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         let mut bytes = vec![0; 4];
         stream.read_exact(&mut bytes).ok()?;
         let size = usize::from(u16::from_le_bytes([bytes[1], bytes[2]]));
@@ -786,7 +808,7 @@
 }
 
 /// The operator's file of the tests: reads go to the processor, swaps where it says.
-pub fn uwsgi_file(worker: Option<SocketAddr>, swaps: &str) -> String {
+pub fn uwsgi_operator_file(worker: Option<SocketAddr>, swaps: &str) -> String {
     let workers = worker.map(|w| format!("\"{w}\"")).unwrap_or_default();
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\nworkers = [{workers}]\ndeadline_ms = 5000\n\
@@ -795,8 +817,8 @@
     )
 }
 
-pub fn udp() -> UdpSocket {
+pub fn udp_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     socket
 }
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -5,7 +5,9 @@
 
 mod common;
 
-use common::{configuration, packet, work, Node, Processor, Scratch, Worker, PROGRAM};
+use common::{
+    configuration, packet, request_params, Node, Processor, ScratchDirectory, Worker, PROGRAM,
+};
 use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -80,7 +82,7 @@
 
 #[test]
 fn a_fleet_is_shown_as_by_the_earlier_build() {
-    let folder = Scratch::new("compatibility-fleet");
+    let folder = ScratchDirectory::new("compatibility-fleet");
     std::fs::create_dir_all(&folder.0).unwrap();
     let worker = Worker::new();
     let more = operator(worker.address());
@@ -129,7 +131,7 @@
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
     let node = Node::start(parties, None);
-    let endpoint = node.door();
+    let endpoint = node.control_endpoint();
     let mut text = String::new();
     let mut called = |line: &str| {
         let (code, answer) = endpoint.call(line);
@@ -140,7 +142,7 @@
         ));
     };
     called("GET /status");
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     for line in [
         "GET /status",
@@ -160,12 +162,15 @@
     ] {
         called(line);
     }
-    gateway.send("rota-view", work(5000, None, b"body"));
+    gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
     gateway.receive();
     node.signal("-USR1");
-    for line in [node.line("counters: "), node.line("now: ")] {
+    for line in [
+        node.wait_for_line("counters: "),
+        node.wait_for_line("now: "),
+    ] {
         text.push_str(&format!("{}\n", keys_of(&line)));
     }
     pipitlever_test_fixtures::assert_text(fixture("control.txt"), &text);
@@ -173,16 +178,16 @@
 
 #[test]
 fn a_store_is_listed_as_by_the_earlier_build() {
-    let scratch = Scratch::new("compatibility-store");
+    let scratch = ScratchDirectory::new("compatibility-store");
     let folder = scratch.0.to_str().unwrap();
     let section = format!("[store]\nfolder = {folder:?}\nmax_mb = 4\n");
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties, Some(&section));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     for (key, end) in [("served", "fine"), ("failed", "fault")] {
-        gateway.send("swap-confirm", work(5000, Some(key), b"body"));
+        gateway.send("swap-confirm", request_params(5000, Some(key), b"body"));
         let (id, _) = processor.begin();
         processor.complete(&id, end, b"result");
         gateway.receive();
@@ -212,9 +217,12 @@
     let parties = json!({"processor": processor.address().to_string()});
     let node = Node::start(
         parties,
-        Some(&common::uwsgi_file(Some(worker.address()), "workers")),
+        Some(&common::uwsgi_operator_file(
+            Some(worker.address()),
+            "workers",
+        )),
     );
-    let (code, response) = node.uwsgi(&packet("/nowhere", &[], b""));
+    let (code, response) = node.uwsgi_request(&packet("/nowhere", &[], b""));
     let text = format!("{code}\n{}", response.replace('\r', ""));
     pipitlever_test_fixtures::assert_text(fixture("uwsgi.txt"), &text);
 }
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -9,20 +9,20 @@
 use std::time::Instant;
 
 /// A node with a door whose processor is up, and a gateway.
-fn daily(more: Value) -> (Node, Processor, Gateway, Door) {
+fn daily(more: Value) -> (Node, Processor, Gateway, ControlEndpoint) {
     let mut processor = Processor::new();
     let mut all = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
     all.as_object_mut()
         .unwrap()
         .extend(more.as_object().unwrap().clone());
     let node = Node::start(all, None);
-    let door = node.door();
+    let door = node.control_endpoint();
     assert_eq!(
         door.call("GET /status").0,
         503,
         "it takes no clients before its processor is up"
     );
-    processor.up();
+    processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway, door)
 }
@@ -67,7 +67,7 @@
     assert_eq!(door.call("GET /status").0, 200);
     assert!(start.elapsed().as_millis() < 1000, "{:?}", start.elapsed());
     assert!(healthy(&mut gateway), "half a call is none");
-    let number = gateway.send("rota-view", work(5000, None, b"body"));
+    let number = gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
     assert_eq!(gateway.receive()["id"], number);
@@ -79,31 +79,31 @@
     let (_node, mut processor, mut gateway, door) = daily(json!({}));
     for figure in ["fulfilled", "throttled", "faulted", "relayed"] {
         assert_eq!(
-            door.figure(&format!("operations.swap-confirm.{figure}")),
+            door.metric(&format!("operations.swap-confirm.{figure}")),
             Some(0)
         );
     }
-    gateway.send("rota-view", work(5000, None, b"one"));
+    gateway.send("rota-view", request_params(5000, None, b"one"));
     let (one, _) = processor.command();
-    gateway.send("rota-view", work(5000, None, b"two"));
+    gateway.send("rota-view", request_params(5000, None, b"two"));
     let (two, _) = processor.command();
-    assert_eq!(door.figure("open_requests"), Some(2));
+    assert_eq!(door.metric("open_requests"), Some(2));
     processor.complete(&one[1], "fine", b"result");
     processor.complete(&two[1], "fault", b"");
     gateway.receive();
     gateway.receive();
     // Its time is over when it comes: turned away.
-    gateway.send("rota-view", work(0, None, b"three"));
+    gateway.send("rota-view", request_params(0, None, b"three"));
     gateway.receive();
     let figures = ["fulfilled", "faulted", "throttled", "relayed"];
     let of =
-        |class: &str| figures.map(|f| door.figure(&format!("operations.{class}.{f}")).unwrap());
+        |class: &str| figures.map(|f| door.metric(&format!("operations.{class}.{f}")).unwrap());
     assert_eq!(
         (of("rota-view"), of("swap-confirm")),
         ([1, 1, 1, 2], [0; 4])
     );
     assert_eq!(
-        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| door.figure(f)),
+        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| door.metric(f)),
         [Some(0); 3]
     );
 }
@@ -111,7 +111,7 @@
 #[test]
 fn standby_is_heard_on_open_connections_while_work_goes_on() {
     let (mut node, mut processor, mut gateway, door) = daily(json!({}));
-    let swap = work(5000, Some("k"), b"body");
+    let swap = request_params(5000, Some("k"), b"body");
     for _ in 0..2 {
         assert_eq!(door.call("POST /standby").0, 200);
         assert!(!healthy(&mut gateway), "a second call changes nothing");
@@ -127,17 +127,17 @@
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"result"));
     // It stays so over a SIGHUP.
     node.reload(json!({}));
-    assert_eq!(node.line("reload: "), "reload: done");
+    assert_eq!(node.wait_for_line("reload: "), "reload: done");
     assert!(!healthy(&mut gateway));
     for _ in 0..2 {
         assert_eq!(door.call("POST /active").0, 200);
         assert!(healthy(&mut gateway));
     }
     // On the way out there is no way back. A request that is open keeps the process there.
-    gateway.send("rota-view", work(5000, None, b"body"));
+    gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     node.signal("-TERM");
-    node.line("draining:");
+    node.wait_for_line("draining:");
     assert_eq!(door.call("GET /status").0, 503);
     assert_eq!(door.call("POST /active").0, 503);
     assert_eq!(gateway.receive()["method"], "goaway");
@@ -152,7 +152,7 @@
     assert_eq!(door.call("POST /standby").0, 200);
     assert!(!healthy(&mut gateway));
     node.signal("-TERM");
-    node.line("draining:");
+    node.wait_for_line("draining:");
     assert_eq!(door.call("POST /standby").0, 200, "it may be said again");
     assert!(!healthy(&mut gateway));
     assert_eq!(gateway.receive()["method"], "goaway");
@@ -167,14 +167,14 @@
     node.signal("-STOP");
     node.reload(json!({}));
     let mut caller = TcpStream::connect(door.0).unwrap();
-    caller.set_read_timeout(Some(PATIENCE)).unwrap();
+    caller.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     caller
         .write_all(b"POST /standby HTTP/1.1\r\nHost: n1\r\n\r\n")
         .unwrap();
-    gateway.send("rota-view", work(5000, None, b"body"));
+    gateway.send("rota-view", request_params(5000, None, b"body"));
     node.signal("-CONT");
-    assert_eq!(response(caller).0, 200);
-    assert_eq!(node.line("reload: "), "reload: done");
+    assert_eq!(read_response(caller).0, 200);
+    assert_eq!(node.wait_for_line("reload: "), "reload: done");
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
@@ -184,7 +184,7 @@
     node.reload(json!({}));
     node.signal("-TERM");
     node.signal("-CONT");
-    node.line("draining:");
+    node.wait_for_line("draining:");
     assert_eq!(gateway.receive()["method"], "goaway");
     assert!(node.wait().success());
 }
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -28,9 +28,9 @@
             json!({"processor": processor.address(), "settings": stopping(mode)}),
             None,
         );
-        processor.up();
+        processor.accept_running();
         let mut gateway = node.ready();
-        let params = work(5000, None, b"one");
+        let params = request_params(5000, None, b"one");
         let id = gateway.send("rota-view", params.clone());
         assert_eq!(processor.begin().0, reference(&params));
         gateway.notify("cancelRequest", json!({"id": id}));
@@ -39,7 +39,7 @@
         processor.complete(&reference(&params), "broken_off", b"");
         // It stands in nobody's way: what comes next is run and served.
         assert!(gateway.receive()["error"]["code"].is_number());
-        let params = work(5000, None, b"two");
+        let params = request_params(5000, None, b"two");
         gateway.send("rota-view", params.clone());
         assert_eq!(processor.begin(), (reference(&params), b"two".to_vec()));
         processor.complete(&reference(&params), "fine", b"done");
@@ -55,9 +55,12 @@
         json!({"processor": processor.address(), "settings": stopping("abort")}),
         None,
     );
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    let (gone, kept) = (work(5000, None, b"gone"), work(5000, None, b"kept"));
+    let (gone, kept) = (
+        request_params(5000, None, b"gone"),
+        request_params(5000, None, b"kept"),
+    );
     let id = gateway.send("rota-view", gone.clone());
     processor.begin();
     gateway.send("rota-view", kept.clone());
@@ -67,7 +70,7 @@
     processor.complete(&reference(&gone), "fine", b"late");
     // Rejected after its end, and once for a request that still runs: neither answers anybody.
     for request in [&gone, &kept] {
-        processor.say(format!("reject interrupt {}\r\n", reference(request)).as_bytes());
+        processor.send(format!("reject interrupt {}\r\n", reference(request)).as_bytes());
     }
     processor.complete(&reference(&kept), "fine", b"served");
     assert_eq!(gateway.receive()["id"], id);
@@ -87,21 +90,21 @@
         json!({"processor": processor.address(), "settings": stopping("abort")}),
         None,
     );
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    let params = work(5000, None, b"one");
+    let params = request_params(5000, None, b"one");
     let id = gateway.send("rota-view", params.clone());
     processor.begin();
     gateway.notify("cancelRequest", json!({"id": id}));
     assert_eq!(processor.command().0[0], "interrupt");
     // Its question is not answered, so the node can't know that it was read.
-    processor.cut();
-    processor.up();
+    processor.disconnect();
+    processor.accept_running();
     let (words, _) = processor.command();
     assert_eq!(words, ["interrupt", &reference(&params)]);
     processor.complete(&reference(&params), "broken_off", b"");
     gateway.receive();
-    let params = work(5000, None, b"two");
+    let params = request_params(5000, None, b"two");
     gateway.send("rota-view", params.clone());
     assert_eq!(processor.begin().0, reference(&params));
 }
@@ -112,9 +115,12 @@
 fn where_runs_cannot_be_stopped_nobody_is_told_to() {
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address()}), None);
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    let (first, second) = (work(5000, None, b"one"), work(5000, None, b"two"));
+    let (first, second) = (
+        request_params(5000, None, b"one"),
+        request_params(5000, None, b"two"),
+    );
     let id = gateway.send("rota-view", first.clone());
     processor.begin();
     gateway.notify("cancelRequest", json!({"id": id}));
@@ -138,17 +144,17 @@
         json!({"processor": processor.address(), "settings": settings}),
         None,
     );
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     for project in [json!("acme"), json!("stranger"), Value::Null] {
-        let mut params = work(5000, None, b"body");
+        let mut params = request_params(5000, None, b"body");
         params["project"] = project;
         gateway.send("rota-view", params.clone());
         assert_eq!(processor.begin().0, reference(&params));
         processor.complete(&reference(&params), "fine", b"done");
         assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
     }
-    let mut params = work(5000, None, b"body");
+    let mut params = request_params(5000, None, b"body");
     params["project"] = json!(7);
     gateway.send("rota-view", params);
     assert_eq!(gateway.receive()["error"]["code"], -32602);
@@ -168,11 +174,11 @@
         json!({"processor": processor.address(), "settings": settings}),
         None,
     );
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     // Keyed runs, which nobody gives up for it.
     let runs: Vec<Value> = (0..2)
-        .map(|i| work(20_000, Some(&format!("key-{i}")), b"x"))
+        .map(|i| request_params(20_000, Some(&format!("key-{i}")), b"x"))
         .collect();
     for params in &runs {
         gateway.send("swap-confirm", params.clone());
@@ -180,7 +186,7 @@
     }
     let hung = std::thread::spawn(move || {
         // The gauges go on: the processor reads, and ends nothing.
-        processor.gauges_until(Duration::from_secs(3));
+        processor.answer_usage_for(Duration::from_secs(3));
         for params in &runs {
             processor.complete(&reference(params), "fine", b"done");
         }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{configuration, Scratch, PROGRAM};
+use common::{configuration, ScratchDirectory, PROGRAM};
 use pipitlever_cluster_testing::network_relay::LinkFaults;
 use pipitlever_cluster_testing::open_loop::run_open_loop;
 use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig, LogLine};
@@ -14,7 +14,7 @@
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-fn spec(folder: &Scratch) -> ClusterConfig {
+fn spec(folder: &ScratchDirectory) -> ClusterConfig {
     std::fs::create_dir_all(&folder.0).unwrap();
     let config = configuration(&json!({}));
     ClusterConfig {
@@ -81,7 +81,7 @@
 
 #[test]
 fn two_nodes_find_each_other_and_a_kill_is_noticed() {
-    let folder = Scratch::new("fleet-two");
+    let folder = ScratchDirectory::new("fleet-two");
     let mut cluster = Cluster::start_converged(spec(&folder), 2);
     let (code, text) = command(&cluster, &["status"], &[0]);
     assert!(
@@ -150,7 +150,7 @@
 /// One course through the faults, on seven nodes whose callers never stop asking.
 #[test]
 fn seven_nodes_settle_again_after_each_fault_and_callers_notice_nothing() {
-    let folder = Scratch::new("fleet-seven");
+    let folder = ScratchDirectory::new("fleet-seven");
     let mut cluster = Cluster::start_converged(spec(&folder), 7);
     let callers: Vec<Client> = (0..7).map(|i| cluster.start_client(i)).collect();
     let (all, calm) = ([0, 1, 2, 3, 4, 5, 6], cluster.history.lines().len());
@@ -246,7 +246,7 @@
 
 #[test]
 fn a_replacement_is_one_member_also_during_a_partition() {
-    let folder = Scratch::new("fleet-replaced");
+    let folder = ScratchDirectory::new("fleet-replaced");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let callers: Vec<Client> = (0..4).map(|i| cluster.start_client(i)).collect();
     let before = cluster.member(0, "n2").unwrap();
@@ -318,7 +318,7 @@
 
 #[test]
 fn a_process_that_dies_in_any_step_of_a_replacement_leaves_one_member_that_lives() {
-    let folder = Scratch::new("fleet-deaths");
+    let folder = ScratchDirectory::new("fleet-deaths");
     let mut cluster = Cluster::start_converged(spec(&folder), 3);
     let callers: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
     let first = cluster.member(0, "n2").unwrap();
@@ -383,7 +383,7 @@
 /// only once, before that one had noticed the death of another successor.
 #[test]
 fn a_process_started_before_its_predecessor_serves_again_replaces_it() {
-    let folder = Scratch::new("fleet-resuming");
+    let folder = ScratchDirectory::new("fleet-resuming");
     let mut cluster = Cluster::start_converged(spec(&folder), 2);
     let old = cluster.nodes[1].process.as_ref().unwrap();
     let (old, listen) = (old.number, old.client_address);
@@ -413,8 +413,8 @@
 
 #[test]
 fn a_node_that_was_given_a_wrong_seed_meets_the_others_after_a_sighup() {
-    let folder = Scratch::new("fleet-seeds");
-    let nobody = common::nobody();
+    let folder = ScratchDirectory::new("fleet-seeds");
+    let nobody = common::unused_address();
     let mut cluster = Cluster::new(
         ClusterConfig {
             external_seeds: vec![nobody],
@@ -452,7 +452,7 @@
 
 #[test]
 fn a_node_out_of_descriptors_stays_a_member_and_notices_a_crash() {
-    let folder = Scratch::new("fleet-descriptors");
+    let folder = ScratchDirectory::new("fleet-descriptors");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let id = cluster.nodes[2].process.as_ref().unwrap().id().to_string();
     let limit = |most: &str| {
@@ -492,7 +492,7 @@
 
 #[test]
 fn two_processes_of_one_name_are_named_on_all_nodes_and_neither_gives_way() {
-    let folder = Scratch::new("fleet-conflict");
+    let folder = ScratchDirectory::new("fleet-conflict");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     // n3's process goes by the name of n1.
     cluster.kill(3);
@@ -554,7 +554,7 @@
         panic!("NODES SECONDS SEED")
     };
     let (count, mut rng) = (count as usize, fastrand::Rng::with_seed(seed));
-    let folder = Scratch::new("fleet-random");
+    let folder = ScratchDirectory::new("fleet-random");
     let spec = ClusterConfig {
         probe_interval_ms: 500,
         ..spec(&folder)
@@ -643,7 +643,7 @@
     let emulated = members > 100;
     for round in 0..rounds {
         for fleet in [false, true] {
-            let folder = Scratch::new("fleet-cost");
+            let folder = ScratchDirectory::new("fleet-cost");
             let crowd = (emulated && fleet).then(|| SimulatedPeers::start(members));
             let seeds = crowd.iter().map(|c| c.seed()).collect();
             let mut spec = ClusterConfig {
--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -83,10 +83,10 @@
     let parties =
         json!({"processor": processor.address(), "limits": {"sockets": 154, "memory_mb": 48}});
     let node = Node::start(parties, None);
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
     let end = Arc::new(AtomicBool::new(false));
-    let (at, ended) = (node.gateways, end.clone());
+    let (at, ended) = (node.gateway_address, end.clone());
     let flooding = std::thread::spawn(move || flood(at, &ended));
     for number in 0..REQUESTS {
         gateway = heard(&node, gateway);
@@ -95,7 +95,10 @@
         let mut own = (number % 15 == 0).then(|| node.gateway());
         let newcomer = own.is_some();
         let asking = own.as_mut().unwrap_or(&mut gateway);
-        asking.send("rota-view", work(9000, None, &number.to_le_bytes()));
+        asking.send(
+            "rota-view",
+            request_params(9000, None, &number.to_le_bytes()),
+        );
         let (id, body) = processor.begin();
         assert_eq!(body, number.to_le_bytes(), "nothing of the flood runs");
         processor.complete(&id, "fine", &body);
@@ -109,7 +112,7 @@
     end.store(true, Ordering::Relaxed);
     flooding.join().unwrap();
     node.signal("-USR1");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     let count = |name: &str| Node::counter(&counters, name);
     assert_eq!(
         (count("requests"), count("served")),
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -15,13 +15,13 @@
 
 /// A folder that the processes of a node share, and what they are given.
 struct Place {
-    folder: Scratch,
+    folder: ScratchDirectory,
     listen: Value,
 }
 
 impl Place {
     fn new(name: &str) -> Place {
-        let folder = Scratch::new(name);
+        let folder = ScratchDirectory::new(name);
         std::fs::create_dir_all(&folder.0).unwrap();
         Place {
             folder,
@@ -30,31 +30,32 @@
     }
 
     /// One more process, with a processor of its own that has not answered yet.
-    fn start(&mut self) -> (Node, Processor, Door) {
+    fn start(&mut self) -> (Node, Processor, ControlEndpoint) {
         let processor = Processor::new();
         let config = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0",
             "listen": self.listen, "stop_ms": 5000});
         let tmp = self.folder.0.to_str().unwrap().to_owned();
-        let node = Node::start_with(Path::new(PROGRAM), config, None, &[("TMPDIR", &tmp)]);
-        self.listen = json!(node.gateways.to_string());
-        let door = node.door();
+        let node =
+            Node::start_with_environment(Path::new(PROGRAM), config, None, &[("TMPDIR", &tmp)]);
+        self.listen = json!(node.gateway_address.to_string());
+        let door = node.control_endpoint();
         (node, processor, door)
     }
 
     /// The first process, serving.
-    fn first(&mut self) -> (Node, Processor, Door) {
+    fn first(&mut self) -> (Node, Processor, ControlEndpoint) {
         let (node, mut processor, door) = self.start();
-        processor.up();
+        processor.accept_running();
         node.ready();
         (node, processor, door)
     }
 
     /// One that takes over.
-    fn next(&mut self) -> (Node, Processor, Door) {
+    fn next(&mut self) -> (Node, Processor, ControlEndpoint) {
         let (node, mut processor, door) = self.start();
         assert_eq!(door.call("GET /status").0, 503, "not before it serves");
-        processor.up();
-        node.line("hot restart: took over");
+        processor.accept_running();
+        node.wait_for_line("hot restart: took over");
         assert_eq!(door.call("GET /status").0, 200);
         (node, processor, door)
     }
@@ -82,30 +83,39 @@
     let mut place = Place::new("either");
     let (mut old, mut before, _) = place.first();
     let mut early = old.ready();
-    early.send("swap-confirm", work(9000, Some("ended"), b"ended"));
+    early.send(
+        "swap-confirm",
+        request_params(9000, Some("ended"), b"ended"),
+    );
     let (ended, _) = before.command();
     before.complete(&ended[1], "fine", b"result 1");
     assert_eq!(served(&early.receive()), base64(b"result 1"));
-    early.send("swap-confirm", work(9000, Some("open"), b"open"));
+    early.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     let (open, _) = before.command();
 
     let (new, mut after, door) = place.next();
     assert_eq!(early.receive()["method"], "goaway");
     // The node's address is the same, and nobody is turned away at it.
-    assert_eq!(new.gateways, old.gateways);
+    assert_eq!(new.gateway_address, old.gateway_address);
     let mut late = new.gateway();
-    late.send("swap-confirm", work(9000, Some("ended"), b"ended"));
+    late.send(
+        "swap-confirm",
+        request_params(9000, Some("ended"), b"ended"),
+    );
     assert_eq!(served(&late.receive()), base64(b"result 1"));
     // Its key with another body is told apart in the new process, too.
-    late.send("swap-confirm", work(9000, Some("ended"), b"other"));
+    late.send(
+        "swap-confirm",
+        request_params(9000, Some("ended"), b"other"),
+    );
     assert_eq!(code(&late.receive()), -32602);
-    let repeat = late.send("swap-confirm", work(9000, Some("open"), b"open"));
+    let repeat = late.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     // A key of the new process alone: at the old one its first try is refused, a further one may
     // have run.
-    late.send("swap-confirm", work(9000, Some("new"), b"new"));
+    late.send("swap-confirm", request_params(9000, Some("new"), b"new"));
     let (run, body) = after.command();
     assert_eq!(body, b"new", "the open one is not run again");
-    let mut further = work(9000, Some("new"), b"new");
+    let mut further = request_params(9000, Some("new"), b"new");
     early.send("swap-confirm", further.clone());
     assert_eq!(code(&early.receive()), -32000);
     further["ref"] = json!("00000000000000ff");
@@ -115,7 +125,7 @@
 
     // SIGTERM is not the node's end: it stays healthy, and what runs comes home.
     old.signal("-TERM");
-    old.line("leaving: ");
+    old.wait_for_line("leaving: ");
     early.send("alive", json!({}));
     assert_eq!(early.receive()["result"]["healthy"], true);
     before.complete(&open[1], "fine", b"result 2");
@@ -128,8 +138,8 @@
     after.complete(&run[1], "fine", b"result 3");
     assert_eq!(served(&late.receive()), base64(b"result 3"));
     assert_eq!(old.wait().code(), Some(0));
-    new.line("hot restart: complete, the predecessor exited");
-    assert_eq!(door.figure("operations.swap-confirm.relayed"), Some(1));
+    new.wait_for_line("hot restart: complete, the predecessor exited");
+    assert_eq!(door.metric("operations.swap-confirm.relayed"), Some(1));
 }
 
 #[test]
@@ -137,15 +147,15 @@
     let mut place = Place::new("unknown");
     let (mut old, mut before, _) = place.first();
     let mut early = old.ready();
-    early.send("swap-confirm", work(9000, Some("open"), b"open"));
+    early.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     before.command();
     let (new, _after, _) = place.next();
     let mut late = new.gateway();
-    late.send("swap-confirm", work(9000, Some("open"), b"open"));
+    late.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     old.signal("-KILL");
     old.wait();
     assert_ne!(code(&late.receive()), -32000, "it may have run");
-    late.send("swap-confirm", work(9000, Some("open"), b"open"));
+    late.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     assert_ne!(code(&late.receive()), -32000);
 }
 
@@ -155,16 +165,16 @@
     let (old, mut before, door) = place.first();
     let mut gateway = old.ready();
     let (mut new, ..) = place.start();
-    old.line("hot restart: a successor connected");
+    old.wait_for_line("hot restart: a successor connected");
     new.signal("-KILL");
     new.wait();
-    old.line("hot restart: aborted, this process goes on serving");
-    gateway.send("swap-confirm", work(9000, Some("k"), b"body"));
+    old.wait_for_line("hot restart: aborted, this process goes on serving");
+    gateway.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     let (words, _) = before.command();
     before.complete(&words[1], "fine", b"result");
     assert_eq!(served(&gateway.receive()), base64(b"result"));
     let mut other = old.gateway();
-    other.send("swap-confirm", work(9000, Some("k"), b"body"));
+    other.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     assert_eq!(served(&other.receive()), base64(b"result"));
     assert_eq!(door.call("GET /status").0, 200);
 }
@@ -177,13 +187,13 @@
     let (old, _before, _) = place.first();
     old.ready();
     let (mut new, ..) = place.start();
-    old.line("hot restart: a successor connected");
+    old.wait_for_line("hot restart: a successor connected");
     new.signal("-TERM");
     assert_eq!(new.wait().code(), Some(0));
-    old.line("hot restart: aborted, this process goes on serving");
+    old.wait_for_line("hot restart: aborted, this process goes on serving");
     let (third, mut after, _) = place.next();
     let mut gateway = third.ready();
-    gateway.send("rota-view", work(9000, None, b"view"));
+    gateway.send("rota-view", request_params(9000, None, b"view"));
     let (words, _) = after.command();
     after.complete(&words[1], "fine", b"viewed");
     assert_eq!(served(&gateway.receive()), base64(b"viewed"));
@@ -196,17 +206,17 @@
     old.ready();
     let (mut new, mut after, _) = place.next();
     let mut late = new.gateway();
-    late.send("swap-confirm", work(9000, Some("lost"), b"body"));
+    late.send("swap-confirm", request_params(9000, Some("lost"), b"body"));
     after.command();
     new.signal("-KILL");
     new.wait();
-    old.line("hot restart: the successor exited");
+    old.wait_for_line("hot restart: the successor exited");
     let mut gateway = old.ready();
-    let mut further = work(9000, Some("lost"), b"body");
+    let mut further = request_params(9000, Some("lost"), b"body");
     further["dup"] = json!(1);
     gateway.send("swap-confirm", further);
     assert_ne!(code(&gateway.receive()), -32000);
-    gateway.send("rota-view", work(9000, None, b"view"));
+    gateway.send("rota-view", request_params(9000, None, b"view"));
     let (words, body) = before.command();
     assert_eq!(body, b"view", "no swap was run");
     before.complete(&words[1], "fine", b"viewed");
@@ -218,20 +228,20 @@
     let mut place = Place::new("in-between");
     let (mut old, mut before, _) = place.first();
     let mut early = old.ready();
-    early.send("swap-confirm", work(9000, Some("lost"), b"body"));
+    early.send("swap-confirm", request_params(9000, Some("lost"), b"body"));
     before.command();
     let (new, mut after, _) = place.start();
-    old.line("hot restart: a successor connected");
+    old.wait_for_line("hot restart: a successor connected");
     old.signal("-KILL");
     old.wait();
-    new.line("hot restart: the predecessor exited before all keys were received");
-    after.up();
+    new.wait_for_line("hot restart: the predecessor exited before all keys were received");
+    after.accept_running();
     let mut gateway = new.ready();
-    let mut further = work(9000, Some("lost"), b"body");
+    let mut further = request_params(9000, Some("lost"), b"body");
     further["dup"] = json!(1);
     gateway.send("swap-confirm", further);
     assert_ne!(code(&gateway.receive()), -32000);
-    gateway.send("rota-view", work(9000, None, b"view"));
+    gateway.send("rota-view", request_params(9000, None, b"view"));
     assert_eq!(after.command().1, b"view", "no swap was run");
 }
 
@@ -240,7 +250,7 @@
     let mut place = Place::new("twice");
     let (mut first, mut processor, _) = place.first();
     let mut gateway = first.ready();
-    gateway.send("swap-confirm", work(9000, Some("k"), b"body"));
+    gateway.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
     gateway.receive();
@@ -251,7 +261,7 @@
     assert_eq!(first.wait().code(), Some(0));
     assert_eq!(second.wait().code(), Some(0));
     let mut gateway = third.ready();
-    gateway.send("swap-confirm", work(9000, Some("k"), b"body"));
+    gateway.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     assert_eq!(
         served(&gateway.receive()),
         base64(b"result"),
@@ -273,7 +283,7 @@
         let mut stream = UnixStream::connect(place.socket()).unwrap();
         stream.write_all(words).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).unwrap();
         assert!(answer.starts_with(b"plhand\x03\x00"), "{answer:?}");
@@ -294,8 +304,8 @@
         stream.write_all(b"plhand\x09\x00").unwrap();
         let _ = stream.read(&mut [0; 64]);
     });
-    let config = json!({"listen": place.listen, "processor": nobody().to_string()});
-    let (code, log) = Node::fails(config, &[("TMPDIR", place.folder.0.to_str().unwrap())]);
+    let config = json!({"listen": place.listen, "processor": unused_address().to_string()});
+    let (code, log) = Node::run_to_exit(config, &[("TMPDIR", place.folder.0.to_str().unwrap())]);
     assert!(
         code == Some(1) && log.contains("the peer speaks version 9, this process version 3"),
         "{code:?} {log}"
@@ -330,7 +340,7 @@
     let mut place = Place::new("yielded");
     let (mut old, _before, door) = place.first();
     let mut stream = UnixStream::connect(place.socket()).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(&message::greeting()).unwrap();
     let mut reader = Decoder::default();
     hear(&mut stream, &mut reader, |m| {
@@ -350,7 +360,7 @@
         assert_eq!(door.call("GET /status").0, 503);
     }
     old.signal("-TERM");
-    old.line("leaving: ");
+    old.wait_for_line("leaving: ");
     assert_eq!(old.wait().code(), Some(0));
 }
 
@@ -370,7 +380,7 @@
     let offer = UnixListener::bind(socket).unwrap();
     let predecessor = std::thread::spawn(move || {
         let mut stream = offer.accept().unwrap().0;
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let listening = vec![ListeningSocket {
             protocol: "json-rpc".into(),
             address: at,
@@ -401,9 +411,9 @@
     });
     let starter = std::thread::spawn({
         let tmp = place.folder.0.to_str().unwrap().to_owned();
-        move || Node::fails(config, &[("TMPDIR", &tmp)])
+        move || Node::run_to_exit(config, &[("TMPDIR", &tmp)])
     });
-    processor.up();
+    processor.accept_running();
     predecessor.join().unwrap();
     let (code, log) = starter.join().unwrap();
     assert!(
@@ -420,9 +430,9 @@
     let (mut new, ..) = place.next();
     new.signal("-KILL");
     new.wait();
-    old.line("hot restart: the successor exited");
+    old.wait_for_line("hot restart: the successor exited");
     let mut gateway = old.ready();
-    gateway.send("rota-view", work(9000, None, b"view"));
+    gateway.send("rota-view", request_params(9000, None, b"view"));
     let (view, _) = before.command();
     let (third, mut after, _) = place.next();
     before.complete(&view[1], "fine", b"viewed");
@@ -431,7 +441,7 @@
     old.signal("-TERM");
     assert_eq!(old.wait().code(), Some(0));
     let mut gateway = third.ready();
-    gateway.send("rota-view", work(9000, None, b"view"));
+    gateway.send("rota-view", request_params(9000, None, b"view"));
     assert_eq!(after.command().1, b"view");
 }
 
@@ -441,13 +451,13 @@
     let (old, mut before, _) = place.first();
     let mut early = old.ready();
     let key = "k".repeat(128);
-    early.send("swap-confirm", work(9000, Some(&key), b"body"));
+    early.send("swap-confirm", request_params(9000, Some(&key), b"body"));
     let (run, _) = before.command();
     before.complete(&run[1], "fine", b"once");
     assert_eq!(served(&early.receive()), base64(b"once"));
     let (new, _after, _) = place.next();
     let mut late = new.gateway();
-    late.send("swap-confirm", work(9000, Some(&key), b"body"));
+    late.send("swap-confirm", request_params(9000, Some(&key), b"body"));
     assert_eq!(served(&late.receive()), base64(b"once"));
 }
 
@@ -457,22 +467,22 @@
     let (mut old, mut before, _) = place.first();
     old.ready();
     let (mut new, mut after, door) = place.start();
-    old.line("hot restart: a successor connected");
+    old.wait_for_line("hot restart: a successor connected");
     // One before its yes, one that is about to yield.
     for node in [&mut new, &mut old] {
-        node.reload(json!({"ledger": nobody().to_string()}));
-        assert_eq!(node.line("reload: "), "reload: done");
+        node.reload(json!({"ledger": unused_address().to_string()}));
+        assert_eq!(node.wait_for_line("reload: "), "reload: done");
     }
     let mut early = old.ready();
-    early.send("swap-confirm", work(9000, Some("k"), b"body"));
+    early.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     let (run, _) = before.command();
-    after.up();
-    new.line("hot restart: took over");
+    after.accept_running();
+    new.wait_for_line("hot restart: took over");
     old.reload(json!({"ledger": "127.77.0.2:9"}));
-    assert_eq!(old.line("reload: "), "reload: done");
+    assert_eq!(old.wait_for_line("reload: "), "reload: done");
     let mut late = new.ready();
-    late.send("swap-confirm", work(9000, Some("k"), b"body"));
+    late.send("swap-confirm", request_params(9000, Some("k"), b"body"));
     before.complete(&run[1], "fine", b"once");
     assert_eq!(served(&late.receive()), base64(b"once"));
-    assert_eq!(door.figure("cfg_accepted"), Some(1));
+    assert_eq!(door.metric("cfg_accepted"), Some(1));
 }
--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -5,7 +5,7 @@
 
 mod common;
 
-use common::{base64, configuration, Node, PATIENCE};
+use common::{base64, configuration, Node, TEST_TIMEOUT};
 use serde_json::json;
 use standin::{answered, Gateway};
 use std::io::Read;
@@ -36,7 +36,7 @@
 #[test]
 fn one_request_over_many_segments_and_many_in_one_are_the_same() {
     let node = wide(200);
-    let mut gateway = Gateway::new(node.gateways, 1);
+    let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = base64(&[7; 60]);
     let mut line = String::new();
     // In pieces of every length, with the end of one and the beginning of the next in a piece, too.
@@ -59,8 +59,8 @@
 #[test]
 fn a_peer_that_does_not_read_is_given_up_and_delays_nobody() {
     let node = wide(4096);
-    let mut deaf = Gateway::new(node.gateways, 1);
-    let mut good = Gateway::new(node.gateways, 2);
+    let mut deaf = Gateway::new(node.gateway_address, 1);
+    let mut good = Gateway::new(node.gateway_address, 2);
     let (doc, mut line) = (base64(&[7; 8]), String::new());
     let start = Instant::now();
     // The system's own buffers take megabytes before the node's begin to fill. 32 at a time may be
@@ -79,7 +79,7 @@
             "{line}"
         );
         assert!(
-            start.elapsed() < PATIENCE,
+            start.elapsed() < TEST_TIMEOUT,
             "{rounds} rounds, and it is still heard"
         );
         // What it said must not have been read as new requests: its numbers are old, and count as
@@ -94,8 +94,8 @@
 #[test]
 fn a_gateway_with_32_open_does_not_starve_one_with_one() {
     let node = wide(200);
-    let mut greedy = Gateway::new(node.gateways, 1);
-    let mut modest = Gateway::new(node.gateways, 2);
+    let mut greedy = Gateway::new(node.gateway_address, 1);
+    let mut modest = Gateway::new(node.gateway_address, 2);
     let doc = base64(&[7; 200]);
     let (mut to, mut from) = greedy.split();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
@@ -148,7 +148,9 @@
     );
     node.ready();
     let doc = base64(&[7; 200]);
-    let mut gateways: Vec<Gateway> = (0..6).map(|n| Gateway::new(node.gateways, 1 + n)).collect();
+    let mut gateways: Vec<Gateway> = (0..6)
+        .map(|n| Gateway::new(node.gateway_address, 1 + n))
+        .collect();
     // The cores, then the line: whatever comes behind is turned away.
     let first = requests(&mut gateways[0], 30, &doc);
     gateways[0].say(&first);
@@ -194,7 +196,7 @@
     let (doc, mut line) = (base64(&[7; 2048]), String::new());
     let mut burst = || {
         let mut crowd: Vec<Gateway> = (0..60)
-            .map(|n| Gateway::new(node.gateways, 1 + n))
+            .map(|n| Gateway::new(node.gateway_address, 1 + n))
             .collect();
         // Few at once: unoptimized, the module looks all of its tables over after each event.
         let texts: Vec<Vec<u8>> = crowd.iter_mut().map(|g| requests(g, 8, &doc)).collect();
--- a/crates/node/tests/pools.rs
+++ b/crates/node/tests/pools.rs
@@ -66,7 +66,7 @@
 }
 
 fn read(node: &Node) -> u16 {
-    node.uwsgi(&packet("/view", &[], b"x")).0
+    node.uwsgi_request(&packet("/view", &[], b"x")).0
 }
 
 #[test]
@@ -77,7 +77,7 @@
         for _ in 0..40 {
             assert_eq!(read(&node), 200, "{way:?}");
         }
-        let line = node.line(&format!("pool: ejected member={bad} "));
+        let line = node.wait_for_line(&format!("pool: ejected member={bad} "));
         assert!(line.contains("failures"), "{line}");
         // Out after five in a row.
         assert!(tries.load(Ordering::SeqCst) <= 6, "{way:?}");
@@ -92,7 +92,7 @@
     for i in 0..30 {
         let key = format!("key-{i}");
         statuses.push(
-            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+            node.uwsgi_request(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
                 .0,
         );
     }
@@ -106,11 +106,11 @@
 #[test]
 fn a_keyed_run_that_nobody_accepted_goes_to_another_worker() {
     let (good, served) = worker(Way::Serves);
-    let node = node(&listed(&[good, nobody()]));
+    let node = node(&listed(&[good, unused_address()]));
     for i in 0..20 {
         let key = format!("key-{i}");
         assert_eq!(
-            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+            node.uwsgi_request(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
                 .0,
             200
         );
@@ -125,7 +125,7 @@
     let allow = [("HTTP_X_ALLOW_MS", "300")];
     let mut late = 0;
     for _ in 0..60 {
-        match node.uwsgi(&packet("/view", &allow, b"x")).0 {
+        match node.uwsgi_request(&packet("/view", &allow, b"x")).0 {
             200 => {}
             // Its time was up, whoever noticed first.
             502 | 504 => late += 1,
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_spare_is_used_when_nobody_else_is_left() {
-    let ((spare, got), down) = (worker(Way::Serves), nobody());
+    let ((spare, got), down) = (worker(Way::Serves), unused_address());
     let text = format!(
         "[[uwsgi.worker]]\naddress = \"{down}\"\nweight = 2.0\n\
          [[uwsgi.worker]]\naddress = \"{spare}\"\nspare = true\n"
@@ -153,13 +153,13 @@
         statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200),
         "{statuses:?}"
     );
-    node.line("pool: standby members activated");
+    node.wait_for_line("pool: standby members activated");
     assert!(got.load(Ordering::SeqCst) > 0);
     node.signal("-USR1");
     assert!(node
-        .line(&format!("pool: member={down} state="))
+        .wait_for_line(&format!("pool: member={down} state="))
         .contains("state=ejected"));
-    let line = node.line(&format!("pool: member={spare} state="));
+    let line = node.wait_for_line(&format!("pool: member={spare} state="));
     assert!(
         line.contains("state=healthy") && line.ends_with(" standby"),
         "{line}"
@@ -170,7 +170,7 @@
 fn a_worker_taken_out_of_the_file_finishes_what_it_has() {
     let first = Worker::new();
     let node = node(&listed(&[first.address()]));
-    let client = node.client(&packet("/view", &[], b"x"));
+    let client = node.uwsgi_client(&packet("/view", &[], b"x"));
     let (mut stream, _) = first.accept();
     let (second, _) = worker(Way::Serves);
     let text = format!(
@@ -179,20 +179,22 @@
          [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"workers\"\n",
         listed(&[second])
     );
-    node.rewrite_operator(&text);
-    node.line("reload: done");
+    node.rewrite_operator_file(&text);
+    node.wait_for_line("reload: done");
     assert_eq!(read(&node), 200);
     node.signal("-USR1");
     assert!(node
-        .line(&format!("pool: member={} ", first.address()))
+        .wait_for_line(&format!("pool: member={} ", first.address()))
         .contains("state=removed"));
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast")
         .unwrap();
     drop(stream);
-    assert!(response(client).1.ends_with("last"));
+    assert!(read_response(client).1.ends_with("last"));
     node.signal("-USR1");
-    assert!(node.line("pool: member=").contains(&second.to_string()));
+    assert!(node
+        .wait_for_line("pool: member=")
+        .contains(&second.to_string()));
 }
 
 /// Connections to workers count against the node's, and leave the fronts half of them.
@@ -213,11 +215,11 @@
     let mut gateway = node.ready();
     let held: Vec<_> = (0..4)
         .map(|_| {
-            gateway.send("rota-view", work(5000, None, b"x"));
+            gateway.send("rota-view", request_params(5000, None, b"x"));
             worker.accept().0
         })
         .collect();
-    let id = gateway.send("rota-view", work(5000, None, b"one too many"));
+    let id = gateway.send("rota-view", request_params(5000, None, b"one too many"));
     let answer = gateway.receive();
     assert_eq!(
         (&answer["id"], &answer["error"]["code"]),
@@ -237,7 +239,7 @@
 #[test]
 fn pools_have_names_fall_backs_and_keys() {
     let (down, workers) = (
-        nobody(),
+        unused_address(),
         [
             worker(Way::Serves),
             worker(Way::Serves),
@@ -264,7 +266,7 @@
     for i in 0..12 {
         let key = format!("key-{i}");
         assert_eq!(
-            node.uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+            node.uwsgi_request(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
                 .0,
             200
         );
@@ -282,7 +284,7 @@
         let key = format!("key-{i}");
         assert_eq!(
             again
-                .uwsgi(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
+                .uwsgi_request(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
                 .0,
             200
         );
@@ -290,15 +292,15 @@
     }
     node.signal("-USR1");
     assert!(node
-        .line(&format!("pool other: member={} ", other.0))
+        .wait_for_line(&format!("pool other: member={} ", other.0))
         .contains("state=healthy"));
     // Pools stay as they are until the next start; members may change.
-    node.rewrite_operator(
+    node.rewrite_operator_file(
         &text
             .replace("name = \"other\"", "name = \"else\"")
             .replace("\"other\"", "\"else\""),
     );
     assert!(node
-        .line("reload: not done")
+        .wait_for_line("reload: not done")
         .contains("pools can be neither added nor removed"));
 }
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -19,13 +19,12 @@
         std::thread::spawn(move || {
             let mut processor = Processor::new();
             // Neither the ledger nor the membership service is there.
-            let parties =
-                json!({"processor": processor.address(), "ledger": nobody(), "members": nobody()});
+            let parties = json!({"processor": processor.address(), "ledger": unused_address(), "members": unused_address()});
             let node = Node::start(parties, None);
-            processor.up();
+            processor.accept_running();
             let mut gateway = node.ready();
             let ready = start.elapsed();
-            gateway.send("rota-view", work(9000, None, b"first"));
+            gateway.send("rota-view", request_params(9000, None, b"first"));
             let (id, _) = processor.begin();
             processor.complete(&id, "fine", b"served");
             assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
@@ -48,9 +47,9 @@
     // The link is set up only by a node that listens; until then its address is another's.
     std::thread::sleep(Duration::from_millis(200));
     drop(taken);
-    processor.up();
+    processor.accept_running();
     let node = starting.join().unwrap();
-    assert_eq!(node.gateways, at);
+    assert_eq!(node.gateway_address, at);
     node.ready();
 }
 
@@ -59,9 +58,9 @@
 fn a_start_that_waits_for_its_address_ends_when_told_to() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let config = configuration(
-        &json!({"processor": nobody(), "listen": taken.local_addr().unwrap().to_string()}),
+        &json!({"processor": unused_address(), "listen": taken.local_addr().unwrap().to_string()}),
     );
-    let scratch = Scratch::new("told-to-leave");
+    let scratch = ScratchDirectory::new("told-to-leave");
     std::fs::create_dir_all(&scratch.0).unwrap();
     let file = scratch.0.join("config.json");
     std::fs::write(&file, config.to_string()).unwrap();
@@ -87,7 +86,7 @@
         u64::from_str_radix(&line, 16).unwrap() & (1 << 14) != 0
     };
     while !caught() {
-        assert!(start.elapsed() < PATIENCE);
+        assert!(start.elapsed() < TEST_TIMEOUT);
         std::thread::yield_now();
     }
     let told = Instant::now();
@@ -112,14 +111,17 @@
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address()}), None);
     let mut early = node.gateway();
-    early.send("rota-view", work(5000, None, b"early"));
+    early.send("rota-view", request_params(5000, None, b"early"));
     assert_eq!(early.receive()["error"]["code"], -32000);
     processor.accept();
-    early.send("rota-view", work(5000, None, b"accepted, and not up"));
+    early.send(
+        "rota-view",
+        request_params(5000, None, b"accepted, and not up"),
+    );
     assert_eq!(early.receive()["error"]["code"], -32000);
-    processor.say(b"hi starting 0.5\r\n");
+    processor.send(b"hi starting 0.5\r\n");
     let mut gateway = node.ready();
-    gateway.send("rota-view", work(5000, None, b"up"));
+    gateway.send("rota-view", request_params(5000, None, b"up"));
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
--- a/crates/node/tests/repeats.rs
+++ b/crates/node/tests/repeats.rs
@@ -24,7 +24,7 @@
         .unwrap()
         .extend(more.as_object().unwrap().clone());
     let node = Node::start(parties, None);
-    processor.up();
+    processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway)
 }
@@ -42,7 +42,7 @@
 
 /// Runs the first try of a key, and says when its window ends, in Unix milliseconds.
 fn run_first(processor: &mut Processor, gateway: &mut Gateway) -> u64 {
-    let first = work(900, Some("edge"), b"body");
+    let first = request_params(900, Some("edge"), b"body");
     let window_end = first["since"].as_u64().unwrap() + WINDOW_MS;
     gateway.send("swap-confirm", first);
     let (id, _) = processor.begin();
@@ -58,7 +58,7 @@
     // The node stands still over the end of the window, with the repeat in its buffers.
     sleep_until(window_end - 300);
     node.signal("-STOP");
-    let mut repeat = work(900, Some("edge"), b"body");
+    let mut repeat = request_params(900, Some("edge"), b"body");
     repeat["since"] = json!(window_end - 1);
     gateway.send("swap-confirm", repeat);
     sleep_until(window_end + 100);
@@ -72,7 +72,7 @@
     let window_end = run_first(&mut processor, &mut gateway);
     // Its entry outlives the window by the longest time that a request may take to be read.
     sleep_until(window_end + 7000);
-    gateway.send("swap-confirm", work(900, Some("edge"), b"body"));
+    gateway.send("swap-confirm", request_params(900, Some("edge"), b"body"));
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"second");
     served(&mut gateway, b"second");
@@ -84,13 +84,13 @@
 fn a_repeat_that_comes_as_the_run_ends_joins_it() {
     for end_first in [true, false] {
         let (node, mut processor, mut gateway) = pair(json!({}));
-        gateway.send("swap-confirm", work(900, Some("end"), b"body"));
+        gateway.send("swap-confirm", request_params(900, Some("end"), b"body"));
         let (id, _) = processor.begin();
         node.signal("-STOP");
         if end_first {
             processor.complete(&id, "fine", b"once");
         }
-        gateway.send("swap-confirm", work(900, Some("end"), b"body"));
+        gateway.send("swap-confirm", request_params(900, Some("end"), b"body"));
         if !end_first {
             processor.complete(&id, "fine", b"once");
         }
@@ -105,13 +105,13 @@
 #[test]
 fn a_repeat_after_its_answer_broke_off_gets_it_over_a_new_link() {
     let (node, mut processor, mut gateway) = pair(json!({}));
-    gateway.send("swap-confirm", work(900, Some("cut"), b"body"));
+    gateway.send("swap-confirm", request_params(900, Some("cut"), b"body"));
     let (id, _) = processor.begin();
     drop(gateway);
-    processor.cut();
+    processor.disconnect();
     let mut other = node.gateway();
-    other.send("swap-confirm", work(900, Some("cut"), b"body"));
-    processor.up();
+    other.send("swap-confirm", request_params(900, Some("cut"), b"body"));
+    processor.accept_running();
     processor.complete(&id, "fine", b"once");
     served(&mut other, b"once");
 }
@@ -123,18 +123,18 @@
     let (node, mut processor, mut gateway) = pair(json!({}));
     let mut notices = 0;
     for cut in 0.. {
-        gateway.send("rota-view", work(6000, None, b"body"));
+        gateway.send("rota-view", request_params(6000, None, b"body"));
         let (id, _) = processor.begin();
         notices += 1;
         let notice = format!("complete {notices} {id} fine 12.25 6\r\nresult\r\n");
         if cut > notice.len() {
-            processor.say(notice.as_bytes());
+            processor.send(notice.as_bytes());
             served(&mut gateway, b"result");
             break;
         }
-        processor.say(&notice.as_bytes()[..cut]);
-        processor.cut();
-        processor.up();
+        processor.send(&notice.as_bytes()[..cut]);
+        processor.disconnect();
+        processor.accept_running();
         // All notices that the node has not read whole follow, as its hello asks for.
         let read: u64 = processor
             .hello
@@ -152,12 +152,12 @@
             "cut at {cut}"
         );
         if read < notices {
-            processor.say(notice.as_bytes());
+            processor.send(notice.as_bytes());
         }
         served(&mut gateway, b"result");
     }
     node.signal("-USR1");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert_eq!(Node::counter(&counters, "malformed"), 0, "{counters}");
     assert_eq!(Node::counter(&counters, "served"), notices, "{counters}");
 }
@@ -169,17 +169,17 @@
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) = pair(json!({"ledger": ledger.local_addr().unwrap()}));
     for cut in 0.. {
-        gateway.send("rota-view", work(6000, None, b"body"));
+        gateway.send("rota-view", request_params(6000, None, b"body"));
         let (id, _) = processor.begin();
         processor.notice("ask", &id, b"call");
         let reply = format!("{id} posted 5\r\nreply\r\n");
-        let mut below = Below::accept(&ledger);
+        let mut below = LedgerConnection::accept(&ledger);
         below.post();
         let whole = cut >= reply.len();
         below.reply_bytes(&reply.as_bytes()[..cut.min(reply.len())]);
         drop(below);
         if !whole {
-            let mut again = Below::accept(&ledger);
+            let mut again = LedgerConnection::accept(&ledger);
             assert_eq!(again.post(), (id.clone(), b"call".to_vec()), "cut at {cut}");
             again.reply(&reply);
         }
@@ -203,18 +203,18 @@
 fn a_party_may_be_killed_right_after_it_accepts() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) = pair(json!({"ledger": ledger.local_addr().unwrap()}));
-    processor.cut();
+    processor.disconnect();
     for _ in 0..3 {
         drop(processor.listener.accept().unwrap());
     }
-    processor.up();
-    gateway.send("rota-view", work(6000, None, b"body"));
+    processor.accept_running();
+    gateway.send("rota-view", request_params(6000, None, b"body"));
     let (id, _) = processor.begin();
     processor.notice("ask", &id, b"call");
     for _ in 0..3 {
         drop(ledger.accept().unwrap());
     }
-    let mut below = Below::accept(&ledger);
+    let mut below = LedgerConnection::accept(&ledger);
     assert_eq!(below.post().1, b"call");
     below.reply(&format!("{id} posted 5\r\nreply\r\n"));
     assert_eq!(processor.command().1, b"reply");
@@ -227,16 +227,16 @@
 fn a_reply_twice_or_too_late_is_dropped() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) = pair(json!({"ledger": ledger.local_addr().unwrap()}));
-    gateway.send("rota-view", work(6000, None, b"twice"));
+    gateway.send("rota-view", request_params(6000, None, b"twice"));
     let (id, _) = processor.begin();
     processor.notice("ask", &id, b"call");
-    let mut below = Below::accept(&ledger);
+    let mut below = LedgerConnection::accept(&ledger);
     below.post();
     let reply = format!("{id} posted 3\r\none\r\n");
     below.reply(&reply.repeat(2));
     assert_eq!(processor.command().1, b"one");
     processor.notice("ask", &id, b"next");
-    let mut below = Below::accept(&ledger);
+    let mut below = LedgerConnection::accept(&ledger);
     assert_eq!(below.post().1, b"next");
     below.reply(&format!("{id} posted 3\r\ntwo\r\n"));
     assert_eq!(processor.command().1, b"two");
@@ -244,11 +244,11 @@
     served(&mut gateway, b"served");
     // Too late: the request is answered at its due time, and what comes behind that changes
     // nothing.
-    gateway.send("rota-view", work(400, None, b"late"));
+    gateway.send("rota-view", request_params(400, None, b"late"));
     let (id, _) = processor.begin();
     let start = Instant::now();
     assert_ne!(gateway.receive()["error"], Value::Null);
-    assert!(start.elapsed() < PATIENCE);
+    assert!(start.elapsed() < TEST_TIMEOUT);
     processor.complete(&id, "fine", b"late");
     gateway.send("alive", json!({}));
     assert_eq!(gateway.receive()["result"]["healthy"], true);
--- a/crates/node/tests/retune.rs
+++ b/crates/node/tests/retune.rs
@@ -5,13 +5,13 @@
 use common::*;
 use serde_json::{json, Value};
 
-fn node() -> (Node, Processor, Gateway, Door, Value) {
+fn node() -> (Node, Processor, Gateway, ControlEndpoint, Value) {
     let mut processor = Processor::new();
     let more = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0",
-        "ledger": nobody().to_string(), "limits": {"sockets": 512, "memory_mb": 48}});
+        "ledger": unused_address().to_string(), "limits": {"sockets": 512, "memory_mb": 48}});
     let node = Node::start(more.clone(), None);
-    let door = node.door();
-    processor.up();
+    let door = node.control_endpoint();
+    processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway, door, configuration(&more))
 }
@@ -94,23 +94,23 @@
     }
     for (count, text) in wrong.iter().enumerate() {
         node.reload_text(text);
-        let line = node.line("reload: ");
+        let line = node.wait_for_line("reload: ");
         assert!(
             line.starts_with("reload: not done") && line.len() < 300,
             "{line} for {text}"
         );
-        assert_eq!(door.figure("cfg_invalid"), Some(count as u64 + 1), "{text}");
+        assert_eq!(door.metric("cfg_invalid"), Some(count as u64 + 1), "{text}");
         // Too many errors in a row would end the connection.
         gateway.send("alive", json!({}));
         assert_eq!(gateway.receive()["result"]["healthy"], true);
-        gateway.send("extra", work(1000, None, b"body"));
+        gateway.send("extra", request_params(1000, None, b"body"));
         assert!(unknown(&gateway.receive()), "taken by half: {text}");
     }
-    assert_eq!(door.figure("cfg_accepted"), Some(0));
+    assert_eq!(door.metric("cfg_accepted"), Some(0));
     node.reload_text(&text);
-    assert_eq!(node.line("reload: "), "reload: done");
-    assert_eq!(door.figure("cfg_accepted"), Some(1));
-    gateway.send("extra", work(5000, None, b"body"));
+    assert_eq!(node.wait_for_line("reload: "), "reload: done");
+    assert_eq!(door.metric("cfg_accepted"), Some(1));
+    gateway.send("extra", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     assert_eq!(words[2], "extra");
 }
@@ -118,9 +118,9 @@
 #[test]
 fn open_requests_end_under_their_class_and_keys_keep_their_window() {
     let (node, mut processor, mut gateway, door, mut config) = node();
-    gateway.send("swap-confirm", work(5000, Some("one"), b"swap"));
+    gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     let (swap, _) = processor.command();
-    let view = gateway.send("rota-view", work(5000, None, b"view"));
+    let view = gateway.send("rota-view", request_params(5000, None, b"view"));
     let (viewed, _) = processor.command();
 
     // rota-view goes, a class comes, and the keyed one is defined anew.
@@ -128,8 +128,8 @@
     keyed["deadline"] = json!(9_000_000);
     config["settings"]["categories"] = json!([class(&config, 0, "crew-view"), keyed]);
     node.reload_text(&config.to_string());
-    node.line("reload: done");
-    gateway.send("rota-view", work(5000, None, b"view"));
+    node.wait_for_line("reload: done");
+    gateway.send("rota-view", request_params(5000, None, b"view"));
     assert!(unknown(&gateway.receive()));
     processor.complete(&viewed[1], "fine", b"viewed");
     let answer = gateway.receive();
@@ -139,22 +139,22 @@
     );
 
     // A repeat of the run that goes on, and one of the run that has ended: neither is run.
-    gateway.send("swap-confirm", work(5000, Some("one"), b"swap"));
+    gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     processor.complete(&swap[1], "fine", b"swapped");
-    gateway.send("swap-confirm", work(5000, Some("one"), b"swap"));
+    gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     for _ in 0..3 {
         assert_eq!(gateway.receive()["result"]["doc"], base64(b"swapped"));
     }
     // Its key with another body is as wrong as ever.
-    gateway.send("swap-confirm", work(5000, Some("one"), b"other"));
+    gateway.send("swap-confirm", request_params(5000, Some("one"), b"other"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
-    gateway.send("crew-view", work(5000, None, b"crew"));
+    gateway.send("crew-view", request_params(5000, None, b"crew"));
     let (crew, _) = processor.command();
     assert_eq!((&*crew[0], &*crew[2]), ("begin", "crew-view"));
     processor.complete(&crew[1], "fine", b"");
     gateway.receive();
 
-    let figures = |class: &str, figure: &str| door.figure(&format!("operations.{class}.{figure}"));
+    let figures = |class: &str, figure: &str| door.metric(&format!("operations.{class}.{figure}"));
     assert_eq!(
         figures("rota-view", "fulfilled"),
         Some(1),
@@ -174,25 +174,25 @@
         config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, name);
         node.reload_text(&config.to_string());
     }
-    node.line("reload: done");
+    node.wait_for_line("reload: done");
     // A third one closes the row, so that all that came before it is done with.
-    while door.figure("cfg_accepted") < Some(1) {}
+    while door.metric("cfg_accepted") < Some(1) {}
     node.reload_text(&config.to_string());
-    node.line("reload: done");
-    gateway.send("first", work(5000, None, b"body"));
+    node.wait_for_line("reload: done");
+    gateway.send("first", request_params(5000, None, b"body"));
     assert!(unknown(&gateway.receive()));
-    gateway.send("second", work(5000, None, b"body"));
+    gateway.send("second", request_params(5000, None, b"body"));
     assert_eq!(processor.command().0[2], "second");
-    assert_eq!(door.figure("cfg_invalid"), Some(0));
+    assert_eq!(door.metric("cfg_invalid"), Some(0));
 }
 
 #[test]
 fn a_file_that_comes_during_a_drain_changes_nothing() {
     let (mut node, mut processor, mut gateway, _door, mut config) = node();
-    gateway.send("rota-view", work(5000, None, b"open"));
+    gateway.send("rota-view", request_params(5000, None, b"open"));
     let (open, _) = processor.command();
     node.signal("-TERM");
-    node.line("draining: ");
+    node.wait_for_line("draining: ");
     config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, "late-view");
     node.reload_text(&config.to_string());
     processor.complete(&open[1], "fine", b"answered");
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{configuration, packet, Scratch, Worker, PATIENCE, PROGRAM};
+use common::{configuration, packet, ScratchDirectory, Worker, PROGRAM, TEST_TIMEOUT};
 use pipitlever_cluster_testing::network_relay::LinkFaults;
 use pipitlever_cluster_testing::process_control::{Cluster, ClusterConfig};
 use serde_json::{json, Value};
@@ -82,7 +82,7 @@
 
 struct Site {
     cluster: Cluster,
-    folder: Scratch,
+    folder: ScratchDirectory,
     /// Where uwsgi clients connect, by node; none while its process is down.
     fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
 }
@@ -90,7 +90,7 @@
 impl Site {
     /// `cpus`: runs that a node may have at once follow from it.
     fn new(name: &str, desks: &Desks, cpus: usize) -> Site {
-        let folder = Scratch::new(name);
+        let folder = ScratchDirectory::new(name);
         std::fs::create_dir_all(&folder.0).unwrap();
         let electors = "electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
         let mut config = configuration(&json!({}));
@@ -441,7 +441,7 @@
     let admitted = |node: usize, session: usize| {
         let start = Instant::now();
         let answer = std::iter::repeat_with(|| at(node, session))
-            .take_while(|_| start.elapsed() < PATIENCE)
+            .take_while(|_| start.elapsed() < TEST_TIMEOUT)
             .find_map(Result::ok);
         answer.unwrap_or_else(|| panic!("session {session} is not admitted at node {node}"))
     };
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{configuration, work, Scratch, Worker, PROGRAM};
+use common::{configuration, request_params, ScratchDirectory, Worker, PROGRAM};
 use pipitlever_cluster_testing::process_control::{Cluster, ClusterConfig};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -63,7 +63,7 @@
 /// Runs that a worker may have at once.
 const MOST: usize = 10;
 
-fn cluster(folder: &Scratch, nodes: usize, desks: &[Desk], more: &str) -> Cluster {
+fn cluster(folder: &ScratchDirectory, nodes: usize, desks: &[Desk], more: &str) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
     let member = |(i, desk): (usize, &Desk)| {
         format!(
@@ -122,7 +122,7 @@
         if stop.load(SeqCst) {
             break;
         }
-        let message = json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": work(3000, None, b"x")});
+        let message = json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": request_params(3000, None, b"x")});
         stream.write_all(format!("{message}\n").as_bytes()).ok()?;
         let mut line = String::new();
         while !line.contains(&format!("\"id\":{id},")) {
@@ -187,7 +187,7 @@
 
 #[test]
 fn bounds_of_all_nodes_add_up_through_kills_cuts_and_stops() {
-    let folder = Scratch::new("share-bounds");
+    let folder = ScratchDirectory::new("share-bounds");
     let desks: Vec<Desk> = (0..3).map(|_| Desk::start()).collect();
     let mut cluster = cluster(&folder, 5, &desks, "");
     let all = [0, 1, 2, 3, 4];
@@ -245,7 +245,7 @@
 
 #[test]
 fn what_an_idle_node_leaves_is_the_busy_ones() {
-    let folder = Scratch::new("share-idle");
+    let folder = ScratchDirectory::new("share-idle");
     let desks: Vec<Desk> = (0..3).map(|_| Desk::start()).collect();
     let cluster = cluster(&folder, 4, &desks, "");
     cluster.wait("all of each bound is divided", |c| {
@@ -276,7 +276,7 @@
 
 #[test]
 fn subsets_are_even_move_little_and_trials_take_turns() {
-    let folder = Scratch::new("share-subsets");
+    let folder = ScratchDirectory::new("share-subsets");
     let desks: Vec<Desk> = (0..8).map(|_| Desk::start()).collect();
     let mut cluster = cluster(&folder, 6, &desks, "subset = 4\n");
     let all = [0, 1, 2, 3, 4, 5];
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -7,7 +7,7 @@
 
 mod common;
 
-use common::{configuration, packet, Scratch, PROGRAM};
+use common::{configuration, packet, ScratchDirectory, PROGRAM};
 use fastrand::Rng;
 use pipitlever_cluster_testing::network_relay::LinkFaults;
 use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig, LogLine};
@@ -92,12 +92,12 @@
     kills: Vec<KilledProcess>,
     /// The config version that each node last acted on.
     acting: [u64; NODES],
-    folder: Scratch,
+    folder: ScratchDirectory,
 }
 
 impl Soak {
     fn start(seed: u64) -> Soak {
-        let folder = Scratch::new(&format!("soak-{seed}"));
+        let folder = ScratchDirectory::new(&format!("soak-{seed}"));
         std::fs::create_dir_all(&folder.0).unwrap();
         let config = configuration(&json!({"stop_ms": STOP.as_millis() as u64}));
         let versions = "[fleet.versions]\nfolder = \"FOLDER/versions\"\n\
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -17,7 +17,7 @@
     fn keys(&self) -> Vec<RecoveredKey>;
 }
 
-impl Stored for Scratch {
+impl Stored for ScratchDirectory {
     fn section(&self) -> String {
         format!(
             "[store]\nfolder = {:?}\nmax_mb = 4\n",
@@ -38,13 +38,13 @@
 /// ends, and the next process tells it.
 #[test]
 fn a_drain_leaves_nothing_open() {
-    let scratch = Scratch::new("drain");
+    let scratch = ScratchDirectory::new("drain");
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties.clone(), Some(&scratch.section()));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
     let (id, _) = processor.begin();
     let [RecoveredKey {
         intent,
@@ -68,12 +68,12 @@
         Some(Outcome::Served(b"done".to_vec()))
     );
     let node = Node::start(parties, Some(&scratch.section()));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
     // Another body is its client's error, over the restart, too.
-    gateway.send("swap-confirm", work(5000, Some("k"), b"another"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"another"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
 }
 
@@ -81,23 +81,23 @@
 /// worker had in hand when the process died fails.
 #[test]
 fn runs_of_workers_are_remembered() {
-    let scratch = Scratch::new("workers");
+    let scratch = ScratchDirectory::new("workers");
     let worker = Worker::new();
-    let text = uwsgi_file(Some(worker.address()), "workers") + &scratch.section();
+    let text = uwsgi_operator_file(Some(worker.address()), "workers") + &scratch.section();
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties.clone(), Some(&text));
-    processor.up();
+    processor.accept_running();
     node.ready();
     let key = [("HTTP_IDEMPOTENCY_KEY", "k")];
-    let client = node.client(&packet("/swap", &key, b"body"));
+    let client = node.uwsgi_client(&packet("/swap", &key, b"body"));
     let (mut stream, _) = worker.accept();
     let response = b"HTTP/1.1 201 Made\r\nX-Odd: \xff\r\nContent-Length: 4\r\n\r\nmade";
     std::io::Write::write_all(&mut stream, response).unwrap();
     drop(stream);
-    let first = self::response(client);
+    let first = self::read_response(client);
     assert_eq!(first.0, 201);
-    let _half = node.client(&packet(
+    let _half = node.uwsgi_client(&packet(
         "/swap",
         &[("HTTP_IDEMPOTENCY_KEY", "half")],
         b"body",
@@ -119,10 +119,10 @@
         ]
     );
     let node = Node::start(parties, Some(&text));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    assert_eq!(node.uwsgi(&packet("/swap", &key, b"body")), first);
-    let (status, text) = node.uwsgi(&packet(
+    assert_eq!(node.uwsgi_request(&packet("/swap", &key, b"body")), first);
+    let (status, text) = node.uwsgi_request(&packet(
         "/swap",
         &[("HTTP_IDEMPOTENCY_KEY", "half")],
         b"body",
@@ -134,7 +134,7 @@
     let seconds: u64 = seconds.split_once('\r').unwrap().0.parse().unwrap();
     assert!(status == 502 && (1..=21).contains(&seconds), "{text}");
     // On the other front the same run's body.
-    gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"made"));
     worker.0.set_nonblocking(true).unwrap();
     assert!(worker.0.accept().is_err(), "a worker got it a second time");
@@ -144,21 +144,21 @@
 /// for the other's.
 #[test]
 fn a_name_in_use_is_refused_over_the_restart() {
-    let scratch = Scratch::new("names");
+    let scratch = ScratchDirectory::new("names");
     let mut processor = Processor::new();
     let parties = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(parties.clone(), Some(&scratch.section()));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    let first = work(5000, Some("k"), b"body");
+    let first = request_params(5000, Some("k"), b"body");
     gateway.send("swap-confirm", first.clone());
     let (id, _) = processor.begin();
     node.signal("-KILL");
     node.wait();
     let node = Node::start(parties, Some(&scratch.section()));
-    processor.up();
+    processor.accept_running();
     let mut gateway = node.ready();
-    let mut other = work(5000, Some("other"), b"else");
+    let mut other = request_params(5000, Some("other"), b"else");
     other["ref"] = first["ref"].clone();
     gateway.send("swap-confirm", other);
     assert_eq!(gateway.receive()["error"]["code"], -32602);
@@ -166,7 +166,7 @@
     // again.
     processor.complete(&id, "fine", b"done");
     loop {
-        gateway.send("swap-confirm", work(5000, Some("k"), b"body"));
+        gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
         let answer = gateway.receive();
         if answer["result"].is_object() {
             assert_eq!(answer["result"]["doc"], base64(b"done"));
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -35,7 +35,7 @@
 /// So many keyed requests one after the other, or 16 at a time; microseconds each takes, and
 /// requests a second.
 fn latencies(node: &Node, run: u64, length: Duration, at_once: usize) -> (Vec<f64>, f64) {
-    let mut gateway = Gateway::new(node.gateways, 1 + run);
+    let mut gateway = Gateway::new(node.gateway_address, 1 + run);
     let (doc, mut out, mut line) = (base64(&[7; 200]), Vec::new(), String::new());
     let (mut took, mut keys, start) = (Vec::new(), 0, Instant::now());
     while start.elapsed() < length {
@@ -141,7 +141,7 @@
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.pid())).unwrap();
     let most = status.lines().find(|l| l.starts_with("VmHWM")).unwrap();
     node.signal("-USR1");
-    println!("{most}; {}", node.line("now: "));
+    println!("{most}; {}", node.wait_for_line("now: "));
     drop(node);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/node/tests/uwsgi.rs
+++ b/crates/node/tests/uwsgi.rs
@@ -15,12 +15,12 @@
 /// A node with a processor and a worker, which serves the swaps.
 fn both() -> (Node, Processor, Worker) {
     let (mut processor, worker) = (Processor::new(), Worker::new());
-    let file = uwsgi_file(Some(worker.address()), "workers");
+    let file = uwsgi_operator_file(Some(worker.address()), "workers");
     let node = Node::start(
         json!({"processor": processor.address().to_string()}),
         Some(&file),
     );
-    processor.up();
+    processor.accept_running();
     node.ready();
     (node, processor, worker)
 }
@@ -33,25 +33,29 @@
         &[(KEY, "k"), ("HTTP_X_OTHER", "ü")],
         b"\0body\xff",
     );
-    let client = node.client(&sent);
+    let client = node.uwsgi_client(&sent);
     let (mut stream, seen) = worker.accept();
     assert_eq!(seen, sent);
     let reply = "HTTP/1.0 201 Made\r\nX-A: b\r\nContent-Length: 4\r\n\r\n\0\r\n!";
     stream.write_all(reply.as_bytes()).unwrap();
-    assert_eq!(response(client).1, reply);
+    assert_eq!(read_response(client).1, reply);
     // Over the platform's front the same key gets the same result, as a body, without a run.
     let mut gateway = node.gateway();
-    gateway.send("swap-confirm", work(5000, Some("k"), b"\0body\xff"));
+    gateway.send(
+        "swap-confirm",
+        request_params(5000, Some("k"), b"\0body\xff"),
+    );
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"\0\r\n!"));
     // With another body it is an error on either front.
-    gateway.send("swap-confirm", work(5000, Some("k"), b"other"));
+    gateway.send("swap-confirm", request_params(5000, Some("k"), b"other"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
     assert_eq!(
-        node.uwsgi(&packet("/swap/7", &[(KEY, "k")], b"other")).0,
+        node.uwsgi_request(&packet("/swap/7", &[(KEY, "k")], b"other"))
+            .0,
         400
     );
     // A platform request of a class of the workers' is a packet to them.
-    gateway.send("swap-confirm", work(5000, Some("k2"), b"doc"));
+    gateway.send("swap-confirm", request_params(5000, Some("k2"), b"doc"));
     let (mut stream, seen) = worker.accept();
     assert!(
         seen.ends_with(b"doc"),
@@ -68,11 +72,11 @@
 #[test]
 fn a_packet_for_the_processor_gets_its_result_as_http() {
     let (node, mut processor, _worker) = both();
-    let client = node.client(&packet("/view", &[], b"ask"));
+    let client = node.uwsgi_client(&packet("/view", &[], b"ask"));
     let (id, body) = processor.begin();
     assert_eq!(body, b"ask");
     processor.complete(&id, "fine", b"result");
-    let (status, text) = response(client);
+    let (status, text) = read_response(client);
     assert!(status == 200 && text.ends_with("\r\n\r\nresult"), "{text}");
 }
 
@@ -95,7 +99,7 @@
         (packet("/view", &[("HTTP_LONG", &long)], b""), 413),
     ];
     for (bytes, expected) in cases {
-        let (status, text) = node.uwsgi(&bytes);
+        let (status, text) = node.uwsgi_request(&bytes);
         assert_eq!(
             status,
             expected,
@@ -117,13 +121,13 @@
         );
         let size = (bytes.len() - 4) as u16;
         bytes[1..3].copy_from_slice(&size.to_le_bytes());
-        assert_eq!(node.uwsgi(&bytes).0, expected, "{length}");
+        assert_eq!(node.uwsgi_request(&bytes).0, expected, "{length}");
     }
-    let client = node.client(&packet("/view", &[], b"good"));
+    let client = node.uwsgi_client(&packet("/view", &[], b"good"));
     let (id, body) = processor.begin();
     assert_eq!(body, b"good");
     processor.complete(&id, "fine", b"");
-    assert_eq!(response(client).0, 200);
+    assert_eq!(read_response(client).0, 200);
     worker.0.set_nonblocking(true).unwrap();
     assert!(worker.0.accept().is_err(), "no worker was called");
 }
@@ -132,14 +136,14 @@
 fn each_outcome_has_its_status() {
     let (node, mut processor, worker) = both();
     // Failed by the processor; out of time, by the client's own word.
-    let client = node.client(&packet("/view", &[], b""));
+    let client = node.uwsgi_client(&packet("/view", &[], b""));
     let (id, _) = processor.begin();
     processor.complete(&id, "fault", b"");
-    assert_eq!(response(client).0, 502);
+    assert_eq!(read_response(client).0, 502);
     let start = Instant::now();
-    let client = node.client(&packet("/view", &[("HTTP_X_ALLOW_MS", "200")], b""));
+    let client = node.uwsgi_client(&packet("/view", &[("HTTP_X_ALLOW_MS", "200")], b""));
     processor.begin();
-    assert_eq!(response(client).0, 504);
+    assert_eq!(read_response(client).0, 504);
     assert!(
         start.elapsed() < Duration::from_millis(450),
         "{:?}",
@@ -152,13 +156,13 @@
         b"no http at all\r\n\r\n",
     ] {
         let key = format!("broken {}", reply.len());
-        let client = node.client(&packet("/swap", &[(KEY, &key)], b""));
+        let client = node.uwsgi_client(&packet("/swap", &[(KEY, &key)], b""));
         let (mut stream, _) = worker.accept();
         stream.write_all(reply).unwrap();
         drop(stream);
-        assert_eq!(response(client).0, 502, "{key}");
+        assert_eq!(read_response(client).0, 502, "{key}");
         assert_eq!(
-            node.uwsgi(&packet("/swap", &[(KEY, &key)], b"")).0,
+            node.uwsgi_request(&packet("/swap", &[(KEY, &key)], b"")).0,
             502,
             "{key} again"
         );
@@ -166,7 +170,7 @@
     // A worker that refuses the connection never ran it: come back, and it runs.
     let address = worker.address();
     drop(worker);
-    let (status, text) = node.uwsgi(&packet("/swap", &[(KEY, "later")], b""));
+    let (status, text) = node.uwsgi_request(&packet("/swap", &[(KEY, "later")], b""));
     assert!(
         status == 503 && text.contains("Retry-After: 1\r\n"),
         "{text}"
@@ -174,25 +178,26 @@
     let worker = Worker(std::net::TcpListener::bind(address).expect("the port is still free"));
     let bodies = worker.echo();
     assert_eq!(
-        node.uwsgi(&packet("/swap", &[(KEY, "later")], b"now")).0,
+        node.uwsgi_request(&packet("/swap", &[(KEY, "later")], b"now"))
+            .0,
         200
     );
-    assert_eq!(bodies.recv_timeout(PATIENCE).unwrap(), b"now");
+    assert_eq!(bodies.recv_timeout(TEST_TIMEOUT).unwrap(), b"now");
 }
 
 #[test]
 fn a_node_of_workers_alone_needs_no_processor() {
     let worker = Worker::new();
-    let file =
-        uwsgi_file(Some(worker.address()), "workers").replace("\"processor\"", "\"workers\"");
+    let file = uwsgi_operator_file(Some(worker.address()), "workers")
+        .replace("\"processor\"", "\"workers\"");
     let node = Node::start(json!({}), Some(&file));
     let _bodies = worker.echo();
     let mut gateway = node.ready();
     for path in ["/view", "/swap"] {
-        let (status, text) = node.uwsgi(&packet(path, &[(KEY, "k")], b"echo"));
+        let (status, text) = node.uwsgi_request(&packet(path, &[(KEY, "k")], b"echo"));
         assert!(status == 200 && text.ends_with("\r\n\r\necho"), "{text}");
     }
-    gateway.send("rota-view", work(5000, None, b"doc"));
+    gateway.send("rota-view", request_params(5000, None, b"doc"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"doc"));
 }
 
@@ -200,20 +205,20 @@
 fn a_retry_of_a_running_write_joins_it() {
     let (node, _processor, worker) = both();
     let swap = packet("/swap", &[(KEY, "k"), ("HTTP_X_ALLOW_MS", "10000")], b"");
-    let first = node.client(&swap);
+    let first = node.uwsgi_client(&swap);
     let (mut stream, _) = worker.accept();
-    let retry = node.client(&swap);
+    let retry = node.uwsgi_client(&swap);
     let mut gateway = node.gateway();
-    gateway.send("swap-confirm", work(10000, Some("k"), b""));
+    gateway.send("swap-confirm", request_params(10000, Some("k"), b""));
     // The first caller leaves; its run goes on for the others, and one more try gets the outcome
     // too.
     first.shutdown(Shutdown::Both).unwrap();
-    let last = node.client(&swap);
+    let last = node.uwsgi_client(&swap);
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nonce")
         .unwrap();
     for client in [retry, last] {
-        let (status, text) = response(client);
+        let (status, text) = read_response(client);
         assert!(status == 200 && text.ends_with("once"), "{text}");
     }
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
@@ -225,19 +230,19 @@
 fn a_half_sent_packet_is_no_request_and_delays_no_drain() {
     let (mut node, _processor, worker) = both();
     let swap = packet("/swap", &[(KEY, "k")], b"body");
-    let running = node.client(&swap);
+    let running = node.uwsgi_client(&swap);
     let (mut stream, _) = worker.accept();
     let halves: Vec<_> = [1, 4, 20, swap.len() - 1]
-        .map(|n| node.client(&swap[..n]))
+        .map(|n| node.uwsgi_client(&swap[..n]))
         .into();
     let start = Instant::now();
     node.signal("-TERM");
-    node.line("draining: ");
+    node.wait_for_line("draining: ");
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .unwrap();
-    assert_eq!(response(running).0, 200);
-    let counters = node.line("counters: ");
+    assert_eq!(read_response(running).0, 200);
+    let counters = node.wait_for_line("counters: ");
     assert!(node.wait().success());
     // The grace of the drain and some, not the time that there is.
     assert!(
@@ -256,18 +261,18 @@
     const CALLERS: usize = 12;
     const EACH: usize = 60;
     let (mut processor, worker) = (Processor::new(), Worker::new());
-    let file = uwsgi_file(Some(worker.address()), "workers");
+    let file = uwsgi_operator_file(Some(worker.address()), "workers");
     let mut node = Node::start(
         json!({"processor": processor.address().to_string()}),
         Some(&file),
     );
-    processor.up();
+    processor.accept_running();
     node.ready();
     let (reads, writes) = (processor.echo(), worker.echo());
     let mut callers = Vec::new();
     for caller in 0..CALLERS {
         let mut gateway = node.gateway();
-        let uwsgi = node.uwsgi.unwrap();
+        let uwsgi = node.uwsgi_address.unwrap();
         // Two callers of either front share each key; a body names what was asked.
         let key = move |i: usize| format!("key {} {i}", caller / 4);
         let (view, swap) = (format!("view {caller}"), format!("swap {}", caller / 4));
@@ -277,11 +282,13 @@
                 for i in 0..EACH / 30 {
                     for j in 0..15 {
                         let key = key(i * 15 + j);
-                        let number =
-                            gateway.send("swap-confirm", work(9000, Some(&key), swap.as_bytes()));
+                        let number = gateway.send(
+                            "swap-confirm",
+                            request_params(9000, Some(&key), swap.as_bytes()),
+                        );
                         open.insert(number, swap.clone());
                         open.insert(
-                            gateway.send("rota-view", work(9000, None, view.as_bytes())),
+                            gateway.send("rota-view", request_params(9000, None, view.as_bytes())),
                             view.clone(),
                         );
                     }
@@ -306,11 +313,11 @@
                         _ => ("/view", vec![], &view),
                     };
                     let mut stream = std::net::TcpStream::connect(uwsgi).unwrap();
-                    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                     stream
                         .write_all(&packet(path, &more, body.as_bytes()))
                         .unwrap();
-                    let (status, text) = response(stream);
+                    let (status, text) = read_response(stream);
                     match status {
                         200 => assert!(text.ends_with(&format!("\r\n\r\n{body}")), "{text}"),
                         _ => assert!(status == 503 && text.contains("Retry-After: "), "{text}"),
@@ -321,7 +328,7 @@
     }
     callers.into_iter().for_each(|c| c.join().unwrap());
     node.signal("-TERM");
-    let counters = node.line("counters: ");
+    let counters = node.wait_for_line("counters: ");
     assert!(node.wait().success());
     let count = |name: &str| Node::counter(&counters, name);
     let asked = (CALLERS * EACH) as u64;
@@ -345,23 +352,23 @@
 fn a_drain_treats_both_fronts_alike() {
     let (mut node, mut processor, worker) = both();
     let mut gateway = node.ready();
-    gateway.send("rota-view", work(9000, None, b"by line"));
+    gateway.send("rota-view", request_params(9000, None, b"by line"));
     let (line, _) = processor.begin();
-    let read = node.client(&packet("/view", &[], b"by packet"));
+    let read = node.uwsgi_client(&packet("/view", &[], b"by packet"));
     let (packet_read, _) = processor.begin();
-    let write = node.client(&packet("/swap", &[(KEY, "k")], b""));
+    let write = node.uwsgi_client(&packet("/swap", &[(KEY, "k")], b""));
     let (mut stream, _) = worker.accept();
     let crossing = packet("/view", &[], b"crossing");
-    let mut half = node.client(&crossing[..9]);
+    let mut half = node.uwsgi_client(&crossing[..9]);
     node.signal("-TERM");
-    node.line("draining: ");
+    node.wait_for_line("draining: ");
     // What comes after the notice, early in the grace, is taken from either.
-    gateway.send("rota-view", work(9000, None, b"crossing"));
+    gateway.send("rota-view", request_params(9000, None, b"crossing"));
     let (crossing_line, _) = processor.begin();
     half.write_all(&crossing[9..]).unwrap();
     let (crossing_packet, body) = processor.begin();
     assert_eq!(body, b"crossing");
-    for at in [node.gateways, node.uwsgi.unwrap()] {
+    for at in [node.gateway_address, node.uwsgi_address.unwrap()] {
         while std::net::TcpStream::connect(at).is_ok() {
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -376,8 +383,8 @@
     for result in [b"1", b"4"] {
         assert_eq!(gateway.receive()["result"]["doc"], base64(result));
     }
-    assert!(response(half).1.ends_with("\r\n\r\n5"));
-    assert!(response(read).1.ends_with("\r\n\r\n2"));
-    assert!(response(write).1.ends_with("\r\n\r\n3"));
+    assert!(read_response(half).1.ends_with("\r\n\r\n5"));
+    assert!(read_response(read).1.ends_with("\r\n\r\n2"));
+    assert!(read_response(write).1.ends_with("\r\n\r\n3"));
     assert!(node.wait().success());
 }
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{configuration, work, Scratch, PROGRAM};
+use common::{configuration, request_params, ScratchDirectory, PROGRAM};
 use pipitlever_cluster_testing::process_control::{call_control, Cluster, ClusterConfig, LogLine};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
@@ -13,7 +13,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-fn cluster(folder: &Scratch, nodes: usize, more: &str) -> Cluster {
+fn cluster(folder: &ScratchDirectory, nodes: usize, more: &str) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
     let electors = "electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
     let more = format!("[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{more}");
@@ -44,7 +44,12 @@
 }
 
 /// Has all know of a class of this name alone beside the usual ones.
-fn publish(cluster: &Cluster, folder: &Scratch, node: usize, class: &str) -> (bool, String) {
+fn publish(
+    cluster: &Cluster,
+    folder: &ScratchDirectory,
+    node: usize,
+    class: &str,
+) -> (bool, String) {
     let mut settings = configuration(&json!({}))["settings"].clone();
     let mut entry = settings["categories"][0].clone();
     entry["name"] = json!(class);
@@ -89,8 +94,7 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(10)))
         .unwrap();
-    let message =
-        json!({"jsonrpc": "2.0", "id": 1, "method": class, "params": work(3000, None, b"x")});
+    let message = json!({"jsonrpc": "2.0", "id": 1, "method": class, "params": request_params(3000, None, b"x")});
     stream.write_all(format!("{message}\n").as_bytes()).unwrap();
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
@@ -101,7 +105,7 @@
 const NO_CLASS: i64 = -32601;
 const REFUSED: i64 = -32000;
 
-fn disk(cluster: &Cluster, folder: &Scratch, node: usize) -> PathBuf {
+fn disk(cluster: &Cluster, folder: &ScratchDirectory, node: usize) -> PathBuf {
     folder.0.join(&cluster.nodes[node].name).join("versions")
 }
 
@@ -134,7 +138,7 @@
 /// The first slice: two versions, and a node that comes back with yesterday's disk.
 #[test]
 fn a_disk_put_back_brings_no_stale_version_back() {
-    let folder = Scratch::new("versions-put-back");
+    let folder = ScratchDirectory::new("versions-put-back");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
@@ -209,7 +213,7 @@
 /// operator can end that.
 #[test]
 fn a_node_alone_with_yesterdays_disk_waits_for_its_neighbours() {
-    let folder = Scratch::new("versions-alone");
+    let folder = ScratchDirectory::new("versions-alone");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
@@ -269,7 +273,7 @@
 /// node's versions only grow.
 #[test]
 fn versions_only_grow_through_cuts_kills_and_a_stopped_process() {
-    let folder = Scratch::new("versions-grow");
+    let folder = ScratchDirectory::new("versions-grow");
     let mut cluster = cluster(&folder, 5, "without_lease = \"refuse\"\n");
     let all = [0, 1, 2, 3, 4];
     cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
@@ -296,8 +300,7 @@
     cluster.signal(4, "-STOP");
     let at = cluster.nodes[4].process.as_ref().unwrap().client_address;
     let mut stream = TcpStream::connect(at).unwrap();
-    let message =
-        json!({"jsonrpc": "2.0", "id": 1, "method": "monday", "params": work(60_000, None, b"x")});
+    let message = json!({"jsonrpc": "2.0", "id": 1, "method": "monday", "params": request_params(60_000, None, b"x")});
     stream.write_all(format!("{message}\n").as_bytes()).unwrap();
     assert_published(publish(&cluster, &folder, 1, "tuesday"));
     cluster.kill(3);
@@ -348,7 +351,7 @@
 /// meanwhile; and where it dies again the first one goes on from what it has written.
 #[test]
 fn a_replacement_neither_goes_back_nor_stops_serving() {
-    let folder = Scratch::new("versions-replaced");
+    let folder = ScratchDirectory::new("versions-replaced");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
