--- a/crates/capture-tools/src/cursor.rs
+++ b/crates/capture-tools/src/cursor.rs
@@ -3,7 +3,7 @@
 use crate::progress::Progress;
 use crate::source::{self, Run, Segment, ToolError};
 use pipitlever_admission::{Controller, ControllerStatus, Event};
-use pipitlever_capture::record::{End, LostRecords, Opening, Record};
+use pipitlever_capture::record::{End, LostRecords, Record, SegmentHeader};
 use pipitlever_capture::replay::{initial_controller, Difference, Replay};
 use pipitlever_capture::segment::{RecordAt, SegmentReader, Tail};
 use serde::Serialize;
@@ -16,7 +16,7 @@
 /// Receives the contents of captures. By default it ignores them.
 pub trait Visitor {
     /// A segment begins. `is_restart` if its state does not continue the previous segment's.
-    fn segment(&mut self, _opening: &Opening, _controller: &Controller, _is_restart: bool) {}
+    fn segment(&mut self, _header: &SegmentHeader, _controller: &Controller, _is_restart: bool) {}
     /// A record was replayed.
     fn record(&mut self, _replayed: &ReplayedRecord) {}
     /// A run has ended.
@@ -25,8 +25,8 @@
 
 /// A record and the replay after it.
 pub struct ReplayedRecord<'a> {
-    /// The opening of the segment.
-    pub opening: &'a Opening,
+    /// The header of the segment.
+    pub header: &'a SegmentHeader,
     /// The record.
     pub record: &'a Record,
     /// The replay, after the record.
@@ -189,15 +189,15 @@
             let mut reader = SegmentReader::open(&bytes)
                 .map_err(|error| ToolError::Unreadable(segment.path.clone(), error))?;
             self.totals.segments += 1;
-            let Some(opening) = reader.opening().cloned() else {
+            let Some(header) = reader.header().cloned() else {
                 self.add_tail(&segment.path, reader.tail());
                 continue;
             };
-            let start = self.start_segment(segment, &reader, &opening, continuation.take())?;
-            let Some(mut replay) = self.enter_segment(segment, &reader, &opening, start) else {
+            let start = self.start_segment(segment, &reader, &header, continuation.take())?;
+            let Some(mut replay) = self.enter_segment(segment, &reader, &header, start) else {
                 return Ok(());
             };
-            self.replay_records(segment, &mut reader, &opening, &mut replay)?;
+            self.replay_records(segment, &mut reader, &header, &mut replay)?;
             if self.is_done() {
                 return Ok(());
             }
@@ -206,7 +206,7 @@
             self.add_tail(&segment.path, reader.tail());
             continuation = Some(Continuation {
                 replay,
-                next_segment: opening.segment + 1,
+                next_segment: header.segment + 1,
             });
         }
         Ok(())
@@ -218,11 +218,11 @@
         &mut self,
         segment: &Segment,
         reader: &SegmentReader,
-        opening: &Opening,
+        header: &SegmentHeader,
         continuation: Option<Continuation>,
     ) -> Result<SegmentStart, ToolError> {
         let continuation = continuation.filter(|continuation| {
-            opening.lost.is_none() && continuation.next_segment == opening.segment
+            header.lost.is_none() && continuation.next_segment == header.segment
         });
         if let Some(continuation) = continuation {
             return Ok(SegmentStart {
@@ -231,17 +231,17 @@
                 is_computed: true,
             });
         }
-        if opening.is_initial {
+        if header.is_initial {
             return Ok(SegmentStart {
-                replay: Replay::new(initial_controller(opening), opening),
+                replay: Replay::new(initial_controller(header), header),
                 is_restart: true,
                 is_computed: true,
             });
         }
-        if opening.segment > 1 {
+        if header.segment > 1 {
             self.totals.gaps.push(Gap {
                 file: segment.path.clone(),
-                lost: opening.lost.clone(),
+                lost: header.lost.clone(),
                 is_after: false,
             });
         }
@@ -249,7 +249,7 @@
             .controller()
             .map_err(|error| ToolError::State(segment.path.clone(), error))?;
         Ok(SegmentStart {
-            replay: Replay::new(controller, opening),
+            replay: Replay::new(controller, header),
             is_restart: true,
             is_computed: false,
         })
@@ -261,23 +261,23 @@
         &mut self,
         segment: &Segment,
         reader: &SegmentReader,
-        opening: &Opening,
+        header: &SegmentHeader,
         start: SegmentStart,
     ) -> Option<Replay> {
         let mut replay = start.replay;
         // A state that this build can't read is not compared.
         let recorded = reader.controller().ok().filter(|_| start.is_computed);
-        if !replay.enter_segment(opening, recorded.as_ref()) {
-            let steps = opening.steps;
+        if !replay.enter_segment(header, recorded.as_ref()) {
+            let steps = header.steps;
             self.add_divergence(&segment.path, Divergence::State { steps });
             if self.is_done() {
                 return None;
             }
             let recorded = recorded.expect("differs from the replayed state");
-            replay = Replay::new(recorded, opening);
+            replay = Replay::new(recorded, header);
         }
         self.visitor
-            .segment(opening, replay.controller(), start.is_restart);
+            .segment(header, replay.controller(), start.is_restart);
         Some(replay)
     }
 
@@ -285,7 +285,7 @@
         &mut self,
         segment: &Segment,
         reader: &mut SegmentReader,
-        opening: &Opening,
+        header: &SegmentHeader,
         replay: &mut Replay,
     ) -> Result<(), ToolError> {
         let path = &segment.path;
@@ -305,7 +305,7 @@
                 self.add_divergence(path, Divergence::Step(Box::new(difference)));
             }
             self.visitor.record(&ReplayedRecord {
-                opening,
+                header,
                 record: &record,
                 replay,
                 status_before: step.map(|step| step.status_before),
--- a/crates/capture-tools/src/diff/divergent_replay.rs
+++ b/crates/capture-tools/src/diff/divergent_replay.rs
@@ -5,7 +5,7 @@
 use super::simulated_runs::SimulatedRuns;
 use crate::cursor::{ReplayedRecord, Visitor};
 use pipitlever_admission::{Action, Controller, Event, Micros, Request, RequestId, Stage};
-use pipitlever_capture::record::{Opening, Record};
+use pipitlever_capture::record::{Record, SegmentHeader};
 use std::collections::HashMap;
 
 /// A request that retains an idempotency key.
@@ -236,12 +236,12 @@
 }
 
 impl Visitor for DivergentReplay<'_> {
-    fn segment(&mut self, opening: &Opening, controller: &Controller, is_restart: bool) {
-        self.classes.clone_from(&opening.classes);
+    fn segment(&mut self, header: &SegmentHeader, controller: &Controller, is_restart: bool) {
+        self.classes.clone_from(&header.classes);
         if is_restart {
             self.finish_run();
             self.controller = Some(controller.clone());
-            self.now = opening.now;
+            self.now = header.now;
         }
     }
 
--- a/crates/capture-tools/src/export/mod.rs
+++ b/crates/capture-tools/src/export/mod.rs
@@ -11,7 +11,7 @@
 use crate::request_records::RequestRecords;
 use crate::source::ToolError;
 use pipitlever_admission::Controller;
-use pipitlever_capture::record::Opening;
+use pipitlever_capture::record::SegmentHeader;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use table::Table;
@@ -23,8 +23,8 @@
 }
 
 impl<V: Visitor> Visitor for Exporter<'_, V> {
-    fn segment(&mut self, opening: &Opening, controller: &Controller, is_restart: bool) {
-        self.requests.segment(opening, controller, is_restart);
+    fn segment(&mut self, header: &SegmentHeader, controller: &Controller, is_restart: bool) {
+        self.requests.segment(header, controller, is_restart);
     }
 
     fn record(&mut self, replayed: &ReplayedRecord) {
--- a/crates/capture-tools/src/export/steps.rs
+++ b/crates/capture-tools/src/export/steps.rs
@@ -48,9 +48,9 @@
     let float = |value: f64| Value::Float(Some(value));
     let count = |value: usize| Value::Unsigned(Some(value as u64));
     Some(vec![
-        Value::Text(Some(replayed.opening.node.clone())),
-        Value::Unsigned(Some(replayed.opening.run)),
-        Value::Unsigned(Some(u64::from(replayed.opening.segment))),
+        Value::Text(Some(replayed.header.node.clone())),
+        Value::Unsigned(Some(replayed.header.run)),
+        Value::Unsigned(Some(u64::from(replayed.header.segment))),
         Value::Unsigned(Some(replayed.replay.steps())),
         Value::Integer(Some(replayed.replay.now())),
         count(events.len()),
--- a/crates/capture-tools/src/replay.rs
+++ b/crates/capture-tools/src/replay.rs
@@ -7,7 +7,7 @@
 use crate::rendering;
 use crate::source::ToolError;
 use pipitlever_admission::{Action, Controller, Event, Micros};
-use pipitlever_capture::record::{Opening, Record};
+use pipitlever_capture::record::{Record, SegmentHeader};
 use pipitlever_capture::replay::{ActionMismatch, Difference};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -56,8 +56,8 @@
 }
 
 impl Visitor for RecentSteps {
-    fn segment(&mut self, opening: &Opening, _: &Controller, _: bool) {
-        self.classes.clone_from(&opening.classes);
+    fn segment(&mut self, header: &SegmentHeader, _: &Controller, _: bool) {
+        self.classes.clone_from(&header.classes);
     }
 
     fn record(&mut self, replayed: &ReplayedRecord) {
--- a/crates/capture-tools/src/request_records.rs
+++ b/crates/capture-tools/src/request_records.rs
@@ -6,7 +6,7 @@
     TimelineEvent,
 };
 use pipitlever_admission::{Action, Cause, Controller, ControllerStatus, Event, RequestId};
-use pipitlever_capture::record::{Opening, Record, RequestIdentity};
+use pipitlever_capture::record::{Record, RequestIdentity, SegmentHeader};
 use std::collections::{BTreeMap, HashMap};
 
 /// Collects request records during a replay, and passes on each once it is complete.
@@ -46,7 +46,7 @@
     /// The record of a request, created if there is none.
     fn record_of(
         &mut self,
-        opening: &Opening,
+        header: &SegmentHeader,
         id: RequestId,
         class: Option<usize>,
     ) -> &mut RequestRecord {
@@ -55,13 +55,13 @@
             self.by_reference.insert(identity.reference, id);
         }
         self.open.entry(id).or_insert_with(|| RequestRecord {
-            node: opening.node.clone(),
-            run: opening.run,
+            node: header.node.clone(),
+            run: header.run,
             id: Some(id),
             reference: identity.map(|identity| identity.reference),
             sender: identity.and_then(|identity| identity.sender),
             key_digest: identity.and_then(|identity| identity.key_digest),
-            class: request_class(opening, class),
+            class: request_class(header, class),
             ..RequestRecord::default()
         })
     }
@@ -111,7 +111,7 @@
         self.touched.push(id);
         let now = replayed.replay.now();
         if let Event::Arrived(request) = event {
-            self.record_of(replayed.opening, id, Some(request.class))
+            self.record_of(replayed.header, id, Some(request.class))
                 .set_arrival(request, now, status);
             let arrived = || TimelineEvent::Arrived(event.clone(), *status);
             return self.add_to_timeline(id, replayed, arrived);
@@ -222,10 +222,10 @@
             event: TimelineEvent::Answer(answer.answer, answer.source),
         };
         (self.on_complete)(RequestRecord {
-            node: replayed.opening.node.clone(),
-            run: replayed.opening.run,
+            node: replayed.header.node.clone(),
+            run: replayed.header.run,
             reference: Some(reference),
-            class: request_class(replayed.opening, Some(class)),
+            class: request_class(replayed.header, Some(class)),
             answer: Some(answer),
             timeline: self.with_timelines.then_some(entry).into_iter().collect(),
             ..RequestRecord::default()
@@ -233,8 +233,8 @@
     }
 }
 
-fn request_class(opening: &Opening, index: Option<usize>) -> RequestClass {
-    let name = index.and_then(|index| opening.classes.get(index));
+fn request_class(header: &SegmentHeader, index: Option<usize>) -> RequestClass {
+    let name = index.and_then(|index| header.classes.get(index));
     RequestClass {
         index,
         name: name.cloned().unwrap_or_default(),
@@ -242,23 +242,23 @@
 }
 
 impl<F: FnMut(RequestRecord)> Visitor for RequestRecords<F> {
-    fn segment(&mut self, opening: &Opening, _: &Controller, is_restart: bool) {
+    fn segment(&mut self, header: &SegmentHeader, _: &Controller, is_restart: bool) {
         if !is_restart {
             return;
         }
         self.flush();
-        for identity in &opening.identities {
+        for identity in &header.identities {
             self.identities.insert(identity.id, *identity);
         }
         let in_memory: Vec<RequestId> = self.identities.keys().copied().collect();
         for id in in_memory {
             // An identity does not contain the class.
             let with_timelines = self.with_timelines;
-            let request = self.record_of(opening, id, None);
+            let request = self.record_of(header, id, None);
             if with_timelines {
                 request.timeline.push(TimelineEntry {
-                    now: opening.now,
-                    step: opening.steps,
+                    now: header.now,
+                    step: header.steps,
                     event: TimelineEvent::InMemory,
                 });
             }
--- a/crates/capture-tools/src/source.rs
+++ b/crates/capture-tools/src/source.rs
@@ -43,7 +43,7 @@
 pub struct Segment {
     /// Its path.
     pub path: PathBuf,
-    /// Its number in the run; 0 if the file is truncated inside the opening.
+    /// Its number in the run; 0 if the file is truncated inside the header.
     pub number: u32,
     /// Its size in bytes.
     pub bytes: u64,
@@ -110,17 +110,17 @@
     Ok(files)
 }
 
-/// Reads the opening of a segment. A file that is truncated inside it belongs to a run of its own.
+/// Reads the header of a segment. A file that is truncated inside it belongs to a run of its own.
 fn read_segment(path: PathBuf) -> Result<(RunKey, Segment), ToolError> {
     let bytes = read_file(&path)?;
     let reader =
         SegmentReader::open(&bytes).map_err(|error| ToolError::Unreadable(path.clone(), error))?;
-    let (run, number) = reader.opening().map_or((RunKey::default(), 0), |opening| {
+    let (run, number) = reader.header().map_or((RunKey::default(), 0), |header| {
         let run = RunKey {
-            start: opening.run,
-            node: opening.node.clone(),
+            start: header.run,
+            node: header.node.clone(),
         };
-        (run, opening.segment)
+        (run, header.segment)
     });
     let bytes = bytes.len() as u64;
     Ok((
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -2,7 +2,7 @@
 
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use pipitlever_admission::{Action, Controller};
-use pipitlever_capture::record::{encode, Opening, Record};
+use pipitlever_capture::record::{encode, Record, SegmentHeader};
 use pipitlever_capture::segment::{RecordAt, SegmentReader, SegmentWriter};
 use serde_json::Value;
 use std::path::{Path, PathBuf};
@@ -128,7 +128,7 @@
     let bytes = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&bytes).unwrap();
     let mut references: Vec<u64> = reader
-        .opening()
+        .header()
         .unwrap()
         .identities
         .iter()
@@ -189,28 +189,28 @@
 /// A copy of a capture with other records or another start.
 fn rewritten(
     name: &str,
-    start: impl FnOnce(&Opening, Controller) -> (Opening, Controller),
+    start: impl FnOnce(&SegmentHeader, Controller) -> (SegmentHeader, Controller),
     mut change: impl FnMut(u64, &mut Record),
 ) -> Vec<u8> {
     let bytes = std::fs::read(capture(name)).unwrap();
     let mut reader = SegmentReader::open(&bytes).unwrap();
-    let (opening, controller) = start(reader.opening().unwrap(), reader.controller().unwrap());
+    let (header, controller) = start(reader.header().unwrap(), reader.controller().unwrap());
     let mut out = Vec::new();
-    let mut writer = SegmentWriter::open(&opening, &controller, &mut out);
+    let mut writer = SegmentWriter::open(&header, &controller, &mut out);
     let mut steps = 0;
     while let Some(RecordAt { mut record, .. }) = reader.next_record().unwrap() {
         steps += u64::from(matches!(record, Record::Step { .. }));
         change(steps, &mut record);
         let mut bytes = Vec::new();
         encode(&record, &mut bytes);
-        writer.records(&bytes, &mut out);
+        writer.append_records(&bytes, &mut out);
     }
-    writer.end(pipitlever_capture::record::End::Last(0), &mut out);
+    writer.append_end(pipitlever_capture::record::End::Last(0), &mut out);
     out
 }
 
-fn unchanged(opening: &Opening, controller: Controller) -> (Opening, Controller) {
-    (opening.clone(), controller)
+fn unchanged(header: &SegmentHeader, controller: Controller) -> (SegmentHeader, Controller) {
+    (header.clone(), controller)
 }
 
 #[test]
@@ -246,11 +246,11 @@
 #[test]
 fn a_changed_controller_is_compared_over_the_whole_capture() {
     // A controller with half the cores stands for a changed one.
-    let fewer_cores = |opening: &Opening, _| {
-        let mut opening = opening.clone();
-        opening.settings.cores = 3.0;
-        let controller = Controller::new(opening.settings.clone(), opening.seed);
-        (opening, controller)
+    let fewer_cores = |header: &SegmentHeader, _| {
+        let mut header = header.clone();
+        header.settings.cores = 3.0;
+        let controller = Controller::new(header.settings.clone(), header.seed);
+        (header, controller)
     };
     let bytes = rewritten("burst-into-discard", fewer_cores, |_, _| {});
     let path = temporary("fewer.plc", &bytes);
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,7 +1,7 @@
 //! Records of a capture and their encoding.
 //!
 //! Records are encoded in postcard, without field names, so that a record costs the node little.
-//! Openings, one a segment, are in MessagePack with field names, so that a build with additional
+//! Segment headers, one a segment, are in MessagePack with field names, so that a build with additional
 //! fields can read them. The `serde(rename)` attributes keep the names that earlier builds wrote.
 
 use pipitlever_admission::{Action, Event, Micros, RequestId, Settings};
@@ -113,7 +113,7 @@
     Identity(RequestIdentity),
     /// One step of the controller.
     Step {
-        /// The controller's clock, minus the clock of the previous record or of the opening.
+        /// The controller's clock, minus the clock of the previous record or of the header.
         clock_delta: Micros,
         /// Its input, in order.
         events: Cow<'a, [Event]>,
@@ -122,7 +122,7 @@
     },
     /// A final answer was sent.
     Answer {
-        /// The clock, minus the clock of the previous record or of the opening.
+        /// The clock, minus the clock of the previous record or of the header.
         clock_delta: Micros,
         /// The request's `ref`.
         reference: u64,
@@ -153,7 +153,7 @@
 
 /// The beginning of a segment, before the controller's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Opening {
+pub struct SegmentHeader {
     /// The version of the build that wrote the segment.
     pub build: String,
     /// The node's name.
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -4,7 +4,7 @@
 //! as a controller can't be replayed past a missing step. Recording resumes with a checkpoint.
 
 use crate::record::{
-    encode, AnswerSource, Entry, LostRecords, Opening, RecordedAnswer, RequestIdentity,
+    encode, AnswerSource, Entry, LostRecords, RecordedAnswer, RequestIdentity, SegmentHeader,
 };
 use crossbeam_queue::ArrayQueue;
 use pipitlever_admission::{Action, Controller, Event, Micros, Settings};
@@ -33,11 +33,11 @@
 /// Bytes before a record in the queue.
 const RECORD_HEADER_BYTES: usize = 1 + LENGTH_BYTES;
 
-/// The controller's state between two steps, and the opening of the segment that begins with it.
+/// The controller's state between two steps, and the header of the segment that begins with it.
 #[derive(Debug)]
 pub struct Checkpoint {
-    /// The opening. The writer sets the segment's number.
-    pub opening: Opening,
+    /// The header. The writer sets the segment's number.
+    pub header: SegmentHeader,
     /// The controller.
     pub controller: Controller,
 }
@@ -143,7 +143,7 @@
 }
 
 impl Recorder {
-    /// Whether [`Recorder::checkpoint`] is to be called before the next step.
+    /// Whether [`Recorder::queue_checkpoint`] is to be called before the next step.
     pub fn needs_checkpoint(&self, now: Micros) -> bool {
         // A gap ends once the writer has caught up; otherwise the writer requests a checkpoint for
         // the next segment.
@@ -157,7 +157,7 @@
 
     /// Queues a checkpoint of the controller as the next step will find it, with the settings that
     /// it was created with and the identities of the requests in memory.
-    pub fn checkpoint(
+    pub fn queue_checkpoint(
         &mut self,
         now: Micros,
         controller: &Controller,
@@ -165,7 +165,7 @@
         identities: Vec<RequestIdentity>,
     ) {
         let checkpoint = Box::new(Checkpoint {
-            opening: self.opening(now, settings, identities),
+            header: self.header(now, settings, identities),
             controller: controller.clone(),
         });
         if self.queue.slots() == 0 || self.shared.checkpoints.push(checkpoint).is_err() {
@@ -182,12 +182,12 @@
         self.next_checkpoint_at = now + MIN_CHECKPOINT_INTERVAL;
     }
 
-    fn opening(
+    fn header(
         &self,
         now: Micros,
         settings: &Settings,
         identities: Vec<RequestIdentity>,
-    ) -> Opening {
+    ) -> SegmentHeader {
         let RunInfo {
             build,
             node,
@@ -196,7 +196,7 @@
             seed,
             is_initial,
         } = self.run_info.clone();
-        Opening {
+        SegmentHeader {
             build,
             node,
             run,
@@ -213,12 +213,12 @@
     }
 
     /// Records the identity of a request, before the step in which it arrives.
-    pub fn identity(&mut self, identity: RequestIdentity) {
+    pub fn record_identity(&mut self, identity: RequestIdentity) {
         self.record(self.last_clock, |_| Entry::Identity(identity));
     }
 
     /// Records a step of the controller.
-    pub fn step(&mut self, now: Micros, events: &[Event], actions: &[Action]) {
+    pub fn record_step(&mut self, now: Micros, events: &[Event], actions: &[Action]) {
         self.steps += 1;
         let (events, actions) = (Cow::Borrowed(events), Cow::Borrowed(actions));
         self.record(now, |clock_delta| Entry::Step {
@@ -229,7 +229,7 @@
     }
 
     /// Records a final answer to the request with this `ref` and class index.
-    pub fn answer(
+    pub fn record_answer(
         &mut self,
         now: Micros,
         reference: u64,
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,6 +1,6 @@
 //! Feeds a capture to this build's controller and compares the actions.
 
-use crate::record::{Opening, Record};
+use crate::record::{Record, SegmentHeader};
 use crate::segment::serialize_controller;
 use pipitlever_admission::{Action, Cause, Controller, ControllerStatus, Event, Micros, RequestId};
 use std::any::Any;
@@ -78,11 +78,11 @@
 
 impl Replay {
     /// Starts at the beginning of a segment, with the controller's state there.
-    pub fn new(controller: Controller, opening: &Opening) -> Replay {
+    pub fn new(controller: Controller, header: &SegmentHeader) -> Replay {
         Replay {
             controller,
-            now: opening.now,
-            steps: opening.steps,
+            now: header.now,
+            steps: header.steps,
             actions: Vec::new(),
         }
     }
@@ -181,9 +181,9 @@
 
     /// Continues with the next segment. Returns whether the replayed state equals the recorded one
     /// at its start; true if this build can't read that state.
-    pub fn enter_segment(&mut self, opening: &Opening, recorded: Option<&Controller>) -> bool {
-        self.now = opening.now;
-        self.steps = opening.steps;
+    pub fn enter_segment(&mut self, header: &SegmentHeader, recorded: Option<&Controller>) -> bool {
+        self.now = header.now;
+        self.steps = header.steps;
         // Both are compared as this build serializes them: an earlier build may have written fewer
         // fields.
         recorded.is_none_or(|recorded| {
@@ -192,9 +192,9 @@
     }
 }
 
-/// The controller at the start of a run, created from the opening's settings and seed.
-pub fn initial_controller(opening: &Opening) -> Controller {
-    Controller::new(opening.settings.clone(), opening.seed)
+/// The controller at the start of a run, created from the header's settings and seed.
+pub fn initial_controller(header: &SegmentHeader) -> Controller {
+    Controller::new(header.settings.clone(), header.seed)
 }
 
 fn panic_message(panic: &(dyn Any + Send)) -> String {
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,12 +1,12 @@
-//! One segment: an opening with the controller's state, frames of records, and an end.
+//! One segment: a segment header with the controller's state, frames of records, and an end.
 
 use crate::frame::{append_frame, Frame, FrameReader, ReadError, ReadErrorKind, FORMAT};
-use crate::record::{decode, End, Opening, Record};
+use crate::record::{decode, End, Record, SegmentHeader};
 use pipitlever_admission::{Controller, Event};
 use serde::Serialize;
 
-/// The first byte of a frame with the opening.
-const OPENING_TAG: u8 = 0;
+/// The first byte of a frame with the header.
+const HEADER_TAG: u8 = 0;
 /// The first byte of a frame with records.
 const RECORDS_TAG: u8 = 1;
 /// The first byte of a frame with the end.
@@ -15,7 +15,7 @@
 const END_NEXT: u8 = 0;
 /// In an end frame: the segment is the last one of its run.
 const END_LAST: u8 = 1;
-/// Bytes of the opening's length, little-endian.
+/// Bytes of the header's length, little-endian.
 const LENGTH_BYTES: usize = 4;
 
 /// A controller's state can't be read by this build.
@@ -32,9 +32,9 @@
 
 fn write_message_pack(value: &impl Serialize, out: &mut Vec<u8>) {
     let mut serializer = rmp_serde::Serializer::new(out).with_struct_map();
-    value
-        .serialize(&mut serializer)
-        .expect("MessagePack can represent openings and states, and a vector accepts all bytes");
+    value.serialize(&mut serializer).expect(
+        "MessagePack can represent segment headers and states, and a vector accepts all bytes",
+    );
 }
 
 /// Restores a controller from its serialized state.
@@ -54,40 +54,44 @@
 }
 
 impl SegmentWriter {
-    /// Begins a segment: appends the file header and the opening frame to `out`.
-    pub fn open(opening: &Opening, controller: &Controller, out: &mut Vec<u8>) -> SegmentWriter {
+    /// Begins a segment: appends the file header and the header frame to `out`.
+    pub fn open(
+        header: &SegmentHeader,
+        controller: &Controller,
+        out: &mut Vec<u8>,
+    ) -> SegmentWriter {
         FORMAT.write_header(out);
         // Serialized in place, as the state may be large compared with the node's memory.
         append_frame(out, 0, |out| {
-            out.push(OPENING_TAG);
+            out.push(HEADER_TAG);
             let length_at = out.len();
-            let opening_at = length_at + LENGTH_BYTES;
+            let header_at = length_at + LENGTH_BYTES;
             out.extend_from_slice(&[0; LENGTH_BYTES]);
-            write_message_pack(opening, out);
-            let length = (out.len() - opening_at) as u32;
-            out[length_at..opening_at].copy_from_slice(&length.to_le_bytes());
+            write_message_pack(header, out);
+            let length = (out.len() - header_at) as u32;
+            out[length_at..header_at].copy_from_slice(&length.to_le_bytes());
             write_message_pack(controller, out);
         });
         SegmentWriter { next_frame: 1 }
     }
 
     /// Appends a frame of whole encoded records to `out`.
-    pub fn records(&mut self, records: &[u8], out: &mut Vec<u8>) {
-        self.frame(RECORDS_TAG, records, out);
+    pub fn append_records(&mut self, records: &[u8], out: &mut Vec<u8>) {
+        self.append_tagged(RECORDS_TAG, records, out);
     }
 
     /// Appends the end frame to `out`.
-    pub fn end(&mut self, end: End, out: &mut Vec<u8>) {
+    pub fn append_end(&mut self, end: End, out: &mut Vec<u8>) {
         match end {
-            End::Next => self.frame(END_TAG, &[END_NEXT], out),
+            End::Next => self.append_tagged(END_TAG, &[END_NEXT], out),
             End::Last(lost) => {
                 let payload = [&[END_LAST], &lost.to_le_bytes()[..]].concat();
-                self.frame(END_TAG, &payload, out);
+                self.append_tagged(END_TAG, &payload, out);
             }
         }
     }
 
-    fn frame(&mut self, tag: u8, payload: &[u8], out: &mut Vec<u8>) {
+    fn append_tagged(&mut self, tag: u8, payload: &[u8], out: &mut Vec<u8>) {
         append_frame(out, self.next_frame, |out| {
             out.push(tag);
             out.extend_from_slice(payload);
@@ -123,17 +127,17 @@
     /// The offset of the current frame, in bytes.
     frame_offset: u64,
     tail: Option<Tail>,
-    opening: Option<Opening>,
+    header: Option<SegmentHeader>,
     state: &'a [u8],
 }
 
 impl<'a> SegmentReader<'a> {
-    /// Reads the opening. A segment that is truncated inside the opening has neither an opening nor
+    /// Reads the header. A segment that is truncated inside the header has neither a segment header nor
     /// records.
     ///
     /// # Errors
     ///
-    /// If the bytes are no capture, are of another format version, or the opening is damaged.
+    /// If the bytes are no capture, are of another format version, or the header is damaged.
     pub fn open(bytes: &'a [u8]) -> Result<SegmentReader<'a>, ReadError> {
         let mut frames = FrameReader::open(FORMAT, bytes)?;
         let Some(Frame { offset, payload }) = frames.next_frame()? else {
@@ -143,24 +147,24 @@
                 undecoded: &[],
                 frame_offset: 0,
                 tail,
-                opening: None,
+                header: None,
                 state: &[],
             });
         };
-        let (opening, state) = read_opening(offset, payload)?;
+        let (header, state) = read_segment_header(offset, payload)?;
         Ok(SegmentReader {
             frames,
             undecoded: &[],
             frame_offset: offset,
             tail: None,
-            opening: Some(opening),
+            header: Some(header),
             state,
         })
     }
 
-    /// The opening; `None` if the segment is truncated inside it.
-    pub fn opening(&self) -> Option<&Opening> {
-        self.opening.as_ref()
+    /// The header; `None` if the segment is truncated inside it.
+    pub fn header(&self) -> Option<&SegmentHeader> {
+        self.header.as_ref()
     }
 
     /// The serialized state of the controller at the start of the segment.
@@ -229,8 +233,8 @@
 
     /// Checks that the record's class exists: the controller indexes its classes unchecked.
     fn check_class(&self, record: &Record) -> Result<(), ReadError> {
-        let opening = self.opening.as_ref();
-        let classes = opening.map_or(0, |opening| opening.settings.classes.len());
+        let header = self.header.as_ref();
+        let classes = header.map_or(0, |header| header.settings.classes.len());
         let unknown = match record {
             Record::Identity(_) => None,
             Record::Step { events, .. } => events.iter().find_map(|event| match event {
@@ -253,10 +257,10 @@
     }
 }
 
-/// Splits the payload of the first frame into the opening and the controller's state.
-fn read_opening(offset: u64, payload: &[u8]) -> Result<(Opening, &[u8]), ReadError> {
-    let Some((&OPENING_TAG, rest)) = payload.split_first() else {
-        return Err(invalid_content(offset, "no opening at the start"));
+/// Splits the payload of the first frame into the header and the controller's state.
+fn read_segment_header(offset: u64, payload: &[u8]) -> Result<(SegmentHeader, &[u8]), ReadError> {
+    let Some((&HEADER_TAG, rest)) = payload.split_first() else {
+        return Err(invalid_content(offset, "no header at the start"));
     };
     let parts = rest
         .split_at_checked(LENGTH_BYTES)
@@ -264,12 +268,12 @@
             let length = u32::from_le_bytes(length.try_into().ok()?);
             rest.split_at_checked(length as usize)
         });
-    let Some((opening, state)) = parts else {
-        return Err(invalid_content(offset, "an opening that is too short"));
+    let Some((header, state)) = parts else {
+        return Err(invalid_content(offset, "segment header truncated"));
     };
-    let opening = rmp_serde::from_slice(opening)
-        .map_err(|error| invalid_content(offset, format!("the opening can't be read: {error}")))?;
-    Ok((opening, state))
+    let header = rmp_serde::from_slice(header)
+        .map_err(|error| invalid_content(offset, format!("the header can't be read: {error}")))?;
+    Ok((header, state))
 }
 
 /// Reads the payload of an end frame.
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -5,7 +5,7 @@
 //! first. Records that can't be written are counted, and the next segment states the gap.
 
 use crate::directory::{sanitize_node_name, Directory, SegmentName};
-use crate::record::{End, LostRecords, Opening};
+use crate::record::{End, LostRecords, SegmentHeader};
 use crate::recorder::{Checkpoint, QueuedMessage, RecordReceiver};
 use crate::retry_timer::RetryTimer;
 use crate::segment::SegmentWriter;
@@ -193,7 +193,7 @@
             return;
         }
         let mut frame = Vec::with_capacity(self.pending.bytes.len() + FRAME_OVERHEAD_BYTES);
-        open.encoder.records(&self.pending.bytes, &mut frame);
+        open.encoder.append_records(&self.pending.bytes, &mut frame);
         match self.free_space(frame.len() as u64) {
             Ok(true) => {}
             // The open segment alone has reached the limit: the next checkpoint is late.
@@ -235,7 +235,7 @@
         self.end_segment(now, End::Next);
         if self.retry.is_waiting(now) {
             // The checkpoint ends a gap of the queue while the directory is still failing.
-            let lost = checkpoint.opening.lost;
+            let lost = checkpoint.header.lost;
             self.lost.records += lost.map_or(0, |lost| lost.records);
             return;
         }
@@ -253,26 +253,23 @@
 
     /// Creates a segment that begins with the checkpoint, and returns its file name.
     fn try_begin_segment(&mut self, checkpoint: Checkpoint) -> io::Result<String> {
-        let Checkpoint {
-            opening,
-            controller,
-        } = checkpoint;
-        self.merge_lost(opening.lost.clone());
+        let Checkpoint { header, controller } = checkpoint;
+        self.merge_lost(header.lost.clone());
         let lost = self.lost.clone();
-        let opening = Opening {
+        let header = SegmentHeader {
             segment: self.segment + 1,
             lost: (lost != LostRecords::default()).then_some(lost),
-            ..opening
+            ..header
         };
         let mut bytes = Vec::new();
-        let encoder = SegmentWriter::open(&opening, &controller, &mut bytes);
+        let encoder = SegmentWriter::open(&header, &controller, &mut bytes);
         self.closed = self.list_segments()?;
         self.free_space_for_segment(bytes.len() as u64)?;
         // A number is never used twice: a failed attempt may have left its file behind.
         self.segment += 1;
         let name = SegmentName {
             node: &self.node,
-            run: opening.run,
+            run: header.run,
             segment: self.segment,
         };
         let name = name.file_name();
@@ -314,21 +311,21 @@
     }
 
     /// Makes space for a whole segment at once, so that not every frame removes a segment; at least
-    /// for its opening.
-    fn free_space_for_segment(&mut self, opening_bytes: u64) -> io::Result<()> {
-        let whole = self.limits.segment_bytes.max(opening_bytes);
-        if self.free_space(whole)? || self.free_space(opening_bytes)? {
+    /// for its header.
+    fn free_space_for_segment(&mut self, header_bytes: u64) -> io::Result<()> {
+        let whole = self.limits.segment_bytes.max(header_bytes);
+        if self.free_space(whole)? || self.free_space(header_bytes)? {
             return Ok(());
         }
         Err(io::Error::other(format!(
-            "a checkpoint of {opening_bytes} bytes exceeds keep_mb"
+            "a checkpoint of {header_bytes} bytes exceeds keep_mb"
         )))
     }
 
-    fn create_file(&mut self, name: &str, opening: &[u8]) -> io::Result<()> {
+    fn create_file(&mut self, name: &str, header: &[u8]) -> io::Result<()> {
         self.directory.create(name)?;
-        self.directory.append(opening).inspect_err(|_| {
-            // A segment without a whole opening can't be replayed.
+        self.directory.append(header).inspect_err(|_| {
+            // A segment without a whole header can't be replayed.
             self.directory.close();
             // A file that can't be removed counts as a segment and is removed as the oldest.
             let _ = self.directory.remove(name);
@@ -341,7 +338,7 @@
             return;
         };
         let mut frame = Vec::new();
-        open.encoder.end(end, &mut frame);
+        open.encoder.append_end(end, &mut frame);
         // Without its end frame a segment reads as truncated there, and no record is lost.
         if self.directory.append(&frame).is_ok() {
             open.bytes += frame.len() as u64;
--- a/crates/capture/tests/common/host.rs
+++ b/crates/capture/tests/common/host.rs
@@ -240,14 +240,14 @@
         if let Some(recorder) = recorder {
             if recorder.needs_checkpoint(self.now) {
                 let settings = settings(self.variant);
-                recorder.checkpoint(self.now, &self.controller, &settings, Vec::new());
+                recorder.queue_checkpoint(self.now, &self.controller, &settings, Vec::new());
             }
             events
                 .iter()
                 .filter_map(identity)
-                .for_each(|identity| recorder.identity(identity));
+                .for_each(|identity| recorder.record_identity(identity));
             self.controller.step(self.now, &events, &mut actions);
-            recorder.step(self.now, &events, &actions);
+            recorder.record_step(self.now, &events, &actions);
         } else {
             self.controller.step(self.now, &events, &mut actions);
         }
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -9,7 +9,7 @@
 pub use host::{EventChoice, SimulatedHost};
 
 use pipitlever_admission::{Action, Micros};
-use pipitlever_capture::record::{End, Opening, Record};
+use pipitlever_capture::record::{End, Record, SegmentHeader};
 use pipitlever_capture::recorder::{record_queue, RecordReceiver, Recorder, RunInfo};
 use pipitlever_capture::replay::{initial_controller, Replay};
 use pipitlever_capture::segment::{RecordAt, SegmentReader, Tail};
@@ -127,18 +127,18 @@
     let mut previous: Option<Replay> = None;
     for bytes in segments {
         let mut reader = SegmentReader::open(bytes).expect("a readable segment");
-        let Some(opening) = reader.opening().cloned() else {
+        let Some(header) = reader.header().cloned() else {
             summary.truncated += 1;
             continue;
         };
-        let mut continued = enter_segment(previous.take(), &reader, &opening);
+        let mut continued = enter_segment(previous.take(), &reader, &header);
         let controller = reader.controller().expect("a state of this build");
-        let mut restored = Replay::new(controller, &opening);
-        summary.lost += opening.lost.map_or(0, |lost| lost.records);
+        let mut restored = Replay::new(controller, &header);
+        summary.lost += header.lost.map_or(0, |lost| lost.records);
         while let Some(RecordAt { record, .. }) = reader.next_record().expect("an intact segment") {
             summary.records += 1;
             for replay in [&mut continued, &mut restored] {
-                compare(replay, &record, opening.segment);
+                compare(replay, &record, header.segment);
             }
         }
         summary.steps = continued.steps();
@@ -153,18 +153,22 @@
 }
 
 /// The replay at the start of a segment, and checks that its state is the recorded one.
-fn enter_segment(previous: Option<Replay>, reader: &SegmentReader, opening: &Opening) -> Replay {
+fn enter_segment(
+    previous: Option<Replay>,
+    reader: &SegmentReader,
+    header: &SegmentHeader,
+) -> Replay {
     let recorded = reader.controller().expect("a state of this build");
     let mut replay = match previous {
-        _ if opening.is_initial => Replay::new(initial_controller(opening), opening),
-        Some(previous) if opening.lost.is_none() => previous,
-        _ => Replay::new(recorded.clone(), opening),
+        _ if header.is_initial => Replay::new(initial_controller(header), header),
+        Some(previous) if header.lost.is_none() => previous,
+        _ => Replay::new(recorded.clone(), header),
     };
-    assert_eq!(replay.steps(), opening.steps);
+    assert_eq!(replay.steps(), header.steps);
     assert!(
-        replay.enter_segment(opening, Some(&recorded)),
+        replay.enter_segment(header, Some(&recorded)),
         "segment {}: the state differs",
-        opening.segment
+        header.segment
     );
     replay
 }
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -7,8 +7,8 @@
     Micros, Outcome, Request, RequestId, Safety, Settings, Tenant,
 };
 use pipitlever_capture::record::{
-    decode, digest, encode, AnswerSource, End, Entry, LostRecords, Opening, Record, RecordedAnswer,
-    RequestIdentity,
+    decode, digest, encode, AnswerSource, End, Entry, LostRecords, Record, RecordedAnswer,
+    RequestIdentity, SegmentHeader,
 };
 use pipitlever_capture::segment::{
     restore_controller, serialize_controller, RecordAt, SegmentReader, SegmentWriter,
@@ -262,8 +262,8 @@
     controller
 }
 
-fn opening() -> Opening {
-    Opening {
+fn header() -> SegmentHeader {
+    SegmentHeader {
         build: "build-1".into(),
         node: "n1".into(),
         run: 1_700_000_000_123,
@@ -288,16 +288,16 @@
     }
 }
 
-/// A whole segment: opening, checkpoint, records and end.
+/// A whole segment: header, checkpoint, records and end.
 fn segment() -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = SegmentWriter::open(&opening(), &controller(), &mut bytes);
+    let mut writer = SegmentWriter::open(&header(), &controller(), &mut bytes);
     let mut payload = Vec::new();
     records()
         .iter()
         .for_each(|record| encode(record, &mut payload));
-    writer.records(&payload, &mut bytes);
-    writer.end(End::Last(5), &mut bytes);
+    writer.append_records(&payload, &mut bytes);
+    writer.append_end(End::Last(5), &mut bytes);
     bytes
 }
 
@@ -322,7 +322,7 @@
     }
     let expected = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&expected).unwrap();
-    assert_eq!(reader.opening(), Some(&opening()));
+    assert_eq!(reader.header(), Some(&header()));
     let read = restore_controller(reader.state())
         .expect("this build takes over the earlier build's state");
     assert!(
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -106,7 +106,7 @@
     let stated_lost = |bytes: &Vec<u8>| {
         SegmentReader::open(bytes)
             .unwrap()
-            .opening()
+            .header()
             .unwrap()
             .lost
             .clone()
@@ -231,7 +231,7 @@
 fn a_changed_action_is_reported_at_its_step() {
     let segments = run_of_600_steps(UNLIMITED).finish();
     let mut reader = SegmentReader::open(&segments[0]).unwrap();
-    let mut replay = Replay::new(reader.controller().unwrap(), reader.opening().unwrap());
+    let mut replay = Replay::new(reader.controller().unwrap(), reader.header().unwrap());
     let mut steps = 0;
     while let Some(RecordAt { mut record, .. }) = reader.next_record().unwrap() {
         let Record::Step { actions, .. } = &mut record else {
@@ -261,13 +261,10 @@
 /// Replays a segment; returns the number of steps and how the data ends.
 fn replay_segment(bytes: &[u8]) -> Result<(u64, Option<Tail>), ReadError> {
     let mut reader = SegmentReader::open(bytes)?;
-    let Some(opening) = reader.opening().cloned() else {
+    let Some(header) = reader.header().cloned() else {
         return Ok((0, reader.tail()));
     };
-    let mut replay = Replay::new(
-        reader.controller().expect("a state of this build"),
-        &opening,
-    );
+    let mut replay = Replay::new(reader.controller().expect("a state of this build"), &header);
     while let Some(RecordAt { record, .. }) = reader.next_record()? {
         assert!(replay.compare(&record).expect("a valid step").is_none());
     }
--- a/crates/capture/tests/writer.rs
+++ b/crates/capture/tests/writer.rs
@@ -26,7 +26,7 @@
     let files = &captured.directory().files;
     files
         .values()
-        .filter_map(|file| SegmentReader::open(file).unwrap().opening()?.lost.clone())
+        .filter_map(|file| SegmentReader::open(file).unwrap().header()?.lost.clone())
         .map(|lost| lost.records)
         .sum()
 }
@@ -191,7 +191,7 @@
     assert_eq!(
         captured.directory().files.len(),
         1,
-        "a part of the opening remains"
+        "a part of the header remains"
     );
     captured.directory().capacity = None;
     captured.directory().is_removal_denied = false;
--- a/crates/core/src/admission.rs
+++ b/crates/core/src/admission.rs
@@ -97,11 +97,11 @@
         let mut actions = std::mem::take(&mut self.actions);
         let capture = self.capture.as_mut();
         if let Some(capture) = capture.filter(|capture| capture.needs_checkpoint(now)) {
-            capture.checkpoint(now, controller, settings, requests.capture_identities());
+            capture.queue_checkpoint(now, controller, settings, requests.capture_identities());
         }
         controller.step(now, events, &mut actions);
         if let Some(capture) = &mut self.capture {
-            capture.step(now, events, &actions);
+            capture.record_step(now, events, &actions);
         }
         Some(actions)
     }
@@ -120,7 +120,7 @@
     /// Records in a capture which request has this number.
     pub(crate) fn capture_request(&mut self, id: RequestId, incoming: &IncomingRequest) {
         if let Some(capture) = &mut self.capture {
-            capture.identity(incoming.capture_identity(id));
+            capture.record_identity(incoming.capture_identity(id));
         }
     }
 
@@ -134,7 +134,7 @@
     ) {
         if let Some(capture) = &mut self.capture {
             let class = incoming.class as u32;
-            capture.answer(now, incoming.reference, class, answer.captured(), by);
+            capture.record_answer(now, incoming.reference, class, answer.captured(), by);
         }
     }
 }
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -65,7 +65,7 @@
         assert_eq!(files.len(), 1, "{files:?}");
         let bytes = std::fs::read(&files[0]).unwrap();
         assert!(bytes.len() < 300 << 10, "{}", bytes.len());
-        let played = Played::read(&bytes).expect("an opening");
+        let played = Played::read(&bytes).expect("a segment header");
         if let Some(folder) = std::env::var_os("PIPITLEVER_RECORD") {
             std::fs::write(Path::new(&folder).join(format!("{name}.plc")), bytes).unwrap();
         }
@@ -86,24 +86,24 @@
 }
 
 impl Played {
-    /// Nothing if there is no whole opening yet.
+    /// Nothing if there is no whole header yet.
     fn read(bytes: &[u8]) -> Option<Played> {
         let mut reader = SegmentReader::open(bytes).unwrap();
-        let opening = reader.opening()?.clone();
+        let header = reader.header()?.clone();
         let recorded = reader.controller().unwrap();
-        let start = if opening.is_initial {
-            initial_controller(&opening)
+        let start = if header.is_initial {
+            initial_controller(&header)
         } else {
             recorded.clone()
         };
-        let mut replay = Replay::new(start, &opening);
+        let mut replay = Replay::new(start, &header);
         assert!(
-            replay.enter_segment(&opening, Some(&recorded)),
+            replay.enter_segment(&header, Some(&recorded)),
             "the start is another one"
         );
         let mut played = Played {
-            first: opening.is_initial,
-            identities: opening.identities,
+            first: header.is_initial,
+            identities: header.identities,
             events: vec![],
             actions: vec![],
             answers: vec![],
@@ -532,5 +532,5 @@
     leave(node);
     drop(keep_alive);
     let file = folder.files().pop().unwrap();
-    Played::read(&std::fs::read(file).unwrap()).expect("an opening");
+    Played::read(&std::fs::read(file).unwrap()).expect("a segment header");
 }
