--- a/crates/wire/src/control/request.rs
+++ b/crates/wire/src/control/request.rs
@@ -3,12 +3,12 @@
 use super::{MAX_FIELDS, MAX_HEAD, MAX_IGNORED_BODY, MAX_PUBLISHED_VERSION};
 use crate::parse_decimal;
 
-/// What an operator asks for.
+/// An operation of the control endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// `GET /status`: whether this process accepts clients.
     Status,
-    /// `GET /status/metrics`: the figures.
+    /// `GET /status/metrics`: the metrics.
     Metrics,
     /// `GET /fleet`: this node's view of the fleet.
     Fleet,
@@ -26,8 +26,8 @@
 
 impl Operation {
     /// The operation of a path, and the methods that it allows.
-    fn of_path(path: &str) -> Option<(Operation, &'static str)> {
-        let number_behind = |prefix: &str| path.strip_prefix(prefix).and_then(parse_decimal);
+    fn from_path(path: &str) -> Option<(Operation, &'static str)> {
+        let number_after = |prefix: &str| path.strip_prefix(prefix).and_then(parse_decimal);
         let read_only = "GET, HEAD";
         let operation = match path {
             "/status" => (Operation::Status, read_only),
@@ -37,8 +37,8 @@
             "/active" => (Operation::Active, "POST"),
             "/fleet/publish" => (Operation::Publish, "POST"),
             _ => {
-                let retire = number_behind("/fleet/close/").map(Operation::RetireBelow);
-                let accept = number_behind("/fleet/accept-floor/").map(Operation::AcceptMinimum);
+                let retire = number_after("/fleet/close/").map(Operation::RetireBelow);
+                let accept = number_after("/fleet/accept-floor/").map(Operation::AcceptMinimum);
                 (retire.or(accept)?, "POST")
             }
         };
@@ -49,7 +49,7 @@
 /// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// It cannot be parsed.
+    /// The request cannot be parsed.
     #[error("400 Bad Request")]
     BadRequest,
     /// There is no such path.
@@ -58,19 +58,19 @@
     /// The path allows only these methods.
     #[error("405 Method Not Allowed")]
     MethodNotAllowed(&'static str),
-    /// It was not complete in time.
+    /// The request was not complete in time.
     #[error("408 Request Timeout")]
     Timeout,
-    /// Its body is too long.
+    /// The body is too long.
     #[error("413 Content Too Large")]
     BodyTooLong,
-    /// Its head is too long.
+    /// The head is too long.
     #[error("431 Request Header Fields Too Large")]
     HeadTooLong,
-    /// Its body has a transfer coding, which is not supported.
+    /// The body has a transfer coding, which is not supported.
     #[error("501 Not Implemented")]
     TransferCoding,
-    /// Its version of HTTP is not supported.
+    /// The version of HTTP is not supported.
     #[error("505 HTTP Version Not Supported")]
     Version,
 }
@@ -78,7 +78,7 @@
 /// A complete request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlRequest {
-    /// What is asked for.
+    /// The requested operation.
     pub operation: Operation,
     /// The response is to have no body (`HEAD`).
     pub is_head_only: bool,
@@ -90,7 +90,7 @@
     request: ControlRequest,
     /// Where the body begins.
     body_start: usize,
-    /// How much of the body to wait for.
+    /// How many bytes of the body to wait for.
     body_length: usize,
 }
 
@@ -98,7 +98,7 @@
 #[derive(Debug, Default)]
 pub struct RequestReader {
     bytes: Vec<u8>,
-    /// The request, and how much of its body is still missing.
+    /// The request, and how many bytes of its body are still missing.
     request: Option<(ControlRequest, usize)>,
     /// The body, for an operation that uses it.
     body: Vec<u8>,
@@ -106,8 +106,8 @@
 }
 
 impl RequestReader {
-    /// Appends bytes that were read. Returns the request once it is complete, or its error, once and
-    /// whatever follows.
+    /// Appends bytes that were read. Returns the request or its error once, as soon as it is known;
+    /// later bytes are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<ControlRequest, RequestError>> {
         if self.is_finished {
             return None;
@@ -128,7 +128,7 @@
         result
     }
 
-    /// The body of a request that uses it.
+    /// The body, if the request's operation uses one.
     pub fn into_body(self) -> Vec<u8> {
         self.body
     }
@@ -180,8 +180,8 @@
     if has_coding && length.is_some() {
         return Err(RequestError::BadRequest);
     }
-    let path = path_of(request.path.unwrap_or_default());
-    let (operation, allowed) = Operation::of_path(path).ok_or(RequestError::NotFound)?;
+    let path = target_path(request.path.unwrap_or_default());
+    let (operation, allowed) = Operation::from_path(path).ok_or(RequestError::NotFound)?;
     if !allowed.split(", ").any(|m| m == method) {
         return Err(RequestError::MethodNotAllowed(allowed));
     }
@@ -197,7 +197,7 @@
     if length.is_some_and(|length| length > max_length) {
         return Err(RequestError::BodyTooLong);
     }
-    // A client that expects `100 Continue` is answered at once where its body would be ignored.
+    // A client that expects `100 Continue` gets its response at once if its body would be ignored.
     let expects_continue = values(request.headers, "expect").next().is_some();
     let body_length = if expects_continue && !uses_body {
         0
@@ -225,8 +225,8 @@
     fields.map(|field| field.value.trim_ascii())
 }
 
-/// The length of the body, if the head states it. Several fields that differ are an error: they are
-/// used to smuggle requests.
+/// The length of the body, if the head states it. Several fields with different values are an
+/// error, as they allow request smuggling.
 fn content_length(headers: &[httparse::Header]) -> Result<Option<usize>, RequestError> {
     let mut length = None;
     for value in values(headers, "content-length") {
@@ -237,7 +237,10 @@
         let value = text
             .parse::<usize>()
             .map_err(|_| RequestError::BodyTooLong)?;
-        if length.replace(value).is_some_and(|before| before != value) {
+        if length
+            .replace(value)
+            .is_some_and(|previous| previous != value)
+        {
             return Err(RequestError::BadRequest);
         }
     }
@@ -245,7 +248,7 @@
 }
 
 /// The path of a target in absolute or origin form, without a query.
-fn path_of(target: &str) -> &str {
+fn target_path(target: &str) -> &str {
     let path = match target.split_once("://") {
         Some((_, rest)) => rest.find('/').map_or("/", |start| &rest[start..]),
         None => target,
--- a/crates/wire/src/control/response.rs
+++ b/crates/wire/src/control/response.rs
@@ -3,13 +3,13 @@
 use super::RequestError;
 use std::io::Write;
 
-/// Content type of most responses.
+/// Content type of the responses that are not JSON.
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 
-/// Appends a text: 200 if the answer is yes, 503 if it is "not now". With `is_head_only` the text
-/// itself is left out.
-pub fn write_text(out: &mut Vec<u8>, is_yes: bool, is_head_only: bool, text: &str) {
-    let status = if is_yes {
+/// Appends a text response, with status 200 if `is_success` and 503 otherwise. With `is_head_only`
+/// the body is omitted, but the head still states its length.
+pub fn write_text(out: &mut Vec<u8>, is_success: bool, is_head_only: bool, text: &str) {
+    let status = if is_success {
         "200 OK"
     } else {
         "503 Service Unavailable"
@@ -18,7 +18,7 @@
     write_response(out, status, "", PLAIN_TEXT, text.len(), body);
 }
 
-/// Appends a JSON document.
+/// Appends a response with a JSON document. With `is_head_only` the body is omitted.
 pub fn write_json(out: &mut Vec<u8>, is_head_only: bool, text: &str) {
     let body = if is_head_only { "" } else { text };
     write_response(out, "200 OK", "", "application/json", text.len(), body);
--- a/crates/wire/src/jsonrpc/mod.rs
+++ b/crates/wire/src/jsonrpc/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's front end: JSON-RPC 2.0, one message a line, no batches.
+//! The platform's front end: JSON-RPC 2.0, one message per line, no batches.
 
 mod params;
 mod reader;
@@ -63,28 +63,28 @@
     }
 }
 
-/// A request for work, with the wire's names in parentheses.
+/// A request for work, with the names on the wire in parentheses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkRequest {
     /// Its number on the connection (`id`).
     pub id: u64,
-    /// Its class, by position (`method`).
+    /// The index of its class (`method`).
     pub class: usize,
     /// Its reference, new with each attempt (`ref`).
     pub reference: u64,
     /// The number of the gateway that sent it, if given (`sender`).
     pub gateway: Option<u64>,
-    /// Its tenant, by position (`project`); none if the settings do not have it.
+    /// The index of its tenant (`project`); none if the settings do not contain the tenant.
     pub tenant: Option<usize>,
-    /// When it reached the machine, in Unix milliseconds (`since`).
+    /// When it arrived at the machine, in Unix milliseconds (`since`).
     pub arrived_at_ms: f64,
     /// How long its caller waits from then on, in milliseconds (`allow`).
     pub timeout_ms: Option<f64>,
     /// Whether it is a retry or a hedged request (`dup`).
     pub is_retry: bool,
-    /// The work to expect, in milliseconds (`effort`).
+    /// The expected work, in milliseconds (`effort`).
     pub expected_work_ms: Option<f64>,
-    /// Memory that it takes while queued, in KB (`room`).
+    /// Memory that it uses while queued, in KB (`room`).
     pub memory_kb: f64,
     /// Its priority, from 0 to under 1 (`class_rank`).
     pub priority: f64,
@@ -94,7 +94,7 @@
     pub body: Rc<[u8]>,
 }
 
-/// A message of a gateway.
+/// A message from a gateway.
 // A box for the large variant would cost one allocation per request.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq)]
@@ -105,7 +105,7 @@
     HealthCheck {
         /// Its number on the connection.
         id: u64,
-        /// Whether it also asks if work makes progress (`inner`).
+        /// Whether the check covers the progress of work too (`inner`).
         checks_progress: bool,
     },
     /// Cancels the request of this number.
--- a/crates/wire/src/jsonrpc/reader.rs
+++ b/crates/wire/src/jsonrpc/reader.rs
@@ -11,7 +11,7 @@
 /// Whole numbers up to this one are exact in a JSON number with a fraction or an exponent: 2^53.
 const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
-/// Text that is borrowed unless it contains escapes. (A `Cow` inside an `Option` never is.)
+/// Text that is borrowed unless it contains escapes. Serde never borrows a `Cow` in an `Option`.
 #[derive(Deserialize)]
 pub(super) struct Text<'a>(#[serde(borrow)] pub(super) Cow<'a, str>);
 
@@ -23,7 +23,7 @@
     id: serde_json::Value,
     #[serde(borrow)]
     method: Option<Text<'a>>,
-    // Kept unparsed until the kind of message is known, so nothing of it is copied before.
+    // Not parsed before the kind of message is known, so that nothing is copied until then.
     #[serde(borrow, default)]
     params: Option<&'a RawValue>,
 }
@@ -33,11 +33,11 @@
     id: serde_json::Value,
 }
 
-/// Parameters of a health check. Unknown ones are ignored: the check is answered all the same.
+/// Parameters of a health check. Unknown ones are ignored: the check is still answered.
 #[derive(Deserialize)]
 struct HealthCheckParams {
-    #[serde(default)]
-    inner: bool,
+    #[serde(rename = "inner", default)]
+    checks_progress: bool,
 }
 
 /// Splits a gateway's bytes into messages.
@@ -64,8 +64,8 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the connection cannot be read any further: its last message was an error, and no
-    /// other one follows.
+    /// Whether the connection cannot be read any further: the last message was an error, and no
+    /// message follows.
     pub fn is_broken(&self) -> bool {
         self.is_broken
     }
@@ -75,7 +75,7 @@
         self.buffer.len() > self.consumed
     }
 
-    /// The next complete message. `class` and `tenant` map names to positions.
+    /// The next complete message. `class` and `tenant` map names to indices.
     pub fn next_message(
         &mut self,
         class: impl Fn(&str) -> Option<usize>,
@@ -88,7 +88,7 @@
         let found = unsearched.iter().position(|&b| b == b'\n');
         let end = found.map_or(self.buffer.len(), |offset| self.searched + offset);
         if end - self.consumed > MAX_LINE {
-            // The end of such a line is not looked for.
+            // The end of the line is not searched for: the connection is not read any further.
             *self = GatewayReader {
                 is_broken: true,
                 ..GatewayReader::default()
@@ -97,7 +97,7 @@
         }
         self.searched = end;
         found?;
-        // Parsed in place: the buffer is taken out for the time of the borrow.
+        // The line is parsed in place: the buffer is moved out while it is borrowed.
         let buffer = std::mem::take(&mut self.buffer);
         let message = self.parse(&buffer[self.consumed..=end], class, tenant);
         self.buffer = buffer;
@@ -134,7 +134,7 @@
         if id.is_null() {
             return parse_notification(&method, params);
         }
-        // Ids count up from 1 on a connection: any other one could be that of an open request.
+        // Ids start at 1 and increase: any other id could be that of an open request.
         let Some(id) = new_id else {
             return Message::Invalid(None, ErrorCode::InvalidRequest);
         };
@@ -144,7 +144,7 @@
                 params.and_then(|p| serde_json::from_str::<HealthCheckParams>(p.get()).ok());
             return Message::HealthCheck {
                 id,
-                checks_progress: check.is_some_and(|check| check.inner),
+                checks_progress: check.is_some_and(|check| check.checks_progress),
             };
         }
         match parse_work(id, params, || class(&method), tenant) {
@@ -154,8 +154,8 @@
     }
 }
 
-/// A message without an id. Only a cancellation is valid: the sender of anything else learns that
-/// it will not be done.
+/// Parses a message without an id. Only a cancellation is valid. Anything else is answered with an
+/// error, so that the sender does not expect it to be executed.
 fn parse_notification(method: &str, params: Option<&RawValue>) -> Message {
     let object = params.map(RawValue::get).filter(|p| p.starts_with('{'));
     let cancel = object.and_then(|p| serde_json::from_str::<CancelParams>(p).ok());
@@ -165,7 +165,7 @@
     }
 }
 
-/// A whole number, in any form that JSON has for it: 7, 7.0 and 7e0 are the same.
+/// A whole number in any JSON notation: 7, 7.0 and 7e0 are the same.
 fn whole_number(value: &serde_json::Value) -> Option<u64> {
     let is_exact = |v: &f64| v.fract() == 0.0 && (0.0..=MAX_EXACT_INTEGER).contains(v);
     value
--- a/crates/wire/src/jsonrpc/writer.rs
+++ b/crates/wire/src/jsonrpc/writer.rs
@@ -1,13 +1,13 @@
-//! Answers to gateways, appended to what their connection has to write.
+//! Encodes answers to gateways and appends them to the output of a connection.
 //!
-//! `level` is the load level that callers are told with each answer (`pressure`), if there is one.
+//! `level` is the load level that each answer reports to the caller (`pressure`), if there is one.
 
 use super::ErrorCode;
 use crate::count_copied;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use std::io::Write;
 
-/// Appends a result, unchanged but for base64.
+/// Appends a result, encoded in base64.
 pub fn write_result(out: &mut Vec<u8>, id: u64, result: &[u8], level: Option<f64>) {
     write_head(out, Some(id));
     out.extend_from_slice(b"\"result\":{\"doc\":\"");
@@ -24,12 +24,12 @@
 }
 
 /// Appends a rejection: the request never ran. `retry_after_ms` is the time to wait before a retry,
-/// 0 for none (`cooldown`); `no_retry_elsewhere` advises against other nodes (`nowhere`).
+/// 0 for none (`cooldown`); `no_retry` advises against a retry at other nodes (`nowhere`).
 pub fn write_rejection(
     out: &mut Vec<u8>,
     id: u64,
     retry_after_ms: u64,
-    no_retry_elsewhere: bool,
+    no_retry: bool,
     level: Option<f64>,
 ) {
     write_error_head(out, Some(id), ErrorCode::Rejected);
@@ -40,7 +40,7 @@
         let _ = write!(out, "{comma}\"cooldown\":{retry_after_ms}");
         is_first = false;
     }
-    if no_retry_elsewhere {
+    if no_retry {
         let comma = if is_first { "" } else { "," };
         let _ = write!(out, "{comma}\"nowhere\":1");
     }
@@ -62,19 +62,19 @@
     out.extend_from_slice(b"}}\n");
 }
 
-/// Appends `goaway`: the gateway is not to send new requests on this connection.
+/// Appends `goaway`: the gateway must not send new requests on this connection.
 pub fn write_goaway(out: &mut Vec<u8>) {
     out.extend_from_slice(b"{\"jsonrpc\":\"2.0\",\"method\":\"goaway\"}\n");
 }
 
-/// What separates a field from the one before it.
+/// The separator before a field.
 #[derive(Clone, Copy)]
 enum Separator {
     None,
     Comma,
 }
 
-/// Begins an answer. Writing to a vector cannot fail, here and in all of this module.
+/// Begins an answer. Errors are ignored in this module, as writing to a vector cannot fail.
 fn write_head(out: &mut Vec<u8>, id: Option<u64>) {
     let _ = match id {
         Some(id) => write!(out, "{{\"jsonrpc\":\"2.0\",\"id\":{id},"),
--- a/crates/wire/src/ledger.rs
+++ b/crates/wire/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Calls to the layer below, posted to the ledger over connections of their own.
+//! Downstream calls, sent to the ledger over dedicated connections.
 
 use crate::lines::{write_with_body, LineMessage, LineReader};
 use crate::{parse_reference, Malformed};
@@ -6,15 +6,15 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It succeeded (`posted`).
+    /// The call succeeded (`posted`).
     Succeeded,
-    /// It was rejected before it ran (`queue_full`).
+    /// The call was rejected before it ran (`queue_full`).
     Rejected,
-    /// It failed and may have had an effect (`error`).
+    /// The call failed and may have had an effect (`error`).
     Failed,
-    /// Its time was over; it may have had an effect (`expired`).
+    /// The call timed out and may have had an effect (`expired`).
     TimedOut,
-    /// No run was waiting for it, and it never ran (`moot`).
+    /// The call never ran, as no run was waiting for its reply (`moot`).
     Unneeded,
 }
 
@@ -56,9 +56,9 @@
         let Some(LineMessage { line, body }) = self.lines.next_message(has_body)? else {
             return Ok(None);
         };
-        let mut words = line.split(' ');
-        let reference = words.next().and_then(parse_reference).ok_or(Malformed)?;
-        let outcome = match words.next() {
+        let mut fields = line.split(' ');
+        let reference = fields.next().and_then(parse_reference).ok_or(Malformed)?;
+        let outcome = match fields.next() {
             Some("posted") => CallOutcome::Succeeded,
             Some("queue_full") => CallOutcome::Rejected,
             Some("error") => CallOutcome::Failed,
@@ -74,9 +74,9 @@
     }
 }
 
-/// The message that places a call. `timeout_ms` tells the ledger how long the reply is waited for.
+/// Encodes the message that places a call. The node waits `timeout_ms` for the reply.
 pub fn encode_call(reference: u64, timeout_ms: u64, body: &[u8]) -> Vec<u8> {
-    /// Room for the line around the body, in bytes.
+    /// Capacity for the line before the body and the line ends, in bytes.
     const LINE_CAPACITY: usize = 64;
     let mut out = Vec::with_capacity(LINE_CAPACITY + body.len());
     let length = body.len();
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,14 +1,14 @@
-//! The protocols that a node speaks: one state machine for each, fed bytes and yielding messages.
+//! The protocols of a node. Each is a state machine that takes bytes and returns messages.
 //!
-//! Nothing here has a socket or a clock, and nothing decides about admission. The names that a
-//! protocol has on the wire are mapped to the node's terms here and nowhere else.
+//! This crate does no I/O, reads no clock and makes no admission decisions. Only this crate maps
+//! the names on the wire to the node's terms.
 //!
 //! | module | protocol |
 //! | --- | --- |
-//! | [`jsonrpc`] | requests of the platform's gateways: JSON-RPC 2.0, one message a line |
+//! | [`jsonrpc`] | requests of the platform's gateways: JSON-RPC 2.0, one message per line |
 //! | [`uwsgi`] | requests of uwsgi clients, and requests to uwsgi workers |
 //! | [`processor`] | commands to the platform's processor and its notices |
-//! | [`ledger`] | calls to the layer below |
+//! | [`ledger`] | downstream calls, sent to the ledger |
 //! | [`service_registry`] | heartbeats to the service registry |
 //! | [`control`] | the control endpoint, over HTTP/1.1 |
 //! | [`lines`] | the framing that `processor` and `ledger` share |
@@ -22,8 +22,8 @@
 pub mod uwsgi;
 
 /// Bytes copied on the path of requests: from the read buffer to the connection's buffer, to the
-/// shared body, to the batch of commands, and into the answer. Copies by the system are not
-/// counted. Only with the feature `count`.
+/// shared body, to the batch of commands, and into the answer. Copies made by the kernel are not
+/// counted. Exists only with the feature `count`.
 #[cfg(feature = "count")]
 pub static COPIED: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
@@ -44,18 +44,18 @@
 const REFERENCE_DIGITS: usize = 16;
 
 /// Parses a reference: 16 lower-case hexadecimal digits.
-pub fn parse_reference(word: &str) -> Option<u64> {
+pub fn parse_reference(text: &str) -> Option<u64> {
     let is_digit = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
-    if word.len() != REFERENCE_DIGITS || !word.bytes().all(is_digit) {
+    if text.len() != REFERENCE_DIGITS || !text.bytes().all(is_digit) {
         return None;
     }
-    u64::from_str_radix(word, 16).ok()
+    u64::from_str_radix(text, 16).ok()
 }
 
 /// Parses a decimal number that consists of digits alone; `str::parse` would accept a sign.
-pub fn parse_decimal(word: &str) -> Option<u64> {
-    if word.is_empty() || !word.bytes().all(|b| b.is_ascii_digit()) {
+pub fn parse_decimal(text: &str) -> Option<u64> {
+    if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return None;
     }
-    word.parse().ok()
+    text.parse().ok()
 }
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -1,12 +1,13 @@
-//! Lines of words that end in CR LF, some followed by a body whose length is the line's last word.
+//! Lines of space-separated fields that end in CR LF. Some are followed by a body, whose length in
+//! bytes is the last field of the line.
 
 use crate::{count_copied, parse_decimal, Malformed};
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Longest line of words, in bytes.
+/// Longest line, in bytes.
 const MAX_LINE: usize = 1024;
-/// Longest body behind a line, in bytes.
+/// Longest body after a line, in bytes.
 const MAX_BODY: usize = 1 << 20;
 /// Capacity that an empty buffer retains after a burst, in bytes.
 const RETAINED_CAPACITY: usize = 16 << 10;
@@ -41,7 +42,7 @@
         self.consumed == self.buffer.len()
     }
 
-    /// The next complete message. `has_body` tells for a line whether a body follows it.
+    /// The next complete message. `has_body` returns whether a body follows a line.
     ///
     /// # Errors
     ///
@@ -79,8 +80,8 @@
     }
 }
 
-/// Removes returned bytes from the front of a buffer, and releases memory that a burst made it
-/// allocate.
+/// Removes returned bytes from the front of a buffer. Releases memory that was allocated for a
+/// burst once the buffer is empty.
 pub(crate) fn discard_consumed(buffer: &mut Vec<u8>, consumed: &mut usize) {
     count_copied(buffer.len() - *consumed);
     buffer.drain(..std::mem::take(consumed));
--- a/crates/wire/src/processor/commands.rs
+++ b/crates/wire/src/processor/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the processor, appended to a batch.
+//! Encodes commands to the processor and appends them to a batch.
 
 use crate::lines::write_with_body;
 use std::io::Write;
@@ -19,13 +19,13 @@
     write_with_body(out, format_args!("answer {reference:016x} {length}"), reply);
 }
 
-/// Interrupts a run, in the way that the settings name (`interrupt`).
+/// Interrupts a run (`interrupt`). The settings define what an interruption does.
 pub fn write_interrupt(out: &mut Vec<u8>, reference: u64) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "interrupt {reference:016x}\r\n");
 }
 
-/// Asks for the gauges (`usage`). The number comes back with them.
+/// Requests the gauges (`usage`). The notice with the gauges repeats the number of the query.
 pub fn write_gauge_query(out: &mut Vec<u8>, query: u64) {
     // Writing to a vector cannot fail.
     let _ = write!(out, "usage {query}\r\n");
--- a/crates/wire/src/processor/mod.rs
+++ b/crates/wire/src/processor/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to the platform's processor: commands out, numbered notices in.
+//! The connection to the platform's processor: it sends commands and receives numbered notices.
 
 mod commands;
 mod notices;
--- a/crates/wire/src/processor/notices.rs
+++ b/crates/wire/src/processor/notices.rs
@@ -1,5 +1,5 @@
-//! Notices of the processor. Most are numbered, and a new connection repeats those that may have
-//! been lost with the old one.
+//! Notices from the processor. Most are numbered. On a new connection the processor repeats those
+//! that may have been lost with the previous connection.
 
 use crate::lines::{LineMessage, LineReader};
 use crate::{count_copied, parse_decimal, parse_reference, Malformed};
@@ -8,13 +8,13 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It succeeded with a result (`fine`).
+    /// The run succeeded and has a result (`fine`).
     Succeeded,
-    /// It failed (`fault`).
+    /// The run failed (`fault`).
     Failed,
-    /// It was interrupted, or ended at a call because its request was over (`broken_off`).
+    /// The run was interrupted, or ended at a call because its request had ended (`broken_off`).
     Interrupted,
-    /// It was not started (`late`).
+    /// The run was not started (`late`).
     NotStarted,
 }
 
@@ -29,12 +29,12 @@
     Other,
 }
 
-/// A message of the processor.
+/// A message from the processor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
     /// The processor is up (`hi`).
     Hello {
-        /// It has only just started and is slow at first.
+        /// The processor has just started and is still slow.
         is_cold: bool,
         /// Time since its start, in milliseconds.
         uptime_ms: f64,
@@ -50,7 +50,7 @@
         /// Its result.
         result: Rc<[u8]>,
     },
-    /// A run waits for a call to the layer below (`ask`).
+    /// A run waits for a downstream call (`ask`).
     CallRequested {
         /// Reference of the request.
         reference: u64,
@@ -59,24 +59,24 @@
     },
     /// The gauges (`used`).
     Gauges {
-        /// Number of the query that they answer; none for those sent unasked.
+        /// Number of the query that the gauges answer; none if they are unsolicited.
         query: Option<u64>,
         /// The values, in the order of the settings.
         values: GaugeValues,
     },
-    /// A command was not carried out (`reject`).
+    /// The processor rejected a command (`reject`).
     CommandRejected {
         /// The command.
         command: CommandKind,
-        /// Reference of the request that it was about; 0 if the notice names none.
+        /// Reference of the request that the command concerns; 0 if the notice names none.
         reference: u64,
     },
 }
 
-/// Most gauges that are read; the settings name a handful.
+/// Most gauges that are read. The settings name far fewer.
 const MAX_GAUGES: usize = 16;
-/// Most words of a notice other than `used`.
-const MAX_WORDS: usize = 6;
+/// Most fields of a notice other than `used`.
+const MAX_FIELDS: usize = 6;
 /// Times of this many milliseconds and above are malformed.
 const TIME_LIMIT_MS: f64 = 1e15;
 
@@ -93,7 +93,7 @@
         self.values[..self.count].get(position).copied()
     }
 
-    /// Appends a value; ignored beyond the most that are read.
+    /// Appends a value. Values beyond `MAX_GAUGES` are ignored.
     pub fn push(&mut self, value: f64) {
         if let Some(slot) = self.values.get_mut(self.count) {
             *slot = value;
@@ -102,8 +102,8 @@
     }
 }
 
-/// Reads the notices of one processor over all its connections. Remembers the number of the last
-/// notice, so that each takes effect once.
+/// Reads the notices of one processor over all its connections. Stores the number of the last
+/// notice, so that a repeated notice has no effect.
 #[derive(Debug, Default)]
 pub struct NoticeReader {
     lines: LineReader,
@@ -111,8 +111,8 @@
 }
 
 impl NoticeReader {
-    /// Begins a new connection: drops what the old one left incomplete, and returns the first
-    /// message to send, which names the last notice.
+    /// Begins a new connection: discards an incomplete notice of the previous connection, and
+    /// returns the first message to send, which contains the number of the last notice received.
     pub fn hello(&mut self) -> Vec<u8> {
         self.lines = LineReader::default();
         format!("hello {}\r\n", self.last_number).into_bytes()
@@ -123,22 +123,22 @@
         self.lines.feed(bytes);
     }
 
-    /// The next notice that was not seen before.
+    /// The next notice that was not received before.
     ///
     /// # Errors
     ///
     /// Fails if the processor sent anything that is not a notice.
     pub fn next_notice(&mut self) -> Result<Option<Notice>, Malformed> {
         while let Some(message) = self.lines.next_message(has_body)? {
-            let words = Words::split(message.line);
-            if words.is_numbered() {
-                let number = words.get(1).and_then(parse_decimal).ok_or(Malformed)?;
+            let fields = Fields::split(message.line);
+            if fields.is_numbered() {
+                let number = fields.get(1).and_then(parse_decimal).ok_or(Malformed)?;
                 if number <= self.last_number {
                     continue;
                 }
                 self.last_number = number;
             }
-            if let Some(notice) = parse(&words, message)? {
+            if let Some(notice) = parse(&fields, message)? {
                 return Ok(Some(notice));
             }
         }
@@ -146,24 +146,25 @@
     }
 }
 
-/// Whether a notice has a body. A run that did not succeed may come without the length of one.
+/// Whether a notice has a body. The notice of a run that did not succeed may omit the body and its
+/// length.
 fn has_body(line: &str) -> bool {
     match line.split(' ').next() {
-        Some("complete") => line.split(' ').count() == MAX_WORDS,
+        Some("complete") => line.split(' ').count() == MAX_FIELDS,
         first => first == Some("ask"),
     }
 }
 
-/// The first words of a notice.
-struct Words<'a>([Option<&'a str>; MAX_WORDS]);
+/// The first fields of a notice.
+struct Fields<'a>([Option<&'a str>; MAX_FIELDS]);
 
-impl<'a> Words<'a> {
-    fn split(line: &'a str) -> Words<'a> {
-        let mut words = [None; MAX_WORDS];
-        for (slot, word) in words.iter_mut().zip(line.split(' ')) {
-            *slot = Some(word);
+impl<'a> Fields<'a> {
+    fn split(line: &'a str) -> Fields<'a> {
+        let mut fields = [None; MAX_FIELDS];
+        for (slot, field) in fields.iter_mut().zip(line.split(' ')) {
+            *slot = Some(field);
         }
-        Words(words)
+        Fields(fields)
     }
 
     fn get(&self, position: usize) -> Option<&'a str> {
@@ -186,43 +187,45 @@
 
     /// A time in milliseconds, with or without a fraction.
     fn time_ms(&self, position: usize) -> Result<f64, Malformed> {
-        let value = self.get(position).and_then(|word| word.parse::<f64>().ok());
+        let value = self
+            .get(position)
+            .and_then(|field| field.parse::<f64>().ok());
         value
             .filter(|time| (0.0..TIME_LIMIT_MS).contains(time))
             .ok_or(Malformed)
     }
 }
 
-/// The notice of a message; none for a remark, which is ignored.
-fn parse(words: &Words, message: LineMessage) -> Result<Option<Notice>, Malformed> {
-    let notice = match words.name() {
+/// Parses a notice; none for a remark, which is ignored.
+fn parse(fields: &Fields, message: LineMessage) -> Result<Option<Notice>, Malformed> {
+    let notice = match fields.name() {
         "hi" => Notice::Hello {
-            is_cold: match words.get(1) {
+            is_cold: match fields.get(1) {
                 Some("starting") => true,
                 Some("running") => false,
                 _ => return Err(Malformed),
             },
-            uptime_ms: words.time_ms(2)?,
+            uptime_ms: fields.time_ms(2)?,
         },
         "complete" => Notice::RunEnded {
-            outcome: parse_outcome(words.get(3))?,
-            reference: words.reference(2)?,
-            duration_ms: words.time_ms(4)?,
-            result: shared(message.body),
+            outcome: parse_outcome(fields.get(3))?,
+            reference: fields.reference(2)?,
+            duration_ms: fields.time_ms(4)?,
+            result: copy_shared(message.body),
         },
         "ask" => Notice::CallRequested {
-            reference: words.reference(2)?,
-            body: shared(message.body),
+            reference: fields.reference(2)?,
+            body: copy_shared(message.body),
         },
-        "used" => parse_gauges(words, message.line)?,
+        "used" => parse_gauges(fields, message.line)?,
         "reject" => Notice::CommandRejected {
-            command: match words.get(1).ok_or(Malformed)? {
+            command: match fields.get(1).ok_or(Malformed)? {
                 "begin" => CommandKind::Start,
                 "interrupt" => CommandKind::Interrupt,
                 _ => CommandKind::Other,
             },
-            // A rejection that names none of our requests concerns none.
-            reference: words.reference(2).unwrap_or(0),
+            // A rejection without a valid reference is about no request of this node.
+            reference: fields.reference(2).unwrap_or(0),
         },
         "remark" => return Ok(None),
         _ => return Err(Malformed),
@@ -230,8 +233,8 @@
     Ok(Some(notice))
 }
 
-fn parse_outcome(word: Option<&str>) -> Result<RunOutcome, Malformed> {
-    match word {
+fn parse_outcome(field: Option<&str>) -> Result<RunOutcome, Malformed> {
+    match field {
         Some("fine") => Ok(RunOutcome::Succeeded),
         Some("fault") => Ok(RunOutcome::Failed),
         Some("broken_off") => Ok(RunOutcome::Interrupted),
@@ -240,18 +243,18 @@
     }
 }
 
-fn parse_gauges(words: &Words, line: &str) -> Result<Notice, Malformed> {
+fn parse_gauges(fields: &Fields, line: &str) -> Result<Notice, Malformed> {
     let mut values = GaugeValues::default();
-    for word in line.split(' ').skip(2) {
-        values.push(word.parse::<f64>().map_err(|_| Malformed)?);
+    for field in line.split(' ').skip(2) {
+        values.push(field.parse::<f64>().map_err(|_| Malformed)?);
     }
     Ok(Notice::Gauges {
-        query: parse_decimal(words.get(1).ok_or(Malformed)?),
+        query: parse_decimal(fields.get(1).ok_or(Malformed)?),
         values,
     })
 }
 
-fn shared(body: &[u8]) -> Rc<[u8]> {
+fn copy_shared(body: &[u8]) -> Rc<[u8]> {
     count_copied(body.len());
     Rc::from(body)
 }
--- a/crates/wire/src/service_registry.rs
+++ b/crates/wire/src/service_registry.rs
@@ -1,19 +1,19 @@
-//! Heartbeats to the service registry: datagrams of three words.
+//! Heartbeats to the service registry: datagrams of three space-separated fields.
 
-/// What a node reports of itself.
+/// The availability that a node reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It accepts requests.
+    /// The node accepts requests.
     Up,
-    /// It is draining: gateways have to use other nodes.
+    /// The node is draining: gateways have to use other nodes.
     Draining,
 }
 
-/// One heartbeat datagram.
+/// Encodes one heartbeat datagram.
 pub fn heartbeat(node: &str, availability: Availability) -> Vec<u8> {
-    let word = match availability {
+    let state = match availability {
         Availability::Up => "UP",
         Availability::Draining => "OUT",
     };
-    format!("HB {node} {word}").into_bytes()
+    format!("HB {node} {state}").into_bytes()
 }
--- a/crates/wire/src/uwsgi/mod.rs
+++ b/crates/wire/src/uwsgi/mod.rs
@@ -7,7 +7,7 @@
 pub use packet::{encode_packet, find_variable, Packet, PacketReader};
 pub use response::{write_response, ResponseReader};
 
-/// An HTTP status that the front end itself answers with.
+/// An HTTP status of the front end's own responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// The processor's result.
@@ -27,8 +27,8 @@
 }
 
 impl Status {
-    /// The status line behind the version.
-    fn line(self) -> &'static str {
+    /// The status code and the reason phrase.
+    fn code_and_reason(self) -> &'static str {
         match self {
             Status::Ok => "200 OK",
             Status::BadRequest => "400 Bad Request",
--- a/crates/wire/src/uwsgi/packet.rs
+++ b/crates/wire/src/uwsgi/packet.rs
@@ -1,4 +1,4 @@
-//! uwsgi packets: read from clients, searched for variables, and made for workers.
+//! uwsgi packets: parsing those of clients, finding variables, and encoding packets for workers.
 
 use super::Status;
 use crate::parse_decimal;
@@ -32,7 +32,7 @@
         (!value.is_empty()).then_some(value.as_slice())
     }
 
-    /// The path that routes are chosen by (`PATH_INFO`).
+    /// The path that selects the route (`PATH_INFO`).
     ///
     /// # Errors
     ///
@@ -58,7 +58,7 @@
         Ok(Some(key))
     }
 
-    /// How long the client waits, in milliseconds (`HTTP_X_ALLOW_MS`), if it states that.
+    /// How long the client waits, in milliseconds (`HTTP_X_ALLOW_MS`), if stated.
     ///
     /// # Errors
     ///
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Appends bytes that were read. Returns the packet once it is complete, or its error as soon as
-    /// that shows.
+    /// Appends bytes that were read. Returns the packet once it is complete, or an error as soon as
+    /// the packet is known to be invalid.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Packet, Status>> {
         self.buffer.extend_from_slice(bytes);
         self.parse().transpose()
@@ -108,7 +108,7 @@
 
     fn parse(&mut self) -> Result<Option<Packet>, Status> {
         let Some(&[modifier, low, high, _]) = self.buffer.first_chunk::<HEADER_LENGTH>() else {
-            // A client of another protocol may never send the other three bytes.
+            // A client of another protocol may never send the rest of the header.
             return if self.buffer.first().is_some_and(|&m| m != 0) {
                 Err(Status::BadRequest)
             } else {
@@ -157,25 +157,25 @@
         return Err(Status::BadRequest);
     }
     let text = std::str::from_utf8(text).map_err(|_| Status::BadRequest)?;
-    // Digits that do not fit a number are a length that is too large.
+    // A length that overflows counts as too large.
     Ok(text.parse().unwrap_or(usize::MAX))
 }
 
-/// Takes the word at the start of the block, behind its length.
-fn take_word<'a>(block: &mut &'a [u8]) -> Option<&'a [u8]> {
+/// Removes the length-prefixed string at the start of the block and returns it.
+fn take_string<'a>(block: &mut &'a [u8]) -> Option<&'a [u8]> {
     let (length, rest) = block.split_first_chunk::<2>()?;
-    let (word, rest) = rest.split_at_checked(usize::from(u16::from_le_bytes(*length)))?;
+    let (text, rest) = rest.split_at_checked(usize::from(u16::from_le_bytes(*length)))?;
     *block = rest;
-    Some(word)
+    Some(text)
 }
 
-/// Names and values, each behind its length. A name that occurs twice could be understood in one
-/// way here and in another by the worker, so it is an error.
+/// Parses names and values, each prefixed with its length. A repeated name is an error, as the node
+/// and the worker could use different values.
 fn parse_variables(mut block: &[u8]) -> Option<Vec<Variable>> {
     let mut variables: Vec<Variable> = Vec::new();
     while !block.is_empty() {
-        let name = String::from_utf8(take_word(&mut block)?.to_vec()).ok()?;
-        let value = take_word(&mut block)?.to_vec();
+        let name = String::from_utf8(take_string(&mut block)?.to_vec()).ok()?;
+        let value = take_string(&mut block)?.to_vec();
         if name.is_empty() || variables.iter().any(|(n, _)| *n == name) {
             return None;
         }
@@ -184,13 +184,13 @@
     Some(variables)
 }
 
-/// The value of a variable in the bytes of a complete packet.
+/// Finds the value of a variable in the bytes of a complete packet.
 pub fn find_variable<'a>(packet: &'a [u8], name: &str) -> Option<&'a [u8]> {
     let size = usize::from(u16::from_le_bytes([*packet.get(1)?, *packet.get(2)?]));
     let mut block = packet.get(HEADER_LENGTH..HEADER_LENGTH + size)?;
     while !block.is_empty() {
-        let found = take_word(&mut block)?;
-        let value = take_word(&mut block)?;
+        let found = take_string(&mut block)?;
+        let value = take_string(&mut block)?;
         if found == name.as_bytes() {
             return Some(value);
         }
@@ -198,12 +198,12 @@
     None
 }
 
-/// A packet with these variables and this body; none if the variables are too long for one.
+/// Encodes a packet; none if the variables are too long for one.
 pub fn encode_packet(variables: &[(&str, &str)], body: &[u8]) -> Option<Vec<u8>> {
     let mut block = Vec::new();
-    for word in variables.iter().flat_map(|(name, value)| [name, value]) {
-        block.extend_from_slice(&u16::try_from(word.len()).ok()?.to_le_bytes());
-        block.extend_from_slice(word.as_bytes());
+    for text in variables.iter().flat_map(|(name, value)| [name, value]) {
+        block.extend_from_slice(&u16::try_from(text.len()).ok()?.to_le_bytes());
+        block.extend_from_slice(text.as_bytes());
     }
     let [low, high] = u16::try_from(block.len()).ok()?.to_le_bytes();
     Some([&[0, low, high, 0], block.as_slice(), body].concat())
--- a/crates/wire/src/uwsgi/response.rs
+++ b/crates/wire/src/uwsgi/response.rs
@@ -1,4 +1,4 @@
-//! HTTP responses: the front end's own, and those of workers.
+//! HTTP responses of the front end itself, and of workers.
 
 use super::Status;
 use crate::{parse_decimal, Malformed};
@@ -9,15 +9,15 @@
 /// Most header fields of a worker's response.
 const MAX_FIELDS: usize = 64;
 
-/// Appends a response of the front end's own. `retry_after_s` is the time to wait before a retry,
+/// Appends a response of the front end itself. `retry_after_s` is the time to wait before a retry,
 /// in seconds.
 pub fn write_response(out: &mut Vec<u8>, status: Status, retry_after_s: Option<u64>, body: &[u8]) {
     let (content_type, text) = if status == Status::Ok {
         ("application/octet-stream", body)
     } else {
-        ("text/plain", status.line().as_bytes())
+        ("text/plain", status.code_and_reason().as_bytes())
     };
-    let (line, length) = (status.line(), text.len());
+    let (line, length) = (status.code_and_reason(), text.len());
     // Writing to a vector cannot fail.
     let _ = write!(
         out,
@@ -30,7 +30,7 @@
     out.extend_from_slice(text);
 }
 
-/// How much of a response's head is known.
+/// The head of a response, as far as it was parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Head {
     Incomplete,
@@ -54,7 +54,8 @@
 }
 
 impl ResponseReader {
-    /// For a request with this method. A response of more than `max_length` bytes is an error.
+    /// A reader for the response to a request with this method. A response of more than
+    /// `max_length` bytes is an error.
     pub fn new(method: Option<&[u8]>, max_length: usize) -> ResponseReader {
         ResponseReader {
             bytes: Vec::new(),
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Appends bytes that were read. Returns true once the response is complete by the length that
-    /// it states.
+    /// Appends bytes that were read. Returns true once the response has the length that its head
+    /// states.
     ///
     /// # Errors
     ///
@@ -124,7 +125,7 @@
         Ok(())
     }
 
-    /// The connection has ended: returns the response if it is complete.
+    /// Ends the response at the end of the connection. Returns it if it is complete.
     pub fn finish(self) -> Option<Vec<u8>> {
         match self.head {
             Head::Incomplete => None,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The body of a complete and successful response, for a client that does not speak HTTP. A
+    /// The body of a complete and successful response, for a client that does not use HTTP. A
     /// chunked body is not decoded.
     pub fn successful_body(response: &[u8]) -> Option<&[u8]> {
         let mut reader = ResponseReader::new(None, usize::MAX);
--- a/crates/wire/tests/forms.rs
+++ b/crates/wire/tests/forms.rs
@@ -1,30 +1,33 @@
-//! One request in every form that JSON allows for it, complete and cut at every byte.
+//! Equivalent JSON encodings of one request, each split in two at every byte.
 
 use pipitlever_wire::jsonrpc::{GatewayReader, Message};
 
-/// The messages of a text that is fed in two pieces.
-fn messages(text: &str, cut: usize) -> Vec<Message> {
+/// The messages of a text that is fed in two pieces, split at this byte.
+fn messages(text: &str, split_at: usize) -> Vec<Message> {
     let mut gateway = GatewayReader::default();
     let mut found = Vec::new();
-    let (first, second) = text.as_bytes().split_at(cut);
+    let (first, second) = text.as_bytes().split_at(split_at);
     for piece in [first, second] {
         gateway.feed(piece);
         found.extend(std::iter::from_fn(|| {
             gateway.next_message(|name| (name == "rota-view").then_some(0), |_| None)
         }));
     }
-    assert!(!gateway.has_partial_message(), "{text:?} cut at {cut}");
+    assert!(
+        !gateway.has_partial_message(),
+        "{text:?} split at {split_at}"
+    );
     found
 }
 
 #[test]
-fn every_form_of_one_request_is_the_same_request() {
+fn equivalent_encodings_of_a_request_are_parsed_to_the_same_request() {
     let plain = concat!(
         r#"{"jsonrpc":"2.0","id":7,"method":"rota-view","params":{"ref":"9b1f03aa5c7e2d41","since":1764576000123,"#,
         r#""sender":4,"allow":480,"effort":12.5,"room":24.5,"class_rank":0.625,"doc":"/+8="}}"#,
         "\n"
     );
-    let forms = [
+    let encodings = [
         plain.replace('\n', "\r\n"),
         plain.replace(':', " :\t").replace(',', " , "),
         plain.replace("\"id\":7", "\"id\":7.0"),
@@ -47,15 +50,19 @@
     assert!(
         matches!(&expected[..], [Message::Work(work)] if work.id == 7 && *work.body == [0xff, 0xef])
     );
-    for form in &forms {
-        for cut in 0..=form.len() {
-            assert_eq!(messages(form, cut), expected, "{form:?} cut at {cut}");
+    for encoding in &encodings {
+        for split_at in 0..=encoding.len() {
+            assert_eq!(
+                messages(encoding, split_at),
+                expected,
+                "{encoding:?} split at {split_at}"
+            );
         }
     }
 }
 
 #[test]
-fn a_request_is_cancelled_by_every_form_of_its_number() {
+fn a_cancellation_accepts_only_whole_numbers_in_any_encoding() {
     for number in ["3", "3.0", "3e0", "30e-1"] {
         let text = format!(
             "{{\"jsonrpc\":\"2.0\",\"method\":\"cancelRequest\",\"params\":{{\"id\":{number}}}}}\n"
--- a/crates/wire/tests/jsonrpc.rs
+++ b/crates/wire/tests/jsonrpc.rs
@@ -1,4 +1,4 @@
-//! Messages of gateways and the answers to them.
+//! Messages from gateways, and the answers to them.
 
 use pipitlever_wire::jsonrpc::{
     write_error, write_goaway, write_health, write_rejection, write_result, ErrorCode,
@@ -20,7 +20,7 @@
 fn lines_are_read_complete_or_in_pieces() {
     use ErrorCode::{InvalidRequest, Parse};
     let invalid = Message::Invalid;
-    // Errors of whole requests are in tests/rules.rs; here are those of lines, ids and
+    // The node's tests/rules.rs tests errors in whole requests. These are errors in lines, ids and
     // notifications.
     let cases: [(&str, Vec<Message>); 12] = [
         (
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_id_is_new_on_its_connection() {
+fn an_id_that_does_not_increase_is_invalid() {
     let alive = |id: u64| format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"alive\"}}\n");
     let text = [alive(1), alive(1), alive(7), alive(3)].concat();
     let invalid = Message::Invalid(None, ErrorCode::InvalidRequest);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_line_that_is_too_long_is_the_last_one_read() {
+fn no_message_is_read_after_a_line_that_is_too_long() {
     let mut gateway = GatewayReader::default();
     gateway.feed(&[b' '; MAX_LINE + 1]);
     assert_eq!(
--- a/crates/wire/tests/ledger.rs
+++ b/crates/wire/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Replies of the ledger, and calls to it.
+//! Replies from the ledger, and calls to it.
 
 use pipitlever_wire::ledger::{encode_call, CallOutcome, Reply, ReplyReader};
 use pipitlever_wire::Malformed;
--- a/crates/wire/tests/processor.rs
+++ b/crates/wire/tests/processor.rs
@@ -1,4 +1,4 @@
-//! Notices of the processor.
+//! Notices from the processor.
 
 use pipitlever_wire::processor::{CommandKind, GaugeValues, Notice, NoticeReader, RunOutcome};
 use pipitlever_wire::Malformed;
@@ -23,7 +23,8 @@
         all.iter().for_each(|&value| values.push(value));
         Notice::Gauges { query, values }
     };
-    // Times with a fraction once were malformed: `complete 40 ... broken_off 1655.661 0`.
+    // Regression: times with a fraction were malformed, for example in
+    // `complete 40 ... broken_off 1655.661 0`.
     let cases: [(&str, Result<Option<Notice>, Malformed>); 20] = [
         (
             "hi running 12.5\r\n",
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_line_without_end_is_malformed() {
+fn an_unterminated_line_is_malformed() {
     let mut processor = NoticeReader::default();
     processor.feed(&[b'x'; 2000]);
     assert_eq!(processor.next_notice(), Err(Malformed));
@@ -137,7 +138,8 @@
         Ok(Some(run_ended(RunOutcome::Succeeded, 7.0, b"a")))
     );
     assert_eq!(processor.next_notice(), Ok(None));
-    // The incomplete notice of the old connection is dropped; the complete one is not returned again.
+    // The incomplete notice of the old connection is discarded; the complete one is not returned
+    // again.
     assert_eq!(processor.hello(), b"hello 1\r\n");
     processor
         .feed(b"complete 1 821b2d98a3d2e319 fine 7 1\r\na\r\nask 2 821b2d98a3d2e319 0\r\n\r\n");
--- a/crates/wire/tests/uwsgi.rs
+++ b/crates/wire/tests/uwsgi.rs
@@ -1,4 +1,4 @@
-//! Packets of clients and responses of workers.
+//! Packets from clients, and responses from workers.
 
 use pipitlever_wire::uwsgi::{encode_packet, find_variable, PacketReader, ResponseReader};
 use pipitlever_wire::Malformed;
@@ -29,14 +29,14 @@
     );
     assert_eq!(find_variable(&bytes, "REQUEST_METHOD"), Some(&b"POST"[..]));
     assert!(found.next().is_none());
-    // Malformed packets are a table in the node's tests/uwsgi.rs.
+    // The node's tests/uwsgi.rs tests malformed packets.
     assert_eq!(encode_packet(&[("LONG", &"x".repeat(70_000))], b""), None);
 }
 
 #[test]
-fn a_response_is_complete_by_its_length_or_at_the_end() {
-    // Method, bytes, whether they are complete at once, and whether they are at the end of the
-    // connection.
+fn a_response_is_complete_by_its_length_or_at_the_end_of_the_connection() {
+    // Method, response, whether the response is complete by its stated length, and whether it is
+    // complete at the end of the connection.
     let cases: [(&str, &str, Result<bool, Malformed>, bool); 10] = [
         (
             "GET",
@@ -79,11 +79,11 @@
         ),
         ("GET", "Status: 200\r\n\r\n", Err(Malformed), false),
     ];
-    for (method, text, whole, ended) in cases {
+    for (method, text, complete, at_end) in cases {
         let mut response = ResponseReader::new(Some(method.as_bytes()), 100);
-        assert_eq!(response.feed(text.as_bytes()), whole, "{text:?}");
-        if whole.is_ok() {
-            assert_eq!(response.finish(), ended.then(|| text.into()), "{text:?}");
+        assert_eq!(response.feed(text.as_bytes()), complete, "{text:?}");
+        if complete.is_ok() {
+            assert_eq!(response.finish(), at_end.then(|| text.into()), "{text:?}");
         }
     }
     assert_eq!(
