--- a/crates/capture/src/directory.rs
+++ b/crates/capture/src/directory.rs
@@ -1,4 +1,4 @@
-//! Where segments are stored, and the names of their files.
+//! The interface to the directory that stores segments, and the names of their files.
 
 use std::io;
 
@@ -22,13 +22,13 @@
     ///
     /// If the file exists or can't be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Appends to the file created last.
+    /// Appends to the most recently created file.
     ///
     /// # Errors
     ///
     /// If not all bytes can be written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Closes the file created last.
+    /// Closes the most recently created file.
     fn close(&mut self);
     /// Removes a file.
     ///
@@ -52,7 +52,7 @@
 }
 
 impl<'a> SegmentName<'a> {
-    /// Parses a file name; `None` if the file is no segment.
+    /// Parses a file name; `None` if the file is not a segment.
     pub fn parse(name: &'a str) -> Option<SegmentName<'a>> {
         let mut parts = name.strip_suffix(FILE_SUFFIX)?.rsplitn(3, '-');
         let segment = parts.next()?.parse().ok()?;
--- a/crates/capture/src/disk.rs
+++ b/crates/capture/src/disk.rs
@@ -1,4 +1,4 @@
-//! A directory of segments on a file system, and the thread that writes to it.
+//! A directory of segments on a file system, and the thread that writes the segments.
 
 use crate::directory::Directory;
 use crate::recorder::RecordReceiver;
@@ -38,7 +38,7 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // A file may be removed while the directory is read: it is left out.
+            // Skips files that are removed while the directory is read.
             if let (Ok(name), Ok(metadata)) = (entry.file_name().into_string(), entry.metadata()) {
                 files.push((name, metadata.len()));
             }
@@ -70,7 +70,7 @@
 }
 
 /// Starts the thread that writes a capture. The thread ends once the recorder is dropped and all
-/// records are written. `log` is called with each event for the log.
+/// records are written. `log` is called with each event to be logged.
 ///
 /// # Errors
 ///
--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -2,19 +2,19 @@
 //! replays them.
 //!
 //! A capture is a sequence of segments. Each segment begins with the controller's whole state, so
-//! it can be replayed without the segments before it. `docs/capture.md` has the format and the
-//! alternatives that were measured.
+//! that it can be replayed without the segments before it. `docs/capture.md` describes the format
+//! and the alternatives that were measured.
 //!
 //! | module | contents | I/O |
 //! | --- | --- | --- |
 //! | [`frame`] | frames with checksums, and the file's magic number | none |
 //! | [`record`] | records and their encoding | none |
 //! | [`segment`] | reading and writing one segment | none |
-//! | [`recorder`] | the event loop's side: a bounded queue that never blocks | none |
-//! | [`writer`] | the writer's side: segments, limits, gaps and disk errors | through [`directory::Directory`] |
-//! | [`directory`] | where segments are stored, and the names of their files | none |
-//! | [`disk`] | a directory of a file system, and the writer thread | all |
-//! | [`replay`] | feeds a capture to this build's controller | none |
+//! | [`recorder`] | for the event loop: records into a bounded queue, and never blocks | none |
+//! | [`writer`] | for the writer thread: segments, limits, gaps and disk errors | through [`directory::Directory`] |
+//! | [`directory`] | the interface to the storage of segments, and their file names | none |
+//! | [`disk`] | segments on a file system, and the writer thread | file system |
+//! | [`replay`] | passes a capture to this build's controller | none |
 
 pub mod directory;
 pub mod disk;
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,8 +1,9 @@
 //! Records of a capture and their encoding.
 //!
-//! Records are encoded in postcard, without field names, so that a record costs the node little.
-//! Segment headers, one a segment, are in MessagePack with field names, so that a build with additional
-//! fields can read them. The `serde(rename)` attributes keep the names that earlier builds wrote.
+//! Records are encoded in postcard, without field names, so that recording needs little processor
+//! time and disk space. Segment headers are encoded in MessagePack with field names, so that a
+//! build with additional fields can read them. The `serde(rename)` attributes retain the names that
+//! earlier builds wrote.
 
 use pipitlever_admission::{Action, Event, Micros, RequestId, Settings};
 use serde::{Deserialize, Serialize};
@@ -27,13 +28,13 @@
     pub key_digest: Option<u64>,
 }
 
-/// The digest of an idempotency key. It is the same on all nodes and builds, so that the attempts
-/// of a request can be found in all their captures.
+/// The digest of an idempotency key. It is the same on all nodes and builds, so that all attempts
+/// of a request can be found in the captures of all nodes.
 pub fn digest(key: &str) -> u64 {
     digest_bytes(key.as_bytes())
 }
 
-/// The digest of an idempotency key in the bytes of a wire protocol.
+/// The digest of an idempotency key given as bytes.
 pub fn digest_bytes(key: &[u8]) -> u64 {
     // SipHash-2-4 with public keys: the digest does not hide a key that can be guessed.
     let mut hasher = SipHasher24::new_with_keys(DIGEST_KEYS.0, DIGEST_KEYS.1);
@@ -67,18 +68,18 @@
 /// What decided a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AnswerSource {
-    /// An action of the admission controller. A replay has its cause.
+    /// An action of the admission controller. A replay yields its cause.
     #[serde(rename = "Module")]
     AdmissionController,
-    /// The end of its run.
+    /// The end of the request's run.
     Run,
     /// The outcome of the original request with the same idempotency key.
     #[serde(rename = "Repeat")]
     Duplicate,
-    /// The processor rejected its start, or the reply to its call.
+    /// The processor rejected the start of the run, or the reply to its call.
     #[serde(rename = "Rejected")]
     ProcessorRejected,
-    /// The node, before its processor was connected.
+    /// The node, as its processor was not connected yet.
     #[serde(rename = "NotUp")]
     ProcessorNotReady,
     /// The node, as its requests use all the memory reserved for them.
@@ -98,7 +99,8 @@
     StoreUnavailable,
     /// The node, as the idempotency store has no capacity for another key.
     StoreFull,
-    /// The node, as another process of it may have run a request with the same idempotency key.
+    /// The node, as another process of the same node may have run a request with the same
+    /// idempotency key.
     #[serde(rename = "Elsewhere")]
     OtherProcess,
     /// The node, as its version of the settings may be stale.
@@ -106,31 +108,31 @@
     StaleSettings,
 }
 
-/// One record of a capture. Borrows its contents when it is written; [`Record`] owns them.
+/// One record of a capture. Entries borrow their contents for writing; a [`Record`] owns them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry<'a> {
     /// The identity of a request. Precedes the step in which the request arrives.
     Identity(RequestIdentity),
     /// One step of the controller.
     Step {
-        /// The controller's clock, minus the clock of the previous record or of the header.
+        /// The controller's clock, minus that of the previous record or of the segment header.
         clock_delta: Micros,
-        /// Its input, in order.
+        /// The step's input, in order.
         events: Cow<'a, [Event]>,
-        /// Its output, in order.
+        /// The step's output, in order.
         actions: Cow<'a, [Action]>,
     },
     /// A final answer was sent.
     Answer {
-        /// The clock, minus the clock of the previous record or of the header.
+        /// The clock, minus that of the previous record or of the segment header.
         clock_delta: Micros,
         /// The request's `ref`.
         reference: u64,
-        /// The index of its class.
+        /// The index of the request's class.
         class: u32,
         /// The answer.
         answer: RecordedAnswer,
-        /// What decided it.
+        /// What decided the answer.
         source: AnswerSource,
     },
 }
@@ -141,7 +143,7 @@
 /// Records that a capture does not contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LostRecords {
-    /// A lower bound of their number.
+    /// A lower bound of the number of records.
     pub records: u64,
     /// How many of them were lost because the queue to the writer was full.
     #[serde(rename = "queue")]
@@ -151,7 +153,7 @@
     pub disk_error: Option<String>,
 }
 
-/// The beginning of a segment, before the controller's state.
+/// The header of a segment. The controller's state follows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SegmentHeader {
     /// The version of the build that wrote the segment.
@@ -164,7 +166,7 @@
     pub segment: u32,
     /// Steps of the run before this segment, including lost ones.
     pub steps: u64,
-    /// The controller has taken no step yet: its state follows from settings and seed.
+    /// The controller has taken no step yet: its state follows from the settings and the seed.
     #[serde(rename = "first")]
     pub is_initial: bool,
     /// The clock of the previous record, in Unix microseconds.
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -1,6 +1,6 @@
-//! The event loop's side of a capture: writes records into a bounded queue and never blocks.
+//! The event loop's side of a capture: pushes records into a bounded queue and never blocks.
 //!
-//! A record that does not fit into the queue is counted instead, and so are the records after it,
+//! A record that does not fit into the queue is counted as lost, and so are the records after it,
 //! as a controller can't be replayed past a missing step. Recording resumes with a checkpoint.
 
 use crate::record::{
@@ -16,12 +16,12 @@
 
 /// The size of a node's queue in bytes: the records of one second at 5,000 requests per second.
 pub const DEFAULT_QUEUE_BYTES: usize = 1 << 20;
-/// The shortest time between two checkpoints. Each copies the controller's state, which would take
-/// up the event loop while a disk keeps failing.
+/// The shortest time between two checkpoints. Each one copies the controller's state, so that
+/// frequent checkpoints would delay the event loop while a disk keeps failing.
 const MIN_CHECKPOINT_INTERVAL: Micros = 250_000;
-/// The capacity that the receiver's buffer keeps after a burst, in bytes.
+/// The capacity that the receiver's buffer retains after a burst, in bytes.
 const RECEIVE_BUFFER_BYTES: usize = 64 << 10;
-/// The capacity that the encoding buffer keeps after a long record, in bytes.
+/// The capacity that the encoding buffer retains after a long record, in bytes.
 const ENCODE_BUFFER_BYTES: usize = 4096;
 
 /// The first byte of a record in the queue. Its length follows.
@@ -42,22 +42,22 @@
     pub controller: Controller,
 }
 
-/// The state that recorder and receiver share, beside the queue.
+/// The state that recorder and receiver share, in addition to the queue.
 #[derive(Debug)]
 struct Shared {
-    /// The number of the checkpoint that the writer wants next; the first one is 1. A number and
-    /// not a flag: the writer may decide before the recorder queues that very checkpoint, and
-    /// request it after.
+    /// The number of the checkpoint that the writer requests; the first one is 1. With a flag, the
+    /// recorder would queue two checkpoints if it queued one after the writer had decided to
+    /// request it, and before the request.
     requested_checkpoint: AtomicU64,
-    /// The checkpoint that `CHECKPOINT_TAG` in the queue stands for.
+    /// The checkpoint of the `CHECKPOINT_TAG` in the queue.
     checkpoints: ArrayQueue<Box<Checkpoint>>,
-    /// Records lost since the last checkpoint, for the end of a run inside a gap.
+    /// Records lost since the last checkpoint. The end frame states them if the run ends in a gap.
     lost_records: AtomicU64,
-    /// The thread to unpark when the queue gets half full.
+    /// The thread to unpark when the queue becomes half full.
     writer_thread: OnceLock<Thread>,
 }
 
-/// The properties that all segments of a run have in common.
+/// The properties that are the same in all segments of a run.
 #[derive(Clone, Debug)]
 pub struct RunInfo {
     /// The version of the build.
@@ -85,7 +85,7 @@
     /// The clock of the last record that was written.
     last_clock: Micros,
     steps: u64,
-    /// Checkpoints that were queued.
+    /// The number of checkpoints queued.
     checkpoints: u64,
     /// No record may be written before the next checkpoint.
     is_in_gap: bool,
@@ -99,7 +99,7 @@
     queue: Consumer<u8>,
     buffer: Vec<u8>,
     shared: Arc<Shared>,
-    /// Checkpoints that were taken out of the queue.
+    /// The number of checkpoints received.
     checkpoints: u64,
 }
 
@@ -147,16 +147,16 @@
     pub fn needs_checkpoint(&self, now: Micros) -> bool {
         // A gap ends once the writer has caught up; otherwise the writer requests a checkpoint for
         // the next segment.
-        let is_wanted = if self.lost.records > 0 {
+        let is_due = if self.lost.records > 0 {
             self.queue.slots() >= self.queue.buffer().capacity() / 2
         } else {
             self.shared.requested_checkpoint.load(Ordering::Relaxed) > self.checkpoints
         };
-        is_wanted && now >= self.next_checkpoint_at && !self.shared.checkpoints.is_full()
+        is_due && now >= self.next_checkpoint_at && !self.shared.checkpoints.is_full()
     }
 
-    /// Queues a checkpoint of the controller as the next step will find it, with the settings that
-    /// it was created with and the identities of the requests in memory.
+    /// Queues a checkpoint of the controller in its state before the next step, with the settings
+    /// that it was created with and the identities of the requests in memory.
     pub fn queue_checkpoint(
         &mut self,
         now: Micros,
@@ -249,7 +249,7 @@
     /// Queues a record, or counts it as lost.
     fn record<'a>(&mut self, now: Micros, entry: impl FnOnce(Micros) -> Entry<'a>) {
         if self.is_in_gap {
-            // Before the first checkpoint no record counts as lost.
+            // Records before the first checkpoint do not count as lost.
             if self.lost.records > 0 {
                 self.count_lost();
             }
@@ -262,8 +262,8 @@
             return self.count_lost();
         }
         self.last_clock = now;
-        // Once, when the queue gets half full: the writer polls the queue, but its interval may be
-        // too long for a burst.
+        // Wakes the writer once, when the queue becomes half full: the writer polls the queue, but
+        // the poll interval may be too long for a burst.
         let half = self.queue.buffer().capacity() / 2;
         if free_before >= half && free_before - self.buffer.len() < half {
             self.shared.writer_thread.get().inspect(|t| t.unpark());
@@ -290,14 +290,14 @@
 }
 
 impl RecordReceiver {
-    /// Sets the thread that empties the queue, which is unparked when the queue gets half full.
+    /// Sets the thread that empties the queue, which is unparked when the queue becomes half full.
     pub fn set_writer_thread(&self, thread: Thread) {
         // The thread is set once, when it starts; a second call has no effect.
         let _ = self.shared.writer_thread.set(thread);
     }
 
     /// Requests the checkpoint after those received so far. Has no effect if the recorder has
-    /// queued it meanwhile.
+    /// queued that checkpoint in the meantime.
     pub fn request_checkpoint(&self) {
         let requested = &self.shared.requested_checkpoint;
         requested.store(self.checkpoints + 1, Ordering::Relaxed);
--- a/crates/capture/src/replay.rs
+++ b/crates/capture/src/replay.rs
@@ -1,4 +1,4 @@
-//! Feeds a capture to this build's controller and compares the actions.
+//! Passes a capture to this build's controller and compares the actions.
 
 use crate::record::{Record, SegmentHeader};
 use crate::segment::serialize_controller;
@@ -6,9 +6,9 @@
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// This build's controller can't take a step. Only a capture that no node wrote leads to this.
+/// This build's controller panicked in a step. No capture written by a node causes this.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("step {step} is none that this build's controller can take: {panic}")]
+#[error("step {step}: this build's controller panicked: {panic}")]
 pub struct ReplayError {
     /// The number of the step in the run, from 1.
     pub step: u64,
@@ -35,7 +35,7 @@
     pub causes: Vec<(RequestId, Cause)>,
 }
 
-/// The first two actions of a step that differ. `None` stands for the end of the list.
+/// The first pair of actions of a step that differ. `None` if a list ends there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ActionMismatch<'a> {
     /// The recorded action.
@@ -45,7 +45,7 @@
 }
 
 impl Difference {
-    /// The first actions that differ.
+    /// The first pair of actions that differ.
     pub fn first_mismatch(&self) -> ActionMismatch<'_> {
         let pairs = self.recorded.iter().zip(&self.replayed);
         let equal = pairs
@@ -67,7 +67,7 @@
     pub is_identical: bool,
 }
 
-/// A controller that is fed the records of a capture.
+/// A controller that takes the steps of a capture.
 #[derive(Debug)]
 pub struct Replay {
     controller: Controller,
@@ -77,7 +77,7 @@
 }
 
 impl Replay {
-    /// Starts at the beginning of a segment, with the controller's state there.
+    /// Creates a replay that starts at a segment, from the controller's state there.
     pub fn new(controller: Controller, header: &SegmentHeader) -> Replay {
         Replay {
             controller,
@@ -107,11 +107,11 @@
         self.steps
     }
 
-    /// Applies a record. Returns the result if it is a step.
+    /// Applies a record. Returns the result if the record is a step.
     ///
     /// # Errors
     ///
-    /// If the controller can't take the step.
+    /// If the controller panics in the step.
     pub fn apply(&mut self, record: &Record) -> Result<Option<ReplayedStep>, ReplayError> {
         match record {
             Record::Identity(_) => Ok(None),
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Has the controller take a step.
+    /// Executes a step of the controller.
     fn step(&mut self, events: &[Event]) -> Result<(), ReplayError> {
         self.actions.clear();
         let (now, actions, controller) = (self.now, &mut self.actions, &mut self.controller);
@@ -148,8 +148,8 @@
         })
     }
 
-    /// How the step just applied differs from the record; `None` if it does not, or the record is
-    /// no step.
+    /// How the step just applied differs from the record; `None` if it is identical, or the record
+    /// is not a step.
     pub fn difference(&self, record: &Record, step: Option<&ReplayedStep>) -> Option<Difference> {
         let Record::Step {
             events, actions, ..
@@ -173,19 +173,19 @@
     ///
     /// # Errors
     ///
-    /// If the controller can't take the step.
+    /// If the controller panics in the step.
     pub fn compare(&mut self, record: &Record) -> Result<Option<Difference>, ReplayError> {
         let step = self.apply(record)?;
         Ok(self.difference(record, step.as_ref()))
     }
 
-    /// Continues with the next segment. Returns whether the replayed state equals the recorded one
-    /// at its start; true if this build can't read that state.
+    /// Continues with the next segment. Returns whether the replayed state equals the recorded
+    /// state at the start of that segment; true if this build can't read the recorded state.
     pub fn enter_segment(&mut self, header: &SegmentHeader, recorded: Option<&Controller>) -> bool {
         self.now = header.now;
         self.steps = header.steps;
-        // Both are compared as this build serializes them: an earlier build may have written fewer
-        // fields.
+        // Both states are compared as serialized by this build: an earlier build may have written
+        // fewer fields.
         recorded.is_none_or(|recorded| {
             serialize_controller(&self.controller) == serialize_controller(recorded)
         })
--- a/crates/capture/src/retry_timer.rs
+++ b/crates/capture/src/retry_timer.rs
@@ -2,12 +2,12 @@
 
 use pipitlever_admission::Micros;
 
-/// The delay before the directory is tried again after a failure. Doubles with each failure.
+/// The delay before the first retry after a failure. Doubles with each further failure.
 const FIRST_RETRY_DELAY: Micros = 1_000_000;
-/// The longest delay before the directory is tried again.
+/// The longest delay before a retry.
 const MAX_RETRY_DELAY: Micros = 30_000_000;
 
-/// When the directory is tried again after a failure.
+/// Schedules retries of writing to the directory after failures.
 #[derive(Debug)]
 pub(crate) struct RetryTimer {
     /// `None` unless the last attempt failed.
@@ -16,7 +16,7 @@
 }
 
 impl RetryTimer {
-    /// A timer without a failure.
+    /// A timer without a scheduled retry.
     pub(crate) fn new() -> RetryTimer {
         RetryTimer {
             retry_at: None,
--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,21 +1,22 @@
-//! One segment: a segment header with the controller's state, frames of records, and an end.
+//! One segment: a frame with the segment header and the controller's state, frames of records, and
+//! an end frame.
 
 use crate::frame::{append_frame, Frame, FrameReader, ReadError, ReadErrorKind, FORMAT};
 use crate::record::{decode, End, Record, SegmentHeader};
 use pipitlever_admission::{Controller, Event};
 use serde::Serialize;
 
-/// The first byte of a frame with the header.
+/// The first byte of the frame with the segment header.
 const HEADER_TAG: u8 = 0;
 /// The first byte of a frame with records.
 const RECORDS_TAG: u8 = 1;
-/// The first byte of a frame with the end.
+/// The first byte of the end frame.
 const END_TAG: u8 = 2;
 /// In an end frame: another segment follows.
 const END_NEXT: u8 = 0;
 /// In an end frame: the segment is the last one of its run.
 const END_LAST: u8 = 1;
-/// Bytes of the header's length, little-endian.
+/// Bytes of the segment header's length, little-endian.
 const LENGTH_BYTES: usize = 4;
 
 /// A controller's state can't be read by this build.
@@ -46,7 +47,7 @@
     Ok(rmp_serde::from_slice(state)?)
 }
 
-/// Encodes one segment.
+/// Encodes one segment, frame by frame.
 #[derive(Debug)]
 pub struct SegmentWriter {
     /// The number of the next frame.
@@ -54,14 +55,15 @@
 }
 
 impl SegmentWriter {
-    /// Begins a segment: appends the file header and the header frame to `out`.
+    /// Begins a segment: appends the file header and the frame with the segment header to `out`.
     pub fn open(
         header: &SegmentHeader,
         controller: &Controller,
         out: &mut Vec<u8>,
     ) -> SegmentWriter {
         FORMAT.write_header(out);
-        // Serialized in place, as the state may be large compared with the node's memory.
+        // Serialized in place, without a copy, as the state may be large compared with the node's
+        // memory.
         append_frame(out, 0, |out| {
             out.push(HEADER_TAG);
             let length_at = out.len();
@@ -100,12 +102,12 @@
     }
 }
 
-/// How the data of a segment ends.
+/// The end of a segment's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// With an end frame.
+    /// The data ends with an end frame.
     Complete(End),
-    /// Truncated: the data before this offset in bytes is intact.
+    /// The data is truncated. The part before this offset in bytes is intact.
     Truncated(u64),
 }
 
@@ -132,12 +134,12 @@
 }
 
 impl<'a> SegmentReader<'a> {
-    /// Reads the header. A segment that is truncated inside the header has neither a segment header nor
-    /// records.
+    /// Reads the segment header. A segment that is truncated inside the header has neither a header
+    /// nor records.
     ///
     /// # Errors
     ///
-    /// If the bytes are no capture, are of another format version, or the header is damaged.
+    /// If the bytes are not a capture, have another format version, or the header is damaged.
     pub fn open(bytes: &'a [u8]) -> Result<SegmentReader<'a>, ReadError> {
         let mut frames = FrameReader::open(FORMAT, bytes)?;
         let Some(Frame { offset, payload }) = frames.next_frame()? else {
@@ -210,7 +212,7 @@
         Ok(RecordAt { offset, record })
     }
 
-    /// Reads the next frame: its records are to be decoded, or the segment ends with it.
+    /// Reads the next frame. Its records remain to be decoded, unless it is the end frame.
     fn read_frame(&mut self) -> Result<(), ReadError> {
         let Some(Frame { offset, payload }) = self.frames.next_frame()? else {
             self.tail = Some(Tail::Truncated(self.frames.offset()));
@@ -222,16 +224,16 @@
             Some((&END_TAG, end)) => {
                 let end = read_end(offset, end)?;
                 if self.frames.next_frame()?.is_some() {
-                    return Err(invalid_content(offset, "something behind the end"));
+                    return Err(invalid_content(offset, "data after the end frame"));
                 }
                 self.tail = Some(Tail::Complete(end));
             }
-            _ => return Err(invalid_content(offset, "a frame of no known kind")),
+            _ => return Err(invalid_content(offset, "a frame without a known tag")),
         }
         Ok(())
     }
 
-    /// Checks that the record's class exists: the controller indexes its classes unchecked.
+    /// Checks that the record's class exists, as the controller indexes its classes unchecked.
     fn check_class(&self, record: &Record) -> Result<(), ReadError> {
         let header = self.header.as_ref();
         let classes = header.map_or(0, |header| header.settings.classes.len());
@@ -244,7 +246,7 @@
             Record::Answer { class, .. } => Some(*class as usize).filter(|c| *c >= classes),
         };
         unknown.map_or(Ok(()), |class| {
-            let reason = format!("class {class} of {classes}");
+            let reason = format!("class index {class}, but the segment has {classes} classes");
             Err(invalid_content(self.frame_offset, reason))
         })
     }
@@ -260,7 +262,10 @@
 /// Splits the payload of the first frame into the header and the controller's state.
 fn read_segment_header(offset: u64, payload: &[u8]) -> Result<(SegmentHeader, &[u8]), ReadError> {
     let Some((&HEADER_TAG, rest)) = payload.split_first() else {
-        return Err(invalid_content(offset, "no header at the start"));
+        return Err(invalid_content(
+            offset,
+            "the first frame is not a segment header",
+        ));
     };
     let parts = rest
         .split_at_checked(LENGTH_BYTES)
@@ -269,10 +274,14 @@
             rest.split_at_checked(length as usize)
         });
     let Some((header, state)) = parts else {
-        return Err(invalid_content(offset, "segment header truncated"));
+        return Err(invalid_content(offset, "the segment header is truncated"));
     };
-    let header = rmp_serde::from_slice(header)
-        .map_err(|error| invalid_content(offset, format!("the header can't be read: {error}")))?;
+    let header = rmp_serde::from_slice(header).map_err(|error| {
+        invalid_content(
+            offset,
+            format!("the segment header can't be decoded: {error}"),
+        )
+    })?;
     Ok((header, state))
 }
 
@@ -280,12 +289,12 @@
 fn read_end(offset: u64, payload: &[u8]) -> Result<End, ReadError> {
     match payload {
         [END_NEXT] => Ok(End::Next),
-        // The first builds wrote no count.
+        // The first builds wrote no count of lost records.
         [END_LAST] => Ok(End::Last(0)),
         [END_LAST, lost @ ..] if lost.len() == size_of::<u64>() => {
             let lost = lost.try_into().expect("eight bytes");
             Ok(End::Last(u64::from_le_bytes(lost)))
         }
-        _ => Err(invalid_content(offset, "an end that says nothing known")),
+        _ => Err(invalid_content(offset, "an end frame with unknown content")),
     }
 }
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -14,7 +14,8 @@
 use std::fmt;
 use std::io;
 
-/// Records are written as a frame once they have this many bytes, or at the end of a turn.
+/// Pending records are written as a frame once they have this many bytes, and at the end of each
+/// call of [`CaptureWriter::write_queued`].
 const FRAME_BYTES: usize = 64 << 10;
 /// Added to the capacity of a frame's buffer for its headers, in bytes.
 const FRAME_OVERHEAD_BYTES: usize = 32;
@@ -30,7 +31,7 @@
     pub total_bytes: u64,
 }
 
-/// A change of the writer's state, for the log.
+/// A change of the writer's state, to be logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriterEvent {
     /// Records are written from now on. Contains the segment's file name.
@@ -67,7 +68,7 @@
     bytes: u64,
 }
 
-/// Encoded records that no frame contains yet.
+/// Encoded records that are not in a frame yet.
 #[derive(Debug, Default)]
 struct PendingRecords {
     bytes: Vec<u8>,
@@ -79,9 +80,9 @@
 pub struct CaptureWriter<D> {
     directory: D,
     limits: Limits,
-    /// The node's name as it stands in file names.
+    /// The node's name, sanitized for file names.
     node: String,
-    /// The number of the last segment that was begun or tried.
+    /// The number of the last segment whose creation was attempted.
     segment: u32,
     open: Option<OpenSegment>,
     /// The oldest first.
@@ -125,7 +126,7 @@
         closed + self.open.as_ref().map_or(0, |segment| segment.bytes)
     }
 
-    /// Writes the queued records and returns the events for the log.
+    /// Writes the queued records and returns the events to be logged.
     pub fn write_queued(&mut self, now: Micros, receiver: &mut RecordReceiver) -> Vec<WriterEvent> {
         if now - self.last_file_check >= FILE_CHECK_INTERVAL {
             self.last_file_check = now;
@@ -142,11 +143,11 @@
         std::mem::take(&mut self.events)
     }
 
-    /// Writes the records that are left after the recorder was dropped, ends the last segment, and
-    /// returns the events for the log.
+    /// Writes the remaining records after the recorder was dropped, ends the last segment, and
+    /// returns the events to be logged.
     pub fn finish(&mut self, now: Micros, receiver: &mut RecordReceiver) -> Vec<WriterEvent> {
         let mut events = self.write_queued(now, receiver);
-        // No segment follows that could state these losses.
+        // The end frame states these losses, as no segment header follows.
         let lost = self.lost.records + receiver.lost_records();
         self.end_segment(now, End::Last(lost));
         events.append(&mut self.events);
@@ -156,7 +157,7 @@
         events
     }
 
-    /// Stops if the open segment's file was removed: writes to it would succeed and be lost.
+    /// Stops if the open segment's file was removed, as writes to it would succeed but be lost.
     fn check_file(&mut self, now: Micros) {
         let Some(open) = &self.open else { return };
         if !self.directory.contains(&open.name) {
@@ -196,7 +197,7 @@
         open.encoder.append_records(&self.pending.bytes, &mut frame);
         match self.free_space(frame.len() as u64) {
             Ok(true) => {}
-            // The open segment alone has reached the limit: the next checkpoint is late.
+            // The open segment alone has reached the limit before the next checkpoint.
             Ok(false) => {
                 self.discard_pending();
                 return self.end_segment(now, End::Next);
@@ -216,8 +217,8 @@
     }
 
     /// Removes the oldest segments until `needed` further bytes stay within the limit. Returns
-    /// false if they can't, even without any closed segment. A segment that can't be removed is an
-    /// error, as disk usage would grow with every new one.
+    /// false if they exceed the limit even without any closed segment. A segment that can't be
+    /// removed is an error, as disk usage would grow with every new segment.
     fn free_space(&mut self, needed: u64) -> io::Result<bool> {
         while self.total_bytes() + needed > self.limits.total_bytes {
             let Some(oldest) = self.closed.front() else {
@@ -234,7 +235,7 @@
     fn begin_segment(&mut self, now: Micros, checkpoint: Checkpoint) {
         self.end_segment(now, End::Next);
         if self.retry.is_waiting(now) {
-            // The checkpoint ends a gap of the queue while the directory is still failing.
+            // The checkpoint ends a gap of the queue, but writing to the directory still fails.
             let lost = checkpoint.header.lost;
             self.lost.records += lost.map_or(0, |lost| lost.records);
             return;
@@ -265,7 +266,7 @@
         let encoder = SegmentWriter::open(&header, &controller, &mut bytes);
         self.closed = self.list_segments()?;
         self.free_space_for_segment(bytes.len() as u64)?;
-        // A number is never used twice: a failed attempt may have left its file behind.
+        // A number is never used twice, as the file of a failed attempt may still exist.
         self.segment += 1;
         let name = SegmentName {
             node: &self.node,
@@ -310,24 +311,24 @@
         Ok(segments.into())
     }
 
-    /// Makes space for a whole segment at once, so that not every frame removes a segment; at least
-    /// for its header.
-    fn free_space_for_segment(&mut self, header_bytes: u64) -> io::Result<()> {
-        let whole = self.limits.segment_bytes.max(header_bytes);
-        if self.free_space(whole)? || self.free_space(header_bytes)? {
+    /// Frees space for a whole segment at once, so that not every frame removes a segment. If the
+    /// limit does not allow that, frees space for the segment's header and state.
+    fn free_space_for_segment(&mut self, checkpoint_bytes: u64) -> io::Result<()> {
+        let whole = self.limits.segment_bytes.max(checkpoint_bytes);
+        if self.free_space(whole)? || self.free_space(checkpoint_bytes)? {
             return Ok(());
         }
         Err(io::Error::other(format!(
-            "a checkpoint of {header_bytes} bytes exceeds keep_mb"
+            "a checkpoint of {checkpoint_bytes} bytes exceeds keep_mb"
         )))
     }
 
-    fn create_file(&mut self, name: &str, header: &[u8]) -> io::Result<()> {
+    fn create_file(&mut self, name: &str, checkpoint: &[u8]) -> io::Result<()> {
         self.directory.create(name)?;
-        self.directory.append(header).inspect_err(|_| {
-            // A segment without a whole header can't be replayed.
+        self.directory.append(checkpoint).inspect_err(|_| {
+            // A segment with an incomplete header or state can't be replayed.
             self.directory.close();
-            // A file that can't be removed counts as a segment and is removed as the oldest.
+            // A file that can't be removed counts as a segment: it is removed later, as the oldest.
             let _ = self.directory.remove(name);
         })
     }
@@ -339,7 +340,8 @@
         };
         let mut frame = Vec::new();
         open.encoder.append_end(end, &mut frame);
-        // Without its end frame a segment reads as truncated there, and no record is lost.
+        // Without an end frame the segment is read as truncated at this point, but no record is
+        // lost.
         if self.directory.append(&frame).is_ok() {
             open.bytes += frame.len() as u64;
         }
--- a/crates/capture/tests/common/host.rs
+++ b/crates/capture/tests/common/host.rs
@@ -59,10 +59,10 @@
     }
 }
 
-/// Selects one event: the first number its kind, the second its details.
+/// Selects one event. The first number selects its kind, the second its details.
 pub type EventChoice = (u8, u32);
 
-/// The state of a request, as its host sees it.
+/// The state of a request in the host.
 #[derive(Clone, Copy, PartialEq)]
 enum RequestState {
     Queued,
@@ -78,7 +78,7 @@
     since: Micros,
 }
 
-/// A controller with the requests that its host has open.
+/// A controller, and the requests that are open in its host.
 pub struct SimulatedHost {
     pub controller: Controller,
     pub now: Micros,
@@ -226,8 +226,8 @@
         Event::Abandoned(id)
     }
 
-    /// Has the controller take a step, `clock_delta` microseconds after the last one (0 or negative
-    /// for a clock that stands still or is set back), and records it.
+    /// Executes and records a step of the controller, `clock_delta` microseconds after the last one
+    /// (0 or negative for a clock that stands still or is set back).
     pub fn step(
         &mut self,
         clock_delta: i32,
--- a/crates/capture/tests/common/mod.rs
+++ b/crates/capture/tests/common/mod.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Writes a capture to the folder that `PIPITLEVER_RECORD` names, to renew those that the tests of
-/// the capture tools read.
+/// Writes a capture to the folder that `PIPITLEVER_RECORD` names. Used to regenerate the captures
+/// that the tests of the capture tools read.
 pub fn write_fixture(name: &str, segment: &[u8]) {
     if let Some(folder) = std::env::var_os("PIPITLEVER_RECORD") {
         let path = std::path::Path::new(&folder).join(format!("{name}.plc"));
@@ -82,7 +82,7 @@
         actions
     }
 
-    /// Has the writer write the queued records; returns its lines for the log.
+    /// Writes the queued records; returns the writer's log lines.
     pub fn write(&mut self, clock_delta: Micros) -> Vec<String> {
         self.clock += clock_delta;
         self.writer
@@ -102,7 +102,7 @@
     }
 }
 
-/// The result of replaying a capture to identical actions.
+/// The result of a replay that yielded the recorded actions.
 #[derive(Debug, Default, PartialEq)]
 pub struct ReplaySummary {
     pub steps: u64,
@@ -152,7 +152,7 @@
     summary
 }
 
-/// The replay at the start of a segment, and checks that its state is the recorded one.
+/// Returns the replay at the start of a segment; checks that its state equals the recorded one.
 fn enter_segment(
     previous: Option<Replay>,
     reader: &SegmentReader,
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Records and checkpoints of captures, compared with fixtures written by the build of commit
-//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`):
-//! either build reads the other's segments, and goes on from its checkpoints.
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`).
+//! Each build has to read the other's segments and to continue from its checkpoints.
 
 use pipitlever_admission::{
     Action, BackpressureKind, CancellationMode, Class, Controller, Downstream, Event, Idempotency,
@@ -203,8 +203,8 @@
     }
 }
 
-/// A controller in the middle of a run: queued, running and calling requests, retained keys, a
-/// shutdown notice.
+/// A controller during a run, with queued and running requests, requests in a downstream call,
+/// retained keys, and a shutdown notice.
 fn controller() -> Controller {
     let mut controller = Controller::new(settings(), 7);
     let (mut running, mut calling) = (Vec::new(), Vec::new());
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn records_are_those_of_the_earlier_build() {
+fn records_equal_those_of_the_earlier_build() {
     let mut samples = Vec::new();
     for record in records() {
         let mut bytes = Vec::new();
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_segment_with_a_checkpoint_in_mid_run_is_that_of_the_earlier_build() {
+fn a_segment_with_a_checkpoint_during_a_run_equals_that_of_the_earlier_build() {
     let path = fixture("segment.plc");
     if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
         std::fs::write(&path, segment()).unwrap();
@@ -323,11 +323,11 @@
     let expected = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&expected).unwrap();
     assert_eq!(reader.header(), Some(&header()));
-    let read = restore_controller(reader.state())
-        .expect("this build takes over the earlier build's state");
+    let read =
+        restore_controller(reader.state()).expect("this build reads the earlier build's state");
     assert!(
         serialize_controller(&read) == reader.state(),
-        "the state is written as it was read"
+        "the state is serialized as it was read"
     );
     let mut found = Vec::new();
     while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
--- a/crates/capture/tests/records.rs
+++ b/crates/capture/tests/records.rs
@@ -101,7 +101,7 @@
 
 #[test]
 fn the_digest_of_a_key_is_the_same_in_all_builds() {
-    // Existing captures contain these digests: with other ones they could not be searched by key.
+    // Existing captures contain these digests: with others they could not be searched by key.
     assert_eq!(digest("k"), 0x9c9c_c252_d58b_4571);
     assert_ne!(digest("k"), digest("l"));
 }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -80,7 +80,7 @@
                 captured.write(300_000);
             }
         }
-        // All recorded steps replay, and all lost records are counted, wherever the gaps are.
+        // All recorded steps are replayed, and all lost records are counted, wherever the gaps are.
         let recorded = captured.recorded;
         let summary = replay(&captured.finish());
         prop_assert_eq!(summary.records + summary.lost, recorded, "{:?}", summary);
@@ -179,7 +179,7 @@
 
 #[test]
 fn the_order_of_events_in_a_step_is_recorded() {
-    // One request can start: the first one of the step does, in the run and in the replay.
+    // Only one request can start: in the run and in the replay it is the first one of the step.
     let actions_for = |choices: [EventChoice; 2]| {
         let mut captured = CapturedHost::new(0, 1, 1 << 20, UNLIMITED);
         for _ in 0..2 {
@@ -362,7 +362,7 @@
     assert!(rejected > 30, "{rejected}");
     // Arbitrary bytes as a record.
     for _ in 0..20_000 {
-        let junk: Vec<u8> = (0..next() % 64).map(|_| next() as u8).collect();
-        let _ = decode(&junk);
+        let random_bytes: Vec<u8> = (0..next() % 64).map(|_| next() as u8).collect();
+        let _ = decode(&random_bytes);
     }
 }
--- a/crates/capture/tests/writer.rs
+++ b/crates/capture/tests/writer.rs
@@ -112,7 +112,7 @@
     for (fault_name, fault) in faults {
         let mut captured = CapturedHost::new(0, 3, LARGE_QUEUE, WIDE_LIMITS);
         take_steps(&mut captured, 30);
-        // The recorder makes a checkpoint at the first step after it was requested.
+        // The recorder queues a checkpoint at the first step after the writer's request.
         let mut log = captured.write(50_000);
         fault(captured.directory(), true);
         for _ in 0..100 {
@@ -146,7 +146,8 @@
     }
 }
 
-/// Regression: with segments that could not be removed, each new one increased disk usage.
+/// Regression: while segments could not be removed, each new one increased disk usage without
+/// limit.
 #[test]
 fn segments_that_cannot_be_removed_do_not_accumulate() {
     let limits = Limits {
@@ -180,7 +181,8 @@
     replay(&captured.finish());
 }
 
-/// Regression: the file left by a failed creation had the name of every later attempt.
+/// Regression: after a failed creation the file remained, and every later attempt used the same
+/// name.
 #[test]
 fn a_failed_segment_creation_does_not_prevent_the_next_one() {
     let mut captured = CapturedHost::new(0, 3, LARGE_QUEUE, WIDE_LIMITS);
@@ -275,7 +277,7 @@
     }
 }
 
-/// A directory whose appends each wait for a permit of the test.
+/// A directory in which each append waits for a permit from the test.
 struct SlowDirectory {
     directory: MemoryDirectory,
     permits: Receiver<()>,
@@ -331,19 +333,19 @@
     assert!(thread.wait(Duration::from_secs(20)));
 }
 
-/// Guards against a second segment at the start of a capture: the writer found the queue empty, the
-/// recorder queued the first checkpoint, and only then the writer requested it.
+/// Guards against a second segment at the start of a capture. The writer finds the queue empty, the
+/// recorder queues the first checkpoint, and only then the writer requests that checkpoint.
 #[test]
-fn a_request_that_crosses_its_checkpoint_brings_no_second_one() {
-    const A_SECOND: i32 = 1_000_000;
+fn a_request_for_a_checkpoint_already_queued_causes_no_second_one() {
+    const ONE_SECOND: i32 = 1_000_000;
     let mut captured = CapturedHost::new(0, 3, LARGE_QUEUE, WIDE_LIMITS);
     captured.receiver.drain(|message| panic!("{message:?}"));
     take_steps(&mut captured, 1);
     captured.receiver.request_checkpoint();
     // Later than the shortest time between two checkpoints.
-    captured.step(A_SECOND, &[]);
+    captured.step(ONE_SECOND, &[]);
     captured.write(0);
-    captured.step(A_SECOND, &[]);
+    captured.step(ONE_SECOND, &[]);
     assert_eq!(captured.finish().len(), 1, "segments");
 }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,11 +1,11 @@
 //! Asynchronous sockets and timers for tasks of a single-threaded executor, over epoll (Linux
 //! only).
 //!
-//! The interface is the part of async-io's that the node uses. `docs/request-path.md` has the
-//! measurements behind a reactor of its own: with async-io each wait costs five system calls, and a
-//! second thread takes over the poller whenever the first is idle or busy for a while. Here a wait
-//! is one call: sockets are registered once, edge-triggered, and a timer descriptor wakes the
-//! poller at the next deadline.
+//! The interface is the subset of async-io's that the node uses. `docs/request-path.md` has the
+//! measurements that led to a separate reactor: with async-io each wait costs five system calls,
+//! and a second thread takes over the poller whenever the first is idle or busy for a while. Here a
+//! wait is one system call: sockets are registered once, edge-triggered, and a timer descriptor
+//! wakes the poller at the next deadline.
 //!
 //! Sockets and timers belong to the thread that created them. Wakers may be called from any thread.
 //!
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -20,7 +20,7 @@
 
 /// Events fetched with one wait. Further events are fetched with the next one.
 const MAX_EVENTS: usize = 256;
-/// The event data of the eventfd that wake-ups from other threads use.
+/// The event data of the eventfd for wake-ups from other threads.
 const EVENTFD_KEY: u64 = u64::MAX;
 /// The event data of the timer descriptor.
 const TIMERFD_KEY: u64 = u64::MAX - 1;
@@ -163,9 +163,9 @@
     }
 
     /// Removes a descriptor. Its key may be reused at once: tasks run only after all events of a
-    /// wait have been handled, so none is pending for this key.
+    /// wait have been handled, so no event is pending for this key.
     pub(crate) fn deregister(&self, key: usize, descriptor: impl AsFd) {
-        // Fails only if the descriptor is closed, and then epoll has forgotten it.
+        // Fails only if the descriptor is closed, and then epoll has removed it already.
         let _ = epoll::delete(&self.epoll, descriptor);
         let source = self.sources.borrow_mut().try_remove(key);
         // Dropped outside the borrow: the last waker of a task drops the task, which may drop
@@ -198,7 +198,7 @@
         sources[key].readiness(direction).is_ready = false;
     }
 
-    /// Forgets that the peer has closed its sending side.
+    /// Clears the mark that the peer has closed its sending side.
     pub(crate) fn clear_read_closed(&self, key: usize) {
         self.sources.borrow_mut()[key].is_read_closed = false;
     }
@@ -319,7 +319,7 @@
             }
             // Events are fetched even if the future is ready to run again, so that a busy future
             // can't starve sockets and timers.
-            reactor.poll_events(!reactor.thread_waker.is_woken());
+            reactor.poll_events(!reactor.thread_waker.is_wakeup_pending());
         }
     })
 }
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub struct Async<T: AsFd> {
     io: T,
-    /// The key of its registration with the reactor.
+    /// The key of the registration with the reactor.
     key: usize,
     /// Keeps the socket on its thread, which owns the reactor.
     not_send: PhantomData<Rc<()>>,
@@ -62,7 +62,7 @@
         loop {
             self.ready(direction).await;
             match operation(&self.io) {
-                Err(error) if error.kind() == ErrorKind::WouldBlock => self.would_block(direction),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.clear_ready(direction),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 result => return result,
             }
@@ -70,7 +70,7 @@
     }
 
     /// Marks the socket as not ready after an operation that would have blocked.
-    fn would_block(&self, direction: Direction) {
+    fn clear_ready(&self, direction: Direction) {
         REACTOR.with(|reactor| {
             reactor.clear_ready(self.key, direction);
             if direction == Direction::Read {
@@ -343,7 +343,7 @@
 
 impl<T: AsFd> Drop for Async<T> {
     fn drop(&mut self) {
-        // While a thread ends, its reactor may be gone already, and the registration with it.
+        // While a thread ends, its reactor may already be destroyed, and the registration with it.
         let _ = REACTOR.try_with(|reactor| reactor.deregister(self.key, &self.io));
     }
 }
--- a/crates/reactor/src/thread_waker.rs
+++ b/crates/reactor/src/thread_waker.rs
@@ -12,7 +12,7 @@
 /// the poller through an eventfd.
 pub(crate) struct ThreadWaker {
     thread: ThreadId,
-    is_woken: AtomicBool,
+    is_wakeup_pending: AtomicBool,
     eventfd: OwnedFd,
 }
 
@@ -21,7 +21,7 @@
     pub(crate) fn new() -> io::Result<ThreadWaker> {
         Ok(ThreadWaker {
             thread: std::thread::current().id(),
-            is_woken: AtomicBool::new(false),
+            is_wakeup_pending: AtomicBool::new(false),
             eventfd: eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?,
         })
     }
@@ -38,13 +38,13 @@
     }
 
     /// Whether a wake-up has arrived since the last [`ThreadWaker::clear`].
-    pub(crate) fn is_woken(&self) -> bool {
-        self.is_woken.load(Ordering::Acquire)
+    pub(crate) fn is_wakeup_pending(&self) -> bool {
+        self.is_wakeup_pending.load(Ordering::Acquire)
     }
 
-    /// Forgets earlier wake-ups, before the future is polled.
+    /// Clears earlier wake-ups, before the future is polled.
     pub(crate) fn clear(&self) {
-        self.is_woken.store(false, Ordering::Release);
+        self.is_wakeup_pending.store(false, Ordering::Release);
     }
 }
 
@@ -54,7 +54,7 @@
     }
 
     fn wake_by_ref(self: &Arc<Self>) {
-        let is_first = !self.is_woken.swap(true, Ordering::AcqRel);
+        let is_first = !self.is_wakeup_pending.swap(true, Ordering::AcqRel);
         if is_first && std::thread::current().id() != self.thread {
             // The write fails only if the counter is full, and then the descriptor is readable.
             let _ = rustix::io::write(&self.eventfd, &1u64.to_ne_bytes());
--- a/crates/reactor/src/timer.rs
+++ b/crates/reactor/src/timer.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub struct Timer {
     deadline: Instant,
-    /// Its identifier with the reactor, once it is registered there.
+    /// The timer's identifier in the reactor, once it is registered.
     id: Option<u64>,
 }
 
@@ -42,7 +42,7 @@
 impl Drop for Timer {
     fn drop(&mut self) {
         let Some(id) = self.id else { return };
-        // While a thread ends, its reactor may be gone already.
+        // While a thread ends, its reactor may already be destroyed.
         let _ = REACTOR.try_with(|reactor| reactor.cancel_timer(self.deadline, id));
     }
 }
--- a/crates/reactor/tests/reactor.rs
+++ b/crates/reactor/tests/reactor.rs
@@ -20,7 +20,7 @@
 fn run<T>(future: impl Future<Output = T>) -> T {
     let watchdog = async {
         Timer::at(after_ms(20_000)).await;
-        panic!("the future did not complete");
+        panic!("the future did not complete within 20 s");
     };
     block_on(future::or(future, watchdog))
 }
@@ -35,7 +35,7 @@
     )
 }
 
-/// A registered timer that has not fired. Tries again if the machine delayed the test beyond the
+/// A registered timer that has not fired. Repeated if the machine delayed the test beyond the
 /// deadline.
 async fn pending_timer(milliseconds: u64) -> Pin<Box<Timer>> {
     loop {
@@ -101,8 +101,8 @@
     assert!(least < Duration::from_micros(500), "{least:?}");
 }
 
-/// Regression: the reactor took the timer descriptor to be set for a timer that had been dropped,
-/// and never set it again.
+/// Regression: after a timer had been dropped, the reactor assumed that the timer descriptor was
+/// still set for it, and never set the descriptor again.
 #[test]
 fn the_timer_descriptor_is_set_again_after_its_timer_was_dropped() {
     let (done_sender, done_receiver) = std::sync::mpsc::channel();
@@ -130,13 +130,13 @@
         .expect("the timer fires");
 }
 
-/// The end of stream arrives in the same event as the bytes, and no edge follows.
+/// The end of the stream is reported in the same event as the last bytes, and no edge follows.
 #[test]
-fn an_end_of_stream_in_the_event_of_the_last_bytes_is_read() {
+fn an_end_of_stream_reported_with_the_last_bytes_is_read() {
     for is_reader_waiting in [false, true] {
         let (local, mut peer) = connected_pair();
         let write_and_close = move || {
-            peer.write_all(b"last words").unwrap();
+            peer.write_all(b"last bytes").unwrap();
             peer.shutdown(Shutdown::Write).unwrap();
             peer
         };
@@ -245,8 +245,8 @@
     });
 }
 
-/// A reset is an error or an end of stream for the reader, and an error for the writer; neither
-/// waits forever.
+/// After a reset, a read returns an error or the end of the stream, and a write returns an error;
+/// neither blocks forever.
 #[test]
 fn a_reset_ends_reads_and_writes() {
     let (local, peer) = connected_pair();
@@ -284,7 +284,7 @@
     waking_thread.join().unwrap();
 }
 
-/// Sockets and timers are served while a future is always ready to run.
+/// Sockets and timers make progress while another future is always ready to run.
 #[test]
 fn a_busy_future_does_not_starve_sockets() {
     let (local, mut peer) = connected_pair();
