--- a/crates/capture/tests/writer.rs
+++ b/crates/capture/tests/writer.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Regression: while segments could not be removed, each new one increased disk usage without
+/// Regression: while segments could not be removed, each new one increased disk usage beyond the
 /// limit.
 #[test]
 fn segments_that_cannot_be_removed_do_not_accumulate() {
