--- a/crates/capture/src/segment.rs
+++ b/crates/capture/src/segment.rs
@@ -1,21 +1,22 @@
-//! One segment: an opening with the controller's state, frames of records, and an end.
+//! One segment: a frame with the segment header and the controller's state, frames of records, and
+//! an end frame.
 
 use crate::frame::{append_frame, Frame, FrameReader, ReadError, ReadErrorKind, FORMAT};
-use crate::record::{decode, End, Opening, Record};
+use crate::record::{decode, End, Record, SegmentHeader};
 use pipitlever_admission::{Controller, Event};
 use serde::Serialize;
 
-/// The first byte of a frame with the opening.
-const OPENING_TAG: u8 = 0;
+/// The first byte of the frame with the segment header.
+const HEADER_TAG: u8 = 0;
 /// The first byte of a frame with records.
 const RECORDS_TAG: u8 = 1;
-/// The first byte of a frame with the end.
+/// The first byte of the end frame.
 const END_TAG: u8 = 2;
 /// In an end frame: another segment follows.
 const END_NEXT: u8 = 0;
 /// In an end frame: the segment is the last one of its run.
 const END_LAST: u8 = 1;
-/// Bytes of the opening's length, little-endian.
+/// Bytes of the segment header's length, little-endian.
 const LENGTH_BYTES: usize = 4;
 
 /// A controller's state can't be read by this build.
@@ -32,9 +33,9 @@
 
 fn write_message_pack(value: &impl Serialize, out: &mut Vec<u8>) {
     let mut serializer = rmp_serde::Serializer::new(out).with_struct_map();
-    value
-        .serialize(&mut serializer)
-        .expect("MessagePack can represent openings and states, and a vector accepts all bytes");
+    value.serialize(&mut serializer).expect(
+        "MessagePack can represent segment headers and states, and a vector accepts all bytes",
+    );
 }
 
 /// Restores a controller from its serialized state.
@@ -46,7 +47,7 @@
     Ok(rmp_serde::from_slice(state)?)
 }
 
-/// Encodes one segment.
+/// Encodes one segment, frame by frame.
 #[derive(Debug)]
 pub struct SegmentWriter {
     /// The number of the next frame.
@@ -54,40 +55,45 @@
 }
 
 impl SegmentWriter {
-    /// Begins a segment: appends the file header and the opening frame to `out`.
-    pub fn open(opening: &Opening, controller: &Controller, out: &mut Vec<u8>) -> SegmentWriter {
+    /// Begins a segment: appends the file header and the frame with the segment header to `out`.
+    pub fn open(
+        header: &SegmentHeader,
+        controller: &Controller,
+        out: &mut Vec<u8>,
+    ) -> SegmentWriter {
         FORMAT.write_header(out);
-        // Serialized in place, as the state may be large compared with the node's memory.
+        // Serialized in place, without a copy, as the state may be large compared with the node's
+        // memory.
         append_frame(out, 0, |out| {
-            out.push(OPENING_TAG);
+            out.push(HEADER_TAG);
             let length_at = out.len();
-            let opening_at = length_at + LENGTH_BYTES;
+            let header_at = length_at + LENGTH_BYTES;
             out.extend_from_slice(&[0; LENGTH_BYTES]);
-            write_message_pack(opening, out);
-            let length = (out.len() - opening_at) as u32;
-            out[length_at..opening_at].copy_from_slice(&length.to_le_bytes());
+            write_message_pack(header, out);
+            let length = (out.len() - header_at) as u32;
+            out[length_at..header_at].copy_from_slice(&length.to_le_bytes());
             write_message_pack(controller, out);
         });
         SegmentWriter { next_frame: 1 }
     }
 
     /// Appends a frame of whole encoded records to `out`.
-    pub fn records(&mut self, records: &[u8], out: &mut Vec<u8>) {
-        self.frame(RECORDS_TAG, records, out);
+    pub fn append_records(&mut self, records: &[u8], out: &mut Vec<u8>) {
+        self.append_tagged(RECORDS_TAG, records, out);
     }
 
     /// Appends the end frame to `out`.
-    pub fn end(&mut self, end: End, out: &mut Vec<u8>) {
+    pub fn append_end(&mut self, end: End, out: &mut Vec<u8>) {
         match end {
-            End::Next => self.frame(END_TAG, &[END_NEXT], out),
+            End::Next => self.append_tagged(END_TAG, &[END_NEXT], out),
             End::Last(lost) => {
                 let payload = [&[END_LAST], &lost.to_le_bytes()[..]].concat();
-                self.frame(END_TAG, &payload, out);
+                self.append_tagged(END_TAG, &payload, out);
             }
         }
     }
 
-    fn frame(&mut self, tag: u8, payload: &[u8], out: &mut Vec<u8>) {
+    fn append_tagged(&mut self, tag: u8, payload: &[u8], out: &mut Vec<u8>) {
         append_frame(out, self.next_frame, |out| {
             out.push(tag);
             out.extend_from_slice(payload);
@@ -96,12 +102,12 @@
     }
 }
 
-/// How the data of a segment ends.
+/// The end of a segment's data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// With an end frame.
+    /// The data ends with an end frame.
     Complete(End),
-    /// Truncated: the data before this offset in bytes is intact.
+    /// The data is truncated. The part before this offset in bytes is intact.
     Truncated(u64),
 }
 
@@ -123,17 +129,17 @@
     /// The offset of the current frame, in bytes.
     frame_offset: u64,
     tail: Option<Tail>,
-    opening: Option<Opening>,
+    header: Option<SegmentHeader>,
     state: &'a [u8],
 }
 
 impl<'a> SegmentReader<'a> {
-    /// Reads the opening. A segment that is truncated inside the opening has neither an opening nor
-    /// records.
+    /// Reads the segment header. A segment that is truncated inside the header has neither a header
+    /// nor records.
     ///
     /// # Errors
     ///
-    /// If the bytes are no capture, are of another format version, or the opening is damaged.
+    /// If the bytes are not a capture, have another format version, or the header is damaged.
     pub fn open(bytes: &'a [u8]) -> Result<SegmentReader<'a>, ReadError> {
         let mut frames = FrameReader::open(FORMAT, bytes)?;
         let Some(Frame { offset, payload }) = frames.next_frame()? else {
@@ -143,24 +149,24 @@
                 undecoded: &[],
                 frame_offset: 0,
                 tail,
-                opening: None,
+                header: None,
                 state: &[],
             });
         };
-        let (opening, state) = read_opening(offset, payload)?;
+        let (header, state) = read_segment_header(offset, payload)?;
         Ok(SegmentReader {
             frames,
             undecoded: &[],
             frame_offset: offset,
             tail: None,
-            opening: Some(opening),
+            header: Some(header),
             state,
         })
     }
 
-    /// The opening; `None` if the segment is truncated inside it.
-    pub fn opening(&self) -> Option<&Opening> {
-        self.opening.as_ref()
+    /// The header; `None` if the segment is truncated inside it.
+    pub fn header(&self) -> Option<&SegmentHeader> {
+        self.header.as_ref()
     }
 
     /// The serialized state of the controller at the start of the segment.
@@ -206,7 +212,7 @@
         Ok(RecordAt { offset, record })
     }
 
-    /// Reads the next frame: its records are to be decoded, or the segment ends with it.
+    /// Reads the next frame. Its records remain to be decoded, unless it is the end frame.
     fn read_frame(&mut self) -> Result<(), ReadError> {
         let Some(Frame { offset, payload }) = self.frames.next_frame()? else {
             self.tail = Some(Tail::Truncated(self.frames.offset()));
@@ -218,19 +224,19 @@
             Some((&END_TAG, end)) => {
                 let end = read_end(offset, end)?;
                 if self.frames.next_frame()?.is_some() {
-                    return Err(invalid_content(offset, "something behind the end"));
+                    return Err(invalid_content(offset, "data after the end frame"));
                 }
                 self.tail = Some(Tail::Complete(end));
             }
-            _ => return Err(invalid_content(offset, "a frame of no known kind")),
+            _ => return Err(invalid_content(offset, "a frame without a known tag")),
         }
         Ok(())
     }
 
-    /// Checks that the record's class exists: the controller indexes its classes unchecked.
+    /// Checks that the record's class exists, as the controller indexes its classes unchecked.
     fn check_class(&self, record: &Record) -> Result<(), ReadError> {
-        let opening = self.opening.as_ref();
-        let classes = opening.map_or(0, |opening| opening.settings.classes.len());
+        let header = self.header.as_ref();
+        let classes = header.map_or(0, |header| header.settings.classes.len());
         let unknown = match record {
             Record::Identity(_) => None,
             Record::Step { events, .. } => events.iter().find_map(|event| match event {
@@ -240,7 +246,7 @@
             Record::Answer { class, .. } => Some(*class as usize).filter(|c| *c >= classes),
         };
         unknown.map_or(Ok(()), |class| {
-            let reason = format!("class {class} of {classes}");
+            let reason = format!("class index {class}, but the segment has {classes} classes");
             Err(invalid_content(self.frame_offset, reason))
         })
     }
@@ -253,10 +259,13 @@
     }
 }
 
-/// Splits the payload of the first frame into the opening and the controller's state.
-fn read_opening(offset: u64, payload: &[u8]) -> Result<(Opening, &[u8]), ReadError> {
-    let Some((&OPENING_TAG, rest)) = payload.split_first() else {
-        return Err(invalid_content(offset, "no opening at the start"));
+/// Splits the payload of the first frame into the header and the controller's state.
+fn read_segment_header(offset: u64, payload: &[u8]) -> Result<(SegmentHeader, &[u8]), ReadError> {
+    let Some((&HEADER_TAG, rest)) = payload.split_first() else {
+        return Err(invalid_content(
+            offset,
+            "the first frame is not a segment header",
+        ));
     };
     let parts = rest
         .split_at_checked(LENGTH_BYTES)
@@ -264,24 +273,28 @@
             let length = u32::from_le_bytes(length.try_into().ok()?);
             rest.split_at_checked(length as usize)
         });
-    let Some((opening, state)) = parts else {
-        return Err(invalid_content(offset, "an opening that is too short"));
+    let Some((header, state)) = parts else {
+        return Err(invalid_content(offset, "the segment header is truncated"));
     };
-    let opening = rmp_serde::from_slice(opening)
-        .map_err(|error| invalid_content(offset, format!("the opening can't be read: {error}")))?;
-    Ok((opening, state))
+    let header = rmp_serde::from_slice(header).map_err(|error| {
+        invalid_content(
+            offset,
+            format!("the segment header can't be decoded: {error}"),
+        )
+    })?;
+    Ok((header, state))
 }
 
 /// Reads the payload of an end frame.
 fn read_end(offset: u64, payload: &[u8]) -> Result<End, ReadError> {
     match payload {
         [END_NEXT] => Ok(End::Next),
-        // The first builds wrote no count.
+        // The first builds wrote no count of lost records.
         [END_LAST] => Ok(End::Last(0)),
         [END_LAST, lost @ ..] if lost.len() == size_of::<u64>() => {
             let lost = lost.try_into().expect("eight bytes");
             Ok(End::Last(u64::from_le_bytes(lost)))
         }
-        _ => Err(invalid_content(offset, "an end that says nothing known")),
+        _ => Err(invalid_content(offset, "an end frame with unknown content")),
     }
 }
--- a/crates/capture/tests/compatibility.rs
+++ b/crates/capture/tests/compatibility.rs
@@ -1,14 +1,14 @@
 //! Records and checkpoints of captures, compared with fixtures written by the build of commit
-//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`):
-//! either build reads the other's segments, and goes on from its checkpoints.
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-capture --test compatibility`).
+//! Each build has to read the other's segments and to continue from its checkpoints.
 
 use pipitlever_admission::{
     Action, BackpressureKind, CancellationMode, Class, Controller, Downstream, Event, Idempotency,
     Micros, Outcome, Request, RequestId, Safety, Settings, Tenant,
 };
 use pipitlever_capture::record::{
-    decode, digest, encode, AnswerSource, End, Entry, LostRecords, Opening, Record, RecordedAnswer,
-    RequestIdentity,
+    decode, digest, encode, AnswerSource, End, Entry, LostRecords, Record, RecordedAnswer,
+    RequestIdentity, SegmentHeader,
 };
 use pipitlever_capture::segment::{
     restore_controller, serialize_controller, RecordAt, SegmentReader, SegmentWriter,
@@ -203,8 +203,8 @@
     }
 }
 
-/// A controller in the middle of a run: queued, running and calling requests, retained keys, a
-/// shutdown notice.
+/// A controller during a run, with queued and running requests, requests in a downstream call,
+/// retained keys, and a shutdown notice.
 fn controller() -> Controller {
     let mut controller = Controller::new(settings(), 7);
     let (mut running, mut calling) = (Vec::new(), Vec::new());
@@ -262,8 +262,8 @@
     controller
 }
 
-fn opening() -> Opening {
-    Opening {
+fn header() -> SegmentHeader {
+    SegmentHeader {
         build: "build-1".into(),
         node: "n1".into(),
         run: 1_700_000_000_123,
@@ -288,21 +288,21 @@
     }
 }
 
-/// A whole segment: opening, checkpoint, records and end.
+/// A whole segment: header, checkpoint, records and end.
 fn segment() -> Vec<u8> {
     let mut bytes = Vec::new();
-    let mut writer = SegmentWriter::open(&opening(), &controller(), &mut bytes);
+    let mut writer = SegmentWriter::open(&header(), &controller(), &mut bytes);
     let mut payload = Vec::new();
     records()
         .iter()
         .for_each(|record| encode(record, &mut payload));
-    writer.records(&payload, &mut bytes);
-    writer.end(End::Last(5), &mut bytes);
+    writer.append_records(&payload, &mut bytes);
+    writer.append_end(End::Last(5), &mut bytes);
     bytes
 }
 
 #[test]
-fn records_are_those_of_the_earlier_build() {
+fn records_equal_those_of_the_earlier_build() {
     let mut samples = Vec::new();
     for record in records() {
         let mut bytes = Vec::new();
@@ -315,19 +315,19 @@
 }
 
 #[test]
-fn a_segment_with_a_checkpoint_in_mid_run_is_that_of_the_earlier_build() {
+fn a_segment_with_a_checkpoint_during_a_run_equals_that_of_the_earlier_build() {
     let path = fixture("segment.plc");
     if std::env::var_os("PIPITLEVER_WRITE_FIXTURES").is_some() {
         std::fs::write(&path, segment()).unwrap();
     }
     let expected = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&expected).unwrap();
-    assert_eq!(reader.opening(), Some(&opening()));
-    let read = restore_controller(reader.state())
-        .expect("this build takes over the earlier build's state");
+    assert_eq!(reader.header(), Some(&header()));
+    let read =
+        restore_controller(reader.state()).expect("this build reads the earlier build's state");
     assert!(
         serialize_controller(&read) == reader.state(),
-        "the state is written as it was read"
+        "the state is serialized as it was read"
     );
     let mut found = Vec::new();
     while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -80,7 +80,7 @@
                 captured.write(300_000);
             }
         }
-        // All recorded steps replay, and all lost records are counted, wherever the gaps are.
+        // All recorded steps are replayed, and all lost records are counted, wherever the gaps are.
         let recorded = captured.recorded;
         let summary = replay(&captured.finish());
         prop_assert_eq!(summary.records + summary.lost, recorded, "{:?}", summary);
@@ -106,7 +106,7 @@
     let stated_lost = |bytes: &Vec<u8>| {
         SegmentReader::open(bytes)
             .unwrap()
-            .opening()
+            .header()
             .unwrap()
             .lost
             .clone()
@@ -179,7 +179,7 @@
 
 #[test]
 fn the_order_of_events_in_a_step_is_recorded() {
-    // One request can start: the first one of the step does, in the run and in the replay.
+    // Only one request can start: in the run and in the replay it is the first one of the step.
     let actions_for = |choices: [EventChoice; 2]| {
         let mut captured = CapturedHost::new(0, 1, 1 << 20, UNLIMITED);
         for _ in 0..2 {
@@ -231,7 +231,7 @@
 fn a_changed_action_is_reported_at_its_step() {
     let segments = run_of_600_steps(UNLIMITED).finish();
     let mut reader = SegmentReader::open(&segments[0]).unwrap();
-    let mut replay = Replay::new(reader.controller().unwrap(), reader.opening().unwrap());
+    let mut replay = Replay::new(reader.controller().unwrap(), reader.header().unwrap());
     let mut steps = 0;
     while let Some(RecordAt { mut record, .. }) = reader.next_record().unwrap() {
         let Record::Step { actions, .. } = &mut record else {
@@ -261,13 +261,10 @@
 /// Replays a segment; returns the number of steps and how the data ends.
 fn replay_segment(bytes: &[u8]) -> Result<(u64, Option<Tail>), ReadError> {
     let mut reader = SegmentReader::open(bytes)?;
-    let Some(opening) = reader.opening().cloned() else {
+    let Some(header) = reader.header().cloned() else {
         return Ok((0, reader.tail()));
     };
-    let mut replay = Replay::new(
-        reader.controller().expect("a state of this build"),
-        &opening,
-    );
+    let mut replay = Replay::new(reader.controller().expect("a state of this build"), &header);
     while let Some(RecordAt { record, .. }) = reader.next_record()? {
         assert!(replay.compare(&record).expect("a valid step").is_none());
     }
@@ -365,7 +362,7 @@
     assert!(rejected > 30, "{rejected}");
     // Arbitrary bytes as a record.
     for _ in 0..20_000 {
-        let junk: Vec<u8> = (0..next() % 64).map(|_| next() as u8).collect();
-        let _ = decode(&junk);
+        let random_bytes: Vec<u8> = (0..next() % 64).map(|_| next() as u8).collect();
+        let _ = decode(&random_bytes);
     }
 }
