--- a/crates/node/tests/capture_cost.rs
+++ b/crates/node/tests/capture_cost.rs
@@ -1,4 +1,4 @@
-//! What a capture costs: run by hand, in a release build, with the cores to itself.
+//! The cost of a capture. Run by hand, in a release build, on an otherwise idle machine.
 //!
 //! `cargo test --release -p pipitlever-node --test capture_cost -- --ignored --nocapture`
 #![cfg(target_os = "linux")]
@@ -10,32 +10,31 @@
 use std::time::{Duration, Instant};
 
 const REQUESTS: usize = 30_000;
-const OPEN: usize = 16;
+const OPEN_REQUESTS: usize = 16;
 const ROUNDS: usize = 15;
 
-/// CPU of a process so far, in clock ticks of a hundredth of a second, and the most memory that it
-/// held, in KB.
+/// CPU time of a process so far, in clock ticks of 10 ms, and its peak resident memory, in KB.
 fn usage(pid: u32) -> (u64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
-    let words: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
-    let ticks = words[12].parse::<u64>().unwrap() + words[13].parse::<u64>().unwrap();
+    let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
+    let ticks = fields[12].parse::<u64>().unwrap() + fields[13].parse::<u64>().unwrap();
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap();
-    let most = status
+    let peak = status
         .lines()
         .find_map(|l| l.strip_prefix("VmHWM:"))
         .unwrap();
-    (ticks, most.trim().trim_end_matches(" kB").parse().unwrap())
+    (ticks, peak.trim().trim_end_matches(" kB").parse().unwrap())
 }
 
-struct Figures {
+struct Measurements {
     cpu_us: f64,
     p50: Duration,
     p99: Duration,
-    most_kb: u64,
+    peak_kb: u64,
     bytes: f64,
 }
 
-fn run(capture: bool, round: usize) -> Figures {
+fn run(capture: bool, round: usize) -> Measurements {
     let folder =
         std::env::temp_dir().join(format!("pipitlever-{}-cost-{round}", std::process::id()));
     let section = format!(
@@ -43,19 +42,19 @@
         folder.to_str().unwrap()
     );
     let mut processor = Processor::new();
-    let limits = json!({"processor": processor.address().to_string(),
+    let entries = json!({"processor": processor.address().to_string(),
         "limits": {"memory_mb": 32, "sockets": 384, "cores": 0.5}});
-    let mut node = Node::start(limits, capture.then_some(&*section));
+    let mut node = Node::start(entries, capture.then_some(&*section));
     processor.accept();
     processor.send(b"hi running 60000\r\n");
     let mut gateway = node.ready();
     std::thread::spawn(move || processor.echo_until_disconnected());
     let before = usage(node.pid()).0;
     let mut sent = std::collections::HashMap::new();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     let mut next = 0;
-    while took.len() < REQUESTS {
-        while next < REQUESTS && sent.len() < OPEN {
+    while latencies.len() < REQUESTS {
+        while next < REQUESTS && sent.len() < OPEN_REQUESTS {
             next += 1;
             let class = if next.is_multiple_of(7) {
                 "swap-confirm"
@@ -67,64 +66,65 @@
             sent.insert(gateway.send(class, params), Instant::now());
         }
         let answer = gateway.receive();
-        took.push(
+        latencies.push(
             sent.remove(&answer["id"].as_u64().unwrap())
                 .unwrap()
                 .elapsed(),
         );
     }
-    let (after, most_kb) = usage(node.pid());
+    let (after, peak_kb) = usage(node.pid());
     node.signal("-TERM");
     node.wait();
     let files = std::fs::read_dir(&folder)
         .map(|all| all.map(|e| e.unwrap().metadata().unwrap().len()).sum());
     let bytes = files.unwrap_or(0u64) as f64 / REQUESTS as f64;
     if capture {
+        // PIPITLEVER_KEEP=FOLDER keeps the capture of the first round.
         let keep = std::env::var_os("PIPITLEVER_KEEP");
         match keep.filter(|_| round < 2) {
             Some(to) => std::fs::rename(&folder, to).unwrap(),
             None => std::fs::remove_dir_all(&folder).unwrap(),
         }
     }
-    took.sort();
-    Figures {
+    latencies.sort();
+    Measurements {
         cpu_us: (after - before) as f64 * 10_000.0 / REQUESTS as f64,
-        p50: took[REQUESTS / 2],
-        p99: took[REQUESTS / 100 * 99],
-        most_kb,
+        p50: latencies[REQUESTS / 2],
+        p99: latencies[REQUESTS / 100 * 99],
+        peak_kb,
         bytes,
     }
 }
 
 #[test]
 #[ignore = "a measurement, not a check of every build"]
-fn a_capture_costs_little() {
+fn the_cost_of_a_capture() {
     let mut cpu = [Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
-        // Alternating, and each first in turn.
+        // Both variants in each round; which one is first alternates.
         for capture in [round % 2 == 0, round % 2 == 1] {
             let f = run(capture, 2 * round + usize::from(capture));
             println!(
-                "capture={capture:5} cpu={:.1} us a request, p50={:?} p99={:?} most={} KB, {:.0} bytes a request",
-                f.cpu_us, f.p50, f.p99, f.most_kb, f.bytes
+                "capture={capture:5} cpu={:.1} us a request, p50={:?} p99={:?} peak={} KB, {:.0} bytes a request",
+                f.cpu_us, f.p50, f.p99, f.peak_kb, f.bytes
             );
-            assert!(f.most_kb < 32 << 10, "{} KB", f.most_kb);
+            assert!(f.peak_kb < 32 << 10, "{} KB", f.peak_kb);
             cpu[usize::from(capture)].push(f.cpu_us);
         }
     }
-    // The machine's own speed changes from run to run by far more than a capture costs, so
-    // neighbours in time are held against each other.
+    // The machine's speed varies between rounds by far more than a capture costs, so the two runs
+    // of one round are compared.
     let mut ratios: Vec<f64> = cpu[0]
         .iter()
         .zip(&cpu[1])
         .map(|(off, on)| 100.0 * (on / off - 1.0))
         .collect();
     ratios.sort_by(f64::total_cmp);
-    let [quarter, median, most] = [1, 2, 3].map(|n| ratios[n * ROUNDS / 4]);
-    println!("CPU with a capture: {median:+.1}%, quartiles {quarter:+.1}% and {most:+.1}%");
+    let [lower, median, upper] = [1, 2, 3].map(|n| ratios[n * ROUNDS / 4]);
+    println!("CPU with a capture: {median:+.1}%, quartiles {lower:+.1}% and {upper:+.1}%");
     let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
     println!(
-        "off {:.1} us, on {:.1} us a request in the mean",
+        "off {:.1} us, on {:.1} us a request on average",
         mean(&cpu[0]),
         mean(&cpu[1])
     );
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -1,8 +1,8 @@
-//! What a real node captures: failures met before and hard cases, each replayed to the same
-//! decisions.
+//! Captures written by a node process, in past failures and difficult cases: each capture has to
+//! replay to the same decisions.
 //!
-//! With PIPITLEVER_RECORD=FOLDER each test leaves its capture there; lab/tests/captures holds those
-//! of the last time that the module's decisions changed on purpose.
+//! With PIPITLEVER_RECORD=FOLDER each test copies its capture there; lab/tests/captures holds those
+//! of the last intended change of the admission controller's decisions.
 
 mod common;
 
@@ -24,6 +24,7 @@
         Folder(ScratchDirectory::new(&format!("captures-{name}")))
     }
 
+    /// The `[capture]` section of the operator's file.
     fn section(&self) -> String {
         format!(
             "[capture]\nfolder = {:?}\nsegment_mb = 8\nkeep_mb = 64\n",
@@ -40,42 +41,42 @@
         files
     }
 
-    /// Waits until what is on the disk says so.
-    fn wait_for(&self, there: impl Fn(&Played) -> bool) {
+    /// Waits until the first segment on the disk fulfils this condition.
+    fn wait_for(&self, condition: impl Fn(&ReplayedCapture) -> bool) {
         let start = Instant::now();
-        let read = |f: &PathBuf| Played::read(&std::fs::read(f).unwrap());
+        let read = |f: &PathBuf| ReplayedCapture::read(&std::fs::read(f).unwrap());
         while !self
             .files()
             .first()
-            .is_some_and(|f| read(f).is_some_and(|p| there(&p)))
+            .is_some_and(|f| read(f).is_some_and(|p| condition(&p)))
         {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "it is not on the disk: {:?}",
+                "the segment on the disk does not fulfil the condition: {:?}",
                 self.files()
             );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The one capture, read and held against this build; it is kept under this name where that is
-    /// wanted.
-    fn played(&self, name: &str) -> Played {
+    /// Replays the only segment with this build's controller, and copies it under this name to
+    /// PIPITLEVER_RECORD, if that is set.
+    fn replay(&self, name: &str) -> ReplayedCapture {
         let files = self.files();
         assert_eq!(files.len(), 1, "{files:?}");
         let bytes = std::fs::read(&files[0]).unwrap();
         assert!(bytes.len() < 300 << 10, "{}", bytes.len());
-        let played = Played::read(&bytes).expect("an opening");
+        let capture = ReplayedCapture::read(&bytes).expect("a complete opening");
         if let Some(folder) = std::env::var_os("PIPITLEVER_RECORD") {
             std::fs::write(Path::new(&folder).join(format!("{name}.plc")), bytes).unwrap();
         }
-        played
+        capture
     }
 }
 
-/// A capture, played to the same decisions.
-struct Played {
-    first: bool,
+/// A capture that was replayed to the same decisions.
+struct ReplayedCapture {
+    starts_at_node_start: bool,
     identities: Vec<RequestIdentity>,
     events: Vec<Event>,
     actions: Vec<Action>,
@@ -85,9 +86,9 @@
     tail: Tail,
 }
 
-impl Played {
-    /// Nothing if there is no whole opening yet.
-    fn read(bytes: &[u8]) -> Option<Played> {
+impl ReplayedCapture {
+    /// Replays a segment; `None` if its opening is still incomplete.
+    fn read(bytes: &[u8]) -> Option<ReplayedCapture> {
         let mut reader = SegmentReader::open(bytes).unwrap();
         let opening = reader.opening()?.clone();
         let recorded = reader.controller().unwrap();
@@ -99,10 +100,10 @@
         let mut replay = Replay::new(start, &opening);
         assert!(
             replay.enter_segment(&opening, Some(&recorded)),
-            "the start is another one"
+            "the recorded controller state differs from the replay's start"
         );
-        let mut played = Played {
-            first: opening.is_initial,
+        let mut capture = ReplayedCapture {
+            starts_at_node_start: opening.is_initial,
             identities: opening.identities,
             events: vec![],
             actions: vec![],
@@ -115,30 +116,30 @@
             let difference = replay.compare(&record).unwrap();
             assert!(difference.is_none(), "{difference:#?}");
             match record {
-                Record::Identity(identity) => played.identities.push(identity),
+                Record::Identity(identity) => capture.identities.push(identity),
                 Record::Answer {
                     reference,
                     answer,
                     source,
                     ..
-                } => played.answers.push((reference, answer, source)),
+                } => capture.answers.push((reference, answer, source)),
                 Record::Step {
                     events, actions, ..
                 } => {
-                    played.events.extend(events.into_owned());
-                    played.actions.extend(actions.into_owned());
-                    played
+                    capture.events.extend(events.into_owned());
+                    capture.actions.extend(actions.into_owned());
+                    capture
                         .causes
-                        .extend(replay.controller().causes().iter().map(|w| w.1));
-                    played.modes.push(replay.controller().mode());
+                        .extend(replay.controller().causes().iter().map(|entry| entry.1));
+                    capture.modes.push(replay.controller().mode());
                 }
             }
         }
-        played.tail = reader.tail().unwrap();
-        Some(played)
+        capture.tail = reader.tail().unwrap();
+        Some(capture)
     }
 
-    fn refused(&self) -> usize {
+    fn rejected_count(&self) -> usize {
         self.answers
             .iter()
             .filter(|a| matches!(a.1, RecordedAnswer::Rejected { .. }))
@@ -146,44 +147,51 @@
     }
 }
 
-/// A node that captures, with a processor that is up, and a gateway.
-fn captured(name: &str, parties: Value) -> (Folder, Node, Processor, Gateway) {
-    captured_with(name, parties, b"hi running 60000\r\n")
+/// Starts a node that writes a capture, with a running processor and a gateway.
+fn start_capturing(name: &str, entries: Value) -> (Folder, Node, Processor, Gateway) {
+    start_capturing_with(name, entries, b"hi running 60000\r\n")
 }
 
-fn captured_with(name: &str, parties: Value, hi: &[u8]) -> (Folder, Node, Processor, Gateway) {
+/// Like `start_capturing`, with this greeting of the processor.
+fn start_capturing_with(
+    name: &str,
+    entries: Value,
+    hi: &[u8],
+) -> (Folder, Node, Processor, Gateway) {
     let folder = Folder::new(name);
     let mut processor = Processor::new();
-    let mut all = json!({"processor": processor.address().to_string()});
-    all.as_object_mut()
+    let mut config_entries = json!({"processor": processor.address().to_string()});
+    config_entries
+        .as_object_mut()
         .unwrap()
-        .extend(parties.as_object().unwrap().clone());
-    let node = Node::start(all, Some(&folder.section()));
+        .extend(entries.as_object().unwrap().clone());
+    let node = Node::start(config_entries, Some(&folder.section()));
     processor.accept();
     processor.send(hi);
     let gateway = node.ready();
     (folder, node, processor, gateway)
 }
 
-/// The node leaves, and its capture is whole.
-fn leave(mut node: Node) {
+/// Shuts the node down gracefully, which completes its capture.
+fn shut_down(mut node: Node) {
     node.signal("-TERM");
     node.wait_for_line("counters: ");
     assert!(node.wait().success());
 }
 
-/// Sends reads until some are held: so many are begun at once.
+/// Sends this many reads, more than can run at once: the ids of the runs that begin, the others are
+/// queued.
 fn fill(gateway: &mut Gateway, processor: &mut Processor, reads: usize) -> Vec<String> {
     for _ in 0..reads {
         gateway.send("rota-view", request_params(4000, None, b"read"));
     }
-    // The run limit starts at the cores, of which there are six.
+    // The run limit starts at the number of cores, six.
     (0..6).map(|_| processor.begin().0).collect()
 }
 
 #[test]
-fn outside_names_and_answers_stand_beside_the_steps() {
-    let (folder, node, mut processor, mut gateway) = captured("names", json!({}));
+fn identities_and_answers_are_recorded_beside_the_steps() {
+    let (folder, node, mut processor, mut gateway) = start_capturing("names", json!({}));
     let mut params = request_params(5000, Some("a secret key"), b"a secret body");
     params["sender"] = json!(4);
     let reference = u64::from_str_radix(params["ref"].as_str().unwrap(), 16).unwrap();
@@ -191,16 +199,16 @@
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"a secret result");
     gateway.receive();
-    leave(node);
-    let played = folder.played("one-swap");
+    shut_down(node);
+    let capture = folder.replay("one-swap");
     assert!(
-        played.first && matches!(played.tail, Tail::Complete(_)),
+        capture.starts_at_node_start && matches!(capture.tail, Tail::Complete(_)),
         "{:?}",
-        played.tail
+        capture.tail
     );
     let key = Some(digest("a secret key"));
     assert_eq!(
-        played.identities,
+        capture.identities,
         [RequestIdentity {
             id: 1,
             reference,
@@ -209,7 +217,7 @@
         }]
     );
     assert_eq!(
-        played.answers,
+        capture.answers,
         [(reference, RecordedAnswer::Served(15), AnswerSource::Run)]
     );
     let bytes = std::fs::read(&folder.files()[0]).unwrap();
@@ -220,8 +228,9 @@
 }
 
 #[test]
-fn a_drain_with_requests_held() {
-    let (folder, node, mut processor, mut gateway) = captured("drain", json!({"stop_ms": 1200}));
+fn a_drain_with_queued_requests() {
+    let (folder, node, mut processor, mut gateway) =
+        start_capturing("drain", json!({"stop_ms": 1200}));
     let runs = fill(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
     assert_eq!(gateway.receive()["method"], "goaway");
@@ -229,39 +238,40 @@
         .for_each(|id| processor.complete(id, "fine", b"done"));
     let answers: Vec<Value> = (0..9).map(|_| gateway.receive()).collect();
     assert!(answers.iter().all(|a| !a.is_null()), "{answers:?}");
-    leave(node);
-    let played = folder.played("drain-with-held");
-    assert!(played
+    shut_down(node);
+    let capture = folder.replay("drain-with-held");
+    assert!(capture
         .events
         .iter()
         .any(|e| matches!(e, Event::ShutdownNotice(_))));
-    assert_eq!(played.answers.len(), 9);
+    assert_eq!(capture.answers.len(), 9);
 }
 
 #[test]
-fn a_capture_cut_in_mid_drain() {
-    let (folder, mut node, mut processor, mut gateway) = captured("cut", json!({"stop_ms": 5000}));
+fn a_capture_truncated_during_a_drain() {
+    let (folder, mut node, mut processor, mut gateway) =
+        start_capturing("cut", json!({"stop_ms": 5000}));
     fill(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
-    // Nothing ends: what is held is let go before the grace is over.
+    // No run ends: the queued requests are abandoned before the grace period is over.
     while gateway.receive()["method"] != "goaway" {}
-    // What the drain brought is on the disk; then the machine takes the process away.
-    let leaving = |e: &Event| matches!(e, Event::ShutdownNotice(_));
-    folder.wait_for(|played| played.events.iter().any(leaving));
+    // The process is killed once the drain's events are on the disk.
+    let is_shutdown = |e: &Event| matches!(e, Event::ShutdownNotice(_));
+    folder.wait_for(|capture| capture.events.iter().any(is_shutdown));
     node.signal("-KILL");
     node.wait();
-    let played = folder.played("cut-in-mid-drain");
+    let capture = folder.replay("cut-in-mid-drain");
     assert!(
-        matches!(played.tail, Tail::Truncated(_)),
+        matches!(capture.tail, Tail::Truncated(_)),
         "{:?}",
-        played.tail
+        capture.tail
     );
-    assert!(played.events.iter().any(leaving));
+    assert!(capture.events.iter().any(is_shutdown));
 }
 
 #[test]
-fn a_key_repeated_while_its_first_try_runs() {
-    let (folder, node, mut processor, mut gateway) = captured("repeat", json!({}));
+fn a_duplicate_while_the_first_attempt_runs() {
+    let (folder, node, mut processor, mut gateway) = start_capturing("repeat", json!({}));
     gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     let (id, _) = processor.begin();
     for _ in 0..3 {
@@ -272,33 +282,33 @@
     processor.complete(&id, "fine", b"once");
     processor.complete(&read, "fine", b"view");
     (0..5).for_each(|_| assert!(gateway.receive()["result"].is_object()));
-    leave(node);
-    let played = folder.played("key-repeated-while-it-runs");
-    let reused = played
+    shut_down(node);
+    let capture = folder.replay("key-repeated-while-it-runs");
+    let reused = capture
         .actions
         .iter()
         .filter(|a| matches!(a, Action::ReuseOutcome(_)))
         .count();
-    let repeats = played
+    let duplicates = capture
         .answers
         .iter()
         .filter(|a| a.2 == AnswerSource::Duplicate)
         .count();
-    assert_eq!((reused, repeats), (3, 3));
+    assert_eq!((reused, duplicates), (3, 3));
 }
 
-/// A start that brought keys over a restart: the module is told of repeats of tries that it never
-/// heard of.
+/// A start with keys recovered from the store: the admission controller gets duplicates of attempts
+/// that it has no record of.
 #[test]
-fn a_start_with_keys_brought_over() {
+fn a_start_with_recovered_keys() {
     let (store, folder) = (Folder::new("store"), Folder::new("brought-over"));
     let section = format!(
         "[store]\nfolder = {:?}\nmax_mb = 4\n",
         store.0 .0.to_str().unwrap()
     );
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties.clone(), Some(&section));
+    let entries = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(entries.clone(), Some(&section));
     processor.accept_running();
     let mut gateway = node.ready();
     for key in ["kept", "open"] {
@@ -311,7 +321,7 @@
     }
     node.signal("-KILL");
     node.wait();
-    let node = Node::start(parties, Some(&(section + &folder.section())));
+    let node = Node::start(entries, Some(&(section + &folder.section())));
     processor.accept_running();
     let mut gateway = node.ready();
     for key in ["kept", "open", "new"] {
@@ -325,70 +335,77 @@
         2,
         "{answers:?}"
     );
-    leave(node);
-    let played = folder.played("keys-brought-over");
-    let by = |wanted: AnswerSource| played.answers.iter().filter(|a| a.2 == wanted).count();
-    assert_eq!((by(AnswerSource::Duplicate), by(AnswerSource::Run)), (2, 1));
-    let same = |e: &Event| matches!(e, Event::Arrived(r) if r.duplicate_of.is_some());
-    assert_eq!(played.events.iter().filter(|e| same(e)).count(), 2);
+    shut_down(node);
+    let capture = folder.replay("keys-brought-over");
+    let count = |source: AnswerSource| capture.answers.iter().filter(|a| a.2 == source).count();
+    assert_eq!(
+        (count(AnswerSource::Duplicate), count(AnswerSource::Run)),
+        (2, 1)
+    );
+    let duplicate = |e: &Event| matches!(e, Event::Arrived(r) if r.duplicate_of.is_some());
+    assert_eq!(capture.events.iter().filter(|e| duplicate(e)).count(), 2);
 }
 
 #[test]
-fn a_link_break_that_makes_starts_doubtful() {
-    let (folder, node, mut processor, mut gateway) = captured("link", json!({}));
+fn a_lost_processor_connection_leaves_starts_uncertain() {
+    let (folder, node, mut processor, mut gateway) = start_capturing("link", json!({}));
     gateway.send("rota-view", request_params(5000, None, b"read"));
     let read = processor.begin();
     processor.disconnect();
     processor.accept();
     processor.send(b"hi running 60100\r\n");
-    // Whether the start was read nobody knows: that of a read goes out again.
+    // The processor may or may not have read the `begin`: that of a read is sent again.
     assert_eq!(processor.begin(), read);
     processor.complete(&read.0, "fault", b"");
     assert_eq!(gateway.receive()["error"]["code"], -32001);
-    // One that the processor rejects never ran.
+    // A run that the processor rejects has not been executed.
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"write"));
     let (write, _) = processor.begin();
     processor.send(format!("reject begin {write}\r\n").as_bytes());
     assert_eq!(gateway.receive()["error"]["code"], -32000);
-    leave(node);
-    let played = folder.played("link-break");
-    let by: Vec<AnswerSource> = played.answers.iter().map(|a| a.2).collect();
-    assert_eq!(by, [AnswerSource::Run, AnswerSource::ProcessorRejected]);
+    shut_down(node);
+    let capture = folder.replay("link-break");
+    let sources: Vec<AnswerSource> = capture.answers.iter().map(|a| a.2).collect();
+    assert_eq!(
+        sources,
+        [AnswerSource::Run, AnswerSource::ProcessorRejected]
+    );
 }
 
 #[test]
-fn a_tier_that_jams() {
+fn an_overloaded_ledger() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
-    let parties = json!({"ledger": ledger.local_addr().unwrap().to_string()});
-    let (folder, node, mut processor, mut gateway) = captured("jam", parties);
+    let entries = json!({"ledger": ledger.local_addr().unwrap().to_string()});
+    let (folder, node, mut processor, mut gateway) = start_capturing("jam", entries);
     gateway.send("rota-view", request_params(600, None, b"read"));
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"write"));
     for _ in 0..2 {
         let (id, _) = processor.begin();
         processor.notice("ask", &id, b"call");
     }
-    let (mut jammed, mut broken) = (
+    let (mut overloaded, mut failing) = (
         LedgerConnection::accept(&ledger),
         LedgerConnection::accept(&ledger),
     );
-    let (first, _) = jammed.post();
-    let (second, _) = broken.post();
-    // One is turned away until its time is up; the other's call may have had its effect.
-    broken.reply(&format!("{second} error\r\n"));
-    jammed.reply(&format!("{first} queue_full\r\n"));
-    let jam = |mut below: LedgerConnection| {
+    let (first, _) = overloaded.post();
+    let (second, _) = failing.post();
+    // One call is rejected until its time is up; the other one, which failed, may have had its
+    // effect.
+    failing.reply(&format!("{second} error\r\n"));
+    overloaded.reply(&format!("{first} queue_full\r\n"));
+    let reject_all = |mut connection: LedgerConnection| {
         std::thread::spawn(move || {
-            while let Some((id, _)) = below.try_post() {
-                below.reply(&format!("{id} queue_full\r\n"));
+            while let Some((id, _)) = connection.try_post() {
+                connection.reply(&format!("{id} queue_full\r\n"));
             }
         });
     };
-    // The node places calls again on whichever connection is free.
-    jam(jammed);
-    jam(broken);
+    // The node sends calls again on any free connection.
+    reject_all(overloaded);
+    reject_all(failing);
     std::thread::spawn(move || {
         while let Ok((stream, _)) = ledger.accept() {
-            jam(LedgerConnection::from_stream(stream));
+            reject_all(LedgerConnection::from_stream(stream));
         }
     });
     let answers: Vec<Value> = (0..2).map(|_| gateway.receive()).collect();
@@ -398,53 +415,54 @@
             .all(|a| a["error"]["code"].as_i64() < Some(-32000)),
         "{answers:?}"
     );
-    leave(node);
-    let played = folder.played("tier-jams");
-    let ended = |wanted| {
-        let is = |e: &&Event| matches!(e, Event::CallEnded { outcome, .. } if *outcome == wanted);
-        played.events.iter().filter(is).count()
+    shut_down(node);
+    let capture = folder.replay("tier-jams");
+    let ended = |expected| {
+        let is = |e: &&Event| matches!(e, Event::CallEnded { outcome, .. } if *outcome == expected);
+        capture.events.iter().filter(is).count()
     };
     assert!(
         ended(Outcome::Rejected) >= 2 && ended(Outcome::Error) == 1,
-        "{} busy",
+        "{} calls rejected",
         ended(Outcome::Rejected)
     );
     assert!(
-        played
+        capture
             .causes
             .iter()
             .any(|c| matches!(c, Cause::CallFailed(Outcome::Error))),
         "{:?}",
-        played.causes
+        capture.causes
     );
 }
 
 #[test]
 fn a_release_with_a_cold_successor() {
-    // A successor of which the gateways think as much as of a warm node.
+    // Gateways send a cold successor as many requests as a warm node.
     let (folder, node, mut processor, mut gateway) =
-        captured_with("cold", json!({}), b"hi starting 100\r\n");
+        start_capturing_with("cold", json!({}), b"hi starting 100\r\n");
     let runs = fill(&mut gateway, &mut processor, 30);
     for id in runs {
         processor.complete(&id, "fine", b"slowly");
     }
-    let running = processor.echo();
+    let bodies = processor.echo();
     for _ in 0..30 {
         gateway.receive();
     }
-    drop(running);
-    leave(node);
-    let played = folder.played("cold-successor");
+    drop(bodies);
+    shut_down(node);
+    let capture = folder.replay("cold-successor");
     assert!(
-        played.refused() > 0 && played.answers.len() == 30,
+        capture.rejected_count() > 0 && capture.answers.len() == 30,
         "{:?}",
-        played.answers
+        capture.answers
     );
 }
 
 #[test]
 fn a_burst_into_discard_mode() {
-    let (folder, node, mut processor, mut gateway) = captured("burst", json!({"stop_ms": 1000}));
+    let (folder, node, mut processor, mut gateway) =
+        start_capturing("burst", json!({"stop_ms": 1000}));
     let mut others: Vec<Gateway> = (0..4).map(|_| node.gateway()).collect();
     let runs = fill(&mut gateway, &mut processor, 31);
     for other in &mut others {
@@ -452,14 +470,14 @@
             other.send("rota-view", request_params(4000, None, b"burst"));
         }
     }
-    // The last of the burst is refused at once, long before anything has ended.
+    // The last request of the burst is rejected at once, before any run has ended.
     assert_eq!(others[3].receive()["error"]["code"], -32000);
     runs.iter()
         .for_each(|id| processor.complete(id, "fine", b"done"));
     (0..6).for_each(|_| drop(processor.begin()));
-    leave(node);
-    let played = folder.played("burst-into-discard");
-    assert!(played.modes.contains(&Mode::Overload) && played.modes.contains(&Mode::Discard));
+    shut_down(node);
+    let capture = folder.replay("burst-into-discard");
+    assert!(capture.modes.contains(&Mode::Overload) && capture.modes.contains(&Mode::Discard));
     let discard = |c: &Cause| {
         matches!(
             c,
@@ -469,7 +487,7 @@
             }
         )
     };
-    assert!(played.causes.iter().any(discard), "{:?}", played.causes);
+    assert!(capture.causes.iter().any(discard), "{:?}", capture.causes);
 }
 
 #[test]
@@ -488,7 +506,7 @@
     node.rewrite_operator_file(&folder.section());
     node.wait_for_line("reload: done");
     node.wait_for_line("capture: writing: ");
-    // The run that began before it ends in it, and its repeat is known for one.
+    // A run that began before the capture ends in it, and its duplicate is recognized.
     processor.complete(&id, "fine", b"once");
     gateway.receive();
     gateway.send("swap-confirm", request_params(9000, Some("k"), b"before"));
@@ -499,20 +517,20 @@
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"x");
     gateway.receive();
-    leave(node);
-    let played = folder.played("switched-on-later");
-    assert!(!played.first && matches!(played.tail, Tail::Complete(_)));
-    assert_eq!(played.answers.len(), 2, "{:?}", played.answers);
+    shut_down(node);
+    let capture = folder.replay("switched-on-later");
+    assert!(!capture.starts_at_node_start && matches!(capture.tail, Tail::Complete(_)));
+    assert_eq!(capture.answers.len(), 2, "{:?}", capture.answers);
 }
 
 #[test]
-fn a_folder_that_vanishes_or_cannot_be_made_costs_no_answer() {
+fn a_removed_or_impossible_folder_costs_no_answers() {
     let folder = Folder::new("vanishes");
-    // A file stands where the folder is to be.
+    // The path of the capture folder is that of a file.
     std::fs::write(&folder.0 .0, b"").unwrap();
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let node = Node::start(parties, Some(&folder.section()));
+    let entries = json!({"processor": processor.address().to_string()});
+    let node = Node::start(entries, Some(&folder.section()));
     processor.accept_running();
     let mut gateway = node.ready();
     node.wait_for_line("capture: stopped: ");
@@ -524,16 +542,16 @@
     };
     serve(&mut gateway, &mut processor);
     std::fs::remove_file(&folder.0 .0).unwrap();
-    // The node is idle: its own timers are steps, so the capture begins by itself.
-    let keep_alive = std::thread::spawn(move || processor.echo_until_disconnected());
+    // Timers cause steps in an idle node, too, so the capture starts without a request.
+    let processor_thread = std::thread::spawn(move || processor.echo_until_disconnected());
     node.wait_for_line("capture: writing: ");
     std::fs::remove_dir_all(&folder.0 .0).unwrap();
     node.wait_for_line("capture: stopped: the segment's file was removed");
     node.wait_for_line("capture: writing: ");
     gateway.send("rota-view", request_params(9000, None, b"x"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"x"));
-    leave(node);
-    drop(keep_alive);
+    shut_down(node);
+    drop(processor_thread);
     let file = folder.files().pop().unwrap();
-    Played::read(&std::fs::read(file).unwrap()).expect("an opening");
+    ReplayedCapture::read(&std::fs::read(file).unwrap()).expect("a complete opening");
 }
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn commands_do_what_they_say_or_say_what_is_wrong() {
-    // What was typed, the code, and what stands in the output and in the errors.
+fn commands_print_their_output_or_an_error() {
+    // The arguments, the exit code, and a part of standard output and of standard error.
     let cases: [(&[&str], i32, &str, &str); 8] = [
         (
             &["version"],
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_limits_are_those_of_the_configuration() {
+fn check_prints_the_configured_limits() {
     let path = std::env::temp_dir().join(format!("pipitlever-{}-check.json", std::process::id()));
     let config = common::configuration(&serde_json::json!({"processor": "127.0.0.1:1",
         "limits": {"cores": 0.5, "memory_mb": 32, "sockets": 384}}));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_import_is_written_and_what_it_left_out_is_named() {
+fn import_prints_the_file_and_names_what_it_omits() {
     let path = std::env::temp_dir().join(format!(
         "pipitlever-{}-import.properties",
         std::process::id()
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins for all that a node talks to, each as small as its page of the protocol allows, and a
-//! node to talk to them. Everything is on loopback, on ports that the system picks; everything
-//! waits for events.
+//! A node process under test and minimal stand-ins for its peers: gateways, the processor, the
+//! ledger and uwsgi workers. All of them use loopback addresses and, except for
+//! [`unused_address`], ports that the system assigns.
 #![allow(dead_code)]
 
 use serde_json::{json, Value};
@@ -12,19 +12,19 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Nothing that is waited for takes this long: past it the test has failed.
+/// Upper limit of every wait; a test that reaches it has failed.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// The program under test: the node, or the one that counts what it allocates.
+/// The program under test: the node, or its build that counts allocations.
 pub const PROGRAM: &str = match (
     option_env!("CARGO_BIN_EXE_pipitlever"),
     option_env!("CARGO_BIN_EXE_counted"),
 ) {
     (Some(node), _) => node,
     (None, Some(counted)) => counted,
-    (None, None) => panic!("cargo names the program"),
+    (None, None) => panic!("cargo sets the path of no program under test"),
 };
-/// Nobody listens there. A port of 127.0.0.1 that was free a moment ago may be another test's by
-/// now.
+/// An address without a listener. A port of 127.0.0.1 that was free a moment ago may be in use by
+/// another test by now.
 pub fn unused_address() -> SocketAddr {
     "127.77.0.1:9".parse().unwrap()
 }
@@ -35,9 +35,9 @@
 }
 
 fn settings() -> Value {
-    let class = |name: &str, kind: &str, worth: f64| {
+    let class = |name: &str, kind: &str, priority_weight: f64| {
         json!({"name": name, "idempotency": kind, "target": 2200000, "deadline": 6700000,
-               "memorySpan": 20049000, "worth": worth, "lateWorth": 0.2})
+               "memorySpan": 20049000, "worth": priority_weight, "lateWorth": 0.2})
     };
     json!({
         "categories": [class("rota-view", "free", 1.0), class("swap-confirm", "guarded", 5.0)],
@@ -50,18 +50,18 @@
     })
 }
 
-/// A configuration with these entries beside the usual ones.
-pub fn configuration(more: &Value) -> Value {
+/// The default configuration with `entries` added or replaced.
+pub fn configuration(entries: &Value) -> Value {
     let mut config = json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "stop_ms": 5000, "settings": settings()});
     config
         .as_object_mut()
         .unwrap()
-        .extend(more.as_object().unwrap().clone());
+        .extend(entries.as_object().unwrap().clone());
     config
 }
 
-/// A folder of one test alone, taken away with it. It is not there at first.
+/// The path of a folder for one test. `new` does not create the folder; it is removed on drop.
 pub struct ScratchDirectory(pub PathBuf);
 
 impl ScratchDirectory {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A node under test, ended with it.
+/// A node process under test, killed on drop.
 pub struct Node {
     child: Child,
     config: (PathBuf, Value),
@@ -86,24 +86,24 @@
     pub gateway_address: SocketAddr,
     pub uwsgi_address: Option<SocketAddr>,
     lines: Receiver<String>,
-    /// A test has stopped the process, so that it says nothing.
+    /// The process is stopped by a signal and prints no counters at the end of the test.
     pub stopped: bool,
-    /// Answers that a test has the node give up, by not reading them.
+    /// The expected count of answers that the node drops because the test does not read them.
     pub expected_undelivered: u64,
 }
 
 impl Node {
-    /// Starts a node with these entries, and an operator's file with this text.
+    /// Starts a node with these configuration entries and an operator's file with this text.
     pub fn start(config_entries: Value, operator_file: Option<&str>) -> Node {
-        // Another build, for those who count: what is checked is this one.
         Node::start_program(&Node::program(), config_entries, operator_file)
     }
 
+    /// The program to start: PIPITLEVER_PROGRAM selects another build, for measurements.
     fn program() -> PathBuf {
         std::env::var_os("PIPITLEVER_PROGRAM").map_or_else(|| PROGRAM.into(), PathBuf::from)
     }
 
-    /// The same of a program of its own.
+    /// Like `start`, with the given program.
     pub fn start_program(
         program: &Path,
         config_entries: Value,
@@ -112,7 +112,7 @@
         Node::start_with_environment(program, config_entries, operator_file, &[])
     }
 
-    /// The files of a new node, by the ends of their names.
+    /// Returns a function that maps an extension to the path of a new node's file.
     fn files() -> impl Fn(&str) -> PathBuf {
         static COUNT: AtomicU64 = AtomicU64::new(0);
         let name = format!(
@@ -120,10 +120,10 @@
             std::process::id(),
             COUNT.fetch_add(1, Ordering::Relaxed)
         );
-        move |end: &str| std::env::temp_dir().join(format!("{name}.{end}"))
+        move |extension: &str| std::env::temp_dir().join(format!("{name}.{extension}"))
     }
 
-    /// The same with more in its environment.
+    /// Like `start_program`, with additional environment variables.
     pub fn start_with_environment(
         program: &Path,
         config_entries: Value,
@@ -142,7 +142,7 @@
         Node::spawn(command, config, &file, operator_file)
     }
 
-    /// The same with no more than so many descriptors.
+    /// Starts a node whose process may open at most so many file descriptors.
     pub fn start_with_descriptor_limit(descriptors: usize, config_entries: Value) -> Node {
         let file = Node::files();
         let config = configuration(&config_entries);
@@ -182,7 +182,7 @@
             loop {
                 let line = lines
                     .recv_timeout(TEST_TIMEOUT)
-                    .expect("the node says where it listens");
+                    .expect("the log names the listen address");
                 if let Some((_, at)) = line.rsplit_once("listen=") {
                     return at.parse().unwrap();
                 }
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Starts a node that does not stay; the code that it ends with, and its log.
+    /// Runs a node that ends by itself; returns its exit code and its log.
     pub fn run_to_exit(config_entries: Value, env: &[(&str, &str)]) -> (Option<i32>, String) {
         let file =
             std::env::temp_dir().join(format!("pipitlever-{}-fails.json", std::process::id()));
@@ -223,7 +223,7 @@
         )
     }
 
-    /// Replaces the configuration by one with these entries, and says so.
+    /// Adds or replaces these entries of the configuration file and sends SIGHUP.
     pub fn reload(&mut self, config_entries: Value) {
         self.config
             .1
@@ -235,15 +235,15 @@
     }
 
     pub fn reload_text(&self, text: &str) {
-        // In one step: the node may still be reading for the signal before, and turns down a file
-        // that is cut short.
+        // The rename is atomic: the node may still be reading the file for an earlier signal, and
+        // rejects a truncated one.
         let new = self.config.0.with_extension("new");
         std::fs::write(&new, text).unwrap();
         std::fs::rename(&new, &self.config.0).unwrap();
         self.signal("-HUP");
     }
 
-    /// Replaces the operator's file, and says so.
+    /// Replaces the operator's file and sends SIGHUP.
     pub fn rewrite_operator_file(&self, text: &str) {
         let new = self.operator_file.with_extension("new");
         std::fs::write(&new, text).unwrap();
@@ -260,36 +260,37 @@
             .success());
     }
 
-    /// The next line of the log that begins so.
+    /// Skips log lines up to the next one that begins with `start`, and returns it.
     pub fn wait_for_line(&self, start: &str) -> String {
         loop {
             let line = self
                 .lines
                 .recv_timeout(TEST_TIMEOUT)
-                .unwrap_or_else(|_| panic!("no line {start}"));
+                .unwrap_or_else(|_| panic!("no log line that begins with {start:?}"));
             if line.starts_with(start) {
                 return line;
             }
         }
     }
 
-    /// The operators' door, once the node has said where it is.
+    /// The control endpoint, once the log names its address.
     pub fn control_endpoint(&self) -> ControlEndpoint {
         let line = self.wait_for_line("serving: name=n1 protocol=control");
         ControlEndpoint(line.rsplit_once("address=").unwrap().1.parse().unwrap())
     }
 
-    /// A counter from the line that the node ends with.
+    /// The value of `name=` in a log line.
     pub fn counter(line: &str, name: &str) -> u64 {
-        let word = line
+        let value = line
             .split(' ')
             .find_map(|w| w.strip_prefix(&format!("{name}=")));
-        word.unwrap_or_else(|| panic!("no {name} in {line}"))
+        value
+            .unwrap_or_else(|| panic!("no {name} in {line}"))
             .parse()
             .unwrap()
     }
 
-    /// Says a line to the program that counts.
+    /// Has the build that counts allocations print its counts.
     pub fn request_allocation_counts(&mut self) {
         self.child.stdin.as_mut().unwrap().write_all(b"\n").unwrap();
     }
@@ -304,7 +305,7 @@
 
     pub fn gateway(&self) -> Gateway {
         let stream = TcpStream::connect(self.gateway_address).unwrap();
-        // What is said goes out at once, rather than when the last was acknowledged.
+        // Each message is sent at once, without waiting for the previous one's acknowledgement.
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Gateway {
@@ -314,7 +315,7 @@
         }
     }
 
-    /// A gateway, once the node takes requests.
+    /// Connects a gateway and waits until the node reports that it is healthy.
     pub fn ready(&self) -> Gateway {
         let mut gateway = self.gateway();
         loop {
@@ -327,52 +328,57 @@
         }
     }
 
+    /// Opens a uwsgi connection and sends this packet.
     pub fn uwsgi_client(&self, packet: &[u8]) -> TcpStream {
-        let mut stream = TcpStream::connect(self.uwsgi_address.expect("the front is on")).unwrap();
+        let mut stream = TcpStream::connect(
+            self.uwsgi_address
+                .expect("the uwsgi listener is configured"),
+        )
+        .unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.write_all(packet).unwrap();
         stream
     }
 
-    /// One uwsgi request from start to end: status and the whole response.
+    /// Sends a uwsgi request and reads the response: its status and its whole text.
     pub fn uwsgi_request(&self, packet: &[u8]) -> (u16, String) {
         read_response(self.uwsgi_client(packet))
     }
 }
 
 impl Node {
-    /// The figures that the node prints when asked, or printed at its end: counters and what it has
-    /// now.
-    fn counters_and_state(&self, patience: Duration) -> Option<(String, String)> {
+    /// The next `counters: ` and `now: ` lines, which the node prints on SIGUSR1 and when it ends.
+    fn counters_and_state(&self, timeout: Duration) -> Option<(String, String)> {
         let mut counters = None;
         loop {
-            let line = self.lines.recv_timeout(patience).ok()?;
+            let line = self.lines.recv_timeout(timeout).ok()?;
             assert!(!line.starts_with("accounting: "), "{line}");
             if line.starts_with("counters: ") {
                 counters = Some(line);
             } else if let (true, Some(counters)) = (line.starts_with("now: "), counters.take()) {
-                // Both are printed together; of an earlier pair a test may have taken the first.
+                // A test may have read the first line of an earlier pair: only a whole pair counts.
                 return Some((counters, line));
             }
         }
     }
 
-    /// What was read is answered, told gone or open, and no answer was given up unwritten.
+    /// Checks that every request read was answered, has a client that disconnected, or is open, and
+    /// that no answers were dropped other than the expected ones.
     fn check_accounting(&mut self) {
         let running = matches!(self.child.try_wait(), Ok(None));
         if running {
             self.signal("-USR1");
         }
-        // One that a test has killed, or whose last lines it took, has nothing more to say.
-        let patience = if running {
+        // A process that was killed, or whose last lines the test has read, prints no more lines.
+        let timeout = if running {
             TEST_TIMEOUT
         } else {
             Duration::ZERO
         };
-        let Some((counters, now)) = self.counters_and_state(patience) else {
+        let Some((counters, now)) = self.counters_and_state(timeout) else {
             return assert!(
                 !running || self.stopped,
-                "a node that runs prints its figures"
+                "a running node printed no counters after SIGUSR1"
             );
         };
         let count = |name: &str| Node::counter(&counters, name);
@@ -395,30 +401,30 @@
                 std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.check_accounting()))
             }
         };
-        // Whatever came of it, no process outlives its test.
+        // The process is ended whether or not the check passed.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        if let Err(wrong) = checked {
-            std::panic::resume_unwind(wrong);
+        if let Err(panic) = checked {
+            std::panic::resume_unwind(panic);
         }
     }
 }
 
-/// The operators' door of a node.
+/// The control endpoint of a node.
 pub struct ControlEndpoint(pub SocketAddr);
 
 impl ControlEndpoint {
-    /// One call, and what it was answered.
-    pub fn call(&self, line: &str) -> (u16, String) {
+    /// Sends an HTTP request with this method and path; returns the status and the whole response.
+    pub fn call(&self, method_and_path: &str) -> (u16, String) {
         let mut stream = TcpStream::connect(self.0).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
-            .write_all(format!("{line} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes())
+            .write_all(format!("{method_and_path} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes())
             .unwrap();
         read_response(stream)
     }
 
-    /// A figure by its name, if it is there.
+    /// The value of a metric, if it is reported.
     pub fn metric(&self, name: &str) -> Option<u64> {
         let (status, text) = self.call("GET /status/metrics");
         assert_eq!(status, 200);
@@ -429,19 +435,24 @@
     }
 }
 
+/// Reads an HTTP response up to the end of the connection: its status and its whole text.
 pub fn read_response(mut stream: TcpStream) -> (u16, String) {
     let mut bytes = Vec::new();
     stream
         .read_to_end(&mut bytes)
-        .expect("a response and the end");
+        .expect("a response and the end of the connection");
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let status = text
         .strip_prefix("HTTP/1.")
         .and_then(|t| t.get(2..5))
         .and_then(|s| s.parse().ok());
-    (status.unwrap_or_else(|| panic!("no HTTP: {text:?}")), text)
+    (
+        status.unwrap_or_else(|| panic!("not an HTTP response: {text:?}")),
+        text,
+    )
 }
 
+/// A stand-in for a gateway: one JSON-RPC connection to a node.
 pub struct Gateway {
     stream: TcpStream,
     lines: BufReader<TcpStream>,
@@ -453,6 +464,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
+    /// Sends a request and returns its id.
     pub fn send(&mut self, method: &str, params: Value) -> u64 {
         self.id += 1;
         let message = json!({"jsonrpc": "2.0", "id": self.id, "method": method, "params": params});
@@ -481,24 +493,24 @@
     }
 }
 
-/// The parameters of a request that waits so long, with a key if one is given.
-pub fn request_params(allow: u64, key: Option<&str>, body: &[u8]) -> Value {
+/// The parameters of a request that allows `allow_ms`, with an idempotency key if one is given.
+pub fn request_params(allow_ms: u64, key: Option<&str>, body: &[u8]) -> Value {
     static COUNT: AtomicU64 = AtomicU64::new(1);
     let reference = format!("{:016x}", COUNT.fetch_add(1, Ordering::Relaxed));
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap()
         .as_millis() as u64;
-    let mut params = json!({"ref": reference, "since": since, "sender": 1, "allow": allow, "effort": 12.5,
-        "room": 24.5, "class_rank": 0.625, "doc": base64(body)});
+    let mut params = json!({"ref": reference, "since": since, "sender": 1, "allow": allow_ms,
+        "effort": 12.5, "room": 24.5, "class_rank": 0.625, "doc": base64(body)});
     if let Some(key) = key {
         params["replay"] = json!(key);
     }
     params
 }
 
-/// A stand-in for the processor: commands come out as they were read, notices are said as a test
-/// wants.
+/// A stand-in for the processor: returns each command that it reads, and sends the notices that a
+/// test asks for.
 pub struct Processor {
     pub listener: TcpListener,
     connection: Option<(TcpStream, BufReader<TcpStream>)>,
@@ -521,7 +533,7 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// Takes the node's link and its hello.
+    /// Accepts the node's connection and reads its hello.
     pub fn accept(&mut self) {
         let stream = self.listener.accept().unwrap().0;
         stream.set_nodelay(true).unwrap();
@@ -539,17 +551,18 @@
             .unwrap();
     }
 
-    /// Numbers notices behind those of the link that this one follows.
-    pub fn continue_notice_numbers(&mut self, before: &Processor) {
-        self.notices = before.notices;
+    /// Numbers notices after those of the processor connection that this one replaces.
+    pub fn continue_notice_numbers(&mut self, predecessor: &Processor) {
+        self.notices = predecessor.notices;
     }
 
+    /// Accepts the node's connection and reports the state `running`.
     pub fn accept_running(&mut self) {
         self.accept();
         self.send(b"hi running 1000.5\r\n");
     }
 
-    /// Answers what the node still asks on its link, until it closes that.
+    /// Answers `usage` commands, and accepts no others, until the node closes the connection.
     pub fn answer_usage_until_closed(&mut self) {
         loop {
             let line = self.read_line();
@@ -580,9 +593,9 @@
         line.trim_end_matches("\r\n").to_owned()
     }
 
-    /// Answers nothing but questions for the gauges, for so long.
-    pub fn answer_usage_for(&mut self, time: Duration) {
-        let until = Instant::now() + time;
+    /// Answers `usage` commands, and no others, for this long.
+    pub fn answer_usage_for(&mut self, duration: Duration) {
+        let until = Instant::now() + duration;
         while Instant::now() < until {
             let line = self.read_line();
             if let Some(tag) = line.strip_prefix("usage ") {
@@ -591,11 +604,14 @@
         }
     }
 
-    /// The next command other than `usage`, which is answered, and its body.
+    /// The next command other than `usage`, with its body. Commands `usage` are answered.
     pub fn command(&mut self) -> (Vec<String>, Vec<u8>) {
         let start = Instant::now();
         loop {
-            assert!(start.elapsed() < TEST_TIMEOUT, "no command but usage");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "no command other than usage within {TEST_TIMEOUT:?}"
+            );
             let words: Vec<String> = self.read_line().split(' ').map(str::to_owned).collect();
             if words[0] == "usage" {
                 let used = format!("used {} 0.5 1 0.1 2\r\n", words[1]);
@@ -622,36 +638,38 @@
         }
     }
 
-    /// The next `begin`: the id and the body.
+    /// Reads a command, which has to be `begin`: the run's id and the body.
     pub fn begin(&mut self) -> (String, Vec<u8>) {
         let (words, body) = self.command();
         assert_eq!(words[0], "begin", "{words:?}");
         (words[1].clone(), body)
     }
 
-    pub fn notice(&mut self, before: &str, after: &str, body: &[u8]) {
+    /// Sends the next notice: `kind NUMBER arguments LENGTH` and the body.
+    pub fn notice(&mut self, kind: &str, arguments: &str, body: &[u8]) {
         self.notices += 1;
-        let head = format!("{before} {} {after} {}\r\n", self.notices, body.len());
+        let head = format!("{kind} {} {arguments} {}\r\n", self.notices, body.len());
         self.send(&[head.as_bytes(), body, b"\r\n"].concat());
     }
 
-    pub fn complete(&mut self, id: &str, end: &str, result: &[u8]) {
-        self.notice("complete", &format!("{id} {end} 12.25"), result);
+    pub fn complete(&mut self, id: &str, status: &str, result: &[u8]) {
+        self.notice("complete", &format!("{id} {status} 12.25"), result);
     }
 
-    /// Serves every run with its own body until the node goes.
+    /// Completes every run with its own body until the node disconnects.
     pub fn echo_until_disconnected(self) {
         let bodies = self.echo();
         while bodies.recv().is_ok() {}
     }
 
-    /// Serves every run with so many bytes until the node goes.
+    /// Completes every run with a result of this size until the node disconnects.
     pub fn serve_until_disconnected(self, result_size: usize) {
         let bodies = self.answer_all(move |_| vec![7; result_size]);
         while bodies.recv().is_ok() {}
     }
 
-    /// Serves every run with its own body until the node goes, in a thread; each body is reported.
+    /// Completes every run with its own body in a thread, until the node disconnects. The receiver
+    /// gets each body.
     pub fn echo(self) -> Receiver<Vec<u8>> {
         self.answer_all(|body| body.to_vec())
     }
@@ -682,10 +700,10 @@
     }
 }
 
-/// A stand-in for the ledger: one connection with a call on it.
+/// A stand-in for the ledger: one connection, which carries one call at a time.
 pub struct LedgerConnection {
     lines: BufReader<TcpStream>,
-    /// How long the last call was waited for, in milliseconds.
+    /// The time that the last call allowed, in milliseconds.
     pub allowed_ms: u64,
 }
 
@@ -702,12 +720,12 @@
         }
     }
 
-    /// The next call: the request and the body.
+    /// The next call: the id of its run and the body.
     pub fn post(&mut self) -> (String, Vec<u8>) {
         self.try_post().expect("a call")
     }
 
-    /// The same; nothing at the end of the connection.
+    /// Like `post`; `None` at the end of the connection.
     pub fn try_post(&mut self) -> Option<(String, Vec<u8>)> {
         let mut line = String::new();
         self.lines.read_line(&mut line).ok().filter(|&n| n > 0)?;
@@ -731,19 +749,19 @@
     }
 }
 
-/// A uwsgi packet of these variables, CONTENT_LENGTH and a body.
-pub fn packet(path: &str, more: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+/// A uwsgi POST packet for this path, with additional variables and a body.
+pub fn packet(path: &str, variables: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let length = body.len().to_string();
     let mut vars = vec![
         ("REQUEST_METHOD", "POST"),
         ("PATH_INFO", path),
         ("CONTENT_LENGTH", &length),
     ];
-    vars.extend(more);
-    let word = |w: &str| [&(w.len() as u16).to_le_bytes()[..], w.as_bytes()].concat();
+    vars.extend(variables);
+    let string = |s: &str| [&(s.len() as u16).to_le_bytes()[..], s.as_bytes()].concat();
     let block: Vec<u8> = vars
         .iter()
-        .flat_map(|(n, v)| [word(n), word(v)].concat())
+        .flat_map(|(n, v)| [string(n), string(v)].concat())
         .collect();
     let [low, high] = (block.len() as u16).to_le_bytes();
     [&[0, low, high, 0][..], &block, body].concat()
@@ -761,17 +779,17 @@
         self.0.local_addr().unwrap()
     }
 
-    /// The next request: its connection, and the packet as it came.
+    /// Accepts the next connection and reads its packet, which is returned unparsed.
     pub fn accept(&self) -> (TcpStream, Vec<u8>) {
         Worker::read(self.0.accept().unwrap().0)
     }
 
-    /// The request on a connection, and the packet as it came.
+    /// Reads the packet on this connection.
     pub fn read(stream: TcpStream) -> (TcpStream, Vec<u8>) {
-        Worker::try_read(stream).expect("a whole packet")
+        Worker::try_read(stream).expect("a complete packet")
     }
 
-    /// The same, if it comes as a whole.
+    /// Like `read`; `None` if the connection ends before the packet is complete.
     pub fn try_read(mut stream: TcpStream) -> Option<(TcpStream, Vec<u8>)> {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
         let mut bytes = vec![0; 4];
@@ -780,7 +798,10 @@
         bytes.resize(4 + size, 0);
         stream.read_exact(&mut bytes[4..]).ok()?;
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        let value = text.split_once("CONTENT_LENGTH").expect("always sent").1;
+        let value = text
+            .split_once("CONTENT_LENGTH")
+            .expect("every packet has a CONTENT_LENGTH")
+            .1;
         let digits: String = value
             .chars()
             .skip(2)
@@ -792,7 +813,8 @@
         Some((stream, bytes))
     }
 
-    /// Serves every request with its own body, each reported, for as long as the process lives.
+    /// Answers every request with its own body, in a thread that runs until the process ends; the
+    /// receiver gets each body.
     pub fn echo(self) -> Receiver<Vec<u8>> {
         let (sender, bodies): (Sender<Vec<u8>>, _) = channel();
         std::thread::spawn(move || loop {
@@ -807,13 +829,14 @@
     }
 }
 
-/// The operator's file of the tests: reads go to the processor, swaps where it says.
-pub fn uwsgi_operator_file(worker: Option<SocketAddr>, swaps: &str) -> String {
+/// An operator's file with two uwsgi routes: `/view` goes to the processor, `/swap` to the given
+/// backend.
+pub fn uwsgi_operator_file(worker: Option<SocketAddr>, backend: &str) -> String {
     let workers = worker.map(|w| format!("\"{w}\"")).unwrap_or_default();
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\nworkers = [{workers}]\ndeadline_ms = 5000\n\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"processor\"\n\
-         [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"{swaps}\"\n"
+         [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"{backend}\"\n"
     )
 }
 
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -1,7 +1,7 @@
-//! What operators and their scripts read: the control endpoint's JSON and figures, the `--json`
-//! outputs and the counters line, compared with fixtures written by the build of commit 5f02f56
-//! (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-node --test compatibility`). Values that
-//! differ from run to run are replaced by their type.
+//! Output that operators and their scripts parse: the control endpoint's JSON and metrics, the
+//! `--json` output and the counters line, compared with fixtures written by the build of commit
+//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-node --test compatibility`).
+//! Values that differ from run to run are replaced by their type.
 
 mod common;
 
@@ -21,7 +21,7 @@
     PathBuf::from(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures")).join(name)
 }
 
-/// A JSON value with each number, truth value and free text replaced by its type, and each list by
+/// A JSON value with each number, boolean and free text replaced by its type, and each list by
 /// its first element.
 fn shape(key: &str, value: &Value) -> Value {
     match value {
@@ -30,7 +30,7 @@
             .map(|(k, v)| (k.clone(), shape(k, v)))
             .collect(),
         Value::Array(members) => members.iter().take(1).map(|v| shape("", v)).collect(),
-        // A node that grants leases itself may hold none, from moment to moment.
+        // A node that grants leases itself may hold none at times.
         Value::Number(_) | Value::Null if key == "lease_ms" => Value::Null,
         Value::String(_) if COMPARED_TEXTS.contains(&key) => value.clone(),
         Value::String(_) => json!("text"),
@@ -41,21 +41,21 @@
 }
 
 /// One line of statsd text without its value.
-fn figure_name(line: &str) -> String {
-    let (name, value) = line.split_once(':').expect("a figure has a value");
-    let (_, kind) = value.split_once('|').expect("a figure has a kind");
+fn metric_name(line: &str) -> String {
+    let (name, value) = line.split_once(':').expect("a metric has a value");
+    let (_, kind) = value.split_once('|').expect("a metric has a type");
     format!("{name}|{kind}\n")
 }
 
 /// The keys of a line of `key=value` pairs.
 fn keys_of(line: &str) -> String {
     line.split(' ')
-        .map(|word| word.split_once('=').map_or(word, |(key, _)| key))
+        .map(|field| field.split_once('=').map_or(field, |(key, _)| key))
         .collect::<Vec<_>>()
         .join(" ")
 }
 
-fn operator(worker: SocketAddr) -> String {
+fn operator_file(worker: SocketAddr) -> String {
     format!(
         "[fleet.versions]\nfolder = \"FOLDER/versions\"\nelectors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n\
          [uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 4000\n\
@@ -81,12 +81,17 @@
 }
 
 #[test]
-fn a_fleet_is_shown_as_by_the_earlier_build() {
+fn fleet_output_is_that_of_the_earlier_build() {
     let folder = ScratchDirectory::new("compatibility-fleet");
     std::fs::create_dir_all(&folder.0).unwrap();
     let worker = Worker::new();
-    let more = operator(worker.address());
-    let spec = ClusterConfig::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more);
+    let operator_file = operator_file(worker.address());
+    let spec = ClusterConfig::new(
+        PROGRAM,
+        configuration(&json!({})),
+        folder.0.clone(),
+        operator_file,
+    );
     let cluster = Cluster::start_converged(spec, 3);
     let complete = |view: Value| {
         let share = view["share"][0]["workers"][0]["most_runs"].is_number();
@@ -104,16 +109,16 @@
         (0..3).all(|i| c.view(i).is_some_and(complete))
     });
     let endpoint = cluster.nodes[0].process.as_ref().unwrap().control_address;
-    let at = endpoint.to_string();
+    let address = endpoint.to_string();
     let mut text = String::new();
     let view = cluster.view(0).unwrap();
     text.push_str(&format!("GET /fleet {}\n", shape("", &view)));
-    let status = program(&["fleet", "status", "--at", &at, "--json"]);
+    let status = program(&["fleet", "status", "--at", &address, "--json"]);
     text.push_str(&format!(
         "fleet status --json {}\n",
         shape("", &parsed(&status))
     ));
-    let sessions = program(&["fleet", "sessions", "--at", &at, "--json"]);
+    let sessions = program(&["fleet", "sessions", "--at", &address, "--json"]);
     text.push_str(&format!(
         "fleet sessions --json {}\n",
         shape("", &parsed(&sessions))
@@ -122,18 +127,18 @@
     metrics
         .body
         .lines()
-        .for_each(|line| text.push_str(&figure_name(line)));
+        .for_each(|line| text.push_str(&metric_name(line)));
     pipitlever_test_fixtures::assert_text(fixture("fleet.txt"), &text);
 }
 
 #[test]
-fn calls_figures_and_counters_are_those_of_the_earlier_build() {
+fn control_calls_metrics_and_counters_are_those_of_the_earlier_build() {
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
-    let node = Node::start(parties, None);
+    let entries = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
+    let node = Node::start(entries, None);
     let endpoint = node.control_endpoint();
     let mut text = String::new();
-    let mut called = |line: &str| {
+    let mut record_call = |line: &str| {
         let (code, answer) = endpoint.call(line);
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
         text.push_str(&format!(
@@ -141,7 +146,7 @@
             body.trim_end().replace('\n', "; ")
         ));
     };
-    called("GET /status");
+    record_call("GET /status");
     processor.accept_running();
     let mut gateway = node.ready();
     for line in [
@@ -151,7 +156,7 @@
         "GET /status",
         "POST /active",
     ] {
-        called(line);
+        record_call(line);
     }
     for line in [
         "GET /nowhere",
@@ -160,7 +165,7 @@
         "POST /fleet/publish",
         "POST /fleet/close/1",
     ] {
-        called(line);
+        record_call(line);
     }
     gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
@@ -177,34 +182,34 @@
 }
 
 #[test]
-fn a_store_is_listed_as_by_the_earlier_build() {
+fn store_output_is_that_of_the_earlier_build() {
     let scratch = ScratchDirectory::new("compatibility-store");
     let folder = scratch.0.to_str().unwrap();
     let section = format!("[store]\nfolder = {folder:?}\nmax_mb = 4\n");
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties, Some(&section));
+    let entries = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(entries, Some(&section));
     processor.accept_running();
     let mut gateway = node.ready();
-    for (key, end) in [("served", "fine"), ("failed", "fault")] {
+    for (key, status) in [("served", "fine"), ("failed", "fault")] {
         gateway.send("swap-confirm", request_params(5000, Some(key), b"body"));
         let (id, _) = processor.begin();
-        processor.complete(&id, end, b"result");
+        processor.complete(&id, status, b"result");
         gateway.receive();
     }
     node.signal("-TERM");
     assert!(node.wait().success());
     let mut text = String::new();
-    for task in ["check", "list", "compact"] {
-        for line in program(&["store", task, folder, "--json"]).lines() {
+    for command in ["check", "list", "compact"] {
+        for line in program(&["store", command, folder, "--json"]).lines() {
             text.push_str(&format!(
-                "store {task} --json {}\n",
+                "store {command} --json {}\n",
                 shape("", &parsed(line))
             ));
         }
-        let line = program(&["store", task, folder]);
+        let line = program(&["store", command, folder]);
         text.push_str(&format!(
-            "store {task} {}\n",
+            "store {command} {}\n",
             keys_of(line.lines().next().unwrap_or_default())
         ));
     }
@@ -214,9 +219,9 @@
 #[test]
 fn a_uwsgi_response_is_that_of_the_earlier_build() {
     let (processor, worker) = (Processor::new(), Worker::new());
-    let parties = json!({"processor": processor.address().to_string()});
+    let entries = json!({"processor": processor.address().to_string()});
     let node = Node::start(
-        parties,
+        entries,
         Some(&common::uwsgi_operator_file(
             Some(worker.address()),
             "workers",
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -1,4 +1,4 @@
-//! The operators' door, its figures and the drain by call, on real sockets.
+//! The control endpoint over TCP: its calls, its metrics and the drain by `POST /standby`.
 
 mod common;
 
@@ -8,23 +8,25 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// A node with a door whose processor is up, and a gateway.
-fn daily(more: Value) -> (Node, Processor, Gateway, ControlEndpoint) {
+/// Starts a node with a control endpoint, a running processor and a gateway.
+fn start_with_control(entries: Value) -> (Node, Processor, Gateway, ControlEndpoint) {
     let mut processor = Processor::new();
-    let mut all = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
-    all.as_object_mut()
+    let mut config_entries =
+        json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0"});
+    config_entries
+        .as_object_mut()
         .unwrap()
-        .extend(more.as_object().unwrap().clone());
-    let node = Node::start(all, None);
-    let door = node.control_endpoint();
+        .extend(entries.as_object().unwrap().clone());
+    let node = Node::start(config_entries, None);
+    let control = node.control_endpoint();
     assert_eq!(
-        door.call("GET /status").0,
+        control.call("GET /status").0,
         503,
-        "it takes no clients before its processor is up"
+        "healthy before the processor is running"
     );
     processor.accept_running();
     let gateway = node.ready();
-    (node, processor, gateway, door)
+    (node, processor, gateway, control)
 }
 
 fn healthy(gateway: &mut Gateway) -> bool {
@@ -33,53 +35,53 @@
 }
 
 #[test]
-fn the_door_answers_calls_and_turns_down_what_is_none() {
-    let (_node, _processor, _gateway, door) = daily(json!({}));
-    assert_eq!(door.call("GET /status").0, 200);
-    assert_eq!(door.call("GET /nowhere").0, 404);
-    let (status, text) = door.call("GET /standby");
+fn the_control_endpoint_answers_calls_and_rejects_invalid_ones() {
+    let (_node, _processor, _gateway, control) = start_with_control(json!({}));
+    assert_eq!(control.call("GET /status").0, 200);
+    assert_eq!(control.call("GET /nowhere").0, 404);
+    let (status, text) = control.call("GET /standby");
     assert!(
         status == 405 && text.contains("\r\nAllow: POST\r\n"),
         "{text}"
     );
     assert_eq!(
-        door.call(&format!("GET /status?{}", "a".repeat(9000))).0,
+        control.call(&format!("GET /status?{}", "a".repeat(9000))).0,
         431
     );
-    assert_eq!(door.call("\u{1}").0, 400);
+    assert_eq!(control.call("\u{1}").0, 400);
 }
 
 #[test]
-fn callers_that_dawdle_take_nothing_from_others() {
-    // 192 descriptors: the least that the platform gives on its narrow days.
-    let (_node, mut processor, mut gateway, door) =
-        daily(json!({"limits": {"sockets": 192, "memory_mb": 24}}));
-    let dawdlers: Vec<TcpStream> = (0..300)
+fn incomplete_control_calls_delay_no_others() {
+    // 192 descriptors are the lowest limit that the platform sets.
+    let (_node, mut processor, mut gateway, control) =
+        start_with_control(json!({"limits": {"sockets": 192, "memory_mb": 24}}));
+    let incomplete_calls: Vec<TcpStream> = (0..300)
         .map(|i| {
-            let mut stream = TcpStream::connect(door.0).unwrap();
-            // Some say nothing, some half a call; one that was sent away can't be written to, which
-            // is its affair.
+            let mut stream = TcpStream::connect(control.0).unwrap();
+            // No bytes, or a part of a call. Writes fail on connections that the node has closed
+            // already.
             let _ = stream.write_all(&b"POST /standby HTTP/1.1\r\nA: b\r\n"[..(i % 3) * 14]);
             stream
         })
         .collect();
     let start = Instant::now();
-    assert_eq!(door.call("GET /status").0, 200);
+    assert_eq!(control.call("GET /status").0, 200);
     assert!(start.elapsed().as_millis() < 1000, "{:?}", start.elapsed());
-    assert!(healthy(&mut gateway), "half a call is none");
+    assert!(healthy(&mut gateway), "incomplete calls changed the health");
     let number = gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
     assert_eq!(gateway.receive()["id"], number);
-    drop(dawdlers);
+    drop(incomplete_calls);
 }
 
 #[test]
-fn figures_count_each_outcome_once_from_nought() {
-    let (_node, mut processor, mut gateway, door) = daily(json!({}));
-    for figure in ["fulfilled", "throttled", "faulted", "relayed"] {
+fn metrics_count_each_outcome_once_from_zero() {
+    let (_node, mut processor, mut gateway, control) = start_with_control(json!({}));
+    for metric in ["fulfilled", "throttled", "faulted", "relayed"] {
         assert_eq!(
-            door.metric(&format!("operations.swap-confirm.{figure}")),
+            control.metric(&format!("operations.swap-confirm.{metric}")),
             Some(0)
         );
     }
@@ -87,59 +89,59 @@
     let (one, _) = processor.command();
     gateway.send("rota-view", request_params(5000, None, b"two"));
     let (two, _) = processor.command();
-    assert_eq!(door.metric("open_requests"), Some(2));
+    assert_eq!(control.metric("open_requests"), Some(2));
     processor.complete(&one[1], "fine", b"result");
     processor.complete(&two[1], "fault", b"");
     gateway.receive();
     gateway.receive();
-    // Its time is over when it comes: turned away.
+    // A request whose time is up on arrival is rejected.
     gateway.send("rota-view", request_params(0, None, b"three"));
     gateway.receive();
-    let figures = ["fulfilled", "faulted", "throttled", "relayed"];
-    let of =
-        |class: &str| figures.map(|f| door.metric(&format!("operations.{class}.{f}")).unwrap());
+    let metrics = ["fulfilled", "faulted", "throttled", "relayed"];
+    let values =
+        |class: &str| metrics.map(|f| control.metric(&format!("operations.{class}.{f}")).unwrap());
     assert_eq!(
-        (of("rota-view"), of("swap-confirm")),
+        (values("rota-view"), values("swap-confirm")),
         ([1, 1, 1, 2], [0; 4])
     );
     assert_eq!(
-        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| door.metric(f)),
+        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| control.metric(f)),
         [Some(0); 3]
     );
 }
 
 #[test]
-fn standby_is_heard_on_open_connections_while_work_goes_on() {
-    let (mut node, mut processor, mut gateway, door) = daily(json!({}));
+fn standby_reaches_open_connections_and_requests_are_still_served() {
+    let (mut node, mut processor, mut gateway, control) = start_with_control(json!({}));
     let swap = request_params(5000, Some("k"), b"body");
     for _ in 0..2 {
-        assert_eq!(door.call("POST /standby").0, 200);
-        assert!(!healthy(&mut gateway), "a second call changes nothing");
+        assert_eq!(control.call("POST /standby").0, 200);
+        assert!(!healthy(&mut gateway), "healthy in standby");
     }
     assert_eq!(
-        door.call("GET /status").0,
+        control.call("GET /status").0,
         200,
-        "the process still takes clients"
+        "the process still accepts clients"
     );
     gateway.send("swap-confirm", swap);
     let (words, _) = processor.command();
     processor.complete(&words[1], "fine", b"result");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"result"));
-    // It stays so over a SIGHUP.
+    // A reload does not end the standby.
     node.reload(json!({}));
     assert_eq!(node.wait_for_line("reload: "), "reload: done");
     assert!(!healthy(&mut gateway));
     for _ in 0..2 {
-        assert_eq!(door.call("POST /active").0, 200);
+        assert_eq!(control.call("POST /active").0, 200);
         assert!(healthy(&mut gateway));
     }
-    // On the way out there is no way back. A request that is open keeps the process there.
+    // During a shutdown `POST /active` is rejected. An open request keeps the process running.
     gateway.send("rota-view", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     node.signal("-TERM");
     node.wait_for_line("draining:");
-    assert_eq!(door.call("GET /status").0, 503);
-    assert_eq!(door.call("POST /active").0, 503);
+    assert_eq!(control.call("GET /status").0, 503);
+    assert_eq!(control.call("POST /active").0, 503);
     assert_eq!(gateway.receive()["method"], "goaway");
     assert!(!healthy(&mut gateway));
     processor.complete(&words[1], "fine", b"result");
@@ -147,26 +149,30 @@
 }
 
 #[test]
-fn a_drain_after_a_standby_is_a_drain() {
-    let (mut node, _processor, mut gateway, door) = daily(json!({}));
-    assert_eq!(door.call("POST /standby").0, 200);
+fn a_node_in_standby_drains_on_sigterm() {
+    let (mut node, _processor, mut gateway, control) = start_with_control(json!({}));
+    assert_eq!(control.call("POST /standby").0, 200);
     assert!(!healthy(&mut gateway));
     node.signal("-TERM");
     node.wait_for_line("draining:");
-    assert_eq!(door.call("POST /standby").0, 200, "it may be said again");
+    assert_eq!(
+        control.call("POST /standby").0,
+        200,
+        "a repeated call is rejected"
+    );
     assert!(!healthy(&mut gateway));
     assert_eq!(gateway.receive()["method"], "goaway");
     assert!(node.wait().success());
 }
 
-/// The node finds a new configuration, a drain by call and a request in its sockets at once, as it
-/// goes on after a standstill.
+/// The process is stopped by a signal; when it continues, a new configuration, a `POST /standby`
+/// and a request are pending at once.
 #[test]
-fn a_drain_by_call_and_a_reload_in_one_turn_both_hold() {
-    let (mut node, mut processor, mut gateway, door) = daily(json!({}));
+fn a_standby_and_a_reload_pending_at_once_both_take_effect() {
+    let (mut node, mut processor, mut gateway, control) = start_with_control(json!({}));
     node.signal("-STOP");
     node.reload(json!({}));
-    let mut caller = TcpStream::connect(door.0).unwrap();
+    let mut caller = TcpStream::connect(control.0).unwrap();
     caller.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     caller
         .write_all(b"POST /standby HTTP/1.1\r\nHost: n1\r\n\r\n")
@@ -179,7 +185,7 @@
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
     assert!(!healthy(&mut gateway));
-    // And both together with the signal to leave, which wins.
+    // A reload and SIGTERM pending at once: the shutdown takes precedence.
     node.signal("-STOP");
     node.reload(json!({}));
     node.signal("-TERM");
--- a/crates/node/tests/import.rs
+++ b/crates/node/tests/import.rs
@@ -1,9 +1,9 @@
-//! Files of mod_jk and Apache, each with the operator's file that it becomes and what is said of
-//! it.
+//! Configuration files of mod_jk and Apache, each with the operator's file that `pipitlever import`
+//! makes of it and the messages that it prints.
 //!
-//! `node/tests/import/NAME` is the input, `NAME.toml` the output, `NAME.said` what stands on
-//! standard error, the code in its first line. `PIPITLEVER_RECORD=1 cargo test -p pipitlever-node
-//! --test import` writes them anew, to be read before they are committed.
+//! `node/tests/import/NAME` is the input, `NAME.toml` the output, `NAME.said` the exit code (first
+//! line) and standard error. `PIPITLEVER_RECORD=1 cargo test -p pipitlever-node --test import`
+//! writes the expected files again; review them before they are committed.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -23,10 +23,10 @@
 }
 
 #[test]
-fn each_sample_becomes_what_stands_beside_it() {
+fn each_sample_gives_the_expected_files() {
     let samples = samples();
     assert!(samples.len() >= 30);
-    let mut partly = 0;
+    let mut incomplete = 0;
     for path in samples {
         let name = path.file_name().unwrap().to_str().unwrap();
         let output = Command::new(env!("CARGO_BIN_EXE_pipitlever"))
@@ -35,43 +35,47 @@
             .output()
             .unwrap();
         let code = output.status.code().expect("no signal");
-        partly += usize::from(code == 3);
+        incomplete += usize::from(code == 3);
         let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-        let told = [
+        let outputs = [
             text(output.stdout),
             format!("{code}\n{}", text(output.stderr)),
         ];
-        for (told, end) in told.into_iter().zip(["toml", "said"]) {
-            let beside = path.with_file_name(format!("{name}.{end}"));
+        for (output, extension) in outputs.into_iter().zip(["toml", "said"]) {
+            let expected_path = path.with_file_name(format!("{name}.{extension}"));
             if std::env::var_os("PIPITLEVER_RECORD").is_some() {
-                std::fs::write(&beside, &told).unwrap();
+                std::fs::write(&expected_path, &output).unwrap();
             }
-            let wanted = std::fs::read_to_string(&beside).unwrap_or_default();
-            assert_eq!(told, wanted, "{name}.{end}");
+            let expected = std::fs::read_to_string(&expected_path).unwrap_or_default();
+            assert_eq!(output, expected, "{name}.{extension}");
         }
     }
-    assert!(partly >= 10, "a third of them can't be carried over whole");
+    assert!(
+        incomplete >= 10,
+        "only {incomplete} samples cannot be imported completely"
+    );
 }
 
-/// Whatever the bytes: no panic and no silence, but a file, a report or an error.
+/// Randomly altered input never causes a panic; messages are printed exactly when the import is
+/// incomplete.
 #[test]
-fn bytes_that_nobody_wrote_do_no_harm() {
+fn randomly_altered_files_cause_no_panics() {
     let inputs: Vec<Vec<u8>> = samples()
         .iter()
         .map(|p| std::fs::read(p).unwrap())
         .collect();
-    // splitmix64: the same changes on every run.
+    // splitmix64 with a fixed seed: the same alterations on every run.
     let mut seed = 20_260u64;
     let mut next = |below: usize| {
         seed = seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let z = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         ((z ^ (z >> 27)) % below.max(1) as u64) as usize
     };
-    let folder = std::env::temp_dir().join(format!("pipitlever-{}-spoilt", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("pipitlever-{}-altered", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     for round in 0..60 {
         let mut arguments = vec!["import".to_owned()];
-        // Some at once: each start of the program takes longer than all of its work.
+        // Several files per process: starting it takes longer than all of its work.
         for file in 0..20 {
             let mut bytes = inputs[next(inputs.len())].clone();
             for _ in 0..1 + next(6) {
@@ -86,8 +90,8 @@
                     _ => {}
                 }
             }
-            let end = ["conf", "properties"][next(2)];
-            let path = folder.join(format!("{round}-{file}.{end}"));
+            let extension = ["conf", "properties"][next(2)];
+            let path = folder.join(format!("{round}-{file}.{extension}"));
             std::fs::write(&path, &bytes).unwrap();
             arguments.push(path.to_str().unwrap().to_owned());
         }
@@ -95,13 +99,13 @@
             .args(&arguments)
             .output()
             .unwrap();
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
+        let errors = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             matches!(output.status.code(), Some(0 | 3)),
-            "{:?} {said}",
+            "{:?} {errors}",
             output.status
         );
-        assert_eq!(output.status.code() == Some(3), !said.is_empty());
+        assert_eq!(output.status.code() == Some(3), !errors.is_empty());
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/node/tests/packages.rs
+++ b/crates/node/tests/packages.rs
@@ -1,14 +1,13 @@
-//! Which package may reach which: the core knows no wire, the wire no admission, and neither of
-//! them a socket.
+//! The permitted dependencies between packages: the core does not depend on the wire formats, these
+//! do not depend on any package of the workspace, and none of them depends on sockets.
 
 use std::collections::BTreeSet;
 use std::process::Command;
 
-/// What a package depends on, directly and through others, without what only its tests or its build
-/// use.
-fn reaches(name: &str) -> BTreeSet<String> {
+/// The direct and transitive dependencies of a package, without dev and build dependencies.
+fn dependencies(name: &str) -> BTreeSet<String> {
     let cargo = std::env::var("CARGO").unwrap_or("cargo".into());
-    let words = [
+    let arguments = [
         "tree",
         "--locked",
         "--offline",
@@ -21,7 +20,7 @@
     ];
     let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml");
     let output = Command::new(cargo)
-        .args(words)
+        .args(arguments)
         .args(["--manifest-path", manifest])
         .output()
         .unwrap();
@@ -39,7 +38,7 @@
 }
 
 #[test]
-fn what_decides_reaches_no_socket() {
+fn decision_packages_do_not_depend_on_sockets() {
     let sockets = [
         "mio",
         "polling",
@@ -50,7 +49,7 @@
         "pipitlever-reactor",
         "pipitlever-node",
     ];
-    let decides = [
+    let decision_packages = [
         "-admission",
         "-core",
         "-wire",
@@ -63,22 +62,22 @@
         "-settings",
         "-idempotency-store",
     ];
-    for name in decides.map(|d| format!("pipitlever{d}")) {
-        let reached = reaches(&name);
+    for name in decision_packages.map(|suffix| format!("pipitlever{suffix}")) {
+        let dependencies = dependencies(&name);
         let found: Vec<&str> = sockets
             .into_iter()
-            .filter(|s| reached.contains(*s))
+            .filter(|s| dependencies.contains(*s))
             .collect();
-        assert!(found.is_empty(), "{name} reaches {found:?}");
+        assert!(found.is_empty(), "{name} depends on {found:?}");
     }
-    // The check can see them.
-    assert!(reaches("pipitlever-node").contains("pipitlever-reactor"));
+    // The check finds a dependency that exists.
+    assert!(dependencies("pipitlever-node").contains("pipitlever-reactor"));
 }
 
 #[test]
-fn core_and_wire_know_nothing_of_each_other() {
-    assert!(!reaches("pipitlever-core").contains("pipitlever-wire"));
-    assert!(!reaches("pipitlever-wire")
+fn core_and_wire_do_not_depend_on_each_other() {
+    assert!(!dependencies("pipitlever-core").contains("pipitlever-wire"));
+    assert!(!dependencies("pipitlever-wire")
         .iter()
         .any(|name| name.starts_with("pipitlever")));
 }
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store in the node: both backends, the way out, a capture of a start that brought keys over.
+//! The idempotency store in a node process, over a graceful shutdown and over kills, with runs of
+//! the processor and of uwsgi workers.
 
 mod common;
 
@@ -9,15 +10,15 @@
 use pipitlever_idempotency_store::recovery::RecoveredKey;
 use serde_json::json;
 
-/// The store of a test.
-trait Stored {
-    /// The operator's file's section.
+/// The store in a test's folder.
+trait StoreFolder {
+    /// The `[store]` section of the operator's file.
     fn section(&self) -> String;
-    /// What the next process would find.
-    fn keys(&self) -> Vec<RecoveredKey>;
+    /// The keys that the next process would recover.
+    fn recovered_keys(&self) -> Vec<RecoveredKey>;
 }
 
-impl Stored for ScratchDirectory {
+impl StoreFolder for ScratchDirectory {
     fn section(&self) -> String {
         format!(
             "[store]\nfolder = {:?}\nmax_mb = 4\n",
@@ -25,7 +26,7 @@
         )
     }
 
-    fn keys(&self) -> Vec<RecoveredKey> {
+    fn recovered_keys(&self) -> Vec<RecoveredKey> {
         let mut disk = StoreDirectory::open_read_only(&self.0).unwrap();
         let contents = LogContents::read(&mut disk).unwrap();
         assert_eq!(contents.damage, []);
@@ -34,14 +35,14 @@
     }
 }
 
-/// A drain with a run under way: it is answered, its outcome is on the disk before the process
-/// ends, and the next process tells it.
+/// A run in flight during a drain is answered, and its outcome is on the disk before the process
+/// ends: the next process answers a duplicate with it.
 #[test]
-fn a_drain_leaves_nothing_open() {
+fn a_drain_stores_the_outcomes_of_runs_in_flight() {
     let scratch = ScratchDirectory::new("drain");
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties.clone(), Some(&scratch.section()));
+    let entries = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(entries.clone(), Some(&scratch.section()));
     processor.accept_running();
     let mut gateway = node.ready();
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
@@ -50,9 +51,9 @@
         intent,
         outcome: None,
         ..
-    }] = &scratch.keys()[..]
+    }] = &scratch.recovered_keys()[..]
     else {
-        panic!("an intent alone")
+        panic!("not a single intent without an outcome")
     };
     assert_eq!(
         (intent.key.as_str(), intent.class.as_str()),
@@ -64,29 +65,29 @@
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
     assert!(node.wait().success());
     assert_eq!(
-        scratch.keys()[0].outcome,
+        scratch.recovered_keys()[0].outcome,
         Some(Outcome::Served(b"done".to_vec()))
     );
-    let node = Node::start(parties, Some(&scratch.section()));
+    let node = Node::start(entries, Some(&scratch.section()));
     processor.accept_running();
     let mut gateway = node.ready();
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
-    // Another body is its client's error, over the restart, too.
+    // The same key with another body is the client's error after the restart, too.
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"another"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
 }
 
-/// A run that a worker has is as much a run: its response is told again, byte for byte, and what a
-/// worker had in hand when the process died fails.
+/// Runs of uwsgi workers are stored, too: a duplicate gets the same response, byte for byte, and a
+/// run that was in flight when the process was killed fails.
 #[test]
-fn runs_of_workers_are_remembered() {
+fn outcomes_of_worker_runs_are_stored() {
     let scratch = ScratchDirectory::new("workers");
     let worker = Worker::new();
     let text = uwsgi_operator_file(Some(worker.address()), "workers") + &scratch.section();
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties.clone(), Some(&text));
+    let entries = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(entries.clone(), Some(&text));
     processor.accept_running();
     node.ready();
     let key = [("HTTP_IDEMPOTENCY_KEY", "k")];
@@ -97,28 +98,28 @@
     drop(stream);
     let first = self::read_response(client);
     assert_eq!(first.0, 201);
-    let _half = node.uwsgi_client(&packet(
+    let _interrupted = node.uwsgi_client(&packet(
         "/swap",
         &[("HTTP_IDEMPOTENCY_KEY", "half")],
         b"body",
     ));
-    let (_held, _) = worker.accept();
+    let (_in_flight, _) = worker.accept();
     node.signal("-KILL");
     node.wait();
-    let mut keys = scratch.keys();
+    let mut keys = scratch.recovered_keys();
     keys.sort_by(|a, b| a.intent.key.cmp(&b.intent.key));
-    let kept: Vec<_> = keys
+    let outcomes: Vec<_> = keys
         .iter()
         .map(|k| (k.intent.key.as_str(), k.outcome.clone()))
         .collect();
     assert_eq!(
-        kept,
+        outcomes,
         [
             ("half", None),
             ("k", Some(Outcome::Served(response.to_vec())))
         ]
     );
-    let node = Node::start(parties, Some(&text));
+    let node = Node::start(entries, Some(&text));
     processor.accept_running();
     let mut gateway = node.ready();
     assert_eq!(node.uwsgi_request(&packet("/swap", &key, b"body")), first);
@@ -129,25 +130,28 @@
     ));
     let seconds = text
         .split_once("Retry-After: ")
-        .expect("when to come back")
+        .expect("a Retry-After header")
         .1;
     let seconds: u64 = seconds.split_once('\r').unwrap().0.parse().unwrap();
     assert!(status == 502 && (1..=21).contains(&seconds), "{text}");
-    // On the other front the same run's body.
+    // A gateway gets the body of the same run.
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"made"));
     worker.0.set_nonblocking(true).unwrap();
-    assert!(worker.0.accept().is_err(), "a worker got it a second time");
+    assert!(
+        worker.0.accept().is_err(),
+        "a worker got the request a second time"
+    );
 }
 
-/// A request's name that another's run under way has is its client's error: its end would be taken
-/// for the other's.
+/// A request whose reference belongs to another run in flight is the client's error: the end of one
+/// run would be taken for the other's.
 #[test]
-fn a_name_in_use_is_refused_over_the_restart() {
+fn a_reference_in_use_is_rejected_after_the_restart() {
     let scratch = ScratchDirectory::new("names");
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address().to_string()});
-    let mut node = Node::start(parties.clone(), Some(&scratch.section()));
+    let entries = json!({"processor": processor.address().to_string()});
+    let mut node = Node::start(entries.clone(), Some(&scratch.section()));
     processor.accept_running();
     let mut gateway = node.ready();
     let first = request_params(5000, Some("k"), b"body");
@@ -155,15 +159,15 @@
     let (id, _) = processor.begin();
     node.signal("-KILL");
     node.wait();
-    let node = Node::start(parties, Some(&scratch.section()));
+    let node = Node::start(entries, Some(&scratch.section()));
     processor.accept_running();
     let mut gateway = node.ready();
     let mut other = request_params(5000, Some("other"), b"else");
     other["ref"] = first["ref"].clone();
     gateway.send("swap-confirm", other);
     assert_eq!(gateway.receive()["error"]["code"], -32602);
-    // The end of the run that goes on is told to the first one's repeats, and its name is free
-    // again.
+    // Duplicates of the first request get the outcome of the run that went on, and its reference
+    // may be used again.
     processor.complete(&id, "fine", b"done");
     loop {
         gateway.send("swap-confirm", request_params(5000, Some("k"), b"body"));
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -1,4 +1,4 @@
-//! What the store costs keyed requests: run by hand, in a release build.
+//! The cost of the idempotency store for keyed requests. Run by hand, in a release build.
 //!
 //! `cargo test --release -p pipitlever-node --test store_cost -- --ignored --nocapture`
 
@@ -19,26 +19,26 @@
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
-    let parties =
+    let entries =
         json!({"processor": standin::processor(Some(200)).to_string(), "settings": settings});
-    let text = store.map(|more| {
+    let text = store.map(|options| {
         format!(
-            "[store]\nfolder = \"{}\"\nmax_mb = 512\n{more}",
+            "[store]\nfolder = \"{}\"\nmax_mb = 512\n{options}",
             folder.display()
         )
     });
-    let node = Node::start(parties, text.as_deref());
+    let node = Node::start(entries, text.as_deref());
     node.ready();
     node
 }
 
-/// So many keyed requests one after the other, or 16 at a time; microseconds each takes, and
-/// requests a second.
-fn latencies(node: &Node, run: u64, length: Duration, at_once: usize) -> (Vec<f64>, f64) {
+/// Sends keyed requests for `duration`, `at_once` at a time; returns the latency of each in
+/// microseconds, and the requests per second.
+fn measure_latencies(node: &Node, run: u64, duration: Duration, at_once: usize) -> (Vec<f64>, f64) {
     let mut gateway = Gateway::new(node.gateway_address, 1 + run);
     let (doc, mut out, mut line) = (base64(&[7; 200]), Vec::new(), String::new());
-    let (mut took, mut keys, start) = (Vec::new(), 0, Instant::now());
-    while start.elapsed() < length {
+    let (mut latencies, mut keys, start) = (Vec::new(), 0, Instant::now());
+    while start.elapsed() < duration {
         out.clear();
         let sent = Instant::now();
         for _ in 0..at_once {
@@ -50,18 +50,18 @@
         for _ in 0..at_once {
             gateway.line(&mut line);
             assert!(answered(&line).1, "{line}");
-            took.push(sent.elapsed().as_secs_f64() * 1e6);
+            latencies.push(sent.elapsed().as_secs_f64() * 1e6);
         }
     }
-    let rate = took.len() as f64 / start.elapsed().as_secs_f64();
-    (took, rate)
+    let rate = latencies.len() as f64 / start.elapsed().as_secs_f64();
+    (latencies, rate)
 }
 
 #[test]
 #[ignore = "a measurement, not a check of every build"]
-fn off_group_each_and_durable_in_turn() {
+fn latencies_of_each_sync_mode() {
     let base = std::env::temp_dir().join(format!("pipitlever-store-cost-{}", std::process::id()));
-    let kinds = [
+    let variants = [
         ("off", None),
         ("group", Some("")),
         ("each", Some("sync = \"each\"\n")),
@@ -69,18 +69,19 @@
     ];
     let mut all: BTreeMap<(usize, &str), Vec<[f64; 3]>> = BTreeMap::new();
     for round in 0..ROUNDS {
-        for i in 0..kinds.len() {
-            let (name, store) = kinds[(i + round) % kinds.len()];
+        for i in 0..variants.len() {
+            let (name, store) = variants[(i + round) % variants.len()];
             for at_once in [1, 16] {
                 let folder = base.join(format!("{round}-{i}-{at_once}"));
                 let node = node(store, &folder);
                 let run = (round * 100 + i * 10) as u64;
-                let (mut took, rate) = latencies(&node, run, Duration::from_millis(700), at_once);
-                took.sort_by(f64::total_cmp);
-                let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
+                let (mut latencies, rate) =
+                    measure_latencies(&node, run, Duration::from_millis(700), at_once);
+                latencies.sort_by(f64::total_cmp);
+                let quantile = |q: f64| latencies[((latencies.len() - 1) as f64 * q) as usize];
                 all.entry((at_once, name))
                     .or_default()
-                    .push([at(0.5), at(0.99), rate]);
+                    .push([quantile(0.5), quantile(0.99), rate]);
             }
         }
     }
@@ -96,11 +97,10 @@
     let _ = std::fs::remove_dir_all(&base);
 }
 
-/// 100,000 keys with results of 400 bytes: how long a node takes to read them, and the most memory
-/// that it has had.
+/// The time until a node has recovered 100,000 keys with results of 400 bytes, and its peak memory.
 #[test]
 #[ignore = "a measurement, not a check of every build"]
-fn a_hundred_thousand_keys() {
+fn recovery_of_a_hundred_thousand_keys() {
     use pipitlever_idempotency_store::disk::StoreDirectory;
     use pipitlever_idempotency_store::log::{Batch, Limits, Log};
     use pipitlever_idempotency_store::record::{Intent, Outcome, Record};
@@ -108,12 +108,12 @@
     let disk = StoreDirectory::open(&folder).unwrap();
     let (mut log, _) = Log::open(disk, Limits::for_capacity(512 << 20), 20_000_000).unwrap();
     let now = log.clocks();
-    let (window, linger) = (20_000_000, 8_000_000);
+    let (window, read_grace) = (20_000_000, 8_000_000);
     for first in (0..100_000u64).step_by(1000) {
         let mut batch = Batch::default();
         for id in first..first + 1000 {
             let (key, class) = (format!("{id:032}"), "swap-confirm".to_owned());
-            let over = now.since_boot + window + linger;
+            let expires_at = now.since_boot + window + read_grace;
             let intent = Intent {
                 id,
                 reference: id,
@@ -122,13 +122,13 @@
                 payload_digest: id,
                 arrived_at: now.wall,
                 window,
-                expires_at: over,
-                read_grace: linger,
+                expires_at,
+                read_grace,
             };
             batch.push(&Record::Intent(intent));
             batch.push(&Record::Outcome {
                 id,
-                expires_at: over,
+                expires_at,
                 outcome: Outcome::Served(vec![7; 400]),
             });
         }
@@ -139,9 +139,9 @@
     let node = node(Some(""), &folder);
     println!("ready after {:?}", start.elapsed());
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.pid())).unwrap();
-    let most = status.lines().find(|l| l.starts_with("VmHWM")).unwrap();
+    let peak = status.lines().find(|l| l.starts_with("VmHWM")).unwrap();
     node.signal("-USR1");
-    println!("{most}; {}", node.wait_for_line("now: "));
+    println!("{peak}; {}", node.wait_for_line("now: "));
     drop(node);
     let _ = std::fs::remove_dir_all(&folder);
 }
