--- a/crates/node/tests/floods.rs
+++ b/crates/node/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Floods of connections and of bad input, beside a gateway that is served all the while.
+//! Floods of connections and of invalid input, during which a gateway has to be served.
 
 mod common;
 
@@ -10,19 +10,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Connections of the flood at one time; the node has places for a third of them.
+/// Concurrent connections of the flood; the node has connection slots for a third of them.
 const CONNECTIONS: usize = 240;
-/// Requests that are served meanwhile, one after the other.
+/// Requests that are sent during the flood, one after the other.
 const REQUESTS: u64 = 30;
-/// Each of those on a connection that is there within this time: a node that is not harmed takes
-/// some milliseconds. A newcomer waits for its place behind those whose first request may still be
-/// on its way, 2.7 s each, and so does who was asked to go.
+/// Time limit of each request on an established connection; without a flood it takes some
+/// milliseconds. A new connection, also one that replaces a connection closed by the node, first
+/// waits for a slot, behind connections that have up to 2.7 s each to send a first request.
 const SERVED_WITHIN: Duration = Duration::from_secs(2);
 
-/// What one connection of the flood writes, over and over.
-fn noise(kind: usize) -> Vec<u8> {
+/// The bytes that a connection of the flood writes repeatedly.
+fn flood_bytes(kind: usize) -> Vec<u8> {
     match kind % 6 {
-        // A request in pieces, whose end never comes.
+        // A request that is never completed.
         0 => b"{\"jsonrpc\":\"2.0\",\"id\":1,\"method\":\"rota-view\",\"params\":{".to_vec(),
         1 => b"GET / HTTP/1.1\r\nHost: n1\r\n\r\n".to_vec(),
         2 => vec![b'x'; 9000],
@@ -32,27 +32,28 @@
     }
 }
 
-/// Keeps so many connections that write a byte at a time, or all at once, until told to end.
+/// Keeps `CONNECTIONS` connections open, which write one byte at a time or all at once, until `end`
+/// is set.
 fn flood(to: SocketAddr, end: &AtomicBool) {
-    let mut all: Vec<(TcpStream, Vec<u8>, usize)> = Vec::new();
+    let mut connections: Vec<(TcpStream, Vec<u8>, usize)> = Vec::new();
     let mut opened = 0;
     while !end.load(Ordering::Relaxed) {
-        if all.len() < CONNECTIONS {
+        if connections.len() < CONNECTIONS {
             let Ok(stream) = TcpStream::connect_timeout(&to, Duration::from_millis(200)) else {
                 continue;
             };
             stream.set_nonblocking(true).unwrap();
-            all.push((stream, noise(opened), 0));
+            connections.push((stream, flood_bytes(opened), 0));
             opened += 1;
         }
-        all.retain_mut(|(stream, bytes, at)| {
+        connections.retain_mut(|(stream, bytes, at)| {
             let piece = if bytes.len() > 1000 {
                 &bytes[..]
             } else {
                 &bytes[*at % bytes.len()..][..1]
             };
             *at += 1;
-            // What the node says is read, or it would be given up for that alone.
+            // Answers are read: the node closes connections that do not read.
             let open = !matches!(stream.read(&mut [0; 512]), Ok(0));
             let written = stream.write(piece);
             open && written.is_ok_and(|n| n > 0)
@@ -60,9 +61,9 @@
     }
 }
 
-/// The gateway's connection, or a new one where the node has asked it to go: it is heard just
-/// before a request comes on it.
-fn heard(node: &Node, mut gateway: Gateway) -> Gateway {
+/// Checks with `alive` that the gateway's connection is open, and replaces it if the node has
+/// closed it or sent `goaway`.
+fn ensure_connected(node: &Node, mut gateway: Gateway) -> Gateway {
     loop {
         let id = gateway.send("alive", json!({}));
         let message = gateway.receive();
@@ -78,33 +79,33 @@
 }
 
 #[test]
-fn a_flood_of_connections_and_bad_input_delays_nobody_else() {
+fn a_flood_of_connections_and_invalid_input_delays_no_others() {
     let mut processor = Processor::new();
-    let parties =
+    let entries =
         json!({"processor": processor.address(), "limits": {"sockets": 154, "memory_mb": 48}});
-    let node = Node::start(parties, None);
+    let node = Node::start(entries, None);
     processor.accept_running();
     let mut gateway = node.ready();
     let end = Arc::new(AtomicBool::new(false));
-    let (at, ended) = (node.gateway_address, end.clone());
-    let flooding = std::thread::spawn(move || flood(at, &ended));
+    let (address, ended) = (node.gateway_address, end.clone());
+    let flooding = std::thread::spawn(move || flood(address, &ended));
     for number in 0..REQUESTS {
-        gateway = heard(&node, gateway);
+        gateway = ensure_connected(&node, gateway);
         let start = Instant::now();
-        // Some on a connection of its own, which has to find a place among the flood's.
-        let mut own = (number % 15 == 0).then(|| node.gateway());
-        let newcomer = own.is_some();
-        let asking = own.as_mut().unwrap_or(&mut gateway);
-        asking.send(
+        // Some requests use a new connection, which has to get a slot during the flood.
+        let mut new_connection = (number % 15 == 0).then(|| node.gateway());
+        let is_new = new_connection.is_some();
+        let requesting = new_connection.as_mut().unwrap_or(&mut gateway);
+        requesting.send(
             "rota-view",
             request_params(9000, None, &number.to_le_bytes()),
         );
         let (id, body) = processor.begin();
-        assert_eq!(body, number.to_le_bytes(), "nothing of the flood runs");
+        assert_eq!(body, number.to_le_bytes(), "the body of another request");
         processor.complete(&id, "fine", &body);
-        assert_eq!(asking.receive()["result"]["doc"], base64(&body));
+        assert_eq!(requesting.receive()["result"]["doc"], base64(&body));
         assert!(
-            newcomer || start.elapsed() < SERVED_WITHIN,
+            is_new || start.elapsed() < SERVED_WITHIN,
             "request {number}: {:?}",
             start.elapsed()
         );
--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -1,4 +1,4 @@
-//! Many at once: what a crowd of requests, a slow peer or a flood does to the others.
+//! Many requests at once: how a burst, a slow peer or a flood affects other connections.
 
 #[path = "../../benchmarks/tests/standin/mod.rs"]
 mod standin;
@@ -11,12 +11,13 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-/// A node with cores for many at once, and a processor whose results are so long.
-fn wide(result: usize) -> Node {
+/// Starts a node configured for many concurrent runs, with a processor whose results have this
+/// size.
+fn start_with_many_cores(result_size: usize) -> Node {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
-    let processor = standin::processor(Some(result));
+    let processor = standin::processor(Some(result_size));
     let node = Node::start(
         json!({"processor": processor.to_string(), "settings": settings}),
         None,
@@ -34,12 +35,12 @@
 }
 
 #[test]
-fn one_request_over_many_segments_and_many_in_one_are_the_same() {
-    let node = wide(200);
+fn requests_split_over_segments_or_joined_in_one_are_served() {
+    let node = start_with_many_cores(200);
     let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = base64(&[7; 60]);
     let mut line = String::new();
-    // In pieces of every length, with the end of one and the beginning of the next in a piece, too.
+    // Some pieces hold the end of one request and the beginning of the next.
     for length in [1, 2, 7, 100, 331, 4096] {
         let text = requests(&mut gateway, 6, &doc);
         text.chunks(length).for_each(|piece| gateway.say(piece));
@@ -55,18 +56,19 @@
     }
 }
 
-/// Answers gather for a peer that does not read: they are bounded, and nobody else waits for it.
+/// The buffered answers of a peer that does not read are bounded, and other connections do not wait
+/// for it.
 #[test]
-fn a_peer_that_does_not_read_is_given_up_and_delays_nobody() {
-    let node = wide(4096);
-    let mut deaf = Gateway::new(node.gateway_address, 1);
+fn a_peer_that_does_not_read_is_disconnected_and_delays_no_others() {
+    let node = start_with_many_cores(4096);
+    let mut not_reading = Gateway::new(node.gateway_address, 1);
     let mut good = Gateway::new(node.gateway_address, 2);
     let (doc, mut line) = (base64(&[7; 8]), String::new());
     let start = Instant::now();
-    // The system's own buffers take megabytes before the node's begin to fill. 32 at a time may be
-    // open; the others are errors, and gather as well.
-    let (mut to, mut from) = deaf.split();
-    let text = requests(&mut deaf, 32, &doc);
+    // Socket buffers hold megabytes before the node's own buffers fill. 32 requests per connection
+    // may be open; the others get errors, which are buffered as well.
+    let (mut to, mut from) = not_reading.split();
+    let text = requests(&mut not_reading, 32, &doc);
     let mut rounds = 0;
     while std::io::Write::write_all(&mut to, &text).is_ok() {
         rounds += 1;
@@ -80,20 +82,19 @@
         );
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "{rounds} rounds, and it is still heard"
+            "still connected after {rounds} rounds"
         );
-        // What it said must not have been read as new requests: its numbers are old, and count as
-        // errors.
+        // The repeated requests must not be run: their ids were used before, which is an error.
     }
-    // It reads at last: whole answers, and then the end.
+    // When the peer reads at last, it gets complete answers up to the end of the connection.
     let mut all = Vec::new();
     let _ = from.read_to_end(&mut all);
     assert!(all.iter().filter(|&&b| b == b'\n').count() > 0);
 }
 
 #[test]
-fn a_gateway_with_32_open_does_not_starve_one_with_one() {
-    let node = wide(200);
+fn a_gateway_with_32_open_requests_does_not_starve_one_with_a_single_request() {
+    let node = start_with_many_cores(200);
     let mut greedy = Gateway::new(node.gateway_address, 1);
     let mut modest = Gateway::new(node.gateway_address, 2);
     let doc = base64(&[7; 200]);
@@ -130,7 +131,7 @@
     let _ = stop.send(());
     let rounds: usize = flood.join().unwrap();
     took.sort();
-    // Were the greedy one's whole flood to come first, it would be a second and more.
+    // If the whole flood were served first, the median would exceed one second.
     assert!(
         rounds > 1 && took[25] < Duration::from_millis(100),
         "{rounds} rounds, {:?}",
@@ -138,10 +139,10 @@
     );
 }
 
-/// Refusals are answered, all of them, while the first callers wait; now and then one is held, and
-/// ends at its due time.
+/// Every request of a flood is answered while the first ones wait: most are rejected; a few are
+/// queued and time out.
 #[test]
-fn a_flood_of_refusals_is_answered_whole() {
+fn every_rejected_request_of_a_flood_is_answered() {
     let node = Node::start(
         json!({"processor": standin::processor(None).to_string()}),
         None,
@@ -151,15 +152,15 @@
     let mut gateways: Vec<Gateway> = (0..6)
         .map(|n| Gateway::new(node.gateway_address, 1 + n))
         .collect();
-    // The cores, then the line: whatever comes behind is turned away.
+    // These fill the cores, then the queue: later requests are rejected.
     let first = requests(&mut gateways[0], 30, &doc);
     gateways[0].say(&first);
     let mut line = String::new();
     gateways[0].line(&mut line);
     assert!(line.contains("-32000"), "{line}");
     let start = Instant::now();
-    let (mut refused, mut late) = (0, 0);
-    while refused < 8_000 && start.elapsed() < Duration::from_secs(1) {
+    let (mut rejected, mut timed_out) = (0, 0);
+    while rejected < 8_000 && start.elapsed() < Duration::from_secs(1) {
         for gateway in &mut gateways[1..] {
             let text = requests(gateway, 32, &doc);
             gateway.say(&text);
@@ -168,16 +169,16 @@
             for _ in 0..32 {
                 gateway.line(&mut line);
                 match line.contains("-32000") {
-                    true => refused += 1,
-                    false => late += 1,
+                    true => rejected += 1,
+                    false => timed_out += 1,
                 }
                 assert!(line.contains("-32000") || line.contains("-32002"), "{line}");
             }
         }
     }
     assert!(
-        refused + late >= 160 && refused >= 9 * late,
-        "{refused} refused, {late} late"
+        rejected + timed_out >= 160 && rejected >= 9 * timed_out,
+        "{rejected} rejected, {timed_out} timed out"
     );
 }
 
@@ -187,24 +188,25 @@
     statm.split(' ').nth(1).unwrap().parse::<u64>().unwrap() * 4
 }
 
-/// What the process holds after a burst is back at rest (`bench/tests/cost.rs` counts it). What the
-/// system's allocator keeps of the pages is bounded: later bursts take those again.
+/// Memory used by a burst is freed after it (`benchmarks/tests/cost.rs` counts the bytes). The
+/// pages that the system allocator retains are bounded, as later bursts reuse them.
 #[cfg(target_os = "linux")]
 #[test]
-fn bursts_of_large_bodies_do_not_add_up() {
-    let node = wide(4096);
+fn memory_does_not_grow_from_burst_to_burst() {
+    let node = start_with_many_cores(4096);
     let (doc, mut line) = (base64(&[7; 2048]), String::new());
     let mut burst = || {
-        let mut crowd: Vec<Gateway> = (0..60)
+        let mut gateways: Vec<Gateway> = (0..60)
             .map(|n| Gateway::new(node.gateway_address, 1 + n))
             .collect();
-        // Few at once: unoptimized, the module looks all of its tables over after each event.
-        let texts: Vec<Vec<u8>> = crowd.iter_mut().map(|g| requests(g, 8, &doc)).collect();
-        crowd
+        // Few requests per gateway: an unoptimized build checks all tables of the admission
+        // controller after each event.
+        let texts: Vec<Vec<u8>> = gateways.iter_mut().map(|g| requests(g, 8, &doc)).collect();
+        gateways
             .iter_mut()
             .zip(&texts)
             .for_each(|(gateway, text)| gateway.say(text));
-        for gateway in &mut crowd {
+        for gateway in &mut gateways {
             for _ in 0..8 {
                 gateway.line(&mut line);
                 assert!(answered(&line).1, "{}", &line[..line.len().min(300)]);
@@ -216,7 +218,10 @@
     let first = (0..2).map(|_| burst()).max().unwrap();
     let later = (0..6).map(|_| burst()).max().unwrap();
     println!("at rest {rest} KB, after two bursts {first} KB, after eight {later} KB");
-    assert!(first > rest, "no burst: {rest} KB, {first} KB");
+    assert!(
+        first > rest,
+        "the bursts used no memory: {rest} KB at rest, {first} KB after them"
+    );
     assert!(
         later < first + (first - rest) / 2,
         "{rest} KB, {first} KB, {later} KB"
--- a/crates/node/tests/pools.rs
+++ b/crates/node/tests/pools.rs
@@ -1,5 +1,5 @@
-//! The pool of workers in the node: members that hang, break off or refuse, repeated tries, spares,
-//! a reload.
+//! Pools of uwsgi workers in a node process: members that hang, disconnect or refuse connections,
+//! retries, standby members, reloads.
 
 mod common;
 
@@ -10,45 +10,47 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// What a worker does with all that it gets.
+/// How a worker handles every request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    Serves,
-    /// Reads the whole packet, and ends the connection.
-    Breaks,
-    /// Reads the whole packet, and says nothing.
-    Hangs,
-    /// Says what is no HTTP.
-    Garbage,
+enum Behaviour {
+    Serve,
+    /// Reads the whole packet and closes the connection.
+    Disconnect,
+    /// Reads the whole packet and never responds.
+    Hang,
+    /// Responds with bytes that are not HTTP.
+    InvalidResponse,
 }
 
-/// A worker's thread. How many requests it has read.
-fn worker(way: Way) -> (SocketAddr, Arc<AtomicUsize>) {
+/// Starts a worker in a thread; returns its address and the count of the requests that it has read.
+fn worker(behaviour: Behaviour) -> (SocketAddr, Arc<AtomicUsize>) {
     let worker = Worker::new();
-    let (at, count) = (worker.address(), Arc::new(AtomicUsize::new(0)));
+    let (address, count) = (worker.address(), Arc::new(AtomicUsize::new(0)));
     let read = count.clone();
     std::thread::spawn(move || {
-        let mut held: Vec<TcpStream> = Vec::new();
+        let mut open: Vec<TcpStream> = Vec::new();
         loop {
             let (mut stream, _) = worker.accept();
             read.fetch_add(1, Ordering::SeqCst);
-            let _ = match way {
-                Way::Serves => {
+            let _ = match behaviour {
+                Behaviour::Serve => {
                     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell")
                 }
-                Way::Garbage => stream.write_all(b"\x00\x01 nothing that is HTTP\r\n\r\n"),
-                Way::Breaks => Ok(()),
-                Way::Hangs => {
-                    held.push(stream);
+                Behaviour::InvalidResponse => {
+                    stream.write_all(b"\x00\x01 nothing that is HTTP\r\n\r\n")
+                }
+                Behaviour::Disconnect => Ok(()),
+                Behaviour::Hang => {
+                    open.push(stream);
                     Ok(())
                 }
             };
         }
     });
-    (at, count)
+    (address, count)
 }
 
-/// A node whose work is all done by these workers, said as in the operator's file.
+/// Starts a node that serves all classes with these workers, given as lines of the operator's file.
 fn node(workers: &str) -> Node {
     let text = format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n{workers}\
@@ -60,34 +62,36 @@
     node
 }
 
-fn listed(all: &[SocketAddr]) -> String {
-    let all: Vec<String> = all.iter().map(|at| format!("\"{at}\"")).collect();
-    format!("workers = [{}]\n", all.join(", "))
+/// The `workers` line of the operator's file.
+fn workers_line(addresses: &[SocketAddr]) -> String {
+    let quoted: Vec<String> = addresses.iter().map(|a| format!("\"{a}\"")).collect();
+    format!("workers = [{}]\n", quoted.join(", "))
 }
 
+/// Sends a read and returns its status.
 fn read(node: &Node) -> u16 {
     node.uwsgi_request(&packet("/view", &[], b"x")).0
 }
 
 #[test]
-fn a_read_that_broke_off_is_tried_on_another_worker() {
-    for way in [Way::Breaks, Way::Garbage] {
-        let ((good, _), (bad, tries)) = (worker(Way::Serves), worker(way));
-        let node = node(&listed(&[good, bad]));
+fn a_failed_read_is_retried_on_another_worker() {
+    for behaviour in [Behaviour::Disconnect, Behaviour::InvalidResponse] {
+        let ((good, _), (bad, attempts)) = (worker(Behaviour::Serve), worker(behaviour));
+        let node = node(&workers_line(&[good, bad]));
         for _ in 0..40 {
-            assert_eq!(read(&node), 200, "{way:?}");
+            assert_eq!(read(&node), 200, "{behaviour:?}");
         }
         let line = node.wait_for_line(&format!("pool: ejected member={bad} "));
         assert!(line.contains("failures"), "{line}");
-        // Out after five in a row.
-        assert!(tries.load(Ordering::SeqCst) <= 6, "{way:?}");
+        // Ejected after five failures in a row.
+        assert!(attempts.load(Ordering::SeqCst) <= 6, "{behaviour:?}");
     }
 }
 
 #[test]
-fn a_keyed_run_that_may_have_run_is_tried_once() {
-    let ((good, served), (bad, broken)) = (worker(Way::Serves), worker(Way::Breaks));
-    let node = node(&listed(&[good, bad]));
+fn a_keyed_request_that_may_have_run_is_not_retried() {
+    let ((good, served), (bad, broken)) = (worker(Behaviour::Serve), worker(Behaviour::Disconnect));
+    let node = node(&workers_line(&[good, bad]));
     let mut statuses = Vec::new();
     for i in 0..30 {
         let key = format!("key-{i}");
@@ -98,15 +102,15 @@
     }
     let failed = statuses.iter().filter(|s| **s == 502).count();
     let (served, broken) = (served.load(Ordering::SeqCst), broken.load(Ordering::SeqCst));
-    // Each reached one worker and no other.
+    // Each request reached exactly one worker.
     assert_eq!((failed, served + broken), (broken, 30), "{statuses:?}");
     assert!((1..=6).contains(&broken), "{broken}");
 }
 
 #[test]
-fn a_keyed_run_that_nobody_accepted_goes_to_another_worker() {
-    let (good, served) = worker(Way::Serves);
-    let node = node(&listed(&[good, unused_address()]));
+fn a_keyed_request_whose_connection_was_refused_goes_to_another_worker() {
+    let (good, served) = worker(Behaviour::Serve);
+    let node = node(&workers_line(&[good, unused_address()]));
     for i in 0..20 {
         let key = format!("key-{i}");
         assert_eq!(
@@ -119,47 +123,47 @@
 }
 
 #[test]
-fn a_worker_that_hangs_is_left_out() {
-    let ((good, _), (bad, tries)) = (worker(Way::Serves), worker(Way::Hangs));
-    let node = node(&listed(&[good, bad]));
+fn a_worker_that_hangs_is_ejected() {
+    let ((good, _), (bad, attempts)) = (worker(Behaviour::Serve), worker(Behaviour::Hang));
+    let node = node(&workers_line(&[good, bad]));
     let allow = [("HTTP_X_ALLOW_MS", "300")];
     let mut late = 0;
     for _ in 0..60 {
         match node.uwsgi_request(&packet("/view", &allow, b"x")).0 {
             200 => {}
-            // Its time was up, whoever noticed first.
+            // Timed out: 502 or 504 depends on which timer fires first.
             502 | 504 => late += 1,
             status => panic!("{status}"),
         }
     }
     assert!(
         late <= 6,
-        "{late} late, {} tries",
-        tries.load(Ordering::SeqCst)
+        "{late} late, {} attempts",
+        attempts.load(Ordering::SeqCst)
     );
 }
 
 #[test]
-fn a_spare_is_used_when_nobody_else_is_left() {
-    let ((spare, got), down) = (worker(Way::Serves), unused_address());
+fn a_standby_member_is_used_when_no_other_is_left() {
+    let ((standby, received), down) = (worker(Behaviour::Serve), unused_address());
     let text = format!(
         "[[uwsgi.worker]]\naddress = \"{down}\"\nweight = 2.0\n\
-         [[uwsgi.worker]]\naddress = \"{spare}\"\nspare = true\n"
+         [[uwsgi.worker]]\naddress = \"{standby}\"\nspare = true\n"
     );
     let node = node(&text);
     let statuses: Vec<u16> = (0..20).map(|_| read(&node)).collect();
-    // Before the first one is out its runs have nowhere to go, and never ran.
+    // Until the first member is ejected, its requests have no other worker and are not run.
     assert!(
         statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200),
         "{statuses:?}"
     );
     node.wait_for_line("pool: standby members activated");
-    assert!(got.load(Ordering::SeqCst) > 0);
+    assert!(received.load(Ordering::SeqCst) > 0);
     node.signal("-USR1");
     assert!(node
         .wait_for_line(&format!("pool: member={down} state="))
         .contains("state=ejected"));
-    let line = node.wait_for_line(&format!("pool: member={spare} state="));
+    let line = node.wait_for_line(&format!("pool: member={standby} state="));
     assert!(
         line.contains("state=healthy") && line.ends_with(" standby"),
         "{line}"
@@ -167,17 +171,17 @@
 }
 
 #[test]
-fn a_worker_taken_out_of_the_file_finishes_what_it_has() {
+fn a_worker_removed_by_a_reload_finishes_its_runs() {
     let first = Worker::new();
-    let node = node(&listed(&[first.address()]));
+    let node = node(&workers_line(&[first.address()]));
     let client = node.uwsgi_client(&packet("/view", &[], b"x"));
     let (mut stream, _) = first.accept();
-    let (second, _) = worker(Way::Serves);
+    let (second, _) = worker(Behaviour::Serve);
     let text = format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\n{}\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\n\
          [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"workers\"\n",
-        listed(&[second])
+        workers_line(&[second])
     );
     node.rewrite_operator_file(&text);
     node.wait_for_line("reload: done");
@@ -197,7 +201,7 @@
         .contains(&second.to_string()));
 }
 
-/// Connections to workers count against the node's, and leave the fronts half of them.
+/// Connections to workers count towards the node's limit and leave half of it to the listeners.
 #[test]
 fn connections_to_workers_are_bounded() {
     let worker = Worker::new();
@@ -205,15 +209,15 @@
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n{}\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\n\
          [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"workers\"\n",
-        listed(&[worker.address()])
+        workers_line(&[worker.address()])
     );
-    // 64 are kept back for the node's own, 8 are left for these.
+    // 64 descriptors are reserved for the node itself; 8 are left for connections.
     let node = Node::start(
         json!({"limits": {"sockets": 72, "memory_mb": 64}}),
         Some(&text),
     );
     let mut gateway = node.ready();
-    let held: Vec<_> = (0..4)
+    let in_flight: Vec<_> = (0..4)
         .map(|_| {
             gateway.send("rota-view", request_params(5000, None, b"x"));
             worker.accept().0
@@ -226,7 +230,7 @@
         (&json!(id), &json!(-32000)),
         "{answer}"
     );
-    for mut stream in held {
+    for mut stream in in_flight {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell")
             .unwrap();
@@ -234,16 +238,16 @@
     (0..4).for_each(|_| assert_eq!(gateway.receive()["result"]["doc"], base64(b"well")));
 }
 
-/// Two pools: routes name theirs, one takes over for the other, and one key's runs stay with one
-/// worker.
+/// Several pools: routes name theirs, one is the fallback of another, and the requests of one key
+/// go to one worker.
 #[test]
-fn pools_have_names_fall_backs_and_keys() {
+fn routes_select_pools_with_fallbacks_and_sticky_keys() {
     let (down, workers) = (
         unused_address(),
         [
-            worker(Way::Serves),
-            worker(Way::Serves),
-            worker(Way::Serves),
+            worker(Behaviour::Serve),
+            worker(Behaviour::Serve),
+            worker(Behaviour::Serve),
         ],
     );
     let [first, second, other] = [&workers[0], &workers[1], &workers[2]];
@@ -259,10 +263,10 @@
     );
     let node = Node::start(json!({}), Some(&text));
     node.ready();
-    // Tried there, then on the pool that takes over.
+    // The first attempt goes to the route's pool, the retry to the fallback.
     (0..10).for_each(|_| assert_eq!(read(&node), 200));
     assert_eq!(other.1.load(Ordering::SeqCst), 10);
-    let mut seen = Vec::new();
+    let mut counts = Vec::new();
     for i in 0..12 {
         let key = format!("key-{i}");
         assert_eq!(
@@ -270,20 +274,20 @@
                 .0,
             200
         );
-        seen.push(first.1.load(Ordering::SeqCst));
+        counts.push(first.1.load(Ordering::SeqCst));
     }
     let after = [first, second].map(|w| w.1.load(Ordering::SeqCst));
     assert!(
         after.iter().sum::<usize>() == 12 && after.iter().all(|n| *n > 0),
         "{after:?}"
     );
-    // The same keys on another node: the same workers.
-    let again = Node::start(json!({}), Some(&text));
-    again.ready();
-    for (i, before) in seen.iter().enumerate() {
+    // Another node maps the same keys to the same workers.
+    let other_node = Node::start(json!({}), Some(&text));
+    other_node.ready();
+    for (i, before) in counts.iter().enumerate() {
         let key = format!("key-{i}");
         assert_eq!(
-            again
+            other_node
                 .uwsgi_request(&packet("/swap", &[("HTTP_IDEMPOTENCY_KEY", &key)], b"x"))
                 .0,
             200
@@ -294,7 +298,7 @@
     assert!(node
         .wait_for_line(&format!("pool other: member={} ", other.0))
         .contains("state=healthy"));
-    // Pools stay as they are until the next start; members may change.
+    // A reload may change members, but neither add nor remove pools.
     node.rewrite_operator_file(
         &text
             .replace("name = \"other\"", "name = \"else\"")
--- a/crates/node/tests/retune.rs
+++ b/crates/node/tests/retune.rs
@@ -1,37 +1,37 @@
-//! Another configuration at SIGHUP, taken as a whole or turned down as a whole, on real sockets.
+//! Reloads of the configuration on SIGHUP, which are applied or rejected as a whole, over TCP.
 
 mod common;
 
 use common::*;
 use serde_json::{json, Value};
 
-fn node() -> (Node, Processor, Gateway, ControlEndpoint, Value) {
+fn start_node() -> (Node, Processor, Gateway, ControlEndpoint, Value) {
     let mut processor = Processor::new();
-    let more = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0",
+    let entries = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0",
         "ledger": unused_address().to_string(), "limits": {"sockets": 512, "memory_mb": 48}});
-    let node = Node::start(more.clone(), None);
-    let door = node.control_endpoint();
+    let node = Node::start(entries.clone(), None);
+    let control = node.control_endpoint();
     processor.accept_running();
     let gateway = node.ready();
-    (node, processor, gateway, door, configuration(&more))
+    (node, processor, gateway, control, configuration(&entries))
 }
 
-/// A class like the one at this place of the configuration, with another name.
-fn class(config: &Value, at: usize, name: &str) -> Value {
-    let mut class = config["settings"]["categories"][at].clone();
+/// A copy of the class at this index of the configuration, with another name.
+fn class(config: &Value, index: usize, name: &str) -> Value {
+    let mut class = config["settings"]["categories"][index].clone();
     class["name"] = json!(name);
     class
 }
 
-/// The error of a method that nobody knows.
-fn unknown(answer: &Value) -> bool {
+/// Whether the answer is the error for an unknown method.
+fn is_unknown_method(answer: &Value) -> bool {
     answer["error"]["code"] == -32601
 }
 
 #[test]
-fn a_file_with_anything_wrong_is_turned_down_whole() {
-    let (node, mut processor, mut gateway, door, mut good) = node();
-    // Beside what is wrong each of them has a new class and another ledger.
+fn an_invalid_file_is_rejected_as_a_whole() {
+    let (node, mut processor, mut gateway, control, mut good) = start_node();
+    // Besides its error, each file has a new class and another ledger address.
     let added = class(&good, 0, "extra");
     good["settings"]["categories"]
         .as_array_mut()
@@ -58,7 +58,7 @@
         config.to_string()
     };
     let deadline = "/settings/categories/2/deadline";
-    let mut wrong: Vec<String> = vec![
+    let mut invalid: Vec<String> = vec![
         "".into(),
         "{}".into(),
         "[]".into(),
@@ -90,47 +90,54 @@
         json!([1]),
         json!(1e300),
     ] {
-        wrong.push(changed(deadline, value));
+        invalid.push(changed(deadline, value));
     }
-    for (count, text) in wrong.iter().enumerate() {
+    for (count, text) in invalid.iter().enumerate() {
         node.reload_text(text);
         let line = node.wait_for_line("reload: ");
         assert!(
             line.starts_with("reload: not done") && line.len() < 300,
             "{line} for {text}"
         );
-        assert_eq!(door.metric("cfg_invalid"), Some(count as u64 + 1), "{text}");
+        assert_eq!(
+            control.metric("cfg_invalid"),
+            Some(count as u64 + 1),
+            "{text}"
+        );
         // Too many errors in a row would end the connection.
         gateway.send("alive", json!({}));
         assert_eq!(gateway.receive()["result"]["healthy"], true);
         gateway.send("extra", request_params(1000, None, b"body"));
-        assert!(unknown(&gateway.receive()), "taken by half: {text}");
+        assert!(
+            is_unknown_method(&gateway.receive()),
+            "partly applied: {text}"
+        );
     }
-    assert_eq!(door.metric("cfg_accepted"), Some(0));
+    assert_eq!(control.metric("cfg_accepted"), Some(0));
     node.reload_text(&text);
     assert_eq!(node.wait_for_line("reload: "), "reload: done");
-    assert_eq!(door.metric("cfg_accepted"), Some(1));
+    assert_eq!(control.metric("cfg_accepted"), Some(1));
     gateway.send("extra", request_params(5000, None, b"body"));
     let (words, _) = processor.command();
     assert_eq!(words[2], "extra");
 }
 
 #[test]
-fn open_requests_end_under_their_class_and_keys_keep_their_window() {
-    let (node, mut processor, mut gateway, door, mut config) = node();
+fn open_requests_keep_their_class_and_keys_their_window() {
+    let (node, mut processor, mut gateway, control, mut config) = start_node();
     gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     let (swap, _) = processor.command();
     let view = gateway.send("rota-view", request_params(5000, None, b"view"));
     let (viewed, _) = processor.command();
 
-    // rota-view goes, a class comes, and the keyed one is defined anew.
+    // rota-view is removed, crew-view is added, and the keyed class is redefined.
     let mut keyed = class(&config, 1, "swap-confirm");
     keyed["deadline"] = json!(9_000_000);
     config["settings"]["categories"] = json!([class(&config, 0, "crew-view"), keyed]);
     node.reload_text(&config.to_string());
     node.wait_for_line("reload: done");
     gateway.send("rota-view", request_params(5000, None, b"view"));
-    assert!(unknown(&gateway.receive()));
+    assert!(is_unknown_method(&gateway.receive()));
     processor.complete(&viewed[1], "fine", b"viewed");
     let answer = gateway.receive();
     assert_eq!(
@@ -138,14 +145,14 @@
         (&json!(view), &json!(base64(b"viewed")))
     );
 
-    // A repeat of the run that goes on, and one of the run that has ended: neither is run.
+    // A duplicate of the run in flight, and one of the run that has ended: neither is run.
     gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     processor.complete(&swap[1], "fine", b"swapped");
     gateway.send("swap-confirm", request_params(5000, Some("one"), b"swap"));
     for _ in 0..3 {
         assert_eq!(gateway.receive()["result"]["doc"], base64(b"swapped"));
     }
-    // Its key with another body is as wrong as ever.
+    // The same key with another body is still an error.
     gateway.send("swap-confirm", request_params(5000, Some("one"), b"other"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
     gateway.send("crew-view", request_params(5000, None, b"crew"));
@@ -154,41 +161,41 @@
     processor.complete(&crew[1], "fine", b"");
     gateway.receive();
 
-    let figures = |class: &str, figure: &str| door.metric(&format!("operations.{class}.{figure}"));
+    let metric = |class: &str, name: &str| control.metric(&format!("operations.{class}.{name}"));
     assert_eq!(
-        figures("rota-view", "fulfilled"),
+        metric("rota-view", "fulfilled"),
         Some(1),
-        "a class that went keeps its counts"
+        "the counts of a removed class"
     );
-    assert_eq!(figures("swap-confirm", "fulfilled"), Some(3));
-    assert_eq!(figures("swap-confirm", "relayed"), Some(1));
-    assert_eq!(figures("crew-view", "fulfilled"), Some(1));
+    assert_eq!(metric("swap-confirm", "fulfilled"), Some(3));
+    assert_eq!(metric("swap-confirm", "relayed"), Some(1));
+    assert_eq!(metric("crew-view", "fulfilled"), Some(1));
 }
 
 #[test]
-fn two_files_at_once_are_each_taken_whole() {
-    let (node, mut processor, mut gateway, door, mut config) = node();
-    // The second replaces the first before or after that was read: what is in force in the end is
-    // the second.
+fn two_files_at_once_are_each_applied_as_a_whole() {
+    let (node, mut processor, mut gateway, control, mut config) = start_node();
+    // The second file replaces the first before or after that was read; the second is active in the
+    // end.
     for name in ["first", "second"] {
         config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, name);
         node.reload_text(&config.to_string());
     }
     node.wait_for_line("reload: done");
-    // A third one closes the row, so that all that came before it is done with.
-    while door.metric("cfg_accepted") < Some(1) {}
+    // Once a third reload is done, the earlier ones are, too.
+    while control.metric("cfg_accepted") < Some(1) {}
     node.reload_text(&config.to_string());
     node.wait_for_line("reload: done");
     gateway.send("first", request_params(5000, None, b"body"));
-    assert!(unknown(&gateway.receive()));
+    assert!(is_unknown_method(&gateway.receive()));
     gateway.send("second", request_params(5000, None, b"body"));
     assert_eq!(processor.command().0[2], "second");
-    assert_eq!(door.metric("cfg_invalid"), Some(0));
+    assert_eq!(control.metric("cfg_invalid"), Some(0));
 }
 
 #[test]
-fn a_file_that_comes_during_a_drain_changes_nothing() {
-    let (mut node, mut processor, mut gateway, _door, mut config) = node();
+fn a_reload_during_a_drain_has_no_effect() {
+    let (mut node, mut processor, mut gateway, _control, mut config) = start_node();
     gateway.send("rota-view", request_params(5000, None, b"open"));
     let (open, _) = processor.command();
     node.signal("-TERM");
--- a/crates/node/tests/uwsgi.rs
+++ b/crates/node/tests/uwsgi.rs
@@ -1,4 +1,4 @@
-//! The uwsgi front and the uwsgi caller, alone and beside the platform's front, on real sockets.
+//! The uwsgi listener and the uwsgi client over TCP, alone and together with the JSON-RPC listener.
 
 mod common;
 
@@ -12,8 +12,8 @@
 
 const KEY: &str = "HTTP_IDEMPOTENCY_KEY";
 
-/// A node with a processor and a worker, which serves the swaps.
-fn both() -> (Node, Processor, Worker) {
+/// Starts a node with a processor and with a uwsgi worker, which serves `/swap`.
+fn start_with_both_backends() -> (Node, Processor, Worker) {
     let (mut processor, worker) = (Processor::new(), Worker::new());
     let file = uwsgi_operator_file(Some(worker.address()), "workers");
     let node = Node::start(
@@ -27,26 +27,26 @@
 
 #[test]
 fn a_packet_reaches_its_worker_unchanged_and_so_does_the_response() {
-    let (node, _processor, worker) = both();
+    let (node, _processor, worker) = start_with_both_backends();
     let sent = packet(
         "/swap/7",
         &[(KEY, "k"), ("HTTP_X_OTHER", "ü")],
         b"\0body\xff",
     );
     let client = node.uwsgi_client(&sent);
-    let (mut stream, seen) = worker.accept();
-    assert_eq!(seen, sent);
+    let (mut stream, received) = worker.accept();
+    assert_eq!(received, sent);
     let reply = "HTTP/1.0 201 Made\r\nX-A: b\r\nContent-Length: 4\r\n\r\n\0\r\n!";
     stream.write_all(reply.as_bytes()).unwrap();
     assert_eq!(read_response(client).1, reply);
-    // Over the platform's front the same key gets the same result, as a body, without a run.
+    // A gateway that uses the same key gets the body of the same result, without another run.
     let mut gateway = node.gateway();
     gateway.send(
         "swap-confirm",
         request_params(5000, Some("k"), b"\0body\xff"),
     );
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"\0\r\n!"));
-    // With another body it is an error on either front.
+    // The same key with another body is an error on both listeners.
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"other"));
     assert_eq!(gateway.receive()["error"]["code"], -32602);
     assert_eq!(
@@ -54,13 +54,13 @@
             .0,
         400
     );
-    // A platform request of a class of the workers' is a packet to them.
+    // A gateway's request of a class that uwsgi workers serve is sent to a worker as a packet.
     gateway.send("swap-confirm", request_params(5000, Some("k2"), b"doc"));
-    let (mut stream, seen) = worker.accept();
+    let (mut stream, received) = worker.accept();
     assert!(
-        seen.ends_with(b"doc"),
+        received.ends_with(b"doc"),
         "{:?}",
-        String::from_utf8_lossy(&seen)
+        String::from_utf8_lossy(&received)
     );
     stream
         .write_all(b"HTTP/1.1 200 OK\r\n\r\nto the end")
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_packet_for_the_processor_gets_its_result_as_http() {
-    let (node, mut processor, _worker) = both();
+    let (node, mut processor, _worker) = start_with_both_backends();
     let client = node.uwsgi_client(&packet("/view", &[], b"ask"));
     let (id, body) = processor.begin();
     assert_eq!(body, b"ask");
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_packet_is_its_status_and_nothing_runs() {
-    let (node, mut processor, worker) = both();
+fn invalid_packets_get_their_status_and_are_not_run() {
+    let (node, mut processor, worker) = start_with_both_backends();
     let long = "x".repeat(9000);
-    let mut twice = packet("/view", &[("PATH_INFO", "/swap")], b"");
+    let mut duplicate_variable = packet("/view", &[("PATH_INFO", "/swap")], b"");
     let cases = [
         (b"GET / HTTP/1.1\r\n\r\n".to_vec(), 400),
         (vec![0, 3, 0, 0, 9, 0, 1], 400),
-        (std::mem::take(&mut twice), 400),
+        (std::mem::take(&mut duplicate_variable), 400),
         (packet("", &[], b""), 400),
         (packet("/swap", &[], b"keyed, without its key"), 400),
         (packet("/swap", &[(KEY, &long[..129])], b""), 400),
@@ -107,7 +107,7 @@
             String::from_utf8_lossy(&bytes)
         );
     }
-    // A length that is no number is wrong, one that no number holds is too large.
+    // A length that is not a number is invalid; one beyond the integer range is too large.
     for (length, expected) in [("-1", 400), ("1e3", 400), ("99999999999999999999999", 413)] {
         let mut bytes = packet("/view", &[], b"");
         let at = bytes
@@ -129,13 +129,13 @@
     processor.complete(&id, "fine", b"");
     assert_eq!(read_response(client).0, 200);
     worker.0.set_nonblocking(true).unwrap();
-    assert!(worker.0.accept().is_err(), "no worker was called");
+    assert!(worker.0.accept().is_err(), "a worker was called");
 }
 
 #[test]
 fn each_outcome_has_its_status() {
-    let (node, mut processor, worker) = both();
-    // Failed by the processor; out of time, by the client's own word.
+    let (node, mut processor, worker) = start_with_both_backends();
+    // Failed by the processor; timed out after the time that the client allows.
     let client = node.uwsgi_client(&packet("/view", &[], b""));
     let (id, _) = processor.begin();
     processor.complete(&id, "fault", b"");
@@ -149,7 +149,8 @@
         "{:?}",
         start.elapsed()
     );
-    // A worker that breaks off may have run it: failed, and not run again for a repeat.
+    // A worker that breaks off its response may have run the request: it fails, and a duplicate is
+    // not run.
     for reply in [
         &b""[..],
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
@@ -164,10 +165,10 @@
         assert_eq!(
             node.uwsgi_request(&packet("/swap", &[(KEY, &key)], b"")).0,
             502,
-            "{key} again"
+            "{key}, duplicate"
         );
     }
-    // A worker that refuses the connection never ran it: come back, and it runs.
+    // A worker that refuses the connection has not run the request: a retry runs it.
     let address = worker.address();
     drop(worker);
     let (status, text) = node.uwsgi_request(&packet("/swap", &[(KEY, "later")], b""));
@@ -186,7 +187,7 @@
 }
 
 #[test]
-fn a_node_of_workers_alone_needs_no_processor() {
+fn a_node_with_uwsgi_workers_alone_needs_no_processor() {
     let worker = Worker::new();
     let file = uwsgi_operator_file(Some(worker.address()), "workers")
         .replace("\"processor\"", "\"workers\"");
@@ -203,15 +204,15 @@
 
 #[test]
 fn a_retry_of_a_running_write_joins_it() {
-    let (node, _processor, worker) = both();
+    let (node, _processor, worker) = start_with_both_backends();
     let swap = packet("/swap", &[(KEY, "k"), ("HTTP_X_ALLOW_MS", "10000")], b"");
     let first = node.uwsgi_client(&swap);
     let (mut stream, _) = worker.accept();
     let retry = node.uwsgi_client(&swap);
     let mut gateway = node.gateway();
     gateway.send("swap-confirm", request_params(10000, Some("k"), b""));
-    // The first caller leaves; its run goes on for the others, and one more try gets the outcome
-    // too.
+    // The first client disconnects; its run goes on for the others, and one more retry gets the
+    // outcome, too.
     first.shutdown(Shutdown::Both).unwrap();
     let last = node.uwsgi_client(&swap);
     stream
@@ -223,16 +224,16 @@
     }
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
     worker.0.set_nonblocking(true).unwrap();
-    assert!(worker.0.accept().is_err(), "one run");
+    assert!(worker.0.accept().is_err(), "a worker got a second run");
 }
 
 #[test]
-fn a_half_sent_packet_is_no_request_and_delays_no_drain() {
-    let (mut node, _processor, worker) = both();
+fn an_incomplete_packet_is_not_a_request_and_delays_no_drain() {
+    let (mut node, _processor, worker) = start_with_both_backends();
     let swap = packet("/swap", &[(KEY, "k")], b"body");
     let running = node.uwsgi_client(&swap);
     let (mut stream, _) = worker.accept();
-    let halves: Vec<_> = [1, 4, 20, swap.len() - 1]
+    let incomplete: Vec<_> = [1, 4, 20, swap.len() - 1]
         .map(|n| node.uwsgi_client(&swap[..n]))
         .into();
     let start = Instant::now();
@@ -244,22 +245,22 @@
     assert_eq!(read_response(running).0, 200);
     let counters = node.wait_for_line("counters: ");
     assert!(node.wait().success());
-    // The grace of the drain and some, not the time that there is.
+    // The drain's grace period and a margin, less than the full `stop_ms`.
     assert!(
         start.elapsed() < Duration::from_millis(4500),
         "{:?}",
         start.elapsed()
     );
     assert_eq!(Node::counter(&counters, "requests"), 1);
-    drop(halves);
+    drop(incomplete);
 }
 
-/// Both protocols at once, more than the node takes: one outcome for each request and one run for
-/// each key. That a drain treats both alike is the next test.
+/// More requests than the node admits, over both protocols at once: one outcome for each request
+/// and one run for each key.
 #[test]
-fn a_surge_over_both_fronts_gets_one_outcome_for_each_request() {
-    const CALLERS: usize = 12;
-    const EACH: usize = 60;
+fn an_overload_on_both_listeners_gets_one_outcome_for_each_request() {
+    const CLIENTS: usize = 12;
+    const REQUESTS_EACH: usize = 60;
     let (mut processor, worker) = (Processor::new(), Worker::new());
     let file = uwsgi_operator_file(Some(worker.address()), "workers");
     let mut node = Node::start(
@@ -269,17 +270,17 @@
     processor.accept_running();
     node.ready();
     let (reads, writes) = (processor.echo(), worker.echo());
-    let mut callers = Vec::new();
-    for caller in 0..CALLERS {
+    let mut clients = Vec::new();
+    for client in 0..CLIENTS {
         let mut gateway = node.gateway();
         let uwsgi = node.uwsgi_address.unwrap();
-        // Two callers of either front share each key; a body names what was asked.
-        let key = move |i: usize| format!("key {} {i}", caller / 4);
-        let (view, swap) = (format!("view {caller}"), format!("swap {}", caller / 4));
-        if caller % 2 == 0 {
-            callers.push(spawn(move || {
+        // Two clients of either listener share each key; a body identifies its request.
+        let key = move |i: usize| format!("key {} {i}", client / 4);
+        let (view, swap) = (format!("view {client}"), format!("swap {}", client / 4));
+        if client % 2 == 0 {
+            clients.push(spawn(move || {
                 let mut open = HashMap::new();
-                for i in 0..EACH / 30 {
+                for i in 0..REQUESTS_EACH / 30 {
                     for j in 0..15 {
                         let key = key(i * 15 + j);
                         let number = gateway.send(
@@ -295,7 +296,7 @@
                     for _ in 0..30 {
                         let answer = gateway.receive();
                         let number = answer["id"].as_u64().unwrap();
-                        let body = open.remove(&number).expect("one answer for each");
+                        let body = open.remove(&number).expect("one answer for each request");
                         match &answer["result"]["doc"] {
                             doc if doc.is_string() => assert_eq!(*doc, base64(body.as_bytes())),
                             _ => assert_eq!(answer["error"]["code"], -32000, "{answer}"),
@@ -305,17 +306,17 @@
                 assert!(open.is_empty());
             }));
         } else {
-            callers.push(spawn(move || {
-                for i in 0..EACH {
+            clients.push(spawn(move || {
+                for i in 0..REQUESTS_EACH {
                     let key = key(i / 2);
-                    let (path, more, body) = match i % 2 {
+                    let (path, variables, body) = match i % 2 {
                         0 => ("/swap", vec![(KEY, &*key)], &swap),
                         _ => ("/view", vec![], &view),
                     };
                     let mut stream = std::net::TcpStream::connect(uwsgi).unwrap();
                     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                     stream
-                        .write_all(&packet(path, &more, body.as_bytes()))
+                        .write_all(&packet(path, &variables, body.as_bytes()))
                         .unwrap();
                     let (status, text) = read_response(stream);
                     match status {
@@ -326,55 +327,56 @@
             }));
         }
     }
-    callers.into_iter().for_each(|c| c.join().unwrap());
+    clients.into_iter().for_each(|c| c.join().unwrap());
     node.signal("-TERM");
     let counters = node.wait_for_line("counters: ");
     assert!(node.wait().success());
     let count = |name: &str| Node::counter(&counters, name);
-    let asked = (CALLERS * EACH) as u64;
-    assert_eq!(count("requests"), asked);
-    assert_eq!(count("served") + count("refused"), asked, "{counters}");
+    let sent = (CLIENTS * REQUESTS_EACH) as u64;
+    assert_eq!(count("requests"), sent);
+    assert_eq!(count("served") + count("refused"), sent, "{counters}");
     assert_eq!((count("failed"), count("gone")), (0, 0), "{counters}");
-    // Every run was of its own: no more writes than keys, and the node began as many as came out.
+    // Each run was started once: no more writes than keys, and as many runs at the backends as the
+    // node started.
     let (reads, writes) = (
         reads.try_iter().count() as u64,
         writes.try_iter().count() as u64,
     );
     assert_eq!(reads + writes, count("runs"));
     assert!(
-        writes <= (CALLERS / 4 * EACH / 2) as u64,
+        writes <= (CLIENTS / 4 * REQUESTS_EACH / 2) as u64,
         "{writes} runs for {counters}"
     );
     assert!(count("repeats") > 0 && count("served") > 0, "{counters}");
 }
 
 #[test]
-fn a_drain_treats_both_fronts_alike() {
-    let (mut node, mut processor, worker) = both();
+fn a_drain_treats_both_listeners_alike() {
+    let (mut node, mut processor, worker) = start_with_both_backends();
     let mut gateway = node.ready();
     gateway.send("rota-view", request_params(9000, None, b"by line"));
-    let (line, _) = processor.begin();
+    let (line_read, _) = processor.begin();
     let read = node.uwsgi_client(&packet("/view", &[], b"by packet"));
     let (packet_read, _) = processor.begin();
     let write = node.uwsgi_client(&packet("/swap", &[(KEY, "k")], b""));
     let (mut stream, _) = worker.accept();
     let crossing = packet("/view", &[], b"crossing");
-    let mut half = node.uwsgi_client(&crossing[..9]);
+    let mut incomplete = node.uwsgi_client(&crossing[..9]);
     node.signal("-TERM");
     node.wait_for_line("draining: ");
-    // What comes after the notice, early in the grace, is taken from either.
+    // Early in the grace period, requests are still accepted on both listeners.
     gateway.send("rota-view", request_params(9000, None, b"crossing"));
     let (crossing_line, _) = processor.begin();
-    half.write_all(&crossing[9..]).unwrap();
+    incomplete.write_all(&crossing[9..]).unwrap();
     let (crossing_packet, body) = processor.begin();
     assert_eq!(body, b"crossing");
-    for at in [node.gateway_address, node.uwsgi_address.unwrap()] {
-        while std::net::TcpStream::connect(at).is_ok() {
+    for address in [node.gateway_address, node.uwsgi_address.unwrap()] {
+        while std::net::TcpStream::connect(address).is_ok() {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
     assert_eq!(gateway.receive()["method"], "goaway");
-    processor.complete(&line, "fine", b"1");
+    processor.complete(&line_read, "fine", b"1");
     processor.complete(&packet_read, "fine", b"2");
     stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n3").unwrap();
     drop(stream);
@@ -383,7 +385,7 @@
     for result in [b"1", b"4"] {
         assert_eq!(gateway.receive()["result"]["doc"], base64(result));
     }
-    assert!(read_response(half).1.ends_with("\r\n\r\n5"));
+    assert!(read_response(incomplete).1.ends_with("\r\n\r\n5"));
     assert!(read_response(read).1.ends_with("\r\n\r\n2"));
     assert!(read_response(write).1.ends_with("\r\n\r\n3"));
     assert!(node.wait().success());
