--- a/crates/node/tests/capture_cost.rs
+++ b/crates/node/tests/capture_cost.rs
@@ -14,7 +14,7 @@
 const ROUNDS: usize = 15;
 
 /// CPU time of a process so far, in clock ticks of 10 ms, and its peak resident memory, in KB.
-fn usage(pid: u32) -> (u64, u64) {
+fn cpu_and_peak_memory(pid: u32) -> (u64, u64) {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
     let ticks = fields[12].parse::<u64>().unwrap() + fields[13].parse::<u64>().unwrap();
@@ -34,7 +34,7 @@
     bytes: f64,
 }
 
-fn run(capture: bool, round: usize) -> Measurements {
+fn measure(capture: bool, round: usize) -> Measurements {
     let folder =
         std::env::temp_dir().join(format!("pipitlever-{}-cost-{round}", std::process::id()));
     let section = format!(
@@ -49,7 +49,7 @@
     processor.send(b"hi running 60000\r\n");
     let mut gateway = node.ready();
     std::thread::spawn(move || processor.echo_until_disconnected());
-    let before = usage(node.pid()).0;
+    let before = cpu_and_peak_memory(node.pid()).0;
     let mut sent = std::collections::HashMap::new();
     let mut latencies = Vec::new();
     let mut next = 0;
@@ -72,7 +72,7 @@
                 .elapsed(),
         );
     }
-    let (after, peak_kb) = usage(node.pid());
+    let (after, peak_kb) = cpu_and_peak_memory(node.pid());
     node.signal("-TERM");
     node.wait();
     let files = std::fs::read_dir(&folder)
@@ -103,7 +103,7 @@
     for round in 0..ROUNDS {
         // Both variants in each round; which one is first alternates.
         for capture in [round % 2 == 0, round % 2 == 1] {
-            let f = run(capture, 2 * round + usize::from(capture));
+            let f = measure(capture, 2 * round + usize::from(capture));
             println!(
                 "capture={capture:5} cpu={:.1} us a request, p50={:?} p99={:?} peak={} KB, {:.0} bytes a request",
                 f.cpu_us, f.p50, f.p99, f.peak_kb, f.bytes
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -181,7 +181,11 @@
 
 /// Sends this many reads, more than can run at once: the ids of the runs that begin, the others are
 /// queued.
-fn fill(gateway: &mut Gateway, processor: &mut Processor, reads: usize) -> Vec<String> {
+fn start_and_queue_reads(
+    gateway: &mut Gateway,
+    processor: &mut Processor,
+    reads: usize,
+) -> Vec<String> {
     for _ in 0..reads {
         gateway.send("rota-view", request_params(4000, None, b"read"));
     }
@@ -231,7 +235,7 @@
 fn a_drain_with_queued_requests() {
     let (folder, node, mut processor, mut gateway) =
         start_capturing("drain", json!({"stop_ms": 1200}));
-    let runs = fill(&mut gateway, &mut processor, 9);
+    let runs = start_and_queue_reads(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
     assert_eq!(gateway.receive()["method"], "goaway");
     runs.iter()
@@ -251,9 +255,9 @@
 fn a_capture_truncated_during_a_drain() {
     let (folder, mut node, mut processor, mut gateway) =
         start_capturing("cut", json!({"stop_ms": 5000}));
-    fill(&mut gateway, &mut processor, 9);
+    start_and_queue_reads(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
-    // No run ends: the queued requests are abandoned before the grace period is over.
+    // No run ends: queued requests are removed from the queue before the grace period is over.
     while gateway.receive()["method"] != "goaway" {}
     // The process is killed once the drain's events are on the disk.
     let is_shutdown = |e: &Event| matches!(e, Event::ShutdownNotice(_));
@@ -441,7 +445,7 @@
     // Gateways send a cold successor as many requests as a warm node.
     let (folder, node, mut processor, mut gateway) =
         start_capturing_with("cold", json!({}), b"hi starting 100\r\n");
-    let runs = fill(&mut gateway, &mut processor, 30);
+    let runs = start_and_queue_reads(&mut gateway, &mut processor, 30);
     for id in runs {
         processor.complete(&id, "fine", b"slowly");
     }
@@ -464,7 +468,7 @@
     let (folder, node, mut processor, mut gateway) =
         start_capturing("burst", json!({"stop_ms": 1000}));
     let mut others: Vec<Gateway> = (0..4).map(|_| node.gateway()).collect();
-    let runs = fill(&mut gateway, &mut processor, 31);
+    let runs = start_and_queue_reads(&mut gateway, &mut processor, 31);
     for other in &mut others {
         for _ in 0..31 {
             other.send("rota-view", request_params(4000, None, b"burst"));
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -612,20 +612,20 @@
                 start.elapsed() < TEST_TIMEOUT,
                 "no command other than usage within {TEST_TIMEOUT:?}"
             );
-            let words: Vec<String> = self.read_line().split(' ').map(str::to_owned).collect();
-            if words[0] == "usage" {
-                let used = format!("used {} 0.5 1 0.1 2\r\n", words[1]);
+            let fields: Vec<String> = self.read_line().split(' ').map(str::to_owned).collect();
+            if fields[0] == "usage" {
+                let used = format!("used {} 0.5 1 0.1 2\r\n", fields[1]);
                 self.send(used.as_bytes());
                 continue;
             }
-            if words[0] == "interrupt" {
-                return (words, Vec::new());
+            if fields[0] == "interrupt" {
+                return (fields, Vec::new());
             }
-            let length: usize = words
+            let length: usize = fields
                 .last()
                 .unwrap()
                 .parse()
-                .unwrap_or_else(|_| panic!("{words:?}"));
+                .unwrap_or_else(|_| panic!("{fields:?}"));
             let mut body = vec![0; length + 2];
             self.connection
                 .as_mut()
@@ -634,15 +634,15 @@
                 .read_exact(&mut body)
                 .unwrap();
             assert_eq!(body.split_off(length), b"\r\n");
-            return (words, body);
+            return (fields, body);
         }
     }
 
     /// Reads a command, which has to be `begin`: the run's id and the body.
     pub fn begin(&mut self) -> (String, Vec<u8>) {
-        let (words, body) = self.command();
-        assert_eq!(words[0], "begin", "{words:?}");
-        (words[1].clone(), body)
+        let (fields, body) = self.command();
+        assert_eq!(fields[0], "begin", "{fields:?}");
+        (fields[1].clone(), body)
     }
 
     /// Sends the next notice: `kind NUMBER arguments LENGTH` and the body.
@@ -685,16 +685,16 @@
             if lines.read_line(&mut line).unwrap_or(0) == 0 {
                 return;
             }
-            let words: Vec<&str> = line.trim_end().split(' ').collect();
-            if words[0] == "usage" {
-                let _ = stream.write_all(format!("used {} 0.5 1 0.1 2\r\n", words[1]).as_bytes());
+            let fields: Vec<&str> = line.trim_end().split(' ').collect();
+            if fields[0] == "usage" {
+                let _ = stream.write_all(format!("used {} 0.5 1 0.1 2\r\n", fields[1]).as_bytes());
                 continue;
             }
-            let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
+            let mut body = vec![0; fields[3].parse::<usize>().unwrap() + 2];
             lines.read_exact(&mut body).unwrap();
             body.truncate(body.len() - 2);
             let _ = sender.send(body.clone());
-            self.complete(words[1], "fine", &result(&body));
+            self.complete(fields[1], "fine", &result(&body));
         });
         bodies
     }
@@ -729,8 +729,8 @@
     pub fn try_post(&mut self) -> Option<(String, Vec<u8>)> {
         let mut line = String::new();
         self.lines.read_line(&mut line).ok().filter(|&n| n > 0)?;
-        let words: Vec<&str> = line.trim_end_matches("\r\n").split(' ').collect();
-        let ["post", id, allowed_ms, length] = words[..] else {
+        let fields: Vec<&str> = line.trim_end_matches("\r\n").split(' ').collect();
+        let ["post", id, allowed_ms, length] = fields[..] else {
             panic!("{line}")
         };
         self.allowed_ms = allowed_ms.parse().unwrap();
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -66,7 +66,7 @@
 }
 
 /// Standard output of `pipitlever` with these arguments.
-fn program(arguments: &[&str]) -> String {
+fn run_program(arguments: &[&str]) -> String {
     let output = Command::new(PROGRAM).args(arguments).output().unwrap();
     assert!(
         output.status.success(),
@@ -76,7 +76,7 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn parsed(text: &str) -> Value {
+fn parse_json(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_else(|error| panic!("{error}: {text}"))
 }
 
@@ -113,15 +113,15 @@
     let mut text = String::new();
     let view = cluster.view(0).unwrap();
     text.push_str(&format!("GET /fleet {}\n", shape("", &view)));
-    let status = program(&["fleet", "status", "--at", &address, "--json"]);
+    let status = run_program(&["fleet", "status", "--at", &address, "--json"]);
     text.push_str(&format!(
         "fleet status --json {}\n",
-        shape("", &parsed(&status))
+        shape("", &parse_json(&status))
     ));
-    let sessions = program(&["fleet", "sessions", "--at", &address, "--json"]);
+    let sessions = run_program(&["fleet", "sessions", "--at", &address, "--json"]);
     text.push_str(&format!(
         "fleet sessions --json {}\n",
-        shape("", &parsed(&sessions))
+        shape("", &parse_json(&sessions))
     ));
     let metrics = call_control(endpoint, "GET /status/metrics").unwrap();
     metrics
@@ -168,8 +168,8 @@
         record_call(line);
     }
     gateway.send("rota-view", request_params(5000, None, b"body"));
-    let (words, _) = processor.command();
-    processor.complete(&words[1], "fine", b"result");
+    let (command, _) = processor.command();
+    processor.complete(&command[1], "fine", b"result");
     gateway.receive();
     node.signal("-USR1");
     for line in [
@@ -201,13 +201,13 @@
     assert!(node.wait().success());
     let mut text = String::new();
     for command in ["check", "list", "compact"] {
-        for line in program(&["store", command, folder, "--json"]).lines() {
+        for line in run_program(&["store", command, folder, "--json"]).lines() {
             text.push_str(&format!(
                 "store {command} --json {}\n",
-                shape("", &parsed(line))
+                shape("", &parse_json(line))
             ));
         }
-        let line = program(&["store", command, folder]);
+        let line = run_program(&["store", command, folder]);
         text.push_str(&format!(
             "store {command} {}\n",
             keys_of(line.lines().next().unwrap_or_default())
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -29,7 +29,7 @@
     (node, processor, gateway, control)
 }
 
-fn healthy(gateway: &mut Gateway) -> bool {
+fn is_healthy(gateway: &mut Gateway) -> bool {
     gateway.send("alive", json!({}));
     gateway.receive()["result"]["healthy"] == true
 }
@@ -68,10 +68,13 @@
     let start = Instant::now();
     assert_eq!(control.call("GET /status").0, 200);
     assert!(start.elapsed().as_millis() < 1000, "{:?}", start.elapsed());
-    assert!(healthy(&mut gateway), "incomplete calls changed the health");
+    assert!(
+        is_healthy(&mut gateway),
+        "incomplete calls changed the health"
+    );
     let number = gateway.send("rota-view", request_params(5000, None, b"body"));
-    let (words, _) = processor.command();
-    processor.complete(&words[1], "fine", b"result");
+    let (command, _) = processor.command();
+    processor.complete(&command[1], "fine", b"result");
     assert_eq!(gateway.receive()["id"], number);
     drop(incomplete_calls);
 }
@@ -116,7 +119,7 @@
     let swap = request_params(5000, Some("k"), b"body");
     for _ in 0..2 {
         assert_eq!(control.call("POST /standby").0, 200);
-        assert!(!healthy(&mut gateway), "healthy in standby");
+        assert!(!is_healthy(&mut gateway), "healthy in standby");
     }
     assert_eq!(
         control.call("GET /status").0,
@@ -124,27 +127,27 @@
         "the process still accepts clients"
     );
     gateway.send("swap-confirm", swap);
-    let (words, _) = processor.command();
-    processor.complete(&words[1], "fine", b"result");
+    let (command, _) = processor.command();
+    processor.complete(&command[1], "fine", b"result");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"result"));
     // A reload does not end the standby.
     node.reload(json!({}));
     assert_eq!(node.wait_for_line("reload: "), "reload: done");
-    assert!(!healthy(&mut gateway));
+    assert!(!is_healthy(&mut gateway));
     for _ in 0..2 {
         assert_eq!(control.call("POST /active").0, 200);
-        assert!(healthy(&mut gateway));
+        assert!(is_healthy(&mut gateway));
     }
     // During a shutdown `POST /active` is rejected. An open request keeps the process running.
     gateway.send("rota-view", request_params(5000, None, b"body"));
-    let (words, _) = processor.command();
+    let (command, _) = processor.command();
     node.signal("-TERM");
     node.wait_for_line("draining:");
     assert_eq!(control.call("GET /status").0, 503);
     assert_eq!(control.call("POST /active").0, 503);
     assert_eq!(gateway.receive()["method"], "goaway");
-    assert!(!healthy(&mut gateway));
-    processor.complete(&words[1], "fine", b"result");
+    assert!(!is_healthy(&mut gateway));
+    processor.complete(&command[1], "fine", b"result");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"result"));
 }
 
@@ -152,7 +155,7 @@
 fn a_node_in_standby_drains_on_sigterm() {
     let (mut node, _processor, mut gateway, control) = start_with_control(json!({}));
     assert_eq!(control.call("POST /standby").0, 200);
-    assert!(!healthy(&mut gateway));
+    assert!(!is_healthy(&mut gateway));
     node.signal("-TERM");
     node.wait_for_line("draining:");
     assert_eq!(
@@ -160,7 +163,7 @@
         200,
         "a repeated call is rejected"
     );
-    assert!(!healthy(&mut gateway));
+    assert!(!is_healthy(&mut gateway));
     assert_eq!(gateway.receive()["method"], "goaway");
     assert!(node.wait().success());
 }
@@ -184,7 +187,7 @@
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"served");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
-    assert!(!healthy(&mut gateway));
+    assert!(!is_healthy(&mut gateway));
     // A reload and SIGTERM pending at once: the shutdown takes precedence.
     node.signal("-STOP");
     node.reload(json!({}));
--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -67,10 +67,10 @@
     let start = Instant::now();
     // Socket buffers hold megabytes before the node's own buffers fill. 32 requests per connection
     // may be open; the others get errors, which are buffered as well.
-    let (mut to, mut from) = not_reading.split();
+    let (mut writer, mut reader) = not_reading.split();
     let text = requests(&mut not_reading, 32, &doc);
     let mut rounds = 0;
-    while std::io::Write::write_all(&mut to, &text).is_ok() {
+    while std::io::Write::write_all(&mut writer, &text).is_ok() {
         rounds += 1;
         let request = requests(&mut good, 1, &doc);
         let sent = Instant::now();
@@ -88,19 +88,19 @@
     }
     // When the peer reads at last, it gets complete answers up to the end of the connection.
     let mut all = Vec::new();
-    let _ = from.read_to_end(&mut all);
+    let _ = reader.read_to_end(&mut all);
     assert!(all.iter().filter(|&&b| b == b'\n').count() > 0);
 }
 
 #[test]
 fn a_gateway_with_32_open_requests_does_not_starve_one_with_a_single_request() {
     let node = start_with_many_cores(200);
-    let mut greedy = Gateway::new(node.gateway_address, 1);
-    let mut modest = Gateway::new(node.gateway_address, 2);
+    let mut heavy = Gateway::new(node.gateway_address, 1);
+    let mut light = Gateway::new(node.gateway_address, 2);
     let doc = base64(&[7; 200]);
-    let (mut to, mut from) = greedy.split();
+    let (mut writer, mut reader) = heavy.split();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
-    let text: Vec<Vec<u8>> = (0..400).map(|_| requests(&mut greedy, 32, &doc)).collect();
+    let text: Vec<Vec<u8>> = (0..400).map(|_| requests(&mut heavy, 32, &doc)).collect();
     let flood = std::thread::spawn(move || {
         let mut line = String::new();
         let mut rounds = 0;
@@ -108,34 +108,34 @@
             if stopped.try_recv().is_ok() {
                 break;
             }
-            std::io::Write::write_all(&mut to, batch).unwrap();
+            std::io::Write::write_all(&mut writer, batch).unwrap();
             for _ in 0..32 {
                 line.clear();
-                std::io::BufRead::read_line(&mut from, &mut line).unwrap();
+                std::io::BufRead::read_line(&mut reader, &mut line).unwrap();
             }
             rounds += 1;
         }
         rounds
     });
-    let mut took: Vec<Duration> = (0..50)
+    let mut latencies: Vec<Duration> = (0..50)
         .map(|_| {
-            let request = requests(&mut modest, 1, &doc);
+            let request = requests(&mut light, 1, &doc);
             let sent = Instant::now();
-            modest.say(&request);
+            light.say(&request);
             let mut line = String::new();
-            modest.line(&mut line);
+            light.line(&mut line);
             assert!(answered(&line).1, "{line}");
             sent.elapsed()
         })
         .collect();
     let _ = stop.send(());
     let rounds: usize = flood.join().unwrap();
-    took.sort();
+    latencies.sort();
     // If the whole flood were served first, the median would exceed one second.
     assert!(
-        rounds > 1 && took[25] < Duration::from_millis(100),
+        rounds > 1 && latencies[25] < Duration::from_millis(100),
         "{rounds} rounds, {:?}",
-        took[25]
+        latencies[25]
     );
 }
 
@@ -183,7 +183,7 @@
 }
 
 /// The resident memory of the node, in KB.
-fn resident(node: &Node) -> u64 {
+fn resident_kb(node: &Node) -> u64 {
     let statm = std::fs::read_to_string(format!("/proc/{}/statm", node.pid())).unwrap();
     statm.split(' ').nth(1).unwrap().parse::<u64>().unwrap() * 4
 }
@@ -212,18 +212,18 @@
                 assert!(answered(&line).1, "{}", &line[..line.len().min(300)]);
             }
         }
-        resident(&node)
+        resident_kb(&node)
     };
-    let rest = resident(&node);
+    let at_rest = resident_kb(&node);
     let first = (0..2).map(|_| burst()).max().unwrap();
     let later = (0..6).map(|_| burst()).max().unwrap();
-    println!("at rest {rest} KB, after two bursts {first} KB, after eight {later} KB");
+    println!("at rest {at_rest} KB, after two bursts {first} KB, after eight {later} KB");
     assert!(
-        first > rest,
-        "the bursts used no memory: {rest} KB at rest, {first} KB after them"
+        first > at_rest,
+        "the bursts used no memory: {at_rest} KB at rest, {first} KB after them"
     );
     assert!(
-        later < first + (first - rest) / 2,
-        "{rest} KB, {first} KB, {later} KB"
+        later < first + (first - at_rest) / 2,
+        "{at_rest} KB, {first} KB, {later} KB"
     );
 }
--- a/crates/node/tests/pools.rs
+++ b/crates/node/tests/pools.rs
@@ -23,7 +23,7 @@
 }
 
 /// Starts a worker in a thread; returns its address and the count of the requests that it has read.
-fn worker(behaviour: Behaviour) -> (SocketAddr, Arc<AtomicUsize>) {
+fn start_worker(behaviour: Behaviour) -> (SocketAddr, Arc<AtomicUsize>) {
     let worker = Worker::new();
     let (address, count) = (worker.address(), Arc::new(AtomicUsize::new(0)));
     let read = count.clone();
@@ -51,7 +51,7 @@
 }
 
 /// Starts a node that serves all classes with these workers, given as lines of the operator's file.
-fn node(workers: &str) -> Node {
+fn start_node(workers: &str) -> Node {
     let text = format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n{workers}\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\n\
@@ -69,17 +69,18 @@
 }
 
 /// Sends a read and returns its status.
-fn read(node: &Node) -> u16 {
+fn read_status(node: &Node) -> u16 {
     node.uwsgi_request(&packet("/view", &[], b"x")).0
 }
 
 #[test]
 fn a_failed_read_is_retried_on_another_worker() {
     for behaviour in [Behaviour::Disconnect, Behaviour::InvalidResponse] {
-        let ((good, _), (bad, attempts)) = (worker(Behaviour::Serve), worker(behaviour));
-        let node = node(&workers_line(&[good, bad]));
+        let ((good, _), (bad, attempts)) =
+            (start_worker(Behaviour::Serve), start_worker(behaviour));
+        let node = start_node(&workers_line(&[good, bad]));
         for _ in 0..40 {
-            assert_eq!(read(&node), 200, "{behaviour:?}");
+            assert_eq!(read_status(&node), 200, "{behaviour:?}");
         }
         let line = node.wait_for_line(&format!("pool: ejected member={bad} "));
         assert!(line.contains("failures"), "{line}");
@@ -90,8 +91,11 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_is_not_retried() {
-    let ((good, served), (bad, broken)) = (worker(Behaviour::Serve), worker(Behaviour::Disconnect));
-    let node = node(&workers_line(&[good, bad]));
+    let ((good, served), (bad, broken)) = (
+        start_worker(Behaviour::Serve),
+        start_worker(Behaviour::Disconnect),
+    );
+    let node = start_node(&workers_line(&[good, bad]));
     let mut statuses = Vec::new();
     for i in 0..30 {
         let key = format!("key-{i}");
@@ -109,8 +113,8 @@
 
 #[test]
 fn a_keyed_request_whose_connection_was_refused_goes_to_another_worker() {
-    let (good, served) = worker(Behaviour::Serve);
-    let node = node(&workers_line(&[good, unused_address()]));
+    let (good, served) = start_worker(Behaviour::Serve);
+    let node = start_node(&workers_line(&[good, unused_address()]));
     for i in 0..20 {
         let key = format!("key-{i}");
         assert_eq!(
@@ -124,8 +128,11 @@
 
 #[test]
 fn a_worker_that_hangs_is_ejected() {
-    let ((good, _), (bad, attempts)) = (worker(Behaviour::Serve), worker(Behaviour::Hang));
-    let node = node(&workers_line(&[good, bad]));
+    let ((good, _), (bad, attempts)) = (
+        start_worker(Behaviour::Serve),
+        start_worker(Behaviour::Hang),
+    );
+    let node = start_node(&workers_line(&[good, bad]));
     let allow = [("HTTP_X_ALLOW_MS", "300")];
     let mut late = 0;
     for _ in 0..60 {
@@ -145,13 +152,13 @@
 
 #[test]
 fn a_standby_member_is_used_when_no_other_is_left() {
-    let ((standby, received), down) = (worker(Behaviour::Serve), unused_address());
+    let ((standby, received), down) = (start_worker(Behaviour::Serve), unused_address());
     let text = format!(
         "[[uwsgi.worker]]\naddress = \"{down}\"\nweight = 2.0\n\
          [[uwsgi.worker]]\naddress = \"{standby}\"\nspare = true\n"
     );
-    let node = node(&text);
-    let statuses: Vec<u16> = (0..20).map(|_| read(&node)).collect();
+    let node = start_node(&text);
+    let statuses: Vec<u16> = (0..20).map(|_| read_status(&node)).collect();
     // Until the first member is ejected, its requests have no other worker and are not run.
     assert!(
         statuses.iter().all(|s| *s == 200 || *s == 503) && statuses[10..].contains(&200),
@@ -173,10 +180,10 @@
 #[test]
 fn a_worker_removed_by_a_reload_finishes_its_runs() {
     let first = Worker::new();
-    let node = node(&workers_line(&[first.address()]));
+    let node = start_node(&workers_line(&[first.address()]));
     let client = node.uwsgi_client(&packet("/view", &[], b"x"));
     let (mut stream, _) = first.accept();
-    let (second, _) = worker(Behaviour::Serve);
+    let (second, _) = start_worker(Behaviour::Serve);
     let text = format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\n{}\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\n\
@@ -185,7 +192,7 @@
     );
     node.rewrite_operator_file(&text);
     node.wait_for_line("reload: done");
-    assert_eq!(read(&node), 200);
+    assert_eq!(read_status(&node), 200);
     node.signal("-USR1");
     assert!(node
         .wait_for_line(&format!("pool: member={} ", first.address()))
@@ -245,9 +252,9 @@
     let (down, workers) = (
         unused_address(),
         [
-            worker(Behaviour::Serve),
-            worker(Behaviour::Serve),
-            worker(Behaviour::Serve),
+            start_worker(Behaviour::Serve),
+            start_worker(Behaviour::Serve),
+            start_worker(Behaviour::Serve),
         ],
     );
     let [first, second, other] = [&workers[0], &workers[1], &workers[2]];
@@ -264,7 +271,7 @@
     let node = Node::start(json!({}), Some(&text));
     node.ready();
     // The first attempt goes to the route's pool, the retry to the fallback.
-    (0..10).for_each(|_| assert_eq!(read(&node), 200));
+    (0..10).for_each(|_| assert_eq!(read_status(&node), 200));
     assert_eq!(other.1.load(Ordering::SeqCst), 10);
     let mut counts = Vec::new();
     for i in 0..12 {
--- a/crates/node/tests/repeats.rs
+++ b/crates/node/tests/repeats.rs
@@ -35,7 +35,7 @@
     std::thread::sleep(Duration::from_millis(unix_ms).saturating_sub(now));
 }
 
-fn served(gateway: &mut Gateway, result: &[u8]) {
+fn expect_result(gateway: &mut Gateway, result: &[u8]) {
     let answer = gateway.receive();
     assert_eq!(answer["result"]["doc"], base64(result), "{answer}");
 }
@@ -47,7 +47,7 @@
     gateway.send("swap-confirm", first);
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"first");
-    served(gateway, b"first");
+    expect_result(gateway, b"first");
     window_end
 }
 
@@ -63,7 +63,7 @@
     gateway.send("swap-confirm", duplicate);
     sleep_until(window_end + 100);
     node.signal("-CONT");
-    served(&mut gateway, b"first");
+    expect_result(&mut gateway, b"first");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     gateway.send("swap-confirm", request_params(900, Some("edge"), b"body"));
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"second");
-    served(&mut gateway, b"second");
+    expect_result(&mut gateway, b"second");
 }
 
 /// The end of a run and a duplicate of its request are pending at once, in either order: one run,
@@ -96,8 +96,8 @@
             processor.complete(&id, "fine", b"once");
         }
         node.signal("-CONT");
-        served(&mut gateway, b"once");
-        served(&mut gateway, b"once");
+        expect_result(&mut gateway, b"once");
+        expect_result(&mut gateway, b"once");
     }
 }
 
@@ -114,7 +114,7 @@
     other.send("swap-confirm", request_params(900, Some("cut"), b"body"));
     processor.accept_running();
     processor.complete(&id, "fine", b"once");
-    served(&mut other, b"once");
+    expect_result(&mut other, b"once");
 }
 
 /// The processor connection is lost within the notice of a run's end, at any byte: the notice is
@@ -130,7 +130,7 @@
         let notice = format!("complete {notices} {id} fine 12.25 6\r\nresult\r\n");
         if length > notice.len() {
             processor.send(notice.as_bytes());
-            served(&mut gateway, b"result");
+            expect_result(&mut gateway, b"result");
             break;
         }
         processor.send(&notice.as_bytes()[..length]);
@@ -155,7 +155,7 @@
         if read < notices {
             processor.send(notice.as_bytes());
         }
-        served(&mut gateway, b"result");
+        expect_result(&mut gateway, b"result");
     }
     node.signal("-USR1");
     let counters = node.wait_for_line("counters: ");
@@ -189,14 +189,14 @@
             );
             retry.reply(&reply);
         }
-        let (words, body) = processor.command();
+        let (command, body) = processor.command();
         assert_eq!(
-            (words[0].as_str(), &body[..]),
+            (command[0].as_str(), &body[..]),
             ("answer", &b"reply"[..]),
             "{length} bytes sent"
         );
         processor.complete(&id, "fine", b"served");
-        served(&mut gateway, b"served");
+        expect_result(&mut gateway, b"served");
         if complete {
             break;
         }
@@ -226,7 +226,7 @@
     connection.reply(&format!("{id} posted 5\r\nreply\r\n"));
     assert_eq!(processor.command().1, b"reply");
     processor.complete(&id, "fine", b"served");
-    served(&mut gateway, b"served");
+    expect_result(&mut gateway, b"served");
 }
 
 /// A reply that arrives twice, or after its request was answered, is ignored.
@@ -249,7 +249,7 @@
     connection.reply(&format!("{id} posted 3\r\ntwo\r\n"));
     assert_eq!(processor.command().1, b"two");
     processor.complete(&id, "fine", b"served");
-    served(&mut gateway, b"served");
+    expect_result(&mut gateway, b"served");
     // The request is answered at its deadline; the later end of its run is ignored.
     gateway.send("rota-view", request_params(400, None, b"late"));
     let (id, _) = processor.begin();
--- a/crates/node/tests/retune.rs
+++ b/crates/node/tests/retune.rs
@@ -17,7 +17,7 @@
 }
 
 /// A copy of the class at this index of the configuration, with another name.
-fn class(config: &Value, index: usize, name: &str) -> Value {
+fn renamed_class(config: &Value, index: usize, name: &str) -> Value {
     let mut class = config["settings"]["categories"][index].clone();
     class["name"] = json!(name);
     class
@@ -32,21 +32,21 @@
 fn an_invalid_file_is_rejected_as_a_whole() {
     let (node, mut processor, mut gateway, control, mut good) = start_node();
     // Besides its error, each file has a new class and another ledger address.
-    let added = class(&good, 0, "extra");
+    let added = renamed_class(&good, 0, "extra");
     good["settings"]["categories"]
         .as_array_mut()
         .unwrap()
         .push(added);
     good["ledger"] = json!("127.0.0.2:9");
     let text = good.to_string();
-    let changed = |pointer: &str, value: Value| {
+    let config_with = |pointer: &str, value: Value| {
         let mut config = good.clone();
         *config
             .pointer_mut(pointer)
             .unwrap_or_else(|| panic!("no {pointer}")) = value;
         config.to_string()
     };
-    let without = |pointer: &str, key: &str| {
+    let config_without = |pointer: &str, key: &str| {
         let mut config = good.clone();
         config
             .pointer_mut(pointer)
@@ -64,22 +64,22 @@
         "[]".into(),
         text[..text.len() / 2].into(),
         text[..text.len() - 1].into(),
-        without("", "ledger"),
-        without("", "processor"),
-        without("", "settings"),
-        without("", "limits"),
-        without("/limits", "memory_mb"),
-        without("/settings", "safety"),
-        without("/settings/familyInfo", "keyKb"),
-        without("/settings/categories/2", "deadline"),
-        without("/settings/categories/2", "lateWorth"),
-        changed("/settings/categories", json!([])),
-        changed("/settings/categories/2/name", json!("rota-view")),
-        changed("/settings/categories/2/name", json!("two words")),
-        changed("/settings/categories/2/target", json!(0)),
-        changed("/settings/categories/1/memorySpan", json!(-1)),
-        changed("/settings/familyInfo/cpus", json!(0)),
-        changed("/stop_ms", json!(0)),
+        config_without("", "ledger"),
+        config_without("", "processor"),
+        config_without("", "settings"),
+        config_without("", "limits"),
+        config_without("/limits", "memory_mb"),
+        config_without("/settings", "safety"),
+        config_without("/settings/familyInfo", "keyKb"),
+        config_without("/settings/categories/2", "deadline"),
+        config_without("/settings/categories/2", "lateWorth"),
+        config_with("/settings/categories", json!([])),
+        config_with("/settings/categories/2/name", json!("rota-view")),
+        config_with("/settings/categories/2/name", json!("two words")),
+        config_with("/settings/categories/2/target", json!(0)),
+        config_with("/settings/categories/1/memorySpan", json!(-1)),
+        config_with("/settings/familyInfo/cpus", json!(0)),
+        config_with("/stop_ms", json!(0)),
     ];
     for value in [
         json!(0),
@@ -90,7 +90,7 @@
         json!([1]),
         json!(1e300),
     ] {
-        invalid.push(changed(deadline, value));
+        invalid.push(config_with(deadline, value));
     }
     for (count, text) in invalid.iter().enumerate() {
         node.reload_text(text);
@@ -118,8 +118,8 @@
     assert_eq!(node.wait_for_line("reload: "), "reload: done");
     assert_eq!(control.metric("cfg_accepted"), Some(1));
     gateway.send("extra", request_params(5000, None, b"body"));
-    let (words, _) = processor.command();
-    assert_eq!(words[2], "extra");
+    let (command, _) = processor.command();
+    assert_eq!(command[2], "extra");
 }
 
 #[test]
@@ -131,9 +131,9 @@
     let (viewed, _) = processor.command();
 
     // rota-view is removed, crew-view is added, and the keyed class is redefined.
-    let mut keyed = class(&config, 1, "swap-confirm");
+    let mut keyed = renamed_class(&config, 1, "swap-confirm");
     keyed["deadline"] = json!(9_000_000);
-    config["settings"]["categories"] = json!([class(&config, 0, "crew-view"), keyed]);
+    config["settings"]["categories"] = json!([renamed_class(&config, 0, "crew-view"), keyed]);
     node.reload_text(&config.to_string());
     node.wait_for_line("reload: done");
     gateway.send("rota-view", request_params(5000, None, b"view"));
@@ -178,7 +178,8 @@
     // The second file replaces the first before or after that was read; the second is active in the
     // end.
     for name in ["first", "second"] {
-        config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, name);
+        config["settings"]["categories"].as_array_mut().unwrap()[0] =
+            renamed_class(&config, 0, name);
         node.reload_text(&config.to_string());
     }
     node.wait_for_line("reload: done");
@@ -200,7 +201,8 @@
     let (open, _) = processor.command();
     node.signal("-TERM");
     node.wait_for_line("draining: ");
-    config["settings"]["categories"].as_array_mut().unwrap()[0] = class(&config, 0, "late-view");
+    config["settings"]["categories"].as_array_mut().unwrap()[0] =
+        renamed_class(&config, 0, "late-view");
     node.reload_text(&config.to_string());
     processor.complete(&open[1], "fine", b"answered");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"answered"));
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -15,7 +15,7 @@
 
 const ROUNDS: usize = 5;
 
-fn node(store: Option<&str>, folder: &std::path::Path) -> Node {
+fn start_node(store: Option<&str>, folder: &std::path::Path) -> Node {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
@@ -73,7 +73,7 @@
             let (name, store) = variants[(i + round) % variants.len()];
             for at_once in [1, 16] {
                 let folder = base.join(format!("{round}-{i}-{at_once}"));
-                let node = node(store, &folder);
+                let node = start_node(store, &folder);
                 let run = (round * 100 + i * 10) as u64;
                 let (mut latencies, rate) =
                     measure_latencies(&node, run, Duration::from_millis(700), at_once);
@@ -85,9 +85,9 @@
             }
         }
     }
-    for ((at_once, name), figures) in all {
+    for ((at_once, name), samples) in all {
         let median = |i: usize| {
-            let mut values: Vec<f64> = figures.iter().map(|f| f[i]).collect();
+            let mut values: Vec<f64> = samples.iter().map(|s| s[i]).collect();
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         };
@@ -136,7 +136,7 @@
     }
     drop(log);
     let start = Instant::now();
-    let node = node(Some(""), &folder);
+    let node = start_node(Some(""), &folder);
     println!("ready after {:?}", start.elapsed());
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.pid())).unwrap();
     let peak = status.lines().find(|l| l.starts_with("VmHWM")).unwrap();
--- a/crates/node/tests/uwsgi.rs
+++ b/crates/node/tests/uwsgi.rs
@@ -149,8 +149,8 @@
         "{:?}",
         start.elapsed()
     );
-    // A worker that breaks off its response may have run the request: it fails, and a duplicate is
-    // not run.
+    // A worker that truncates its response may have run the request: the request fails, and a
+    // duplicate is not run.
     for reply in [
         &b""[..],
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
