--- a/crates/core/src/core/status.rs
+++ b/crates/core/src/core/status.rs
@@ -101,7 +101,7 @@
     }
 
     /// Whether the counters are consistent: each request is answered, abandoned or unanswered.
-    pub fn is_balanced(&self) -> bool {
+    pub fn has_consistent_counters(&self) -> bool {
         let counters = &self.counters;
         let answered = counters.served + counters.rejected + counters.failed;
         counters.requests == answered + counters.abandoned + self.unanswered() as u64
--- a/crates/core/src/core/wakeups.rs
+++ b/crates/core/src/core/wakeups.rs
@@ -40,18 +40,18 @@
 
     fn handle_controller_timer(&mut self, now: Micros, tag: u64) {
         let Gauges {
-            core_use,
-            on_cores,
-            memory_use,
+            cpu_utilization,
+            runnable,
+            memory_utilization,
             connections,
         } = self
             .gauges
             .read(now, || self.requests.running(), self.settings.cores);
         let event = Event::Timer {
             tag,
-            cpu_utilization: core_use,
-            runnable: on_cores,
-            memory_utilization: memory_use,
+            cpu_utilization,
+            runnable,
+            memory_utilization,
             connections,
         };
         self.notify_controller(now, event);
--- a/crates/core/src/gauges.rs
+++ b/crates/core/src/gauges.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// Busy share of the cores, from 0 to 1.
-    pub core_use: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Number of runs that use or wait for a core.
-    pub on_cores: Option<f64>,
+    pub runnable: Option<f64>,
     /// Share of memory in use, from 0 to 1.
-    pub memory_use: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Open connections.
     pub connections: Option<f64>,
 }
@@ -66,8 +66,8 @@
             GaugeSource::RunCount => {
                 let running = count_running() as f64;
                 Gauges {
-                    core_use: Some((running / cores.max(1.0)).min(1.0)),
-                    on_cores: Some(running),
+                    cpu_utilization: Some((running / cores.max(1.0)).min(1.0)),
+                    runnable: Some(running),
                     ..Gauges::default()
                 }
             }
--- a/crates/node/src/lifecycle/report.rs
+++ b/crates/node/src/lifecycle/report.rs
@@ -20,7 +20,7 @@
         "now: requests={requests} running={running} keys={keys} connections={connections} \
          open={open}"
     ));
-    if !state.core.is_balanced() {
+    if !state.core.has_consistent_counters() {
         log("accounting: requests are not what was answered, has gone and is open: report this with the counters");
     }
     for line in state.pools.report(state.clock.now()) {
--- a/crates/node/src/net/event_loop/mod.rs
+++ b/crates/node/src/net/event_loop/mod.rs
@@ -177,7 +177,11 @@
         let is_nested = std::mem::replace(&mut self.is_updating_core, true);
         update(&mut self.core, self.clock.now());
         panic_point(Subsystem::Core);
-        debug_assert!(self.core.is_balanced(), "{}", self.core.counters);
+        debug_assert!(
+            self.core.has_consistent_counters(),
+            "{}",
+            self.core.counters
+        );
         self.execute_effects();
         self.is_updating_core = is_nested;
         if self.core.has_store() {
--- a/crates/node/src/net/event_loop/processor_notices.rs
+++ b/crates/node/src/net/event_loop/processor_notices.rs
@@ -57,9 +57,9 @@
             values.get(index).filter(|value| value.is_finite())
         };
         let gauges = Gauges {
-            core_use: gauge("core_use"),
-            on_cores: gauge("on_cores"),
-            memory_use: gauge("heap_share"),
+            cpu_utilization: gauge("core_use"),
+            runnable: gauge("on_cores"),
+            memory_utilization: gauge("heap_share"),
             connections: gauge("links"),
         };
         self.with_core(|core, now| core.update_gauges(now, gauges));
