--- a/crates/admission/src/interface/actions.rs
+++ b/crates/admission/src/interface/actions.rs
@@ -39,7 +39,7 @@
     #[serde(rename = "Halt")]
     Cancel(RequestId),
     /// Advertise this backpressure level to callers with every answer. [`BackpressureKind`]
-    /// determines its meaning.
+    /// determines the meaning of the level.
     ///
     /// [`BackpressureKind`]: super::BackpressureKind
     #[serde(rename = "Level")]
--- a/crates/admission/src/interface/events.rs
+++ b/crates/admission/src/interface/events.rs
@@ -22,7 +22,7 @@
     Reset,
     /// The run was cancelled, or ended during its call because the request was already answered.
     Cancelled,
-    /// The run was not started, because the request had already been concluded.
+    /// The run that the controller decided on was never started.
     #[serde(rename = "Moot")]
     NotStarted,
 }
@@ -36,7 +36,8 @@
     pub class: usize,
     /// The index of the tenant in [`Settings::tenants`](super::Settings::tenants), if any.
     pub tenant: Option<usize>,
-    /// Whether the request names the object that it reads or writes.
+    /// Whether the request names the object that it reads or writes, so that reads of the same
+    /// object can share an answer. Independent of the idempotency key.
     pub has_key: bool,
     /// The time until the caller stops waiting for the answer, if known.
     #[serde(rename = "patience")]
@@ -48,7 +49,7 @@
     /// The priority from 0 to below 1; a higher one is admitted first.
     #[serde(rename = "rank")]
     pub priority: f64,
-    /// Whether the request is marked as a retry or as a second copy.
+    /// Whether the request is marked as a retry or a hedged copy.
     #[serde(rename = "retry")]
     pub is_retry: bool,
     /// Whether the request is a write.
@@ -102,7 +103,7 @@
         /// The recent utilization of the cores, from 0 to 1.
         #[serde(rename = "core_use")]
         cpu_utilization: Option<f64>,
-        /// The number of activities that currently need a core: runs and reading.
+        /// The number of tasks that use or wait for a core: runs, and requests being read.
         #[serde(rename = "on_cores")]
         runnable: Option<f64>,
         /// The share of memory in use, from 0 to 1.
--- a/crates/admission/src/interface/settings.rs
+++ b/crates/admission/src/interface/settings.rs
@@ -141,7 +141,7 @@
     pub downstream: Downstream,
     /// This server's share of the shared dependency: the mean number of calls in flight.
     pub call_share: f64,
-    /// The time over which that mean is taken.
+    /// The time over which the number of calls in flight is averaged.
     #[serde(rename = "call_span")]
     pub call_window: Micros,
     /// How long an abandoned call can continue to occupy the dependency.
--- a/crates/admission/src/policy/admission.rs
+++ b/crates/admission/src/policy/admission.rs
@@ -9,7 +9,7 @@
 use crate::interface::{Action, Cause, Idempotency, Micros, Mode, Request, RequestId, Stage};
 
 impl Controller {
-    /// Registers a request that was read, which from now on occupies memory and has to be answered.
+    /// Registers a request that was read. From now on it occupies memory and has to be answered.
     pub(super) fn register(&mut self, request: &Request) {
         let class = self.class(request.class);
         let arrived_at = self.now - request.queue_time;
@@ -48,7 +48,7 @@
     /// Queues a registered request, or rejects it.
     pub(super) fn admit_or_reject(&mut self, request: &Request, actions: &mut Vec<Action>) {
         let id = request.id;
-        // Abandoned in the batch in which it arrived.
+        // The caller abandoned the request in the batch of events in which it arrived.
         if !self.requests.contains_key(&id) {
             return;
         }
@@ -177,9 +177,9 @@
         self.remove_unstarted(id, actions);
     }
 
-    /// Whether the caller of a rejected request should not retry elsewhere: where a later answer
-    /// has no weight, or where the whole fleet is overloaded, so that another attempt would only
-    /// cause the cost of reading it.
+    /// Whether the caller of a rejected request should not retry elsewhere: a later answer has no
+    /// weight, or the whole fleet is overloaded, so that another attempt would only add the cost of
+    /// reading it. A stalled server allows the retry even in an overloaded fleet.
     fn discourages_retry(&self, id: RequestId) -> bool {
         let entry = &self.requests[&id];
         let late_weight = self.class(entry.class).late_weight;
--- a/crates/admission/src/policy/call_limit.rs
+++ b/crates/admission/src/policy/call_limit.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// The minimum and the maximum of the limit. A tier grants no share: there the limit lies
-    /// between one call per core and the greatest possible number of runs.
+    /// The minimum and the maximum of the limit. No share of a tier is assigned to this server, so
+    /// the limit lies between one call per core and the greatest possible number of runs.
     pub(crate) fn bounds(settings: &Settings) -> [f64; 2] {
         match settings.downstream {
             Downstream::Tier => {
@@ -139,8 +139,9 @@
         spare - settings.call_linger.min(spare / 2)
     }
 
-    /// The number of calls per second that the limit allows. The limit of a tier is no guaranteed
-    /// share, so that the queue for it has to stay harmlessly short at its full length.
+    /// The number of calls per second that the limit allows. As the limit of a tier is not a
+    /// guaranteed share, its rate is reduced so that even a call queue at its discard threshold
+    /// ([`LONGEST_WAIT`]) causes only a harmless wait ([`HARMLESS_WAIT`]).
     pub(crate) fn completion_rate(&self, settings: &Settings) -> f64 {
         if self.latency.mean == 0.0 {
             return f64::INFINITY;
--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -63,8 +63,8 @@
         can_grow: bool,
     ) {
         if cpu_utilization < IDLE_UTILIZATION && can_grow {
-            // Cores idle although requests are queued: runs wait for a disk, whatever their latency
-            // suggests.
+            // Cores are idle although requests are queued, so runs wait for a disk. Slow runs are
+            // then no sign of too much concurrency.
             self.limit = (self.limit * GROWTH_FACTOR).max(self.limit + 1.0);
         } else if self.stretch > SLOWED_STRETCH || cpu_utilization > SATURATED_UTILIZATION {
             self.limit -= SHRINK_SHARE * self.limit;
--- a/crates/admission/src/policy/controller.rs
+++ b/crates/admission/src/policy/controller.rs
@@ -64,8 +64,8 @@
     pub(crate) is_answered: bool,
     #[serde(rename = "kept")]
     pub(crate) has_retained_key: bool,
-    /// The time that the run spent at calls, less the total duration of all stalls before its
-    /// start.
+    /// The time that the run waited for calls, less the total duration of all stalls before its
+    /// start. The total at its end is added, which leaves the stalls during the run.
     #[serde(rename = "off_cores")]
     pub(crate) off_core_time: Micros,
     /// The time at which the run last needed a call.
@@ -153,6 +153,7 @@
         Controller {
             now: 0,
             started_at: None,
+            // The xorshift generator requires a state other than 0.
             random_state: seed | 1,
             requests: BTreeMap::new(),
             queued: BTreeSet::new(),
@@ -192,7 +193,7 @@
     /// Replaces the settings. Present requests keep their class, so classes keep their positions.
     ///
     /// `in_force` lists the positions of the classes that new requests may have, each with the
-    /// position of the class whose statistics it continues.
+    /// position of the class whose statistics it continues, if any.
     pub fn reconfigure(&mut self, settings: Settings, in_force: &[(usize, Option<usize>)]) {
         let before = std::mem::take(&mut self.class_statistics);
         let statistics_of = |class: usize| before.get(class).cloned();
--- a/crates/admission/src/policy/hysteresis.rs
+++ b/crates/admission/src/policy/hysteresis.rs
@@ -86,7 +86,7 @@
     pub(crate) completion_rate: f64,
     /// The length that determines the mode.
     pub(crate) length: f64,
-    /// The part of the length that lowers the admitted rate.
+    /// The part of the length that lowers the admitted rate: unread requests do not count.
     pub(crate) waiting: f64,
     /// The time since the controller's first step.
     pub(crate) uptime: Micros,
--- a/crates/admission/src/policy/scheduling.rs
+++ b/crates/admission/src/policy/scheduling.rs
@@ -44,18 +44,20 @@
         }
         let class = self.class(entry.class);
         let is_useless = class.late_weight == 0.0 && self.now >= entry.objective_at;
-        let is_committed = class.idempotency == Idempotency::Keyed
+        // Duplicates can need the outcome of a keyed run. Ending a request whose run cannot be
+        // cancelled would free no capacity.
+        let runs_to_completion = class.idempotency == Idempotency::Keyed
             || self.settings.cancellation == CancellationMode::Unsupported;
-        let is_stall_relevant = match entry.stage {
+        let is_ended_by_stall = match entry.stage {
             Stage::Queued => true,
             Stage::AwaitingOriginal => return None,
-            _ if is_committed => return None,
+            _ if runs_to_completion => return None,
             Stage::Running => class.idempotency == Idempotency::Idempotent,
             Stage::AwaitingCall | Stage::InCall => false,
         };
         if is_useless {
             Some(Cause::ObjectiveMissed(entry.stage))
-        } else if is_stall_relevant && self.stall.is_stalled {
+        } else if is_ended_by_stall && self.stall.is_stalled {
             Some(Cause::Stalled)
         } else {
             None
--- a/crates/admission/tests/downstream_calls.rs
+++ b/crates/admission/tests/downstream_calls.rs
@@ -95,8 +95,8 @@
     assert_eq!(placed_calls(&actions).len(), 4);
 }
 
-/// Incident i7b0d52: with a small share, one call at a time on each server was too much for the
-/// fleet.
+/// Incident i7b0d52: with a small share, one call at a time on each server exceeded the shares of
+/// all servers together.
 #[test]
 fn a_share_below_one_paces_single_calls() {
     let mut controller = controller(Settings {
--- a/crates/admission/tests/large_fleets.rs
+++ b/crates/admission/tests/large_fleets.rs
@@ -64,8 +64,8 @@
     call_time as f64 / (60 * SECOND) as f64
 }
 
-/// Scenario toi-almaty-later, big-1: the dependency was overloaded, as each slow call exceeded a
-/// share of 0.3 by its length.
+/// Scenario toi-almaty-later, big-1: the dependency was overloaded. With a share of 0.3, a single
+/// call is above the share for as long as it lasts, so slow calls have to be rarer.
 #[test]
 fn slow_calls_stay_within_a_share_below_one() {
     for latency in [20_000, 200_000, 800_000, 3_000_000] {
@@ -199,9 +199,9 @@
         cores: 6.0,
         ..two_cores.clone()
     };
-    // Two cores initially serve 8 requests a second, so 8 within the objective: L is 0.8 and 0.9
-    // for variation, H is 1.6 and 1.3.
+    // Two cores initially serve 8 requests a second, so 8 within the objective of one second: L is
+    // 0.8 plus 0.9 for variation, H is 1.6 plus 1.3.
     assert_eq!(thresholds(two_cores), [1.0, 2.0, 4.0]);
-    // 24 within the objective: 2.4, 4.8 and 9.6, the lower two with 1.5 and 2.2 for variation.
+    // 24 within the objective: L is 2.4 plus 1.5, H is 4.8 plus 2.2, R is 9.6.
     assert_eq!(thresholds(six_cores), [3.0, 6.0, 9.0]);
 }
--- a/crates/admission/tests/policy_files.rs
+++ b/crates/admission/tests/policy_files.rs
@@ -8,8 +8,8 @@
 /// A lower number means that the folder was moved or that files were merged.
 const MIN_FILES: usize = 6;
 
-/// The limits apply to each decision module; the former limit of 950 lines on all of them together
-/// was lifted by the operators. The deploy file has to list each module as policy.
+/// The limits apply to each decision module; a former limit of 950 lines on their total was lifted.
+/// The deploy file has to list each module as policy.
 #[test]
 fn decision_modules_are_small_and_listed_as_policy() {
     let deploy = include_str!("../../../deploy/balancer.toml");
--- a/crates/admission/tests/regressions.rs
+++ b/crates/admission/tests/regressions.rs
@@ -76,6 +76,7 @@
 /// A keyed request that runs on the stalled server.
 const STALLED_KEYED: RequestId = 81;
 
+/// Settings of the second deployment (`docs/deployments.md` lists the deployments).
 fn stalled_server_settings() -> Settings {
     let idempotent = Class {
         latency_objective: 1_000_000,
@@ -98,8 +99,7 @@
     }
 }
 
-/// Runs a server of the second deployment for four seconds, and then for 0.9 seconds in which no
-/// run ends.
+/// Simulates a server for four seconds, and then for 0.9 seconds in which no run ends.
 fn stalled_server() -> StalledServer {
     let mut controller = controller(stalled_server_settings());
     let mut now = 0;
