--- a/crates/load-balancing/examples/balance.rs
+++ b/crates/load-balancing/examples/balance.rs
@@ -14,7 +14,7 @@
 use std::collections::BinaryHeap;
 use std::time::Instant;
 
-/// Cores of each member: with more runs, each takes longer.
+/// Cores of each member. Runs take longer while a member has more of them than cores.
 const CORES: f64 = 8.0;
 /// Time from a request's arrival to its deadline.
 const DEADLINE: Micros = 500_000;
@@ -24,11 +24,11 @@
 const UTILIZATION: f64 = 0.5;
 const POOL_SIZES: [usize; 3] = [4, 64, 1024];
 
-/// A fault of every fourth member, from a tenth of the time on.
+/// A fault of every fourth member, after the first tenth of the simulated time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// No fault, but members that take 1 to 3 times as long.
+    /// No fault, but runs take 1 to 3 times as long, depending on the member.
     Unequal,
     /// Nine times slower.
     Slow,
--- a/crates/load-balancing/src/concurrency_limit.rs
+++ b/crates/load-balancing/src/concurrency_limit.rs
@@ -8,7 +8,7 @@
 
 /// Weight of a window's mean in the baseline when the mean is below it.
 const BASELINE_DECAY_DOWN: f64 = 0.2;
-/// Weight of a window's mean in the baseline when the mean is above it and the member was not full.
+/// Weight of a window's mean in the baseline when the mean is above it and the baseline may rise.
 const BASELINE_DECAY_UP: f64 = 0.1;
 
 /// Parameters of the limit.
@@ -136,8 +136,9 @@
 
     /// Moves the baseline towards a window's mean and returns it.
     ///
-    /// The baseline rises only from windows in which the member was not full: latency under full
-    /// load would make any load look normal.
+    /// The baseline rises only from windows in which the member was not full, as latency under full
+    /// load would make any load look normal. At the minimum of the limit it rises in any case:
+    /// otherwise a lasting increase of the latency would keep the limit there forever.
     fn update_baseline(&mut self, mean: f64, peak: f64, limit: f64) -> f64 {
         let had_spare_capacity = peak <= 1.0 || peak * 2.0 <= limit;
         let is_at_minimum = limit <= self.lower_bound();
--- a/crates/load-balancing/src/outlier_detection.rs
+++ b/crates/load-balancing/src/outlier_detection.rs
@@ -11,7 +11,8 @@
 
 /// Factor by which each run reduces the weight of the runs before it.
 const RUN_DECAY: f64 = 0.95;
-/// The ejection time stops doubling here, far above [`OutlierDetectionConfig::max_ejection`].
+/// Limit on the doublings of the ejection time, which prevents an overflow. It lies far above
+/// [`OutlierDetectionConfig::max_ejection`].
 const MAX_EJECTION_DOUBLINGS: u32 = 20;
 /// A member in slow start gets at least this fraction of its traffic.
 const MIN_SLOW_START_SHARE: f64 = 0.1;
@@ -166,7 +167,7 @@
     /// Ejections since the last reset; the duration doubles with each.
     ejections: u32,
     last_ejected_at: Micros,
-    /// Whether the probation after this ejection was deferred or brought forward already.
+    /// Whether the end of the last ejection was already deferred or brought forward.
     probation_was_rescheduled: bool,
     /// Whether the last ejection was for failures, as opposed to latency.
     is_failing: bool,
--- a/crates/load-balancing/src/pool/candidates.rs
+++ b/crates/load-balancing/src/pool/candidates.rs
@@ -9,7 +9,7 @@
 /// Positions of the members that can get runs, rebuilt after each change.
 #[derive(Debug, Default)]
 pub(super) struct Candidates {
-    /// Members that get runs by load.
+    /// Members that runs are balanced over.
     pub(super) usable: Vec<usize>,
     /// Running sum of the weights of `usable`, for weighted draws.
     cumulative_weights: Vec<f64>,
@@ -76,7 +76,7 @@
         self.next_transition = self.next_transition();
     }
 
-    /// In panic mode ejections are ignored.
+    /// Whether a member is healthy, or the panic mode ignores its ejection.
     fn may_get_runs(&self, now: Micros, position: usize) -> bool {
         self.panic_until.is_some() || self.members[position].is_healthy(now)
     }
--- a/crates/load-balancing/src/pool/config.rs
+++ b/crates/load-balancing/src/pool/config.rs
@@ -61,7 +61,7 @@
     /// Retries.
     pub retry: RetryConfig,
     /// Panic threshold: the ratio of members that may be ejected at once. Beyond it ejections are
-    /// suspended, because a shared dependency is the likelier cause than most members.
+    /// suspended, because the cause is then more likely a shared dependency than the members.
     pub max_ejected_ratio: f64,
     /// How long ejections stay suspended, in microseconds.
     pub panic_duration: Micros,
--- a/crates/load-balancing/src/pool/select.rs
+++ b/crates/load-balancing/src/pool/select.rs
@@ -5,8 +5,8 @@
 use crate::Micros;
 use rand::Rng;
 
-/// Members that are drawn at random, of which the less loaded one gets the run (power of two
-/// choices; Mitzenmacher, 2001).
+/// The number of members that are drawn at random, of which the less loaded one gets the run (power
+/// of two choices; Mitzenmacher, 2001).
 const CHOICES: usize = 2;
 /// Draws before all usable members are compared. While most have free slots, the first suffices.
 const DRAW_ROUNDS: usize = 4;
@@ -80,7 +80,9 @@
         request.attempted_members.contains(&id)
     }
 
-    fn is_open(&self, position: usize, request: &SelectionRequest, excluded: &[usize]) -> bool {
+    /// Whether a usable member can get this run: it was not attempted before, has a free slot and
+    /// is not excluded.
+    fn is_eligible(&self, position: usize, request: &SelectionRequest, excluded: &[usize]) -> bool {
         !self.was_attempted(position, request)
             && self.members[position].has_free_slot()
             && !excluded.contains(&position)
@@ -106,7 +108,7 @@
             .filter_map(|id| self.positions.get(&MemberId(id)).copied())
             .find(|&position| {
                 (self.panic_until.is_some() || self.members[position].is_healthy(now))
-                    && self.is_open(position, request, &[])
+                    && self.is_eligible(position, request, &[])
                     && self.is_within_hash_load(position)
             })
     }
@@ -159,7 +161,7 @@
         (member.runs.len() as f64 / weight + 1.0) * latency
     }
 
-    /// Draws two members by weight, and returns the less loaded of those that are open.
+    /// Draws two members by weight, and returns the less loaded of those that are eligible.
     fn choose_of_two(
         &mut self,
         now: Micros,
@@ -172,8 +174,8 @@
         for _ in 0..DRAW_ROUNDS {
             let first = self.candidates.draw(&mut self.rng);
             let second = self.candidates.draw(&mut self.rng);
-            let is_open = |position| self.is_open(position, request, excluded);
-            match (is_open(first), is_open(second)) {
+            let is_eligible = |position| self.is_eligible(position, request, excluded);
+            match (is_eligible(first), is_eligible(second)) {
                 (true, true) if self.load(now, second) < self.load(now, first) => {
                     return Some(second);
                 }
@@ -185,7 +187,7 @@
         None
     }
 
-    /// The least loaded of all usable members that are open.
+    /// The least loaded of all usable members that are eligible.
     fn least_loaded(
         &self,
         now: Micros,
@@ -194,7 +196,7 @@
     ) -> Option<usize> {
         let usable = self.candidates.usable.iter().copied();
         usable
-            .filter(|&position| self.is_open(position, request, excluded))
+            .filter(|&position| self.is_eligible(position, request, excluded))
             .min_by(|&a, &b| self.load(now, a).total_cmp(&self.load(now, b)))
     }
 
--- a/crates/load-balancing/src/retry_budget.rs
+++ b/crates/load-balancing/src/retry_budget.rs
@@ -8,7 +8,8 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-/// The exponent of the backoff stops growing here, far above [`RetryConfig::max_backoff`].
+/// Limit on the doublings of the backoff, which prevents an overflow. It lies far above
+/// [`RetryConfig::max_backoff`].
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/crates/load-balancing/tests/retry_budget.rs
+++ b/crates/load-balancing/tests/retry_budget.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// Retries of some nodes in a minute in which every attempt fails. Ten first attempts arrive each
-/// second, divided among the nodes.
+/// The retries of this number of nodes in a minute in which every attempt fails. Ten first attempts
+/// arrive each second, divided among the nodes.
 fn retries_of_nodes(nodes: usize, rng: &mut SmallRng) -> u32 {
     let mut budgets = vec![budget(); nodes];
     for budget in &mut budgets {
--- a/crates/load-balancing/tests/simulation.rs
+++ b/crates/load-balancing/tests/simulation.rs
@@ -19,7 +19,7 @@
     Pool::new(PoolConfig::default(), members, 7, 0)
 }
 
-/// Simulates half a minute of idempotent requests at a steady rate.
+/// Simulates half a minute of idempotent requests at a steady rate (per second).
 fn simulate_steadily(
     pool: &mut Pool<usize>,
     members: usize,
@@ -119,7 +119,7 @@
         "{:?}",
         totals.events
     );
-    // All requests of the last ten seconds, but for those during the recovery.
+    // The requests of the last ten seconds succeed, except for some during the recovery.
     assert!(
         totals.succeeded as f64 > 0.9 * 10.0 * 1000.0,
         "{}",
--- a/crates/load-balancing/tests/simulator/mod.rs
+++ b/crates/load-balancing/tests/simulator/mod.rs
@@ -9,7 +9,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Cores of each member: with more runs, each takes longer.
+/// Cores of each member. Runs take longer while a member has more of them than cores.
 const CORES: f64 = 8.0;
 /// Time until a failing member breaks the connection, in microseconds.
 const FAILURE_TIME: Micros = 500;
@@ -19,7 +19,7 @@
 /// How a member behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// Takes this many microseconds for a run, and more with more runs than cores.
+    /// Completes each run in this many microseconds, or later with more runs than cores.
     Serves(f64),
     /// Accepts runs and never responds.
     Hangs,
@@ -66,7 +66,7 @@
     pub duration: Micros,
     /// Time from a request's arrival to its deadline.
     pub deadline: Micros,
-    /// Requests that are not idempotent have a sticky key.
+    /// Whether the requests are idempotent. If not, each has a sticky key.
     pub is_idempotent: bool,
     pub behavior: &'a dyn Fn(usize, Micros) -> Behavior,
 }
--- a/crates/load-balancing/tests/slow_start.rs
+++ b/crates/load-balancing/tests/slow_start.rs
@@ -12,12 +12,13 @@
 use std::collections::BinaryHeap;
 use std::ops::Range;
 
-/// Members before the new one, whose address is this number.
+/// Members that exist from the start, with addresses from 0.
 const MEMBERS: usize = 4;
+/// The address of the new member.
 const NEW_MEMBER: usize = MEMBERS;
 /// Requests per second of all processes together.
 const RATE: f64 = 400.0;
-/// The same during [`BURST`].
+/// Requests per second of all processes together during [`BURST`].
 const BURST_RATE: f64 = 600.0;
 /// When the burst takes place. Times are relative to the moment at which the first process adds the
 /// new member.
