--- a/crates/core/src/availability.rs
+++ b/crates/core/src/availability.rs
@@ -1,4 +1,5 @@
-//! What the node advertises: health, load level, standby, and how long its configuration is valid.
+//! The state that the node advertises: health, load level, standby, and how long its configuration
+//! is valid.
 
 use pipitlever_admission::Micros;
 
--- a/crates/core/src/core/actions.rs
+++ b/crates/core/src/core/actions.rs
@@ -69,14 +69,15 @@
                 self.timers.schedule(at - GAUGE_LEAD, Timer::QueryGauges);
             }
             Action::Cancel(id) => self.stop_run(id),
-            // Not issued: `controller_settings` disables it, as no peer has a command for it.
+            // Not issued: `controller_settings` disables skipping, as no protocol has a command
+            // for it.
             Action::SkipCall(_) => {}
         }
     }
 
     /// Answers a request that the controller rejects. The controller may also reject a running
-    /// read; since `Rejected` guarantees that the attempt did not run, such a request fails
-    /// instead.
+    /// idempotent request; since `Rejected` guarantees that the attempt did not run, such a request
+    /// fails instead.
     fn reject(&mut self, id: RequestId, retry_after: Micros, no_retry: bool) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -93,6 +94,8 @@
         self.close(id);
     }
 
+    /// Answers a request with a failure. The request stays open until the end of its run, if it has
+    /// one.
     fn fail(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/core/src/core/calls.rs
+++ b/crates/core/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the layer below that a run waits for.
+//! Calls to the downstream layer that a run waits for.
 
 use crate::core::Core;
 use crate::effect::Effect;
@@ -8,7 +8,8 @@
 use pipitlever_admission::{Event, Micros, Outcome, RequestId};
 use std::rc::Rc;
 
-/// A call is cancelled this long after its deadline, since the layer below answers by the deadline.
+/// A call is cancelled this long after its deadline, since the downstream layer answers by the
+/// deadline.
 const CALL_GRACE: Micros = 50_000;
 /// Limit on the timeout that the controller sets for a call, in microseconds.
 const MAX_CALL_TIMEOUT: Micros = 3_600_000_000;
@@ -30,7 +31,7 @@
         self.notify_controller(now, Event::NeedsCall(id));
     }
 
-    /// Sends a requested call to the layer below, as decided by the controller.
+    /// Sends a requested call to the downstream layer, as decided by the controller.
     pub(super) fn place_call(&mut self, id: RequestId, timeout: Micros) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -93,8 +94,8 @@
                 });
             }
             // The controller retries a rejected call immediately. With a peer that rejects or
-            // resets within a millisecond, that caused 30,000 calls a second, so the notification
-            // is delayed by the interval at which the simulator delivers it.
+            // resets within a millisecond, that caused 30,000 calls a second, so the controller is
+            // notified only after `call_interval`, as in the simulator.
             Outcome::Rejected | Outcome::Unreachable | Outcome::Reset => {
                 call.state = CallState::Rejected { placed_at, outcome };
                 let at = now + self.call_interval;
--- a/crates/core/src/core/configuration.rs
+++ b/crates/core/src/core/configuration.rs
@@ -69,7 +69,8 @@
     }
 
     /// Sets the limits of this process while another process of the node runs: `share` of the
-    /// processor's memory and half of the concurrency. `None` removes the restriction.
+    /// processor's memory and half of the concurrency. `None` removes the restriction. `limits`
+    /// are the new limits of this process's own tables.
     pub fn set_memory_share(&mut self, share: Option<f64>, limits: MemoryLimits) {
         self.key_transfer.memory_share = share;
         self.requests.set_max_bytes(limits.requests);
--- a/crates/core/src/core/duplicates.rs
+++ b/crates/core/src/core/duplicates.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Releases the key of an attempt that the controller has dropped before its run.
+    /// Releases the key of an attempt that the controller has removed before its run.
     pub(super) fn release_key(&mut self, id: RequestId) {
         // The attempt may have been closed by its answer, so its key is looked up by the owner.
         let Some(key) = self.keys.owned_key(id) else {
--- a/crates/core/src/core/durability.rs
+++ b/crates/core/src/core/durability.rs
@@ -1,10 +1,10 @@
-//! Keyed runs of a node with a store: a run starts once its intent is durable, and its outcome is
-//! written.
+//! Keyed runs of a node with a store: a run is dispatched once its intent is durable, and its
+//! outcome is written when it ends.
 //!
-//! [`pipitlever_idempotency_store::commit_queue`] and [`pipitlever_idempotency_store::recovery`]
-//! make the decisions.
+//! [`pipitlever_idempotency_store::commit_queue`] decides when records are written and which keys
+//! are rejected, and [`pipitlever_idempotency_store::recovery`] which keys are restored.
 
-use crate::core::intake::{Overload, OVERLOAD_RETRY_AFTER};
+use crate::core::intake::{NodeRejection, OVERLOAD_RETRY_AFTER};
 use crate::core::runs::FinishedRun;
 use crate::core::Core;
 use crate::effect::RunOutcome;
@@ -50,10 +50,10 @@
                 // A processor that is still running from before the restart may report the end of
                 // the run.
                 let read_grace = self.keys.read_delay() + STORE_LINGER;
-                let uptime = window_end + read_grace + store.uptime_offset;
+                let expires_at = window_end + read_grace + store.uptime_offset;
                 if store
                     .commit_queue
-                    .adopt_intent(intent.reference, intent.id, uptime)
+                    .adopt_intent(intent.reference, intent.id, expires_at)
                 {
                     store.earlier_runs.insert(intent.reference, key.clone());
                 }
@@ -72,24 +72,24 @@
         });
     }
 
-    /// The reason why the store rejects new keys; `None` if it accepts them.
-    pub(super) fn check_store(&self, now: Micros) -> Option<Overload> {
+    /// The rejection of a request with a new key; `None` if the store accepts new keys.
+    pub(super) fn check_store(&self, now: Micros) -> Option<NodeRejection> {
         let store = self.store.as_ref()?;
-        let overload = match store.commit_queue.rejection_reason(now)? {
-            RejectionReason::Full => Overload::new(AnswerSource::StoreFull),
+        let rejection = match store.commit_queue.rejection_reason(now)? {
+            RejectionReason::Full => NodeRejection::new(AnswerSource::StoreFull),
             RejectionReason::Failing | RejectionReason::Slow => {
-                Overload::new(AnswerSource::StoreUnavailable)
+                NodeRejection::new(AnswerSource::StoreUnavailable)
             }
             RejectionReason::Damaged => {
                 let longest = self.settings.max_retry_after.max(OVERLOAD_RETRY_AFTER);
                 let remaining = store.damage_ends_at - now;
-                Overload {
+                NodeRejection {
                     source: AnswerSource::StoreUnavailable,
                     retry_after: remaining.clamp(OVERLOAD_RETRY_AFTER, longest),
                 }
             }
         };
-        Some(overload)
+        Some(rejection)
     }
 
     /// Queues the intent of a keyed run for writing; the run is dispatched once the intent is
@@ -191,6 +191,7 @@
         );
     }
 
+    /// Queues a record that the run of an intent was not started.
     fn void_intent(&mut self, reference: Reference) {
         if let Some(store) = &mut self.store {
             store.commit_queue.enqueue_void(reference);
--- a/crates/core/src/core/hot_restart.rs
+++ b/crates/core/src/core/hot_restart.rs
@@ -10,7 +10,7 @@
 use pipitlever_hot_restart::message::{KeyEntry, KeyState, Message, MAX_RESULT_BYTES};
 use std::rc::Rc;
 
-/// The largest share of its memory that the controller reserves.
+/// The largest share of its memory that the controller reserves, as in its memory budget.
 const RESERVABLE_SHARE: f64 = 0.9;
 /// The smallest share of the processor's memory that a process keeps while another one runs.
 const MIN_MEMORY_SHARE: f64 = 0.5;
--- a/crates/core/src/core/intake.rs
+++ b/crates/core/src/core/intake.rs
@@ -10,8 +10,7 @@
 
 /// An answer is sent at least this long before the caller's deadline, so that it arrives in time.
 const DEADLINE_MARGIN: Micros = 10_000;
-/// The advised retry delay when a request is rejected by a limit of the node itself, in
-/// microseconds.
+/// The default retry delay that is advised when the node itself rejects a request, in microseconds.
 pub const OVERLOAD_RETRY_AFTER: Micros = 200_000;
 
 /// An answer to a request that was not passed to the controller.
@@ -20,19 +19,19 @@
     source: AnswerSource,
 }
 
-/// A limit of the node itself that rejects a request.
-pub(super) struct Overload {
-    /// The limit, as recorded in a capture.
+/// A rejection by the node itself: of a request that is not passed to the controller.
+pub(super) struct NodeRejection {
+    /// The reason, as recorded in a capture.
     pub(super) source: AnswerSource,
     /// The advised retry delay, in microseconds.
     pub(super) retry_after: Micros,
 }
 
-impl Overload {
-    /// A limit with the default retry delay.
-    pub(super) fn new(source: AnswerSource) -> Overload {
+impl NodeRejection {
+    /// A rejection with the default retry delay.
+    pub(super) fn new(source: AnswerSource) -> NodeRejection {
         let retry_after = OVERLOAD_RETRY_AFTER;
-        Overload {
+        NodeRejection {
             source,
             retry_after,
         }
@@ -137,30 +136,30 @@
                 return Some(EarlyAnswer { answer, source });
             }
         }
-        let Overload {
+        let NodeRejection {
             source,
             retry_after,
-        } = self.check_limits(now, incoming, has_new_key)?;
+        } = self.check_node_state(now, incoming, has_new_key)?;
         let answer = Answer::rejected(self.availability.advised_delay(retry_after));
         Some(EarlyAnswer { answer, source })
     }
 
-    /// The limit that rejects a request, if there is one. Table entries are never evicted to admit
-    /// a request.
-    fn check_limits(
+    /// The rejection of a request by the state of the node, if there is one. Table entries are never
+    /// evicted to admit a request.
+    fn check_node_state(
         &self,
         now: Micros,
         incoming: &IncomingRequest,
         has_new_key: bool,
-    ) -> Option<Overload> {
+    ) -> Option<NodeRejection> {
         if !self.admission.is_started() {
-            Some(Overload::new(AnswerSource::ProcessorNotReady))
+            Some(NodeRejection::new(AnswerSource::ProcessorNotReady))
         } else if self.is_configuration_expired(now) {
-            Some(Overload::new(AnswerSource::StaleSettings))
+            Some(NodeRejection::new(AnswerSource::StaleSettings))
         } else if self.requests.is_full_for(incoming.bytes()) {
-            Some(Overload::new(AnswerSource::MemoryFull))
+            Some(NodeRejection::new(AnswerSource::MemoryFull))
         } else if has_new_key && self.keys.is_full() {
-            Some(Overload::new(AnswerSource::KeysFull))
+            Some(NodeRejection::new(AnswerSource::KeysFull))
         } else if has_new_key {
             self.check_store(now)
         } else {
--- a/crates/core/src/core/mod.rs
+++ b/crates/core/src/core/mod.rs
@@ -84,7 +84,8 @@
             settings,
             admission: Admission::new(seed),
             requests: RequestTable::new(limits.requests),
-            // No request is read after its caller has stopped waiting.
+            // A request is read before its caller stops waiting, so the longest deadline bounds the
+            // time from arrival to reading.
             keys: IdempotencyTable::new(limits.keys, max_result_bytes, longest_deadline),
             key_transfer: KeyTransfer::default(),
             store: None,
--- a/crates/core/src/core/status.rs
+++ b/crates/core/src/core/status.rs
@@ -24,7 +24,7 @@
 }
 
 impl Core {
-    /// Whether the controller has not been started yet.
+    /// Whether the node is still starting: the controller has not been started.
     pub fn is_starting(&self) -> bool {
         !self.admission.is_started()
     }
--- a/crates/core/src/counters.rs
+++ b/crates/core/src/counters.rs
@@ -27,7 +27,7 @@
     pub runs_completed: u64,
     /// Stop commands for runs whose request was answered or abandoned.
     pub runs_stopped: u64,
-    /// Calls to the layer below.
+    /// Calls to the downstream layer.
     pub calls: u64,
     /// Calls that returned a reply.
     pub calls_completed: u64,
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -25,7 +25,7 @@
     },
     /// A run of this key started before a restart, and its outcome is not known.
     Unknown {
-        /// When a retry of the key may run, in microseconds from now.
+        /// The time until a retry of the key may run, in microseconds.
         retry_after: Micros,
     },
 }
@@ -93,7 +93,7 @@
         /// Its class, by index.
         class: usize,
     },
-    /// Place a call to the layer below.
+    /// Place a call to the downstream layer.
     PlaceCall {
         /// The request whose run waits for the call.
         reference: Reference,
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -25,7 +25,7 @@
 /// The entry of one key.
 #[derive(Debug)]
 pub(crate) struct Entry {
-    /// The attempt that is queued, running or finished.
+    /// The attempt whose run the key belongs to; the run is queued, in progress or finished.
     pub(crate) owner: RequestId,
     /// The payload digest of the owner, which duplicates have to match.
     pub(crate) payload_digest: u64,
@@ -41,7 +41,7 @@
     pub(crate) waiting: Vec<RequestId>,
 }
 
-/// A key that another process owns, or that was recovered from the store after a restart.
+/// A key that was transferred from another process, or recovered from the store after a restart.
 #[derive(Debug)]
 pub(crate) struct RestoredKey<'a> {
     pub(crate) key: &'a Rc<str>,
@@ -94,7 +94,8 @@
         self.updates = is_recording.then(|| self.entries.keys().cloned().collect());
     }
 
-    /// Removes and returns the next updated key with its entry, which is `None` if the key is free.
+    /// Removes and returns the next updated key with its entry, which is `None` if the entry was
+    /// removed.
     pub(crate) fn next_update(&mut self) -> Option<(Rc<str>, Option<&Entry>)> {
         let key = self.updates.as_mut()?.pop_front()?;
         let entry = self.entries.get(&key);
@@ -160,18 +161,19 @@
     }
 
     /// Inserts an entry with this attempt as its owner, or extends the window of the entry that the
-    /// attempt owns. The entry of another attempt is replaced only after its window.
+    /// attempt owns. The entry of another attempt is replaced only if this one arrived after its
+    /// window.
     pub(crate) fn retain(
         &mut self,
         key: &Rc<str>,
         owner: RequestId,
         payload_digest: u64,
-        now: Micros,
+        arrived_at: Micros,
         window_end: Micros,
     ) {
         match self.entries.get(key) {
             Some(entry) if entry.owner == owner => return self.extend(key, window_end),
-            Some(entry) if now <= entry.window_end => return,
+            Some(entry) if arrived_at <= entry.window_end => return,
             Some(_) => {
                 self.remove(key);
             }
@@ -190,7 +192,7 @@
         self.record_update(key);
     }
 
-    /// Inserts a key of another process, even beyond the limit.
+    /// Inserts a transferred or recovered key, even beyond the limit.
     pub(crate) fn restore(&mut self, restored: RestoredKey) {
         let RestoredKey {
             key,
--- a/crates/core/src/request_table.rs
+++ b/crates/core/src/request_table.rs
@@ -11,14 +11,14 @@
 pub(crate) enum CallState {
     /// The run has requested the call; the controller decides when it is placed.
     Requested,
-    /// The call was sent to the layer below.
+    /// The call was sent to the downstream layer.
     Placed {
         /// When the call was sent.
         placed_at: Micros,
         /// When the call is cancelled.
         expires_at: Micros,
     },
-    /// The layer below rejected the call; the controller has not been notified yet.
+    /// The downstream layer rejected the call; the controller has not been notified yet.
     Rejected {
         /// When the call was sent.
         placed_at: Micros,
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -106,7 +106,7 @@
     Answer::Served(Rc::from(result))
 }
 
-/// The answer to a request rejected by a limit of the node itself.
+/// The answer to a request that the node itself rejects, with the default retry delay.
 pub fn overloaded() -> Answer {
     Answer::Rejected {
         retry_after: OVERLOAD_RETRY_AFTER,
--- a/crates/core/tests/deployments.rs
+++ b/crates/core/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The core under random valid settings, with a simulated processor and layer below.
+//! The core under random valid settings, with a simulated processor and downstream layer.
 //!
 //! Checks that each request gets one answer by its deadline, no request that ran is rejected, no
 //! key runs twice within its window, and no request is unanswered at the end.
--- a/crates/core/tests/hot_restart/world.rs
+++ b/crates/core/tests/hot_restart/world.rs
@@ -74,10 +74,10 @@
     to_successor: VecDeque<Message>,
     /// The predecessor has sent all keys.
     is_snapshot_sent: bool,
-    /// The predecessor has seen the end of the connection.
-    has_predecessor_seen_disconnect: bool,
-    /// The successor has seen the end of the connection.
-    has_successor_seen_disconnect: bool,
+    /// The predecessor has handled the end of the connection.
+    has_predecessor_handled_disconnect: bool,
+    /// The successor has handled the end of the connection.
+    has_successor_handled_disconnect: bool,
     has_yielded: bool,
     /// The step that closed the connection.
     disconnected_by: Option<Step>,
@@ -114,8 +114,8 @@
             to_predecessor: VecDeque::new(),
             to_successor: VecDeque::new(),
             is_snapshot_sent: false,
-            has_predecessor_seen_disconnect: false,
-            has_successor_seen_disconnect: false,
+            has_predecessor_handled_disconnect: false,
+            has_successor_handled_disconnect: false,
             has_yielded: false,
             disconnected_by: None,
             attempts: 0,
@@ -153,7 +153,7 @@
             }
             Step::Ready => {
                 self.new.is_alive
-                    && !self.has_successor_seen_disconnect
+                    && !self.has_successor_handled_disconnect
                     && self.successor.phase() == successor::Phase::Prepare
             }
             Step::Send => self.can_send(),
@@ -187,7 +187,7 @@
         let is_disconnected = self.disconnected_by.is_some() && !self.predecessor.has_yielded();
         let is_connection_closed = !self.new.is_alive || is_disconnected;
         self.old.is_alive
-            && !self.has_predecessor_seen_disconnect
+            && !self.has_predecessor_handled_disconnect
             && (has_message || is_connection_closed)
     }
 
@@ -196,7 +196,7 @@
             && !self.to_successor.is_empty();
         let is_connection_closed = !self.old.is_alive || self.disconnected_by.is_some();
         self.new.is_alive
-            && !self.has_successor_seen_disconnect
+            && !self.has_successor_handled_disconnect
             && (has_message || is_connection_closed)
     }
 
@@ -272,7 +272,7 @@
     }
 
     fn predecessor_disconnects(&mut self) {
-        self.has_predecessor_seen_disconnect = true;
+        self.has_predecessor_handled_disconnect = true;
         for action in self.predecessor.handle_disconnect() {
             match action {
                 predecessor::Action::UnfreezeKeys => self.old.core.unfreeze_keys(),
@@ -315,7 +315,7 @@
     }
 
     fn successor_disconnects(&mut self) {
-        self.has_successor_seen_disconnect = true;
+        self.has_successor_handled_disconnect = true;
         match self.successor.handle_disconnect(!self.old.is_alive) {
             ConnectionLoss::Abort => self.new.is_alive = false,
             loss => {
--- a/crates/core/tests/store.rs
+++ b/crates/core/tests/store.rs
@@ -13,7 +13,7 @@
 /// The machine's uptime at the start of the node's clock.
 const UPTIME: Micros = 1000 * SECOND;
 
-/// A core with a store, and the keys recovered from it after a restart.
+/// A core with a store, from which these keys were recovered after a restart.
 fn core_with_store(
     waits_for_outcome: bool,
     damage_ends_at: Option<Micros>,
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -57,7 +57,7 @@
     pub(crate) quota_rps: f64,
 }
 
-/// The properties of the server and of the layer below it.
+/// The properties of the server and of its downstream layer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ServerSettings {
