--- a/crates/node/src/cli/import/mod.rs
+++ b/crates/node/src/cli/import/mod.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::net::worker_pools::routes::Uwsgi;
+use crate::net::worker_pools::routes::UwsgiSettings;
 use pipitlever_load_balancing::pool::Member;
 use serde::Serialize;
 use std::collections::{BTreeSet, HashMap};
@@ -20,7 +20,7 @@
 
 #[derive(Serialize)]
 struct Section {
-    uwsgi: Uwsgi,
+    uwsgi: UwsgiSettings,
 }
 
 /// A line of an imported file.
@@ -119,9 +119,9 @@
     fn uwsgi_section(&self, balancer: &str) -> Result<String, String> {
         let is_plain = |member: &Member<SocketAddr>| *member == Member::new(member.address);
         let plain = self.members_of(balancer).filter(|member| is_plain(member));
-        let mut uwsgi = Uwsgi {
+        let mut uwsgi = UwsgiSettings {
             workers: plain.map(|member| member.address).collect(),
-            ..Uwsgi::default()
+            ..UwsgiSettings::default()
         };
         uwsgi.deadline_ms = self.deadline_ms.unwrap_or(uwsgi.deadline_ms);
         let mut text = String::from(
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -278,7 +278,7 @@
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
         let pools: Vec<_> = file
-            .named
+            .named_pools
             .iter()
             .map(|p| (p.name.as_str(), p.members.len()))
             .collect();
@@ -287,8 +287,8 @@
         if name == "a.conf" {
             assert_eq!(
                 (
-                    file.named[1].members[0].weight,
-                    file.named[1].members[1].is_standby
+                    file.named_pools[1].members[0].weight,
+                    file.named_pools[1].members[1].is_standby
                 ),
                 (2.0, true)
             );
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -3,13 +3,13 @@
 #[cfg(test)]
 mod tests;
 
-use crate::net::worker_pools::routes::{Backend, PoolSettings, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, PoolSettings, UwsgiSettings};
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// A line for each pool, each member, each thing that is odd.
-pub fn pools(uwsgi: &Uwsgi) -> Vec<String> {
+pub fn pools(uwsgi: &UwsgiSettings) -> Vec<String> {
     let all = uwsgi.pools();
     let mut lines = Vec::new();
     for (i, pool) in all.iter().enumerate() {
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -63,13 +63,13 @@
         let rules = membership_config(text, self.probe_ms, self.forget_s, self.most_members)?;
         let versions = self.versions.map(|section| section.read(text));
         Ok(Settings {
-            apart,
+            partition_policy: apart,
             name,
             bind: self.bind.into_inner(),
             advertise,
             seeds: self.seeds.into_iter().map(Spanned::into_inner).collect(),
             zone,
-            rules,
+            protocol: rules,
             versions: versions.transpose()?,
         })
     }
--- a/crates/node/src/config/operator/fleet/tests.rs
+++ b/crates/node/src/config/operator/fleet/tests.rs
@@ -78,7 +78,7 @@
         .fleet
         .unwrap();
     assert_eq!(
-        (read.advertise, read.rules.retention),
+        (read.advertise, read.protocol.retention),
         (read.bind, 60_000_000)
     );
 }
--- a/crates/node/src/config/operator/mod.rs
+++ b/crates/node/src/config/operator/mod.rs
@@ -15,7 +15,7 @@
 pub use store::{OnDamage, Store};
 
 use crate::net::membership;
-use crate::net::worker_pools::routes::Uwsgi;
+use crate::net::worker_pools::routes::UwsgiSettings;
 use capture::CaptureSection;
 use error::FileError;
 use fleet::FleetSection;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Operator {
     /// The uwsgi front end, the workers and the routes; off without the section.
-    pub uwsgi: Uwsgi,
+    pub uwsgi: UwsgiSettings,
     /// The capture.
     pub capture: Option<Capture>,
     /// The idempotency store.
@@ -58,9 +58,9 @@
         let pools = pools(text, file.pool)?;
         let of_a_fleet = pools
             .iter()
-            .find(|p| p.shared.is_some() || p.sessions.is_some());
+            .find(|p| p.subsetting.is_some() || p.sessions.is_some());
         if let Some(pool) = of_a_fleet.filter(|_| file.fleet.is_none()) {
-            let key = match pool.shared {
+            let key = match pool.subsetting {
                 Some(_) => "share = true",
                 None => "[pool.affinity]",
             };
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -51,15 +51,17 @@
         }
         Ok(SessionSettings {
             variable: self.session.into_inner(),
-            idle_s: within(
+            idle_timeout_seconds: within(
                 text,
                 "idle_s",
                 self.idle_s,
                 8 * 3600,
                 [60, MAX_IDLE_SECONDS],
             )?,
-            patience: within(text, "patience_ms", self.patience_ms, 5_000, [0, 3_600_000])? * 1000,
-            linger: within(text, "linger_s", self.linger_s, 3600, [0, 30 * 86_400])? * 1_000_000,
+            failure_grace: within(text, "patience_ms", self.patience_ms, 5_000, [0, 3_600_000])?
+                * 1000,
+            drain_grace: within(text, "linger_s", self.linger_s, 3600, [0, 30 * 86_400])?
+                * 1_000_000,
         })
     }
 }
@@ -94,7 +96,7 @@
     let mut shared = pools
         .iter()
         .zip(offsets)
-        .filter(|(p, _)| p.shared.is_some());
+        .filter(|(p, _)| p.subsetting.is_some());
     match shared.nth(MAX_POOLS) {
         Some((pool, offset)) => {
             let message = format!(
@@ -130,7 +132,9 @@
             );
             return Err(FileError::at(text, affinity_offset, message));
         }
-        let all_workers = SubsetSettings { subset: usize::MAX };
+        let all_workers = SubsetSettings {
+            subset_size: usize::MAX,
+        };
         let shared = match sessions {
             Some(_) => shared.map(|_| all_workers),
             None => shared,
@@ -142,8 +146,8 @@
             fallback: fallback?,
             members,
             labels,
-            shared,
-            was: self.was,
+            subsetting: shared,
+            previous_names: self.was,
             sessions,
         })
     }
@@ -177,7 +181,9 @@
 ) -> Result<Option<SubsetSettings>, FileError> {
     if is_shared {
         let subset = within(text, "subset", subset.cloned(), SUBSET, SUBSET_RANGE)?;
-        return Ok(Some(SubsetSettings { subset }));
+        return Ok(Some(SubsetSettings {
+            subset_size: subset,
+        }));
     }
     match subset {
         Some(subset) => {
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -2,7 +2,7 @@
 
 use super::error::{within, FileError};
 use super::pools::{find_label, members, WorkerEntry};
-use crate::net::worker_pools::routes::{Backend, PoolSettings, Route, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, PoolSettings, Route, UwsgiSettings};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use toml::Spanned;
@@ -61,7 +61,7 @@
         text: &str,
         classes: &[String],
         pools: Vec<PoolSettings>,
-    ) -> Result<Uwsgi, FileError> {
+    ) -> Result<UwsgiSettings, FileError> {
         if let Some(offset) = find_label(&self.worker) {
             let message = "name and zone are for members of a [[pool]]";
             return Err(FileError::at(text, offset, message));
@@ -78,15 +78,15 @@
             let route = context.read(entry, &routes)?;
             routes.push(route);
         }
-        let default = Uwsgi::default();
+        let default = UwsgiSettings::default();
         let deadline = default.deadline_ms;
-        let body = default.most_body;
-        let response = default.most_response;
-        let memory = default.room_kb;
-        Ok(Uwsgi {
+        let body = default.max_body_bytes;
+        let response = default.max_response_bytes;
+        let memory = default.reserved_memory_kb;
+        Ok(UwsgiSettings {
             listen: self.listen,
             workers: self.workers,
-            special,
+            configured_workers: special,
             deadline_ms: within(
                 text,
                 "deadline_ms",
@@ -94,17 +94,17 @@
                 deadline,
                 DEADLINE_RANGE_MS,
             )?,
-            most_body: within(text, "most_body", self.most_body, body, BODY_RANGE)?,
-            most_response: within(
+            max_body_bytes: within(text, "most_body", self.most_body, body, BODY_RANGE)?,
+            max_response_bytes: within(
                 text,
                 "most_response",
                 self.most_response,
                 response,
                 RESPONSE_RANGE,
             )?,
-            room_kb: within(text, "room_kb", self.room_kb, memory, MEMORY_RANGE_KB)?,
+            reserved_memory_kb: within(text, "room_kb", self.room_kb, memory, MEMORY_RANGE_KB)?,
             routes,
-            named: pools,
+            named_pools: pools,
         })
     }
 }
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -4,7 +4,7 @@
 use crate::config::versions::Content;
 use crate::net::event_loop::{RequestSettings, Upstreams};
 use crate::net::membership;
-use crate::net::worker_pools::routes::{Backend, Uwsgi};
+use crate::net::worker_pools::routes::{Backend, UwsgiSettings};
 use pipitlever_settings::PlatformSettings;
 use serde::Deserialize;
 use serde_json::Value;
@@ -218,8 +218,8 @@
             parties: Upstreams {
                 processor: file.processor,
                 ledger: file.ledger,
-                members: file.members,
-                pools: Uwsgi::default().pools(),
+                registry: file.members,
+                pools: UwsgiSettings::default().pools(),
             },
             seed,
             stop_ms: file.stop_ms,
@@ -229,10 +229,10 @@
                 classes: file.settings.class_names(),
                 tenants: file.settings.tenant_names(),
                 gauges: file.settings.gauge_names().to_vec(),
-                round: file.settings.decision_interval(),
-                marked: file.settings.marks_retries(),
-                uwsgi: Uwsgi::default(),
-                settings: file
+                min_round_interval: file.settings.decision_interval(),
+                retries_are_marked: file.settings.marks_retries(),
+                uwsgi: UwsgiSettings::default(),
+                admission: file
                     .settings
                     .controller_settings()
                     .map_err(|e| format!("settings: {e}"))?,
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -7,7 +7,7 @@
 use crate::config::platform::Config;
 use crate::log::log;
 use crate::net::config_versions::disk::{load, ACTIVE_FILE};
-use crate::net::config_versions::{default_rules, Settings};
+use crate::net::config_versions::{default_protocol, Settings};
 use pipitlever_config_versions::minimum_version::{StoredVersion, UnknownMinimum};
 use pipitlever_config_versions::node::WithoutLease;
 use pipitlever_config_versions::version::check_acceptors;
@@ -56,7 +56,7 @@
         let at = self.electors.span().start;
         check_acceptors(self.electors.get_ref())
             .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
-        let mut rules = default_rules(self.electors.into_inner());
+        let mut rules = default_protocol(self.electors.into_inner());
         let lease = within(
             text,
             "lease_ms",
@@ -75,7 +75,7 @@
         };
         Ok(Settings {
             folder: self.folder.into_inner(),
-            rules,
+            protocol: rules,
         })
     }
 }
@@ -91,7 +91,7 @@
         return Ok((config, None));
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTIVE_FILE) {
-        Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
+        Err(why) if versions.protocol.unknown_minimum == UnknownMinimum::Wait => {
             log(&format!("versions: starting as on a new disk: {why}"));
             None
         }
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -101,7 +101,9 @@
         if new.parties.processor.is_some() != state.borrow().processor.address.is_some() {
             return Err("a processor can be neither added nor removed while the node runs".into());
         }
-        let same = |(new, old): (&PoolSettings, &String)| new.name == *old || new.was.contains(old);
+        let same = |(new, old): (&PoolSettings, &String)| {
+            new.name == *old || new.previous_names.contains(old)
+        };
         let names = state.borrow().pools.names();
         if new.parties.pools.len() != names.len() || !new.parties.pools.iter().zip(&names).all(same)
         {
@@ -110,7 +112,7 @@
                     .into(),
             );
         }
-        let parts = |p: &PoolSettings| (p.shared.is_some(), p.sessions.is_some());
+        let parts = |p: &PoolSettings| (p.subsetting.is_some(), p.sessions.is_some());
         if new
             .parties
             .pools
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -28,7 +28,7 @@
     let Some(settings) = config.store.clone() else {
         return Ok(None);
     };
-    let classes = &config.tuning.settings.classes;
+    let classes = &config.tuning.admission.classes;
     let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
     // A retry that arrived within its window may be read as late as its caller waits.
     let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -31,11 +31,11 @@
     /// Folder of this node's files. No other node may use it.
     pub folder: PathBuf,
     /// Acceptors, leases, and what to do without them.
-    pub rules: node::Settings,
+    pub protocol: node::Settings,
 }
 
 /// The default settings with these acceptors.
-pub fn default_rules(acceptors: Vec<String>) -> node::Settings {
+pub fn default_protocol(acceptors: Vec<String>) -> node::Settings {
     node::Settings {
         acceptors,
         lease: DEFAULT_LEASE,
@@ -109,7 +109,7 @@
         let folder = settings.folder.clone();
         let DiskWriter { writes, results } = disk::start(folder.clone(), sentinel)?;
         let is_acceptor = settings
-            .rules
+            .protocol
             .acceptors
             .iter()
             .any(|name| name == node_name);
@@ -127,7 +127,13 @@
                 .map(|version| VersionWithContent { version, content }),
             minimum_version: stored.minimum_version,
         };
-        let node = Node::new(node_name, settings.rules.clone(), stored_state, seed, now);
+        let node = Node::new(
+            node_name,
+            settings.protocol.clone(),
+            stored_state,
+            seed,
+            now,
+        );
         log(&format!(
             "versions: started active_version={} minimum_version={} acceptor={is_acceptor}",
             node.active_version(),
--- a/crates/node/src/net/event_loop/classes.rs
+++ b/crates/node/src/net/event_loop/classes.rs
@@ -64,7 +64,7 @@
         let definitions = settings
             .classes
             .iter()
-            .zip(&settings.settings.classes)
+            .zip(&settings.admission.classes)
             .map(|(name, class)| define(name, class, settings));
         ClassDefinitions(definitions.collect())
     }
@@ -97,7 +97,7 @@
     class: &pipitlever_admission::Class,
     settings: &RequestSettings,
 ) -> ClassDefinition {
-    let all = &settings.settings.classes;
+    let all = &settings.admission.classes;
     let lower = all
         .iter()
         .filter(|other| other.priority_weight < class.priority_weight)
--- a/crates/node/src/net/event_loop/effects.rs
+++ b/crates/node/src/net/event_loop/effects.rs
@@ -33,7 +33,7 @@
                 reference,
                 deadline,
                 body,
-            } => self.place_call(LedgerCall {
+            } => self.queue_call(LedgerCall {
                 reference,
                 deadline,
                 body,
@@ -66,9 +66,9 @@
     }
 
     /// Queues a ledger call; fails it if there is no ledger.
-    fn place_call(&mut self, call: LedgerCall) {
+    fn queue_call(&mut self, call: LedgerCall) {
         if self.ledger.address.is_some() {
-            self.ledger.place(call);
+            self.ledger.enqueue(call);
             return;
         }
         // Not `Unreachable`, which proves that the call never ran: the controller would place it
--- a/crates/node/src/net/event_loop/mod.rs
+++ b/crates/node/src/net/event_loop/mod.rs
@@ -30,7 +30,7 @@
 use crate::net::membership::MembershipDriver;
 use crate::net::notify::Notify;
 use crate::net::processor_connection::ProcessorConnection;
-use crate::net::worker_pools::routes::Uwsgi;
+use crate::net::worker_pools::routes::UwsgiSettings;
 use crate::net::worker_pools::WorkerPools;
 use crate::supervision::{panic_point, FailureStatus, Subsystem};
 use classes::ClassDefinitions;
@@ -78,7 +78,7 @@
     /// Counters of configuration files that were read on SIGHUP.
     pub config_files: ConfigFileCounters,
     /// Settings of the uwsgi front end, its routes and its workers.
-    pub uwsgi: Uwsgi,
+    pub uwsgi: UwsgiSettings,
     /// Salt of the payload digests that tell requests with the same idempotency key apart. It is
     /// random, so that no client can construct a collision, and comes from the store or from the
     /// predecessor if there is one.
@@ -117,29 +117,29 @@
     ) -> NodeState {
         let classes = ClassDefinitions::new(&settings);
         let RequestSettings {
-            settings,
+            admission,
             gauges: gauge_names,
             tenants,
-            round,
-            marked,
+            min_round_interval,
+            retries_are_marked,
             uwsgi,
             ..
         } = settings;
         let max_result_bytes = if classes.any_on_workers() {
-            uwsgi.most_response
+            uwsgi.max_response_bytes
         } else {
             jsonrpc::MAX_RESULT
         };
         let clock = Clock::start();
         let mut core = Core::new(
-            settings,
+            admission,
             &classes.names(),
             seed,
-            round,
+            min_round_interval,
             max_result_bytes,
             memory_limits,
         );
-        core.retries_are_marked = marked;
+        core.retries_are_marked = retries_are_marked;
         NodeState {
             core,
             processor: ProcessorConnection::new(),
--- a/crates/node/src/net/event_loop/reconfigure.rs
+++ b/crates/node/src/net/event_loop/reconfigure.rs
@@ -30,7 +30,7 @@
         let core = &self.core;
         let is_unchanged = |index: usize, class: usize| {
             self.classes[index].is_same_as(&definitions[class])
-                && *core.class(index) == new.settings.classes[class]
+                && *core.class(index) == new.admission.classes[class]
         };
         let assignments = core
             .classes
@@ -54,10 +54,10 @@
         self.uwsgi.routes = new.uwsgi.routes;
         self.gauge_names = new.gauges;
         self.tenants = new.tenants;
-        self.core.retries_are_marked = new.marked;
+        self.core.retries_are_marked = new.retries_are_marked;
         Ok(self
             .core
-            .reconfigure(new.settings, new.round, &names, &assignments))
+            .reconfigure(new.admission, new.min_round_interval, &names, &assignments))
     }
 
     /// Changes the addresses of the services that the node connects to. Runs and calls that are in
@@ -65,7 +65,7 @@
     pub fn set_upstreams(&mut self, upstreams: Upstreams) {
         self.processor.set_address(upstreams.processor);
         self.ledger.set_address(upstreams.ledger);
-        self.registry_address = upstreams.members;
+        self.registry_address = upstreams.registry;
         self.pools.set_pools(upstreams.pools, self.clock.now());
     }
 
--- a/crates/node/src/net/event_loop/settings.rs
+++ b/crates/node/src/net/event_loop/settings.rs
@@ -1,6 +1,6 @@
 //! The parts of a configuration that may change while the node runs.
 
-use crate::net::worker_pools::routes::{PoolSettings, Uwsgi};
+use crate::net::worker_pools::routes::{PoolSettings, UwsgiSettings};
 use pipitlever_admission::{Micros, Settings};
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     /// The ledger, if there is one.
     pub ledger: Option<SocketAddr>,
     /// The service registry, if there is one.
-    pub members: Option<SocketAddr>,
+    pub registry: Option<SocketAddr>,
     /// The pools of uwsgi workers.
     pub pools: Vec<PoolSettings>,
 }
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct RequestSettings {
     /// The admission controller's settings.
-    pub settings: Settings,
+    pub admission: Settings,
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of the settings.
@@ -29,9 +29,9 @@
     /// Names of the gauges, in the processor's order.
     pub gauges: Vec<String>,
     /// Shortest time between two decision rounds, in microseconds.
-    pub round: Micros,
+    pub min_round_interval: Micros,
     /// Whether clients mark each retry.
-    pub marked: bool,
+    pub retries_are_marked: bool,
     /// The uwsgi front end, the workers and the routes.
-    pub uwsgi: Uwsgi,
+    pub uwsgi: UwsgiSettings,
 }
--- a/crates/node/src/net/event_loop/uwsgi_requests.rs
+++ b/crates/node/src/net/event_loop/uwsgi_requests.rs
@@ -56,7 +56,11 @@
         if key.is_some_and(|key| self.core.is_key_conflict(key, arrived_at, payload_digest)) {
             return Err(Status::BadRequest);
         }
-        let (key, body, memory_kb) = (key.map(Rc::from), Rc::from(body), self.uwsgi.room_kb);
+        let (key, body, memory_kb) = (
+            key.map(Rc::from),
+            Rc::from(body),
+            self.uwsgi.reserved_memory_kb,
+        );
         let core = &self.core;
         Ok(IncomingRequest {
             reference: self
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -198,7 +198,7 @@
 
 /// Reads one packet, and then waits for the client to close the connection.
 async fn read_packet(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) {
-    let mut reader = Some(PacketReader::new(state.borrow().uwsgi.most_body));
+    let mut reader = Some(PacketReader::new(state.borrow().uwsgi.max_body_bytes));
     let mut bytes = vec![0; READ_BUFFER_BYTES];
     while let Ok(length) = stream.read(&mut bytes).await {
         if length == 0 {
--- a/crates/node/src/net/ledger_calls.rs
+++ b/crates/node/src/net/ledger_calls.rs
@@ -72,7 +72,7 @@
     }
 
     /// Queues a call.
-    pub fn place(&mut self, call: LedgerCall) {
+    pub fn enqueue(&mut self, call: LedgerCall) {
         self.queue.push_back(call);
         self.changed.notify();
     }
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -152,7 +152,7 @@
     pub fn set_settings(&self, settings: &Settings) {
         self.update(|fleet, _| {
             fleet.set_seeds(settings.seeds.clone());
-            fleet.set_config(settings.rules.clone());
+            fleet.set_config(settings.protocol.clone());
         });
     }
 
--- a/crates/node/src/net/membership/settings.rs
+++ b/crates/node/src/net/membership/settings.rs
@@ -30,25 +30,25 @@
     /// The node's zone; may be empty.
     pub zone: String,
     /// Times and limits of the protocol.
-    pub rules: MembershipConfig,
+    pub protocol: MembershipConfig,
     /// Config versions, if the fleet decides them.
     pub versions: Option<config_versions::Settings>,
     /// The share of a divided pool that a node keeps while it may be partitioned.
-    pub apart: PartitionPolicy,
+    pub partition_policy: PartitionPolicy,
 }
 
 impl Settings {
     /// Times of subsetting: an update reaches all members within the first; a lost share stays
     /// reserved for the second.
     pub(super) fn timing(&self) -> Timing {
-        let max_propagation = 2 * self.rules.probe_interval + 2 * STATE_CHECK_MS as i64 * 1000;
+        let max_propagation = 2 * self.protocol.probe_interval + 2 * STATE_CHECK_MS as i64 * 1000;
         // From the last message that a partitioned member received of a quorum until its lease has
         // expired by any clock.
         let reservation = self
             .versions
             .as_ref()
             .map_or(DEFAULT_RESERVATION, |versions| {
-                let lease = versions.rules.lease;
+                let lease = versions.protocol.lease;
                 lease + lease / CLOCK_DRIFT_DIVISOR + max_propagation
             });
         Timing {
--- a/crates/node/src/net/membership/start.rs
+++ b/crates/node/src/net/membership/start.rs
@@ -165,7 +165,7 @@
             fleet: RefCell::new(fleet),
             versions: applications.versions,
             subsetting: applications.subsetting,
-            partition_policy: settings.apart,
+            partition_policy: settings.partition_policy,
             session_affinity: applications.session_affinity,
             service_state: RefCell::new(ServiceStateFilter::new(now)),
             clock,
@@ -224,7 +224,7 @@
     now: i64,
 ) -> Membership {
     let mut fleet = Membership::new(
-        settings.rules.clone(),
+        settings.protocol.clone(),
         &settings.name,
         node_name,
         identity.local_member,
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -366,11 +366,11 @@
         });
     Some(Pool {
         name: settings.name.clone(),
-        previous_names: settings.was.clone(),
+        previous_names: settings.previous_names.clone(),
         workers: workers.collect(),
-        idle_timeout_seconds: sessions.idle_s,
-        failure_grace: sessions.patience,
-        drain_grace: sessions.linger,
+        idle_timeout_seconds: sessions.idle_timeout_seconds,
+        failure_grace: sessions.failure_grace,
+        drain_grace: sessions.drain_grace,
     })
 }
 
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -271,7 +271,7 @@
 /// A pool in the terms of subsetting; none if it is not divided. The first name identifies it, so
 /// that a new name does not change the subsets.
 fn subsetting_pool(settings: &PoolSettings) -> Option<Pool> {
-    let subset_size = settings.shared?.subset;
+    let subset_size = settings.subsetting?.subset_size;
     let workers = divided_members(settings).map(|(member, label)| Worker {
         name: label.name.clone(),
         zone: label.zone.clone(),
@@ -280,7 +280,11 @@
         concurrency_limit: member.max_runs,
     });
     Some(Pool {
-        name: settings.was.first().unwrap_or(&settings.name).clone(),
+        name: settings
+            .previous_names
+            .first()
+            .unwrap_or(&settings.name)
+            .clone(),
         subset_size,
         workers: workers.collect(),
     })
@@ -290,7 +294,7 @@
     let divided = settings
         .iter()
         .enumerate()
-        .filter(|(_, settings)| settings.shared.is_some());
+        .filter(|(_, settings)| settings.subsetting.is_some());
     let pool = |(index, settings): (usize, &PoolSettings)| {
         let workers = divided_members(settings).map(|(member, label)| WorkerAddress {
             name: label.name.clone(),
--- a/crates/node/src/net/worker_pools/pool_entry.rs
+++ b/crates/node/src/net/worker_pools/pool_entry.rs
@@ -82,7 +82,7 @@
     settings: &PoolSettings,
     shares: &HashMap<String, WorkerShare>,
 ) -> Vec<Member<SocketAddr>> {
-    if settings.shared.is_none() {
+    if settings.subsetting.is_none() {
         return settings.members.clone();
     }
     let local = |(member, label): (&Member<SocketAddr>, &WorkerLabel)| {
--- a/crates/node/src/net/worker_pools/routes.rs
+++ b/crates/node/src/net/worker_pools/routes.rs
@@ -29,7 +29,8 @@
     /// Whether attempts with the same idempotency key go to the same worker while it is healthy.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub sticky: bool,
-    /// Timeout of requests that carry none, in milliseconds, if it differs from that of [`Uwsgi`].
+    /// Timeout of requests that carry none, in milliseconds, if it differs from that of
+    /// [`UwsgiSettings`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
@@ -47,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
     /// Number of workers that each node uses, approximately.
-    pub subset: usize,
+    pub subset_size: usize,
 }
 
 /// Session affinity: how long sessions stay with their workers.
@@ -56,11 +57,11 @@
     /// The variable of a request's packet that names its session.
     pub variable: String,
     /// Time without a request after which a session is dropped, in seconds.
-    pub idle_s: u32,
+    pub idle_timeout_seconds: u32,
     /// Time for which a failing worker keeps its sessions, in microseconds.
-    pub patience: i64,
+    pub failure_grace: i64,
     /// Time for which a draining worker keeps its sessions, in microseconds.
-    pub linger: i64,
+    pub drain_grace: i64,
 }
 
 /// A pool of workers.
@@ -75,16 +76,16 @@
     /// Labels of the members, in the same order; empty if the pool has no name.
     pub labels: Vec<WorkerLabel>,
     /// Subsetting, if the nodes of the fleet divide the pool.
-    pub shared: Option<SubsetSettings>,
+    pub subsetting: Option<SubsetSettings>,
     /// Its earlier names, the oldest first.
-    pub was: Vec<String>,
+    pub previous_names: Vec<String>,
     /// Session affinity, if the pool has it.
     pub sessions: Option<SessionSettings>,
 }
 
 /// The uwsgi front end, the workers and the routes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Uwsgi {
+pub struct UwsgiSettings {
     /// Address of the front end; none if there is no uwsgi front end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
@@ -92,47 +93,50 @@
     pub workers: Vec<SocketAddr>,
     /// Workers with settings of their own.
     #[serde(skip)]
-    pub special: Vec<Member<SocketAddr>>,
+    pub configured_workers: Vec<Member<SocketAddr>>,
     /// Named pools.
     #[serde(skip)]
-    pub named: Vec<PoolSettings>,
+    pub named_pools: Vec<PoolSettings>,
     /// Timeout of requests that carry none, in milliseconds.
     pub deadline_ms: u64,
     /// Longest body, in bytes.
-    pub most_body: usize,
+    #[serde(rename = "most_body")]
+    pub max_body_bytes: usize,
     /// Longest response of a worker, in bytes.
-    pub most_response: usize,
+    #[serde(rename = "most_response")]
+    pub max_response_bytes: usize,
     /// Memory that is reserved for a request, in KB.
-    pub room_kb: f64,
+    #[serde(rename = "room_kb")]
+    pub reserved_memory_kb: f64,
     /// The routes; the longest matching prefix decides.
     #[serde(rename = "route", skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<Route>,
 }
 
-impl Default for Uwsgi {
+impl Default for UwsgiSettings {
     fn default() -> Self {
-        Uwsgi {
+        UwsgiSettings {
             listen: None,
             workers: Vec::new(),
-            special: Vec::new(),
-            named: Vec::new(),
+            configured_workers: Vec::new(),
+            named_pools: Vec::new(),
             deadline_ms: 2200,
-            most_body: 16 << 10,
-            most_response: 16 << 10,
-            room_kb: 24.0,
+            max_body_bytes: 16 << 10,
+            max_response_bytes: 16 << 10,
+            reserved_memory_kb: 24.0,
             routes: Vec::new(),
         }
     }
 }
 
-impl Uwsgi {
+impl UwsgiSettings {
     /// The members of the unnamed pool.
     pub fn members(&self) -> Vec<Member<SocketAddr>> {
         self.workers
             .iter()
             .copied()
             .map(Member::new)
-            .chain(self.special.iter().cloned())
+            .chain(self.configured_workers.iter().cloned())
             .collect()
     }
 
@@ -144,7 +148,7 @@
             ..PoolSettings::default()
         };
         std::iter::once(first)
-            .chain(self.named.iter().cloned())
+            .chain(self.named_pools.iter().cloned())
             .collect()
     }
 
--- a/crates/node/src/net/worker_pools/tests.rs
+++ b/crates/node/src/net/worker_pools/tests.rs
@@ -15,7 +15,7 @@
             name: "w".into(),
             zone: String::new(),
         }],
-        shared: Some(SubsetSettings { subset: 1 }),
+        subsetting: Some(SubsetSettings { subset_size: 1 }),
         ..PoolSettings::default()
     };
     WorkerPools::new(vec![settings], 1, 0)
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -90,7 +90,10 @@
     async fn new(state: &'a SharedState, run: &'a WorkerRun) -> RunDriver<'a> {
         let (deadline, max_response_bytes) = {
             let state = state.borrow();
-            (state.clock.instant(run.deadline), state.uwsgi.most_response)
+            (
+                state.clock.instant(run.deadline),
+                state.uwsgi.max_response_bytes,
+            )
         };
         RunDriver {
             state,
