--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,12 +1,13 @@
-//! The node's clock: monotonic microseconds that begin at the Unix time of the process's start.
+//! The node's clock: monotonic time in microseconds, which starts at the Unix time at which the
+//! process started.
 
 use pipitlever_admission::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A monotonic clock, and its conversion from and to Unix time.
 ///
-/// The two drift apart when the system's clock is set. A Unix time is therefore converted once,
-/// when it is read, and not stored.
+/// Monotonic time and Unix time drift apart when the system's clock is set. A Unix time is
+/// therefore converted once, when it is read, and is not stored.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -33,7 +34,8 @@
         self.now() - (unix_now() - unix)
     }
 
-    /// The current difference of Unix time and this clock, to be added to a time of this clock.
+    /// The current offset of Unix time from this clock. Added to a time of this clock, it yields
+    /// the Unix time.
     pub fn unix_offset(&self) -> Micros {
         unix_now() - self.now()
     }
--- a/crates/node/src/net/connections/connection.rs
+++ b/crates/node/src/net/connections/connection.rs
@@ -7,31 +7,33 @@
 use pipitlever_core::Reference;
 use std::collections::HashMap;
 
-/// An unidentified connection, one that has brought no request and no health check yet, is closed
-/// after this time, in microseconds: its peer expects a reply or a close within three seconds.
+/// An unidentified connection, on which neither a request nor a health check has arrived yet, is
+/// closed after this time, in microseconds. Its peer expects a reply or a close within three
+/// seconds.
 const UNIDENTIFIED_TIMEOUT: Micros = 2_000_000;
-/// An unidentified connection that received bytes this recently, in microseconds, may stay longer:
-/// a first request may take two seconds to arrive.
+/// How long to wait for further bytes of a partial message, or on an unidentified connection, after
+/// the last ones, in microseconds. An unidentified connection may therefore stay open for longer
+/// than [`UNIDENTIFIED_TIMEOUT`], as a first request may take two seconds to arrive.
 const PARTIAL_MESSAGE_TIMEOUT: Micros = 1_000_000;
-/// The longest that an unidentified connection may stay, in microseconds.
+/// Upper bound of the time for which an unidentified connection stays open, in microseconds.
 const MAX_UNIDENTIFIED_TIMEOUT: Micros = 2_700_000;
-/// Errors that a connection may bring between two valid messages. A peer that speaks another
+/// A connection is closed after this number of invalid messages in a row. A peer with another
 /// protocol would otherwise take most of the event loop's time.
 const MAX_ERRORS: u32 = 8;
-/// A connection that was used this recently, in microseconds, is not evicted: its peer may be about
-/// to use it again.
+/// A connection is not evicted for this time after its last use, in microseconds: its peer may be
+/// about to use it again.
 const RECENT_USE: Micros = 100_000;
-/// An unidentified connection that was active this recently, in microseconds, is not evicted: its
-/// first request may be on its way. Longer than [`RECENT_USE`], so that another connection can be
-/// evicted before it.
+/// An unidentified connection is not evicted for this time after its last activity, in
+/// microseconds: its first request may be in transit. Longer than [`RECENT_USE`], so that
+/// identified connections can be evicted before it.
 const RECENT_ARRIVAL: Micros = 250_000;
 
 /// A request that has no answer yet.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenRequest {
-    /// Its reference in the core.
+    /// Reference of the request in the core.
     pub reference: Reference,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
 }
 
@@ -46,19 +48,19 @@
     pub unsent_bytes: usize,
     /// Requests without an answer, by their number on this connection.
     pub open_requests: HashMap<u64, OpenRequest>,
-    /// When it last brought a request or a health check, or received an answer.
+    /// When a request or a health check last arrived, or an answer was last sent.
     pub last_use: Micros,
-    /// When it last brought any byte.
+    /// When bytes last arrived.
     last_activity: Micros,
-    /// When a message whose end is missing began to arrive.
+    /// When the first part of an incomplete message arrived.
     partial_since: Option<Micros>,
-    /// Whether it was chosen for eviction and has brought no request since.
+    /// Whether the connection was selected for eviction, and no request has arrived since.
     pub is_evicted: bool,
-    /// Whether it is being closed.
+    /// Whether the connection is being closed.
     is_closing: bool,
-    /// Whether it has brought a request or a health check.
+    /// Whether a request or a health check has arrived.
     pub is_identified: bool,
-    /// Errors since the last valid message.
+    /// Number of invalid messages since the last valid one.
     errors: u32,
 }
 
@@ -94,7 +96,7 @@
         self.partial_since = None;
     }
 
-    /// Records an invalid message. The connection ends once there are too many.
+    /// Records an invalid message. After [`MAX_ERRORS`] in a row the connection is closed.
     pub fn record_error(&mut self) {
         self.errors += 1;
         if self.errors >= MAX_ERRORS {
@@ -102,21 +104,21 @@
         }
     }
 
-    /// Marks the connection as closing. Returns whether its peer is a gateway that may be about to
-    /// use it, so that it has to be sent `goaway` first.
+    /// Marks the connection as closing. Returns whether the peer has to be sent `goaway` first, as
+    /// it is a gateway that may be about to send a request.
     pub fn begin_close(&mut self) -> bool {
         let is_first = !std::mem::replace(&mut self.is_closing, true);
         is_first && self.is_identified && self.front == Front::Gateway
     }
 
-    /// Until when the rest of a partial message is waited for, if there is one.
+    /// Until when to wait for the rest of a partial message, if there is one.
     fn partial_message_deadline(&self) -> Option<Micros> {
         let since = self.partial_since?;
         let rest = self.last_activity + PARTIAL_MESSAGE_TIMEOUT;
         Some(rest.min(since + MAX_UNIDENTIFIED_TIMEOUT))
     }
 
-    /// The work that keeps the connection from being closed.
+    /// The work that has to end before the connection can be closed.
     pub fn pending_work(&self, now: Micros) -> PendingWork {
         if !self.open_requests.is_empty() {
             return PendingWork::OpenRequests;
@@ -130,7 +132,7 @@
         }
     }
 
-    /// Whether the connection is about to end without any further request.
+    /// Whether the connection is about to end, and no request is open.
     pub fn is_ending(&self) -> bool {
         self.open_requests.is_empty()
             && (self.is_evicted || self.is_closing || self.outbox.is_closed())
@@ -143,21 +145,21 @@
             && !self.is_closing
             && !self.outbox.is_closed()
             && self.unsent_bytes == 0;
-        // An unidentified connection may be evicted though half a message has arrived.
+        // An unidentified connection may be evicted even if part of a message has arrived.
         let is_receiving = self.is_identified
             && self
                 .partial_message_deadline()
                 .is_some_and(|deadline| deadline > now);
-        let protected = if self.is_identified {
+        let protection = if self.is_identified {
             RECENT_USE
         } else {
             RECENT_ARRIVAL
         };
-        is_unused && !is_receiving && self.eviction_time() + protected <= now
+        is_unused && !is_receiving && self.eviction_time() + protection <= now
     }
 
-    /// The time by which connections are ordered for eviction: the last use; for an unidentified
-    /// connection the last activity, as a request may be on its way in pieces.
+    /// The time by which connections are ordered for eviction: the last use, or for an unidentified
+    /// connection the last activity, as its first request may arrive in parts.
     pub fn eviction_time(&self) -> Micros {
         if self.is_identified {
             self.last_use
@@ -173,14 +175,14 @@
         }
         let idle = self.last_use + idle_timeout;
         if self.is_identified {
-            // A request that arrives in pieces has begun, though it is not read yet.
+            // The connection is not idle while a request arrives in parts.
             let partial = self.partial_message_deadline();
             return Some(idle.max(partial.unwrap_or(Micros::MIN)));
         }
-        let silent = (self.last_use + UNIDENTIFIED_TIMEOUT)
+        let unidentified_deadline = (self.last_use + UNIDENTIFIED_TIMEOUT)
             .max(self.last_activity + PARTIAL_MESSAGE_TIMEOUT);
         Some(
-            silent
+            unidentified_deadline
                 .min(self.last_use + MAX_UNIDENTIFIED_TIMEOUT)
                 .min(idle),
         )
--- a/crates/node/src/net/connections/mod.rs
+++ b/crates/node/src/net/connections/mod.rs
@@ -11,10 +11,10 @@
 use pipitlever_core::{Origin, Reference};
 use std::collections::HashMap;
 
-/// Most bytes that may wait to be written to one connection: more than all its open answers.
+/// Limit on unsent bytes of one connection: more than the answers to all its open requests.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
-/// Most unidentified connections that are read during a lingering close; others are closed at once.
-/// An identified one always lingers, as its peer may still have answers to read.
+/// Limit on unidentified connections in a lingering close; further ones are closed at once.
+/// Identified connections always linger, as their peers may still have answers to read.
 const MAX_UNIDENTIFIED_LINGERING: usize = 32;
 
 /// The protocol of a front end.
@@ -22,7 +22,7 @@
 pub enum Front {
     /// JSON-RPC, the platform's protocol.
     Gateway,
-    /// The uwsgi protocol: one request a connection.
+    /// The uwsgi protocol: one request per connection.
     Uwsgi,
 }
 
@@ -43,31 +43,31 @@
     }
 }
 
-/// The work that keeps a connection from being closed.
+/// The work that has to end before a connection can be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingWork {
     /// None.
     None,
-    /// Requests are open, each until its deadline.
+    /// Requests are open; each ends by its deadline.
     OpenRequests,
-    /// An answer is not written yet: the peer does not read.
+    /// Bytes wait to be written: the peer does not read.
     UnsentBytes,
-    /// Part of a message has arrived.
+    /// A message has arrived in part.
     PartialMessage,
 }
 
-/// What the driver of a connection needs.
+/// A connection as its driver needs it.
 #[derive(Debug)]
 pub struct ConnectionHandle {
     /// The connection's number.
     pub id: u64,
-    /// The bytes to write.
+    /// Bytes to write.
     pub outbox: Outbox,
     /// Notified when the connection is to be closed.
     pub close_requested: Notify,
 }
 
-/// A connection that is read during a lingering close, until [`ConnectionTable::end_linger`].
+/// A lingering close, which lasts until [`ConnectionTable::end_linger`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Lingering {
@@ -79,18 +79,21 @@
 pub struct ConnectionTable {
     connections: HashMap<u64, Connection>,
     last_id: u64,
-    /// Bytes that wait to be written to all connections, and their limit.
+    /// Bytes that wait to be written, over all connections.
     unsent_bytes: usize,
+    /// Limit on `unsent_bytes`.
     max_unsent_bytes: usize,
-    /// Connections in a lingering close, and how many of them are unidentified.
+    /// Connections in a lingering close.
     lingering: usize,
+    /// Unidentified connections in a lingering close.
     unidentified_lingering: usize,
-    /// Notified when a connection ends.
+    /// Notified when a connection or a lingering close ends.
     pub freed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table. `max_unsent_bytes` limits the unsent bytes of all connections together.
+    /// Creates an empty table. `max_unsent_bytes` limits the unsent bytes of all connections
+    /// together.
     pub fn new(max_unsent_bytes: usize) -> ConnectionTable {
         ConnectionTable {
             connections: HashMap::new(),
@@ -135,8 +138,8 @@
             .collect()
     }
 
-    /// Queues bytes for a connection, and returns whether they will be written. A connection whose
-    /// unsent bytes exceed the limit is closed: its peer does not read.
+    /// Queues bytes for a connection. Returns false if the connection has ended or is closed. A
+    /// connection whose unsent bytes would exceed the limit is closed, as its peer does not read.
     pub fn send(&mut self, id: u64, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let Some(connection) = self.connections.get_mut(&id) else {
             return false;
@@ -160,12 +163,12 @@
         }
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes that wait to be written, over all connections.
     pub fn unsent_bytes(&self) -> usize {
         self.unsent_bytes
     }
 
-    /// Ends a connection once its queued bytes are written.
+    /// Closes a connection's outbox, so that the connection ends once the queued bytes are written.
     pub fn finish(&mut self, id: u64) {
         if let Some(connection) = self.connections.get(&id) {
             connection.outbox.close();
@@ -190,14 +193,14 @@
         self.open_requests(id).is_some_and(|open| open > 0)
     }
 
-    /// Records that a connection brought a request or a health check.
+    /// Records that a request or a health check arrived on a connection.
     pub fn mark_identified(&mut self, id: u64, now: Micros) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.mark_identified(now);
         }
     }
 
-    /// Adds an open request. A connection that was to be evicted is then kept.
+    /// Adds an open request, and cancels an eviction of the connection.
     pub fn open_request(
         &mut self,
         origin: Origin,
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Removes a request that is being answered, and returns its front end and class; none if its
-    /// client no longer waits.
+    /// Removes a request that is being answered, and returns its front end and class; none if the
+    /// client has cancelled or disconnected.
     pub fn close_request(&mut self, origin: Origin, now: Micros) -> Option<(Front, usize)> {
         let connection = self.connections.get_mut(&origin.connection)?;
         let request = connection.open_requests.remove(&origin.request_number)?;
@@ -230,7 +233,7 @@
         Some(request.reference)
     }
 
-    /// Records that a connection brought an invalid message. It ends once there are too many.
+    /// Records that an invalid message arrived on a connection, which may close the connection.
     pub fn record_error(&mut self, id: u64) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.record_error();
@@ -246,7 +249,8 @@
             .collect()
     }
 
-    /// Begins a lingering close, if the connection may have one. It counts as used until
+    /// Begins a lingering close, unless the connection is unidentified and the limit is reached.
+    /// The connection counts towards the limit on connections until
     /// [`ConnectionTable::end_linger`].
     pub fn begin_linger(&mut self, id: u64) -> Option<Lingering> {
         let connection = self.connections.get(&id);
@@ -274,7 +278,7 @@
             .is_some_and(Connection::begin_close)
     }
 
-    /// The work that keeps a connection from being closed.
+    /// The work that has to end before a connection can be closed.
     pub fn pending_work(&self, id: u64, now: Micros) -> PendingWork {
         match self.connections.get(&id) {
             Some(connection) => connection.pending_work(now),
@@ -289,22 +293,22 @@
         }
     }
 
-    /// Connections that count towards the limit.
+    /// Number of connections that count towards the limit.
     pub fn used(&self) -> usize {
         self.connections.len() + self.lingering
     }
 
-    /// Connections that are about to be free: those that end with no open request, and those in a
-    /// lingering close.
+    /// Number of connections that are about to close: those that end without an open request, and
+    /// those in a lingering close.
     pub fn closing(&self) -> usize {
         let ending = self.connections.values().filter(|c| c.is_ending());
         ending.count() + self.lingering
     }
 
-    /// Evicts one connection, if any may be evicted: first the unidentified one that has been
-    /// silent for longest, then the identified one that was used least recently. While more than
-    /// half of the connections are unidentified, only those are evicted: each of them ends soon in
-    /// any case, and a flood of them must not evict identified clients.
+    /// Evicts one connection, if any may be evicted: the unidentified connection with the oldest
+    /// activity or, if there is none, the least recently used identified one. While more than half
+    /// of the connections are unidentified, no identified one is evicted: unidentified connections
+    /// end soon in any case, and a flood of them must not evict identified clients.
     pub fn evict_one(&mut self, now: Micros) -> bool {
         let unidentified = self.connections.values().filter(|c| !c.is_identified);
         let is_flooded = 2 * unidentified.count() > self.connections.len();
@@ -316,14 +320,14 @@
         let Some(connection) = next.filter(|c| !(c.is_identified && is_flooded)) else {
             return false;
         };
-        // Marked at once: its driver may run only after the next connection is accepted, for which
-        // another one has to be evicted.
+        // Marked here and not by its driver, which may run only after the next connection is
+        // accepted: another connection is then evicted for that one.
         connection.is_evicted = true;
         connection.close_requested.notify();
         true
     }
 
-    /// When a connection reaches this idle timeout; none while a request is open on it.
+    /// When a connection reaches the idle timeout; none while a request is open on it.
     pub fn idle_deadline(&self, id: u64, idle_timeout: Micros) -> Option<Micros> {
         self.connections.get(&id)?.idle_deadline(idle_timeout)
     }
--- a/crates/node/src/net/connections/outbox.rs
+++ b/crates/node/src/net/connections/outbox.rs
@@ -4,18 +4,18 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Capacity that an empty buffer keeps, in bytes: some responses.
+/// Capacity to which an empty buffer shrinks, in bytes: enough for several responses.
 const IDLE_CAPACITY: usize = 8 << 10;
 
 #[derive(Debug, Default)]
 struct Queue {
     bytes: Vec<u8>,
-    /// Whether nothing more is to be written: the driver then flushes and closes.
+    /// Whether no more bytes may be queued. The driver then writes the rest and closes.
     is_closed: bool,
 }
 
-/// The bytes that wait to be written to a connection. Everything that is queued in one step of the
-/// event loop is written at once.
+/// The bytes that wait to be written to a connection. Bytes that are queued in one step of the
+/// event loop are written together.
 #[derive(Clone, Debug, Default)]
 pub struct Outbox {
     queue: Rc<RefCell<Queue>>,
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Queues what `write` appends, if that is at most `max_length` bytes, and returns its length.
-    /// If it is longer, or the outbox is closed, nothing is queued; in the first case the outbox is
-    /// closed, as its peer does not read.
+    /// Queues the bytes that `write` appends, at most `max_length`, and returns their number. If
+    /// there are more, none is queued, and the outbox is closed, as the peer does not read. A
+    /// closed outbox queues nothing.
     pub(super) fn append(
         &self,
         max_length: usize,
@@ -67,13 +67,13 @@
         fits.then_some(length)
     }
 
-    /// Closes the outbox: what is queued is still written.
+    /// Closes the outbox. Bytes in the queue are still written.
     pub(super) fn close(&self) {
         self.queue.borrow_mut().is_closed = true;
         self.changed.notify();
     }
 
-    /// Whether nothing more is to be written, so that nothing more that is read can be answered.
+    /// Whether no more bytes can be queued, so that no further request can be answered.
     pub fn is_closed(&self) -> bool {
         self.queue.borrow().is_closed
     }
--- a/crates/node/src/net/control/mod.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control endpoint: reads one request a connection and answers it.
+//! Control endpoint: reads one request per connection and answers it.
 
 mod operations;
 
@@ -13,15 +13,14 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest time until a request is read whole, in milliseconds.
+/// Timeout of reading a whole request, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 10_000;
-/// Longest time for writing a response, and length of the lingering close after it, in
-/// milliseconds.
+/// Timeout of writing a response, and length of the lingering close after it, in milliseconds.
 const CLOSE_TIMEOUT_MS: u64 = 500;
 /// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 50;
 
-/// Accepts connections for as long as the process runs, during its shutdown too.
+/// Accepts connections until the process exits, also during its shutdown.
 pub async fn listen(supervisor: Rc<Supervisor>, state: SharedState, listener: Async<TcpListener>) {
     loop {
         let reserved = state.borrow_mut().control.reserve(Instant::now());
@@ -38,8 +37,8 @@
                 let handle = state.borrow_mut().control.add(Instant::now());
                 let driver = drive(state.clone(), stream, handle);
                 supervisor.spawn(Subsystem::Control, driver).detach();
-                // The connection is read before the next one is accepted, so that a flood of silent
-                // connections cannot evict one that has sent its request.
+                // Lets the driver read before the next connection is accepted, so that a flood of
+                // idle connections cannot evict one that has sent its request.
                 future::yield_now().await;
             }
             Err(_) => {
@@ -76,11 +75,10 @@
         }
         Some(Err(error)) => control::write_error(&mut response, error),
     }
-    // A response fits into the socket's buffer, so that this does not wait for the reader.
+    // A response fits into the socket's send buffer, so that the write does not wait for the peer.
     let written = timeout_at(after_ms(CLOSE_TIMEOUT_MS), stream.write_all(&response)).await;
     if matches!(written, Some(Ok(()))) && state.borrow_mut().control.begin_linger() {
-        // Bytes that are unread at the close would reset the connection and could destroy the
-        // response.
+        // A close with unread bytes would reset the connection, which could destroy the response.
         graceful_close::linger(&stream, CLOSE_TIMEOUT_MS).await;
         state.borrow_mut().control.end_linger();
     }
--- a/crates/node/src/net/control/operations.rs
+++ b/crates/node/src/net/control/operations.rs
@@ -71,8 +71,8 @@
         control::write_text(out, response.is_success, is_head_only, &response.text);
     }
 
-    /// Publishes or retires a config version, or accepts a minimum version; none if this node's
-    /// fleet does not decide versions.
+    /// Publishes or retires config versions, or accepts a minimum version; none if this node is in
+    /// no fleet, or in one without config versions.
     fn change_version(&mut self, operation: &Operation, body: &[u8]) -> Option<TextResponse> {
         let membership = self.membership.clone()?;
         let versions = membership.versions.as_ref()?;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// The metrics, a line each, in the statsd form. Writing to a string cannot fail.
+    /// The metrics in the statsd format, one per line. Results of `writeln!` are ignored, as
+    /// writing to a string cannot fail.
     fn metrics(&self) -> String {
         let mut text = String::new();
         for (class, counters) in self.core.classes.counters() {
@@ -130,7 +131,7 @@
         let _ = writeln!(text, "edge.open_requests:{}|g", self.core.unanswered());
         let _ = writeln!(text, "edge.cfg_accepted:{}|c", files.accepted);
         let _ = writeln!(text, "edge.cfg_invalid:{}|c", files.rejected);
-        // A node without one has the metrics that it always had.
+        // Only after a panic, so that the metrics of other nodes stay the same across releases.
         if self.failures.count() > 0 {
             let _ = writeln!(text, "edge.panics:{}|c", self.failures.count());
         }
--- a/crates/node/src/net/control_connections.rs
+++ b/crates/node/src/net/control_connections.rs
@@ -7,9 +7,9 @@
 #[cfg(test)]
 mod tests;
 
-/// Most connections at one time. Their descriptors are reserved.
+/// Limit on open connections. Their descriptors are reserved.
 pub const MAX_CONNECTIONS: usize = 24;
-/// A connection that was accepted this recently is not evicted: its request may be on its way.
+/// A connection is not evicted for this time after it was accepted: its request may be in transit.
 const RECENT_ARRIVAL: Duration = Duration::from_millis(25);
 
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     evicted: Notify,
 }
 
-/// A connection's number, and the notification that it is evicted.
+/// A connection as its driver needs it.
 #[derive(Debug)]
 pub struct ControlHandle {
     /// The connection's number.
@@ -28,7 +28,7 @@
     pub evicted: Notify,
 }
 
-/// All connections whose request is not answered yet, in the order in which they were accepted.
+/// Connections whose request has not been read yet, in the order in which they were accepted.
 #[derive(Debug, Default)]
 pub struct ControlConnections {
     connections: BTreeMap<u64, Entry>,
@@ -72,8 +72,8 @@
         self.lingering -= 1;
     }
 
-    /// Makes sure that one more connection can be accepted, and evicts the oldest one if necessary.
-    /// Fails with the time to try again if all are recent.
+    /// Ensures that one more connection can be accepted, and evicts the oldest one if necessary. If
+    /// that one is too recent, returns the time at which it can be evicted as the error.
     pub fn reserve(&mut self, now: Instant) -> Result<(), Instant> {
         if self.connections.len() < MAX_CONNECTIONS {
             return Ok(());
--- a/crates/node/src/net/control_connections/tests.rs
+++ b/crates/node/src/net/control_connections/tests.rs
@@ -10,7 +10,7 @@
         control.add(start + i * RECENT_ARRIVAL);
     }
     let first = control.connections[&1].evicted.clone();
-    // The table is full, and the oldest connection's request may be on its way.
+    // The table is full, and the oldest connection is too recent to be evicted.
     assert_eq!(control.reserve(start), Err(start + RECENT_ARRIVAL));
     assert_eq!(
         (control.connections.len(), control.evictions),
--- a/crates/node/src/net/event_loop/classes.rs
+++ b/crates/node/src/net/event_loop/classes.rs
@@ -1,4 +1,4 @@
-//! Definitions of the request classes, by their index in the core's class table.
+//! Definitions of the request classes, by index in the core's class table.
 
 use super::RequestSettings;
 use crate::net::worker_pools::routes::Backend;
@@ -12,7 +12,7 @@
 pub struct WorkerRoute {
     /// Path under which the workers serve the class.
     pub path: String,
-    /// Index of their pool.
+    /// Index of the workers' pool.
     pub pool: usize,
     /// Whether attempts with the same idempotency key go to the same worker.
     pub is_sticky: bool,
@@ -21,13 +21,13 @@
 /// The definition of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassDefinition {
-    /// Its name.
+    /// Name of the class.
     pub name: Rc<str>,
-    /// Whether its requests carry an idempotency key.
+    /// Whether requests of the class carry an idempotency key.
     pub is_keyed: bool,
-    /// The workers that serve it; the processor does if there are none.
+    /// The workers that serve the class; none if the processor serves it.
     pub worker_route: Option<WorkerRoute>,
-    /// Priority of requests whose protocol carries none: the middle of the class's band.
+    /// Priority of requests whose protocol carries none: the middle of the class's priority band.
     pub default_priority: f64,
 }
 
@@ -37,8 +37,8 @@
         self.worker_route.is_some()
     }
 
-    /// Whether two definitions are the same. The priority band may differ: it moves whenever
-    /// another class is added, which is no reason to define this one anew.
+    /// Whether two definitions are the same apart from the default priority. The priority band
+    /// moves whenever another class is added, which does not redefine this class.
     pub fn is_same_as(&self, other: &ClassDefinition) -> bool {
         self.name == other.name
             && self.is_keyed == other.is_keyed
@@ -59,7 +59,7 @@
 }
 
 impl ClassDefinitions {
-    /// The classes of a configuration, in its order.
+    /// Defines the classes of a configuration, in the same order.
     pub fn new(settings: &RequestSettings) -> ClassDefinitions {
         let definitions = settings
             .classes
@@ -69,7 +69,7 @@
         ClassDefinitions(definitions.collect())
     }
 
-    /// Their names, by index.
+    /// Names of the classes, by index.
     pub fn names(&self) -> Vec<Rc<str>> {
         self.0.iter().map(|class| class.name.clone()).collect()
     }
--- a/crates/node/src/net/event_loop/connection_limits.rs
+++ b/crates/node/src/net/event_loop/connection_limits.rs
@@ -1,45 +1,46 @@
-//! Limits on connections and memory, alone or beside another process of the node.
+//! Limits on connections and memory. During a hot restart two processes of the node share them.
 
 use pipitlever_core::MemoryLimits;
 
-/// Connections that are allowed however few descriptors there are.
+/// Lower bound of the limit on connections, however few descriptors there are.
 const MIN_CONNECTIONS: usize = 8;
-/// Most connections that are kept free for new clients.
+/// Maximum number of connections that are kept free for new clients.
 const MAX_SPARE_CONNECTIONS: usize = 16;
-/// Spare connections are at most the limit divided by this: closing an idle connection takes time.
+/// The number of spare connections is at most the limit divided by this. Spare connections are
+/// needed because closing an idle connection takes time.
 const SPARE_DIVISOR: usize = 8;
 
-/// What the process may take of the machine.
+/// Resources that the node's processes may use together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessLimits {
-    /// Memory, in bytes.
+    /// Limit on memory, in bytes.
     pub memory: usize,
-    /// Descriptors.
+    /// Limit on descriptors.
     pub sockets: usize,
-    /// Descriptors that are reserved for everything but front-end and worker connections.
+    /// Descriptors that each process reserves for uses other than front-end and worker connections.
     pub reserved_sockets: usize,
 }
 
 impl ProcessLimits {
-    /// Most front-end and worker connections together. Beside another process of the node
-    /// (`is_shared`) this one has half of the descriptors, and its reserve comes out of that half.
+    /// Limit on front-end and worker connections together. While the node has two processes
+    /// (`is_shared`), each has half of the descriptors, and its reserve comes out of that half.
     pub fn max_connections(&self, is_shared: bool) -> usize {
-        (self.sockets / sharers(is_shared))
+        (self.sockets / process_count(is_shared))
             .saturating_sub(self.reserved_sockets)
             .max(MIN_CONNECTIONS)
     }
 
-    /// The division of the memory.
+    /// Limits on the uses of memory.
     pub fn memory_limits(&self, is_shared: bool) -> MemoryLimits {
         MemoryLimits::for_process(
-            self.memory / sharers(is_shared),
+            self.memory / process_count(is_shared),
             self.max_connections(is_shared),
         )
     }
 }
 
-/// How many processes share the limits.
-fn sharers(is_shared: bool) -> usize {
+/// Number of processes that share the limits.
+fn process_count(is_shared: bool) -> usize {
     if is_shared {
         2
     } else {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The limit on connections in force.
+/// The current limit on connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
     process: ProcessLimits,
@@ -64,7 +65,7 @@
 }
 
 impl ConnectionLimits {
-    /// The limits of a process that is alone.
+    /// The limits of a node's only process.
     pub fn new(process: ProcessLimits) -> ConnectionLimits {
         ConnectionLimits {
             process,
@@ -72,25 +73,25 @@
         }
     }
 
-    /// Applies the limits beside another process, or alone, and returns those on memory.
+    /// Sets whether another process of the node shares the limits. Returns the limits on memory.
     pub fn set_shared(&mut self, is_shared: bool) -> MemoryLimits {
         self.max_connections = self.process.max_connections(is_shared);
         self.process.memory_limits(is_shared)
     }
 
-    /// Whether so many connections are more than allowed.
+    /// Whether this number of connections exceeds the limit.
     pub fn is_exceeded_by(&self, connections: usize) -> bool {
         connections > self.max_connections
     }
 
-    /// How many of so many connections have to close for the spare ones to be free.
+    /// How many of this number of connections have to close to free the spare ones.
     pub fn excess(&self, connections: usize) -> usize {
         let spare = MAX_SPARE_CONNECTIONS.min(self.max_connections / SPARE_DIVISOR);
         (connections + spare).saturating_sub(self.max_connections)
     }
 
-    /// Most connections to workers. Front ends keep the other half: no run is of use without the
-    /// client that waits for it.
+    /// Limit on connections to workers. The other half is for the front ends, as each run is for a
+    /// client that needs a connection as well.
     pub fn max_worker_connections(&self) -> usize {
         self.max_connections / 2
     }
--- a/crates/node/src/net/event_loop/effects.rs
+++ b/crates/node/src/net/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Executes the core's effects on the drivers' queues.
+//! Executes the core's effects: responses to clients, and work for the drivers' queues.
 
 use super::NodeState;
 use crate::net::ledger_calls::LedgerCall;
@@ -22,8 +22,8 @@
             Effect::SendReply { reference, body } => self
                 .processor
                 .send(ProcessorCommand::CallReply(reference), body),
-            // A worker run can only be stopped by closing its connection, which does not prove
-            // that it has stopped.
+            // Not supported for workers: closing the connection would not prove that the run has
+            // stopped.
             Effect::StopRun { class, .. } if self.classes[class].is_on_workers() => {}
             Effect::StopRun { reference, .. } => self
                 .processor
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Starts a run on the class's workers, or on the processor.
+    /// Queues a run for the class's workers, or for the processor.
     fn start_run(&mut self, reference: Reference, class: usize, deadline: Micros, body: Rc<[u8]>) {
         let class = &self.classes[class];
         match &class.worker_route {
@@ -71,8 +71,8 @@
             self.ledger.enqueue(call);
             return;
         }
-        // Not `Unreachable`, which proves that the call never ran: the controller would place it
-        // again without end.
+        // Not `Unreachable`: it means that the call never ran, and the admission controller would
+        // retry without end.
         self.core.handle_call_finished(
             self.clock.now(),
             call.reference,
--- a/crates/node/src/net/event_loop/front_connections.rs
+++ b/crates/node/src/net/event_loop/front_connections.rs
@@ -1,4 +1,4 @@
-//! Accepts, evicts and closes front-end connections.
+//! Registers, evicts and closes front-end connections.
 
 use super::NodeState;
 use crate::net::connections::{ConnectionHandle, Front, PendingWork};
@@ -7,8 +7,7 @@
 use pipitlever_wire::jsonrpc;
 
 impl NodeState {
-    /// Registers an accepted connection, which stays in the table until
-    /// [`NodeState::disconnected`].
+    /// Registers an accepted connection, until [`NodeState::disconnected`].
     pub fn connected(&mut self, front: Front) -> ConnectionHandle {
         self.core.counters.connections_accepted += 1;
         let handle = self.connections.add(self.clock.now(), front);
@@ -25,7 +24,7 @@
         }
     }
 
-    /// Evicts an idle connection unless enough are free or about to be.
+    /// Evicts an idle connection, unless enough connections are free or about to close.
     pub fn evict_if_full(&mut self) {
         let excess = self.limits.excess(self.used_connections());
         if excess > 0 && self.connections.closing() < excess {
@@ -43,8 +42,8 @@
         self.connections.used() + self.pools.in_flight()
     }
 
-    /// Begins to close a connection. Returns whether its peer was sent `goaway`, so that requests
-    /// that cross it have to be waited for.
+    /// Begins to close a connection. Returns whether its peer was sent `goaway`. Requests that the
+    /// peer sent before it read the `goaway` may then still arrive.
     pub fn begin_close(&mut self, id: u64) -> bool {
         let sends_goaway = self.connections.begin_close(id) && !self.shutdown.is_closing_all();
         if sends_goaway && !self.shutdown.is_closing() {
@@ -91,9 +90,9 @@
         self.with_core(|core, now| core.handle_request(now, incoming));
     }
 
-    /// Digest of a request's body, which tells requests with the same idempotency key apart. It
-    /// includes the class's name, not its index: a class that is defined anew has another index,
-    /// and its keys keep their window.
+    /// Digest of a request's body, to detect different requests with the same idempotency key. The
+    /// digest includes the class's name, not its index: a redefined class has another index, and
+    /// its keys keep their window.
     pub(super) fn payload_digest(&self, class: usize, body: &[u8]) -> u64 {
         self.salt.digest(&self.classes[class].name, body)
     }
--- a/crates/node/src/net/event_loop/gateway_requests.rs
+++ b/crates/node/src/net/event_loop/gateway_requests.rs
@@ -1,4 +1,4 @@
-//! Handles messages of gateways.
+//! Handles messages from gateways.
 
 use super::NodeState;
 use pipitlever_admission::Micros;
@@ -13,7 +13,7 @@
 }
 
 impl NodeState {
-    /// Handles one message of a gateway.
+    /// Handles a message from a gateway.
     pub fn handle_gateway_message(&mut self, connection: u64, message: Message) {
         let Some(open) = self.connections.open_requests(connection) else {
             return;
@@ -54,8 +54,8 @@
         });
     }
 
-    /// Cancels a request. The reply is not required by the protocol, but a client that cancels
-    /// everything would otherwise never receive the load level.
+    /// Cancels a request. The protocol requires no reply, but a client that cancels all its
+    /// requests would otherwise never receive the load level.
     fn handle_cancel(&mut self, connection: u64, number: u64) {
         let level = self.core.load_level();
         let origin = Origin {
@@ -94,7 +94,7 @@
             return Err(ErrorCode::InvalidParams);
         }
         let sent_at = self.clock.unix_to_clock(micros(work.arrived_at_ms));
-        // A client's clock that is ahead must not stretch the window of its key.
+        // If the client's clock is ahead, the window of its key must not become longer.
         let arrived_at = sent_at.min(self.clock.now());
         let key = work.idempotency_key.clone().filter(|_| is_keyed);
         let payload_digest = self.payload_digest(class, &work.body);
--- a/crates/node/src/net/event_loop/mod.rs
+++ b/crates/node/src/net/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! State of the node's event loop: everything that the socket drivers share with the core.
+//! State of the node's event loop, which the drivers share with the core.
 //!
 //! All drivers run on one thread. Each reads or writes its socket, borrows [`NodeState`] for one
-//! step, and updates the core with [`NodeState::with_core`], which executes the effects that the
-//! core asks for.
+//! step, and updates the core with [`NodeState::with_core`], which also executes the effects that
+//! the core returns.
 
 mod classes;
 mod connection_limits;
@@ -47,10 +47,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Capacity that the effect buffer keeps after a burst, in effects.
+/// Capacity to which the effect buffer shrinks after a burst, in effects.
 const EFFECT_BUFFER_CAPACITY: usize = 256;
 
-/// The state as the drivers share it. All of them run on one thread.
+/// The state of the event loop, shared by the drivers on its thread.
 pub type SharedState = Rc<RefCell<NodeState>>;
 
 /// State that all drivers of a node share.
@@ -79,9 +79,9 @@
     pub config_files: ConfigFileCounters,
     /// Settings of the uwsgi front end, its routes and its workers.
     pub uwsgi: UwsgiSettings,
-    /// Salt of the payload digests that tell requests with the same idempotency key apart. It is
-    /// random, so that no client can construct a collision, and comes from the store or from the
-    /// predecessor if there is one.
+    /// Salt of the payload digests, which detect different requests with the same idempotency key.
+    /// The salt is random, so that no client can construct a collision. It comes from the store or
+    /// from the predecessor, if there is one.
     pub salt: Salt,
     /// Whether this process accepts connections on its front ends.
     pub is_accepting: bool,
@@ -93,8 +93,8 @@
     pub shutdown_started: Notify,
     /// The subsystems of this process that have failed.
     pub failures: FailureStatus,
-    /// Whether an update of the core is in progress. A panic leaves this set, and the core's state
-    /// half changed.
+    /// Whether an update of the core is in progress. After a panic during an update this stays set,
+    /// as the core's state may be inconsistent.
     is_updating_core: bool,
     shutdown: ShutdownState,
     limits: ConnectionLimits,
@@ -108,7 +108,7 @@
 }
 
 impl NodeState {
-    /// Creates the state of a node that has no connection yet.
+    /// Creates the state of a node without connections.
     pub fn new(
         settings: RequestSettings,
         seed: u64,
@@ -171,8 +171,7 @@
         }
     }
 
-    /// Updates the core, executes the effects that follow, and notifies the drivers that have
-    /// something to do.
+    /// Updates the core, executes the resulting effects, and notifies the drivers that have work.
     pub fn with_core(&mut self, update: impl FnOnce(&mut Core, Micros)) {
         let is_nested = std::mem::replace(&mut self.is_updating_core, true);
         update(&mut self.core, self.clock.now());
@@ -197,13 +196,13 @@
         }
     }
 
-    /// Whether the core's state is that of a finished update. After a panic in one it is not.
+    /// Whether the core's state is consistent. It is not after a panic during an update.
     pub fn is_core_consistent(&self) -> bool {
         !self.is_updating_core
     }
 
-    /// Executes effects until the core has none left. The core's buffer and this one are swapped,
-    /// so that neither is allocated anew.
+    /// Executes effects until the core has none left. The core's buffer and the reused one are
+    /// swapped, so that no buffer is allocated.
     fn execute_effects(&mut self) {
         let mut effects = std::mem::take(&mut self.effects);
         loop {
--- a/crates/node/src/net/event_loop/processor_notices.rs
+++ b/crates/node/src/net/event_loop/processor_notices.rs
@@ -1,4 +1,4 @@
-//! Handles the processor's notices.
+//! Handles notices from the processor.
 
 use super::NodeState;
 use pipitlever_admission::Micros;
@@ -16,7 +16,7 @@
         self.core.counters.processor_connections += 1;
     }
 
-    /// Handles one notice of the processor.
+    /// Handles a notice from the processor.
     pub fn handle_notice(&mut self, notice: Notice) {
         match notice {
             Notice::Hello { is_cold, uptime_ms } => {
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Updates the gauges, and takes the reply as proof that earlier commands were read.
+    /// Updates the gauges, and passes the reply to the processor connection, for which it confirms
+    /// that earlier commands were read.
     fn handle_gauges(&mut self, query: Option<u64>, values: &GaugeValues) {
         let gauge = |name: &str| {
             let index = self.gauge_names.iter().position(|known| known == name)?;
@@ -68,7 +69,7 @@
     }
 }
 
-/// Maps a run's outcome to the core's terms.
+/// Converts an outcome of the processor's protocol to one of the core.
 fn run_outcome(outcome: processor::RunOutcome) -> RunOutcome {
     match outcome {
         processor::RunOutcome::Succeeded => RunOutcome::Completed,
--- a/crates/node/src/net/event_loop/reconfigure.rs
+++ b/crates/node/src/net/event_loop/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Applies another configuration, or other limits, while the node runs.
+//! Applies a new configuration, or new limits, while the node runs.
 
 use super::classes::ClassDefinitions;
 use super::connection_limits::ConnectionLimits;
@@ -19,7 +19,7 @@
         self.core.classes.names()
     }
 
-    /// Checks whether the class table has a slot for each class of another configuration.
+    /// Checks that the class table has a slot for each class of a new configuration.
     pub fn check_classes(&self, new: &RequestSettings) -> Result<(), TooManyClasses> {
         self.assign_classes(new).map(drop)
     }
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Applies the settings, classes and routes of another configuration, and returns whether the
-    /// admission controller's settings changed. On an error nothing has changed.
+    /// Applies the settings, classes and routes of a new configuration, and returns whether the
+    /// admission controller's settings changed. On an error nothing has been applied.
     pub fn reconfigure(&mut self, new: RequestSettings) -> Result<bool, TooManyClasses> {
         let AssignedClasses {
             definitions,
@@ -60,8 +60,8 @@
             .reconfigure(new.admission, new.min_round_interval, &names, &assignments))
     }
 
-    /// Changes the addresses of the services that the node connects to. Runs and calls that are in
-    /// flight at the old addresses may still complete.
+    /// Changes the addresses of the services that the node connects to. Runs and calls in flight at
+    /// the old addresses may still complete.
     pub fn set_upstreams(&mut self, upstreams: Upstreams) {
         self.processor.set_address(upstreams.processor);
         self.ledger.set_address(upstreams.ledger);
@@ -69,13 +69,13 @@
         self.pools.set_pools(upstreams.pools, self.clock.now());
     }
 
-    /// Sets the limits of a process that is alone.
+    /// Sets the limits, for a process that does not share them yet.
     pub fn set_limits(&mut self, limits: ProcessLimits) {
         self.limits = ConnectionLimits::new(limits);
     }
 
     /// Sets this process's share of the processor's memory while another process of the node runs,
-    /// and halves all other limits; `None` restores the limits of a process that is alone.
+    /// and halves all other limits; `None` restores the limits of a node's only process.
     pub fn set_memory_share(&mut self, share: Option<f64>) {
         let memory_limits = self.limits.set_shared(share.is_some());
         self.connections.set_max_unsent_bytes(memory_limits.answers);
--- a/crates/node/src/net/event_loop/reference_generator.rs
+++ b/crates/node/src/net/event_loop/reference_generator.rs
@@ -1,15 +1,16 @@
-//! References for requests whose protocol carries none: splitmix64 (Steele, Lea and Flood 2014).
+//! Generator of references for requests whose protocol carries none: splitmix64 (Steele, Lea and
+//! Flood 2014).
 
 use pipitlever_core::Reference;
 use std::hash::{BuildHasher, RandomState};
 
-/// Generates references that differ from one another.
+/// Generates references without repetition.
 #[derive(Debug)]
 pub struct ReferenceGenerator(u64);
 
 impl ReferenceGenerator {
-    /// Starts at a random point: a processor may still run what the node's last process gave the
-    /// same reference.
+    /// Starts at a random state: the processor may still execute runs of the node's last process,
+    /// whose references must not be generated again.
     pub fn new(seed: u64) -> ReferenceGenerator {
         ReferenceGenerator(RandomState::new().hash_one(seed))
     }
--- a/crates/node/src/net/event_loop/responses.rs
+++ b/crates/node/src/net/event_loop/responses.rs
@@ -8,7 +8,7 @@
 use pipitlever_wire::uwsgi::{self, ResponseReader, Status};
 
 impl NodeState {
-    /// Writes the answer of a request to the connection that the request arrived on.
+    /// Writes the answer to a request to the connection on which the request arrived.
     pub(super) fn respond(&mut self, origin: Origin, answer: Answer) {
         let (level, now) = (self.core.load_level(), self.clock.now());
         let Some((front, class)) = self.connections.close_request(origin, now) else {
--- a/crates/node/src/net/event_loop/settings.rs
+++ b/crates/node/src/net/event_loop/settings.rs
@@ -28,7 +28,7 @@
     pub tenants: Vec<String>,
     /// Names of the gauges, in the processor's order.
     pub gauges: Vec<String>,
-    /// Shortest time between two decision rounds, in microseconds.
+    /// Shortest time between two decision rounds of the admission controller, in microseconds.
     pub min_round_interval: Micros,
     /// Whether clients mark each retry.
     pub retries_are_marked: bool,
--- a/crates/node/src/net/event_loop/shutdown.rs
+++ b/crates/node/src/net/event_loop/shutdown.rs
@@ -1,10 +1,10 @@
-//! Graceful shutdown of the node, and retirement of a process that another one has replaced.
+//! Graceful shutdown of the node, and retirement of a process that its successor has replaced.
 
 use super::NodeState;
 use pipitlever_admission::Micros;
 use pipitlever_wire::jsonrpc;
 
-/// How far the shutdown is. Each phase includes the ones before it.
+/// Phase of the shutdown. Each phase includes the ones before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum ShutdownPhase {
     /// Requests are served.
@@ -12,7 +12,7 @@
     Serving,
     /// Requests that still arrive are served; the service registry has been notified.
     Draining,
-    /// Gateways were told to send nothing new.
+    /// Gateways were sent `goaway` and send no new requests.
     Closing,
     /// All connections are being closed.
     ClosingAll,
@@ -24,12 +24,12 @@
     phase: ShutdownPhase,
     /// Whether another process of the node has replaced this one.
     is_replaced: bool,
-    /// The load level that is advertised once nothing new is accepted.
+    /// The load level that is advertised from [`ShutdownPhase::Closing`] on.
     final_load_level: Option<f64>,
 }
 
 impl ShutdownState {
-    /// Whether gateways were told to send nothing new.
+    /// Whether gateways were sent `goaway` because this process ends.
     pub fn is_closing(&self) -> bool {
         self.phase >= ShutdownPhase::Closing
     }
@@ -50,21 +50,22 @@
     pub fn begin_drain(&mut self, remaining: Micros) {
         self.shutdown.phase = ShutdownPhase::Draining;
         self.shutdown_started.notify();
-        // The level that keeps clients away is advertised once nothing new is accepted.
+        // The core's level for shutdown, which keeps clients away, is advertised only from
+        // `send_goaway` on: requests are still served until then.
         let previous = self.core.load_level();
         self.with_core(|core, now| core.begin_shutdown(now, remaining));
         self.shutdown.final_load_level = self.core.replace_load_level(previous);
     }
 
-    /// Tells all gateways to send nothing new.
+    /// Sends `goaway` to all gateways, so that they send no new requests.
     pub fn send_goaway(&mut self) {
         self.shutdown.phase = ShutdownPhase::Closing;
         self.core.replace_load_level(self.shutdown.final_load_level);
         self.send_goaway_to_gateways();
     }
 
-    /// Begins to retire this process, while the node goes on in the one that replaced it. Gateways
-    /// have been sent `goaway` already. `remaining` is the time until the process ends, in
+    /// Begins to retire this process after its successor has replaced it. Gateways have been sent
+    /// `goaway` already. `remaining` is the time until the process ends, in
     /// microseconds.
     pub fn begin_retirement(&mut self, remaining: Micros) {
         self.shutdown.phase = ShutdownPhase::Draining;
@@ -79,8 +80,9 @@
         self.connections.request_close_all();
     }
 
-    /// Sets whether this process accepts connections. If another process does so in its place,
-    /// gateways are told to move to that one.
+    /// Sets whether this process accepts connections. If it stops accepting because another process
+    /// of the node accepts instead, gateways are sent `goaway`, so that they connect to that
+    /// process.
     pub fn set_accepting(&mut self, is_accepting: bool) {
         self.is_accepting = is_accepting;
         if !is_accepting {
@@ -104,7 +106,7 @@
         self.shutdown.is_draining()
     }
 
-    /// Whether gateways were told to send nothing new because this process ends.
+    /// Whether gateways were sent `goaway` because this process ends.
     pub fn is_closing(&self) -> bool {
         self.shutdown.is_closing()
     }
@@ -118,8 +120,8 @@
             && self.is_transfer_complete()
     }
 
-    /// Whether the successor, if there is one, has the outcome of every keyed run. An outcome that
-    /// it does not receive is lost.
+    /// Whether the successor, if there is one, has the outcome of every keyed run. Outcomes that
+    /// are not transferred are lost.
     fn is_transfer_complete(&self) -> bool {
         !self.shutdown.is_replaced
             || !(self.core.has_keyed_runs()
--- a/crates/node/src/net/event_loop/uwsgi_requests.rs
+++ b/crates/node/src/net/event_loop/uwsgi_requests.rs
@@ -1,4 +1,4 @@
-//! Turns uwsgi packets into requests.
+//! Converts uwsgi packets to requests.
 
 use super::NodeState;
 use crate::net::worker_pools::routes::Backend;
@@ -12,7 +12,7 @@
 const REQUEST_NUMBER: u64 = 1;
 
 impl NodeState {
-    /// Handles a client's whole packet. An invalid one is answered with its status.
+    /// Handles a client's complete packet. An invalid packet is answered with an error status.
     pub fn handle_uwsgi_packet(&mut self, connection: u64, packet: Result<Packet, Status>) {
         match packet.and_then(|packet| self.uwsgi_request(connection, &packet)) {
             Ok(incoming) => self.open_request(incoming),
@@ -50,8 +50,8 @@
             Backend::Processor => packet.body(),
         };
         let arrived_at = self.clock.now();
-        // Of the body alone: the variables carry the client's timeout, which differs between
-        // retries.
+        // Only the body is digested: the variables include the client's timeout, which differs
+        // between retries.
         let payload_digest = self.payload_digest(class, packet.body());
         if key.is_some_and(|key| self.core.is_key_conflict(key, arrived_at, payload_digest)) {
             return Err(Status::BadRequest);
--- a/crates/node/src/net/event_loop/worker_runs.rs
+++ b/crates/node/src/net/event_loop/worker_runs.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 impl NodeState {
-    /// Selects a worker for a run. `hash_key` is the key of sticky runs, `attempted` lists the
-    /// workers of earlier attempts.
+    /// Selects a worker for a run. `hash_key` is the hash of a sticky run's idempotency key;
+    /// `attempted` lists the workers of earlier attempts.
     pub fn select_worker(
         &mut self,
         run: &WorkerRun,
@@ -20,7 +20,7 @@
             .select_worker(self.clock.now(), run, hash_key, attempted)
     }
 
-    /// Assigns a run to the worker at this address, if that worker can take it.
+    /// Assigns a run to the worker at this address, if the worker is available.
     pub fn assign_worker(
         &mut self,
         run: &WorkerRun,
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -1,4 +1,5 @@
-//! Front ends: accept connections, and read and write messages of gateways and uwsgi clients.
+//! Front ends: tasks that accept connections of gateways and uwsgi clients, and read and write
+//! their messages.
 
 use crate::net::connections::{ConnectionHandle, Front, Outbox};
 use crate::net::event_loop::SharedState;
@@ -16,11 +17,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Time between two checks for a free connection while the limit is reached, in milliseconds.
+/// Time between two checks whether a connection may be accepted, while the limit on connections is
+/// reached, in milliseconds.
 const FULL_CHECK_MS: u64 = 10;
 /// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 50;
-/// Longest time between two checks of a connection's idle timeout, in milliseconds: the timeout may
+/// Longest time between two checks of a connection's idle timeout, in milliseconds. The timeout may
 /// change with the settings.
 const IDLE_CHECK_MS: u64 = 1000;
 /// Size of the buffer that a connection is read into, in bytes.
@@ -35,11 +37,11 @@
 }
 
 impl Acceptor {
-    /// Accepts connections until `stop` is notified. If the node shuts down, accepts those that the
-    /// system has queued until then, as each may carry a request.
+    /// Accepts connections until `stop` is notified. If the node shuts down, also accepts the
+    /// connections in the listen backlog, as each may carry a request.
     async fn run(self, stop: Notify) {
         future::or(stop.wait(), self.accept_all()).await;
-        // If another process of the node accepts, it takes the queued ones.
+        // Otherwise another process of the node accepts on this socket, the backlog included.
         if self.state.borrow().is_draining() {
             self.accept_queued();
         }
@@ -48,7 +50,7 @@
     async fn accept_all(&self) {
         let freed = self.state.borrow().connections.freed.clone();
         loop {
-            // Connections without requests must not keep out others.
+            // Idle connections are evicted, so that they do not block new ones.
             while self.state.borrow().is_over_limit() {
                 self.state.borrow_mut().evict_if_full();
                 timeout_at(after_ms(FULL_CHECK_MS), freed.wait()).await;
@@ -56,12 +58,11 @@
             match self.listener.accept().await {
                 Ok((stream, _)) => {
                     self.spawn_connection(stream);
-                    // Ahead of need: a close takes several steps, and the next client must not wait
-                    // for them.
+                    // A close takes several steps. Evicting early spares the next client that wait.
                     self.state.borrow_mut().evict_if_full();
                 }
                 Err(_) => {
-                    // Most likely out of descriptors, which is neither an end nor a reason to spin.
+                    // Most likely no descriptor is free: the listener retries after a pause.
                     self.state.borrow_mut().core.counters.accept_errors += 1;
                     self.state.borrow_mut().evict_if_full();
                     Timer::at(after_ms(ACCEPT_RETRY_MS)).await;
@@ -74,7 +75,7 @@
         loop {
             match self.listener.get_ref().accept() {
                 Ok((stream, _)) => self.spawn_connection(stream),
-                // Only this connection is lost; others may be queued behind it.
+                // Only this connection failed; the backlog may hold others.
                 Err(error)
                     if matches!(
                         error.kind(),
@@ -85,13 +86,14 @@
         }
     }
 
-    /// Spawns the driver of a connection. The connection counts towards the limit at once: a burst
-    /// would otherwise be accepted whole before the first driver runs.
+    /// Registers a connection and spawns its driver. Registered only by its driver, a connection
+    /// would not count towards the limit yet, and a burst would be accepted whole before the first
+    /// driver runs.
     fn spawn_connection(&self, stream: TcpStream) {
         let Ok(stream) = Async::<TcpStream>::new(stream) else {
             return;
         };
-        // Answers are small and urgent; a socket without the option still works.
+        // Responses are small and need low latency. Without the option the connection still works.
         let _ = stream.get_ref().set_nodelay(true);
         let handle = self.state.borrow_mut().connected(self.front);
         let driver = drive(self.state.clone(), self.front, stream, handle);
@@ -129,8 +131,8 @@
         wait_for_close(&state, id, &close_requested).await;
         graceful_close::close(&state, id, &stream).await
     };
-    // The close is polled first: it ends the outbox that the writer waits for, and knows that the
-    // peer has read everything.
+    // `closing` is polled first. It closes the outbox, which also ends `writing`, and its result
+    // `HalfClosed` means that the peer has read everything.
     let end = future::or(closing, future::or(reading, writing)).await;
     let linger_ms = match end {
         ConnectionEnd::ResponsesSent => Some(graceful_close::LINGER_MS),
@@ -149,12 +151,12 @@
     }
 }
 
-/// Waits until a connection without open requests is idle for too long or to be evicted, or until
-/// this process closes all connections.
+/// Waits until a connection is to be closed: it has no open request and has reached its idle
+/// timeout or is evicted, or this process closes all connections.
 async fn wait_for_close(state: &SharedState, id: u64, close_requested: &Notify) {
     loop {
         future::or(close_requested.wait(), wait_until_idle(state, id)).await;
-        // A request may have arrived just before.
+        // A request may have arrived in the meantime.
         let state = state.borrow();
         if !state.connections.is_in_use(id) || state.is_closing() {
             return;
@@ -170,7 +172,7 @@
         if length == 0 {
             return;
         }
-        // Once the outbox is closed, messages could not be answered and are not acted on.
+        // Messages that arrive after the outbox is closed could not be answered and are ignored.
         if !outbox.is_closed() {
             reader.feed(&bytes[..length]);
         }
@@ -196,7 +198,7 @@
     }
 }
 
-/// Reads one packet, and then waits for the client to close the connection.
+/// Reads the only packet of a uwsgi connection, and then waits for the client to close it.
 async fn read_packet(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) {
     let mut reader = Some(PacketReader::new(state.borrow().uwsgi.max_body_bytes));
     let mut bytes = vec![0; READ_BUFFER_BYTES];
@@ -204,7 +206,7 @@
         if length == 0 {
             return;
         }
-        // Once the outbox is closed, a packet could not be answered.
+        // A packet that arrives after the outbox is closed could not be answered.
         if outbox.is_closed() {
             future::pending::<()>().await;
         }
@@ -220,7 +222,7 @@
     }
 }
 
-/// Writes queued bytes until the outbox is closed and empty. Returns whether all could be written.
+/// Writes queued bytes until the outbox is closed and empty. Returns false if a write failed.
 async fn write(state: &SharedState, id: u64, stream: &Async<TcpStream>, outbox: &Outbox) -> bool {
     let mut bytes = Vec::new();
     while outbox.take(&mut bytes).await {
@@ -236,7 +238,7 @@
     true
 }
 
-/// Waits until a connection reaches its idle timeout, which may change meanwhile.
+/// Waits until a connection reaches its idle timeout. The timeout may change during the wait.
 async fn wait_until_idle(state: &SharedState, id: u64) {
     loop {
         let deadline = {
@@ -255,25 +257,25 @@
 /// A listening socket of a front end.
 #[derive(Clone)]
 pub struct FrontSocket {
-    /// The front end.
+    /// The protocol of the front end.
     pub front: Front,
-    /// Its address.
+    /// The address that the socket is bound to.
     pub address: SocketAddr,
     /// The socket.
     pub listener: Rc<Async<TcpListener>>,
 }
 
-/// The listening sockets of the front ends, whether connections are accepted or not.
+/// The listening sockets of the front ends. They stay open while no connections are accepted.
 pub struct Fronts {
     supervisor: Rc<Supervisor>,
     state: SharedState,
     sockets: RefCell<Vec<FrontSocket>>,
-    /// Stops the acceptors.
+    /// Notifications that stop the running acceptors.
     stops: RefCell<Vec<Notify>>,
 }
 
 impl Fronts {
-    /// Takes listening sockets and accepts nothing yet.
+    /// Creates the front ends of these sockets. Call [`Fronts::open`] to accept connections.
     pub fn new(
         supervisor: Rc<Supervisor>,
         state: SharedState,
@@ -294,7 +296,7 @@
         })
     }
 
-    /// Begins to accept connections.
+    /// Starts an acceptor for each socket.
     pub fn open(&self) {
         self.state.borrow_mut().set_accepting(true);
         for socket in self.sockets.borrow().iter() {
@@ -312,13 +314,13 @@
         }
     }
 
-    /// Stops to accept, as another process of the node does.
+    /// Stops accepting, as another process of the node accepts on the same sockets.
     pub fn pause(&self) {
         self.state.borrow_mut().set_accepting(false);
         self.stop_acceptors();
     }
 
-    /// Closes the sockets once the connections that the system has queued are accepted.
+    /// Closes the sockets once the connections in their backlogs are accepted.
     pub fn close(&self) {
         self.sockets.take();
         self.stop_acceptors();
--- a/crates/node/src/net/graceful_close.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -1,16 +1,17 @@
 //! Closes connections without losing a request or an answer.
 //!
-//! A peer may send a request at the moment at which its connection is closed, and a close with
-//! unread bytes resets the connection, which can destroy answers that the peer has not read yet. A
-//! connection is therefore closed in steps:
+//! A peer may send a request while its connection is being closed. A close with unread bytes resets
+//! the connection, which can destroy answers that the peer has not read yet. A connection is
+//! therefore closed in steps:
 //!
-//! 1. a gateway is sent `goaway`, and requests that cross it are read and answered;
-//! 2. once no request is open, nothing waits to be written and nothing has arrived, this side stops
+//! 1. a gateway is sent `goaway`, and requests that it sent before it read the `goaway` are read
+//!    and answered;
+//! 2. once no request is open, no bytes wait to be written and none are unread, this side stops
 //!    writing (half-close);
-//! 3. what still arrives is read and dropped, until the peer closes as well or a time is over
-//!    (lingering close).
+//! 3. bytes that still arrive are read and dropped, until the peer closes as well or a timeout
+//!    expires (lingering close).
 //!
-//! Nothing that is read after the half-close is acted on, as it could not be answered.
+//! Requests that arrive after the half-close are dropped, as they could not be answered.
 
 use crate::net::connections::PendingWork;
 use crate::net::event_loop::SharedState;
@@ -20,13 +21,13 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Instant;
 
-/// How long to wait for requests that cross a `goaway`, in milliseconds: a gateway repeats within
-/// 50 ms what crossed it, and the network adds some.
-const CROSSING_MS: u64 = 100;
+/// How long to wait for requests that a gateway sent before it read a `goaway`, in milliseconds. A
+/// gateway sends such requests again within 50 ms; the rest is a margin for the network.
+const IN_FLIGHT_GRACE_MS: u64 = 100;
 /// Time between two checks of a connection that is being closed, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 5;
-/// How long to wait for a peer that reads no answer, or that goes on sending after `goaway`, in
-/// milliseconds.
+/// How long to wait for a peer that does not read its answers, or that keeps sending after
+/// `goaway`, in milliseconds.
 const STALL_TIMEOUT_MS: u64 = 3000;
 
 /// Length of a lingering close, in milliseconds.
@@ -41,21 +42,21 @@
 /// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The peer closed it, or it cannot be written to.
+    /// The peer closed the connection, or a write failed.
     PeerClosed,
-    /// Everything is written, the last of it just now.
+    /// All responses are written; the peer may not have read the last one yet.
     ResponsesSent,
-    /// It was idle, and is half-closed.
+    /// The connection was idle and is half-closed.
     HalfClosed,
     /// The peer does not read.
     PeerStalled,
 }
 
 /// Sends `goaway` if the peer is a gateway, waits until the connection has no pending work, and
-/// half-closes it. The connection's own task goes on reading meanwhile.
+/// half-closes it. The connection's driver keeps reading and writing in the meantime.
 pub async fn close(state: &SharedState, id: u64, stream: &Async<TcpStream>) -> ConnectionEnd {
     if state.borrow_mut().begin_close(id) {
-        Timer::at(after_ms(CROSSING_MS)).await;
+        Timer::at(after_ms(IN_FLIGHT_GRACE_MS)).await;
     }
     let mut stall_deadline = after_ms(STALL_TIMEOUT_MS);
     loop {
@@ -71,7 +72,7 @@
             PendingWork::OpenRequests | PendingWork::PartialMessage => is_stalled,
         };
         if may_half_close {
-            // In the same step as the check, so that as little as possible arrives in between.
+            // Directly after the check, so that few bytes can arrive in between.
             state.borrow_mut().connections.finish(id);
             let _ = stream.get_ref().shutdown(Shutdown::Write);
             return ConnectionEnd::HalfClosed;
@@ -80,14 +81,14 @@
     }
 }
 
-/// Whether the system holds neither unread bytes nor an end of the connection.
+/// Whether the socket has neither unread bytes nor an end of the stream.
 fn has_nothing_unread(stream: &Async<TcpStream>) -> bool {
     let peeked = stream.get_ref().peek(&mut [0]);
     peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
 }
 
-/// Half-closes a connection, and reads and drops what arrives until the peer closes it, but at most
-/// for this time.
+/// Half-closes a connection, and discards incoming bytes until the peer closes it or `linger_ms`
+/// milliseconds have passed.
 pub async fn linger(stream: &Async<TcpStream>, linger_ms: u64) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let discard = async {
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,5 +1,6 @@
-//! Drivers: tasks on sockets, timers and threads. They read, write and wait; `wire` decodes and
-//! encodes, and `core` and the other decision packages decide.
+//! Drivers: tasks that do the input and output on sockets, timers and threads. `pipitlever-wire`
+//! decodes and encodes messages; `pipitlever-core` and other packages without input and output
+//! make the decisions.
 
 pub mod clock;
 pub mod config_versions;
@@ -28,12 +29,12 @@
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// The time after so many milliseconds.
+/// The instant `ms` milliseconds from now.
 pub fn after_ms(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
 
-/// The future's output; none if the deadline passes first.
+/// Waits for the output of `future`; returns none if the deadline passes first.
 pub async fn timeout_at<T>(deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(future.await) }, async {
         Timer::at(deadline).await;
@@ -56,7 +57,7 @@
                 state
                     .borrow_mut()
                     .with_core(|core, now| core.handle_wakeup(now));
-                // Other tasks run even if a wakeup is always due.
+                // Otherwise no other task would run while a wakeup is always due.
                 future::yield_now().await;
             }
             Some(at) => {
--- a/crates/node/src/net/notify.rs
+++ b/crates/node/src/net/notify.rs
@@ -11,8 +11,8 @@
     waiting: RefCell<Option<Waker>>,
 }
 
-/// Wakes a task that waits. Clones share one notification: any of them may notify, and one task may
-/// wait. A notification that nobody waits for is stored, and several are merged into one.
+/// Wakes a waiting task. Clones share one notification: any of them may notify, and one task may
+/// wait. Without a waiting task the notification is stored; several are merged into one.
 #[derive(Clone, Debug, Default)]
 pub struct Notify(Rc<State>);
 
