--- a/crates/node/src/net/idempotency_store.rs
+++ b/crates/node/src/net/idempotency_store.rs
@@ -1,11 +1,12 @@
-//! Passes batches to the store's writer thread, one at a time, and their results to the core.
+//! Driver of the idempotency store: passes batches from the core to the store's writer thread, one
+//! at a time, and the results back to the core.
 
 use crate::net::event_loop::SharedState;
 use async_channel::Receiver;
 use pipitlever_idempotency_store::disk::BatchWriter;
 use std::io;
 
-/// Passes batches and results on for as long as the node runs.
+/// Runs the driver. Does not return while the node runs.
 pub async fn run(state: SharedState, writer: BatchWriter, results: Receiver<io::Result<u64>>) {
     let store_work = state.borrow().store_work.clone();
     loop {
@@ -18,13 +19,13 @@
             continue;
         };
         writer.write(batch);
-        // Without its thread nothing is ever written. That is reported as a failure, so that the
-        // commit queue retries with growing pauses; without a result the core would be woken at
-        // once, again and again.
+        // Once the writer thread has ended, nothing is written any more. Each batch is then
+        // reported as failed, and the commit queue retries with a growing backoff. Without a
+        // result, the core's wakeup would stay due and the event loop would spin.
         let result = results
             .recv()
             .await
-            .unwrap_or_else(|_| Err(io::Error::other("the writer's thread has ended")));
+            .unwrap_or_else(|_| Err(io::Error::other("the writer thread of the store has ended")));
         state
             .borrow_mut()
             .with_core(|core, now| core.handle_store_result(now, result));
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -1,5 +1,5 @@
-//! Ledger calls: a small pool of connections, each with one call at a time, so that a corrupt reply
-//! costs no other call.
+//! Driver of ledger calls. Each connection carries one call at a time, so that a corrupt reply
+//! fails no other call; idle connections are pooled for a short time.
 
 use crate::net::event_loop::SharedState;
 use crate::net::ledger_calls::{IdleConnection, LedgerCall, StartedCall};
@@ -16,18 +16,18 @@
 use std::time::Instant;
 
 /// How long an idle connection may be reused, in milliseconds. The ledger closes idle connections
-/// after 10 s, but some are closed or lost sooner, and a call written to such a one may be lost
-/// without proof.
+/// after 10 s, but some are closed or lost sooner. If a call is written to a lost connection, it is
+/// unknown whether the ledger executed it.
 const REUSE_MS: u64 = 250;
-/// Longest time between the first and the last byte of a reply, in milliseconds: the ledger writes
-/// a reply at once.
+/// Longest time between the first and the last byte of a reply, in milliseconds. The ledger writes
+/// a whole reply with one write.
 const REPLY_TIMEOUT_MS: u64 = 250;
-/// Longest time for connecting, in milliseconds.
+/// Timeout of connecting, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1000;
 /// Shortest time between two attempts to connect for the same call, in milliseconds.
 const RECONNECT_INTERVAL_MS: u64 = 50;
 
-/// Starts a driver for each call, and closes connections that have been idle for too long.
+/// Spawns a driver for each call, and closes connections that have been idle for too long.
 pub async fn run(supervisor: Rc<Supervisor>, state: SharedState) {
     let changed = state.borrow().ledger.changed.clone();
     loop {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Carries one call from start to end.
+/// Drives one call from its connection to its outcome.
 async fn drive_call(state: SharedState, call: LedgerCall) {
     let (outcome, reply) = match obtain_connection(&state, &call).await {
         Some(connection) => exchange(&state, &call, connection).await,
@@ -68,19 +68,19 @@
     address: SocketAddr,
 }
 
-/// An idle connection that is still open as far as can be seen, or a new one.
+/// Takes an idle connection that appears to be open, or makes a new one; none if that fails.
 async fn obtain_connection(state: &SharedState, call: &LedgerCall) -> Option<LedgerConnection> {
     let address = state.borrow().ledger.address?;
     loop {
-        // The most recently used one: the others expire and are closed.
+        // The most recently used connection is reused; the others expire and are closed.
         let idle = state.borrow_mut().ledger.idle.pop();
         let Some(idle) = idle.filter(|idle| idle.reusable_until > Instant::now()) else {
             break;
         };
         // Unexpected bytes or an end of the stream make a connection unusable.
         let peeked = idle.stream.get_ref().peek(&mut [0]);
-        let is_quiet = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
-        if idle.last_reference != call.reference && is_quiet {
+        let has_nothing_unread = peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock);
+        if idle.last_reference != call.reference && has_nothing_unread {
             let stream = idle.stream;
             return Some(LedgerConnection { stream, address });
         }
@@ -88,8 +88,8 @@
     connect(address).await
 }
 
-/// Connects. A failure takes at least [`RECONNECT_INTERVAL_MS`], as the call may be placed again at
-/// once.
+/// Connects to the ledger. A failure is reported after [`RECONNECT_INTERVAL_MS`] at the earliest,
+/// as the core may make the call again at once.
 async fn connect(address: SocketAddr) -> Option<LedgerConnection> {
     let next_attempt = after_ms(RECONNECT_INTERVAL_MS);
     let timeout = after_ms(CONNECT_TIMEOUT_MS);
@@ -132,8 +132,8 @@
     let outcome = match reply.outcome {
         CallOutcome::Succeeded => Outcome::Success,
         CallOutcome::Rejected => Outcome::Rejected,
-        // `Unneeded`: the run has ended and its outcome is on its way; another call would end
-        // likewise.
+        // `Unneeded`: the ledger reports that the run has ended; its outcome will arrive. Another
+        // attempt would get the same reply.
         CallOutcome::Failed | CallOutcome::Unneeded => Outcome::Error,
         CallOutcome::TimedOut => Outcome::TimedOut,
     };
@@ -144,11 +144,11 @@
 struct CallReply {
     outcome: CallOutcome,
     body: Vec<u8>,
-    /// Whether the connection brought nothing else, so that it can carry another call.
+    /// Whether the connection can carry another call, as it received nothing but this reply.
     is_reusable: bool,
 }
 
-/// Reads the reply to a request's call; none if none can arrive any more.
+/// Reads the reply to a request's call; none if the connection ends or fails first.
 async fn read_reply(
     state: &SharedState,
     reference: Reference,
--- a/crates/node/src/net/ledger_calls.rs
+++ b/crates/node/src/net/ledger_calls.rs
@@ -9,22 +9,22 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Most connections to the ledger, one for each call in flight. The admission controller's own
-/// limit is far lower with any real settings; this one bounds the process's descriptors.
+/// Limit on connections to the ledger, one for each call in flight. The admission controller's own
+/// limit on calls is far lower with any real settings; this limit bounds the process's descriptors.
 pub const MAX_CONNECTIONS: usize = 48;
 
 /// A call to the ledger.
 #[derive(Clone, Debug)]
 pub struct LedgerCall {
-    /// The request that it is made for.
+    /// The request that makes the call.
     pub reference: Reference,
-    /// Until when its reply is waited for.
+    /// When the call times out.
     pub deadline: Micros,
-    /// Its body.
+    /// Body of the call.
     pub body: Rc<[u8]>,
 }
 
-/// A call whose driver is to be started.
+/// A call that was taken from the queue, for its driver.
 #[derive(Debug)]
 pub struct StartedCall {
     /// The call.
@@ -33,15 +33,15 @@
     pub cancelled: Notify,
 }
 
-/// A connection that carried a call and is not in use.
+/// An idle connection that has carried a call.
 #[derive(Debug)]
 pub struct IdleConnection {
     /// The connection.
     pub stream: Async<TcpStream>,
-    /// Until when it may be used again.
+    /// When the connection expires.
     pub reusable_until: Instant,
-    /// The request whose call it carried last: a late duplicate of that reply must not be taken for
-    /// the reply to the request's next call.
+    /// The request of the last call on this connection. The connection is not reused for the same
+    /// request: a late duplicate of the last reply would be taken for the reply to its next call.
     pub last_reference: Reference,
 }
 
@@ -50,7 +50,7 @@
 pub struct LedgerCalls {
     /// The ledger's address, if there is a ledger.
     pub address: Option<SocketAddr>,
-    /// Notified when the driver has something to do.
+    /// Notified when a call is queued, or when a connection slot may be free.
     pub changed: Notify,
     /// Idle connections, the most recently used last.
     pub idle: Vec<IdleConnection>,
@@ -60,7 +60,7 @@
 }
 
 impl LedgerCalls {
-    /// No call and no address yet.
+    /// Creates an empty queue without an address.
     pub fn new() -> LedgerCalls {
         LedgerCalls {
             address: None,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes the next call that may have a connection.
+    /// Takes the next call from the queue; none if all connections are in use.
     pub fn start_next(&mut self) -> Option<StartedCall> {
         if self.in_flight.len() >= MAX_CONNECTIONS {
             return None;
@@ -97,7 +97,8 @@
         Some(StartedCall { call, cancelled })
     }
 
-    /// Keeps a connection for the next call, unless the ledger's address has changed.
+    /// Returns a connection to the pool, unless the ledger's address has changed or the pool is
+    /// full.
     pub fn release(&mut self, address: SocketAddr, connection: IdleConnection) {
         let has_capacity = self.idle.len() + self.in_flight.len() <= MAX_CONNECTIONS;
         if has_capacity && self.address == Some(address) {
--- a/crates/node/src/net/processor.rs
+++ b/crates/node/src/net/processor.rs
@@ -1,4 +1,5 @@
-//! Keeps the connection to the processor, and reconnects whenever it breaks.
+//! Driver of the processor connection: reads notices, writes commands, and reconnects whenever the
+//! connection breaks.
 
 use crate::log::log;
 use crate::net::event_loop::SharedState;
@@ -8,26 +9,26 @@
 use pipitlever_wire::processor::NoticeReader;
 use std::net::{SocketAddr, TcpStream};
 
-/// How long a connection to an old address may take to confirm that all commands are read, in
-/// milliseconds.
-const LEAVE_TIMEOUT_MS: u64 = 150;
-/// Longest time for connecting, in milliseconds.
+/// How long a connection to an old address stays open for the processor to confirm that it has read
+/// all commands, in milliseconds.
+const CLOSE_TIMEOUT_MS: u64 = 150;
+/// Timeout of connecting, in milliseconds.
 const CONNECT_TIMEOUT_MS: u64 = 1000;
 /// Shortest time between two attempts to connect, in milliseconds.
 const RECONNECT_INTERVAL_MS: u64 = 50;
 /// Size of the buffer that notices are read into, in bytes.
 const READ_BUFFER_BYTES: usize = 16384;
-/// Capacity that the write buffer keeps after a burst, in bytes.
+/// Capacity to which the write buffer shrinks after a burst, in bytes.
 const WRITE_BUFFER_BYTES: usize = 16 << 10;
 
-/// Keeps a connection to the processor's present address, until there is none.
+/// Keeps a connection to the processor's current address, until no address is configured.
 pub async fn run(state: SharedState) {
     let mut reader = NoticeReader::default();
     let address_changed = state.borrow().processor.address_changed.clone();
     loop {
         let next_attempt = after_ms(RECONNECT_INTERVAL_MS);
-        // The address is read below. A notification that is left from the old connection would
-        // close the new one as soon as it is made.
+        // The address is read below. A stored notification about it would close the new connection
+        // as soon as it is made.
         address_changed.clear();
         let Some(address) = state.borrow().processor.address else {
             return;
@@ -49,7 +50,7 @@
     }
 }
 
-/// Connects; none if that fails or the address changes meanwhile.
+/// Connects; none if that fails or the address changes in the meantime.
 async fn connect(state: &SharedState, address: SocketAddr) -> Option<Async<TcpStream>> {
     let address_changed = state.borrow().processor.address_changed.clone();
     let connecting = async {
@@ -64,18 +65,19 @@
     future::or(connecting, interrupted).await
 }
 
-/// Reads notices and writes commands until the connection ends or is left.
+/// Reads notices and writes commands until the connection ends, or until the processor's address
+/// has changed and the commands are read or the timeout has passed.
 async fn drive(state: &SharedState, reader: &mut NoticeReader, stream: Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
     let address_changed = state.borrow().processor.address_changed.clone();
     state.borrow_mut().processor_connected();
     let hello = reader.hello();
     let exchange = future::or(read(state, reader, &stream), write(state, hello, &stream));
-    let leaving = async {
+    let close_timeout = async {
         address_changed.wait().await;
-        Timer::at(after_ms(LEAVE_TIMEOUT_MS)).await;
+        Timer::at(after_ms(CLOSE_TIMEOUT_MS)).await;
     };
-    future::or(exchange, leaving).await;
+    future::or(exchange, close_timeout).await;
 }
 
 async fn read(state: &SharedState, reader: &mut NoticeReader, stream: &Async<TcpStream>) {
@@ -99,7 +101,7 @@
     }
 }
 
-/// Sends the hello and then batches of commands, until the connection is to be closed.
+/// Writes the hello and then batches of commands, until the connection is to be closed.
 async fn write(state: &SharedState, hello: Vec<u8>, stream: &Async<TcpStream>) {
     if stream.write_all(&hello).await.is_err() {
         return;
--- a/crates/node/src/net/processor_connection.rs
+++ b/crates/node/src/net/processor_connection.rs
@@ -1,4 +1,5 @@
-//! Command queue of the processor connection, and the proof of what the processor has read.
+//! Command queue of the processor connection, and the tracking of which commands the processor has
+//! read.
 
 use crate::net::notify::Notify;
 use pipitlever_admission::Micros;
@@ -8,9 +9,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection that replied this recently, in microseconds, is taken to be alive.
+/// A connection is regarded as alive for this time after a reply, in microseconds.
 const ALIVE_WINDOW: Micros = 2000;
-/// Most commands that are written before a reply is waited for.
+/// Maximum number of commands in a batch.
 const MAX_BATCH: usize = 64;
 
 /// A command to the processor.
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Whether the command may be sent again if it may have been read before. The start of a keyed
-    /// run may not: the run may just have ended.
+    /// Whether the command may be sent again if the processor may have read it already. The start
+    /// of a keyed run may not be sent again: the run may have ended.
     fn may_resend(&self, core: &mut Core) -> bool {
         match &self.command {
             ProcessorCommand::Start {
@@ -68,46 +69,50 @@
 
 /// The commands to the processor, and the state of its connection.
 ///
-/// A connection that breaks may lose what was last written to it. Commands are therefore written in
-/// batches, each followed by a gauge query, and the next batch only after the reply: at most one
-/// batch is lost, and it is known which. Commands that are still queued have certainly not been
-/// read.
+/// A connection that breaks may lose the last bytes that were written to it. Commands are therefore
+/// written in batches, each followed by a gauge query. The next batch is written only after the
+/// reply, so that at most one batch can be lost, and it is known which. Commands in the queue have
+/// not been read.
 #[derive(Debug)]
 pub struct ProcessorConnection {
-    /// Notified when there is something to write or the connection is to be left.
+    /// Notified when a batch may be ready to be written, or the connection is to be closed.
     pub changed: Notify,
     /// The processor's address, if there is a processor.
     pub address: Option<SocketAddr>,
-    /// Notified when the address changes: the present connection is left once all commands written
-    /// to it are read.
+    /// Notified when the address changes. The current connection is then closed once all commands
+    /// written to it are read.
     pub address_changed: Notify,
-    is_leaving: bool,
+    /// Whether the current connection is to be closed, as the address has changed.
+    is_closing: bool,
     /// Whether the processor has sent its hello on this connection.
     is_up: bool,
     /// Commands that are not written yet, in order.
     queue: VecDeque<QueuedCommand>,
-    /// Commands that are written and not proven to be read.
+    /// Commands that are written and not confirmed to be read.
     unconfirmed: Vec<QueuedCommand>,
-    /// Unconfirmed commands of connections that broke, until the present one has delivered all
-    /// notices of the old ones.
+    /// Unconfirmed commands of connections that broke, until the current connection has delivered
+    /// all notices that the old ones left unread.
     in_doubt: Vec<QueuedCommand>,
+    /// Whether notices of old connections may still arrive on the current one.
     is_catching_up: bool,
-    /// Number of the last query, and whether its reply has arrived.
+    /// Number of the last query.
     last_query: u64,
+    /// Whether the reply to the last query has arrived.
     is_query_answered: bool,
+    /// When the last reply arrived.
     last_reply: Micros,
-    /// Whether a query is to be sent, for the gauges or as a proof.
-    is_query_wanted: bool,
+    /// Whether a query is to be sent, for the gauges or to confirm that commands are read.
+    is_query_due: bool,
 }
 
 impl ProcessorConnection {
-    /// No connection and no address yet.
+    /// Creates an empty queue without a connection or an address.
     pub fn new() -> ProcessorConnection {
         ProcessorConnection {
             changed: Notify::new(),
             address: None,
             address_changed: Notify::new(),
-            is_leaving: false,
+            is_closing: false,
             is_up: false,
             queue: VecDeque::new(),
             unconfirmed: Vec::new(),
@@ -115,9 +120,9 @@
             is_catching_up: false,
             last_query: 0,
             is_query_answered: true,
-            // Halved, so that a time since then does not overflow.
+            // Halved, so that the subtraction from the current time does not overflow.
             last_reply: Micros::MIN / 2,
-            is_query_wanted: false,
+            is_query_due: false,
         }
     }
 
@@ -127,17 +132,17 @@
         self.changed.notify();
     }
 
-    /// Requests the gauges.
+    /// Schedules a gauge query.
     pub fn query_gauges(&mut self) {
-        self.is_query_wanted = true;
+        self.is_query_due = true;
         self.changed.notify();
     }
 
     /// Writes the next batch of commands and a query. Returns false if there is nothing to write
     /// yet.
     pub fn write_batch(&mut self, now: Micros, out: &mut Vec<u8>) -> bool {
-        let has_work = self.is_query_wanted || !self.queue.is_empty();
-        if !self.is_up || !self.is_query_answered || self.is_leaving || !has_work {
+        let has_work = self.is_query_due || !self.queue.is_empty();
+        if !self.is_up || !self.is_query_answered || self.is_closing || !has_work {
             return false;
         }
         if self.may_write_commands(now) {
@@ -148,7 +153,7 @@
                 }
             }
         }
-        self.is_query_wanted = false;
+        self.is_query_due = false;
         self.is_query_answered = false;
         self.last_query += 1;
         for command in &self.unconfirmed {
@@ -158,9 +163,10 @@
         true
     }
 
-    /// Whether queued commands may be written, or a query alone has to come first. The start of a
-    /// keyed run is never written to a connection that may have died since its last reply: if it is
-    /// lost, it cannot be told from one that was read, and cannot be sent again.
+    /// Whether queued commands may be written; otherwise a query alone has to be answered first.
+    /// The start of a keyed run is never written to a connection that may have broken since its
+    /// last reply: a lost start cannot be distinguished from one that was read, and cannot be sent
+    /// again.
     fn may_write_commands(&self, now: Micros) -> bool {
         let starts_keyed_run = self.queue.iter().any(|queued| {
             matches!(
@@ -172,8 +178,8 @@
         !self.is_catching_up && (!starts_keyed_run || is_alive)
     }
 
-    /// Handles the reply to a query. The reply to the last one proves that all commands written
-    /// before it are read.
+    /// Handles the reply to a query. The reply to the last query confirms that the processor has
+    /// read all commands that were written before it.
     pub fn handle_gauge_reply(&mut self, now: Micros, query: Option<u64>, core: &mut Core) {
         if query != Some(self.last_query) {
             return;
@@ -187,8 +193,8 @@
         self.changed.notify();
     }
 
-    /// Queues commands in doubt again, ahead of all others, where that is safe. By now the new
-    /// connection has delivered all notices of the old one.
+    /// Queues those commands in doubt that may be sent again, ahead of all others. Called once the
+    /// new connection has delivered all notices of the old ones.
     fn requeue_in_doubt(&mut self, core: &mut Core) {
         for command in std::mem::take(&mut self.in_doubt).into_iter().rev() {
             if command.may_resend(core) {
@@ -197,24 +203,24 @@
         }
     }
 
-    /// Whether the connection can be closed, as the processor has another address and has read
-    /// everything written to this one.
+    /// Whether the connection can be closed: the processor's address has changed, and the processor
+    /// has read all commands that were written to this connection.
     pub fn is_finished(&self) -> bool {
-        self.is_leaving && (self.is_query_answered || !self.is_up)
+        self.is_closing && (self.is_query_answered || !self.is_up)
     }
 
     /// Handles the end of the connection.
     pub fn handle_disconnect(&mut self) {
         self.is_up = false;
-        self.is_leaving = false;
+        self.is_closing = false;
     }
 
-    /// Handles the processor's hello on a new connection. A query goes out before any command: its
-    /// reply follows all notices that the old connection left unread. A reply to an older query
-    /// proves nothing here.
+    /// Handles the processor's hello on a new connection. A query is written before any command:
+    /// its reply follows all notices that the old connection left unread. A reply to an older query
+    /// confirms nothing on this connection.
     pub fn handle_hello(&mut self) {
         self.is_up = true;
-        self.is_query_wanted = true;
+        self.is_query_due = true;
         self.is_query_answered = true;
         self.in_doubt.append(&mut self.unconfirmed);
         self.is_catching_up = true;
@@ -225,7 +231,7 @@
     pub fn set_address(&mut self, address: Option<SocketAddr>) {
         let previous = std::mem::replace(&mut self.address, address);
         if previous.is_some() && previous != address {
-            self.is_leaving = true;
+            self.is_closing = true;
             self.address_changed.notify();
             self.changed.notify();
         }
--- a/crates/node/src/net/registry.rs
+++ b/crates/node/src/net/registry.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to the service registry.
+//! Sends heartbeats to the service registry.
 
 use crate::net::event_loop::SharedState;
 use crate::net::{after_ms, timeout_at};
@@ -6,12 +6,12 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Time between heartbeats, in milliseconds. The registry drops a node after 3 s without one. If
-/// one datagram in four is lost, four in a row would be lost every few minutes; eleven in a row are
-/// not to be expected.
+/// Time between heartbeats, in milliseconds. The registry removes a node after 3 s without one,
+/// which is eleven lost heartbeats in a row. With a loss of one datagram in four, four in a row are
+/// lost every few minutes, but eleven in a row are not to be expected.
 const HEARTBEAT_INTERVAL_MS: u64 = 250;
 
-/// The socket of heartbeats, and the registry's address that it was opened for.
+/// The socket that sends heartbeats, and the address of the registry.
 #[derive(Default)]
 struct HeartbeatSocket {
     socket: Option<UdpSocket>,
@@ -19,7 +19,7 @@
 }
 
 impl HeartbeatSocket {
-    /// Opens the socket anew if the address has changed, which may be one of the other family.
+    /// Opens a new socket if the address has changed, as the address family may differ.
     fn set_address(&mut self, address: Option<SocketAddr>) {
         if self.address != address {
             self.socket = None;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends a heartbeat. One that cannot be sent is made up for by the next one.
+    /// Sends a heartbeat. An error is ignored, as the next heartbeat follows soon.
     fn send(&self, name: &str, availability: Availability) {
         if let (Some(socket), Some(address)) = (&self.socket, self.address) {
             let _ = socket.send_to(&heartbeat(name, availability), address);
@@ -48,9 +48,9 @@
     Ok(socket)
 }
 
-/// Sends heartbeats until shutdown begins, and then one with the availability `Draining`. The
-/// registry drops the node after that, even if it ignores the availability. A process that has been
-/// replaced sends none at its end, as the node stays available.
+/// Sends heartbeats until shutdown begins, and then one with the availability `Draining`. A
+/// registry that ignores the availability removes the node for lack of heartbeats. A process that
+/// has been replaced does not send the last one, as the node stays available.
 pub async fn run(state: SharedState, name: String) {
     let shutdown_started = state.borrow().shutdown_started.clone();
     let mut socket = HeartbeatSocket::default();
@@ -68,7 +68,7 @@
         if is_draining {
             return;
         }
-        // A shutdown may be shorter than the time to the next heartbeat.
+        // Does not wait for the next heartbeat if shutdown begins: the process may end before it.
         timeout_at(next, shutdown_started.wait()).await;
     }
 }
--- a/crates/node/src/net/worker_pools/mod.rs
+++ b/crates/node/src/net/worker_pools/mod.rs
@@ -30,13 +30,13 @@
     pub reference: Reference,
     /// Whether the run may happen twice.
     pub is_idempotent: bool,
-    /// Index of its pool.
+    /// Index of the class's pool.
     pub pool: usize,
     /// Whether runs with the same idempotency key go to the same worker.
     pub is_sticky: bool,
-    /// The packet for the worker.
+    /// The uwsgi packet.
     pub packet: Rc<[u8]>,
-    /// When the run is abandoned.
+    /// When the run times out.
     pub deadline: Micros,
 }
 
@@ -80,7 +80,8 @@
     pub workers: HashMap<String, WorkerShare>,
     /// Fraction of the pool's load-dependent limits.
     pub load_fraction: f64,
-    /// From then on other nodes may have the share, and one run for each worker is left.
+    /// When the share expires. From then on other nodes may have the share, and this node may run
+    /// one run at a time on each worker.
     pub expires_at: Micros,
 }
 
@@ -94,11 +95,11 @@
     }
 }
 
-/// All pools, and the runs that wait for a driver.
+/// All pools, and the queue of runs.
 #[derive(Debug)]
 pub struct WorkerPools {
     entries: Vec<PoolEntry>,
-    /// Number of configurations that were applied.
+    /// Number of configurations that have been applied since the start.
     pub generation: u64,
     queue: VecDeque<WorkerRun>,
     /// Notified when a run is queued.
@@ -157,7 +158,7 @@
         true
     }
 
-    /// Takes the number of runs that asked for a worker of a pool since the last call.
+    /// Returns the number of runs that requested a worker of a pool since the last call.
     pub fn take_demand(&mut self, pool: usize) -> u64 {
         std::mem::take(&mut self.entries[pool].demand)
     }
@@ -167,7 +168,7 @@
         &mut self.entries[pool].pool
     }
 
-    /// Selects a worker for a run, of its pool or of that pool's fallbacks.
+    /// Selects a worker for a run, from its pool or that pool's fallbacks.
     pub fn select_worker(
         &mut self,
         now: Micros,
@@ -176,7 +177,8 @@
         attempted: &[AttemptedWorker],
     ) -> Option<AssignedRun> {
         let mut next = Some(run.pool);
-        // Settings with a cycle of fallbacks are rejected; were there one, each pool is tried once.
+        // Bounded, so that a cycle of fallbacks could not loop forever; settings with one are
+        // rejected.
         for _ in 0..self.entries.len() {
             let index = next?;
             let entry = &mut self.entries[index];
@@ -203,7 +205,7 @@
         None
     }
 
-    /// Assigns a run to the worker of its pool at this address, if that worker can take it.
+    /// Assigns a run to the worker of its pool at this address, if the worker is available.
     pub fn assign_worker(
         &mut self,
         now: Micros,
@@ -225,7 +227,8 @@
         assigned_run(run.pool, &selection)
     }
 
-    /// The digest of a run's session, if its pool has session affinity and its packet names one.
+    /// The digest of a run's session, if its pool has session affinity and its packet has a
+    /// session.
     pub fn session(&self, run: &WorkerRun) -> Option<u64> {
         let sessions = self.entries[run.pool].settings.sessions.as_ref()?;
         find_variable(&run.packet, &sessions.variable)
@@ -240,7 +243,8 @@
         entry.log_events();
     }
 
-    /// The time to wait before a retry, in microseconds; none if there is to be no retry.
+    /// Decides on a retry, and takes it from the retry budget. Returns the backoff before it, in
+    /// microseconds; none if the run is not to be retried.
     pub fn acquire_retry(
         &mut self,
         now: Micros,
--- a/crates/node/src/net/worker_pools/pool_entry.rs
+++ b/crates/node/src/net/worker_pools/pool_entry.rs
@@ -12,13 +12,13 @@
 /// A pool of the node.
 #[derive(Debug)]
 pub struct PoolEntry {
-    /// Its settings.
+    /// Settings of the pool.
     pub settings: PoolSettings,
     /// This node's share, if the nodes of the fleet divide the pool.
     pub share: PoolShare,
-    /// Runs that asked for a worker of it since the count was last taken.
+    /// Number of runs that requested a worker since it was last read and reset.
     pub demand: u64,
-    /// Its load-balancing state.
+    /// Load-balancing state of the pool.
     pub pool: Pool<SocketAddr>,
 }
 
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Applies the settings and the share to the members.
+    /// Recomputes the members from the settings and the share.
     pub fn update_members(&mut self, now: Micros) {
         let members = local_members(&self.settings, &self.share.workers);
         self.pool.update(members, now);
     }
 
-    /// The name in log lines.
+    /// Name of the pool in log lines.
     pub fn log_name(&self) -> String {
         if self.settings.name.is_empty() {
             "pool".into()
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Counts the demand of a run's first attempt.
+    /// Counts a run at its first attempt.
     pub fn record_demand(&mut self, is_first_attempt: bool) {
         self.demand += u64::from(is_first_attempt);
     }
 
-    /// Reduces the share to one run for each worker once it has expired. A process that was stopped
-    /// may read requests before it learns that other nodes have its share by now.
+    /// Reduces the share to one run for each worker once it has expired. A process that was
+    /// suspended may read requests before it is notified that other nodes have its share.
     pub fn expire_share(&mut self, now: Micros) {
         if now < self.share.expires_at {
             return;
@@ -67,7 +67,7 @@
         self.update_members(now);
     }
 
-    /// Logs what happened in the pool since the last call.
+    /// Logs the events of the pool since the last call.
     pub fn log_events(&mut self) {
         for event in self.pool.take_events() {
             log(&format!("{}: {event}", self.log_name()));
@@ -75,9 +75,9 @@
     }
 }
 
-/// The members as this node uses them. In a divided pool, workers outside the node's subset are in
-/// a lower priority tier with one run each, for when no other is usable. Configured tiers are
-/// doubled to leave a tier between them for those.
+/// The members with this node's limits. In a divided pool, workers outside the node's subset are in
+/// a lower priority tier with one run each, and are used only if no worker of the subset is usable.
+/// Configured tiers are doubled, so that there is such a tier below each of them.
 fn local_members(
     settings: &PoolSettings,
     shares: &HashMap<String, WorkerShare>,
--- a/crates/node/src/net/worker_pools/routes.rs
+++ b/crates/node/src/net/worker_pools/routes.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What runs the requests of a class, whichever front end they arrive on.
+/// The backend that runs the requests of a class, on whichever front end they arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Backend {
@@ -21,9 +21,9 @@
     pub path: String,
     /// Name of the class.
     pub class: String,
-    /// What runs its requests.
+    /// The backend of the class.
     pub backend: Backend,
-    /// Name of the pool of workers; the unnamed pool if there is none.
+    /// Name of the pool of workers; the unnamed pool if none is given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
     /// Whether attempts with the same idempotency key go to the same worker while it is healthy.
@@ -38,23 +38,23 @@
 /// Name and zone of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLabel {
-    /// Its name; its address if none is configured.
+    /// Name of the worker; its address if none is configured.
     pub name: String,
-    /// Its zone; may be empty.
+    /// Zone of the worker; may be empty.
     pub zone: String,
 }
 
-/// How the nodes of a fleet divide a pool (subsetting).
+/// Settings of subsetting: how the nodes of a fleet divide a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
     /// Number of workers that each node uses, approximately.
     pub subset_size: usize,
 }
 
-/// Session affinity: how long sessions stay with their workers.
+/// Settings of session affinity: how long sessions stay with their workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
-    /// The variable of a request's packet that names its session.
+    /// Variable of the uwsgi packet that contains the session's id.
     pub variable: String,
     /// Time without a request after which a session is dropped, in seconds.
     pub idle_timeout_seconds: u32,
@@ -67,17 +67,17 @@
 /// A pool of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolSettings {
-    /// Its name; empty for the pool of `workers`.
+    /// Name of the pool; empty for the pool of `[uwsgi]`.
     pub name: String,
-    /// Index of the pool that takes runs when no member of this one can.
+    /// Index of the fallback pool, which is used when no member of this pool is available.
     pub fallback: Option<usize>,
-    /// Its members.
+    /// Members of the pool.
     pub members: Vec<Member<SocketAddr>>,
     /// Labels of the members, in the same order; empty if the pool has no name.
     pub labels: Vec<WorkerLabel>,
     /// Subsetting, if the nodes of the fleet divide the pool.
     pub subsetting: Option<SubsetSettings>,
-    /// Its earlier names, the oldest first.
+    /// Earlier names of the pool, the oldest first.
     pub previous_names: Vec<String>,
     /// Session affinity, if the pool has it.
     pub sessions: Option<SessionSettings>,
@@ -91,7 +91,7 @@
     pub listen: Option<SocketAddr>,
     /// Addresses of workers with default settings.
     pub workers: Vec<SocketAddr>,
-    /// Workers with settings of their own.
+    /// Workers with individual settings.
     #[serde(skip)]
     pub configured_workers: Vec<Member<SocketAddr>>,
     /// Named pools.
--- a/crates/node/src/net/worker_pools/tests.rs
+++ b/crates/node/src/net/worker_pools/tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// How many of nine more runs are assigned.
+/// Tries to assign nine runs, and returns how many are assigned.
 fn assign_nine(pools: &mut WorkerPools, now: Micros) -> usize {
     let run = WorkerRun {
         reference: Reference::default(),
@@ -53,14 +53,14 @@
 #[test]
 fn an_expired_share_leaves_one_run_for_each_worker() {
     let mut pools = divided_pool();
-    // Before the first share is set there is one run as well.
+    // Before the first share is set, the limit is one run as well.
     assert_eq!(assign_nine(&mut pools, 0), 1);
     assert!(pools.set_share(0, 0, share(4)));
-    assert_eq!(assign_nine(&mut pools, 999), 3, "four in all");
+    assert_eq!(assign_nine(&mut pools, 999), 3, "four runs in total");
     assert!(pools.set_share(999, 0, share(8)));
     assert_eq!(
         assign_nine(&mut pools, 1_000),
         0,
-        "other nodes may have the share by now"
+        "other nodes may have the expired share"
     );
 }
--- a/crates/node/src/net/workers/mod.rs
+++ b/crates/node/src/net/workers/mod.rs
@@ -1,4 +1,4 @@
-//! Runs on uwsgi workers: one connection a run, closed at its end.
+//! Driver of runs on uwsgi workers: one connection per attempt, closed at its end.
 
 mod session_route;
 
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A worker has to accept within the remaining time divided by this.
+/// The timeout of connecting to a worker is the remaining time of the run divided by this.
 const CONNECT_DIVISOR: u32 = 4;
 /// Size of the buffer that a response is read into, in bytes.
 const READ_BUFFER_BYTES: usize = 8192;
@@ -46,7 +46,7 @@
     let response = driver.run_attempts().await;
     let (outcome, result) = match response {
         Some(response) => (RunOutcome::Completed, response),
-        // No byte was sent to any worker, which proves that it did not run.
+        // No byte was sent to any worker, so that the run has certainly not started.
         None if !driver.may_have_run => (RunOutcome::NotStarted, Vec::new()),
         None => (RunOutcome::Failed, Vec::new()),
     };
@@ -62,7 +62,7 @@
     find_variable(&run.packet, IDEMPOTENCY_KEY).map(digest_bytes)
 }
 
-/// What follows a failed attempt.
+/// The step after a failed attempt.
 enum NextStep {
     /// Another attempt.
     Retry,
@@ -76,12 +76,12 @@
     run: &'a WorkerRun,
     deadline: Instant,
     max_response_bytes: usize,
-    /// Key of sticky runs.
+    /// Hash of the idempotency key of a sticky run.
     hash_key: Option<u64>,
     /// The worker of the run's session, if it has one.
     session: Option<SessionRoute>,
     attempted: Vec<AttemptedWorker>,
-    /// Whether any worker may have acted on the run.
+    /// Whether any worker may have started the run.
     may_have_run: bool,
 }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Tries workers until one responds; none if the run has failed.
+    /// Makes attempts until a worker responds; none if the run has failed.
     async fn run_attempts(&mut self) -> Option<Vec<u8>> {
         loop {
             let assigned = self.assign()?;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Assigns the run to the worker of its session, or to any worker.
+    /// Assigns the run to the worker of its session, or to a selected worker if it has no session.
     fn assign(&self) -> Option<AssignedRun> {
         let mut state = self.state.borrow_mut();
         match &self.session {
@@ -157,8 +157,8 @@
         (outcome, response.flatten())
     }
 
-    /// Records an attempt's outcome, and decides on a retry: returns the time to wait before it, in
-    /// microseconds.
+    /// Records an attempt's outcome, and decides on a retry. Returns the backoff before the retry,
+    /// in microseconds.
     fn complete_attempt(&self, assigned: AssignedRun, outcome: pool::RunOutcome) -> Option<Micros> {
         let state = &mut *self.state.borrow_mut();
         let now = state.clock.now();
@@ -174,8 +174,8 @@
         state.pools.acquire_retry(now, self.run, attempt)
     }
 
-    /// Waits before a retry, if there is to be one, and moves the session away from a worker that
-    /// could not be reached.
+    /// Waits for the backoff of a retry, if there is one, and moves the session away from a worker
+    /// that could not be reached.
     async fn prepare_retry(
         &mut self,
         assigned: AssignedRun,
@@ -185,7 +185,7 @@
             return NextStep::Fail;
         };
         if let Some(session) = &mut self.session {
-            // The effects of a run that may have started belong to that worker alone.
+            // The run may have started and changed the session's state on that worker.
             if self.may_have_run {
                 return NextStep::Fail;
             }
@@ -196,8 +196,8 @@
     }
 }
 
-/// Sends a packet to a worker and reads its response; none if no whole one arrives. `is_sent` is
-/// set once the worker may have received part of the packet.
+/// Sends a packet to a worker and reads the response; none if no complete response arrives.
+/// `is_sent` is set once the worker may have received part of the packet.
 async fn exchange(
     worker: SocketAddr,
     packet: &[u8],
@@ -209,8 +209,8 @@
     let connect_deadline = now + deadline.saturating_duration_since(now) / CONNECT_DIVISOR;
     let connecting = Async::<TcpStream>::connect(worker);
     let stream = timeout_at(connect_deadline, connecting).await?.ok()?;
-    // Only a failure of the first write proves that the worker received nothing: it may act on any
-    // part of the packet.
+    // Only a failure of the first write proves that the worker received nothing. The worker may act
+    // on an incomplete packet.
     let written = stream.write(packet).await.ok()?;
     *is_sent = true;
     stream.write_all(&packet[written..]).await.ok()?;
--- a/crates/node/src/net/workers/session_route.rs
+++ b/crates/node/src/net/workers/session_route.rs
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The worker of a run's session. The run may go to no other worker.
+/// The worker of a run's session. The run may not be assigned to any other worker.
 pub struct SessionRoute {
     membership: Rc<MembershipDriver>,
-    /// The session, and the idempotency key of a keyed run: both move together.
+    /// The lookup of the session and, for a keyed run, of the idempotency key. Both move together.
     lookups: Vec<SessionLookup>,
-    /// The worker; none if no worker takes the session.
+    /// Address of the worker; none if no worker accepts the session.
     pub worker: Option<SocketAddr>,
 }
 
 impl SessionRoute {
-    /// Looks up the worker; none if the run has no session.
+    /// Looks up the worker of a run's session; none if the run has no session.
     pub async fn look_up(state: &SharedState, run: &WorkerRun) -> Option<SessionRoute> {
         let session = state.borrow().pools.session(run)?;
         let membership = state.borrow().membership.clone()?;
@@ -35,7 +35,7 @@
         Some(route)
     }
 
-    /// Sends a retry of a keyed run to the worker of the first attempt, though its session may have
+    /// Selects the worker of the first attempt for a retry of a keyed run, even if its session has
     /// moved since.
     async fn follow_first_attempt(&mut self, run: &WorkerRun) {
         let (Some(worker), Some(key)) = (self.worker, idempotency_key_digest(run)) else {
