--- a/crates/node/src/net/hot_restart/adopted_sockets.rs
+++ b/crates/node/src/net/hot_restart/adopted_sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets that a predecessor passes on.
+//! The sockets that a successor receives from its predecessor.
 
 use super::error::HotRestartError;
 use super::{MEMBERSHIP_TCP, MEMBERSHIP_UDP};
@@ -12,7 +12,7 @@
 /// A front end's listening socket.
 pub type FrontListener = (Front, SocketAddr, Async<TcpListener>);
 
-/// The sockets of the front ends, and those of the membership protocol.
+/// The sockets of the front ends and of the membership protocol.
 #[derive(Default)]
 pub struct AdoptedSockets {
     /// The front ends' listeners.
@@ -22,8 +22,7 @@
 }
 
 impl AdoptedSockets {
-    /// Checks that the sockets are those of the node of this name whose gateways connect to
-    /// `listen`.
+    /// Checks that the sockets belong to the node `node_name` whose gateways connect to `listen`.
     pub fn new(
         welcome: &Welcome,
         passed: Vec<OwnedFd>,
@@ -31,13 +30,13 @@
         listen: SocketAddr,
     ) -> Result<AdoptedSockets, HotRestartError> {
         if welcome.node_name != node_name {
-            return Err(HotRestartError::OtherNode {
+            return Err(HotRestartError::NodeMismatch {
                 predecessor: welcome.node_name.clone(),
                 this: node_name.to_owned(),
             });
         }
         if welcome.sockets.len() != passed.len() {
-            return Err(HotRestartError::SocketCount {
+            return Err(HotRestartError::SocketCountMismatch {
                 listed: welcome.sockets.len(),
                 passed: passed.len(),
             });
@@ -65,7 +64,7 @@
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().map_err(HotRestartError::Socket)?;
     if address != listed.address || (front == Front::Gateway && address != listen) {
-        return Err(HotRestartError::OtherAddress(address));
+        return Err(HotRestartError::AddressMismatch(address));
     }
     let listener = Async::<TcpListener>::new(listener).map_err(HotRestartError::Socket)?;
     Ok((front, address, listener))
--- a/crates/node/src/net/hot_restart/error.rs
+++ b/crates/node/src/net/hot_restart/error.rs
@@ -7,11 +7,11 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why a successor cannot take over. The predecessor goes on serving.
+/// Why a successor cannot take over. The predecessor continues to serve.
 #[derive(Debug, Error)]
 pub enum HotRestartError {
-    /// The predecessor's socket exists and cannot be connected to.
-    #[error("hot restart: {}: {source}", path.display())]
+    /// A connection to the predecessor's socket failed.
+    #[error("hot restart: could not connect to the predecessor: {}: {source}", path.display())]
     Connect {
         /// The socket's path.
         path: PathBuf,
@@ -19,27 +19,27 @@
         source: io::Error,
     },
     /// A process of another user listens on the socket.
-    #[error("hot restart: {}: a process of another user listens there", path.display())]
+    #[error("hot restart: a process of another user listens on the socket: {}", path.display())]
     OtherUser {
         /// The socket's path.
         path: PathBuf,
     },
     /// A socket could not be set up.
-    #[error("hot restart: socket: {0}")]
+    #[error("hot restart: could not set up a socket: {0}")]
     Socket(io::Error),
-    /// The predecessor shuts down, or has another successor.
-    #[error("hot restart: the predecessor rejects this process")]
+    /// The predecessor is shutting down, or has another successor.
+    #[error("hot restart: the predecessor rejected this process")]
     Rejected,
     /// The predecessor sent no welcome in time.
     #[error("hot restart: the predecessor sent no welcome in time")]
     WelcomeTimeout,
-    /// The predecessor speaks another protocol or version.
+    /// The predecessor uses another protocol or version.
     #[error("hot restart: a message of the predecessor could not be decoded: {0}")]
     Decode(#[from] DecodeError),
-    /// The predecessor sent a message that does not belong to the phase.
+    /// The predecessor sent a message that is not valid in the current phase.
     #[error("hot restart: {0}")]
     UnexpectedMessage(#[from] UnexpectedMessage),
-    /// The predecessor sent a message before it was asked for one.
+    /// The predecessor sent a message before this process sent `Freeze`.
     #[error("hot restart: the predecessor sent a message before the freeze")]
     PrematureMessage,
     /// The predecessor's first message is not a welcome.
@@ -47,35 +47,38 @@
     NoWelcome,
     /// The predecessor belongs to another node.
     #[error(
-        "hot restart: the predecessor belongs to another node predecessor={predecessor} this={this}"
+        "hot restart: the predecessor belongs to another node: predecessor={predecessor} \
+         this={this}"
     )]
-    OtherNode {
-        /// The predecessor's node.
+    NodeMismatch {
+        /// Name of the predecessor's node.
         predecessor: String,
-        /// This process's node.
+        /// Name of this process's node.
         this: String,
     },
-    /// The welcome lists other sockets than were passed.
+    /// The number of passed sockets differs from the number in the welcome.
     #[error(
-        "hot restart: the predecessor passed other sockets than its welcome lists \
+        "hot restart: the predecessor passed another number of sockets than its welcome lists: \
          listed={listed} passed={passed}"
     )]
-    SocketCount {
-        /// Sockets in the welcome.
+    SocketCountMismatch {
+        /// Number of sockets in the welcome.
         listed: usize,
-        /// Sockets that were passed.
+        /// Number of sockets that were passed.
         passed: usize,
     },
-    /// A socket's protocol is not known.
-    #[error("hot restart: the predecessor passed a socket of an unknown protocol={0}")]
+    /// The protocol of a passed socket is unknown.
+    #[error("hot restart: the predecessor passed a socket of an unknown protocol: protocol={0}")]
     UnknownProtocol(String),
-    /// A socket is not bound to the address that it should have.
-    #[error("hot restart: the predecessor passed a socket of another address={0}")]
-    OtherAddress(SocketAddr),
-    /// The predecessor sent no key in time.
+    /// A passed socket is not bound to the expected address.
+    #[error(
+        "hot restart: the predecessor passed a socket with an unexpected address: address={0}"
+    )]
+    AddressMismatch(SocketAddr),
+    /// The predecessor did not send all keys in time.
     #[error("hot restart: the predecessor did not send its keys in time")]
     SnapshotTimeout,
-    /// The connection ended, and the predecessor runs.
+    /// The predecessor closed the connection and is still running.
     #[error("hot restart: the predecessor closed the connection and still runs")]
     Disconnected,
 }
@@ -83,28 +86,28 @@
 /// Why the connection to a successor ended.
 #[derive(Debug, Error)]
 pub enum SessionEnd {
-    /// It closed the connection before its greeting.
-    #[error("it sent no greeting")]
+    /// The successor closed the connection before its greeting.
+    #[error("the connection ended before a greeting")]
     NoGreeting,
-    /// It sent no greeting in time.
-    #[error("it sent no greeting in time")]
+    /// The successor sent no greeting in time.
+    #[error("no greeting arrived in time")]
     GreetingTimeout,
-    /// It sent a message that does not belong to the phase.
-    #[error("it sent an unexpected message")]
+    /// The successor sent a message that is not valid in the current phase.
+    #[error("an unexpected message arrived")]
     UnexpectedMessage,
-    /// It speaks another protocol or version.
-    #[error("{0}")]
+    /// The successor uses another protocol or version.
+    #[error("a message could not be decoded: {0}")]
     Decode(#[from] DecodeError),
     /// The welcome could not be sent.
     #[error("the welcome could not be sent")]
     WelcomeNotSent,
     /// A message could not be sent.
-    #[error("{0}")]
+    #[error("a message could not be sent: {0}")]
     Write(#[from] io::Error),
-    /// It did not read a message in time.
-    #[error("it does not read")]
+    /// The successor did not read a message in time.
+    #[error("a message was not read in time")]
     WriteTimeout,
-    /// It closed the connection.
-    #[error("it closed the connection")]
+    /// The successor closed the connection.
+    #[error("the successor closed the connection")]
     Closed,
 }
--- a/crates/node/src/net/hot_restart/mod.rs
+++ b/crates/node/src/net/hot_restart/mod.rs
@@ -1,7 +1,8 @@
 //! Hot restart: the connection between a process of this node and the one that replaces it.
 //!
-//! The processes meet at a Unix socket in `$TMPDIR`. `pipitlever-hot-restart` decides; this module
-//! passes messages, sockets and keys. `docs/hot-restart.md` describes the phases.
+//! The successor connects to the predecessor on a Unix socket in `$TMPDIR`.
+//! `pipitlever-hot-restart` implements the protocol's state machines; this module transfers
+//! messages, sockets and keys. `docs/hot-restart.md` describes the phases.
 
 mod adopted_sockets;
 mod error;
@@ -21,14 +22,13 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Longest time for a message to be written, or for one that is due to arrive, in milliseconds: a
-/// process answers operators within a second, and a successor has to serve within six.
+/// Timeout of writing a message, and of waiting for one that is due, in milliseconds. Control
+/// requests are answered within a second, and a successor has to serve within six.
 const MESSAGE_TIMEOUT_MS: u64 = 2000;
 /// Names of the membership sockets in [`pipitlever_hot_restart::message::Welcome`].
 const MEMBERSHIP_UDP: &str = "fleet-udp";
 const MEMBERSHIP_TCP: &str = "fleet-tcp";
-/// Bytes that are read or written at once. Keys are sent in chunks, so that other tasks run in
-/// between.
+/// Size of reads and writes, in bytes. Keys are sent in chunks, so that other tasks run in between.
 const CHUNK_BYTES: usize = 64 << 10;
 
 /// The path of the Unix socket of the node whose gateways connect to this address; none without
@@ -39,7 +39,7 @@
     Some(Path::new(&folder).join(format!("pipitlever-{name}.sock")))
 }
 
-/// Passes an error from the task of a hot restart to the one that ends the process.
+/// Passes an error from the task of a hot restart to the task that ends the process.
 #[derive(Clone, Default)]
 pub struct FailureSignal {
     error: Rc<RefCell<Option<HotRestartError>>>,
--- a/crates/node/src/net/hot_restart/predecessor_connection.rs
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -1,5 +1,5 @@
-//! The successor's side: connects to the predecessor, receives its sockets and keys, and serves in
-//! its place.
+//! The successor's side: connects to the predecessor, receives its sockets and keys, and takes
+//! over.
 
 use super::adopted_sockets::AdoptedSockets;
 use super::error::HotRestartError;
@@ -20,20 +20,21 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// How long to wait for a process that shuts down, in milliseconds.
+/// How long to retry while the process at the socket sends no welcome, in milliseconds. It may be
+/// shutting down.
 const SHUTDOWN_TIMEOUT_MS: u64 = 3000;
 /// Time between two attempts to connect, in milliseconds.
 const RECONNECT_INTERVAL_MS: u64 = 25;
-/// How long a process may take to exit after its connection has ended, in milliseconds.
+/// How long to wait for the predecessor's exit after the connection has ended, in milliseconds.
 const EXIT_TIMEOUT_MS: u64 = 500;
-/// Time between two checks whether this process is ready, in milliseconds.
+/// Time between two checks whether this process is ready to serve, in milliseconds.
 const READY_CHECK_MS: u64 = 5;
-/// Share of the processor's memory that a successor has at least, even if its predecessor uses all.
+/// Lower bound of a successor's share of the processor's memory, even if its predecessor uses all.
 const MIN_MEMORY_SHARE: f64 = 0.05;
 /// Size of the buffer that the welcome is read into, in bytes.
 const WELCOME_BUFFER_BYTES: usize = 4096;
 
-/// A predecessor that has passed its sockets on.
+/// A connection to a predecessor that has passed its sockets.
 pub struct PredecessorConnection {
     stream: Async<UnixStream>,
     peer: PeerProcess,
@@ -45,11 +46,12 @@
     pub sockets: AdoptedSockets,
 }
 
-/// Connects to the process at this path and receives its sockets; none if there is no process.
+/// Connects to the process that listens at `path` and receives its sockets; none if there is no
+/// such process.
 ///
 /// # Errors
 ///
-/// A process is there and this one cannot take over from it, which goes on serving.
+/// This process cannot take over from the process at `path`, which continues to serve.
 pub async fn connect_to_predecessor(
     path: &Path,
     node_name: &str,
@@ -59,7 +61,7 @@
     loop {
         let stream = match UnixStream::connect(path) {
             Ok(stream) => stream,
-            // No process, or the socket of one that crashed.
+            // No process, or the socket of a process that crashed.
             Err(error)
                 if matches!(
                     error.kind(),
@@ -83,7 +85,7 @@
             Some(Ok(Some(received))) => {
                 return received.connect(stream, peer, node_name, listen).map(Some);
             }
-            // It shuts down, exited, or has another successor.
+            // The process is shutting down, has exited, or has another successor.
             Some(Ok(None)) if Instant::now() < deadline => {
                 Timer::at(after_ms(RECONNECT_INTERVAL_MS)).await;
             }
@@ -155,7 +157,7 @@
     }
 }
 
-/// Whether the connection is to be read further.
+/// Whether the connection has to be read further.
 #[derive(PartialEq, Eq)]
 enum Progress {
     Continue,
@@ -163,12 +165,13 @@
 }
 
 impl PredecessorConnection {
-    /// Takes over once this process is ready, and follows the predecessor until it exits. `serve`
-    /// begins to serve, with the predecessor's membership state.
+    /// Takes over once this process is ready, and applies the predecessor's messages until it
+    /// exits. `serve` is called with the predecessor's membership state when this process has to
+    /// serve.
     ///
     /// # Errors
     ///
-    /// This process has to exit, and the predecessor goes on serving.
+    /// This process has to exit, and the predecessor continues to serve.
     pub async fn take_over(
         mut self,
         state: &SharedState,
@@ -177,7 +180,7 @@
         if self.wait_until_ready(state).await? == Progress::Continue {
             self.receive_keys(state, &serve).await?;
         }
-        // The connection may end while both processes run, and two must not serve.
+        // The connection may end while both processes run, and only one of them may serve.
         let has_exited = !self.successor.must_check_exit()
             || self
                 .peer
@@ -223,8 +226,8 @@
         }
     }
 
-    /// Requests the keys and handles messages until the connection ends. Once this process serves,
-    /// an invalid message ends the connection and not the process.
+    /// Requests the keys and handles messages until the connection ends. After the takeover an
+    /// invalid message closes the connection instead of ending the process.
     async fn receive_keys(
         &mut self,
         state: &SharedState,
@@ -237,7 +240,7 @@
         let deadline = after_ms(MESSAGE_TIMEOUT_MS);
         loop {
             if !out.is_empty() {
-                // A failure shows as the end of the connection.
+                // After a failure the read below returns the end of the connection.
                 let writing = self.stream.write_all(&out);
                 let _ = timeout_at(after_ms(MESSAGE_TIMEOUT_MS), writing).await;
                 out.clear();
--- a/crates/node/src/net/hot_restart/successor_listener.rs
+++ b/crates/node/src/net/hot_restart/successor_listener.rs
@@ -26,7 +26,7 @@
     pub(super) fronts: Rc<Fronts>,
     pub(super) node_name: String,
     path: PathBuf,
-    /// Whether the socket at the path is this process's.
+    /// Whether the socket at the path belongs to this process.
     is_open: Cell<bool>,
     /// Stops the task that accepts connections.
     stop: RefCell<Notify>,
@@ -52,8 +52,8 @@
         })
     }
 
-    /// Begins to accept connections. Replaces a socket that exists: its process has exited or shuts
-    /// down.
+    /// Starts to accept connections. Replaces an existing socket, whose process has exited or is
+    /// shutting down.
     pub fn open(self: &Rc<SuccessorListener>) {
         let listener = match self.bind() {
             Ok(listener) => listener,
@@ -74,11 +74,11 @@
             .detach();
     }
 
-    /// Binds the socket under a temporary name and renames it, so that a process that finds it can
-    /// always connect.
+    /// Binds the socket under a temporary name and renames it, so that a socket at the path always
+    /// accepts connections.
     fn bind(&self) -> io::Result<Async<UnixListener>> {
         let temporary = self.path.with_extension(std::process::id().to_string());
-        // A crashed process with the same id may have left one.
+        // A crashed process with the same id may have left this file.
         let _ = std::fs::remove_file(&temporary);
         let bound = UnixListener::bind(&temporary).and_then(|listener| {
             std::fs::rename(&temporary, &self.path)?;
@@ -109,15 +109,14 @@
         }
     }
 
-    /// Stops to accept. The socket's path belongs to the successor by now.
+    /// Stops accepting. The socket at the path is left to the successor.
     pub(super) fn stop(&self) {
         self.is_open.set(false);
         self.stop.borrow().notify();
     }
 
-    /// Stops to accept and removes the socket: a process that starts from then on has no
-    /// predecessor. Does nothing in a process that has not opened it, whose predecessor listens
-    /// there.
+    /// Stops accepting and removes the socket. A process that starts afterwards has no predecessor.
+    /// Does nothing if this process has not opened the socket, as its predecessor may listen there.
     pub fn close(&self) {
         if self.is_open.get() {
             self.stop();
--- a/crates/node/src/net/hot_restart/successor_session.rs
+++ b/crates/node/src/net/hot_restart/successor_session.rs
@@ -19,29 +19,29 @@
 /// Size of the buffer that the successor's short messages are read into, in bytes.
 const READ_BUFFER_BYTES: usize = 512;
 
-/// Serves one connection, from the greeting to its end.
+/// Serves one connection, from the greeting to the end.
 pub async fn run(listener: Rc<SuccessorListener>, stream: Async<UnixStream>, peer: PeerProcess) {
     let state = &listener.state;
     let mut decoder = Decoder::default();
     let greeting = read_greeting(&mut decoder, &stream);
     let greeted = timeout_at(after_ms(MESSAGE_TIMEOUT_MS), greeting).await;
     if let Err(reason) = greeted.unwrap_or(Err(SessionEnd::GreetingTimeout)) {
-        // With this greeting a process of another version can report the mismatch.
+        // The greeting contains the version, so that a process of another version can report it.
         let _ = stream.write(&message::greeting()).await;
         return log(&format!("hot restart: rejected a process: {reason}"));
     }
     if !state.borrow_mut().hot_restart.predecessor.handle_connect() {
-        return log("hot restart: rejected a process: another one takes over already");
+        return log("hot restart: rejected a process: another one is the successor already");
     }
     log("hot restart: a successor connected");
     let writing = write(&listener, &stream);
     let reading = read(&listener, &mut decoder, &stream);
     let end = future::or(writing, reading).await;
-    // Tells a successor that still reads that the session is over.
+    // Closes the connection, so that a successor that still reads sees its end.
     drop(stream);
     let has_yielded = state.borrow().hot_restart.predecessor.has_yielded();
     if has_yielded {
-        // The successor may serve as long as it runs, and two processes must not.
+        // The successor may serve until it exits, and only one process may serve.
         peer.wait_for_exit(None).await;
     }
     let actions = state
@@ -63,7 +63,7 @@
     }
 }
 
-/// Reads the greeting. The successor sends nothing else until it has the welcome.
+/// Reads the greeting. The successor may send no message before it has received the welcome.
 async fn read_greeting(
     decoder: &mut Decoder,
     stream: &Async<UnixStream>,
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// Sends the welcome with the sockets, and then keys and messages as they become due.
+/// Sends the welcome with the sockets, and then keys and other messages as they become due.
 async fn write(listener: &SuccessorListener, stream: &Async<UnixStream>) -> SessionEnd {
     let mut bytes = match send_welcome(listener, stream).await {
         Ok(unsent) => unsent,
@@ -93,7 +93,8 @@
         match timeout_at(after_ms(MESSAGE_TIMEOUT_MS), stream.write_all(&bytes)).await {
             Some(Ok(())) => {}
             Some(Err(error)) => return error.into(),
-            // What a successor does not read would pile up here.
+            // Otherwise updates for a successor that does not read would accumulate in this
+            // process.
             None => return SessionEnd::WriteTimeout,
         }
         bytes.clear();
@@ -103,8 +104,8 @@
     }
 }
 
-/// Sends the welcome and passes the sockets. Returns the rest of the welcome if it was not written
-/// whole.
+/// Sends the welcome and passes the sockets. Returns the bytes of the welcome that are not written
+/// yet.
 async fn send_welcome(
     listener: &SuccessorListener,
     stream: &Async<UnixStream>,
@@ -151,15 +152,15 @@
     }
 }
 
-/// The messages that are sent once.
+/// Which of the messages that are sent once have been sent.
 #[derive(Default)]
 struct SentMessages {
     is_snapshot_complete: bool,
     is_yielded: bool,
 }
 
-/// Encodes the messages that are due, at most [`CHUNK_BYTES`] of keys. Returns whether there is
-/// any. All keys precede `SnapshotComplete`; changed keys follow it.
+/// Encodes the messages that are due, with at most about [`CHUNK_BYTES`] of keys. Returns whether
+/// there are any. All keys precede `SnapshotComplete`; later changes of keys follow it.
 fn next_chunk(state: &SharedState, chunk: &mut Vec<u8>, sent: &mut SentMessages) -> bool {
     let mut state = state.borrow_mut();
     let unix_offset = state.clock.unix_offset();
@@ -181,7 +182,7 @@
     if chunk.is_empty() && !sent.is_snapshot_complete && phase == Phase::Freeze {
         sent.is_snapshot_complete = true;
         let is_standby = state.core.is_standby();
-        // The successor leaves to this process the memory that it uses beyond its half.
+        // If this process uses more than half of the memory, it keeps that share.
         let memory_share = state.core.required_memory_share();
         state.set_memory_share(Some(memory_share));
         let message = Message::SnapshotComplete {
@@ -249,8 +250,8 @@
             state
                 .borrow_mut()
                 .with_core(|core, now| core.handle_keys_lost(now));
-            // Before the fronts open: the active config version may be outdated by now, and nothing
-            // may be admitted before that is known.
+            // Before the front ends open: the active config version may be outdated, and no request
+            // may be admitted until that is known.
             let membership = state.borrow().membership.clone();
             if let Some(membership) = membership {
                 membership.resume();
