--- a/crates/node/src/net/config_versions/control.rs
+++ b/crates/node/src/net/config_versions/control.rs
@@ -17,9 +17,9 @@
 
 /// The response to an operation.
 pub struct OperationResponse {
-    /// Whether the operation has begun.
+    /// Whether the operation was started.
     pub is_success: bool,
-    /// A line for the operator.
+    /// The response line.
     pub text: String,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl ConfigVersionsDriver {
-    /// Begins to publish a version. `unix_ms` is the current Unix time in milliseconds.
+    /// Starts the publication of a version. `unix_ms` is the current Unix time in milliseconds.
     pub fn publish(&self, now: i64, unix_ms: u64, body: &[u8]) -> OperationResponse {
         let publication: Publication = match serde_json::from_slice(body) {
             Ok(publication) => publication,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Begins to retire all versions below this one.
+    /// Starts the retirement of all versions below `minimum`.
     pub fn retire_below(&self, now: i64, minimum: u64) -> OperationResponse {
         match self.node.borrow_mut().retire_below(now, minimum) {
             Ok(()) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Sets the minimum version that an operator has found out.
+    /// Sets the minimum version that an operator has determined.
     pub fn accept_minimum(&self, number: u64) -> OperationResponse {
         self.node.borrow_mut().set_minimum_version(number);
         OperationResponse::success(format!("the minimum version is {number}\n"))
@@ -81,7 +81,7 @@
         let node = self.node.borrow();
         let permission = node.permission(now);
         let is_granted = matches!(permission, Permission::Granted { .. });
-        let refusal = if is_granted {
+        let denial_reason = if is_granted {
             ""
         } else {
             log_lines::permission(permission)
@@ -98,7 +98,7 @@
             "floor": node.minimum_version().number(),
             "floor_known": node.minimum_version().is_known(),
             "may_act": is_granted,
-            "why": refusal,
+            "why": denial_reason,
             "lease_ms": lease_ms,
             "unfit": rejected,
         })
--- a/crates/node/src/net/config_versions/disk.rs
+++ b/crates/node/src/net/config_versions/disk.rs
@@ -1,8 +1,8 @@
 //! Files of a node's config versions: the acceptor's state and the active version.
 //!
 //! Each write replaces a whole file: the new content is written and synced under a temporary name
-//! and renamed, and the folder is synced. A crash leaves the old or the new file. A thread writes,
-//! as no request may wait for a disk.
+//! and renamed, and the folder is synced. After a crash the file has either the old or the new
+//! content. A thread of its own writes, so that no request waits for the disk.
 
 use crate::supervision::ThreadSentinel;
 use async_channel::{Receiver, Sender};
@@ -42,10 +42,10 @@
         source: ReadError,
     },
     /// The writer thread could not be started.
-    #[error("versions: no thread: {0}")]
+    #[error("versions: could not start the writer thread: {0}")]
     NoThread(io::Error),
     /// The writer thread has ended.
-    #[error("the disk's thread has ended")]
+    #[error("the writer thread of config versions has ended")]
     ThreadEnded,
 }
 
@@ -53,7 +53,7 @@
 pub enum DiskWrite {
     /// The acceptor's state, and the number of the write.
     Acceptor(Box<AcceptorState>, u64),
-    /// The version that is about to be activated.
+    /// A version that is about to be activated.
     Active(StoredVersion),
 }
 
@@ -61,7 +61,7 @@
 pub enum DiskWriteResult {
     /// The write of the acceptor's state with this number.
     Acceptor(u64, Result<(), DiskError>),
-    /// The write of a version; returns the minimum version that is on the disk.
+    /// The write of a version, with the minimum version that is on the disk.
     Active(Result<u64, DiskError>),
 }
 
@@ -97,15 +97,15 @@
     })
 }
 
-/// The channels of the writer thread.
+/// The channels to and from the writer thread.
 pub struct DiskWriter {
-    /// Takes files to write.
+    /// Queue of files to write.
     pub writes: Sender<DiskWrite>,
-    /// Yields the results, in the same order.
+    /// Results of the writes, in the same order.
     pub results: Receiver<DiskWriteResult>,
 }
 
-/// Starts the thread that writes files to this folder until the channel closes.
+/// Starts a thread that writes files to `folder` until its channel is closed.
 pub fn start(folder: PathBuf, sentinel: ThreadSentinel) -> Result<DiskWriter, DiskError> {
     fs::create_dir_all(&folder).map_err(|source| DiskError::Io {
         path: folder.clone(),
--- a/crates/node/src/net/config_versions/disk/tests.rs
+++ b/crates/node/src/net/config_versions/disk/tests.rs
@@ -3,8 +3,8 @@
 use pipitlever_config_versions::minimum_version::StoredVersion;
 use std::fs;
 
-/// A file that is truncated or corrupted at any byte yields an error with its name, and is not
-/// taken for a missing one.
+/// Guards against a damaged file that is regarded as missing: a file that is truncated or corrupted
+/// at any byte yields an error that names the file.
 #[test]
 fn a_damaged_file_is_an_error_with_its_name() {
     let folder = std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
--- a/crates/node/src/net/config_versions/log_lines.rs
+++ b/crates/node/src/net/config_versions/log_lines.rs
@@ -4,7 +4,7 @@
 use pipitlever_config_versions::proposer::Outcome;
 use pipitlever_config_versions::version::Version;
 
-/// Whether requests are served, and why not.
+/// The log line of a permission: whether requests are served, and the reason if they are not.
 pub fn permission(permission: Permission) -> &'static str {
     match permission {
         Permission::Granted { .. } => "serving",
@@ -17,7 +17,7 @@
     }
 }
 
-/// The line of an event.
+/// The log line of an event.
 pub fn event(event: &Event) -> String {
     match event {
         Event::Learned { number, sender } => {
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -1,6 +1,6 @@
-//! Driver of config versions: passes datagrams of the fleet, results of the disk and the time to
-//! `pipitlever-config-versions`, and its permission to serve to the core. Only with
-//! `[fleet.versions]`.
+//! Driver of config versions: passes messages of the fleet, results of disk writes and the time to
+//! `pipitlever-config-versions`, and the permission to serve requests to the core. Runs only with
+//! the section `[fleet.versions]`.
 
 mod control;
 pub mod disk;
@@ -30,11 +30,11 @@
 pub struct Settings {
     /// Folder of this node's files. No other node may use it.
     pub folder: PathBuf,
-    /// Acceptors, leases, and what to do without them.
+    /// Acceptors, leases, and the policies without a lease and without a known minimum version.
     pub protocol: node::Settings,
 }
 
-/// The default settings with these acceptors.
+/// The default settings of the protocol, with these acceptors.
 pub fn default_protocol(acceptors: Vec<String>) -> node::Settings {
     node::Settings {
         acceptors,
@@ -46,9 +46,9 @@
 
 /// A decided version that is to be activated.
 pub struct DecidedVersion {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// Its content.
+    /// Content of the version.
     pub content: Rc<[u8]>,
 }
 
@@ -58,11 +58,11 @@
     writes: Sender<DiskWrite>,
     folder: PathBuf,
     is_acceptor: bool,
-    /// Takes versions to activate.
+    /// Receives versions to activate.
     decided: Option<Sender<DecidedVersion>>,
-    /// The newest version that was sent to be activated.
+    /// The newest version that was sent through `decided`.
     last_decided: Cell<u64>,
-    /// The permission that the core has.
+    /// The permission that was last passed to the core.
     last_permission: Cell<Option<Permission>>,
     state: SharedState,
 }
@@ -75,24 +75,24 @@
     pub results: Receiver<DiskWriteResult>,
 }
 
-/// What a driver starts with.
+/// Parameters of [`ConfigVersionsDriver::start`].
 pub struct StartOptions<'a> {
     /// This node's name.
     pub node_name: &'a str,
     /// The settings.
     pub settings: &'a Settings,
-    /// The version that is on the disk.
+    /// The active version on the disk.
     pub stored: Option<StoredVersion>,
-    /// Takes versions to activate.
+    /// Receives versions to activate.
     pub decided: Option<Sender<DecidedVersion>>,
-    /// Seed of random times.
+    /// Seed of randomized timeouts.
     pub seed: u64,
     /// Reports a panic of the thread that writes to the disk.
     pub sentinel: ThreadSentinel,
 }
 
 impl ConfigVersionsDriver {
-    /// Starts with what is on the disk.
+    /// Starts the driver with the state on the disk.
     pub fn start(
         state: SharedState,
         options: StartOptions<'_>,
@@ -152,7 +152,7 @@
         Ok(Started { driver, results })
     }
 
-    /// Handles messages of members, and executes what follows from them and from the time.
+    /// Handles messages of members and timeouts, and executes the resulting actions.
     pub fn update(&self, fleet: &mut Membership, now: i64, messages: Vec<ReceivedMessage>) {
         let mut node = self.node.borrow_mut();
         for message in messages {
@@ -160,8 +160,8 @@
         }
         let mut gossips_now = node.next_wakeup() <= now && node.handle_timeout(now);
         if let Some(write) = node.take_write() {
-            // If the thread has ended, the write never finishes, and nothing that depends on it is
-            // ever sent.
+            // If the writer thread has ended, the write never finishes, and messages that depend on
+            // it are never sent.
             let _ = self
                 .writes
                 .try_send(DiskWrite::Acceptor(Box::new(write.state), write.number));
@@ -185,7 +185,7 @@
         self.update_permission(permission);
     }
 
-    /// Sends a version to be activated, once each.
+    /// Sends a decided version for activation, each version once.
     fn send_decided(&self, node: &Node) {
         let Some(VersionWithContent { version, content }) = node.version_to_activate() else {
             return;
@@ -208,7 +208,7 @@
             return;
         }
         let serves_without_lease = self.node.borrow().serves_without_lease();
-        // The state may be borrowed by the caller; the next update is soon.
+        // If the caller has borrowed the state, the next update tries again.
         let Ok(mut state) = self.state.try_borrow_mut() else {
             return self.last_permission.set(None);
         };
@@ -231,7 +231,7 @@
         self.node.borrow().next_wakeup()
     }
 
-    /// Handles the result of a disk write. Returns that of an active version.
+    /// Handles the result of a disk write. Returns the result if an active version was written.
     pub fn handle_write_result(
         &self,
         now: i64,
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Begins to write a version that is about to be activated.
+    /// Starts to write a version that is about to be activated.
     pub fn write_active(&self, number: u64, content: &[u8]) {
         let node = self.node.borrow();
         let version = Some(node.newest().clone()).filter(|version| version.number == number);
@@ -265,9 +265,9 @@
         }));
     }
 
-    /// Resumes after a successor that was the member has exited: its votes and its active version
-    /// are on the disk. A disk that cannot be read is treated like a new one: the mismatch of the
-    /// acceptor's state is detected, and a quorum provides the present version.
+    /// Resumes after the successor, which was the member, has exited. The successor's votes and its
+    /// active version are read from the disk. A disk that cannot be read is treated like a new one:
+    /// the mismatch of the acceptor's state is detected, and a quorum provides the current version.
     pub fn resume(&self, now: i64) {
         let role = if self.is_acceptor {
             Role::Acceptor(self.reload(disk::ACCEPTOR_FILE))
@@ -310,13 +310,13 @@
         self.node.borrow().active_version()
     }
 
-    /// When the lease expires that a quorum of acceptors has granted.
+    /// When the lease from a quorum of acceptors expires; [`i64::MIN`] without a lease.
     pub fn lease_expires_at(&self) -> i64 {
         self.node.borrow().lease_expires_at().unwrap_or(i64::MIN)
     }
 }
 
-/// Handles a message of a member; an invalid one is ignored.
+/// Handles a message of a member. Invalid messages are ignored.
 fn handle_message(node: &mut Node, fleet: &mut Membership, now: i64, message: ReceivedMessage) {
     let sender = message.sender;
     let envelope = match message.content {
@@ -360,7 +360,7 @@
     }
 }
 
-/// Requests the next chunk of a content that is being fetched.
+/// Requests the next chunk of the content that is being fetched, if any.
 fn request_chunk(node: &mut Node, fleet: &mut Membership, now: i64) {
     if !node.is_fetching() {
         return;
--- a/crates/node/src/net/membership/control.rs
+++ b/crates/node/src/net/membership/control.rs
@@ -1,4 +1,4 @@
-//! The membership view and the metrics of the control endpoint.
+//! Membership view and metrics for the control endpoint.
 
 use super::{active_version, Counters, MembershipDriver};
 use pipitlever_membership::members::Member;
@@ -58,7 +58,7 @@
     })
 }
 
-/// Appends the metrics in the statsd form. Writing to a string cannot fail.
+/// Appends the metrics in the statsd format. Writing to a string cannot fail.
 pub fn write_metrics(driver: &MembershipDriver, text: &mut String) {
     driver.read(|fleet, _| {
         let states = fleet.count_by_state();
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -1,6 +1,6 @@
 //! Driver of the node's membership in its fleet: passes datagrams, connections and the time to
-//! `pipitlever-membership`, and its application messages to the drivers of config versions,
-//! subsetting and session affinity. Only with `[fleet]`.
+//! `pipitlever-membership`, and application messages to the drivers of config versions, subsetting
+//! and session affinity. Runs only with the section `[fleet]`.
 
 mod control;
 mod settings;
@@ -33,10 +33,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Descriptors that the membership may use: its two sockets, a connection that it makes, and those
-/// that it accepts.
+/// Descriptors that the membership may use: two sockets, one outgoing sync connection, and the
+/// incoming ones.
 pub const DESCRIPTORS: usize = 3 + MAX_SYNCS;
-/// Most sync connections of other members at one time.
+/// Limit on incoming sync connections.
 const MAX_SYNCS: usize = 8;
 /// Shortest time between two log lines on malformed messages.
 const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(60);
@@ -69,7 +69,7 @@
     fleet: RefCell<Membership>,
     /// Config versions, if the fleet decides them.
     pub versions: Option<ConfigVersionsDriver>,
-    /// Subsetting, if any pool is divided among the fleet.
+    /// Subsetting, if the nodes of the fleet divide any pool.
     pub subsetting: Option<SubsettingDriver>,
     partition_policy: PartitionPolicy,
     /// Session affinity, if any pool has it.
@@ -86,7 +86,7 @@
     sync_requested: Notify,
     next_wakeup: Cell<i64>,
     open_syncs: Cell<usize>,
-    /// Empty while another process of the node is the member.
+    /// Running tasks; empty while another process of the node is the member.
     tasks: RefCell<Vec<Task<()>>>,
     counters: Cell<Counters>,
     /// When a malformed message was last logged.
@@ -114,7 +114,7 @@
         *self.tasks.borrow_mut() = tasks.into();
     }
 
-    /// Stops to read, as a successor is the member from now on.
+    /// Stops all tasks, as the successor is the member from now on.
     pub fn pause(&self) {
         self.tasks.borrow_mut().clear();
         if let Some(sessions) = &self.session_affinity {
@@ -187,18 +187,18 @@
         }
     }
 
-    fn record_malformed(&self, what: &str, error: &DecodeError) {
+    fn record_malformed(&self, source: &str, error: &DecodeError) {
         self.count(|counters| counters.malformed += 1);
         let now = Instant::now();
         let last = self.last_malformed.get();
         if last.is_none_or(|last| last + MALFORMED_LOG_INTERVAL <= now) {
             self.last_malformed.set(Some(now));
-            log(&format!("fleet: could not decode {what}: {error}"));
+            log(&format!("fleet: could not decode {source}: {error}"));
         }
     }
 
-    /// Updates the membership, and executes what follows: application messages, datagrams, events
-    /// and wakeups.
+    /// Updates the membership, and handles the results: application messages, datagrams, events and
+    /// wakeups.
     fn update<T>(&self, update: impl FnOnce(&mut Membership, i64) -> T) -> T {
         let mut fleet = self.fleet.borrow_mut();
         let output = update(&mut fleet, self.clock.now());
@@ -249,7 +249,7 @@
         others
     }
 
-    /// Sends datagrams. One that the system does not accept counts as lost.
+    /// Sends datagrams. Those that the system rejects are counted as unsent.
     fn send_datagrams(&self, fleet: &mut Membership) {
         let datagrams = fleet.take_datagrams();
         let socket = self.udp.get_ref();
@@ -333,14 +333,14 @@
         versions.map_or(0, ConfigVersionsDriver::active_version)
     }
 
-    /// Resolves the worker of a session, here or with a directory replica; none if no worker takes
-    /// the session.
+    /// Resolves the worker of a session, with the local or a remote directory replica; none if no
+    /// worker accepts the session.
     pub async fn resolve_session(&self, pool: usize, lookup: SessionLookup) -> Option<SocketAddr> {
         let sessions = self.session_affinity.as_ref()?;
         let (now, version) = (self.clock.now(), self.active_version());
         match sessions.resolve(now, version, pool, lookup) {
             Ok(worker) => {
-                // Messages that follow are sent with the next update.
+                // The next update sends the resulting messages.
                 self.wakeup_changed.notify();
                 worker
             }
@@ -366,7 +366,7 @@
         next
     }
 
-    /// Until when no other node has this node's shares of divided pools.
+    /// When this node's shares of divided pools expire: from then on, other nodes may use them.
     fn share_expires_at(&self) -> i64 {
         match (self.partition_policy, &self.versions) {
             (PartitionPolicy::MinimumShare, Some(versions)) => versions.lease_expires_at(),
@@ -374,7 +374,7 @@
         }
     }
 
-    /// The service state as it is now.
+    /// The current service state.
     fn observed_service_state(&self) -> ServiceState {
         let state = self.state.borrow();
         let is_starting = state.core.is_starting()
--- a/crates/node/src/net/membership/settings.rs
+++ b/crates/node/src/net/membership/settings.rs
@@ -7,13 +7,13 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Longest time between two looks at the node's state, in milliseconds.
+/// Longest time between two checks of the node's service state, in milliseconds.
 pub const STATE_CHECK_MS: u64 = 250;
 /// How long a lost share of a pool stays reserved where there are no leases, in microseconds.
 const DEFAULT_RESERVATION: i64 = 10_000_000;
-/// A lease may last longer by this fraction on a slow clock.
+/// On a slow clock, a lease may last longer by the lease divided by this.
 const CLOCK_DRIFT_DIVISOR: i64 = 40;
-/// Attempts to find a port that is free for both UDP and TCP.
+/// Limit on further attempts to find a port that is free for both UDP and TCP.
 const MAX_BIND_ATTEMPTS: u32 = 20;
 
 /// Settings of a node's membership in its fleet.
@@ -21,7 +21,7 @@
 pub struct Settings {
     /// Name of the fleet. Messages of other fleets are ignored.
     pub name: String,
-    /// Local address of datagrams and connections.
+    /// Local address of the sockets.
     pub bind: SocketAddr,
     /// Address at which other members reach this node.
     pub advertise: SocketAddr,
@@ -38,12 +38,12 @@
 }
 
 impl Settings {
-    /// Times of subsetting: an update reaches all members within the first; a lost share stays
-    /// reserved for the second.
+    /// Times of subsetting: how long an update takes at most to reach all members, and how long a
+    /// lost share stays reserved.
     pub(super) fn timing(&self) -> Timing {
         let max_propagation = 2 * self.protocol.probe_interval + 2 * STATE_CHECK_MS as i64 * 1000;
-        // From the last message that a partitioned member received of a quorum until its lease has
-        // expired by any clock.
+        // The time from the last message of a quorum to a partitioned member until the member's
+        // lease has expired on any clock.
         let reservation = self
             .versions
             .as_ref()
@@ -58,16 +58,16 @@
     }
 }
 
-/// The sockets, which a predecessor passes on to its successor.
+/// The sockets of the membership protocol. A predecessor passes them to its successor.
 pub struct Sockets {
-    /// For datagrams.
+    /// Socket for datagrams.
     pub udp: UdpSocket,
-    /// For connections.
+    /// Listener for sync connections.
     pub tcp: TcpListener,
 }
 
 impl Sockets {
-    /// Binds both to one port.
+    /// Binds both sockets to the same port.
     pub fn bind(address: SocketAddr) -> io::Result<Sockets> {
         let mut attempts = 0;
         loop {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Their address.
+    /// The local address of both sockets.
     pub fn address(&self) -> Option<SocketAddr> {
         self.udp.local_addr().ok()
     }
--- a/crates/node/src/net/membership/start.rs
+++ b/crates/node/src/net/membership/start.rs
@@ -1,4 +1,4 @@
-//! Starts the membership driver, as a new member or as the member that the predecessor was.
+//! Starts the membership driver, as a new member or in place of the predecessor.
 
 use super::{active_version, MembershipDriver, Settings, Sockets};
 use crate::log::log;
@@ -26,16 +26,16 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A socket could not be set up.
-    #[error("fleet: {0}")]
+    #[error("fleet: could not set up a socket: {0}")]
     Socket(#[from] io::Error),
     /// The files of config versions could not be read.
     #[error(transparent)]
     Versions(#[from] DiskError),
 }
 
-/// What a driver starts with.
+/// Parameters of [`MembershipDriver::start`].
 pub struct StartOptions {
-    /// Runs its tasks.
+    /// Spawns the driver's tasks.
     pub supervisor: Rc<Supervisor>,
     /// The node's state.
     pub state: SharedState,
@@ -47,20 +47,21 @@
     pub sockets: Sockets,
     /// The predecessor's membership state, if this process replaces one.
     pub resume_state: Option<Vec<u8>>,
-    /// The config version that is on the disk.
+    /// The active config version on the disk.
     pub stored_version: Option<StoredVersion>,
-    /// Takes config versions to activate.
+    /// Receives config versions to activate.
     pub decided: Option<Sender<DecidedVersion>>,
 }
 
-/// A random number. Seeds must differ between processes, so that the configured one is not used.
+/// A random seed. The configured seed is not used, as seeds must differ between processes.
 fn random_seed(input: i64) -> u64 {
     RandomState::new().hash_one(input)
 }
 
-/// The local member, and contacts of an earlier process.
+/// The local member, and the state inherited from the predecessor.
 struct Identity {
     local_member: LocalMember,
+    /// Addresses of members that the predecessor was in contact with.
     contacts: Vec<SocketAddr>,
     /// The config version that was active in the predecessor.
     active_version: Option<u64>,
@@ -208,7 +209,7 @@
     SessionAffinityDriver::start(state, node_name, random_seed(now), now)
 }
 
-/// The address for other members, with the bound port if none is configured.
+/// The address that is advertised to other members, with the bound port if none is configured.
 fn advertised_address(settings: &Settings, sockets: &Sockets) -> io::Result<SocketAddr> {
     let mut advertise = settings.advertise;
     if advertise.port() == 0 {
--- a/crates/node/src/net/membership/tasks.rs
+++ b/crates/node/src/net/membership/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks of the membership driver: datagrams, timer and sync connections. They run while this
+//! Tasks of the membership driver: datagrams, timer and sync connections. The tasks run while this
 //! process is the member.
 
 use super::settings::STATE_CHECK_MS;
@@ -12,17 +12,17 @@
 use std::rc::Rc;
 
 /// Size of the datagram buffer, in bytes. The longest valid datagram is shorter, so that a
-/// truncated one cannot be taken for a whole one.
+/// truncated datagram cannot be taken for a complete one.
 const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
-/// Datagrams that are read before other tasks run.
+/// Number of datagrams that are read before other tasks run.
 const DATAGRAMS_PER_TURN: usize = 16;
 /// Pause after a failed read of a datagram, in milliseconds.
 const DATAGRAM_RETRY_MS: u64 = 1;
 /// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 50;
-/// Longest time for a sync, in milliseconds.
+/// Timeout of a sync, in milliseconds.
 const SYNC_TIMEOUT_MS: u64 = 10_000;
-/// Longest time for connecting, and for each read and write of a sync, in milliseconds.
+/// Timeout of connecting, and of each read and write of a sync, in milliseconds.
 const SYNC_IO_TIMEOUT_MS: u64 = 2_000;
 /// Size of the buffer that a sync reads into, in bytes.
 const SYNC_BUFFER_BYTES: usize = 16 << 10;
@@ -60,7 +60,7 @@
     loop {
         match driver.tcp.accept().await {
             Ok((stream, _)) => {
-                // The other member connects again later.
+                // Closes the connection; the other member retries later.
                 if driver.open_syncs.get() >= MAX_SYNCS {
                     continue;
                 }
@@ -71,7 +71,7 @@
                 let responder = driver.clone();
                 let respond = async move {
                     let session = SyncSession::respond();
-                    sync(&responder, "a connection", stream, session).await;
+                    sync(&responder, "an incoming sync", stream, session).await;
                     responder.open_syncs.set(responder.open_syncs.get() - 1);
                 };
                 driver.supervisor.spawn(Subsystem::Fleet, respond).detach();
@@ -97,22 +97,23 @@
         match timeout_at(after_ms(SYNC_IO_TIMEOUT_MS), connecting).await {
             Some(Ok(stream)) => {
                 let session = SyncSession::initiate(&driver.fleet.borrow());
-                sync(&driver, "a member", stream, session).await;
+                sync(&driver, "the response to a sync", stream, session).await;
             }
             _ => driver.count(|counters| counters.failed_syncs += 1),
         }
     }
 }
 
-/// Runs a sync within its time, and counts it. `peer` names the other side in log lines.
+/// Runs a sync with a timeout, and counts the outcome. `source_name` names the received bytes in
+/// log lines.
 async fn sync(
     driver: &MembershipDriver,
-    peer: &str,
+    source_name: &str,
     stream: Async<TcpStream>,
     session: SyncSession,
 ) {
     let _ = stream.get_ref().set_nodelay(true);
-    let exchange = exchange(driver, peer, &stream, session);
+    let exchange = exchange(driver, source_name, &stream, session);
     let completed = timeout_at(after_ms(SYNC_TIMEOUT_MS), exchange).await;
     driver.count(|counters| match completed.flatten() {
         Some(()) => counters.synced += 1,
@@ -120,10 +121,10 @@
     });
 }
 
-/// Exchanges views until both are equal; none if that fails.
+/// Exchanges views until both are equal. Returns none if that fails.
 async fn exchange(
     driver: &MembershipDriver,
-    peer: &str,
+    source_name: &str,
     stream: &Async<TcpStream>,
     mut session: SyncSession,
 ) -> Option<()> {
@@ -148,7 +149,7 @@
         let handled =
             driver.update(|fleet, now| session.handle_bytes(fleet, now, &bytes[..length]));
         if let Err(error) = handled {
-            driver.record_malformed(peer, &error);
+            driver.record_malformed(source_name, &error);
             return None;
         }
         future::yield_now().await;
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -1,5 +1,6 @@
-//! Driver of session affinity: resolves the workers of sessions for runs, and passes messages of
-//! `pipitlever-session-affinity` in datagrams of the fleet. Only with `[pool.affinity]`.
+//! Driver of session affinity: resolves the workers of sessions for runs, and exchanges messages of
+//! `pipitlever-session-affinity` as application messages of the fleet. Runs only if a pool has a
+//! section `[pool.affinity]`.
 
 mod report;
 
@@ -20,15 +21,15 @@
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Longest time that a request waits for the resolution of its session, in microseconds.
+/// Timeout of the resolution of a session, in microseconds.
 const LOOKUP_TIMEOUT: i64 = 60_000;
-/// Most sessions that a node stores, at some 25 bytes each.
+/// Limit on sessions that a node stores, with about 25 bytes each.
 const MAX_SESSIONS: usize = 1 << 20;
 /// Offset of the flags in a member's payload, in bytes: they follow the active config version.
 const FLAGS_OFFSET: usize = 8;
-/// Flag of a member that has a directory replica.
+/// Flag in the payload of a member that has a directory replica.
 const HAS_REPLICA: u8 = 1;
-/// Flag of a member whose replica is bootstrapped.
+/// Flag in the payload of a member whose replica is bootstrapped.
 const IS_BOOTSTRAPPED: u8 = 2;
 
 /// A pool with session affinity, and its index among the node's pools.
@@ -39,18 +40,18 @@
 
 /// The membership view of the last update.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct SeenView {
+struct LastView {
     digest: u64,
     is_converged: bool,
 }
 
-/// What a run looks up.
+/// A lookup of a run's worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionLookup {
     /// The worker of the session with this digest.
     Session(u64),
-    /// The worker of the first attempt with this idempotency key; the address is that of its
-    /// session's present worker, which the first attempt goes to.
+    /// The worker of the first attempt with this idempotency key. The address is that of the
+    /// session's current worker, which is used if this is the first attempt.
     Key(u64, SocketAddr),
 }
 
@@ -65,14 +66,15 @@
 pub struct SessionAffinityDriver {
     directory: RefCell<SessionDirectory>,
     pools: RefCell<Vec<AffinityPool>>,
-    /// The configuration that the pools are of.
+    /// Generation of the configuration that `pools` was read from.
     generation: Cell<u64>,
-    seen: Cell<SeenView>,
+    last_view: Cell<LastView>,
     /// Pending lookups, by request number.
     pending: RefCell<HashMap<u64, Sender<Resolution>>>,
+    /// Number of the last request to the directory.
     last_request: Cell<u64>,
     logged_moves: RefCell<LoggedMoves>,
-    /// Whether a successor is the member, so that nothing can be sent or received.
+    /// Whether a successor is the member, so that no messages can be sent or received.
     is_paused: Cell<bool>,
     state: SharedState,
 }
@@ -108,7 +110,7 @@
             directory: RefCell::new(directory),
             pools: RefCell::new(pools),
             generation: Cell::new(0),
-            seen: Cell::new(SeenView {
+            last_view: Cell::new(LastView {
                 digest: 0,
                 is_converged: false,
             }),
@@ -120,7 +122,7 @@
         })
     }
 
-    /// Handles a member's message. Returns false if it is not about sessions.
+    /// Handles a member's message. Returns false if it is not a message of session affinity.
     pub fn handle_message(&self, now: i64, sender: &str, bytes: &[u8]) -> bool {
         let Some(message) = Message::decode(bytes) else {
             return false;
@@ -131,7 +133,7 @@
         true
     }
 
-    /// Applies another configuration, if there is one.
+    /// Updates the pools if the configuration has changed.
     fn update_pools(&self, directory: &mut SessionDirectory, now: i64, version: u64) {
         let generation = self
             .state
@@ -144,17 +146,17 @@
         }
     }
 
-    /// Passes the view and the time to the directory, sends its messages and completes pending
-    /// lookups.
+    /// Passes the membership view and the time to the directory, sends the directory's messages,
+    /// and completes pending lookups.
     pub fn update(&self, fleet: &mut Membership, now: i64, version: u64) {
         let mut directory = self.directory.borrow_mut();
         self.update_pools(&mut directory, now, version);
-        let seen = SeenView {
+        let last_view = LastView {
             digest: fleet.digest(),
             is_converged: fleet.is_converged(),
         };
-        if self.seen.replace(seen) != seen {
-            directory.handle_membership_change(now, peers(fleet), seen.is_converged);
+        if self.last_view.replace(last_view) != last_view {
+            directory.handle_membership_change(now, peers(fleet), last_view.is_converged);
         }
         directory.handle_wakeup(now);
         for message in directory.take_messages() {
@@ -169,7 +171,8 @@
         }
     }
 
-    /// Passes the workers that fail here to the directory. A slow worker keeps its sessions.
+    /// Passes the workers that this node observes as failing to the directory. Workers that are
+    /// merely slow keep their sessions.
     pub fn update_ejected_workers(&self, now: i64) {
         let Ok(mut state) = self.state.try_borrow_mut() else {
             return;
@@ -289,7 +292,8 @@
         Some(member.address)
     }
 
-    /// Waits for a pending lookup. If it is dropped, the local replica decides.
+    /// Waits for a pending lookup. If the lookup is dropped, the local replica resolves the
+    /// session.
     pub async fn wait_for_resolution(
         &self,
         now: impl Fn() -> i64,
@@ -306,7 +310,7 @@
         self.worker_address(&directory, pool, resolution)
     }
 
-    /// Records whether a successor is the member. Pending lookups are dropped.
+    /// Sets whether a successor is the member, and drops pending lookups.
     pub fn set_paused(&self, is_paused: bool) {
         self.is_paused.set(is_paused);
         self.pending.borrow_mut().clear();
@@ -351,7 +355,7 @@
         .collect()
 }
 
-/// A pool in the terms of the directory. Standby members accept no sessions.
+/// Converts a pool for the directory. Standby members accept no sessions.
 fn directory_pool(settings: &PoolSettings) -> Option<Pool> {
     let sessions = settings.sessions.as_ref()?;
     let workers = settings
--- a/crates/node/src/net/session_affinity/report.rs
+++ b/crates/node/src/net/session_affinity/report.rs
@@ -9,15 +9,17 @@
 /// Shortest time between two log lines on moved sessions, in microseconds.
 const LOG_INTERVAL: i64 = 1_000_000;
 
-/// The counters at the last look, and the time of the last log line.
+/// The counters of moved sessions that have been reported.
 #[derive(Default)]
 pub struct LoggedMoves {
+    /// Counters at the last check, by pool.
     counters: Vec<PlacementCounters>,
+    /// Time of the last log line.
     logged_at: i64,
 }
 
 impl SessionAffinityDriver {
-    /// Logs how many sessions have moved since the last line, and why.
+    /// Logs how many sessions have moved since the last check, by reason.
     pub fn log_moves(&self, now: i64) {
         let mut logged = self.logged_moves.borrow_mut();
         if now < logged.logged_at + LOG_INTERVAL {
@@ -44,7 +46,7 @@
         logged.counters = counters;
     }
 
-    /// Appends the metrics in the statsd form. Writing to a string cannot fail.
+    /// Appends the metrics in the statsd format. Writing to a string cannot fail.
     pub fn write_metrics(&self, text: &mut String) {
         let directory = self.directory.borrow();
         let sum = |count: fn(&PlacementCounters) -> u64| {
@@ -61,7 +63,7 @@
         for (name, value) in counters {
             let _ = writeln!(text, "edge.sessions.{name}:{value}|c");
         }
-        // A node that has rejected none has the metrics that it always had.
+        // Only if it is not zero, so that the metrics of other nodes stay the same across releases.
         let unanswered = sum(|counters| counters.unanswered);
         if unanswered > 0 {
             let _ = writeln!(text, "edge.sessions.unanswered:{unanswered}|c");
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -1,6 +1,6 @@
 //! Driver of subsetting: passes the membership view and the state of the pools to
-//! `pipitlever-subsetting`, and this node's shares to the pools. Only with `share = true` on a
-//! pool.
+//! `pipitlever-subsetting`, and applies this node's shares to the pools. Runs only if a pool has
+//! `share = true`.
 
 use crate::log::log;
 use crate::net::event_loop::{NodeState, SharedState};
@@ -26,10 +26,11 @@
 /// The share of a divided pool that a node keeps while it may be partitioned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PartitionPolicy {
-    /// Its share. The other side of the partition may come to use it too.
+    /// The node keeps its share. Nodes on the other side of the partition may use the share too.
     #[default]
     KeepShare,
-    /// One run for each worker from the end of its lease, which keeps the sum within the limit.
+    /// From the end of its lease, the node keeps one run for each worker. The sum over all nodes
+    /// then stays within the limit.
     MinimumShare,
 }
 
@@ -42,15 +43,15 @@
 
 /// A pool that the nodes of the fleet divide.
 struct DividedPool {
-    /// Its index among the node's pools.
+    /// Index of the pool among the node's pools.
     index: usize,
-    /// The workers that are divided.
+    /// The workers that the nodes divide.
     workers: Vec<WorkerAddress>,
 }
 
 /// The inputs of the last update.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct SeenView {
+struct LastInputs {
     digest: u64,
     is_partitioned: bool,
 }
@@ -62,7 +63,7 @@
     settings: RefCell<Vec<PoolSettings>>,
     /// Longest time for an update to reach all members, in microseconds.
     max_propagation: i64,
-    seen: Cell<SeenView>,
+    last_inputs: Cell<LastInputs>,
     state: SharedState,
 }
 
@@ -90,7 +91,7 @@
             pools: RefCell::new(divided_pools(&settings)),
             settings: RefCell::new(settings),
             node: RefCell::new(Node::new(node_name, timing, pools, now)),
-            seen: Cell::new(SeenView {
+            last_inputs: Cell::new(LastInputs {
                 digest: 0,
                 is_partitioned: false,
             }),
@@ -98,16 +99,17 @@
         })
     }
 
-    /// Whether the membership view has changed since the last update.
+    /// Whether the membership view has changed since the last call of [`SubsettingDriver::update`].
     pub fn is_outdated(&self, fleet: &Membership) -> bool {
-        fleet.digest() != self.seen.get().digest
+        fleet.digest() != self.last_inputs.get().digest
     }
 
     /// Updates this node's shares from the view, the settings and the pools. Other nodes may have
     /// the shares from `expires_at` on.
     pub fn update(&self, fleet: &Membership, now: i64, expires_at: i64) {
         let is_partitioned = expires_at <= now;
-        // Without another update by then the process was stopped, and its shares may be outdated.
+        // If no other update follows by then, the process was suspended, and its shares may be
+        // outdated.
         let expires_at = expires_at.min(now + self.max_propagation);
         // The state may be borrowed by the caller; the next update is soon.
         let Ok(mut state) = self.state.try_borrow_mut() else {
@@ -115,11 +117,11 @@
         };
         let mut node = self.node.borrow_mut();
         self.update_settings(&mut node, &state, now, is_partitioned);
-        let seen = SeenView {
+        let last_inputs = LastInputs {
             digest: fleet.digest(),
             is_partitioned,
         };
-        if self.seen.replace(seen) != seen {
+        if self.last_inputs.replace(last_inputs) != last_inputs {
             node.update_members(now, fleet_members(fleet), is_partitioned);
         }
         self.exchange_ejections(&mut node, &mut state, now);
@@ -136,14 +138,14 @@
         node.set_pools(now, settings.iter().filter_map(subsetting_pool).collect());
         *self.pools.borrow_mut() = divided_pools(&settings);
         *self.settings.borrow_mut() = settings;
-        self.seen.set(SeenView {
+        self.last_inputs.set(LastInputs {
             digest: 0,
             is_partitioned,
         });
     }
 
-    /// Passes demand and ejected workers to the node, and its decisions on who probes them to the
-    /// pools.
+    /// Passes demand and ejected workers to `node`, and applies its decisions on which node probes
+    /// an ejected worker to the pools.
     fn exchange_ejections(&self, node: &mut Node, state: &mut NodeState, now: i64) {
         let pools = self.pools.borrow();
         for (i, divided) in pools.iter().enumerate() {
@@ -195,12 +197,12 @@
         }
     }
 
-    /// This node's load report, to be gossiped in its payload.
+    /// This node's encoded load report, for the payload of its membership record.
     pub fn load_report(&self) -> Vec<u8> {
         self.node.borrow().load_report().encode()
     }
 
-    /// Appends the metrics in the statsd form. Writing to a string cannot fail.
+    /// Appends the metrics in the statsd format. Writing to a string cannot fail.
     pub fn write_metrics(&self, now: i64, text: &mut String) {
         let mut node = self.node.borrow_mut();
         for (i, divided) in self.pools.borrow().iter().enumerate() {
@@ -243,7 +245,7 @@
 /// Size of a node's subset of a pool.
 struct Subset {
     workers: usize,
-    /// Sum of their concurrency limits.
+    /// Sum of the workers' concurrency limits.
     runs: usize,
 }
 
@@ -257,7 +259,7 @@
     }
 }
 
-/// The members of a pool that are divided, with their labels.
+/// The members of a pool that the nodes divide, with their labels.
 fn divided_members(
     settings: &PoolSettings,
 ) -> impl Iterator<Item = (&PoolMember<SocketAddr>, &WorkerLabel)> {
@@ -268,8 +270,8 @@
         .filter(|(member, _)| is_divided(member))
 }
 
-/// A pool in the terms of subsetting; none if it is not divided. The first name identifies it, so
-/// that a new name does not change the subsets.
+/// Converts a pool for subsetting; none if the nodes do not divide it. The pool's first name
+/// identifies it, so that renaming the pool does not change the subsets.
 fn subsetting_pool(settings: &PoolSettings) -> Option<Pool> {
     let subset_size = settings.subsetting?.subset_size;
     let workers = divided_members(settings).map(|(member, label)| Worker {
@@ -308,7 +310,8 @@
     divided.map(pool).collect()
 }
 
-/// The members of the fleet. One that has left has no share; one that is down has, for a while.
+/// The members of the fleet. A member that has left has no share; the share of a member that is
+/// down stays reserved for a while.
 fn fleet_members(fleet: &Membership) -> Vec<Member> {
     let present = fleet
         .members()
