--- a/crates/node/src/net/config_versions/disk/tests.rs
+++ b/crates/node/src/net/config_versions/disk/tests.rs
@@ -37,7 +37,7 @@
     }
     // The temporary file of an interrupted write is ignored.
     replace(&folder, ACTIVE_FILE, &encode(&stored)).unwrap();
-    fs::write(folder.join("acting.new"), b"half of it").unwrap();
+    fs::write(folder.join("acting.new"), b"partial content").unwrap();
     assert_eq!(
         load::<StoredVersion>(&folder, ACTIVE_FILE).unwrap(),
         Some(stored)
--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -68,7 +68,7 @@
 }
 
 /// A driver that has started, and the results of its disk writes.
-pub struct Started {
+pub struct StartedDriver {
     /// The driver.
     pub driver: ConfigVersionsDriver,
     /// Results of the disk writes.
@@ -97,7 +97,7 @@
         state: SharedState,
         options: StartOptions<'_>,
         now: i64,
-    ) -> Result<Started, DiskError> {
+    ) -> Result<StartedDriver, DiskError> {
         let StartOptions {
             node_name,
             settings,
@@ -149,7 +149,7 @@
             decided,
             state,
         };
-        Ok(Started { driver, results })
+        Ok(StartedDriver { driver, results })
     }
 
     /// Handles messages of members and timeouts, and executes the resulting actions.
--- a/crates/node/src/net/control/mod.rs
+++ b/crates/node/src/net/control/mod.rs
@@ -49,7 +49,6 @@
     }
 }
 
-/// A request and its body.
 type RequestWithBody = (ControlRequest, Vec<u8>);
 
 /// Drives one connection from accept to close.
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -19,7 +19,7 @@
 
 /// Time between two checks whether a connection may be accepted, while the limit on connections is
 /// reached, in milliseconds.
-const FULL_CHECK_MS: u64 = 10;
+const LIMIT_CHECK_MS: u64 = 10;
 /// Pause after a failed accept, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 50;
 /// Longest time between two checks of a connection's idle timeout, in milliseconds. The timeout may
@@ -53,7 +53,7 @@
             // Idle connections are evicted, so that they do not block new ones.
             while self.state.borrow().is_over_limit() {
                 self.state.borrow_mut().evict_if_full();
-                timeout_at(after_ms(FULL_CHECK_MS), freed.wait()).await;
+                timeout_at(after_ms(LIMIT_CHECK_MS), freed.wait()).await;
             }
             match self.listener.accept().await {
                 Ok((stream, _)) => {
--- a/crates/node/src/net/graceful_close.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -48,7 +48,7 @@
     ResponsesSent,
     /// The connection was idle and is half-closed.
     HalfClosed,
-    /// The peer does not read.
+    /// The peer did not read its answers in time.
     PeerStalled,
 }
 
--- a/crates/node/src/net/ledger.rs
+++ b/crates/node/src/net/ledger.rs
@@ -140,7 +140,6 @@
     (outcome, reply.body)
 }
 
-/// The reply to a call.
 struct CallReply {
     outcome: CallOutcome,
     body: Vec<u8>,
--- a/crates/node/src/net/membership/tasks.rs
+++ b/crates/node/src/net/membership/tasks.rs
@@ -15,7 +15,7 @@
 /// truncated datagram cannot be taken for a complete one.
 const DATAGRAM_BUFFER_BYTES: usize = 64 << 10;
 /// Number of datagrams that are read before other tasks run.
-const DATAGRAMS_PER_TURN: usize = 16;
+const DATAGRAMS_PER_BATCH: usize = 16;
 /// Pause after a failed read of a datagram, in milliseconds.
 const DATAGRAM_RETRY_MS: u64 = 1;
 /// Pause after a failed accept, in milliseconds.
@@ -31,7 +31,7 @@
 pub(super) async fn read_datagrams(driver: Rc<MembershipDriver>) {
     let mut bytes = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
-        for _ in 0..DATAGRAMS_PER_TURN {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             match driver.udp.receive(&mut bytes).await {
                 Ok((length, _)) => driver.handle_datagram(&bytes[..length]),
                 // An ICMP error for an earlier datagram, or out of memory.
--- a/crates/node/src/net/processor_connection.rs
+++ b/crates/node/src/net/processor_connection.rs
@@ -19,7 +19,7 @@
 pub enum ProcessorCommand {
     /// Starts a run.
     Start {
-        /// The request.
+        /// Reference of the request.
         reference: Reference,
         /// Whether the run must not happen twice.
         is_keyed: bool,
@@ -32,7 +32,6 @@
     Interrupt(Reference),
 }
 
-/// A command and its body.
 #[derive(Clone, Debug)]
 struct QueuedCommand {
     command: ProcessorCommand,
--- a/crates/node/src/net/worker_pools/mod.rs
+++ b/crates/node/src/net/worker_pools/mod.rs
@@ -26,7 +26,7 @@
 /// A run for a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerRun {
-    /// The request.
+    /// Reference of the request.
     pub reference: Reference,
     /// Whether the run may happen twice.
     pub is_idempotent: bool,
@@ -278,7 +278,7 @@
             .collect()
     }
 
-    /// A log line for each worker.
+    /// Log lines on the state of the workers, one for each.
     pub fn report(&self, now: Micros) -> Vec<String> {
         let mut lines = Vec::new();
         for entry in &self.entries {
