--- a/crates/node/src/net/config_versions/disk/tests.rs
+++ b/crates/node/src/net/config_versions/disk/tests.rs
@@ -3,8 +3,8 @@
 use pipitlever_config_versions::minimum_version::StoredVersion;
 use std::fs;
 
-/// A file that is truncated or corrupted at any byte yields an error with its name, and is not
-/// taken for a missing one.
+/// Guards against a damaged file that is regarded as missing: a file that is truncated or corrupted
+/// at any byte yields an error that names the file.
 #[test]
 fn a_damaged_file_is_an_error_with_its_name() {
     let folder = std::env::temp_dir().join(format!("pipitlever-versions-{}", std::process::id()));
@@ -37,7 +37,7 @@
     }
     // The temporary file of an interrupted write is ignored.
     replace(&folder, ACTIVE_FILE, &encode(&stored)).unwrap();
-    fs::write(folder.join("acting.new"), b"half of it").unwrap();
+    fs::write(folder.join("acting.new"), b"partial content").unwrap();
     assert_eq!(
         load::<StoredVersion>(&folder, ACTIVE_FILE).unwrap(),
         Some(stored)
--- a/crates/node/src/net/worker_pools/routes.rs
+++ b/crates/node/src/net/worker_pools/routes.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What runs the requests of a class, whichever front end they arrive on.
+/// The backend that runs the requests of a class, on whichever front end they arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Backend {
@@ -21,15 +21,16 @@
     pub path: String,
     /// Name of the class.
     pub class: String,
-    /// What runs its requests.
+    /// The backend of the class.
     pub backend: Backend,
-    /// Name of the pool of workers; the unnamed pool if there is none.
+    /// Name of the pool of workers; the unnamed pool if none is given.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<String>,
     /// Whether attempts with the same idempotency key go to the same worker while it is healthy.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub sticky: bool,
-    /// Timeout of requests that carry none, in milliseconds, if it differs from that of [`Uwsgi`].
+    /// Timeout of requests that carry none, in milliseconds, if it differs from that of
+    /// [`UwsgiSettings`].
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
 }
@@ -37,102 +38,105 @@
 /// Name and zone of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLabel {
-    /// Its name; its address if none is configured.
+    /// Name of the worker; its address if none is configured.
     pub name: String,
-    /// Its zone; may be empty.
+    /// Zone of the worker; may be empty.
     pub zone: String,
 }
 
-/// How the nodes of a fleet divide a pool (subsetting).
+/// Settings of subsetting: how the nodes of a fleet divide a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
     /// Number of workers that each node uses, approximately.
-    pub subset: usize,
+    pub subset_size: usize,
 }
 
-/// Session affinity: how long sessions stay with their workers.
+/// Settings of session affinity: how long sessions stay with their workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SessionSettings {
-    /// The variable of a request's packet that names its session.
+    /// Variable of the uwsgi packet that contains the session's id.
     pub variable: String,
     /// Time without a request after which a session is dropped, in seconds.
-    pub idle_s: u32,
+    pub idle_timeout_seconds: u32,
     /// Time for which a failing worker keeps its sessions, in microseconds.
-    pub patience: i64,
+    pub failure_grace: i64,
     /// Time for which a draining worker keeps its sessions, in microseconds.
-    pub linger: i64,
+    pub drain_grace: i64,
 }
 
 /// A pool of workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolSettings {
-    /// Its name; empty for the pool of `workers`.
+    /// Name of the pool; empty for the pool of `[uwsgi]`.
     pub name: String,
-    /// Index of the pool that takes runs when no member of this one can.
+    /// Index of the fallback pool, which is used when no member of this pool is available.
     pub fallback: Option<usize>,
-    /// Its members.
+    /// Members of the pool.
     pub members: Vec<Member<SocketAddr>>,
     /// Labels of the members, in the same order; empty if the pool has no name.
     pub labels: Vec<WorkerLabel>,
     /// Subsetting, if the nodes of the fleet divide the pool.
-    pub shared: Option<SubsetSettings>,
-    /// Its earlier names, the oldest first.
-    pub was: Vec<String>,
+    pub subsetting: Option<SubsetSettings>,
+    /// Earlier names of the pool, the oldest first.
+    pub previous_names: Vec<String>,
     /// Session affinity, if the pool has it.
     pub sessions: Option<SessionSettings>,
 }
 
 /// The uwsgi front end, the workers and the routes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Uwsgi {
+pub struct UwsgiSettings {
     /// Address of the front end; none if there is no uwsgi front end.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub listen: Option<SocketAddr>,
     /// Addresses of workers with default settings.
     pub workers: Vec<SocketAddr>,
-    /// Workers with settings of their own.
+    /// Workers with individual settings.
     #[serde(skip)]
-    pub special: Vec<Member<SocketAddr>>,
+    pub configured_workers: Vec<Member<SocketAddr>>,
     /// Named pools.
     #[serde(skip)]
-    pub named: Vec<PoolSettings>,
+    pub named_pools: Vec<PoolSettings>,
     /// Timeout of requests that carry none, in milliseconds.
     pub deadline_ms: u64,
     /// Longest body, in bytes.
-    pub most_body: usize,
+    #[serde(rename = "most_body")]
+    pub max_body_bytes: usize,
     /// Longest response of a worker, in bytes.
-    pub most_response: usize,
+    #[serde(rename = "most_response")]
+    pub max_response_bytes: usize,
     /// Memory that is reserved for a request, in KB.
-    pub room_kb: f64,
+    #[serde(rename = "room_kb")]
+    pub reserved_memory_kb: f64,
     /// The routes; the longest matching prefix decides.
     #[serde(rename = "route", skip_serializing_if = "Vec::is_empty")]
     pub routes: Vec<Route>,
 }
 
-impl Default for Uwsgi {
+impl Default for UwsgiSettings {
     fn default() -> Self {
-        Uwsgi {
+        UwsgiSettings {
             listen: None,
             workers: Vec::new(),
-            special: Vec::new(),
-            named: Vec::new(),
+            configured_workers: Vec::new(),
+            named_pools: Vec::new(),
             deadline_ms: 2200,
-            most_body: 16 << 10,
-            most_response: 16 << 10,
-            room_kb: 24.0,
+            max_body_bytes: 16 << 10,
+            max_response_bytes: 16 << 10,
+            reserved_memory_kb: 24.0,
             routes: Vec::new(),
         }
     }
 }
 
-impl Uwsgi {
+impl UwsgiSettings {
     /// The members of the unnamed pool.
     pub fn members(&self) -> Vec<Member<SocketAddr>> {
         self.workers
             .iter()
             .copied()
             .map(Member::new)
-            .chain(self.special.iter().cloned())
+            .chain(self.configured_workers.iter().cloned())
             .collect()
     }
 
@@ -144,7 +148,7 @@
             ..PoolSettings::default()
         };
         std::iter::once(first)
-            .chain(self.named.iter().cloned())
+            .chain(self.named_pools.iter().cloned())
             .collect()
     }
 
