--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet as several real processes see it, with faults between them. Callers ask all the while,
-//! and the rules hold.
+//! Membership of several real processes under network and process faults, with clients that send
+//! requests all the while. Checks that views converge and that no client loses an answer.
 
 mod common;
 
@@ -28,41 +28,48 @@
     }
 }
 
-fn state(cluster: &Cluster, at: usize, of: &str) -> String {
+fn member_state(cluster: &Cluster, at: usize, of: &str) -> String {
     cluster
         .member(at, of)
         .map_or(String::new(), |m| m["state"].as_str().unwrap().to_owned())
 }
 
-fn all_hold(cluster: &Cluster, nodes: &[usize], of: &str, wanted: &str) -> bool {
-    nodes.iter().all(|i| state(cluster, *i, of) == wanted)
+fn all_see(cluster: &Cluster, nodes: &[usize], of: &str, expected: &str) -> bool {
+    nodes
+        .iter()
+        .all(|i| member_state(cluster, *i, of) == expected)
 }
 
-/// Who was declared down since so many lines, other than these.
-fn wrongly_down(cluster: &Cluster, behind: usize, right: &[&str]) -> Vec<LogLine> {
-    let lines = cluster.history.lines().split_off(behind);
+/// The log lines, after the first `skip` ones, that declare a member other than `expected` down.
+fn wrongly_down(cluster: &Cluster, skip: usize, expected: &[&str]) -> Vec<LogLine> {
+    let lines = cluster.history.lines().split_off(skip);
     let down = |l: &LogLine| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
     let of = |l: &LogLine, name: &str| l.text.contains(&format!("member={name} "));
     lines
         .into_iter()
-        .filter(|l| down(l) && !right.iter().any(|name| of(l, name)))
+        .filter(|l| down(l) && !expected.iter().any(|name| of(l, name)))
         .collect()
 }
 
-fn stop(callers: Vec<Client>, cluster: &Cluster, most: Duration) {
-    let asked: Vec<ClientLog> = callers.into_iter().map(Client::stop).collect();
+fn stop(clients: Vec<Client>, cluster: &Cluster, most: Duration) {
+    let client_logs: Vec<ClientLog> = clients.into_iter().map(Client::stop).collect();
     let runs: Vec<&Processor> = cluster.nodes.iter().map(|n| &n.processor).collect();
-    let counts = verify(&asked, &runs).unwrap_or_else(|wrong| panic!("{wrong}"));
+    let counts = verify(&client_logs, &runs).unwrap_or_else(|wrong| panic!("{wrong}"));
     println!("{counts:?}");
     assert!(counts.served > 200, "{counts:?}");
-    let longest = asked.iter().map(|a| a.longest_latency).max().unwrap();
-    assert!(longest < most, "an answer took {longest:?}");
+    let longest = client_logs.iter().map(|a| a.longest_latency).max().unwrap();
+    assert!(longest < most, "the slowest answer took {longest:?}");
 }
 
-/// `pipitlever fleet` with these words, and the doors of these nodes: its code, and what it prints.
-fn command(cluster: &Cluster, words: &[&str], nodes: &[usize]) -> (Option<i32>, String) {
+/// Runs `pipitlever fleet` with these arguments against the control endpoints of these nodes.
+/// Returns its exit code and its output.
+fn run_fleet_command(
+    cluster: &Cluster,
+    arguments: &[&str],
+    nodes: &[usize],
+) -> (Option<i32>, String) {
     let mut command = std::process::Command::new(PROGRAM);
-    command.arg("fleet").args(words);
+    command.arg("fleet").args(arguments);
     for node in nodes {
         command.args([
             "--at",
@@ -80,44 +87,44 @@
 }
 
 #[test]
-fn two_nodes_find_each_other_and_a_kill_is_noticed() {
+fn two_nodes_discover_each_other_and_detect_a_crash() {
     let folder = ScratchDirectory::new("fleet-two");
     let mut cluster = Cluster::start_converged(spec(&folder), 2);
-    let (code, text) = command(&cluster, &["status"], &[0]);
+    let (code, text) = run_fleet_command(&cluster, &["status"], &[0]);
     assert!(
         code == Some(0) && text.contains("n0*") && text.contains("settled"),
         "{text}"
     );
-    let (code, text) = command(&cluster, &["compare"], &[0, 1]);
+    let (code, text) = run_fleet_command(&cluster, &["compare"], &[0, 1]);
     assert!(
         code == Some(0) && text.contains("equal: 2 views of 2 members, 2 alive"),
         "{text}"
     );
-    assert_eq!(command(&cluster, &["compare"], &[0]).0, Some(1));
+    assert_eq!(run_fleet_command(&cluster, &["compare"], &[0]).0, Some(1));
     assert_eq!(
-        command(&cluster, &["status", "--at", "nowhere"], &[]).0,
+        run_fleet_command(&cluster, &["status", "--at", "nowhere"], &[]).0,
         Some(1)
     );
-    // While they don't hear each other their views differ.
+    // During a partition the views of the two nodes differ.
     cluster.links.partition(2, |i| i);
-    cluster.wait("they hold each other down", |c| {
-        state(c, 0, "n1") == "down" && state(c, 1, "n0") == "down"
+    cluster.wait("both nodes see each other as down", |c| {
+        member_state(c, 0, "n1") == "down" && member_state(c, 1, "n0") == "down"
     });
-    let (code, text) = command(&cluster, &["compare"], &[0, 1]);
+    let (code, text) = run_fleet_command(&cluster, &["compare"], &[0, 1]);
     assert!(
         code == Some(1) && text.contains("n1: ") && text.contains("(n0)"),
         "{text}"
     );
     cluster.links.heal();
-    cluster.wait_converged("they hear each other");
+    cluster.wait_converged("the partition has healed");
     cluster.kill(1);
-    cluster.wait("n1 is down", |c| state(c, 0, "n1") == "down");
+    cluster.wait("n1 is down", |c| member_state(c, 0, "n1") == "down");
     assert_eq!(cluster.view(0).unwrap()["cut_off"], true);
     cluster.start(1);
     cluster.wait_converged("n1 is back");
-    // A drain says so, a crash doesn't.
+    // A drain announces that the member leaves; a crash does not.
     cluster.signal(1, "-TERM");
-    cluster.wait("n1 has left", |c| state(c, 0, "n1") == "left");
+    cluster.wait("n1 has left", |c| member_state(c, 0, "n1") == "left");
     // The log is read by another thread, which may lag behind the view.
     let has_left = |l: &LogLine| l.node == 0 && l.text.contains("alive -> left incarnation=");
     assert!(cluster.history.wait(0, has_left).is_some());
@@ -135,27 +142,28 @@
         seen("down -> alive") && seen("alive -> left incarnation="),
         "{lines:#?}"
     );
-    let figures = call_control(
+    let metrics = call_control(
         cluster.nodes[0].process.as_ref().unwrap().control_address,
         "GET /status/metrics",
     )
     .unwrap()
     .body;
     assert!(
-        figures.contains("edge.fleet.alive:1|g") && figures.contains("edge.fleet.left:1|g"),
-        "{figures}"
+        metrics.contains("edge.fleet.alive:1|g") && metrics.contains("edge.fleet.left:1|g"),
+        "{metrics}"
     );
 }
 
-/// One course through the faults, on seven nodes whose callers never stop asking.
+/// One sequence of faults on seven nodes, with clients that send requests throughout.
 #[test]
-fn seven_nodes_settle_again_after_each_fault_and_callers_notice_nothing() {
+fn seven_nodes_converge_after_each_fault_and_clients_are_served() {
     let folder = ScratchDirectory::new("fleet-seven");
     let mut cluster = Cluster::start_converged(spec(&folder), 7);
-    let callers: Vec<Client> = (0..7).map(|i| cluster.start_client(i)).collect();
-    let (all, calm) = ([0, 1, 2, 3, 4, 5, 6], cluster.history.lines().len());
+    let clients: Vec<Client> = (0..7).map(|i| cluster.start_client(i)).collect();
+    let (all, line_count) = ([0, 1, 2, 3, 4, 5, 6], cluster.history.lines().len());
 
-    // Links that carry one way or not at all, and one that loses, doubles and spoils.
+    // A one-way link, a link cut in both directions, and a node whose links lose, duplicate and
+    // corrupt datagrams.
     let cut = LinkFaults {
         is_cut: true,
         ..LinkFaults::default()
@@ -173,47 +181,45 @@
     all.iter().for_each(|i| cluster.links.set(4, *i, bad));
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(
-        wrongly_down(&cluster, calm, &[]).len(),
+        wrongly_down(&cluster, line_count, &[]).len(),
         0,
         "{:#?}",
-        wrongly_down(&cluster, calm, &[])
+        wrongly_down(&cluster, line_count, &[])
     );
     cluster.links.heal();
-    cluster.wait_converged("links are whole again");
+    cluster.wait_converged("the links have healed");
 
-    // Stopped past its death, while another one dies and comes back.
+    // A node is stopped until it is declared down, while another one crashes and restarts.
     cluster.signal(5, "-STOP");
     cluster.wait("n5 is down", |c| {
-        all_hold(c, &[0, 1, 2, 3, 4, 6], "n5", "down")
+        all_see(c, &[0, 1, 2, 3, 4, 6], "n5", "down")
     });
     cluster.kill(6);
-    cluster.wait("n6 is down", |c| {
-        all_hold(c, &[0, 1, 2, 3, 4], "n6", "down")
-    });
+    cluster.wait("n6 is down", |c| all_see(c, &[0, 1, 2, 3, 4], "n6", "down"));
     cluster.start(6);
     cluster.wait("n6 is back", |c| c.have_converged(&[0, 1, 2, 3, 4, 6]));
-    let woken = cluster.history.lines().len();
+    let lines_before_resume = cluster.history.lines().len();
     cluster.signal(5, "-CONT");
-    cluster.wait_converged("n5 goes on");
-    let wrong = wrongly_down(&cluster, woken, &[]);
+    cluster.wait_converged("n5 resumes");
+    let wrong = wrongly_down(&cluster, lines_before_resume, &[]);
     assert!(
         wrong.is_empty(),
-        "nobody is blamed for its sleep: {wrong:#?}"
+        "members declared down after n5 resumed: {wrong:#?}"
     );
     assert!(cluster
         .lines_containing("fleet: refuted: claimed_state=")
         .iter()
         .any(|l| l.node == 5));
 
-    // Halves, with a crash, a restart and a leaver while they are apart.
+    // A partition into two parts, with a crash, a restart and a graceful leave during it.
     cluster.links.partition(7, |i| usize::from(i >= 4));
-    cluster.wait("the halves hold each other down", |c| {
-        all_hold(c, &[0, 1, 2, 3], "n4", "down")
-            && all_hold(c, &[4, 5, 6], "n0", "down")
-            && all_hold(c, &[0, 1, 2, 3], "n6", "down")
-            && all_hold(c, &[4, 5, 6], "n3", "down")
+    cluster.wait("the two parts see each other as down", |c| {
+        all_see(c, &[0, 1, 2, 3], "n4", "down")
+            && all_see(c, &[4, 5, 6], "n0", "down")
+            && all_see(c, &[0, 1, 2, 3], "n6", "down")
+            && all_see(c, &[4, 5, 6], "n3", "down")
     });
-    cluster.wait("the smaller part knows that it is cut off", |c| {
+    cluster.wait("the smaller part detects that it is cut off", |c| {
         [4, 5, 6]
             .iter()
             .all(|i| c.view(*i).unwrap()["cut_off"] == true)
@@ -225,48 +231,51 @@
     cluster.signal(5, "-TERM");
     cluster.nodes[5].process.as_mut().unwrap().wait();
     cluster.nodes[5].process = None;
-    cluster.wait("n3 is down", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
+    cluster.wait("n3 is down", |c| all_see(c, &[0, 1, 2], "n3", "down"));
     cluster.links.heal();
     let running = [0, 1, 2, 4, 6];
-    let took = cluster.wait("one fleet again", |c| c.have_converged(&running));
+    let took = cluster.wait("the two parts converge after the heal", |c| {
+        c.have_converged(&running)
+    });
     assert!(took < Duration::from_secs(10), "{took:?}");
-    assert!(
-        all_hold(&cluster, &running, "n3", "down") && all_hold(&cluster, &running, "n5", "left")
-    );
+    assert!(all_see(&cluster, &running, "n3", "down") && all_see(&cluster, &running, "n5", "left"));
     cluster.start(3);
     cluster.start(5);
     cluster.wait_converged("all are back");
 
-    // All at once.
+    // All nodes crash and restart at the same time.
     (0..7).for_each(|i| cluster.kill(i));
     (0..7).for_each(|i| cluster.start(i));
     cluster.wait_converged("all have restarted");
-    stop(callers, &cluster, Duration::from_secs(5));
+    stop(clients, &cluster, Duration::from_secs(5));
 }
 
 #[test]
 fn a_replacement_is_one_member_also_during_a_partition() {
     let folder = ScratchDirectory::new("fleet-replaced");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
-    let callers: Vec<Client> = (0..4).map(|i| cluster.start_client(i)).collect();
+    let clients: Vec<Client> = (0..4).map(|i| cluster.start_client(i)).collect();
     let before = cluster.member(0, "n2").unwrap();
-    let calm = cluster.history.lines().len();
+    let line_count = cluster.history.lines().len();
     for partition in [false, true] {
         if partition {
             cluster.links.partition(4, |i| usize::from(i == 3));
-            cluster.wait("n3 is cut off", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
+            cluster.wait("n3 is cut off", |c| all_see(c, &[0, 1, 2], "n3", "down"));
         }
         let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
         let successor = cluster.start_process(2, "n2", Some(listen));
         let number = successor.number;
-        let taken = cluster.history.wait(calm, |l| {
+        let serving = cluster.history.wait(line_count, |l| {
             l.process == number && l.text.contains("fleet: serving")
         });
-        assert!(taken.is_some(), "{:#?}", cluster.tail(2));
+        assert!(serving.is_some(), "{:#?}", cluster.tail(2));
         let mut old = cluster.nodes[2].process.replace(successor).unwrap();
-        // While both live only one of them hears and speaks: the others would believe each in turn.
-        let heard = |door| {
-            let text = call_control(door, "GET /status/metrics").unwrap().body;
+        // While both processes run, only one of them sends and receives messages: with two senders
+        // the other members would alternate between their states.
+        let received_count = |control_address| {
+            let text = call_control(control_address, "GET /status/metrics")
+                .unwrap()
+                .body;
             let count = text
                 .lines()
                 .find_map(|l| l.strip_prefix("edge.fleet.heard:")?.strip_suffix("|c"));
@@ -275,20 +284,22 @@
                 .parse::<u64>()
                 .unwrap()
         };
-        let (before, door) = (
-            heard(old.control_address),
+        let (before, control_address) = (
+            received_count(old.control_address),
             cluster.nodes[2].process.as_ref().unwrap().control_address,
         );
-        cluster.wait("the successor hears the others", |_| heard(door) > 20);
-        assert_eq!(heard(old.control_address), before);
+        cluster.wait("the successor receives messages", |_| {
+            received_count(control_address) > 20
+        });
+        assert_eq!(received_count(old.control_address), before);
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0));
-        cluster.wait("the successor is in the fleet", |c| {
+        cluster.wait("the successor is a member", |c| {
             c.have_converged(if partition { &[0, 1, 2] } else { &[0, 1, 2, 3] })
         });
     }
-    // Nobody but the one that was cut off saw it leave, be suspected, or come anew.
-    let lines = cluster.history.lines().split_off(calm);
+    // No node, other than the one that was cut off, logged a change of state of n2.
+    let lines = cluster.history.lines().split_off(line_count);
     let seen: Vec<_> = lines
         .iter()
         .filter(|l| l.node < 2 && l.text.contains("member=n2 "))
@@ -302,52 +313,55 @@
     cluster.links.heal();
     cluster.wait_converged("n3 is back");
 
-    // One that dies in mid-handover, having yielded or not, leaves one member that lives.
+    // A predecessor that crashes during the hot restart, before or after it has yielded, leaves
+    // one live member.
     let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
     let successor = cluster.start_process(2, "n2", Some(listen));
     cluster.kill(2);
     cluster.nodes[2].process = Some(successor);
-    cluster.wait_converged("the successor lives");
+    cluster.wait_converged("the successor is the member");
     let at = cluster.member(0, "n2").unwrap();
     assert_eq!(
         (&at["address"], &at["conflict"]),
         (&before["address"], &json!([]))
     );
-    stop(callers, &cluster, Duration::from_secs(5));
+    stop(clients, &cluster, Duration::from_secs(5));
 }
 
 #[test]
-fn a_process_that_dies_in_any_step_of_a_replacement_leaves_one_member_that_lives() {
+fn a_crash_at_any_step_of_a_hot_restart_leaves_one_live_member() {
     let folder = ScratchDirectory::new("fleet-deaths");
     let mut cluster = Cluster::start_converged(spec(&folder), 3);
-    let callers: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
+    let clients: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
     let first = cluster.member(0, "n2").unwrap();
-    // After which word, of either process, which of them dies, and how much later.
-    let (met, taken, done) = (
+    // After which log line of either process a process is killed, whether that is the successor,
+    // and the delay in milliseconds.
+    let (connected, took_over, yielded) = (
         "a successor connected",
         "took over, this process serves",
         "yielded, the successor serves",
     );
     let steps = [
-        (met, true, 0),
-        (met, true, 3),
-        (taken, true, 0),
-        (done, true, 50),
-        (met, false, 0),
-        (met, false, 3),
-        (taken, false, 0),
-        (done, false, 50),
+        (connected, true, 0),
+        (connected, true, 3),
+        (took_over, true, 0),
+        (yielded, true, 50),
+        (connected, false, 0),
+        (connected, false, 3),
+        (took_over, false, 0),
+        (yielded, false, 50),
     ];
-    for (word, successor_dies, ms) in steps {
-        let behind = cluster.history.lines().len();
+    for (log_text, successor_dies, ms) in steps {
+        let line_count = cluster.history.lines().len();
         let old = cluster.nodes[2].process.as_ref().unwrap().number;
         let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
         let launched = cluster.launch(2, "n2", Some(listen));
         let new = launched.number;
-        let step = |l: &LogLine| (l.process == old || l.process == new) && l.text.contains(word);
+        let is_step =
+            |l: &LogLine| (l.process == old || l.process == new) && l.text.contains(log_text);
         assert!(
-            cluster.history.wait(behind, step).is_some(),
-            "{word}: {:#?}",
+            cluster.history.wait(line_count, is_step).is_some(),
+            "{log_text}: {:#?}",
             cluster.tail(2)
         );
         std::thread::sleep(Duration::from_millis(ms));
@@ -356,31 +370,35 @@
             drop(launched);
         } else {
             cluster.nodes[2].process.as_ref().unwrap().signal("-KILL");
-            // It is dead before it is waited for, and its successor keeps its callers.
+            // The predecessor is reaped before the successor is waited for; clients stay connected
+            // to the successor's address.
             cluster.nodes[2].process = None;
             cluster.nodes[2].process = Some(cluster.wait_ready(launched));
         }
         cluster.wait_converged(&format!(
-            "{word}, {successor_dies}, {ms}: the one that is left"
+            "{log_text}, {successor_dies}, {ms}: the surviving process"
         ));
         let at = cluster.member(0, "n2").unwrap();
         assert_eq!(
             (&at["state"], &at["address"], &at["conflict"]),
             (&json!("alive"), &first["address"], &json!([])),
-            "{word}, {successor_dies}, {ms}: {:#?}",
+            "{log_text}, {successor_dies}, {ms}: {:#?}",
             cluster.tail(2)
         );
-        let lines = cluster.history.lines().split_off(behind);
+        let lines = cluster.history.lines().split_off(line_count);
         let ended = lines
             .iter()
             .find(|l| l.node < 2 && l.text.contains("member=n2 ") && l.text.contains("-> left"));
-        assert!(ended.is_none(), "{word}, {successor_dies}, {ms}: {ended:?}");
+        assert!(
+            ended.is_none(),
+            "{log_text}, {successor_dies}, {ms}: {ended:?}"
+        );
     }
-    stop(callers, &cluster, Duration::from_secs(5));
+    stop(clients, &cluster, Duration::from_secs(5));
 }
 
 /// Guards against a start that fails with "address in use" because it looked for its predecessor
-/// only once, before that one had noticed the death of another successor.
+/// only once, before the predecessor had detected the exit of another successor.
 #[test]
 fn a_process_started_before_its_predecessor_serves_again_replaces_it() {
     let folder = ScratchDirectory::new("fleet-resuming");
@@ -390,19 +408,19 @@
     let yielded = |l: &LogLine| l.process == old && l.text.contains("the successor serves");
     let dying = cluster.launch(1, "n1", Some(listen));
     assert!(cluster.history.wait(0, yielded).is_some());
-    // The predecessor can't notice the death before the next process has looked for it.
+    // Stopped, the predecessor can't detect the exit before the next process has looked for it.
     cluster.signal(1, "-STOP");
     dying.signal("-KILL");
     drop(dying);
-    let behind = cluster.history.lines().len();
+    let line_count = cluster.history.lines().len();
     let next = cluster.launch(1, "n1", Some(listen));
     let number = next.number;
     let waits = |l: &LogLine| l.process == number && l.text.contains("address in use");
-    let waiting = cluster.history.wait(behind, waits);
+    let waiting = cluster.history.wait(line_count, waits);
     cluster.signal(1, "-CONT");
     assert!(waiting.is_some(), "{:#?}", cluster.tail(1));
     assert!(
-        cluster.history.wait(behind, yielded).is_some(),
+        cluster.history.wait(line_count, yielded).is_some(),
         "{:#?}",
         cluster.tail(1)
     );
@@ -412,12 +430,12 @@
 }
 
 #[test]
-fn a_node_that_was_given_a_wrong_seed_meets_the_others_after_a_sighup() {
+fn a_node_with_a_wrong_seed_joins_after_a_reload() {
     let folder = ScratchDirectory::new("fleet-seeds");
-    let nobody = common::unused_address();
+    let unused = common::unused_address();
     let mut cluster = Cluster::new(
         ClusterConfig {
-            external_seeds: vec![nobody],
+            external_seeds: vec![unused],
             ..spec(&folder)
         },
         2,
@@ -440,8 +458,8 @@
         .split(' ')
         .find_map(|w| w.strip_prefix("bind="))
         .unwrap();
-    cluster.edit_operator_file(0, &nobody.to_string(), at);
-    cluster.wait_converged("they have met");
+    cluster.edit_operator_file(0, &unused.to_string(), at);
+    cluster.wait_converged("the nodes have discovered each other");
     let status = call_control(
         cluster.nodes[0].process.as_ref().unwrap().control_address,
         "GET /status",
@@ -451,20 +469,21 @@
 }
 
 #[test]
-fn a_node_out_of_descriptors_stays_a_member_and_notices_a_crash() {
+fn a_node_out_of_descriptors_stays_a_member_and_detects_a_crash() {
     let folder = ScratchDirectory::new("fleet-descriptors");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let id = cluster.nodes[2].process.as_ref().unwrap().id().to_string();
     let limit = |most: &str| {
-        let words = ["--pid", &id, &format!("--nofile={most}")];
+        let arguments = ["--pid", &id, &format!("--nofile={most}")];
         assert!(std::process::Command::new("prlimit")
-            .args(words)
+            .args(arguments)
             .status()
             .unwrap()
             .success());
     };
-    let behind = cluster.history.lines().len();
-    // It may open nothing beyond its three standard streams any more, and what is open stays.
+    let line_count = cluster.history.lines().len();
+    // The node can open no further descriptor beyond its three standard streams; the descriptors
+    // that are open stay open.
     limit("3:1024");
     let mut stream =
         std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().control_address)
@@ -473,37 +492,41 @@
         .set_read_timeout(Some(Duration::from_millis(300)))
         .unwrap();
     stream.write_all(b"GET /fleet HTTP/1.1\r\n\r\n").unwrap();
-    assert!(stream.read(&mut [0]).is_err(), "it has descriptors still");
+    assert!(
+        stream.read(&mut [0]).is_err(),
+        "the node can still accept a connection"
+    );
     cluster.kill(3);
-    cluster.wait("n3 is down", |c| all_hold(c, &[0, 1], "n3", "down"));
-    let noticed = cluster.history.wait(behind, |l| {
+    cluster.wait("n3 is down", |c| all_see(c, &[0, 1], "n3", "down"));
+    let noticed = cluster.history.wait(line_count, |l| {
         l.node == 2 && l.text.contains("member=n3 suspect -> down")
     });
     assert!(noticed.is_some(), "{:#?}", cluster.tail(2));
-    // One that comes back is met by datagrams; who connects is not let in, and nobody is blamed.
+    // A member that restarts is discovered by datagrams. Connections are not accepted, and no other
+    // member is declared down for that.
     cluster.start(3);
     cluster.wait("n3 is back", |c| {
-        all_hold(c, &[0, 1, 3], "n3", "alive") && all_hold(c, &[0, 1, 3], "n2", "alive")
+        all_see(c, &[0, 1, 3], "n3", "alive") && all_see(c, &[0, 1, 3], "n2", "alive")
     });
-    assert!(wrongly_down(&cluster, behind, &["n3"]).is_empty());
+    assert!(wrongly_down(&cluster, line_count, &["n3"]).is_empty());
     limit("1024:1024");
-    cluster.wait_converged("descriptors are there again");
+    cluster.wait_converged("the descriptor limit is raised again");
 }
 
 #[test]
-fn two_processes_of_one_name_are_named_on_all_nodes_and_neither_gives_way() {
+fn a_name_conflict_is_reported_by_all_nodes_and_neither_process_yields() {
     let folder = ScratchDirectory::new("fleet-conflict");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
-    // n3's process goes by the name of n1.
+    // The process on n3's address uses the name of n1.
     cluster.kill(3);
-    cluster.wait("n3 is down", |c| all_hold(c, &[0, 1, 2], "n3", "down"));
+    cluster.wait("n3 is down", |c| all_see(c, &[0, 1, 2], "n3", "down"));
     let twin = cluster.start_process(3, "n1", None);
     cluster.nodes[3].process = Some(twin);
     let addresses = |c: &Cluster, at: usize| {
-        let held = c.member(at, "n1")?;
+        let member = c.member(at, "n1")?;
         let mut both = vec![
-            held["address"].as_str()?.to_owned(),
-            held["conflict"][0].as_str()?.to_owned(),
+            member["address"].as_str()?.to_owned(),
+            member["conflict"][0].as_str()?.to_owned(),
         ];
         both.sort();
         Some(both)
@@ -513,7 +536,7 @@
         cluster.nodes[3].relay.address.to_string(),
     ];
     both.sort();
-    cluster.wait("all name both", |c| {
+    cluster.wait("all nodes report both addresses", |c| {
         (0..4).all(|i| addresses(c, i).as_ref() == Some(&both))
     });
     let number = |c: &Cluster| c.member(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
@@ -521,7 +544,7 @@
     std::thread::sleep(Duration::from_secs(3));
     assert!(
         number(&cluster) <= first + 1 && addresses(&cluster, 2) == Some(both),
-        "they fight"
+        "the two processes raise their incarnations against each other"
     );
     for node in [1, 3] {
         assert!(
@@ -529,29 +552,30 @@
                 .lines_containing("fleet: name conflict: member=n1")
                 .iter()
                 .any(|l| l.node == node),
-            "node {node} says so"
+            "node {node} logs no name conflict"
         );
     }
     cluster.kill(3);
     cluster.wait("n1 is one process again", |c| {
         [0, 1, 2].iter().all(|i| {
-            let held = c.member(*i, "n1").unwrap();
-            held["state"] == "alive"
-                && held["conflict"] == json!([])
-                && held["address"] == c.nodes[1].relay.address.to_string()
+            let member = c.member(*i, "n1").unwrap();
+            member["state"] == "alive"
+                && member["conflict"] == json!([])
+                && member["address"] == c.nodes[1].relay.address.to_string()
         })
     });
 }
 
-/// By hand: random faults by seed, and the verdict over the history. `RIG="NODES SECONDS SEED"
-/// cargo test --release -p pipitlever-node --test fleet -- --ignored --nocapture`.
+/// Run manually: seeded random faults, and a check of convergence and of all answers.
+/// `RIG="NODES SECONDS SEED" cargo test --release -p pipitlever-node --test fleet random_faults --
+/// --ignored --nocapture`.
 #[test]
 #[ignore]
 fn random_faults() {
-    let words = std::env::var("RIG").unwrap_or("24 600 1".into());
-    let words: Vec<u64> = words.split(' ').map(|w| w.parse().unwrap()).collect();
-    let [count, seconds, seed] = words[..] else {
-        panic!("NODES SECONDS SEED")
+    let arguments = std::env::var("RIG").unwrap_or("24 600 1".into());
+    let arguments: Vec<u64> = arguments.split(' ').map(|w| w.parse().unwrap()).collect();
+    let [count, seconds, seed] = arguments[..] else {
+        panic!("RIG has to be \"NODES SECONDS SEED\"")
     };
     let (count, mut rng) = (count as usize, fastrand::Rng::with_seed(seed));
     let folder = ScratchDirectory::new("fleet-random");
@@ -560,7 +584,7 @@
         ..spec(&folder)
     };
     let mut cluster = Cluster::start_converged(spec, count);
-    let callers: Vec<Client> = (0..count).map(|i| cluster.start_client(i)).collect();
+    let clients: Vec<Client> = (0..count).map(|i| cluster.start_client(i)).collect();
     let start = Instant::now();
     let (mut rounds, mut longest, mut faults) = (0, Duration::ZERO, 0);
     while start.elapsed().as_secs() < seconds {
@@ -624,37 +648,37 @@
         (rounds, longest) = (rounds + 1, longest.max(took));
     }
     let suspected = cluster.lines_containing("alive -> suspect").len();
-    println!("nodes={count} seed={seed} rounds={rounds} faults={faults} settled within {longest:?}; suspected {suspected} times");
-    // Who asks a process that is stopped waits until it goes on, or gives up.
-    stop(callers, &cluster, Duration::from_secs(30));
+    println!("nodes={count} seed={seed} rounds={rounds} faults={faults} converged within {longest:?}; {suspected} suspicions");
+    // A request to a stopped process waits until the process resumes or the client times out.
+    stop(clients, &cluster, Duration::from_secs(30));
 }
 
-/// By hand: what the fleet costs a node. `FLEET="24 5" cargo test --release -p pipitlever-node
-/// --test fleet cost -- --ignored --nocapture`: members (beyond 100 all but the node are emulated),
-/// and rounds, in turn with `[fleet]` and without.
+/// Run manually: CPU time, latency and memory of a node with `[fleet]` and without, alternately.
+/// `FLEET="24 5" cargo test --release -p pipitlever-node --test fleet cost -- --ignored
+/// --nocapture`: number of members (above 100 all but the node are simulated) and of rounds.
 #[test]
 #[ignore]
 fn cost() {
-    let words = std::env::var("FLEET").unwrap_or("24 5".into());
-    let words: Vec<usize> = words.split(' ').map(|w| w.parse().unwrap()).collect();
-    let [members, rounds] = words[..] else {
-        panic!("MEMBERS ROUNDS")
+    let arguments = std::env::var("FLEET").unwrap_or("24 5".into());
+    let arguments: Vec<usize> = arguments.split(' ').map(|w| w.parse().unwrap()).collect();
+    let [members, rounds] = arguments[..] else {
+        panic!("FLEET has to be \"MEMBERS ROUNDS\"")
     };
-    let emulated = members > 100;
+    let is_simulated = members > 100;
     for round in 0..rounds {
         for fleet in [false, true] {
             let folder = ScratchDirectory::new("fleet-cost");
-            let crowd = (emulated && fleet).then(|| SimulatedPeers::start(members));
-            let seeds = crowd.iter().map(|c| c.seed()).collect();
+            let peers = (is_simulated && fleet).then(|| SimulatedPeers::start(members));
+            let seeds = peers.iter().map(|c| c.seed()).collect();
             let mut spec = ClusterConfig {
                 probe_interval_ms: 500,
                 external_seeds: seeds,
                 is_clustered: fleet,
                 ..spec(&folder)
             };
-            // Cores for all that is asked: refusals would be another case.
+            // Enough cores for all requests: rejected requests have another cost.
             spec.platform_config["settings"]["familyInfo"]["cpus"] = json!(64);
-            let count = if fleet && !emulated { members } else { 1 };
+            let count = if fleet && !is_simulated { members } else { 1 };
             let mut cluster = Cluster::new(spec, count);
             (0..count).for_each(|i| cluster.start(i));
             if fleet {
@@ -669,7 +693,7 @@
                             >= members
                     })
                 };
-                cluster.wait("all are known", all);
+                cluster.wait("the node has discovered all members", all);
                 std::thread::sleep(Duration::from_secs(5));
             }
             let process = cluster.nodes[0].process.as_ref().unwrap();
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -1,5 +1,6 @@
-//! Long-lived sessions on several real processes: a session stays with its worker through versions,
-//! restarts and lossy links, whichever node its client reaches; and what does move has a cause.
+//! Session affinity on several real processes: a session stays with its worker through config
+//! versions, restarts and lossy links, whichever node receives its requests. Sessions move only
+//! when their worker is removed or fails.
 
 mod common;
 
@@ -16,80 +17,80 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 5;
-const PATIENCE_MS: u64 = 1_500;
-/// Runs that a worker may have at once by default, over all nodes.
+const AFFINITY_WAIT_MS: u64 = 1_500;
+/// Default limit of concurrent runs of a worker, over all nodes.
 const MOST_RUNS: u64 = 1_024;
-/// Cores for all that the clients ask for.
+/// Enough cores for all requests of the clients.
 const CORES: usize = 40;
 
-/// A stand-in worker that answers with its name after so long, until it is closed.
-struct Stand {
+/// A stand-in worker that answers with its name after a fixed delay, until it is closed.
+struct WorkerStandIn {
     at: SocketAddr,
     closed: Arc<AtomicBool>,
-    /// Another worker may get its machine.
+    /// Can change, as when another worker takes over the address.
     name: Arc<Mutex<String>>,
 }
 
-fn stand(name: &str, takes: Duration) -> Stand {
+fn start_worker(name: &str, delay: Duration) -> WorkerStandIn {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let name = Arc::new(Mutex::new(name.to_owned()));
-    let stand = Stand {
+    let stand_in = WorkerStandIn {
         at: listener.local_addr().unwrap(),
         closed: Arc::default(),
         name: name.clone(),
     };
-    let gone = stand.closed.clone();
+    let is_closed = stand_in.closed.clone();
     std::thread::spawn(move || {
         loop {
             let (stream, _) = listener.accept().unwrap();
-            if gone.load(SeqCst) {
-                // Whoever comes now finds nobody.
+            if is_closed.load(SeqCst) {
+                // Ends the thread and closes the listener, so further connections are refused.
                 return;
             }
-            // One that was killed meanwhile has sent a part at the most.
+            // A node that is killed while it sends leaves an incomplete request.
             let Some((mut stream, _)) = Worker::try_read(stream) else {
                 continue;
             };
             let name = name.lock().unwrap().clone();
             std::thread::spawn(move || {
-                std::thread::sleep(takes);
+                std::thread::sleep(delay);
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", name.len());
                 let _ = stream.write_all(&[head.as_bytes(), name.as_bytes()].concat());
             });
         }
     });
-    stand
+    stand_in
 }
 
-/// The workers of the pool as a version has them: name, address, weight and more.
-type Desks = Vec<(String, SocketAddr, f64, &'static str)>;
+/// The workers of the pool in a config version: name, address, weight and further settings.
+type PoolMembers = Vec<(String, SocketAddr, f64, &'static str)>;
 
-/// What a version holds of the operator's file.
-fn operator(pool: &str, was: &str, desks: &Desks) -> String {
+/// The operator's part of a config version.
+fn operator(pool: &str, was: &str, workers: &PoolMembers) -> String {
     let member = |(name, at, weight, more): &(String, SocketAddr, f64, &str)| {
         format!(
             "[[pool.member]]\naddress = \"{at}\"\nname = \"{name}\"\nweight = {weight:?}\n{more}"
         )
     };
-    let members: String = desks.iter().map(member).collect();
+    let members: String = workers.iter().map(member).collect();
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 4000\n\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\npool = \"{pool}\"\n\
          [[pool]]\nname = \"{pool}\"\nwas = [{was}]\nshare = true\n\
-         [pool.affinity]\nsession = \"HTTP_X_TERMINAL\"\npatience_ms = {PATIENCE_MS}\n{members}"
+         [pool.affinity]\nsession = \"HTTP_X_TERMINAL\"\npatience_ms = {AFFINITY_WAIT_MS}\n{members}"
     )
 }
 
-struct Site {
+struct TestCluster {
     cluster: Cluster,
     folder: ScratchDirectory,
-    /// Where uwsgi clients connect, by node; none while its process is down.
+    /// The uwsgi listening address of each node; `None` while its process is down.
     fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
 }
 
-impl Site {
-    /// `cpus`: runs that a node may have at once follow from it.
-    fn new(name: &str, desks: &Desks, cpus: usize) -> Site {
+impl TestCluster {
+    /// `cpus` determines the limit of concurrent runs of a node.
+    fn new(name: &str, workers: &PoolMembers, cpus: usize) -> TestCluster {
         let folder = ScratchDirectory::new(name);
         std::fs::create_dir_all(&folder.0).unwrap();
         let electors = "electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
@@ -97,30 +98,30 @@
         config["settings"]["familyInfo"]["cpus"] = json!(cpus);
         let more = format!(
             "[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{}",
-            operator("desks", "", desks)
+            operator("desks", "", workers)
         );
         let spec = ClusterConfig::new(PROGRAM, config, folder.0.clone(), more);
         let cluster = Cluster::start_converged(spec, NODES);
-        let site = Site {
+        let test_cluster = TestCluster {
             cluster,
             folder,
             fronts: Arc::new(Mutex::new(vec![None; NODES])),
         };
-        (0..NODES).for_each(|i| site.found(i));
-        site.cluster
-            .wait("all have what they are to remember", |c| {
-                (0..NODES).all(|i| filled(c, i))
-            });
-        site
+        (0..NODES).for_each(|i| test_cluster.record_front(i));
+        test_cluster.cluster.wait(
+            "all nodes have completed the bootstrap of their sessions",
+            |c| (0..NODES).all(|i| is_bootstrapped(c, i)),
+        );
+        test_cluster
     }
 
-    /// Finds where a node's process takes uwsgi clients.
-    fn found(&self, node: usize) {
+    /// Records the uwsgi listening address of a node's current process.
+    fn record_front(&self, node: usize) {
         let number = self.cluster.nodes[node].process.as_ref().unwrap().number;
         let line = self.cluster.history.wait(0, |l| {
             l.process == number && l.text.contains("protocol=uwsgi")
         });
-        let text = line.expect("it says so").text;
+        let text = line.expect("a log line with the uwsgi address").text;
         let at = text
             .split(' ')
             .find_map(|w| w.strip_prefix("listen=").or(w.strip_prefix("address=")));
@@ -134,28 +135,28 @@
 
     fn start(&mut self, node: usize) {
         self.cluster.start(node);
-        self.found(node);
+        self.record_front(node);
     }
 
     fn publish(&self, node: usize, why: &str, operator: &str) {
         let file = self.folder.0.join("version.json");
         std::fs::write(&file, json!({ "operator": operator }).to_string()).unwrap();
-        let door = self.cluster.nodes[node]
+        let control_address = self.cluster.nodes[node]
             .process
             .as_ref()
             .unwrap()
             .control_address
             .to_string();
-        let words = [
+        let arguments = [
             "fleet",
             "publish",
             file.to_str().unwrap(),
             "--why",
             why,
             "--at",
-            &door,
+            &control_address,
         ];
-        let output = Command::new(PROGRAM).args(words).output().unwrap();
+        let output = Command::new(PROGRAM).args(arguments).output().unwrap();
         assert!(
             output.status.success(),
             "{}",
@@ -163,38 +164,40 @@
         );
     }
 
-    fn acts(&self, nodes: &[usize], version: u64) {
-        let acts = |c: &Cluster, i: usize| {
+    fn wait_for_version(&self, nodes: &[usize], version: u64) {
+        let is_active = |c: &Cluster, i: usize| {
             c.view(i)
                 .is_some_and(|v| v["versions"]["acting"] == version)
         };
-        self.cluster
-            .wait("they act on it", |c| nodes.iter().all(|i| acts(c, *i)));
+        self.cluster.wait("the nodes act on the version", |c| {
+            nodes.iter().all(|i| is_active(c, *i))
+        });
     }
 }
 
-fn filled(cluster: &Cluster, node: usize) -> bool {
+fn is_bootstrapped(cluster: &Cluster, node: usize) -> bool {
     cluster
         .view(node)
         .is_some_and(|v| v["sessions"]["filled"] == true)
 }
 
-/// One request of a session at a node: the worker that answered, or the code of the refusal.
-fn ask(front: SocketAddr, session: usize) -> Result<String, String> {
-    let wrong = |e: std::io::Error| e.to_string();
-    let mut stream = TcpStream::connect(front).map_err(wrong)?;
+/// Sends one request of a session to a node. Returns the worker that answered, or the error: an
+/// I/O error or the status line of the response.
+fn request(front: SocketAddr, session: usize) -> Result<String, String> {
+    let to_message = |e: std::io::Error| e.to_string();
+    let mut stream = TcpStream::connect(front).map_err(to_message)?;
     stream
         .set_read_timeout(Some(Duration::from_secs(8)))
-        .map_err(wrong)?;
+        .map_err(to_message)?;
     stream
         .write_all(&packet(
             "/view",
             &[("HTTP_X_TERMINAL", &format!("terminal-{session}"))],
             b"x",
         ))
-        .map_err(wrong)?;
+        .map_err(to_message)?;
     let mut text = String::new();
-    stream.read_to_string(&mut text).map_err(wrong)?;
+    stream.read_to_string(&mut text).map_err(to_message)?;
     match text.split_once("\r\n\r\n") {
         Some((head, body)) if head.contains(" 200 ") => Ok(body.to_owned()),
         Some((head, _)) => Err(head.lines().next().unwrap_or_default().to_owned()),
@@ -202,52 +205,53 @@
     }
 }
 
-/// What a client heard: when, which session, at which node, which worker.
+/// An answered request: time since the start, session, node and the worker that answered.
 type RequestOutcome = (Duration, usize, usize, String);
 
-/// Clients that go from node to node, until they are dropped.
+/// Clients that send each request to a random node, until they are stopped.
 struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<std::thread::JoinHandle<()>>,
-    heard: Arc<Mutex<Vec<RequestOutcome>>>,
-    refused: Arc<Mutex<Vec<String>>>,
+    answers: Arc<Mutex<Vec<RequestOutcome>>>,
+    errors: Arc<Mutex<Vec<String>>>,
     start: Instant,
 }
 
 impl Clients {
-    fn start(site: &Site, sessions: std::ops::Range<usize>) -> Clients {
+    fn start(test_cluster: &TestCluster, sessions: std::ops::Range<usize>) -> Clients {
         let mut clients = Clients {
             stop: Arc::default(),
             threads: Vec::new(),
-            heard: Arc::default(),
-            refused: Arc::default(),
+            answers: Arc::default(),
+            errors: Arc::default(),
             start: Instant::now(),
         };
         for part in 0..4 {
-            let (stop, heard, refused) = (
+            let (stop, answers, errors) = (
                 clients.stop.clone(),
-                clients.heard.clone(),
-                clients.refused.clone(),
+                clients.answers.clone(),
+                clients.errors.clone(),
             );
-            let (fronts, start, sessions) = (site.fronts.clone(), clients.start, sessions.clone());
+            let (fronts, start, sessions) =
+                (test_cluster.fronts.clone(), clients.start, sessions.clone());
             clients.threads.push(std::thread::spawn(move || {
                 let mut rng = fastrand::Rng::with_seed(part);
                 while !stop.load(SeqCst) {
                     let (session, node) = (rng.usize(sessions.clone()), rng.usize(0..NODES));
-                    // A client keeps to one thread, so that what it hears is in the order in which
-                    // it asked.
+                    // All requests of a session are sent by one thread, so that its answers are
+                    // recorded in the order of its requests.
                     let session = session - session % 4 + part as usize;
                     let Some(front) = fronts.lock().unwrap()[node] else {
                         continue;
                     };
-                    match ask(front, session) {
+                    match request(front, session) {
                         Ok(worker) => {
-                            heard
+                            answers
                                 .lock()
                                 .unwrap()
                                 .push((start.elapsed(), session, node, worker))
                         }
-                        Err(why) => refused.lock().unwrap().push(why),
+                        Err(error) => errors.lock().unwrap().push(error),
                     }
                 }
             }));
@@ -258,25 +262,25 @@
     fn end(mut self) -> Vec<RequestOutcome> {
         self.stop.store(true, SeqCst);
         self.threads.drain(..).for_each(|t| t.join().unwrap());
-        let refused = self.refused.lock().unwrap();
-        let heard = std::mem::take(&mut *self.heard.lock().unwrap());
+        let errors = self.errors.lock().unwrap();
+        let answers = std::mem::take(&mut *self.answers.lock().unwrap());
         let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
-        refused
+        errors
             .iter()
-            .for_each(|why| *kinds.entry(why).or_default() += 1);
-        println!("{} answers; refused or lost: {kinds:?}", heard.len());
-        heard
+            .for_each(|error| *kinds.entry(error).or_default() += 1);
+        println!("{} answers; rejected or lost: {kinds:?}", answers.len());
+        answers
     }
 }
 
-/// Each change of a session's worker, behind so many answers, in the order in which its client
-/// heard: session, from, to, and where.
-fn moves(heard: &[RequestOutcome], behind: usize) -> Vec<(usize, String, String, usize)> {
+/// Each change of a session's worker after the first `skip` answers, in the order of its answers:
+/// session, old worker, new worker and node.
+fn moves(answers: &[RequestOutcome], skip: usize) -> Vec<(usize, String, String, usize)> {
     let mut last: BTreeMap<usize, &str> = BTreeMap::new();
     let mut moves = Vec::new();
-    for (i, (_, session, node, worker)) in heard.iter().enumerate() {
+    for (i, (_, session, node, worker)) in answers.iter().enumerate() {
         match last.insert(*session, worker) {
-            Some(before) if before != worker && i >= behind => {
+            Some(before) if before != worker && i >= skip => {
                 moves.push((*session, before.to_owned(), worker.clone(), *node))
             }
             _ => {}
@@ -285,40 +289,43 @@
     moves
 }
 
-fn last(heard: &[RequestOutcome]) -> BTreeMap<usize, String> {
-    heard
+fn last(answers: &[RequestOutcome]) -> BTreeMap<usize, String> {
+    answers
         .iter()
         .map(|(_, session, _, worker)| (*session, worker.clone()))
         .collect()
 }
 
-fn desks(names: std::ops::Range<usize>, takes: Duration) -> (Desks, Vec<Stand>) {
-    let desk = |i: usize| {
-        let stand = stand(&format!("w{i}"), takes);
-        ((format!("w{i}"), stand.at, 1.0, ""), stand)
+fn start_workers(
+    names: std::ops::Range<usize>,
+    delay: Duration,
+) -> (PoolMembers, Vec<WorkerStandIn>) {
+    let start_one = |i: usize| {
+        let stand_in = start_worker(&format!("w{i}"), delay);
+        ((format!("w{i}"), stand_in.at, 1.0, ""), stand_in)
     };
-    names.map(desk).unzip()
+    names.map(start_one).unzip()
 }
 
 #[test]
-fn nobody_moves_while_the_worker_stays_a_member() {
-    let (mut all, stands) = desks(0..5, Duration::ZERO);
-    let mut site = Site::new("sessions-stay", &all, CORES);
-    let clients = Clients::start(&site, 0..200);
+fn sessions_stay_while_their_worker_stays_a_member() {
+    let (mut all, stand_ins) = start_workers(0..5, Duration::ZERO);
+    let mut test_cluster = TestCluster::new("sessions-stay", &all, CORES);
+    let clients = Clients::start(&test_cluster, 0..200);
     let settle = Duration::from_millis(600);
     std::thread::sleep(settle);
-    // Workers come, weights and the order change, and the pool gets another name.
-    let (more, _) = desks(5..8, Duration::ZERO);
+    // Workers are added, weights and the order change, and the pool is renamed.
+    let (more, _) = start_workers(5..8, Duration::ZERO);
     all.extend(more);
     all.reverse();
     all.iter_mut()
         .enumerate()
         .for_each(|(i, d)| d.2 = 0.5 + i as f64);
-    site.publish(0, "more desks", &operator("desks", "", &all));
-    site.acts(&[0, 1, 2, 3, 4], 1);
-    // A node has one run at each worker until all others know of its share of the new ones, and
-    // while reports of loads that rise from nothing are on their way. Shares add up to the limit
-    // once no load has changed for as long as a report takes. The rename is to keep them.
+    test_cluster.publish(0, "more workers", &operator("desks", "", &all));
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
+    // A node's share of a worker's limit is one run until all other nodes know its share of the new
+    // workers, and while reports of loads that rise from zero are in transit. Shares add up to the
+    // limit once no load has changed for as long as a report takes. The rename has to keep them.
     let runs_at_workers = |c: &Cluster, node: usize| -> Option<Vec<u64>> {
         let view = c.view(node)?;
         let workers = view["share"][0]["workers"].as_array()?;
@@ -335,20 +342,22 @@
         let more_than_one = |runs: Vec<u64>| runs.iter().all(|most| *most > 1);
         (0..NODES).all(|i| runs_at_workers(c, i).is_some_and(more_than_one))
     };
-    site.cluster.wait("all know their shares", |c| {
-        shares_add_up(c) && shares_are_known(c)
-    });
-    site.publish(1, "another name", &operator("counters", "\"desks\"", &all));
-    site.acts(&[0, 1, 2, 3, 4], 2);
-    // What each node has of the workers goes by the pool's first name, too.
+    test_cluster
+        .cluster
+        .wait("the nodes' shares add up to the limits", |c| {
+            shares_add_up(c) && shares_are_known(c)
+        });
+    test_cluster.publish(1, "another name", &operator("counters", "\"desks\"", &all));
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 2);
+    // Each node's shares of the workers survive the rename of the pool.
     assert!(
-        shares_are_known(&site.cluster),
+        shares_are_known(&test_cluster.cluster),
         "{:?}",
         (0..NODES)
-            .map(|i| runs_at_workers(&site.cluster, i))
+            .map(|i| runs_at_workers(&test_cluster.cluster, i))
             .collect::<Vec<_>>()
     );
-    // Links that lose a fifth, double some, and take their time.
+    // Links that lose 20 %, duplicate 10 % and delay all datagrams.
     for (from, to) in (0..NODES).flat_map(|a| (0..NODES).map(move |b| (a, b))) {
         let link = LinkFaults {
             loss: 0.2,
@@ -356,63 +365,64 @@
             delay: Duration::from_millis(3),
             ..LinkFaults::default()
         };
-        site.cluster.links.set(from, to, link);
+        test_cluster.cluster.links.set(from, to, link);
     }
     std::thread::sleep(settle);
     for node in [4, 1] {
-        site.kill(node);
+        test_cluster.kill(node);
         std::thread::sleep(settle);
-        site.start(node);
+        test_cluster.start(node);
         std::thread::sleep(settle);
     }
-    // A worker moves to another machine: it is known by its name.
-    all[0].1 = stand(&all[0].0, Duration::ZERO).at;
-    site.publish(
+    // A worker moves to another address: it is identified by its name.
+    all[0].1 = start_worker(&all[0].0, Duration::ZERO).at;
+    test_cluster.publish(
         0,
         "another machine",
         &operator("counters", "\"desks\"", &all),
     );
-    site.acts(&[0, 1, 2, 3, 4], 3);
-    site.cluster.links.heal();
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 3);
+    test_cluster.cluster.links.heal();
     std::thread::sleep(settle);
-    let heard = clients.end();
-    let moved = moves(&heard, 0);
-    let said = || {
+    let answers = clients.end();
+    let moved = moves(&answers, 0);
+    let log_lines = || {
         [
-            site.cluster.lines_containing("sessions: pool"),
-            site.cluster.lines_containing(": ejected member="),
+            test_cluster.cluster.lines_containing("sessions: pool"),
+            test_cluster.cluster.lines_containing(": ejected member="),
         ]
         .concat()
     };
-    assert!(moved.is_empty(), "{moved:?}: {:#?}", said());
-    assert!(last(&heard).len() > 190 && heard.len() > 1_000);
-    // One's address is another's former one: names count, and nothing that was known of an address.
-    let homes = last(&heard);
-    let place = |name: &str| all.iter().position(|d| d.0 == name).unwrap();
-    let (one, two) = (place("w1"), place("w2"));
-    *stands[1].name.lock().unwrap() = "w2".into();
-    (all[one].1, all[two].1) = (stand("w1", Duration::ZERO).at, stands[1].at);
-    site.publish(
+    assert!(moved.is_empty(), "{moved:?}: {:#?}", log_lines());
+    assert!(last(&answers).len() > 190 && answers.len() > 1_000);
+    // w2 gets the former address of w1: sessions follow the names, and nothing that is recorded of
+    // an address applies to the new worker there.
+    let placements = last(&answers);
+    let index_of = |name: &str| all.iter().position(|d| d.0 == name).unwrap();
+    let (one, two) = (index_of("w1"), index_of("w2"));
+    *stand_ins[1].name.lock().unwrap() = "w2".into();
+    (all[one].1, all[two].1) = (start_worker("w1", Duration::ZERO).at, stand_ins[1].at);
+    test_cluster.publish(
         0,
         "w2 gets the machine of w1",
         &operator("counters", "\"desks\"", &all),
     );
-    site.acts(&[0, 1, 2, 3, 4], 4);
-    let fronts = site.fronts.lock().unwrap().clone();
-    let asked: Vec<(usize, String)> = homes
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 4);
+    let fronts = test_cluster.fronts.lock().unwrap().clone();
+    let affected_sessions: Vec<(usize, String)> = placements
         .iter()
         .filter(|(_, w)| *w == "w1" || *w == "w2")
         .map(|(s, w)| (*s, w.clone()))
         .collect();
-    for (session, worker) in &asked {
+    for (session, worker) in &affected_sessions {
         assert_eq!(
-            ask(fronts[session % NODES].unwrap(), *session).as_ref(),
+            request(fronts[session % NODES].unwrap(), *session).as_ref(),
             Ok(worker)
         );
     }
-    // The new ones took some as well: whoever came after they did.
+    // Sessions that began after the new workers were added are placed on them as well.
     let new: Vec<String> = (1_000..1_060)
-        .map(|s| ask(fronts[s % NODES].unwrap(), s).unwrap())
+        .map(|s| request(fronts[s % NODES].unwrap(), s).unwrap())
         .collect();
     assert!(
         ["w5", "w6"].iter().all(|w| new.iter().any(|n| n == w)),
@@ -420,15 +430,15 @@
     );
 }
 
-/// Guards against sessions that move, and come back, because the nodes that know them took longer
-/// than a lookup to reply: a node that knows nothing of them placed them anew.
+/// Guards against sessions that move to another worker and back because the nodes that hold their
+/// placements took longer than a lookup to reply: a node without a record placed them again.
 #[test]
-fn a_session_is_not_placed_anew_while_the_nodes_that_know_it_are_silent() {
+fn a_session_is_not_placed_again_while_the_nodes_that_hold_it_are_silent() {
     const SESSIONS: usize = 40;
-    const ASKED: usize = NODES - 1;
-    let (mut all, _stands) = desks(0..4, Duration::ZERO);
-    let site = Site::new("sessions-silent", &all, CORES);
-    let fronts: Vec<SocketAddr> = site
+    const QUERIED_NODE: usize = NODES - 1;
+    let (mut all, _stand_ins) = start_workers(0..4, Duration::ZERO);
+    let test_cluster = TestCluster::new("sessions-silent", &all, CORES);
+    let fronts: Vec<SocketAddr> = test_cluster
         .fronts
         .lock()
         .unwrap()
@@ -436,51 +446,59 @@
         .flatten()
         .copied()
         .collect();
-    let at = |node: usize, session: usize| ask(fronts[node], session);
-    // A node that has just started, or learns of the others' loads, rejects some.
+    let request_at = |node: usize, session: usize| request(fronts[node], session);
+    // A node that has just started, or whose information on the other nodes' loads changes, rejects
+    // some requests.
     let admitted = |node: usize, session: usize| {
         let start = Instant::now();
-        let answer = std::iter::repeat_with(|| at(node, session))
+        let answer = std::iter::repeat_with(|| request_at(node, session))
             .take_while(|_| start.elapsed() < TEST_TIMEOUT)
             .find_map(Result::ok);
         answer.unwrap_or_else(|| panic!("session {session} is not admitted at node {node}"))
     };
-    let homes: Vec<String> = (0..SESSIONS)
-        .map(|session| admitted(session % ASKED, session))
+    let placements: Vec<String> = (0..SESSIONS)
+        .map(|session| admitted(session % QUERIED_NODE, session))
         .collect();
-    // From now on each session would be placed elsewhere than where it is.
-    for desk in &mut all {
-        desk.2 = if desk.0 == "w0" { 100.0 } else { 0.01 };
+    // With these weights a new placement of a session would choose another worker than its own.
+    for member in &mut all {
+        member.2 = if member.0 == "w0" { 100.0 } else { 0.01 };
     }
-    site.publish(0, "other weights", &operator("desks", "", &all));
-    site.acts(&[0, 1, 2, 3, 4], 1);
-    (0..ASKED).for_each(|node| site.cluster.signal(node, "-STOP"));
-    let answers: Vec<Result<String, String>> =
-        (0..SESSIONS).map(|session| at(ASKED, session)).collect();
-    (0..ASKED).for_each(|node| site.cluster.signal(node, "-CONT"));
-    let refused = answers.iter().filter(|answer| answer.is_err()).count();
-    for (answer, home) in answers.iter().zip(&homes) {
+    test_cluster.publish(0, "other weights", &operator("desks", "", &all));
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
+    (0..QUERIED_NODE).for_each(|node| test_cluster.cluster.signal(node, "-STOP"));
+    let answers: Vec<Result<String, String>> = (0..SESSIONS)
+        .map(|session| request_at(QUERIED_NODE, session))
+        .collect();
+    (0..QUERIED_NODE).for_each(|node| test_cluster.cluster.signal(node, "-CONT"));
+    let rejected = answers.iter().filter(|answer| answer.is_err()).count();
+    for (answer, placement) in answers.iter().zip(&placements) {
         match answer {
-            Ok(worker) => assert_eq!(worker, home),
-            Err(why) => assert!(why.contains("503"), "{why}"),
+            Ok(worker) => assert_eq!(worker, placement),
+            Err(error) => assert!(error.contains("503"), "{error}"),
         }
     }
-    assert!(refused > 0, "the others were not silent");
-    site.cluster.wait_converged("all go on");
-    for (session, home) in homes.iter().enumerate() {
-        assert_eq!(&admitted(session % NODES, session), home, "{session}");
+    assert!(
+        rejected > 0,
+        "no lookup timed out: the other nodes were not stopped"
+    );
+    test_cluster
+        .cluster
+        .wait_converged("all nodes have resumed");
+    for (session, placement) in placements.iter().enumerate() {
+        assert_eq!(&admitted(session % NODES, session), placement, "{session}");
     }
 }
 
-/// A process takes over from another one, which has more in hand than it may run: sessions stay,
-/// and none of it waits for word that never comes.
+/// A process takes over from another one that has more requests in flight than it may run. Sessions
+/// stay with their workers, and no request waits for a reply that never arrives.
 #[test]
-fn a_replacement_moves_nobody_and_answers_all() {
-    let takes = Duration::from_millis(100);
-    let (mut all, _) = desks(0..4, takes);
-    let mut site = Site::new("sessions-replaced", &all, 1);
-    let fronts = |site: &Site| -> Vec<SocketAddr> {
-        site.fronts
+fn a_hot_restart_moves_no_session_and_answers_all_requests() {
+    let delay = Duration::from_millis(100);
+    let (mut all, _) = start_workers(0..4, delay);
+    let mut test_cluster = TestCluster::new("sessions-replaced", &all, 1);
+    let fronts = |test_cluster: &TestCluster| -> Vec<SocketAddr> {
+        test_cluster
+            .fronts
             .lock()
             .unwrap()
             .iter()
@@ -488,126 +506,142 @@
             .copied()
             .collect()
     };
-    // Each session is known to all nodes by now, and to none within the last second.
-    let ask_all = |fronts: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
-        let asked = (0..40).map(|s| (fronts[at.unwrap_or(s % NODES)], s));
-        let threads: Vec<_> = asked
-            .map(|(f, s)| std::thread::spawn(move || ask(f, s)))
+    // Sends one request of each session, to the node `at` or to a different node for each.
+    let request_all = |fronts: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
+        let requests = (0..40).map(|s| (fronts[at.unwrap_or(s % NODES)], s));
+        let threads: Vec<_> = requests
+            .map(|(f, s)| std::thread::spawn(move || request(f, s)))
             .collect();
         threads.into_iter().map(|t| t.join().unwrap()).collect()
     };
-    let mut homes: BTreeMap<usize, String> = BTreeMap::new();
-    while homes.len() < 40 {
-        let heard = ask_all(&fronts(&site), None);
-        homes.extend(
-            heard
+    let mut placements: BTreeMap<usize, String> = BTreeMap::new();
+    while placements.len() < 40 {
+        let answers = request_all(&fronts(&test_cluster), None);
+        placements.extend(
+            answers
                 .into_iter()
                 .enumerate()
                 .filter_map(|(s, h)| Some((s, h.ok()?))),
         );
     }
-    // Where a new session would go is another matter than where one lives.
+    // The new weights apply to new placements; the placed sessions stay.
     all.iter_mut()
         .enumerate()
         .for_each(|(i, d)| d.2 = 0.2 + 2.0 * i as f64);
-    site.publish(0, "other weights", &operator("desks", "", &all));
-    site.acts(&[0, 1, 2, 3, 4], 1);
+    test_cluster.publish(0, "other weights", &operator("desks", "", &all));
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
+    // By now every node has a record of each session, and none was used within the last second.
     std::thread::sleep(Duration::from_millis(2_100));
     for node in [1, 3] {
-        let listen = site.cluster.nodes[node]
+        let listen = test_cluster.cluster.nodes[node]
             .process
             .as_ref()
             .unwrap()
             .client_address;
-        // It runs a few of these at a time, and most of them once it is not the member any more.
-        let known = fronts(&site);
-        let (asked, begun) = (ask_all, Instant::now());
-        let held = std::thread::spawn(move || (asked(&known, Some(node)), begun.elapsed()));
-        let launched = site.cluster.launch(node, &format!("n{node}"), Some(listen));
-        let successor = site.cluster.wait_ready(launched);
-        let mut old = site.cluster.nodes[node].process.replace(successor).unwrap();
-        let (heard, took) = held.join().unwrap();
-        println!("n{node}: all had their answers after {took:?}");
+        // The node runs a few of these requests at a time, and most of them after the successor has
+        // replaced it as the member.
+        let front_addresses = fronts(&test_cluster);
+        let (send_all, start) = (request_all, Instant::now());
+        let in_flight =
+            std::thread::spawn(move || (send_all(&front_addresses, Some(node)), start.elapsed()));
+        let launched = test_cluster
+            .cluster
+            .launch(node, &format!("n{node}"), Some(listen));
+        let successor = test_cluster.cluster.wait_ready(launched);
+        let mut old = test_cluster.cluster.nodes[node]
+            .process
+            .replace(successor)
+            .unwrap();
+        let (answers, took) = in_flight.join().unwrap();
+        println!("n{node}: all requests were answered after {took:?}");
         assert!(took < Duration::from_secs(5), "{took:?}");
-        for (session, heard) in heard.into_iter().enumerate() {
-            match heard {
-                Ok(worker) => assert_eq!(worker, homes[&session], "{session}"),
-                Err(why) => assert!(why.contains("503"), "{session}: {why}"),
+        for (session, answer) in answers.into_iter().enumerate() {
+            match answer {
+                Ok(worker) => assert_eq!(worker, placements[&session], "{session}"),
+                Err(error) => assert!(error.contains("503"), "{session}: {error}"),
             }
         }
-        site.found(node);
+        test_cluster.record_front(node);
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0));
     }
-    site.cluster
-        .wait("all have what they are to remember", |c| {
-            (0..NODES).all(|i| filled(c, i))
-        });
-    for heard in ask_all(&fronts(&site), None).into_iter().enumerate() {
+    test_cluster.cluster.wait(
+        "all nodes have completed the bootstrap of their sessions",
+        |c| (0..NODES).all(|i| is_bootstrapped(c, i)),
+    );
+    for answer in request_all(&fronts(&test_cluster), None)
+        .into_iter()
+        .enumerate()
+    {
         assert!(
-            heard.1.as_ref().is_ok_and(|w| *w == homes[&heard.0]) || heard.1.is_err(),
-            "{heard:?}"
+            answer.1.as_ref().is_ok_and(|w| *w == placements[&answer.0]) || answer.1.is_err(),
+            "{answer:?}"
         );
     }
 }
 
 #[test]
-fn sessions_of_a_worker_that_goes_or_fails_move_alone() {
-    let (mut all, stands) = desks(0..5, Duration::ZERO);
-    let site = Site::new("sessions-move", &all, CORES);
-    let clients = Clients::start(&site, 0..120);
+fn only_sessions_of_a_removed_or_failed_worker_move() {
+    let (mut all, stand_ins) = start_workers(0..5, Duration::ZERO);
+    let test_cluster = TestCluster::new("sessions-move", &all, CORES);
+    let clients = Clients::start(&test_cluster, 0..120);
     std::thread::sleep(Duration::from_millis(800));
-    // Two nodes don't hear that w0 is gone; clients go back and forth between the halves.
-    site.cluster.links.partition(NODES, |i| usize::from(i >= 3));
-    site.cluster.wait("they are parted", |c| {
-        c.have_converged(&[0, 1, 2]) && c.have_converged(&[3, 4])
-    });
-    let gone = all.remove(0);
-    site.publish(0, "w0 is gone", &operator("desks", "", &all));
-    site.acts(&[0, 1, 2], 1);
+    // Two nodes don't receive the version that removes w0; clients alternate between the two parts.
+    test_cluster
+        .cluster
+        .links
+        .partition(NODES, |i| usize::from(i >= 3));
+    test_cluster
+        .cluster
+        .wait("the two parts have converged", |c| {
+            c.have_converged(&[0, 1, 2]) && c.have_converged(&[3, 4])
+        });
+    let removed = all.remove(0);
+    test_cluster.publish(0, "w0 is gone", &operator("desks", "", &all));
+    test_cluster.wait_for_version(&[0, 1, 2], 1);
     std::thread::sleep(Duration::from_millis(500));
-    site.cluster.links.heal();
-    site.acts(&[0, 1, 2, 3, 4], 1);
-    site.cluster.wait_converged("the heal");
-    // What the halves did apart: back and forth for those of w0, nothing for the others.
-    let so_far = clients.heard.lock().unwrap().len();
-    let heard = clients.heard.lock().unwrap().clone();
-    let moved = moves(&heard, 0);
-    assert!(!moved.is_empty(), "some were of w0");
-    let of_gone: Vec<usize> = moved
+    test_cluster.cluster.links.heal();
+    test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
+    test_cluster.cluster.wait_converged("the heal");
+    // During the partition sessions of w0 may alternate between workers; no other session moves.
+    let so_far = clients.answers.lock().unwrap().len();
+    let answers = clients.answers.lock().unwrap().clone();
+    let moved = moves(&answers, 0);
+    assert!(!moved.is_empty(), "no session moved away from w0");
+    let sessions_of_removed: Vec<usize> = moved
         .iter()
-        .filter(|m| m.1 == gone.0)
+        .filter(|m| m.1 == removed.0)
         .map(|m| m.0)
         .collect();
     assert!(
-        moved.iter().all(|m| of_gone.contains(&m.0)),
+        moved.iter().all(|m| sessions_of_removed.contains(&m.0)),
         "{moved:?} {:#?}",
-        site.cluster.lines_containing(": ejected member=")
+        test_cluster.cluster.lines_containing(": ejected member=")
     );
     std::thread::sleep(Duration::from_millis(2_500));
-    let heard = clients.heard.lock().unwrap().clone();
-    let after = moves(&heard, so_far);
-    // Within a second of the heal all have heard which place holds.
+    let answers = clients.answers.lock().unwrap().clone();
+    let after = moves(&answers, so_far);
+    // Within a second of the heal all nodes have the same placements.
     assert!(
         after
             .iter()
-            .all(|m| m.1 == gone.0 || of_gone.contains(&m.0)),
+            .all(|m| m.1 == removed.0 || sessions_of_removed.contains(&m.0)),
         "{after:?}"
     );
-    let settled = heard.len();
+    let settled = answers.len();
     std::thread::sleep(Duration::from_secs(1));
-    let heard = clients.heard.lock().unwrap().clone();
-    assert_eq!(moves(&heard, settled), [], "and from then on nobody moves");
-    let settled = heard.len();
+    let answers = clients.answers.lock().unwrap().clone();
+    assert_eq!(moves(&answers, settled), [], "no session moves after that");
+    let settled = answers.len();
 
-    // w1 breaks down: its machine accepts nobody. Runs never began there, so its sessions move at
-    // once, and once.
-    stands[1].closed.store(true, SeqCst);
+    // w1 fails and refuses connections. No run can have started there, so its sessions move at
+    // once, and exactly once.
+    stand_ins[1].closed.store(true, SeqCst);
     let _ = TcpStream::connect(all[0].1);
     std::thread::sleep(Duration::from_millis(2_500));
-    let heard = clients.end();
-    let before = last(&heard[..settled]);
-    let moved = moves(&heard, settled);
+    let answers = clients.end();
+    let before = last(&answers[..settled]);
+    let moved = moves(&answers, settled);
     assert!(moved.iter().all(|m| m.1 == "w1"), "{moved:?}");
     let of: Vec<usize> = before
         .iter()
@@ -619,28 +653,30 @@
             .all(|s| moved.iter().filter(|m| m.0 == *s).count() == 1),
         "{of:?} {moved:?}"
     );
-    // The same for all: wherever one asks.
-    let now = last(&heard);
-    let fronts = site.fronts.lock().unwrap().clone();
+    // All nodes send a session to the same worker.
+    let now = last(&answers);
+    let fronts = test_cluster.fronts.lock().unwrap().clone();
     for (session, worker) in &now {
         for front in fronts.iter().flatten() {
             assert_eq!(
-                ask(*front, *session).as_deref(),
+                request(*front, *session).as_deref(),
                 Ok(worker.as_str()),
                 "{session}"
             );
         }
     }
-    let door = site.cluster.nodes[0]
+    let control_address = test_cluster.cluster.nodes[0]
         .process
         .as_ref()
         .unwrap()
         .control_address;
-    let figures =
-        pipitlever_cluster_testing::process_control::call_control(door, "GET /status/metrics")
-            .unwrap()
-            .body;
-    assert!(figures.contains("edge.sessions.remembered:"), "{figures}");
+    let metrics = pipitlever_cluster_testing::process_control::call_control(
+        control_address,
+        "GET /status/metrics",
+    )
+    .unwrap()
+    .body;
+    assert!(metrics.contains("edge.sessions.remembered:"), "{metrics}");
     let output = Command::new(PROGRAM)
         .args([
             "fleet",
@@ -648,12 +684,12 @@
             "--worker",
             "w2",
             "--at",
-            &door.to_string(),
+            &control_address.to_string(),
         ])
         .output();
     let output = String::from_utf8(output.unwrap().stdout).unwrap();
     assert!(output.contains("w2") && !output.contains("w3"), "{output}");
-    let view: Value = site.cluster.view(0).unwrap();
+    let view: Value = test_cluster.cluster.view(0).unwrap();
     assert!(
         view["sessions"]["pools"][0]["workers"]["w2"]
             .as_u64()
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -1,6 +1,6 @@
-//! Versions of the settings as several real processes act on them: what is published is taken by
-//! all, and no process of a node goes back behind what it has acted on, whatever becomes of its
-//! disk, its neighbours and its links.
+//! Config versions on several real processes: all nodes activate a published version, and no
+//! process of a node returns to an older version than one it has activated, whatever faults its
+//! disk, the other nodes and the links have.
 
 mod common;
 
@@ -23,9 +23,10 @@
     )
 }
 
-/// `pipitlever fleet` with these words at the door of a node.
-fn fleet(cluster: &Cluster, node: usize, words: &[&str]) -> (bool, String) {
-    let door = cluster.nodes[node]
+/// Runs `pipitlever fleet` with these arguments against the control endpoint of a node. Returns
+/// whether it succeeded, and its output.
+fn run_fleet_command(cluster: &Cluster, node: usize, arguments: &[&str]) -> (bool, String) {
+    let control_address = cluster.nodes[node]
         .process
         .as_ref()
         .unwrap()
@@ -33,8 +34,8 @@
         .to_string();
     let output = Command::new(PROGRAM)
         .arg("fleet")
-        .args(words)
-        .args(["--at", &door])
+        .args(arguments)
+        .args(["--at", &control_address])
         .output()
         .unwrap();
     (
@@ -43,7 +44,7 @@
     )
 }
 
-/// Has all know of a class of this name alone beside the usual ones.
+/// Publishes a version with one class of this name in addition to the default ones.
 fn publish(
     cluster: &Cluster,
     folder: &ScratchDirectory,
@@ -60,35 +61,35 @@
         .push(json!(true));
     let file = folder.0.join(format!("{class}.json"));
     std::fs::write(&file, json!({ "settings": settings }).to_string()).unwrap();
-    fleet(
+    run_fleet_command(
         cluster,
         node,
         &[
             "publish",
             file.to_str().unwrap(),
             "--why",
-            "a test wants it",
+            "published by a test",
         ],
     )
 }
 
-/// A publication was taken; if not, the failure says why.
-fn assert_published((taken, why): (bool, String)) {
-    assert!(taken, "{why}");
+/// Asserts that a publication was accepted; the failure shows the output of the command.
+fn assert_published((accepted, output): (bool, String)) {
+    assert!(accepted, "{output}");
 }
 
 fn versions(cluster: &Cluster, node: usize) -> Option<Value> {
     Some(cluster.view(node)?["versions"].clone())
 }
 
-fn all_act(cluster: &Cluster, nodes: &[usize], number: u64) -> bool {
+fn all_act_on(cluster: &Cluster, nodes: &[usize], number: u64) -> bool {
     nodes.iter().all(|i| {
         versions(cluster, *i).is_some_and(|v| v["acting"] == number && v["may_act"] == true)
     })
 }
 
-/// One request of a class: 0 if it was served, else the code of its error.
-fn ask(cluster: &Cluster, node: usize, class: &str) -> i64 {
+/// Sends one request of a class. Returns 0 if it was served, otherwise the error code.
+fn request(cluster: &Cluster, node: usize, class: &str) -> i64 {
     let at = cluster.nodes[node].process.as_ref().unwrap().client_address;
     let mut stream = TcpStream::connect(at).unwrap();
     stream
@@ -102,14 +103,14 @@
     answer["error"]["code"].as_i64().unwrap_or(0)
 }
 
-const NO_CLASS: i64 = -32601;
-const REFUSED: i64 = -32000;
+const UNKNOWN_CLASS: i64 = -32601;
+const REJECTED: i64 = -32000;
 
 fn disk(cluster: &Cluster, folder: &ScratchDirectory, node: usize) -> PathBuf {
     folder.0.join(&cluster.nodes[node].name).join("versions")
 }
 
-fn copy(from: &Path, to: &Path) {
+fn copy_directory(from: &Path, to: &Path) {
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).unwrap();
     for file in std::fs::read_dir(from).unwrap() {
@@ -118,7 +119,7 @@
     }
 }
 
-/// What a process said since it was started, of versions.
+/// The log lines about versions that a node's current process has written.
 fn version_lines(cluster: &Cluster, node: usize) -> Vec<String> {
     let number = cluster.nodes[node].process.as_ref().unwrap().number;
     let lines = cluster
@@ -128,44 +129,50 @@
     lines.map(|l| l.text).collect()
 }
 
-fn place(lines: &[String], part: &str) -> usize {
+fn index_of_line(lines: &[String], part: &str) -> usize {
     lines
         .iter()
         .position(|l| l.contains(part))
-        .unwrap_or_else(|| panic!("no {part}: {lines:#?}"))
+        .unwrap_or_else(|| panic!("no line with {part:?}: {lines:#?}"))
 }
 
-/// The first slice: two versions, and a node that comes back with yesterday's disk.
+/// Guards against a node that serves under a stale version after it restarted with an old copy of
+/// its disk, or with an empty one, while the fleet has activated a newer version.
 #[test]
-fn a_disk_put_back_brings_no_stale_version_back() {
+fn a_node_with_an_old_disk_serves_no_stale_version() {
     let folder = ScratchDirectory::new("versions-put-back");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
-    cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
+    cluster.wait("all nodes may act on their own files", |c| {
+        all_act_on(c, &all, 0)
+    });
     assert_eq!(
-        (ask(&cluster, 3, "rota-view"), ask(&cluster, 3, "monday")),
-        (0, NO_CLASS)
+        (
+            request(&cluster, 3, "rota-view"),
+            request(&cluster, 3, "monday")
+        ),
+        (0, UNKNOWN_CLASS)
     );
-    let (yes, text) = publish(&cluster, &folder, 0, "monday");
-    assert!(yes && text.contains("decided: 1"), "{text}");
-    cluster.wait("all act on 1", |c| all_act(c, &all, 1));
-    assert!(all.iter().all(|i| ask(&cluster, *i, "monday") == 0));
+    let (accepted, text) = publish(&cluster, &folder, 0, "monday");
+    assert!(accepted && text.contains("decided: 1"), "{text}");
+    cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
+    assert!(all.iter().all(|i| request(&cluster, *i, "monday") == 0));
     let yesterday = folder.0.join("yesterday");
-    copy(&disk(&cluster, &folder, 3), &yesterday);
-    // Only what the fleet decides: a file of a node's own may be any day's.
+    copy_directory(&disk(&cluster, &folder, 3), &yesterday);
+    // A reload does not apply the node's own file, which may be of any age: settings come from the
+    // fleet's decisions alone.
     cluster.signal(3, "-HUP");
     cluster.history.wait(0, |l| {
         l.text.contains("reload: not done") && l.text.contains("fleet publish")
     });
-    assert_eq!(ask(&cluster, 3, "monday"), 0);
+    assert_eq!(request(&cluster, 3, "monday"), 0);
 
     assert_published(publish(&cluster, &folder, 1, "tuesday"));
-    cluster.wait("all act on 2", |c| all_act(c, &all, 2));
-    assert!(all
-        .iter()
-        .all(|i| ask(&cluster, *i, "tuesday") == 0 && ask(&cluster, *i, "monday") == NO_CLASS));
-    // A version is made on top of the newest, and by an elector.
-    assert!(fleet(&cluster, 3, &["close", "1"])
+    cluster.wait("all act on 2", |c| all_act_on(c, &all, 2));
+    assert!(all.iter().all(|i| request(&cluster, *i, "tuesday") == 0
+        && request(&cluster, *i, "monday") == UNKNOWN_CLASS));
+    // Versions are published and retired by acceptors alone, each on top of the newest one.
+    assert!(run_fleet_command(&cluster, 3, &["close", "1"])
         .1
         .contains("not an acceptor"));
 
@@ -173,130 +180,150 @@
         cluster.kill(3);
         match new_disk {
             true => std::fs::remove_dir_all(disk(&cluster, &folder, 3)).unwrap(),
-            false => copy(&yesterday, &disk(&cluster, &folder, 3)),
+            false => copy_directory(&yesterday, &disk(&cluster, &folder, 3)),
         }
         cluster.start(3);
-        // While it comes up: under yesterday's version nothing is served, and under none either.
+        // During the start nothing is served, neither under the old version nor without one.
         loop {
-            let answer = ask(&cluster, 3, "monday");
+            let answer = request(&cluster, 3, "monday");
             assert!(
-                answer == REFUSED || answer == NO_CLASS,
+                answer == REJECTED || answer == UNKNOWN_CLASS,
                 "{answer} {:#?}",
                 version_lines(&cluster, 3)
             );
-            if all_act(&cluster, &[3], 2) {
+            if all_act_on(&cluster, &[3], 2) {
                 break;
             }
         }
-        // Its log is read by another thread, which may lag behind its view.
+        // The log is read by another thread, which may lag behind the view.
         let number = cluster.nodes[3].process.as_ref().unwrap().number;
         let serves = |l: &LogLine| l.process == number && l.text.contains("versions: serving");
         assert!(cluster.history.wait(0, serves).is_some());
         let lines = version_lines(&cluster, 3);
         assert!(
-            place(&lines, "minimum version is known minimum_version=2")
-                < place(&lines, "activated number=2"),
+            index_of_line(&lines, "minimum version is known minimum_version=2")
+                < index_of_line(&lines, "activated number=2"),
             "{lines:#?}"
         );
         assert!(
-            place(&lines, "activated number=2") < place(&lines, "versions: serving"),
+            index_of_line(&lines, "activated number=2")
+                < index_of_line(&lines, "versions: serving"),
             "{lines:#?}"
         );
         assert_eq!(
-            (ask(&cluster, 3, "tuesday"), ask(&cluster, 3, "monday")),
-            (0, NO_CLASS)
+            (
+                request(&cluster, 3, "tuesday"),
+                request(&cluster, 3, "monday")
+            ),
+            (0, UNKNOWN_CLASS)
         );
     }
 }
 
-/// A node that finds neither neighbours nor a disk that it may trust waits, and says why; an
-/// operator can end that.
+/// A node with an old disk that reaches no quorum of acceptors rejects requests and reports the
+/// reason, until a quorum answers or an operator accepts its minimum version.
 #[test]
-fn a_node_alone_with_yesterdays_disk_waits_for_its_neighbours() {
+fn a_node_with_an_old_disk_waits_for_a_quorum() {
     let folder = ScratchDirectory::new("versions-alone");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
-    cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
+    cluster.wait("all nodes may act on their own files", |c| {
+        all_act_on(c, &all, 0)
+    });
     publish(&cluster, &folder, 0, "monday");
-    cluster.wait("all act on 1", |c| all_act(c, &all, 1));
+    cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
     let yesterday = folder.0.join("yesterday");
-    copy(&disk(&cluster, &folder, 3), &yesterday);
+    copy_directory(&disk(&cluster, &folder, 3), &yesterday);
     publish(&cluster, &folder, 0, "tuesday");
-    cluster.wait("all act on 2", |c| all_act(c, &all, 2));
+    cluster.wait("all act on 2", |c| all_act_on(c, &all, 2));
     all.iter().for_each(|i| cluster.kill(*i));
-    copy(&yesterday, &disk(&cluster, &folder, 3));
+    copy_directory(&yesterday, &disk(&cluster, &folder, 3));
     cluster.start(3);
-    cluster.wait("it is up", |c| {
-        ask(c, 3, "rota-view") == REFUSED && ask(c, 3, "monday") == REFUSED
+    cluster.wait("n3 runs and rejects requests", |c| {
+        request(c, 3, "rota-view") == REJECTED && request(c, 3, "monday") == REJECTED
     });
-    let standing = versions(&cluster, 3).unwrap();
+    let view = versions(&cluster, 3).unwrap();
     assert!(
-        standing["why"]
+        view["why"]
             .as_str()
             .unwrap()
             .contains("no quorum of acceptors has answered"),
-        "{standing}"
+        "{view}"
     );
-    let door = cluster.nodes[3].process.as_ref().unwrap().control_address;
+    let control_address = cluster.nodes[3].process.as_ref().unwrap().control_address;
     assert_eq!(cluster.member(3, "n3").unwrap()["standing"], "starting");
-    // One elector is no majority.
+    // One acceptor is not a quorum.
     cluster.start(0);
     std::thread::sleep(Duration::from_secs(1));
     assert_eq!(
         (
-            ask(&cluster, 3, "monday"),
+            request(&cluster, 3, "monday"),
             versions(&cluster, 3).unwrap()["may_act"].clone()
         ),
-        (REFUSED, json!(false))
+        (REJECTED, json!(false))
     );
     cluster.start(1);
-    cluster.wait("it has gone forward", |c| all_act(c, &[0, 1, 3], 2));
+    cluster.wait("all running nodes act on 2", |c| {
+        all_act_on(c, &[0, 1, 3], 2)
+    });
     assert_eq!(
-        (ask(&cluster, 3, "tuesday"), ask(&cluster, 3, "monday")),
-        (0, NO_CLASS)
+        (
+            request(&cluster, 3, "tuesday"),
+            request(&cluster, 3, "monday")
+        ),
+        (0, UNKNOWN_CLASS)
     );
-    // With the electors lost for good an operator takes it upon himself, and the node says what it
-    // goes by.
+    // When the acceptors are lost permanently, an operator can accept the minimum version on the
+    // node's behalf.
     [0, 1, 3].iter().for_each(|i| cluster.kill(*i));
-    copy(&yesterday, &disk(&cluster, &folder, 3));
+    copy_directory(&yesterday, &disk(&cluster, &folder, 3));
     cluster.start(3);
-    cluster.wait("it is up", |c| ask(c, 3, "monday") == REFUSED);
-    assert!(
-        !call_control(door, "POST /fleet/accept-floor/x").is_some_and(|response| response.is_ok)
-    );
-    assert!(fleet(&cluster, 3, &["accept-floor", "1"]).0);
-    cluster.wait("it acts on what it has", |c| all_act(c, &[3], 1));
-    assert_eq!(ask(&cluster, 3, "monday"), 0);
+    cluster.wait("n3 runs and rejects requests", |c| {
+        request(c, 3, "monday") == REJECTED
+    });
+    assert!(!call_control(control_address, "POST /fleet/accept-floor/x")
+        .is_some_and(|response| response.is_ok));
+    assert!(run_fleet_command(&cluster, 3, &["accept-floor", "1"]).0);
+    cluster.wait("n3 acts on the version on its disk", |c| {
+        all_act_on(c, &[3], 1)
+    });
+    assert_eq!(request(&cluster, 3, "monday"), 0);
 }
 
-/// A replacement, a kill in the middle of a publish, and halves that don't hear each other: each
-/// node's versions only grow.
+/// Through a partition, a stopped process and a crash during a publication, the numbers of the
+/// versions that each node activates only grow.
 #[test]
-fn versions_only_grow_through_cuts_kills_and_a_stopped_process() {
+fn versions_only_grow_through_partitions_crashes_and_a_stopped_process() {
     let folder = ScratchDirectory::new("versions-grow");
     let mut cluster = cluster(&folder, 5, "without_lease = \"refuse\"\n");
     let all = [0, 1, 2, 3, 4];
-    cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
-    // n2, n3 and n4 hear nothing of what n0 and n1 decide; n2 is an elector, but no majority.
+    cluster.wait("all nodes may act on their own files", |c| {
+        all_act_on(c, &all, 0)
+    });
+    // n2, n3 and n4 receive nothing that n0 and n1 decide; n2 is an acceptor, but not a quorum.
     cluster.links.partition(5, |i| usize::from(i >= 2));
-    let (yes, text) = publish(&cluster, &folder, 0, "monday");
-    assert!(yes, "{text}");
-    cluster.wait("the larger half acts on 1", |c| all_act(c, &[0, 1], 1));
-    // Without a lease the others refuse: what they would do could be stale for as long as they are
-    // cut off.
-    cluster.wait("the others refuse", |c| {
-        [2, 3, 4].iter().all(|i| ask(c, *i, "rota-view") == REFUSED)
+    let (accepted, text) = publish(&cluster, &folder, 0, "monday");
+    assert!(accepted, "{text}");
+    cluster.wait("the part with a quorum acts on 1", |c| {
+        all_act_on(c, &[0, 1], 1)
+    });
+    // Without a lease the other nodes reject requests, as their version may be stale for as long as
+    // they are cut off.
+    cluster.wait("the other nodes reject requests", |c| {
+        [2, 3, 4]
+            .iter()
+            .all(|i| request(c, *i, "rota-view") == REJECTED)
     });
     assert!(versions(&cluster, 3).unwrap()["why"]
         .as_str()
         .unwrap()
         .contains("lease"));
-    let refused = publish(&cluster, &folder, 2, "sunday");
-    assert!(!refused.0, "{}", refused.1);
-    // Stopped while the next one is published and the one before is closed, with a request in its
-    // socket.
+    let rejected = publish(&cluster, &folder, 2, "sunday");
+    assert!(!rejected.0, "{}", rejected.1);
+    // n4 is stopped, with a request in its socket, while the next version is published and the
+    // earlier ones are retired.
     cluster.links.heal();
-    cluster.wait("all act on 1", |c| all_act(c, &all, 1));
+    cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
     cluster.signal(4, "-STOP");
     let at = cluster.nodes[4].process.as_ref().unwrap().client_address;
     let mut stream = TcpStream::connect(at).unwrap();
@@ -304,8 +331,8 @@
     stream.write_all(format!("{message}\n").as_bytes()).unwrap();
     assert_published(publish(&cluster, &folder, 1, "tuesday"));
     cluster.kill(3);
-    cluster.wait("the others act on 2", |c| all_act(c, &[0, 1, 2], 2));
-    assert!(fleet(&cluster, 0, &["close", "2"]).0);
+    cluster.wait("the other nodes act on 2", |c| all_act_on(c, &[0, 1, 2], 2));
+    assert!(run_fleet_command(&cluster, 0, &["close", "2"]).0);
     let closed = cluster.history.wait(0, |l| {
         l.text
             .contains("retired all versions below minimum_version=2")
@@ -317,16 +344,15 @@
     BufReader::new(stream).read_line(&mut line).unwrap();
     let answer: Value = serde_json::from_str(&line).unwrap();
     assert_eq!(
-        answer["error"]["code"], REFUSED,
-        "under a closed version nothing is begun: {answer}"
+        answer["error"]["code"], REJECTED,
+        "a request was started under a retired version: {answer}"
     );
     assert_eq!(cluster.nodes[4].processor.started_run_count(), runs);
     cluster.start(3);
-    cluster.wait("all act on 2", |c| all_act(c, &all, 2));
-    assert!(all
-        .iter()
-        .all(|i| ask(&cluster, *i, "tuesday") == 0 && ask(&cluster, *i, "monday") == NO_CLASS));
-    // What each node has acted on, over all its processes, only grew.
+    cluster.wait("all act on 2", |c| all_act_on(c, &all, 2));
+    assert!(all.iter().all(|i| request(&cluster, *i, "tuesday") == 0
+        && request(&cluster, *i, "monday") == UNKNOWN_CLASS));
+    // The versions that each node activated only grew, over all its processes.
     for node in all {
         let numbers: Vec<u64> = cluster
             .history
@@ -347,45 +373,53 @@
     }
 }
 
-/// A successor acts on what its predecessor did, at once and through a publish that comes
-/// meanwhile; and where it dies again the first one goes on from what it has written.
+/// A successor acts on its predecessor's version at once, and on a version that is published during
+/// the hot restart. When the successor crashes, the predecessor resumes from the state that the
+/// successor has written to disk.
 #[test]
 fn a_replacement_neither_goes_back_nor_stops_serving() {
     let folder = ScratchDirectory::new("versions-replaced");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
-    cluster.wait("all may act on their own files", |c| all_act(c, &all, 0));
+    cluster.wait("all nodes may act on their own files", |c| {
+        all_act_on(c, &all, 0)
+    });
     assert_published(publish(&cluster, &folder, 0, "monday"));
-    cluster.wait("all act on 1", |c| all_act(c, &all, 1));
-    // n1 is an elector, n3 is none.
+    cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
+    // n1 is an acceptor, n3 is not.
     for (node, class) in [(1, "tuesday"), (3, "wednesday")] {
         let acting = versions(&cluster, node).unwrap()["acting"]
             .as_u64()
             .unwrap();
-        let usual = ["monday", "tuesday"][acting as usize - 1];
+        let old_class = ["monday", "tuesday"][acting as usize - 1];
         let listen = cluster.nodes[node].process.as_ref().unwrap().client_address;
-        let behind = cluster.history.lines().len();
+        let line_count = cluster.history.lines().len();
         let launched = cluster.launch(node, &format!("n{node}"), Some(listen));
         let number = launched.number;
-        // Callers ask all the while, of whatever process serves.
-        let mut asked = Vec::new();
+        // Requests reach either process until the successor serves.
+        let mut codes = Vec::new();
         let serves = |c: &Cluster| {
-            c.history.lines()[behind..]
+            c.history.lines()[line_count..]
                 .iter()
                 .any(|l| l.process == number && l.text.contains("fleet: serving"))
         };
         while !serves(&cluster) {
-            asked.push(ask(&cluster, node, usual));
+            codes.push(request(&cluster, node, old_class));
         }
-        // Published while the two change places.
+        // Published during the hot restart.
         assert_published(publish(&cluster, &folder, 0, class));
         let successor = cluster.wait_ready(launched);
         let mut old = cluster.nodes[node].process.replace(successor).unwrap();
-        cluster.wait("the new one acts on it", |c| all_act(c, &all, acting + 1));
-        assert!(asked.iter().all(|code| *code == 0), "{asked:?}");
+        cluster.wait("all nodes act on the new version", |c| {
+            all_act_on(c, &all, acting + 1)
+        });
+        assert!(codes.iter().all(|code| *code == 0), "{codes:?}");
         assert_eq!(
-            (ask(&cluster, node, class), ask(&cluster, node, usual)),
-            (0, NO_CLASS)
+            (
+                request(&cluster, node, class),
+                request(&cluster, node, old_class)
+            ),
+            (0, UNKNOWN_CLASS)
         );
         let lines = version_lines(&cluster, node);
         assert!(
@@ -397,42 +431,42 @@
         assert_eq!(old.wait().code(), Some(0));
     }
 
-    // One that takes over, votes for and acts on another version, and dies.
+    // A successor takes over, votes for and activates another version, and crashes.
     let listen = cluster.nodes[1].process.as_ref().unwrap().client_address;
-    let first = cluster.nodes[1].process.take().unwrap();
+    let predecessor = cluster.nodes[1].process.take().unwrap();
     let successor = cluster.start_process(1, "n1", Some(listen));
     cluster.nodes[1].process = Some(successor);
-    cluster.wait("it is the member", |c| {
+    cluster.wait("the successor is the member", |c| {
         versions(c, 1).is_some_and(|v| v["may_act"] == true)
     });
-    // It may act under what was passed on to it before it may publish: until then it says so, and
-    // nothing else.
-    cluster.wait("it publishes", |c| {
-        let (taken, why) = publish(c, &folder, 1, "thursday");
+    // The successor may act on the transferred version before it may publish. Until then a
+    // publication fails with this reason and no other.
+    cluster.wait("the successor publishes", |c| {
+        let (accepted, output) = publish(c, &folder, 1, "thursday");
         assert!(
-            taken || why.contains("has not written its incarnation or verified its disk yet"),
-            "{why}"
+            accepted || output.contains("has not written its incarnation or verified its disk yet"),
+            "{output}"
         );
-        taken
+        accepted
     });
-    cluster.wait("all act on 4", |c| all_act(c, &all, 4));
+    cluster.wait("all act on 4", |c| all_act_on(c, &all, 4));
     cluster.nodes[1].process.as_ref().unwrap().signal("-KILL");
-    cluster.nodes[1].process = Some(first);
+    cluster.nodes[1].process = Some(predecessor);
     loop {
-        let answer = ask(&cluster, 1, "wednesday");
+        let answer = request(&cluster, 1, "wednesday");
         assert!(
-            answer == REFUSED || answer == NO_CLASS,
+            answer == REJECTED || answer == UNKNOWN_CLASS,
             "{answer}: {:#?}",
             version_lines(&cluster, 1)
         );
-        if all_act(&cluster, &all, 4) {
+        if all_act_on(&cluster, &all, 4) {
             break;
         }
     }
     assert!(
         publish(&cluster, &folder, 1, "friday").0,
-        "it votes again, and nobody doubts its disk"
+        "the predecessor votes again with its disk verified"
     );
-    cluster.wait("all act on 5", |c| all_act(c, &all, 5));
+    cluster.wait("all act on 5", |c| all_act_on(c, &all, 5));
     assert!(cluster.lines_containing("no longer votes").is_empty());
 }
