--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 const NODES: usize = 5;
-const AFFINITY_WAIT_MS: u64 = 1_500;
+const SESSION_WAIT_MS: u64 = 1_500;
 /// Default limit of concurrent runs of a worker, over all nodes.
 const MOST_RUNS: u64 = 1_024;
 /// Enough cores for all requests of the clients.
@@ -77,7 +77,7 @@
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 4000\n\
          [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\npool = \"{pool}\"\n\
          [[pool]]\nname = \"{pool}\"\nwas = [{was}]\nshare = true\n\
-         [pool.affinity]\nsession = \"HTTP_X_TERMINAL\"\npatience_ms = {AFFINITY_WAIT_MS}\n{members}"
+         [pool.affinity]\nsession = \"HTTP_X_TERMINAL\"\npatience_ms = {SESSION_WAIT_MS}\n{members}"
     )
 }
 
@@ -631,7 +631,11 @@
     let settled = answers.len();
     std::thread::sleep(Duration::from_secs(1));
     let answers = clients.answers.lock().unwrap().clone();
-    assert_eq!(moves(&answers, settled), [], "no session moves after that");
+    assert_eq!(
+        moves(&answers, settled),
+        [],
+        "sessions moved after the heal had settled"
+    );
     let settled = answers.len();
 
     // w1 fails and refuses connections. No run can have started there, so its sessions move at
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -465,7 +465,7 @@
     }
     assert!(
         publish(&cluster, &folder, 1, "friday").0,
-        "the predecessor votes again with its disk verified"
+        "the predecessor does not vote again, or its disk is not verified"
     );
     cluster.wait("all act on 5", |c| all_act_on(c, &all, 5));
     assert!(cluster.lines_containing("no longer votes").is_empty());
