--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -1,5 +1,6 @@
-//! Pools that several real processes divide among themselves: what their runs at one worker add up
-//! to, whatever is cut, killed or stopped; who uses whom; and whose turn it is.
+//! Pools shared by several real processes: the sum of their concurrent runs at one worker through
+//! partitions, crashes and stopped processes, the assignment of workers to nodes, and the turns in
+//! which nodes probe an ejected worker.
 
 mod common;
 
@@ -12,35 +13,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A stand-in worker that takes its time, and knows how many runs it has at once.
-struct Desk {
+/// A stand-in worker that answers after a fixed delay and counts its concurrent runs.
+struct WorkerStandIn {
     at: SocketAddr,
-    now: Arc<AtomicUsize>,
-    most: Arc<AtomicUsize>,
+    running: Arc<AtomicUsize>,
+    peak: Arc<AtomicUsize>,
     runs: Arc<AtomicUsize>,
     fails: Arc<AtomicBool>,
 }
 
-const TAKES: Duration = Duration::from_millis(100);
+const RUN_DURATION: Duration = Duration::from_millis(100);
 
-impl Desk {
-    fn start() -> Desk {
+impl WorkerStandIn {
+    fn start() -> WorkerStandIn {
         let worker = Worker::new();
-        let desk = Desk {
+        let worker_stand_in = WorkerStandIn {
             at: worker.address(),
-            now: Arc::default(),
-            most: Arc::default(),
+            running: Arc::default(),
+            peak: Arc::default(),
             runs: Arc::default(),
             fails: Arc::default(),
         };
-        let (now, most, runs, fails) = (
-            desk.now.clone(),
-            desk.most.clone(),
-            desk.runs.clone(),
-            desk.fails.clone(),
+        let (running, peak, runs, fails) = (
+            worker_stand_in.running.clone(),
+            worker_stand_in.peak.clone(),
+            worker_stand_in.runs.clone(),
+            worker_stand_in.fails.clone(),
         );
         std::thread::spawn(move || loop {
-            // One that was killed meanwhile has sent a part at the most.
+            // A node that is killed while it sends leaves an incomplete request.
             let Some((mut stream, _)) = Worker::try_read(worker.0.accept().unwrap().0) else {
                 continue;
             };
@@ -48,33 +49,38 @@
             if fails.load(SeqCst) {
                 continue;
             }
-            most.fetch_max(now.fetch_add(1, SeqCst) + 1, SeqCst);
-            let now = now.clone();
+            peak.fetch_max(running.fetch_add(1, SeqCst) + 1, SeqCst);
+            let running = running.clone();
             std::thread::spawn(move || {
-                std::thread::sleep(TAKES);
-                now.fetch_sub(1, SeqCst);
+                std::thread::sleep(RUN_DURATION);
+                running.fetch_sub(1, SeqCst);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nwell");
             });
         });
-        desk
+        worker_stand_in
     }
 }
 
-/// Runs that a worker may have at once.
-const MOST: usize = 10;
+/// Limit of concurrent runs of a worker.
+const RUN_LIMIT: usize = 10;
 
-fn cluster(folder: &ScratchDirectory, nodes: usize, desks: &[Desk], more: &str) -> Cluster {
+fn cluster(
+    folder: &ScratchDirectory,
+    nodes: usize,
+    workers: &[WorkerStandIn],
+    more: &str,
+) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
-    let member = |(i, desk): (usize, &Desk)| {
+    let member = |(i, worker_stand_in): (usize, &WorkerStandIn)| {
         format!(
-            "[[pool.member]]\naddress = \"{}\"\nname = \"w{i}\"\nmost_runs = {MOST}\n",
-            desk.at
+            "[[pool.member]]\naddress = \"{}\"\nname = \"w{i}\"\nmost_runs = {RUN_LIMIT}\n",
+            worker_stand_in.at
         )
     };
     let mut config = configuration(&json!({}));
-    // Cores for all that the workers may have: it is their bound that is looked at.
+    // Enough cores for all runs of the workers, so that only the limits of the workers apply.
     config["settings"]["familyInfo"]["cpus"] = json!(40);
-    let members: String = desks.iter().enumerate().map(member).collect();
+    let members: String = workers.iter().enumerate().map(member).collect();
     let more = format!(
             "share_apart = \"least\"\n\
              [fleet.versions]\nfolder = \"FOLDER/versions\"\nelectors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 1000\n\
@@ -85,22 +91,22 @@
     Cluster::start_converged(spec, nodes)
 }
 
-/// Callers of one node, a few at a time, until they are dropped.
+/// Clients of one node, each with one request at a time, until the load is dropped.
 struct Load {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicUsize>,
 }
 
 impl Load {
-    fn start(cluster: &Cluster, node: usize, callers: usize) -> Load {
+    fn start(cluster: &Cluster, node: usize, clients: usize) -> Load {
         let at = cluster.nodes[node].process.as_ref().unwrap().client_address;
         let load = Load {
             stop: Arc::default(),
             served: Arc::default(),
         };
-        for _ in 0..callers {
+        for _ in 0..clients {
             let (stop, served) = (load.stop.clone(), load.served.clone());
-            std::thread::spawn(move || calls(at, &stop, &served));
+            std::thread::spawn(move || send_requests(at, &stop, &served));
         }
         load
     }
@@ -112,7 +118,7 @@
     }
 }
 
-fn calls(at: SocketAddr, stop: &AtomicBool, served: &AtomicUsize) -> Option<()> {
+fn send_requests(at: SocketAddr, stop: &AtomicBool, served: &AtomicUsize) -> Option<()> {
     let mut stream = TcpStream::connect(at).ok()?;
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
@@ -139,20 +145,20 @@
     Some(())
 }
 
-/// What a node has of each worker: whether it uses it, and how many runs it may have there.
-fn parts(cluster: &Cluster, node: usize) -> Option<Vec<(bool, usize)>> {
+/// A node's share of each worker: whether the node uses the worker, and its limit of runs there.
+fn shares(cluster: &Cluster, node: usize) -> Option<Vec<(bool, usize)>> {
     let view = cluster.view(node)?;
     let workers = view["share"][0]["workers"].as_array()?.clone();
-    let part = |w: &Value| Some((w["used"].as_bool()?, w["most_runs"].as_u64()? as usize));
-    workers.iter().map(part).collect()
+    let share = |w: &Value| Some((w["used"].as_bool()?, w["most_runs"].as_u64()? as usize));
+    workers.iter().map(share).collect()
 }
 
-/// What the nodes have of each worker together.
+/// The sum of the nodes' shares of each worker.
 fn sums(cluster: &Cluster, nodes: &[usize], workers: usize) -> Option<Vec<usize>> {
     let mut sums = vec![0; workers];
     for node in nodes {
-        let parts = parts(cluster, *node)?;
-        parts
+        let shares = shares(cluster, *node)?;
+        shares
             .iter()
             .zip(&mut sums)
             .for_each(|((used, runs), sum)| *sum += if *used { *runs } else { 0 });
@@ -160,105 +166,141 @@
     Some(sums)
 }
 
-/// Whether no worker had more runs than this since it was last looked. Nothing is promised of a
-/// node that got no time for as long as news takes, and that says so: on a machine that is busy
-/// with other things.
-fn within(
+/// Whether no worker had more than `limit` concurrent runs since the last call. The limit is not
+/// guaranteed for a node that was starved of CPU for as long as an update takes to arrive, as on a
+/// busy machine; such a node logs that.
+fn stays_within(
     cluster: &Cluster,
-    desks: &[Desk],
-    most: usize,
+    workers: &[WorkerStandIn],
+    limit: usize,
     stopped: &[usize],
-    behind: &mut usize,
+    seen_lines: &mut usize,
 ) -> bool {
-    let seen = peaks(desks);
-    let late = |l: &pipitlever_cluster_testing::process_control::LogLine| {
+    let seen = peaks(workers);
+    let is_delay = |l: &pipitlever_cluster_testing::process_control::LogLine| {
         l.text.contains("this node was not there") && !stopped.contains(&l.node)
     };
     let lines = cluster.history.lines();
-    let late = lines[*behind..].iter().filter(|l| late(l)).count();
-    *behind = lines.len();
-    println!("runs at once: {seen:?}, {most} at the most; nodes were late {late} times");
-    seen.iter().all(|s| *s <= most) || late > 0
+    let delays = lines[*seen_lines..].iter().filter(|l| is_delay(l)).count();
+    *seen_lines = lines.len();
+    println!("concurrent runs: {seen:?}, limit {limit}; local delays logged: {delays}");
+    seen.iter().all(|s| *s <= limit) || delays > 0
 }
 
-fn peaks(desks: &[Desk]) -> Vec<usize> {
-    desks.iter().map(|d| d.most.swap(0, SeqCst)).collect()
+fn peaks(workers: &[WorkerStandIn]) -> Vec<usize> {
+    workers.iter().map(|d| d.peak.swap(0, SeqCst)).collect()
 }
 
 #[test]
-fn bounds_of_all_nodes_add_up_through_kills_cuts_and_stops() {
+fn shares_add_up_through_crashes_partitions_and_stopped_processes() {
     let folder = ScratchDirectory::new("share-bounds");
-    let desks: Vec<Desk> = (0..3).map(|_| Desk::start()).collect();
-    let mut cluster = cluster(&folder, 5, &desks, "");
+    let workers: Vec<WorkerStandIn> = (0..3).map(|_| WorkerStandIn::start()).collect();
+    let mut cluster = cluster(&folder, 5, &workers, "");
     let all = [0, 1, 2, 3, 4];
-    let whole = |c: &Cluster, nodes: &[usize]| sums(c, nodes, 3) == Some(vec![MOST; 3]);
-    let mut behind = 0;
-    cluster.wait("all of each bound is divided", |c| whole(c, &all));
+    let adds_up = |c: &Cluster, nodes: &[usize]| sums(c, nodes, 3) == Some(vec![RUN_LIMIT; 3]);
+    let mut seen_lines = 0;
+    cluster.wait("the shares add up to each limit", |c| adds_up(c, &all));
 
-    // Far more callers than the workers may have runs.
+    // Far more clients than the workers may have runs.
     let mut loads: Vec<Load> = all.iter().map(|i| Load::start(&cluster, *i, 12)).collect();
     std::thread::sleep(Duration::from_secs(3));
-    let seen = peaks(&desks);
-    assert!(seen.iter().all(|most| *most <= MOST), "{seen:?}");
+    let seen = peaks(&workers);
+    assert!(seen.iter().all(|peak| *peak <= RUN_LIMIT), "{seen:?}");
     assert!(
-        seen.iter().sum::<usize>() >= 2 * MOST,
-        "the workers are made use of: {seen:?}"
+        seen.iter().sum::<usize>() >= 2 * RUN_LIMIT,
+        "the workers are under-used: {seen:?}"
     );
 
-    // One that dies: what it had is nobody's until it is certain, and then the others'.
+    // The share of a crashed node stays unused until the crash is certain, then the other nodes
+    // divide it.
     loads.remove(4);
     cluster.kill(4);
-    cluster.wait("the others have its part", |c| whole(c, &[0, 1, 2, 3]));
-    assert!(within(&cluster, &desks, MOST, &[], &mut behind));
+    cluster.wait("the other nodes have its share", |c| {
+        adds_up(c, &[0, 1, 2, 3])
+    });
+    assert!(stays_within(
+        &cluster,
+        &workers,
+        RUN_LIMIT,
+        &[],
+        &mut seen_lines
+    ));
     cluster.start(4);
-    cluster.wait("it has its part again", |c| whole(c, &all));
+    cluster.wait("the node has its share again", |c| adds_up(c, &all));
     loads.push(Load::start(&cluster, 4, 12));
 
-    // Two are cut off from the electors: they keep to one run for each worker by the time that the
-    // others take over.
+    // Two nodes are cut off from the acceptors: they are down to one run at each worker before the
+    // other nodes take over their shares.
     cluster.links.partition(5, |i| usize::from(i >= 3));
-    let least = |c: &Cluster| {
+    let are_at_minimum = |c: &Cluster| {
         [3, 4]
             .iter()
-            .all(|i| parts(c, *i).is_some_and(|p| p.iter().all(|(_, runs)| *runs == 1)))
+            .all(|i| shares(c, *i).is_some_and(|p| p.iter().all(|(_, runs)| *runs == 1)))
     };
-    cluster.wait("they keep to the least", least);
-    cluster.wait("the others have all", |c| whole(c, &[0, 1, 2]));
+    cluster.wait(
+        "the nodes that are cut off are down to one run",
+        are_at_minimum,
+    );
+    cluster.wait("the other nodes divide all of each limit", |c| {
+        adds_up(c, &[0, 1, 2])
+    });
     std::thread::sleep(Duration::from_secs(1));
-    // One run each of those that are cut off.
-    assert!(within(&cluster, &desks, MOST + 2, &[], &mut behind));
+    // The nodes that are cut off may have one run each beyond the limit.
+    assert!(stays_within(
+        &cluster,
+        &workers,
+        RUN_LIMIT + 2,
+        &[],
+        &mut seen_lines
+    ));
     assert!(loads[3].served.load(SeqCst) > 0);
     cluster.links.heal();
-    cluster.wait("all of each bound is divided again", |c| whole(c, &all));
-    std::thread::sleep(2 * TAKES);
-    peaks(&desks);
+    cluster.wait("the shares add up to each limit again", |c| {
+        adds_up(c, &all)
+    });
+    std::thread::sleep(2 * RUN_DURATION);
+    peaks(&workers);
 
-    // One that stands still, with its callers' requests in its sockets, has nothing of it when it
-    // wakes.
+    // A stopped node, with its clients' requests in its sockets, has lost its share when it
+    // resumes.
     cluster.signal(3, "-STOP");
-    cluster.wait("the others have its part", |c| whole(c, &[0, 1, 2, 4]));
-    assert!(within(&cluster, &desks, MOST, &[3], &mut behind));
+    cluster.wait("the other nodes have its share", |c| {
+        adds_up(c, &[0, 1, 2, 4])
+    });
+    assert!(stays_within(
+        &cluster,
+        &workers,
+        RUN_LIMIT,
+        &[3],
+        &mut seen_lines
+    ));
     cluster.signal(3, "-CONT");
-    cluster.wait("it has its part again", |c| whole(c, &all));
-    assert!(within(&cluster, &desks, MOST + 1, &[3], &mut behind));
+    cluster.wait("the node has its share again", |c| adds_up(c, &all));
+    assert!(stays_within(
+        &cluster,
+        &workers,
+        RUN_LIMIT + 1,
+        &[3],
+        &mut seen_lines
+    ));
 }
 
 #[test]
-fn what_an_idle_node_leaves_is_the_busy_ones() {
+fn a_busy_node_gets_the_share_of_idle_nodes() {
     let folder = ScratchDirectory::new("share-idle");
-    let desks: Vec<Desk> = (0..3).map(|_| Desk::start()).collect();
-    let cluster = cluster(&folder, 4, &desks, "");
-    cluster.wait("all of each bound is divided", |c| {
-        sums(c, &[0, 1, 2, 3], 3) == Some(vec![MOST; 3])
+    let workers: Vec<WorkerStandIn> = (0..3).map(|_| WorkerStandIn::start()).collect();
+    let cluster = cluster(&folder, 4, &workers, "");
+    cluster.wait("the shares add up to each limit", |c| {
+        sums(c, &[0, 1, 2, 3], 3) == Some(vec![RUN_LIMIT; 3])
     });
     let start = Instant::now();
     let _load = Load::start(&cluster, 1, 40);
-    // One run of each bound is left to each of the others.
-    cluster.wait("the busy one has it", |c| {
-        parts(c, 1).is_some_and(|p| p.iter().all(|(_, runs)| *runs >= MOST - 3))
+    // Each of the other nodes keeps one run of each limit.
+    cluster.wait("the busy node has the spare capacity", |c| {
+        shares(c, 1).is_some_and(|p| p.iter().all(|(_, runs)| *runs >= RUN_LIMIT - 3))
     });
     println!(
-        "an idle node's part was the busy one's after {:?}",
+        "the busy node had the idle nodes' share after {:?}",
         start.elapsed()
     );
     assert!(
@@ -267,18 +309,19 @@
         start.elapsed()
     );
     std::thread::sleep(Duration::from_secs(1));
-    let seen = peaks(&desks);
+    let seen = peaks(&workers);
     assert!(
-        seen.iter().all(|most| (MOST / 2..=MOST).contains(most)),
+        seen.iter()
+            .all(|peak| (RUN_LIMIT / 2..=RUN_LIMIT).contains(peak)),
         "{seen:?}"
     );
 }
 
 #[test]
-fn subsets_are_even_move_little_and_trials_take_turns() {
+fn subsets_are_even_and_stable_and_probes_take_turns() {
     let folder = ScratchDirectory::new("share-subsets");
-    let desks: Vec<Desk> = (0..8).map(|_| Desk::start()).collect();
-    let mut cluster = cluster(&folder, 6, &desks, "subset = 4\n");
+    let workers: Vec<WorkerStandIn> = (0..8).map(|_| WorkerStandIn::start()).collect();
+    let mut cluster = cluster(&folder, 6, &workers, "subset = 4\n");
     let all = [0, 1, 2, 3, 4, 5];
     let uses = |c: &Cluster, nodes: &[usize]| -> Option<Vec<Vec<usize>>> {
         let used = |p: Vec<(bool, usize)>| {
@@ -288,24 +331,24 @@
                 .map(|(i, _)| i)
                 .collect()
         };
-        nodes.iter().map(|i| parts(c, *i).map(used)).collect()
+        nodes.iter().map(|i| shares(c, *i).map(used)).collect()
     };
-    let even = |c: &Cluster, nodes: &[usize]| {
+    let is_even = |c: &Cluster, nodes: &[usize]| {
         uses(c, nodes).is_some_and(|uses| {
             let count = |w: usize| uses.iter().filter(|u| u.contains(&w)).count();
             let counts: Vec<usize> = (0..8).map(count).collect();
-            let whole = sums(c, nodes, 8) == Some(vec![MOST; 8]);
-            whole
+            let adds_up = sums(c, nodes, 8) == Some(vec![RUN_LIMIT; 8]);
+            adds_up
                 && uses.iter().all(|u| u.len() == 4)
                 && counts.iter().max().unwrap() - counts.iter().min().unwrap() <= 1
         })
     };
     cluster.wait("each worker has three nodes, each node four workers", |c| {
-        even(c, &all)
+        is_even(c, &all)
     });
     let before = uses(&cluster, &all).unwrap();
     cluster.kill(5);
-    cluster.wait("it is even without one", |c| even(c, &all[..5]));
+    cluster.wait("assignments are even without n5", |c| is_even(c, &all[..5]));
     let after = uses(&cluster, &all[..5]).unwrap();
     let moved: usize = before
         .iter()
@@ -317,50 +360,57 @@
         "{moved} of 20 pairs moved: {before:?} {after:?}"
     );
     cluster.start(5);
-    cluster.wait("it is even with it again", |c| even(c, &all));
+    cluster.wait("assignments are even with n5 again", |c| is_even(c, &all));
     assert_eq!(
         uses(&cluster, &all).unwrap(),
         before,
-        "who comes back has what it had"
+        "n5 got other assignments than before"
     );
 
-    // A worker that fails all it gets is tried by one at a time, and nobody's callers notice.
+    // A worker that fails all its requests is probed by one node at a time, and clients are served
+    // meanwhile.
     let loads: Vec<Load> = all.iter().map(|i| Load::start(&cluster, *i, 3)).collect();
-    let of: Vec<usize> = all
+    let users: Vec<usize> = all
         .iter()
         .copied()
         .filter(|i| before[*i].contains(&0))
         .collect();
-    desks[0].fails.store(true, SeqCst);
-    let out = |c: &Cluster| {
-        of.iter().all(|i| {
+    workers[0].fails.store(true, SeqCst);
+    let is_ejected = |c: &Cluster| {
+        users.iter().all(|i| {
             c.history.lines().iter().any(|l| {
-                l.node == *i && l.text.contains(&format!("ejected member={} ", desks[0].at))
+                l.node == *i
+                    && l.text
+                        .contains(&format!("ejected member={} ", workers[0].at))
             })
         })
     };
-    cluster.wait("all that use it have left it out", out);
-    let (tries, since) = (desks[0].runs.load(SeqCst), Instant::now());
+    cluster.wait("all nodes that use the worker have ejected it", is_ejected);
+    let (requests_before, since) = (workers[0].runs.load(SeqCst), Instant::now());
     std::thread::sleep(Duration::from_secs(9));
-    let tries = desks[0].runs.load(SeqCst) - tries;
+    let probes = workers[0].runs.load(SeqCst) - requests_before;
     println!(
-        "{} nodes tried it {tries} times in {:?}",
-        of.len(),
+        "{} nodes sent {probes} probes in {:?}",
+        users.len(),
         since.elapsed()
     );
-    // Each by itself comes on trial after 2 and 6 s, and had it out for 2 s before: without turns
-    // it is two for each.
-    assert!(tries < 2 * of.len(), "{tries} tries by {} nodes", of.len());
-    desks[0].fails.store(false, SeqCst);
-    let back = |c: &Cluster| {
-        of.iter().all(|i| {
+    // Without probe turns each node would probe the worker twice, 2 s and 6 s after its ejection:
+    // the first ejection lasts 2 s, and the duration doubles with each further one.
+    assert!(
+        probes < 2 * users.len(),
+        "{probes} probes by {} nodes",
+        users.len()
+    );
+    workers[0].fails.store(false, SeqCst);
+    let is_recovered = |c: &Cluster| {
+        users.iter().all(|i| {
             c.history.lines().iter().any(|l| {
                 l.node == *i
                     && l.text
-                        .ends_with(&format!("recovered member={}", desks[0].at))
+                        .ends_with(&format!("recovered member={}", workers[0].at))
             })
         })
     };
-    cluster.wait("all have it back", back);
+    cluster.wait("all nodes use the worker again", is_recovered);
     assert!(loads.iter().all(|l| l.served.load(SeqCst) > 0));
 }
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -1,8 +1,8 @@
-//! A soak: three nodes under clients that keep using every connection until its process is gone,
-//! through a schedule of signals, replacements, kills, crowds, publications and cuts that one seed
-//! draws. The rules of the pages hold at each step.
+//! A soak test: three nodes under clients that use each connection until its process has ended,
+//! through a schedule of signals, hot restarts, kills, bursts of connections, publications and link
+//! faults that is drawn from a seed. The protocol's guarantees are checked after each step.
 //!
-//! The long form, with one line for each seed:
+//! The long form, for a range of seeds:
 //! `SOAK_SEEDS="1 50" cargo test -p pipitlever-node --test soak -- --ignored --nocapture`
 
 mod common;
@@ -23,14 +23,15 @@
 const NODES: usize = 3;
 const CLIENTS_PER_NODE: usize = 2;
 const STEPS: usize = 8;
-/// From SIGTERM to the kill (`stop_ms` of the platform configuration). The process ends before.
+/// Time from SIGTERM to the kill (`stop_ms` of the platform configuration). The process has to end
+/// before.
 const STOP: Duration = Duration::from_millis(2_000);
-/// Clients wait 4 s, and an answer may be late by `answerSlack`, 0.1 s (DESIGN, the protocol page).
+/// Clients wait 4 s, and an answer may be late by `answerSlack`, 0.1 s.
 const DEADLINE: Duration = Duration::from_millis(4_100);
-/// A killed process's connections end at once; a client notices when it next reads.
-const KILL_NOTICED: Duration = Duration::from_millis(500);
-/// Connections of a crowd, each with a request.
-const CROWD: usize = 200;
+/// A killed process's connections end at once; a client detects that at its next read.
+const KILL_DETECTION_TIME: Duration = Duration::from_millis(500);
+/// Connections of a burst, each with a request.
+const BURST_CONNECTIONS: usize = 200;
 /// Descriptors that come and go with the membership's syncs (`MAX_SYNCS` of the driver), and the
 /// connection to the processor.
 const CHANGING_DESCRIPTORS: usize = 9;
@@ -40,43 +41,43 @@
 enum Step {
     /// Two reloads, the second one within the first.
     TwoReloads,
-    /// SIGTERM right after SIGHUP, and a new start.
-    ReloadAndLeave,
-    /// SIGTERM twice, and a new start.
-    LeaveTwice,
-    /// A replacement, with the predecessor's SIGTERM as soon as it is allowed.
+    /// SIGTERM right after SIGHUP, then a new start.
+    ReloadAndTerminate,
+    /// SIGTERM twice, then a new start.
+    TerminateTwice,
+    /// A hot restart, with SIGTERM to the predecessor as early as is allowed.
     Replace,
-    /// A replacement of a process that has just taken over.
+    /// A hot restart of a process that has just taken over.
     ReplaceTwice,
-    /// A successor that is told to leave, at any moment.
-    SuccessorLeaves,
-    /// A successor that is killed, at any moment.
-    SuccessorDies,
-    /// A predecessor that is told to leave while its successor starts, and a new start.
-    PredecessorLeaves,
-    /// A kill without notice, and a new start.
+    /// SIGTERM to a successor, at any moment.
+    SuccessorTerminates,
+    /// SIGKILL to a successor, at any moment.
+    SuccessorKilled,
+    /// SIGTERM to a predecessor while its successor starts, then a new start.
+    PredecessorTerminates,
+    /// SIGKILL, then a new start.
     Kill,
     /// A burst of connections and requests.
-    Crowd,
+    Burst,
     /// A publication of a config version.
     Publish,
     /// Cut and slow links between the nodes.
-    Cuts,
+    CutLinks,
 }
 
 const ALL_STEPS: [Step; 12] = [
     Step::TwoReloads,
-    Step::ReloadAndLeave,
-    Step::LeaveTwice,
+    Step::ReloadAndTerminate,
+    Step::TerminateTwice,
     Step::Replace,
     Step::ReplaceTwice,
-    Step::SuccessorLeaves,
-    Step::SuccessorDies,
-    Step::PredecessorLeaves,
+    Step::SuccessorTerminates,
+    Step::SuccessorKilled,
+    Step::PredecessorTerminates,
     Step::Kill,
-    Step::Crowd,
+    Step::Burst,
     Step::Publish,
-    Step::Cuts,
+    Step::CutLinks,
 ];
 
 /// A process that was killed: its clients may lose what was in flight.
@@ -85,13 +86,13 @@
     at: Instant,
 }
 
-/// A run of one seed.
+/// The state of a soak of one seed.
 struct Soak {
     cluster: Cluster,
     rng: Rng,
     kills: Vec<KilledProcess>,
     /// The config version that each node last acted on.
-    acting: [u64; NODES],
+    active_versions: [u64; NODES],
     folder: ScratchDirectory,
 }
 
@@ -107,7 +108,7 @@
             cluster: Cluster::start_converged(config, NODES),
             rng: Rng::with_seed(seed),
             kills: Vec::new(),
-            acting: [0; NODES],
+            active_versions: [0; NODES],
             folder,
         }
     }
@@ -121,7 +122,7 @@
         process.expect("the node runs").client_address
     }
 
-    /// Waits a while of at most so many milliseconds.
+    /// Sleeps for a random time of at most `most_ms`.
     fn pause(&mut self, most_ms: u64) {
         std::thread::sleep(Duration::from_millis(self.rng.u64(0..=most_ms)));
     }
@@ -134,67 +135,67 @@
                 self.pause(2);
                 self.signal(node, "-HUP");
             }
-            Step::ReloadAndLeave => {
+            Step::ReloadAndTerminate => {
                 self.signal(node, "-HUP");
-                self.leave_and_restart(node);
+                self.terminate_and_restart(node);
             }
-            Step::LeaveTwice => {
+            Step::TerminateTwice => {
                 self.signal(node, "-TERM");
                 self.pause(800);
-                self.leave_and_restart(node);
+                self.terminate_and_restart(node);
             }
             Step::Replace => self.replace(node),
             Step::ReplaceTwice => {
                 self.replace(node);
                 self.replace(node);
             }
-            Step::SuccessorLeaves => self.end_successor(node, "-TERM"),
-            Step::SuccessorDies => self.end_successor(node, "-KILL"),
-            Step::PredecessorLeaves => self.leave_while_replaced(node),
+            Step::SuccessorTerminates => self.end_successor(node, "-TERM"),
+            Step::SuccessorKilled => self.end_successor(node, "-KILL"),
+            Step::PredecessorTerminates => self.terminate_while_replaced(node),
             Step::Kill => {
                 self.kill(node);
                 self.cluster.start(node);
             }
-            Step::Crowd => self.crowd(node),
+            Step::Burst => self.send_burst(node),
             Step::Publish => self.publish(node),
-            Step::Cuts => self.cut_links(),
+            Step::CutLinks => self.cut_links(),
         }
     }
 
-    /// Tells a node's process to leave, which ends with success before it would be killed, and
-    /// starts another one.
-    fn leave_and_restart(&mut self, node: usize) {
+    /// Sends SIGTERM to a node's process, which has to end with success before it would be killed,
+    /// and starts another one.
+    fn terminate_and_restart(&mut self, node: usize) {
         self.signal(node, "-TERM");
-        self.expect_end(node, Instant::now());
+        self.expect_successful_end(node, Instant::now());
         self.cluster.start(node);
     }
 
-    /// The process that was told to leave ends with success before it would be killed.
-    fn expect_end(&mut self, node: usize, told_at: Instant) {
+    /// Waits for a process that was sent SIGTERM to end with success before it would be killed.
+    fn expect_successful_end(&mut self, node: usize, signalled_at: Instant) {
         let mut process = self.cluster.nodes[node].process.take().unwrap();
-        assert_eq!(process.wait().code(), Some(0), "n{node} was told to leave");
-        let took = told_at.elapsed();
+        assert_eq!(process.wait().code(), Some(0), "n{node} was sent SIGTERM");
+        let took = signalled_at.elapsed();
         assert!(took < STOP, "n{node} would have been killed: {took:?}");
     }
 
     fn replace(&mut self, node: usize) {
-        let behind = self.cluster.history.lines().len();
+        let line_count = self.cluster.history.lines().len();
         let name = format!("n{node}");
         let launched = self.cluster.launch(node, &name, Some(self.address(node)));
         let number = launched.number;
         let serves = |line: &LogLine| {
             line.process == number && line.text.contains("took over, this process serves")
         };
-        let served = self.cluster.history.wait(behind, serves);
+        let served = self.cluster.history.wait(line_count, serves);
         assert!(served.is_some(), "{:#?}", self.cluster.tail(node));
         let successor = self.cluster.wait_ready(launched);
-        // The earliest moment that the page allows.
+        // The earliest moment at which the predecessor may be stopped.
         let mut old = self.cluster.nodes[node].process.replace(successor).unwrap();
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0), "n{node}'s predecessor");
     }
 
-    /// Starts a successor and ends it, whatever it has reached; the predecessor goes on.
+    /// Starts a successor and ends it in whatever phase it is; the predecessor continues to serve.
     fn end_successor(&mut self, node: usize, signal: &str) {
         let name = format!("n{node}");
         let mut launched = self.cluster.launch(node, &name, Some(self.address(node)));
@@ -206,16 +207,16 @@
         }
     }
 
-    /// Tells a process to leave while its successor starts. Whichever of them ends, one serves in
-    /// the end.
-    fn leave_while_replaced(&mut self, node: usize) {
+    /// Sends SIGTERM to a process while its successor starts, then ends the successor as well and
+    /// starts a new process.
+    fn terminate_while_replaced(&mut self, node: usize) {
         let name = format!("n{node}");
         let mut launched = self.cluster.launch(node, &name, Some(self.address(node)));
         self.pause(30);
         self.signal(node, "-TERM");
         let mut old = self.cluster.nodes[node].process.take().unwrap();
         assert_eq!(old.wait().code(), Some(0), "n{node}'s predecessor");
-        // The successor may have been rejected, as its predecessor leaves.
+        // The successor may have been rejected, as its predecessor shuts down.
         launched.signal("-TERM");
         launched.wait();
         self.cluster.start(node);
@@ -231,18 +232,18 @@
         self.kills.push(KilledProcess { node, at });
     }
 
-    /// Many connections at once, of which each sends a read and waits for nothing.
-    fn crowd(&mut self, node: usize) {
+    /// Opens many connections at once, each of which sends a read and does not wait for the answer.
+    fn send_burst(&mut self, node: usize) {
         let address = self.address(node);
         let connect = |_| TcpStream::connect(address).ok();
-        let mut streams: Vec<TcpStream> = (0..CROWD).filter_map(connect).collect();
+        let mut streams: Vec<TcpStream> = (0..BURST_CONNECTIONS).filter_map(connect).collect();
         for (i, stream) in streams.iter_mut().enumerate() {
             let request = json!({"jsonrpc": "2.0", "id": 1, "method": "rota-view", "params": {
                 "ref": format!("ffff{i:012x}"), "since": 0, "sender": 99, "allow": 2000,
                 "effort": 12.5, "room": 24.5, "class_rank": 0.5, "doc": ""}});
             let _ = stream.write_all(format!("{request}\n").as_bytes());
         }
-        // What is no message of a front ends its connection alone.
+        // An invalid message closes its own connection alone.
         if let Some(stream) = streams.first_mut() {
             let _ = stream.write_all(&packet("/view", &[], b"x"));
         }
@@ -255,8 +256,12 @@
         let process = self.cluster.nodes[node].process.as_ref().unwrap();
         let control = process.control_address.to_string();
         let file = file.to_str().unwrap();
-        let words = ["fleet", "publish", file, "--why", "soak", "--at", &control];
-        let status = Command::new(PROGRAM).args(words).output().unwrap().status;
+        let arguments = ["fleet", "publish", file, "--why", "soak", "--at", &control];
+        let status = Command::new(PROGRAM)
+            .args(arguments)
+            .output()
+            .unwrap()
+            .status;
         assert!(status.code().is_some(), "the command does not crash");
     }
 
@@ -274,8 +279,8 @@
         self.cluster.links.heal();
     }
 
-    /// What holds after each step: every node has one process that lives and serves, nothing has
-    /// panicked or miscounted, and no node acts on an older version than before.
+    /// Checks after a step that every node has one process that runs and serves, that no panic and
+    /// no accounting error was logged, and that no node acts on an older version than before.
     fn check(&mut self, step: Step) {
         for node in &mut self.cluster.nodes {
             let process = node.process.as_mut().expect("a process");
@@ -294,7 +299,7 @@
             call_control(control, "GET /status").is_some_and(|r| r.body == "active\n")
         };
         self.cluster
-            .wait(&format!("{step:?}: all serve"), |cluster| {
+            .wait(&format!("{step:?}: all nodes serve"), |cluster| {
                 (0..NODES).all(|node| serves(cluster, node))
             });
         self.cluster.wait_converged(&format!("{step:?}"));
@@ -302,25 +307,25 @@
             let lines = self.cluster.lines_containing(text);
             assert!(lines.is_empty(), "{step:?}: {lines:#?}");
         }
-        for (node, before) in self.acting.iter_mut().enumerate() {
+        for (node, before) in self.active_versions.iter_mut().enumerate() {
             let view = self.cluster.view(node).expect("a view");
-            let acting = view["versions"]["acting"].as_u64().expect("a version");
+            let active = view["versions"]["acting"].as_u64().expect("a version");
             assert!(
-                acting >= *before,
-                "{step:?}: n{node} acts on {acting} after {before}"
+                active >= *before,
+                "{step:?}: n{node} acts on {active} after {before}"
             );
-            *before = acting;
+            *before = active;
         }
     }
 
-    /// Whether a process whose clients may lose requests was killed on the node just before.
+    /// Whether the node's process was killed just before, so that its clients may lose requests.
     fn was_killed(&self, node: usize, lost_at: Instant) -> bool {
         self.kills.iter().any(|kill| {
-            kill.node == node && kill.at <= lost_at && lost_at <= kill.at + KILL_NOTICED
+            kill.node == node && kill.at <= lost_at && lost_at <= kill.at + KILL_DETECTION_TIME
         })
     }
 
-    /// What holds for all requests.
+    /// Checks the outcomes and latencies of all requests.
     fn check_requests(&self, logs: &[ClientLog]) {
         let processors: Vec<&Processor> = self.cluster.nodes.iter().map(|n| &n.processor).collect();
         let counts = verify(logs, &processors).unwrap_or_else(|violation| panic!("{violation}"));
@@ -330,7 +335,7 @@
             let longest = log.longest_latency;
             assert!(longest <= DEADLINE, "an answer took {longest:?}");
             let runs = processors[client % NODES].run_counts();
-            // A process that ends on SIGTERM answers all that it has run.
+            // A process that ends on SIGTERM answers all requests that it has run.
             let is_unanswered = |request: &&SentRequest| {
                 request.outcome == RequestOutcome::ConnectionLost
                     && runs.contains_key(&request.body)
@@ -340,16 +345,16 @@
             let body = unanswered.map(|r| String::from_utf8_lossy(&r.body));
             assert_eq!(
                 body, None,
-                "it ran, and its connection ended without an answer"
+                "a request ran, and its connection ended without an answer"
             );
         }
     }
 
-    /// Without clients every table is empty, and descriptors are those of a process that has just
-    /// started; then all leave, and their addresses are free.
-    fn check_rest(&mut self, idle_descriptors: usize) {
+    /// Checks that without clients every table is empty and no more descriptors are open than after
+    /// a start, then that all processes end on SIGTERM and release their addresses.
+    fn check_idle_and_stop(&mut self, idle_descriptors: usize) {
         for node in 0..NODES {
-            let behind = self.cluster.history.lines().len();
+            let line_count = self.cluster.history.lines().len();
             let number = self.cluster.nodes[node].process.as_ref().unwrap().number;
             let is_idle = |line: &LogLine| {
                 line.process == number
@@ -359,7 +364,7 @@
             self.cluster.wait("tables are empty", |cluster| {
                 cluster.signal(node, "-USR1");
                 std::thread::sleep(Duration::from_millis(30));
-                cluster.history.lines()[behind..].iter().any(is_idle)
+                cluster.history.lines()[line_count..].iter().any(is_idle)
             });
             let used = descriptors(&self.cluster, node);
             assert!(
@@ -370,8 +375,11 @@
         for node in 0..NODES {
             let address = self.address(node);
             self.signal(node, "-TERM");
-            self.expect_end(node, Instant::now());
-            assert!(TcpListener::bind(address).is_ok(), "{address} stays taken");
+            self.expect_successful_end(node, Instant::now());
+            assert!(
+                TcpListener::bind(address).is_ok(),
+                "{address} is still in use"
+            );
         }
     }
 }
@@ -382,10 +390,10 @@
     folder.unwrap().count()
 }
 
-/// Plays the schedule of a seed.
-fn play(seed: u64) {
+/// Runs the schedule of a seed.
+fn run_seed(seed: u64) {
     println!(
-        "soak: seed={seed}; again: SOAK_SEEDS=\"{seed} {seed}\" cargo test -p pipitlever-node \
+        "soak: seed={seed}; to repeat: SOAK_SEEDS=\"{seed} {seed}\" cargo test -p pipitlever-node \
          --test soak -- --ignored --nocapture"
     );
     let start = Instant::now();
@@ -403,27 +411,30 @@
     }
     let logs: Vec<ClientLog> = clients.into_iter().map(Client::stop).collect();
     soak.check_requests(&logs);
-    soak.check_rest(idle_descriptors);
+    soak.check_idle_and_stop(idle_descriptors);
 }
 
 #[test]
-fn a_short_soak_keeps_the_rules() {
+fn a_short_soak_keeps_all_guarantees() {
     for seed in [1, 2] {
-        play(seed);
+        run_seed(seed);
     }
 }
 
-/// By hand: the seeds from the first to the last that `SOAK_SEEDS` names.
+/// Run manually: the seeds from the first to the last one of `SOAK_SEEDS`.
 #[test]
 #[ignore]
-fn a_long_soak_keeps_the_rules() {
+fn a_long_soak_keeps_all_guarantees() {
     let text = std::env::var("SOAK_SEEDS").unwrap_or("1 50".into());
-    let seeds: Vec<u64> = text.split(' ').map(|word| word.parse().unwrap()).collect();
+    let seeds: Vec<u64> = text
+        .split(' ')
+        .map(|number| number.parse().unwrap())
+        .collect();
     let [first, last] = seeds[..] else {
-        panic!("SOAK_SEEDS=\"FIRST LAST\"")
+        panic!("SOAK_SEEDS has to be \"FIRST LAST\"")
     };
-    let is_red = |seed: &u64| std::panic::catch_unwind(|| play(*seed)).is_err();
-    let red: Vec<u64> = (first..=last).filter(is_red).collect();
-    println!("soak: seeds={first}..={last} failed={red:?}");
-    assert!(red.is_empty(), "{red:?}");
+    let fails = |seed: &u64| std::panic::catch_unwind(|| run_seed(*seed)).is_err();
+    let failed: Vec<u64> = (first..=last).filter(fails).collect();
+    println!("soak: seeds={first}..={last} failed={failed:?}");
+    assert!(failed.is_empty(), "{failed:?}");
 }
