--- a/crates/node/tests/closing.rs
+++ b/crates/node/tests/closing.rs
@@ -1,5 +1,4 @@
-//! What happens in the moment in which a connection, or the node itself, closes: no request and no
-//! answer may be lost.
+//! Closing of connections and shutdown of the node: no request and no answer may be lost meanwhile.
 
 mod common;
 
@@ -9,46 +8,46 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The settings of the tests, with connections that may be idle for so long.
+/// Config entries with an idle timeout of connections of this many milliseconds.
 fn idle_after(ms: u64) -> Value {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["keepaliveMax"] = json!(ms * 1000);
     json!({ "settings": settings })
 }
 
-/// A node with these parties, its processor, and a gateway.
+/// Starts a node with these config entries, connects its processor and a gateway.
 fn pair(more: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
-    let mut parties = json!({"processor": processor.address()});
-    parties
+    let mut config_entries = json!({"processor": processor.address()});
+    config_entries
         .as_object_mut()
         .unwrap()
         .extend(more.as_object().unwrap().clone());
-    let node = Node::start(parties, None);
+    let node = Node::start(config_entries, None);
     processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway)
 }
 
-/// A request as a line.
-fn line(id: u64, params: &Value) -> String {
+/// A request, encoded as a line.
+fn request_line(id: u64, params: &Value) -> String {
     format!(
         "{}\n",
         json!({"jsonrpc": "2.0", "id": id, "method": "rota-view", "params": params})
     )
 }
 
-/// All that comes until the end of the stream. A reset is a failure.
-fn rest(stream: &mut TcpStream) -> String {
+/// Reads until the end of the stream. Panics on a reset.
+fn read_until_end(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     stream
         .read_to_end(&mut bytes)
-        .expect("an end, and no reset");
+        .expect("the stream ends without a reset");
     String::from_utf8(bytes).unwrap()
 }
 
-/// A raw connection that has brought a health check and read its answer.
-fn known(node: &Node) -> TcpStream {
+/// Opens a raw connection, sends a health check and reads its answer.
+fn connect_and_check_health(node: &Node) -> TcpStream {
     let mut stream = TcpStream::connect(node.gateway_address).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -63,8 +62,8 @@
     stream
 }
 
-/// Waits for `goaway`, and for nothing behind it.
-fn goaway(stream: &mut TcpStream) {
+/// Reads until the end of the `goaway` message, and no further.
+fn read_goaway(stream: &mut TcpStream) {
     let mut text = String::new();
     while !text.ends_with('\n') {
         let mut byte = [0];
@@ -79,47 +78,48 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_an_idle_connection_is_answered() {
+fn a_request_sent_during_the_close_of_an_idle_connection_is_answered() {
     let (node, mut processor, _gateway) = pair(idle_after(500));
-    let mut stream = known(&node);
-    // What a gateway writes before it has read this has crossed it.
-    goaway(&mut stream);
+    let mut stream = connect_and_check_health(&node);
+    // A gateway may send further requests before it reads this message.
+    read_goaway(&mut stream);
     stream
-        .write_all(line(2, &request_params(5000, None, b"crossed")).as_bytes())
+        .write_all(request_line(2, &request_params(5000, None, b"crossed")).as_bytes())
         .unwrap();
     let (id, body) = processor.begin();
     assert_eq!(body, b"crossed");
     processor.complete(&id, "fine", b"served");
-    let all = rest(&mut stream);
+    let all = read_until_end(&mut stream);
     assert!(all.contains(&base64(b"served")), "{all}");
 }
 
 #[test]
-fn half_a_line_on_an_idle_connection_may_become_whole() {
+fn an_incomplete_line_on_an_idle_connection_can_be_completed() {
     let (node, mut processor, _gateway) = pair(idle_after(500));
-    let mut stream = known(&node);
-    let text = line(2, &request_params(5000, None, b"in halves"));
+    let mut stream = connect_and_check_health(&node);
+    let text = request_line(2, &request_params(5000, None, b"in halves"));
     let (first, second) = text.as_bytes().split_at(40);
     stream.write_all(first).unwrap();
-    goaway(&mut stream);
+    read_goaway(&mut stream);
     stream.write_all(second).unwrap();
     let (id, _) = processor.begin();
     processor.complete(&id, "fine", b"served");
-    let all = rest(&mut stream);
+    let all = read_until_end(&mut stream);
     assert!(all.contains(&base64(b"served")), "{all}");
 }
 
 #[test]
-fn bytes_behind_an_idle_close_are_dropped_and_do_not_reset_it() {
+fn bytes_after_an_idle_close_are_dropped_and_do_not_reset_it() {
     let (node, _processor, _gateway) = pair(idle_after(300));
-    let mut stream = known(&node);
-    goaway(&mut stream);
+    let mut stream = connect_and_check_health(&node);
+    read_goaway(&mut stream);
     assert_eq!(
         stream.read(&mut [0; 64]).unwrap(),
         0,
         "the node has half-closed"
     );
-    // Within the 100 ms for which it still reads: a close would answer this with a reset.
+    // Sent within the 100 ms for which the node still reads: after a close the kernel would reset
+    // the connection.
     stream.write_all(b"{\"jsonrpc\":").unwrap();
     stream.write_all(b"\"2.0\"}\n").unwrap();
     assert_eq!(stream.read(&mut [0; 64]).unwrap(), 0);
@@ -127,17 +127,17 @@
     assert_eq!(stream.read(&mut [0; 64]).unwrap(), 0);
 }
 
-/// The last error closes the connection: a request behind it was read in the same turn, ran, and
-/// had no answer.
+/// Guards against a request that runs without an answer because it was read in the same turn as the
+/// last error, which closes the connection.
 #[test]
-fn nothing_behind_the_last_word_runs() {
+fn no_request_after_the_last_error_runs() {
     let (mut node, mut processor, mut gateway) = pair(json!({}));
     let mut bad = TcpStream::connect(node.gateway_address).unwrap();
     bad.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    let request = line(1, &request_params(5000, None, b"behind"));
+    let request = request_line(1, &request_params(5000, None, b"after the close"));
     bad.write_all(format!("{}{request}", "{\n".repeat(8)).as_bytes())
         .unwrap();
-    assert_eq!(rest(&mut bad).lines().count(), 8);
+    assert_eq!(read_until_end(&mut bad).lines().count(), 8);
     gateway.send("rota-view", request_params(5000, None, b"after"));
     let (id, body) = processor.begin();
     assert_eq!(body, b"after");
@@ -149,7 +149,8 @@
     assert!(node.wait().success());
 }
 
-/// At its end the process closed connections over bytes that it had not read, which reset them.
+/// Guards against resets at the end of a drain, when the process closed connections with unread
+/// bytes.
 #[test]
 fn clients_that_never_stop_sending_are_answered_and_not_reset_by_the_end_of_a_drain() {
     let (mut node, mut processor, _gateway) = pair(json!({"stop_ms": 3000}));
@@ -161,7 +162,7 @@
         let mut reader = stream.try_clone().unwrap();
         let writer = std::thread::spawn(move || {
             for id in 1.. {
-                // Nobody reads these after the half-close, and until then each is answered.
+                // The node answers each of these until the half-close and drops later ones.
                 let check = format!("{{\"jsonrpc\":\"2.0\",\"id\":{id},\"method\":\"alive\"}}\n");
                 if stream.write_all(check.as_bytes()).is_err() {
                     return id;
@@ -170,7 +171,7 @@
             }
             unreachable!()
         });
-        let text = rest(&mut reader);
+        let text = read_until_end(&mut reader);
         drop(reader);
         (
             writer.join().unwrap(),
@@ -178,14 +179,14 @@
         )
     };
     let clients: Vec<_> = (0..8).map(|_| std::thread::spawn(client)).collect();
-    let mut asking = node.gateway();
-    asking.send("rota-view", request_params(2500, None, b"running"));
+    let mut gateway = node.gateway();
+    gateway.send("rota-view", request_params(2500, None, b"running"));
     let (id, _) = processor.begin();
     let start = Instant::now();
     node.signal("-TERM");
-    assert_eq!(asking.receive()["method"], "goaway");
+    assert_eq!(gateway.receive()["method"], "goaway");
     processor.complete(&id, "fine", b"served");
-    assert_eq!(asking.receive()["result"]["doc"], base64(b"served"));
+    assert_eq!(gateway.receive()["result"]["doc"], base64(b"served"));
     for client in clients {
         let (sent, answered) = client.join().expect("no reset");
         assert!(answered > 0 && answered as u64 <= sent);
@@ -198,34 +199,34 @@
     );
 }
 
-/// All that a node may have in hand when the signal comes gets its one answer, and only what came
-/// within the grace runs.
+/// Each request that a node has queued, in flight or unread when the signal arrives gets exactly
+/// one answer, and only requests that arrived within the grace period run.
 #[test]
-fn a_drain_answers_what_is_queued_runs_waits_and_was_not_read_yet() {
+fn a_drain_answers_queued_running_waiting_and_unread_requests() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let more = json!({"ledger": ledger.local_addr().unwrap(), "stop_ms": 4000});
     let (mut node, mut processor, mut gateway) = pair(more);
     let calling = gateway.send("rota-view", request_params(3000, None, b"calls"));
     let (call_id, _) = processor.begin();
     processor.notice("ask", &call_id, b"body");
-    let mut below = LedgerConnection::accept(&ledger);
-    below.post();
+    let mut ledger_connection = LedgerConnection::accept(&ledger);
+    ledger_connection.post();
     let running = gateway.send("swap-confirm", request_params(3000, Some("key"), b"runs"));
     let (run_id, _) = processor.begin();
-    let repeat = gateway.send("swap-confirm", request_params(3000, Some("key"), b"runs"));
-    // Read by half: its rest comes after the signal.
-    let half_text = line(1, &request_params(3000, None, b"half"));
+    let duplicate = gateway.send("swap-confirm", request_params(3000, Some("key"), b"runs"));
+    // Half of this request is sent before the signal, the other half after it.
+    let half_text = request_line(1, &request_params(3000, None, b"half"));
     let mut half = TcpStream::connect(node.gateway_address).unwrap();
     half.set_nodelay(true).unwrap();
     half.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     half.write_all(&half_text.as_bytes()[..30]).unwrap();
-    // In the kernel's buffers, of a connection that the node has not accepted yet: it stands still
-    // meanwhile.
+    // The request is in the kernel's buffers, on a connection that the node, which is stopped
+    // meanwhile, has not accepted yet.
     node.signal("-STOP");
     let mut unread = TcpStream::connect(node.gateway_address).unwrap();
     unread.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     unread
-        .write_all(line(1, &request_params(3000, None, b"unread")).as_bytes())
+        .write_all(request_line(1, &request_params(3000, None, b"unread")).as_bytes())
         .unwrap();
     node.signal("-TERM");
     node.signal("-TERM");
@@ -233,24 +234,24 @@
     node.signal("-CONT");
     node.wait_for_line("draining: ");
     half.write_all(&half_text.as_bytes()[30..]).unwrap();
-    let mut begun = vec![processor.begin(), processor.begin()];
-    begun.sort_by(|a, b| a.1.cmp(&b.1));
+    let mut started = vec![processor.begin(), processor.begin()];
+    started.sort_by(|a, b| a.1.cmp(&b.1));
     assert_eq!(
-        (&begun[0].1[..], &begun[1].1[..]),
+        (&started[0].1[..], &started[1].1[..]),
         (&b"half"[..], &b"unread"[..])
     );
-    for (id, body) in &begun {
+    for (id, body) in &started {
         processor.complete(id, "fine", body);
     }
-    below.reply(&format!("{call_id} posted 0\r\n\r\n"));
-    let (words, _) = processor.command();
-    assert_eq!(words[0], "answer");
+    ledger_connection.reply(&format!("{call_id} posted 0\r\n\r\n"));
+    let (command, _) = processor.command();
+    assert_eq!(command[0], "answer");
     processor.complete(&call_id, "fine", b"called");
     processor.complete(&run_id, "fine", b"ran");
     let mut answers: Vec<(u64, Value)> = Vec::new();
     while answers.len() < 3 {
         let message = gateway.receive();
-        assert!(!message.is_null(), "an end with {answers:?}");
+        assert!(!message.is_null(), "the connection ended after {answers:?}");
         if let Some(id) = message["id"].as_u64() {
             answers.push((id, message["result"]["doc"].clone()));
         }
@@ -262,11 +263,11 @@
         [
             (calling, json!(base64(b"called"))),
             (running, ran.clone()),
-            (repeat, ran)
+            (duplicate, ran)
         ]
     );
-    assert!(rest(&mut half).contains(&base64(b"half")));
-    assert!(rest(&mut unread).contains(&base64(b"unread")));
+    assert!(read_until_end(&mut half).contains(&base64(b"half")));
+    assert!(read_until_end(&mut unread).contains(&base64(b"unread")));
     let counters = node.wait_for_line("counters: ");
     assert_eq!(
         (
@@ -278,24 +279,21 @@
     assert!(node.wait().success());
 }
 
-/// What reaches the machine after the grace is refused as never run, on every connection, until the
-/// end.
+/// Requests that arrive after the grace period are rejected as not run, on every connection, until
+/// the process ends.
 #[test]
-fn what_comes_after_the_grace_of_a_drain_never_runs() {
+fn requests_after_the_grace_period_of_a_drain_never_run() {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["safety"]["drainGrace"] = json!(300_000);
     let (mut node, mut processor, mut gateway) =
         pair(json!({"settings": settings, "stop_ms": 4000}));
-    gateway.send(
-        "rota-view",
-        request_params(3500, None, b"holds the end back"),
-    );
+    gateway.send("rota-view", request_params(3500, None, b"delays the end"));
     let (id, _) = processor.begin();
     node.signal("-TERM");
     node.wait_for_line("draining: ");
     assert_eq!(gateway.receive()["method"], "goaway");
-    // The fronts close a little before the grace is over; what is said to have come after it is
-    // late for certain.
+    // The front ends end the grace period slightly early; requests after this wait are certain to
+    // be late.
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(200) {
         std::thread::sleep(Duration::from_millis(10));
@@ -326,91 +324,95 @@
     assert!(node.wait().success());
 }
 
-/// A node whose clients have taken all places still reaches its processor, its ledger and the
-/// membership service, and lets newcomers in; no connection with an open request is closed for
+/// A node whose clients occupy all connection slots still reaches its processor, its ledger and the
+/// service registry, and accepts new connections. No connection with an open request is closed for
 /// them.
 #[test]
-fn resting_clients_keep_the_node_from_nothing_that_it_needs() {
+fn idle_clients_do_not_exhaust_the_slots_that_the_node_needs() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let members = udp_socket();
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address(), "ledger": ledger.local_addr().unwrap(),
+    let config_entries = json!({"processor": processor.address(),
+        "ledger": ledger.local_addr().unwrap(),
         "members": members.local_addr().unwrap(), "limits": {"sockets": 120, "memory_mb": 48}});
-    // Descriptors that the system refuses beyond the number that the node is told.
-    let node = Node::start_with_descriptor_limit(120, parties);
+    // The system's descriptor limit equals the configured one.
+    let node = Node::start_with_descriptor_limit(120, config_entries);
     processor.accept_running();
     let mut open = node.ready();
     open.send("rota-view", request_params(15000, None, b"open"));
     let (open_id, _) = processor.begin();
-    // More than there are places, all of which have been heard once and then rest.
-    let mut resting: Vec<TcpStream> = (0..150).map(|_| known(&node)).collect();
-    let mut newcomer = node.gateway();
-    newcomer.send("rota-view", request_params(9000, None, b"new"));
+    // More connections than slots, all idle after one request.
+    let mut idle_connections: Vec<TcpStream> =
+        (0..150).map(|_| connect_and_check_health(&node)).collect();
+    let mut new_connection = node.gateway();
+    new_connection.send("rota-view", request_params(9000, None, b"new"));
     let (id, _) = processor.begin();
     processor.notice("ask", &id, b"call");
-    let mut below = LedgerConnection::accept(&ledger);
-    below.post();
-    // The link breaks while all places are taken, and is set up again.
+    let mut ledger_connection = LedgerConnection::accept(&ledger);
+    ledger_connection.post();
+    // The processor connection breaks while all slots are occupied, and is opened again.
     processor.disconnect();
     processor.accept_running();
-    below.reply(&format!("{id} posted 0\r\n\r\n"));
-    // A start that the old link may have swallowed goes out again; where it runs already that means
-    // nothing.
+    ledger_connection.reply(&format!("{id} posted 0\r\n\r\n"));
+    // A start that may have been lost with the old connection is sent again; it has no effect on a
+    // run in flight.
     while processor.command().0[0] != "answer" {}
     processor.complete(&id, "fine", b"served");
-    assert_eq!(newcomer.receive()["result"]["doc"], base64(b"served"));
-    // Reports go on: what came before is read away first.
+    assert_eq!(new_connection.receive()["result"]["doc"], base64(b"served"));
+    // Reports continue: earlier ones are read first.
     members.set_nonblocking(true).unwrap();
     while members.recv(&mut [0; 64]).is_ok() {}
     members.set_nonblocking(false).unwrap();
     let mut report = [0; 64];
     let length = members.recv(&mut report).unwrap();
     assert_eq!(&report[..length], b"HB n1 UP");
-    processor.complete(&open_id, "fine", b"kept");
-    assert_eq!(open.receive()["result"]["doc"], base64(b"kept"));
-    // Those that rested longest were told first.
-    goaway(&mut resting[0]);
+    processor.complete(&open_id, "fine", b"still open");
+    assert_eq!(open.receive()["result"]["doc"], base64(b"still open"));
+    // The connections that have been idle longest get `goaway` first.
+    read_goaway(&mut idle_connections[0]);
     node.signal("-USR1");
     let counters = node.wait_for_line("counters: ");
     assert_eq!(Node::counter(&counters, "accept_errors"), 0, "{counters}");
-    for mut last in resting.into_iter().skip(148) {
+    for mut last in idle_connections.into_iter().skip(148) {
         last.set_read_timeout(Some(Duration::from_millis(1)))
             .unwrap();
-        let heard = last.read(&mut [0; 64]);
+        let received = last.read(&mut [0; 64]);
         assert!(
-            heard.is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)),
-            "who came last is not closed first"
+            received
+                .is_err_and(|e| matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)),
+            "one of the newest connections was closed"
         );
     }
 }
 
-/// Newcomers that are accepted in one turn each had the same connection chosen for them, as its
-/// driver had not had its turn yet.
+/// Guards against several connections that are accepted in one turn and for which the same idle
+/// connection is closed, because its driver has not run yet.
 #[test]
-fn newcomers_in_one_turn_have_one_connection_each_closed_for_them() {
-    // 74 descriptors are kept back, so 16 connections are taken, two of which are kept free.
+fn new_connections_in_one_turn_close_one_idle_connection_each() {
+    // 74 descriptors are reserved, so there are 16 connection slots, two of which are kept free.
     let (node, _processor, _gateway) = pair(json!({"limits": {"sockets": 90}}));
-    let mut resting: Vec<TcpStream> = (0..16).map(|_| known(&node)).collect();
-    // One that was used within the last 0.1 s is not closed.
+    let mut idle_connections: Vec<TcpStream> =
+        (0..16).map(|_| connect_and_check_health(&node)).collect();
+    // Connections that were used within the last 0.1 s are not closed.
     std::thread::sleep(Duration::from_millis(150));
     node.signal("-STOP");
-    let newcomers: Vec<TcpStream> = (0..4)
+    let new_connections: Vec<TcpStream> = (0..4)
         .map(|_| TcpStream::connect(node.gateway_address).unwrap())
         .collect();
     node.signal("-CONT");
-    // It is answered in a later turn than that in which the newcomers were accepted.
-    known(&node);
+    // This health check is answered in a later turn than that which accepted the new connections.
+    connect_and_check_health(&node);
     node.signal("-USR1");
     let counters = node.wait_for_line("counters: ");
     let chosen = Node::counter(&counters, "crowded_out");
     assert!(chosen >= 3, "{counters}");
-    // The gateway of the start was the first of them.
-    for stream in resting.iter_mut().take(chosen as usize - 1) {
+    // The first of the closed connections is the gateway of `pair`.
+    for stream in idle_connections.iter_mut().take(chosen as usize - 1) {
         // Idle ones are closed after 15 s in any case.
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
-        goaway(stream);
+        read_goaway(stream);
     }
-    drop(newcomers);
+    drop(new_connections);
 }
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -8,14 +8,15 @@
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::time::{Duration, Instant};
 
-/// A node with a processor that is up, and a gateway.
-fn pair(parties: Value) -> (Node, Processor, Gateway) {
+/// Starts a node with these config entries, connects its processor and a gateway.
+fn pair(more: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
-    let mut all = json!({"processor": processor.address().to_string()});
-    all.as_object_mut()
+    let mut config_entries = json!({"processor": processor.address().to_string()});
+    config_entries
+        .as_object_mut()
         .unwrap()
-        .extend(parties.as_object().unwrap().clone());
-    let node = Node::start(all, None);
+        .extend(more.as_object().unwrap().clone());
+    let node = Node::start(config_entries, None);
     processor.accept_running();
     let gateway = node.ready();
     (node, processor, gateway)
@@ -34,22 +35,18 @@
         pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
     let every: Vec<u8> = (0..2048).map(|i| i as u8).collect();
     let number = gateway.send("rota-view", request_params(5000, None, &every));
-    let (words, body) = processor.command();
+    let (command, body) = processor.command();
     assert_eq!(
-        (&*words[0], &*words[2], &body),
+        (&*command[0], &*command[2], &body),
         ("begin", "rota-view", &every)
     );
-    processor.notice("ask", &words[1], b"call\r\n\0");
-    let mut below = LedgerConnection::accept(&ledger);
-    assert_eq!(below.post(), (words[1].clone(), b"call\r\n\0".to_vec()));
-    assert!(
-        (1..=5000).contains(&below.allowed_ms),
-        "{}",
-        below.allowed_ms
-    );
-    below.reply_bytes(
+    processor.notice("ask", &command[1], b"call\r\n\0");
+    let mut call = LedgerConnection::accept(&ledger);
+    assert_eq!(call.post(), (command[1].clone(), b"call\r\n\0".to_vec()));
+    assert!((1..=5000).contains(&call.allowed_ms), "{}", call.allowed_ms);
+    call.reply_bytes(
         &[
-            format!("{} posted 4\r\n", words[1]).as_bytes(),
+            format!("{} posted 4\r\n", command[1]).as_bytes(),
             b"\r\n\xff\0\r\n",
         ]
         .concat(),
@@ -57,12 +54,12 @@
     assert_eq!(
         processor.command(),
         (
-            vec!["answer".into(), words[1].clone(), "4".into()],
+            vec!["answer".into(), command[1].clone(), "4".into()],
             b"\r\n\xff\0".to_vec()
         )
     );
     let result: Vec<u8> = (0..4096).map(|i| (i * 7) as u8).collect();
-    processor.complete(&words[1], "fine", &result);
+    processor.complete(&command[1], "fine", &result);
     let answer = gateway.receive();
     assert_eq!(
         (&answer["id"], &answer["result"]["doc"]),
@@ -71,19 +68,20 @@
 }
 
 #[test]
-fn a_request_is_answered_by_its_due_time_though_it_runs() {
+fn a_running_request_is_answered_by_its_deadline() {
     let (_node, mut processor, mut gateway) = pair(json!({}));
     let start = Instant::now();
     gateway.send("rota-view", request_params(300, None, b""));
     processor.begin();
-    // The module may turn a running read away; to its caller that is never a refusal.
+    // The admission controller may shed a running read; its client never gets the code of a request
+    // that did not run.
     assert_eq!(code(&gateway.receive()), -32002);
     assert!(
         start.elapsed() < Duration::from_millis(450),
         "{:?}",
         start.elapsed()
     );
-    // A try that came late is answered at once, unrun.
+    // An attempt that arrives after its deadline is answered at once and does not run.
     let mut late = request_params(300, None, b"");
     late["since"] = json!(late["since"].as_u64().unwrap() - 1000);
     gateway.send("rota-view", late);
@@ -91,7 +89,7 @@
 }
 
 #[test]
-fn before_the_processor_is_up_requests_are_refused_with_advice() {
+fn before_the_processor_is_up_requests_are_rejected_with_a_cooldown() {
     let processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address().to_string()}), None);
     let mut gateway = node.gateway();
@@ -106,91 +104,96 @@
 }
 
 #[test]
-fn a_key_runs_once_and_its_repeats_share_the_outcome() {
+fn a_key_runs_once_and_its_duplicates_share_the_outcome() {
     let (_node, mut processor, mut gateway) = pair(json!({}));
     let mut other = _node.gateway();
     let first = gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     let (id, _) = processor.begin();
-    // One joins the run; its own cancelled twin does not.
+    // A duplicate joins the run; a duplicate that is cancelled does not.
     let joined = other.send("swap-confirm", request_params(5000, Some("key"), b"x"));
-    // The key with another body is its client's error, while it runs and after: the result is not
-    // its own.
-    let another = |party: &mut Gateway| {
-        party.send("swap-confirm", request_params(5000, Some("key"), b"other"));
-        assert_eq!(code(&party.receive()), -32602);
+    // The key with another body is an error of the client, during the run and after: the result
+    // belongs to another request.
+    let send_other_body = |client: &mut Gateway| {
+        client.send("swap-confirm", request_params(5000, Some("key"), b"other"));
+        assert_eq!(code(&client.receive()), -32602);
     };
-    another(&mut other);
+    send_other_body(&mut other);
     let cancelled = other.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     other.notify("cancelRequest", json!({"id": cancelled}));
     assert_eq!(code(&other.receive()), -32800);
-    // A read that runs behind them shows that both were taken in, and that neither began a run.
+    // A read that runs after them shows that both were received and that neither started a run.
     other.send("rota-view", request_params(5000, None, b"read"));
     let (read, body) = processor.begin();
     assert_eq!(body, b"read");
     processor.complete(&read, "fine", b"view");
     assert_eq!(other.receive()["result"]["doc"], base64(b"view"));
     processor.complete(&id, "fine", b"once");
-    for (party, number) in [(&mut gateway, first), (&mut other, joined)] {
-        let answer = party.receive();
+    for (client, number) in [(&mut gateway, first), (&mut other, joined)] {
+        let answer = client.receive();
         assert_eq!(
             (&answer["id"], &answer["result"]["doc"]),
             (&json!(number), &json!(base64(b"once")))
         );
     }
-    another(&mut gateway);
-    // After the end the kept result serves; another key runs.
+    send_other_body(&mut gateway);
+    // After the end the cached result is served; another key runs.
     gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
     gateway.send("swap-confirm", request_params(5000, Some("another"), b"y"));
     assert_eq!(processor.begin().1, b"y");
 }
 
-/// A reply that a broken link swallowed once left its run standing until its time was up.
+/// Guards against a run that waits until its deadline because the reply to its call was lost with
+/// the processor connection.
 #[test]
-fn a_new_link_goes_on_where_the_old_one_broke() {
+fn a_new_processor_connection_resumes_where_the_old_one_broke() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) =
         pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
-    gateway.send("rota-view", request_params(10000, None, b"stands"));
-    let (stands, _) = processor.begin();
-    processor.notice("ask", &stands, b"call");
-    let mut below = LedgerConnection::accept(&ledger);
-    below.post();
-    below.reply(&format!("{stands} posted 1\r\nx\r\n"));
+    gateway.send(
+        "rota-view",
+        request_params(10000, None, b"waits for its call"),
+    );
+    let (run_id, _) = processor.begin();
+    processor.notice("ask", &run_id, b"call");
+    let mut call = LedgerConnection::accept(&ledger);
+    call.post();
+    call.reply(&format!("{run_id} posted 1\r\nx\r\n"));
     let answer = processor.command();
     assert_eq!(
         answer,
         (
-            vec!["answer".into(), stands.clone(), "1".into()],
+            vec!["answer".into(), run_id.clone(), "1".into()],
             b"x".to_vec()
         )
     );
-    // While nobody knows whether that was read nothing more goes out, so nothing more can be lost.
+    // Until the reply is known to have been read nothing more is sent, so nothing more can be lost.
     gateway.send("swap-confirm", request_params(10000, Some("key"), b"waits"));
     gateway.send("alive", json!({}));
     assert_eq!(gateway.receive()["result"]["healthy"], true);
-    let again = |processor: &mut Processor, hello: &str| {
+    let reconnect = |processor: &mut Processor, hello: &str| {
         processor.disconnect();
         processor.accept();
         assert_eq!(processor.hello, hello);
         processor.send(b"hi running 2000\r\n");
     };
-    // The notice repeated is not applied again; the reply goes out again, and then what waited.
-    again(&mut processor, "hello 1");
-    processor.send(format!("ask 1 {stands} 4\r\ncall\r\n").as_bytes());
+    // The repeated notice is not applied again; the reply is sent again, then the queued request.
+    reconnect(&mut processor, "hello 1");
+    processor.send(format!("ask 1 {run_id} 4\r\ncall\r\n").as_bytes());
     assert_eq!(processor.command(), answer);
-    // Had it been read after all, the second one is rejected, and that is no harm to anybody.
-    processor.send(format!("reject answer {stands}\r\n").as_bytes());
+    // If the first reply was read after all, the processor rejects the second one, which has no
+    // effect.
+    processor.send(format!("reject answer {run_id}\r\n").as_bytes());
     let (write, body) = processor.begin();
     assert_eq!(body, b"waits");
-    processor.complete(&stands, "fine", b"1");
+    processor.complete(&run_id, "fine", b"1");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"1"));
-    // The start of a read goes out again; that of a write does not, as its run may be over.
-    again(&mut processor, "hello 2");
+    // The start of a read is sent again; that of a write is not, as its run may have ended.
+    reconnect(&mut processor, "hello 2");
     gateway.send("rota-view", request_params(10000, None, b"read"));
     let read = processor.begin();
     assert_eq!(read.1, b"read");
-    again(&mut processor, "hello 2");
+    reconnect(&mut processor, "hello 2");
     assert_eq!(processor.begin(), read);
     for (id, result) in [(write, b"2"), (read.0, b"3")] {
         processor.complete(&id, "fine", result);
@@ -198,8 +201,8 @@
     }
 }
 
-/// A try whose start was rejected never ran: its key is free, and what comes next under it is no
-/// repeat.
+/// An attempt whose start was rejected never ran: its key is free, and the next request with the
+/// key is not a duplicate.
 #[test]
 fn a_rejected_command_ends_its_request_at_once() {
     let (_node, mut processor, mut gateway) = pair(json!({}));
@@ -218,20 +221,20 @@
 }
 
 #[test]
-fn a_call_is_placed_again_only_where_it_cannot_have_run_or_may_run_twice() {
-    let gone = unused_address();
-    let (_node, mut processor, mut gateway) = pair(json!({"ledger": gone.to_string()}));
+fn a_call_is_retried_only_if_it_cannot_have_run_or_may_run_twice() {
+    let unused = unused_address();
+    let (_node, mut processor, mut gateway) = pair(json!({"ledger": unused.to_string()}));
     gateway.send("swap-confirm", request_params(10000, Some("key"), b""));
     let (write, _) = processor.begin();
     processor.notice("ask", &write, b"call");
-    // Refused connections prove that nothing ran: the call goes on as soon as somebody listens.
-    let ledger = TcpListener::bind(gone).expect("the port is still free");
-    let mut below = LedgerConnection::accept(&ledger);
-    assert_eq!(below.post(), (write, b"call".to_vec()));
-    // A connection that breaks with the call in hand proves nothing.
-    drop(below);
+    // Refused connections prove that nothing ran: the call is sent as soon as the ledger listens.
+    let ledger = TcpListener::bind(unused).expect("the port is still free");
+    let mut call = LedgerConnection::accept(&ledger);
+    assert_eq!(call.post(), (write, b"call".to_vec()));
+    // A connection that breaks after the call was sent does not show whether the call ran.
+    drop(call);
     assert_eq!(code(&gateway.receive()), -32001);
-    // To a read that makes no difference.
+    // The call of a read is sent again in any case.
     gateway.send("rota-view", request_params(10000, None, b""));
     let (read, _) = processor.begin();
     processor.notice("ask", &read, b"call");
@@ -241,20 +244,20 @@
             (read.clone(), b"call".to_vec())
         );
     }
-    let mut below = LedgerConnection::accept(&ledger);
-    below.post();
-    below.reply(&format!("{read} posted 1\r\nx\r\n"));
+    let mut call = LedgerConnection::accept(&ledger);
+    call.post();
+    call.reply(&format!("{read} posted 1\r\nx\r\n"));
     assert_eq!(processor.command().1, b"x");
 }
 
 #[test]
-fn reports_come_well_inside_three_seconds() {
+fn reports_are_sent_well_within_three_seconds() {
     let members = udp_socket();
     let (node, ..) = pair(json!({"members": members.local_addr().unwrap().to_string()}));
-    let mut word = [0; 64];
+    let mut datagram = [0; 64];
     let mut next = || {
-        let n = members.recv(&mut word).unwrap();
-        String::from_utf8(word[..n].to_vec()).unwrap()
+        let n = members.recv(&mut datagram).unwrap();
+        String::from_utf8(datagram[..n].to_vec()).unwrap()
     };
     assert_eq!(next(), "HB n1 UP");
     let start = Instant::now();
@@ -268,16 +271,16 @@
     while next() != "HB n1 OUT" {}
 }
 
-/// SIGHUP once ended the process, and with it everything that was open.
+/// Guards against a SIGHUP that ends the process and with it all open requests.
 #[test]
-fn a_new_configuration_takes_over_under_load() {
-    let parties = |p: &Processor, ledger: &TcpListener, members: &UdpSocket| {
+fn a_new_configuration_is_applied_under_load() {
+    let config_entries = |p: &Processor, ledger: &TcpListener, members: &UdpSocket| {
         json!({"processor": p.address().to_string(), "ledger": ledger.local_addr().unwrap().to_string(),
             "members": members.local_addr().unwrap().to_string()})
     };
     let (ledger, members) = (TcpListener::bind("127.0.0.1:0").unwrap(), udp_socket());
     let mut processor = Processor::new();
-    let mut node = Node::start(parties(&processor, &ledger, &members), None);
+    let mut node = Node::start(config_entries(&processor, &ledger, &members), None);
     processor.accept_running();
     let mut gateway = node.ready();
     gateway.send("swap-confirm", request_params(9000, Some("key"), b"write"));
@@ -285,26 +288,26 @@
     gateway.send("rota-view", request_params(9000, None, b"read"));
     let (read, _) = processor.begin();
     processor.notice("ask", &read, b"call");
-    let mut below = LedgerConnection::accept(&ledger);
-    assert_eq!(below.post(), (read.clone(), b"call".to_vec()));
+    let mut call = LedgerConnection::accept(&ledger);
+    assert_eq!(call.post(), (read.clone(), b"call".to_vec()));
     // A file that can't be read changes nothing.
     node.reload_text("{");
     node.wait_for_line("reload: not done");
-    // The old link is left once what was said on it is read; the new one goes on behind its last
-    // notice.
+    // The old processor connection is closed once all its notices are read; the new one continues
+    // after the last of them.
     let (new_ledger, new_members, mut new) = (
         TcpListener::bind("127.0.0.1:0").unwrap(),
         udp_socket(),
         Processor::new(),
     );
-    node.reload(parties(&new, &new_ledger, &new_members));
+    node.reload(config_entries(&new, &new_ledger, &new_members));
     processor.answer_usage_until_closed();
     new.accept();
     assert_eq!(new.hello, "hello 1");
     new.continue_notice_numbers(&processor);
     new.send(b"hi running 2000\r\n");
-    // The call that was out comes home from the old ledger, the next one goes to the new.
-    below.reply(&format!("{read} posted 1\r\nx\r\n"));
+    // The call in flight is answered by the old ledger; the next one is sent to the new one.
+    call.reply(&format!("{read} posted 1\r\nx\r\n"));
     assert_eq!(
         new.command(),
         (
@@ -315,7 +318,7 @@
     new.notice("ask", &read, b"next");
     let mut next = LedgerConnection::accept(&new_ledger);
     assert_eq!(next.post(), (read, b"next".to_vec()));
-    // Keys go on, and so do reports, to the new address.
+    // Keys stay known, and reports continue to the new address.
     new.complete(&write, "fine", b"once");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
     gateway.send("swap-confirm", request_params(9000, Some("key"), b"write"));
@@ -325,15 +328,16 @@
     assert_eq!(&report[..n], b"HB n1 UP");
 }
 
-/// One connection once carried all calls, and one spoilt reply cost them all.
+/// Guards against a malformed reply that fails the calls of other requests, as when one connection
+/// carried all calls.
 #[test]
-fn a_spoilt_reply_costs_its_own_call_alone() {
+fn a_malformed_reply_fails_only_its_own_call() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (node, mut processor, mut gateway) =
         pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
-    // A run that stands at its call, and that call's connection.
+    // Starts a run that waits for its call; returns its id and the connection of the call.
     let mut keys = 0;
-    let mut stands = |gateway: &mut Gateway| {
+    let mut start_waiting_run = |gateway: &mut Gateway| {
         keys += 1;
         gateway.send(
             "swap-confirm",
@@ -343,27 +347,27 @@
         processor.notice("ask", &id, b"call");
         (id, LedgerConnection::accept(&ledger))
     };
-    let (good, mut below) = stands(&mut gateway);
+    let (good, mut call) = start_waiting_run(&mut gateway);
     let noise = "\u{1}".repeat(2000);
-    for spoilt in [
+    for malformed in [
         "noise without an end",
         "ID posted 3000000000\r\nxxx",
         "ID posted 9\r\nx\r\n",
         &noise,
         "",
     ] {
-        let (id, mut below) = stands(&mut gateway);
-        assert_eq!(below.post().0, id);
-        below.reply(&spoilt.replace("ID", &id));
-        if spoilt.is_empty() {
-            drop(below);
+        let (id, mut call) = start_waiting_run(&mut gateway);
+        assert_eq!(call.post().0, id);
+        call.reply(&malformed.replace("ID", &id));
+        if malformed.is_empty() {
+            drop(call);
         }
-        // Well before its time is up, as nothing better can come.
-        assert_eq!(code(&gateway.receive()), -32001, "{spoilt}");
+        // The error comes well before the deadline, as no valid reply can follow.
+        assert_eq!(code(&gateway.receive()), -32001, "{malformed}");
     }
-    assert_eq!(below.post().0, good);
-    // What comes ahead under another name, and a second copy behind it, belong to nobody.
-    below.reply(&format!(
+    assert_eq!(call.post().0, good);
+    // A reply with an unknown id and a second copy of the reply are dropped.
+    call.reply(&format!(
         "0123456789abcdef posted 1\r\n0\r\n{good} posted 1\r\n1\r\n{good} posted 1\r\n2\r\n"
     ));
     assert_eq!(
@@ -391,10 +395,11 @@
     idle.receive();
     let start = Instant::now();
     node.signal("-TERM");
-    for party in [&mut gateway, &mut idle] {
-        assert_eq!(party.receive()["method"], "goaway");
+    for client in [&mut gateway, &mut idle] {
+        assert_eq!(client.receive()["method"], "goaway");
     }
-    // The signal closes the listening socket once all that was accepted is in.
+    // After the signal the node closes its listening socket once all accepted connections are
+    // registered.
     while TcpStream::connect(node.gateway_address).is_ok() {
         assert!(start.elapsed() < TEST_TIMEOUT);
     }
@@ -410,11 +415,11 @@
     );
 }
 
-/// A first request may take two seconds to arrive, while connections without number come in that
-/// say half a word. At half limits it was the oldest that had said nothing whole, and so the first
-/// to be closed for the others.
+/// Guards against a slow first request, which may take two seconds to arrive, whose connection is
+/// closed in favour of newer ones: while many connections send an incomplete request, at half of
+/// the limits, it is the oldest connection without a complete request.
 #[test]
-fn a_request_that_arrives_in_pieces_is_served_among_a_crowd() {
+fn a_request_that_arrives_in_pieces_is_served_among_many_connections() {
     let (node, mut processor, _gateway) =
         pair(json!({"limits": {"sockets": 160, "memory_mb": 24}}));
     let params = request_params(6000, None, b"in pieces");
@@ -423,16 +428,16 @@
         json!({"jsonrpc": "2.0", "id": 1, "method": "rota-view", "params": params})
     );
     let mut slow = node.gateway();
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(21)).collect();
     for piece in pieces {
         slow.send_bytes(piece);
         for _ in 0..12 {
             let mut half = TcpStream::connect(node.gateway_address).unwrap();
             let _ = half.write_all(&text.as_bytes()[..20]);
-            crowd.push(half);
+            connections.push(half);
         }
-        // Real time is what this is about: 21 pieces within 2.1 s.
+        // The test depends on real time: 21 pieces are sent within 2.1 s.
         std::thread::sleep(Duration::from_millis(105));
     }
     let (id, body) = processor.begin();
@@ -441,10 +446,10 @@
     assert_eq!(slow.receive()["result"]["doc"], base64(b"served"));
 }
 
-/// Callers hear of a drain late: a node that shut its door at once had its whole traffic refused
-/// for seconds.
+/// Guards against a drain that stops accepting at once: clients learn of the drain late, so the
+/// node's whole traffic was rejected for seconds.
 #[test]
-fn a_drain_serves_who_comes_within_its_grace() {
+fn a_drain_serves_requests_within_its_grace_period() {
     let (node, mut processor, _gateway) = pair(json!({}));
     node.signal("-TERM");
     node.wait_for_line("draining: ");
@@ -456,7 +461,7 @@
     processor.complete(&id, "fine", b"served");
     let answer = late.receive();
     assert_eq!(answer["result"]["doc"], base64(b"served"));
-    // Nor are those sent away who go by the level.
+    // The load level does not yet make clients choose other nodes.
     assert_ne!(answer["result"]["pressure"], 1.0, "{answer}");
     assert_eq!(late.receive()["method"], "goaway");
     late.send("alive", json!({}));
@@ -481,7 +486,7 @@
 }
 
 #[test]
-fn bad_input_gets_its_error_and_harms_nobody() {
+fn bad_input_gets_its_error_and_affects_no_other_request() {
     let (node, mut processor, mut good) = pair(json!({}));
     let change = |field: &str, value: Value| {
         let mut params = request_params(5000, Some("bad"), b"");
@@ -539,25 +544,26 @@
     assert_eq!(good.receive()["result"]["doc"], base64(b"fine"));
 }
 
-/// At the limit accepting once stopped, so clients that said nothing shut out those that had
-/// something to say.
+/// Guards against silent connections that keep out clients with requests, as when the node stopped
+/// accepting at its limit.
 #[test]
-fn those_that_say_nothing_shut_nobody_out() {
-    // 74 descriptors are kept back, so 8 connections are taken.
+fn silent_connections_do_not_keep_out_clients_with_requests() {
+    // 74 descriptors are reserved, so 8 connections are accepted.
     let (node, mut processor, mut gateway) = pair(json!({"limits": {"sockets": 82}}));
     gateway.send("rota-view", request_params(15000, None, b""));
     let (id, _) = processor.begin();
     let start = Instant::now();
-    let silent = |_| TcpStream::connect(node.gateway_address).unwrap();
-    let mut strangers: Vec<TcpStream> = (0..14).map(silent).collect();
-    strangers[13].write_all(b"{\"jsonrpc\":").unwrap();
+    let connect = |_| TcpStream::connect(node.gateway_address).unwrap();
+    let mut silent_connections: Vec<TcpStream> = (0..14).map(connect).collect();
+    silent_connections[13].write_all(b"{\"jsonrpc\":").unwrap();
     let mut last = node.gateway();
     last.send("alive", json!({}));
     assert_eq!(last.receive()["result"]["healthy"], true);
-    // Each of them is closed within 3 s, crowded or not; the one that has a request open stays.
-    for stranger in &mut strangers {
-        stranger.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        assert_eq!(stranger.read(&mut [0; 64]).unwrap_or(0), 0);
+    // Each of them is closed within 3 s, at the limit or below; the connection with an open request
+    // stays.
+    for connection in &mut silent_connections {
+        connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        assert_eq!(connection.read(&mut [0; 64]).unwrap_or(0), 0);
     }
     assert!(
         start.elapsed() < Duration::from_secs(3),
@@ -575,10 +581,11 @@
     );
 }
 
-/// A place was once wanted as soon as the last one was taken, and its new holder was the first to
-/// be closed: with its request, whose run went on for nobody.
+/// Guards against a new connection that is closed with its request open: the node freed a slot as
+/// soon as the last one was taken and closed the new connection first, while its run went on
+/// without a client.
 #[test]
-fn a_newcomer_among_idle_ones_is_served() {
+fn a_new_connection_among_idle_ones_is_served() {
     let (node, mut processor, first) = pair(json!({"limits": {"sockets": 82}}));
     let idle = |_| {
         let mut gateway = node.gateway();
@@ -586,21 +593,22 @@
         gateway.receive();
         gateway
     };
-    let mut places: Vec<Gateway> = (0..20).map(idle).collect();
-    places.push(first);
+    let mut connections: Vec<Gateway> = (0..20).map(idle).collect();
+    connections.push(first);
     for n in 0..10 {
-        let mut newcomer = node.gateway();
-        newcomer.send("rota-view", request_params(9000, None, &[n]));
+        let mut new_connection = node.gateway();
+        new_connection.send("rota-view", request_params(9000, None, &[n]));
         let (id, _) = processor.begin();
         processor.complete(&id, "fine", &[n]);
-        assert_eq!(newcomer.receive()["result"]["doc"], base64(&[n]));
-        places.push(newcomer);
+        assert_eq!(new_connection.receive()["result"]["doc"], base64(&[n]));
+        connections.push(new_connection);
     }
 }
 
-/// Each was once answered for as long as it went on, and a notification not at all.
+/// Guards against a connection that sends malformed lines without end: each error was answered,
+/// and a malformed notification got no answer at all.
 #[test]
-fn errors_without_an_end_end_in_a_close() {
+fn repeated_errors_close_the_connection() {
     let (node, mut processor, mut good) = pair(json!({}));
     for line in ["{", r#"{"jsonrpc":"2.0","method":"rota-view"}"#] {
         let mut bad = node.gateway();
@@ -614,20 +622,20 @@
             "{line}"
         );
     }
-    // What is taken back is confirmed, or a client that only does that would never hear a word.
+    // A cancellation is confirmed, as a client that only cancels would otherwise get no answer.
     let number = good.send("rota-view", request_params(9000, None, b""));
     let (id, _) = processor.begin();
     good.notify("cancelRequest", json!({"id": number}));
     assert_eq!(code(&good.receive()), -32800);
-    processor.complete(&id, "fine", b"nobody's");
+    processor.complete(&id, "fine", b"cancelled");
     good.send("alive", json!({}));
     assert_eq!(good.receive()["result"]["healthy"], true);
 }
 
 #[test]
-fn a_connection_has_32_requests_open_and_its_end_lets_go_of_them() {
+fn a_connection_has_32_open_requests_and_its_end_abandons_them() {
     let (mut node, mut processor, mut gateway) = pair(json!({}));
-    // Repeats of one key: one runs, the others wait for it, and none can be served early.
+    // Duplicates of one key: one runs, the others wait for it, and none can be served early.
     let numbers: Vec<u64> = (0..33)
         .map(|_| gateway.send("swap-confirm", request_params(9000, Some("k"), b"")))
         .collect();
@@ -638,8 +646,8 @@
     );
     let (id, _) = processor.begin();
     drop(gateway);
-    // Another connection is read after the end of the first one is seen, or the key is still held:
-    // either way the run that began is the only one, and its result serves the next try.
+    // Another connection is read after the first one was closed, or while the run still has waiting
+    // requests: in either case the key runs once, and its result answers the next attempt.
     let mut other = node.gateway();
     other.send("swap-confirm", request_params(9000, Some("k"), b""));
     processor.complete(&id, "fine", b"once");
