--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -1,5 +1,5 @@
-//! What one deployment's settings ask for and another's don't: tenants, and runs that can be
-//! stopped.
+//! Features that only some deployments enable in their settings: tenants, and runs that can be
+//! interrupted.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// The usual settings, with runs that can be stopped in this way.
-fn stopping(mode: &str) -> Value {
+/// The default settings with this stop mode, in which runs can be interrupted.
+fn settings_with_stop_mode(mode: &str) -> Value {
     let mut config = configuration(&json!({}));
     config["settings"]["familyInfo"]["stopMode"] = json!(mode);
     config["settings"].clone()
@@ -18,14 +18,14 @@
     params["ref"].as_str().unwrap().to_owned()
 }
 
-/// On the second deployment runs can be stopped. The node answered their requests and let them go
-/// on: the cores worked for nobody while others waited for them.
+/// Guards against a run that goes on after its request was answered, although the deployment's runs
+/// can be interrupted: its cores were missing for queued requests.
 #[test]
-fn a_run_that_nobody_waits_for_is_stopped() {
+fn a_cancelled_run_is_interrupted() {
     for mode in ["abort", "suspend"] {
         let mut processor = Processor::new();
         let node = Node::start(
-            json!({"processor": processor.address(), "settings": stopping(mode)}),
+            json!({"processor": processor.address(), "settings": settings_with_stop_mode(mode)}),
             None,
         );
         processor.accept_running();
@@ -34,10 +34,10 @@
         let id = gateway.send("rota-view", params.clone());
         assert_eq!(processor.begin().0, reference(&params));
         gateway.notify("cancelRequest", json!({"id": id}));
-        let (words, _) = processor.command();
-        assert_eq!(words, ["interrupt", &reference(&params)]);
+        let (command, _) = processor.command();
+        assert_eq!(command, ["interrupt", &reference(&params)]);
         processor.complete(&reference(&params), "broken_off", b"");
-        // It stands in nobody's way: what comes next is run and served.
+        // The interrupted run holds no capacity: the next request is run and served.
         assert!(gateway.receive()["error"]["code"].is_number());
         let params = request_params(5000, None, b"two");
         gateway.send("rota-view", params.clone());
@@ -47,32 +47,33 @@
     }
 }
 
-/// The stop crosses the run's own end, which the processor answers with a rejection or not at all.
+/// The `interrupt` command crosses the end of the run. The processor answers it with a rejection or
+/// not at all.
 #[test]
-fn a_stop_that_comes_too_late_means_nothing() {
+fn an_interrupt_after_the_end_of_a_run_has_no_effect() {
     let mut processor = Processor::new();
     let node = Node::start(
-        json!({"processor": processor.address(), "settings": stopping("abort")}),
+        json!({"processor": processor.address(), "settings": settings_with_stop_mode("abort")}),
         None,
     );
     processor.accept_running();
     let mut gateway = node.ready();
-    let (gone, kept) = (
+    let (gone, continued) = (
         request_params(5000, None, b"gone"),
         request_params(5000, None, b"kept"),
     );
     let id = gateway.send("rota-view", gone.clone());
     processor.begin();
-    gateway.send("rota-view", kept.clone());
+    gateway.send("rota-view", continued.clone());
     processor.begin();
     gateway.notify("cancelRequest", json!({"id": id}));
     assert_eq!(processor.command().0[0], "interrupt");
     processor.complete(&reference(&gone), "fine", b"late");
-    // Rejected after its end, and once for a request that still runs: neither answers anybody.
-    for request in [&gone, &kept] {
+    // One rejection for a run that has ended and one for a run in flight: neither ends a request.
+    for request in [&gone, &continued] {
         processor.send(format!("reject interrupt {}\r\n", reference(request)).as_bytes());
     }
-    processor.complete(&reference(&kept), "fine", b"served");
+    processor.complete(&reference(&continued), "fine", b"served");
     assert_eq!(gateway.receive()["id"], id);
     let answer = gateway.receive();
     assert_eq!(
@@ -81,13 +82,13 @@
     );
 }
 
-/// A link that broke may have swallowed the stop unread: it goes out again on the next one, if the
-/// run still goes on.
+/// An `interrupt` that may have been lost with the processor connection is sent again on the next
+/// connection if the run is still in flight.
 #[test]
-fn a_stop_lost_with_the_link_is_said_again() {
+fn an_interrupt_lost_with_the_connection_is_sent_again() {
     let mut processor = Processor::new();
     let node = Node::start(
-        json!({"processor": processor.address(), "settings": stopping("abort")}),
+        json!({"processor": processor.address(), "settings": settings_with_stop_mode("abort")}),
         None,
     );
     processor.accept_running();
@@ -97,11 +98,12 @@
     processor.begin();
     gateway.notify("cancelRequest", json!({"id": id}));
     assert_eq!(processor.command().0[0], "interrupt");
-    // Its question is not answered, so the node can't know that it was read.
+    // The usage query after the command is not answered, so the node can't assume that the
+    // command was read.
     processor.disconnect();
     processor.accept_running();
-    let (words, _) = processor.command();
-    assert_eq!(words, ["interrupt", &reference(&params)]);
+    let (command, _) = processor.command();
+    assert_eq!(command, ["interrupt", &reference(&params)]);
     processor.complete(&reference(&params), "broken_off", b"");
     gateway.receive();
     let params = request_params(5000, None, b"two");
@@ -109,10 +111,10 @@
     assert_eq!(processor.begin().0, reference(&params));
 }
 
-/// Where runs can't be stopped the command is never written: the older processor closes its link on
-/// what it doesn't know.
+/// `interrupt` is never sent where runs can't be interrupted: the older processor closes its
+/// connection on an unknown command.
 #[test]
-fn where_runs_cannot_be_stopped_nobody_is_told_to() {
+fn no_interrupt_is_sent_where_runs_cannot_be_interrupted() {
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address()}), None);
     processor.accept_running();
@@ -129,15 +131,15 @@
     assert_eq!(
         processor.begin().0,
         reference(&second),
-        "no other command stands between the two"
+        "another command was sent between the two requests"
     );
 }
 
-/// A tenant is named as in the settings. A name that these don't have is no error; what is no name
-/// is one.
+/// Requests name their tenant as in the settings. An unknown name is valid; a value that is not a
+/// string is an error.
 #[test]
-fn tenants_are_read_by_their_names() {
-    let mut settings = stopping("abort");
+fn tenants_are_identified_by_their_names() {
+    let mut settings = settings_with_stop_mode("abort");
     settings["tenants"] = json!([{"name": "acme", "quotaRps": 1.0}]);
     let mut processor = Processor::new();
     let node = Node::start(
@@ -146,7 +148,7 @@
     );
     processor.accept_running();
     let mut gateway = node.ready();
-    for project in [json!("acme"), json!("stranger"), Value::Null] {
+    for project in [json!("acme"), json!("unlisted"), Value::Null] {
         let mut params = request_params(5000, None, b"body");
         params["project"] = project;
         gateway.send("rota-view", params.clone());
@@ -160,11 +162,11 @@
     assert_eq!(gateway.receive()["error"]["code"], -32602);
 }
 
-/// A check with `inner` asks whether work gets done. It was answered good while a server hung and
-/// failed all that it was sent.
+/// A health check with `inner` reports whether runs end. Guards against a healthy answer while the
+/// processor hangs and all its runs fail.
 #[test]
-fn a_check_of_whether_work_gets_done_is_bad_while_none_does() {
-    let mut settings = stopping("abort");
+fn an_inner_health_check_fails_while_no_run_ends() {
+    let mut settings = settings_with_stop_mode("abort");
     settings["familyInfo"]["cpus"] = json!(2);
     for class in settings["categories"].as_array_mut().unwrap() {
         class["target"] = json!(400_000);
@@ -176,7 +178,7 @@
     );
     processor.accept_running();
     let mut gateway = node.ready();
-    // Keyed runs, which nobody gives up for it.
+    // Keyed runs, which are not abandoned to recover.
     let runs: Vec<Value> = (0..2)
         .map(|i| request_params(20_000, Some(&format!("key-{i}")), b"x"))
         .collect();
@@ -185,22 +187,27 @@
         processor.begin();
     }
     let hung = std::thread::spawn(move || {
-        // The gauges go on: the processor reads, and ends nothing.
+        // The processor still answers usage queries, and ends no run.
         processor.answer_usage_for(Duration::from_secs(3));
         for params in &runs {
             processor.complete(&reference(params), "fine", b"done");
         }
         processor
     });
-    let mut checks = node.gateway();
+    let mut check_gateway = node.gateway();
     let mut check = |params: Value| {
-        checks.send("alive", params);
-        checks.receive()["result"]["healthy"].as_bool().unwrap()
+        check_gateway.send("alive", params);
+        check_gateway.receive()["result"]["healthy"]
+            .as_bool()
+            .unwrap()
     };
     assert!(check(json!({"inner": true})));
     while check(json!({"inner": true})) {}
-    assert!(check(json!({})), "there is somebody, who answers");
-    // It is good again with the first run that ends.
+    assert!(
+        check(json!({})),
+        "unhealthy without `inner`, although the processor answers"
+    );
+    // The check is healthy again once the first run ends.
     while !check(json!({"inner": true})) {}
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
     drop(hung.join().unwrap());
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! Starts: under a crowd of others, beside an address that is still in use, without the parties
-//! that the node needs.
+//! Starts of a node: among many other processes, with a listening address that is still in use, and
+//! without the services that the node connects to.
 
 mod common;
 
@@ -13,14 +13,15 @@
 const READY: Duration = Duration::from_secs(10);
 
 #[test]
-fn twenty_that_start_at_once_are_ready_in_time() {
+fn twenty_nodes_started_at_once_are_ready_in_time() {
     let start = Instant::now();
     let one = |_| {
         std::thread::spawn(move || {
             let mut processor = Processor::new();
             // Neither the ledger nor the membership service is there.
-            let parties = json!({"processor": processor.address(), "ledger": unused_address(), "members": unused_address()});
-            let node = Node::start(parties, None);
+            let config_entries = json!({"processor": processor.address(),
+                "ledger": unused_address(), "members": unused_address()});
+            let node = Node::start(config_entries, None);
             processor.accept_running();
             let mut gateway = node.ready();
             let ready = start.elapsed();
@@ -38,29 +39,29 @@
 }
 
 #[test]
-fn a_start_waits_for_an_address_that_is_about_to_be_free() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = taken.local_addr().unwrap();
+fn a_start_waits_for_an_address_that_is_in_use() {
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let at = occupied.local_addr().unwrap();
     let mut processor = Processor::new();
-    let parties = json!({"processor": processor.address(), "listen": at.to_string()});
-    let starting = std::thread::spawn(move || Node::start(parties, None));
-    // The link is set up only by a node that listens; until then its address is another's.
+    let config_entries = json!({"processor": processor.address(), "listen": at.to_string()});
+    let starting = std::thread::spawn(move || Node::start(config_entries, None));
+    // A node connects to its processor only once it listens; until then the address is in use.
     std::thread::sleep(Duration::from_millis(200));
-    drop(taken);
+    drop(occupied);
     processor.accept_running();
     let node = starting.join().unwrap();
     assert_eq!(node.gateway_address, at);
     node.ready();
 }
 
-/// It went on to listen and serve, and only then read the signal.
+/// Guards against a node that handles a SIGTERM, received while it waits for its address, only
+/// after it listens and serves.
 #[test]
-fn a_start_that_waits_for_its_address_ends_when_told_to() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let config = configuration(
-        &json!({"processor": unused_address(), "listen": taken.local_addr().unwrap().to_string()}),
-    );
-    let scratch = ScratchDirectory::new("told-to-leave");
+fn a_start_that_waits_for_its_address_ends_on_sigterm() {
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let config = configuration(&json!({"processor": unused_address(),
+            "listen": occupied.local_addr().unwrap().to_string()}));
+    let scratch = ScratchDirectory::new("stopped-while-waiting");
     std::fs::create_dir_all(&scratch.0).unwrap();
     let file = scratch.0.join("config.json");
     std::fs::write(&file, config.to_string()).unwrap();
@@ -73,8 +74,8 @@
         .spawn()
         .unwrap();
     let start = Instant::now();
-    // Signals are caught from early on; before that the default ends the process as well, but not
-    // with 0.
+    // The signal handler is installed early in the start; before that the default action ends the
+    // process as well, but not with exit code 0.
     let caught = || {
         let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap();
         let line = status
@@ -89,7 +90,7 @@
         assert!(start.elapsed() < TEST_TIMEOUT);
         std::thread::yield_now();
     }
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     assert!(Command::new("kill")
         .args(["-TERM", &child.id().to_string()])
         .status()
@@ -97,17 +98,18 @@
         .success());
     let status = child.wait().unwrap();
     assert!(status.success(), "{status}");
-    // The address is waited for up to 5 s, and a drain takes half of that.
+    // The node waits up to 5 s for its address, and a drain takes half of that time.
     assert!(
-        told.elapsed() < Duration::from_secs(2),
+        signalled_at.elapsed() < Duration::from_secs(2),
         "{:?}",
-        told.elapsed()
+        signalled_at.elapsed()
     );
 }
 
-/// Bytes that came before the processor was up get an answer, and so does what comes once it is.
+/// Requests that arrive before the processor is up are rejected with an answer; later ones are
+/// served.
 #[test]
-fn a_processor_that_comes_late_finds_a_node_that_answers() {
+fn a_node_whose_processor_starts_late_answers_before_and_after() {
     let mut processor = Processor::new();
     let node = Node::start(json!({"processor": processor.address()}), None);
     let mut early = node.gateway();
@@ -116,7 +118,7 @@
     processor.accept();
     early.send(
         "rota-view",
-        request_params(5000, None, b"accepted, and not up"),
+        request_params(5000, None, b"connected, not up"),
     );
     assert_eq!(early.receive()["error"]["code"], -32000);
     processor.send(b"hi starting 0.5\r\n");
