--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -28,37 +28,38 @@
     }
 }
 
-fn member_state(cluster: &Cluster, at: usize, of: &str) -> String {
+fn member_state(cluster: &Cluster, node: usize, name: &str) -> String {
     cluster
-        .member(at, of)
+        .member(node, name)
         .map_or(String::new(), |m| m["state"].as_str().unwrap().to_owned())
 }
 
-fn all_see(cluster: &Cluster, nodes: &[usize], of: &str, expected: &str) -> bool {
+fn all_see_state(cluster: &Cluster, nodes: &[usize], name: &str, expected: &str) -> bool {
     nodes
         .iter()
-        .all(|i| member_state(cluster, *i, of) == expected)
+        .all(|i| member_state(cluster, *i, name) == expected)
 }
 
 /// The log lines, after the first `skip` ones, that declare a member other than `expected` down.
 fn wrongly_down(cluster: &Cluster, skip: usize, expected: &[&str]) -> Vec<LogLine> {
     let lines = cluster.history.lines().split_off(skip);
-    let down = |l: &LogLine| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
-    let of = |l: &LogLine, name: &str| l.text.contains(&format!("member={name} "));
+    let is_down =
+        |l: &LogLine| l.text.contains("suspect -> down") || l.text.contains("alive -> down");
+    let is_about = |l: &LogLine, name: &str| l.text.contains(&format!("member={name} "));
     lines
         .into_iter()
-        .filter(|l| down(l) && !expected.iter().any(|name| of(l, name)))
+        .filter(|l| is_down(l) && !expected.iter().any(|name| is_about(l, name)))
         .collect()
 }
 
-fn stop(clients: Vec<Client>, cluster: &Cluster, most: Duration) {
+fn stop_and_verify(clients: Vec<Client>, cluster: &Cluster, max_latency: Duration) {
     let client_logs: Vec<ClientLog> = clients.into_iter().map(Client::stop).collect();
     let runs: Vec<&Processor> = cluster.nodes.iter().map(|n| &n.processor).collect();
-    let counts = verify(&client_logs, &runs).unwrap_or_else(|wrong| panic!("{wrong}"));
+    let counts = verify(&client_logs, &runs).unwrap_or_else(|violation| panic!("{violation}"));
     println!("{counts:?}");
     assert!(counts.served > 200, "{counts:?}");
     let longest = client_logs.iter().map(|a| a.longest_latency).max().unwrap();
-    assert!(longest < most, "the slowest answer took {longest:?}");
+    assert!(longest < max_latency, "the slowest answer took {longest:?}");
 }
 
 /// Runs `pipitlever fleet` with these arguments against the control endpoints of these nodes.
@@ -192,10 +193,12 @@
     // A node is stopped until it is declared down, while another one crashes and restarts.
     cluster.signal(5, "-STOP");
     cluster.wait("n5 is down", |c| {
-        all_see(c, &[0, 1, 2, 3, 4, 6], "n5", "down")
+        all_see_state(c, &[0, 1, 2, 3, 4, 6], "n5", "down")
     });
     cluster.kill(6);
-    cluster.wait("n6 is down", |c| all_see(c, &[0, 1, 2, 3, 4], "n6", "down"));
+    cluster.wait("n6 is down", |c| {
+        all_see_state(c, &[0, 1, 2, 3, 4], "n6", "down")
+    });
     cluster.start(6);
     cluster.wait("n6 is back", |c| c.have_converged(&[0, 1, 2, 3, 4, 6]));
     let lines_before_resume = cluster.history.lines().len();
@@ -214,10 +217,10 @@
     // A partition into two parts, with a crash, a restart and a graceful leave during it.
     cluster.links.partition(7, |i| usize::from(i >= 4));
     cluster.wait("the two parts see each other as down", |c| {
-        all_see(c, &[0, 1, 2, 3], "n4", "down")
-            && all_see(c, &[4, 5, 6], "n0", "down")
-            && all_see(c, &[0, 1, 2, 3], "n6", "down")
-            && all_see(c, &[4, 5, 6], "n3", "down")
+        all_see_state(c, &[0, 1, 2, 3], "n4", "down")
+            && all_see_state(c, &[4, 5, 6], "n0", "down")
+            && all_see_state(c, &[0, 1, 2, 3], "n6", "down")
+            && all_see_state(c, &[4, 5, 6], "n3", "down")
     });
     cluster.wait("the smaller part detects that it is cut off", |c| {
         [4, 5, 6]
@@ -231,14 +234,17 @@
     cluster.signal(5, "-TERM");
     cluster.nodes[5].process.as_mut().unwrap().wait();
     cluster.nodes[5].process = None;
-    cluster.wait("n3 is down", |c| all_see(c, &[0, 1, 2], "n3", "down"));
+    cluster.wait("n3 is down", |c| all_see_state(c, &[0, 1, 2], "n3", "down"));
     cluster.links.heal();
     let running = [0, 1, 2, 4, 6];
     let took = cluster.wait("the two parts converge after the heal", |c| {
         c.have_converged(&running)
     });
     assert!(took < Duration::from_secs(10), "{took:?}");
-    assert!(all_see(&cluster, &running, "n3", "down") && all_see(&cluster, &running, "n5", "left"));
+    assert!(
+        all_see_state(&cluster, &running, "n3", "down")
+            && all_see_state(&cluster, &running, "n5", "left")
+    );
     cluster.start(3);
     cluster.start(5);
     cluster.wait_converged("all are back");
@@ -247,7 +253,7 @@
     (0..7).for_each(|i| cluster.kill(i));
     (0..7).for_each(|i| cluster.start(i));
     cluster.wait_converged("all have restarted");
-    stop(clients, &cluster, Duration::from_secs(5));
+    stop_and_verify(clients, &cluster, Duration::from_secs(5));
 }
 
 #[test]
@@ -260,7 +266,9 @@
     for partition in [false, true] {
         if partition {
             cluster.links.partition(4, |i| usize::from(i == 3));
-            cluster.wait("n3 is cut off", |c| all_see(c, &[0, 1, 2], "n3", "down"));
+            cluster.wait("n3 is cut off", |c| {
+                all_see_state(c, &[0, 1, 2], "n3", "down")
+            });
         }
         let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
         let successor = cluster.start_process(2, "n2", Some(listen));
@@ -325,7 +333,7 @@
         (&at["address"], &at["conflict"]),
         (&before["address"], &json!([]))
     );
-    stop(clients, &cluster, Duration::from_secs(5));
+    stop_and_verify(clients, &cluster, Duration::from_secs(5));
 }
 
 #[test]
@@ -394,7 +402,7 @@
             "{log_text}, {successor_dies}, {ms}: {ended:?}"
         );
     }
-    stop(clients, &cluster, Duration::from_secs(5));
+    stop_and_verify(clients, &cluster, Duration::from_secs(5));
 }
 
 /// Guards against a start that fails with "address in use" because it looked for its predecessor
@@ -497,7 +505,7 @@
         "the node can still accept a connection"
     );
     cluster.kill(3);
-    cluster.wait("n3 is down", |c| all_see(c, &[0, 1], "n3", "down"));
+    cluster.wait("n3 is down", |c| all_see_state(c, &[0, 1], "n3", "down"));
     let noticed = cluster.history.wait(line_count, |l| {
         l.node == 2 && l.text.contains("member=n3 suspect -> down")
     });
@@ -506,7 +514,7 @@
     // member is declared down for that.
     cluster.start(3);
     cluster.wait("n3 is back", |c| {
-        all_see(c, &[0, 1, 3], "n3", "alive") && all_see(c, &[0, 1, 3], "n2", "alive")
+        all_see_state(c, &[0, 1, 3], "n3", "alive") && all_see_state(c, &[0, 1, 3], "n2", "alive")
     });
     assert!(wrongly_down(&cluster, line_count, &["n3"]).is_empty());
     limit("1024:1024");
@@ -519,7 +527,7 @@
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     // The process on n3's address uses the name of n1.
     cluster.kill(3);
-    cluster.wait("n3 is down", |c| all_see(c, &[0, 1, 2], "n3", "down"));
+    cluster.wait("n3 is down", |c| all_see_state(c, &[0, 1, 2], "n3", "down"));
     let twin = cluster.start_process(3, "n1", None);
     cluster.nodes[3].process = Some(twin);
     let addresses = |c: &Cluster, at: usize| {
@@ -650,7 +658,7 @@
     let suspected = cluster.lines_containing("alive -> suspect").len();
     println!("nodes={count} seed={seed} rounds={rounds} faults={faults} converged within {longest:?}; {suspected} suspicions");
     // A request to a stopped process waits until the process resumes or the client times out.
-    stop(clients, &cluster, Duration::from_secs(30));
+    stop_and_verify(clients, &cluster, Duration::from_secs(30));
 }
 
 /// Run manually: CPU time, latency and memory of a node with `[fleet]` and without, alternately.
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -86,19 +86,19 @@
 #[test]
 fn a_duplicate_at_either_process_gets_the_first_runs_result() {
     let mut environment = NodeEnvironment::new("either");
-    let (mut old, mut before, _) = environment.start_first();
+    let (mut old, mut old_processor, _) = environment.start_first();
     let mut early = old.ready();
     early.send(
         "swap-confirm",
         request_params(9000, Some("ended"), b"ended"),
     );
-    let (ended, _) = before.command();
-    before.complete(&ended[1], "fine", b"result 1");
+    let (ended, _) = old_processor.command();
+    old_processor.complete(&ended[1], "fine", b"result 1");
     assert_eq!(served(&early.receive()), base64(b"result 1"));
     early.send("swap-confirm", request_params(9000, Some("open"), b"open"));
-    let (open, _) = before.command();
+    let (open, _) = old_processor.command();
 
-    let (new, mut after, control) = environment.start_successor();
+    let (new, mut new_processor, control) = environment.start_successor();
     assert_eq!(early.receive()["method"], "goaway");
     // The node's address stays the same, and no request to it is rejected.
     assert_eq!(new.gateway_address, old.gateway_address);
@@ -118,7 +118,7 @@
     // A key known to the new process alone: the old one rejects a first attempt as not run; a retry
     // may have run.
     late.send("swap-confirm", request_params(9000, Some("new"), b"new"));
-    let (run, body) = after.command();
+    let (run, body) = new_processor.command();
     assert_eq!(body, b"new", "the key in flight was run again");
     let mut retry = request_params(9000, Some("new"), b"new");
     early.send("swap-confirm", retry.clone());
@@ -138,14 +138,14 @@
     old.wait_for_line("leaving: ");
     early.send("alive", json!({}));
     assert_eq!(early.receive()["result"]["healthy"], true);
-    before.complete(&open[1], "fine", b"result 2");
+    old_processor.complete(&open[1], "fine", b"result 2");
     assert_eq!(served(&early.receive()), base64(b"result 2"));
     let answer = late.receive();
     assert_eq!(
         (&answer["id"], served(&answer)),
         (&json!(duplicate), &*base64(b"result 2"))
     );
-    after.complete(&run[1], "fine", b"result 3");
+    new_processor.complete(&run[1], "fine", b"result 3");
     assert_eq!(served(&late.receive()), base64(b"result 3"));
     assert_eq!(old.wait().code(), Some(0));
     new.wait_for_line("hot restart: complete, the predecessor exited");
@@ -155,11 +155,11 @@
 #[test]
 fn duplicates_of_a_run_whose_process_was_killed_fail() {
     let mut environment = NodeEnvironment::new("unknown");
-    let (mut old, mut before, _) = environment.start_first();
+    let (mut old, mut old_processor, _) = environment.start_first();
     let mut early = old.ready();
     early.send("swap-confirm", request_params(9000, Some("open"), b"open"));
-    before.command();
-    let (new, _after, _) = environment.start_successor();
+    old_processor.command();
+    let (new, _new_processor, _) = environment.start_successor();
     let mut late = new.gateway();
     late.send("swap-confirm", request_params(9000, Some("open"), b"open"));
     old.signal("-KILL");
@@ -176,7 +176,7 @@
 #[test]
 fn a_successor_killed_before_it_confirms_changes_nothing() {
     let mut environment = NodeEnvironment::new("before-confirmation");
-    let (old, mut before, control) = environment.start_first();
+    let (old, mut old_processor, control) = environment.start_first();
     let mut gateway = old.ready();
     let (mut new, ..) = environment.start();
     old.wait_for_line("hot restart: a successor connected");
@@ -184,8 +184,8 @@
     new.wait();
     old.wait_for_line("hot restart: aborted, this process goes on serving");
     gateway.send("swap-confirm", request_params(9000, Some("k"), b"body"));
-    let (command, _) = before.command();
-    before.complete(&command[1], "fine", b"result");
+    let (command, _) = old_processor.command();
+    old_processor.complete(&command[1], "fine", b"result");
     assert_eq!(served(&gateway.receive()), base64(b"result"));
     let mut other = old.gateway();
     other.send("swap-confirm", request_params(9000, Some("k"), b"body"));
@@ -198,30 +198,30 @@
 #[test]
 fn a_successor_that_gets_sigterm_before_it_serves_changes_nothing() {
     let mut environment = NodeEnvironment::new("sigterm-before-serving");
-    let (old, _before, _) = environment.start_first();
+    let (old, _old_processor, _) = environment.start_first();
     old.ready();
     let (mut new, ..) = environment.start();
     old.wait_for_line("hot restart: a successor connected");
     new.signal("-TERM");
     assert_eq!(new.wait().code(), Some(0));
     old.wait_for_line("hot restart: aborted, this process goes on serving");
-    let (third, mut after, _) = environment.start_successor();
+    let (third, mut new_processor, _) = environment.start_successor();
     let mut gateway = third.ready();
     gateway.send("rota-view", request_params(9000, None, b"view"));
-    let (command, _) = after.command();
-    after.complete(&command[1], "fine", b"viewed");
+    let (command, _) = new_processor.command();
+    new_processor.complete(&command[1], "fine", b"viewed");
     assert_eq!(served(&gateway.receive()), base64(b"viewed"));
 }
 
 #[test]
 fn after_its_successor_was_killed_the_old_process_serves_but_runs_no_key_that_may_have_run() {
     let mut environment = NodeEnvironment::new("after-confirmation");
-    let (old, mut before, _) = environment.start_first();
+    let (old, mut old_processor, _) = environment.start_first();
     old.ready();
-    let (mut new, mut after, _) = environment.start_successor();
+    let (mut new, mut new_processor, _) = environment.start_successor();
     let mut late = new.gateway();
     late.send("swap-confirm", request_params(9000, Some("lost"), b"body"));
-    after.command();
+    new_processor.command();
     new.signal("-KILL");
     new.wait();
     old.wait_for_line("hot restart: the successor exited");
@@ -231,32 +231,32 @@
     gateway.send("swap-confirm", retry);
     assert_ne!(code(&gateway.receive()), -32000);
     gateway.send("rota-view", request_params(9000, None, b"view"));
-    let (command, body) = before.command();
+    let (command, body) = old_processor.command();
     assert_eq!(body, b"view", "the swap was run again");
-    before.complete(&command[1], "fine", b"viewed");
+    old_processor.complete(&command[1], "fine", b"viewed");
     assert_eq!(served(&gateway.receive()), base64(b"viewed"));
 }
 
 #[test]
 fn after_its_predecessor_was_killed_during_the_transfer_a_successor_runs_no_retry() {
     let mut environment = NodeEnvironment::new("during-transfer");
-    let (mut old, mut before, _) = environment.start_first();
+    let (mut old, mut old_processor, _) = environment.start_first();
     let mut early = old.ready();
     early.send("swap-confirm", request_params(9000, Some("lost"), b"body"));
-    before.command();
-    let (new, mut after, _) = environment.start();
+    old_processor.command();
+    let (new, mut new_processor, _) = environment.start();
     old.wait_for_line("hot restart: a successor connected");
     old.signal("-KILL");
     old.wait();
     new.wait_for_line("hot restart: the predecessor exited before all keys were received");
-    after.accept_running();
+    new_processor.accept_running();
     let mut gateway = new.ready();
     let mut retry = request_params(9000, Some("lost"), b"body");
     retry["dup"] = json!(1);
     gateway.send("swap-confirm", retry);
     assert_ne!(code(&gateway.receive()), -32000);
     gateway.send("rota-view", request_params(9000, None, b"view"));
-    assert_eq!(after.command().1, b"view", "the swap was run again");
+    assert_eq!(new_processor.command().1, b"view", "the swap was run again");
 }
 
 #[test]
@@ -286,7 +286,7 @@
 #[test]
 fn a_leftover_socket_or_invalid_peers_do_not_prevent_a_start() {
     let mut environment = NodeEnvironment::new("other-peers");
-    let (mut old, _before, _) = environment.start_first();
+    let (mut old, _old_processor, _) = environment.start_first();
     let mut gateway = old.ready();
     for bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -359,7 +359,7 @@
 #[test]
 fn a_process_that_has_yielded_serves_again_only_once_its_successor_has_ended() {
     let mut environment = NodeEnvironment::new("yielded");
-    let (mut old, _before, control) = environment.start_first();
+    let (mut old, _old_processor, control) = environment.start_first();
     let mut stream = UnixStream::connect(environment.socket()).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(&message::greeting()).unwrap();
@@ -447,7 +447,7 @@
 #[test]
 fn a_hot_restart_succeeds_after_a_failed_one() {
     let mut environment = NodeEnvironment::new("again");
-    let (mut old, mut before, _) = environment.start_first();
+    let (mut old, mut old_processor, _) = environment.start_first();
     old.ready();
     let (mut new, ..) = environment.start_successor();
     new.signal("-KILL");
@@ -455,29 +455,29 @@
     old.wait_for_line("hot restart: the successor exited");
     let mut gateway = old.ready();
     gateway.send("rota-view", request_params(9000, None, b"view"));
-    let (view, _) = before.command();
-    let (third, mut after, _) = environment.start_successor();
-    before.complete(&view[1], "fine", b"viewed");
+    let (view, _) = old_processor.command();
+    let (third, mut new_processor, _) = environment.start_successor();
+    old_processor.complete(&view[1], "fine", b"viewed");
     assert_eq!(gateway.receive()["method"], "goaway");
     assert_eq!(served(&gateway.receive()), base64(b"viewed"));
     old.signal("-TERM");
     assert_eq!(old.wait().code(), Some(0));
     let mut gateway = third.ready();
     gateway.send("rota-view", request_params(9000, None, b"view"));
-    assert_eq!(after.command().1, b"view");
+    assert_eq!(new_processor.command().1, b"view");
 }
 
 #[test]
 fn the_longest_key_is_transferred() {
     let mut environment = NodeEnvironment::new("long-key");
-    let (old, mut before, _) = environment.start_first();
+    let (old, mut old_processor, _) = environment.start_first();
     let mut early = old.ready();
     let key = "k".repeat(128);
     early.send("swap-confirm", request_params(9000, Some(&key), b"body"));
-    let (run, _) = before.command();
-    before.complete(&run[1], "fine", b"once");
+    let (run, _) = old_processor.command();
+    old_processor.complete(&run[1], "fine", b"once");
     assert_eq!(served(&early.receive()), base64(b"once"));
-    let (new, _after, _) = environment.start_successor();
+    let (new, _new_processor, _) = environment.start_successor();
     let mut late = new.gateway();
     late.send("swap-confirm", request_params(9000, Some(&key), b"body"));
     assert_eq!(served(&late.receive()), base64(b"once"));
@@ -486,9 +486,9 @@
 #[test]
 fn a_new_configuration_during_a_hot_restart_is_applied_by_both_processes() {
     let mut environment = NodeEnvironment::new("reload");
-    let (mut old, mut before, _) = environment.start_first();
+    let (mut old, mut old_processor, _) = environment.start_first();
     old.ready();
-    let (mut new, mut after, control) = environment.start();
+    let (mut new, mut new_processor, control) = environment.start();
     old.wait_for_line("hot restart: a successor connected");
     // The successor before it has confirmed, and the predecessor before it yields.
     for node in [&mut new, &mut old] {
@@ -497,14 +497,14 @@
     }
     let mut early = old.ready();
     early.send("swap-confirm", request_params(9000, Some("k"), b"body"));
-    let (run, _) = before.command();
-    after.accept_running();
+    let (run, _) = old_processor.command();
+    new_processor.accept_running();
     new.wait_for_line("hot restart: took over");
     old.reload(json!({"ledger": "127.77.0.2:9"}));
     assert_eq!(old.wait_for_line("reload: "), "reload: done");
     let mut late = new.ready();
     late.send("swap-confirm", request_params(9000, Some("k"), b"body"));
-    before.complete(&run[1], "fine", b"once");
+    old_processor.complete(&run[1], "fine", b"once");
     assert_eq!(served(&late.receive()), base64(b"once"));
     assert_eq!(control.metric("cfg_accepted"), Some(1));
 }
