--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -39,11 +39,11 @@
         file: String,
         why: String,
     },
-    Close {
+    Retire {
         at: String,
         number: u64,
     },
-    AcceptFloor {
+    SetMinimum {
         at: String,
         number: u64,
     },
@@ -109,7 +109,7 @@
 #[derive(Default)]
 struct Options {
     command: Option<String>,
-    words: Vec<String>,
+    operands: Vec<String>,
     config: Option<String>,
     operator: Option<String>,
     at: Vec<String>,
@@ -146,7 +146,7 @@
                 Long("at") if is_fleet => options.at.push(text_value(&mut parser)?),
                 Value(word) if options.command.is_none() => options.command = Some(text(word)?),
                 Value(word) if matches!(command.as_str(), "import" | "store" | "fleet") => {
-                    options.words.push(text(word)?);
+                    options.operands.push(text(word)?);
                 }
                 other => return Err(ArgumentError::Unexpected(other.unexpected().to_string())),
             }
@@ -166,8 +166,10 @@
         let command = match self.command.as_deref().unwrap_or("serve") {
             "serve" => Command::Serve,
             "check" => Command::Check,
-            "import" if self.words.is_empty() => return Err(ArgumentError::NoImportFile),
-            "import" => Command::Import { files: self.words },
+            "import" if self.operands.is_empty() => return Err(ArgumentError::NoImportFile),
+            "import" => Command::Import {
+                files: self.operands,
+            },
             "pools" => Command::Pools,
             "store" => self.into_store()?,
             "fleet" => Command::Fleet(self.into_fleet()?),
@@ -179,7 +181,7 @@
     }
 
     fn into_store(self) -> Result<Command, ArgumentError> {
-        let [task, folder] = &self.words[..] else {
+        let [task, folder] = &self.operands[..] else {
             return Err(ArgumentError::StoreUsage);
         };
         Ok(Command::Store {
@@ -190,18 +192,18 @@
     }
 
     fn into_fleet(self) -> Result<FleetCommand, ArgumentError> {
-        let words: Vec<&str> = self.words.iter().map(String::as_str).collect();
-        let command = match (&words[..], &self.at[..]) {
+        let operands: Vec<&str> = self.operands.iter().map(String::as_str).collect();
+        let command = match (&operands[..], &self.at[..]) {
             (["publish", file], [at]) => FleetCommand::Publish {
                 at: at.clone(),
                 file: (*file).to_owned(),
                 why: self.why.ok_or(ArgumentError::NoReason)?,
             },
-            (["close", number], [at]) => FleetCommand::Close {
+            (["close", number], [at]) => FleetCommand::Retire {
                 at: at.clone(),
                 number: version_number("close", number)?,
             },
-            (["accept-floor", number], [at]) => FleetCommand::AcceptFloor {
+            (["accept-floor", number], [at]) => FleetCommand::SetMinimum {
                 at: at.clone(),
                 number: version_number("accept-floor", number)?,
             },
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -1,6 +1,6 @@
 //! `pipitlever check`: what both configuration files say, one line a subsystem.
 
-use crate::config::operator::{Capture, Store};
+use crate::config::operator::{CaptureSettings, StoreSettings};
 use crate::config::platform::Config;
 use crate::net::membership;
 
@@ -9,8 +9,8 @@
 
 /// Prints the summary.
 pub fn print_summary(config: &Config) {
-    let uwsgi = &config.tuning.uwsgi;
-    let classes = config.tuning.classes.join(",");
+    let uwsgi = &config.request_settings.uwsgi;
+    let classes = config.request_settings.classes.join(",");
     let workers: usize = uwsgi.pools().iter().map(|pool| pool.members.len()).sum();
     println!(
         "name={} listen={} classes={classes}",
@@ -32,19 +32,19 @@
     value.map_or("off".to_owned(), |value| value.to_string())
 }
 
-fn capture(capture: &Capture) -> String {
+fn capture(capture: &CaptureSettings) -> String {
     let folder = capture.folder.display();
-    let segment_mb = capture.segment as f64 / MEGABYTE;
-    let keep_mb = capture.keep as f64 / MEGABYTE;
+    let segment_mb = capture.segment_bytes as f64 / MEGABYTE;
+    let keep_mb = capture.max_bytes as f64 / MEGABYTE;
     format!("{folder} segment_mb={segment_mb} keep_mb={keep_mb}")
 }
 
-fn store(store: &Store) -> String {
+fn store(store: &StoreSettings) -> String {
     let folder = store.folder.display();
-    let max_mb = store.most as f64 / MEGABYTE;
+    let max_mb = store.capacity_bytes as f64 / MEGABYTE;
     format!(
         "{folder} max_mb={max_mb} each={} wait={}",
-        store.each, store.wait
+        store.sync_each_record, store.answer_when_durable
     )
 }
 
--- a/crates/node/src/cli/fleet/mod.rs
+++ b/crates/node/src/cli/fleet/mod.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::config::versions::Content;
+use crate::config::versions::VersionContent;
 use client::{get_view, request, Response};
 use std::time::{Duration, Instant};
 use view::{Versions, View};
@@ -26,8 +26,8 @@
     loop {
         let next = Instant::now() + WATCH_INTERVAL;
         let view = get_view(endpoint).map_err(|e| e.to_string())?;
-        let shown = |view: &View| (view.digest.clone(), view.is_settled, view.is_cut_off);
-        if last.as_ref().map(shown) != Some(shown(&view)) {
+        let displayed = |view: &View| (view.digest.clone(), view.is_settled, view.is_cut_off);
+        if last.as_ref().map(displayed) != Some(displayed(&view)) {
             print_view(&view, json)?;
         }
         if !watch {
@@ -72,7 +72,7 @@
     let content: serde_json::Value =
         serde_json::from_str(&text).map_err(|e| format!("{file}: {e}"))?;
     // An invalid version is reported here rather than by each node.
-    Content::read(text.as_bytes()).map_err(|e| format!("{file}: {e}"))?;
+    VersionContent::read(text.as_bytes()).map_err(|e| format!("{file}: {e}"))?;
     let base = get_versions(endpoint)?.decided;
     let body = serde_json::json!({"base": base, "why": why, "content": content}).to_string();
     let response = post(endpoint, "/fleet/publish", body.as_bytes())?;
@@ -97,7 +97,7 @@
 }
 
 /// Posts a command about a config version: `close` or `accept-floor`.
-pub fn post_version(endpoint: &str, command: &str, number: u64) -> Result<u8, String> {
+pub fn post_version_command(endpoint: &str, command: &str, number: u64) -> Result<u8, String> {
     let response = post(endpoint, &format!("/fleet/{command}/{number}"), b"")?;
     match response.status {
         200 => println!("{}", response.text()),
--- a/crates/node/src/cli/import/apache.rs
+++ b/crates/node/src/cli/import/apache.rs
@@ -33,17 +33,17 @@
     }
 
     fn read_directive(&mut self, location: Location, text: &str, section: &mut Option<Section>) {
-        let words = split_words(text);
+        let tokens = tokenize(text);
         if text.matches('"').count() % 2 == 1 && !text.starts_with('#') {
             self.note(location, "a quote is not closed");
         }
-        let Some((name, arguments)) = words.split_first() else {
+        let Some((name, arguments)) = tokens.split_first() else {
             return;
         };
         if name.starts_with('#') {
             return;
         }
-        let names_balancer = arguments.first().is_some_and(|word| is_balancer(word));
+        let names_balancer = arguments.first().is_some_and(|token| is_balancer(token));
         let target = arguments.get(1);
         match name.to_ascii_lowercase().as_str() {
             "<proxy" if names_balancer => {
@@ -60,7 +60,7 @@
                 };
                 self.read_member(&balancer, location, member);
             }
-            "proxypass" if target.is_some_and(|word| is_balancer(word)) => {
+            "proxypass" if target.is_some_and(|token| is_balancer(token)) => {
                 self.paths.push(ProxiedPath {
                     path: arguments[0].clone(),
                     balancer: balancer_name(&arguments[1]),
@@ -68,13 +68,13 @@
                 self.read_path_parameters(location, &arguments[2..]);
             }
             // An excluded path needs nothing: here each path needs a route of its own.
-            "proxypass" if target.is_some_and(|word| word == "!") => {}
+            "proxypass" if target.is_some_and(|token| token == "!") => {}
             _ => self.note(location, &format!("unknown directive: {text}")),
         }
     }
 
-    fn read_member(&mut self, balancer: &str, location: Location, words: &[String]) {
-        let Some((url, parameters)) = words.split_first() else {
+    fn read_member(&mut self, balancer: &str, location: Location, tokens: &[String]) {
+        let Some((url, parameters)) = tokens.split_first() else {
             return self.note(location, "a BalancerMember of no address");
         };
         let parameters = self.read_member_parameters(location, parameters);
@@ -92,11 +92,15 @@
         }
     }
 
-    fn read_member_parameters(&mut self, location: Location, words: &[String]) -> WorkerParameters {
+    fn read_member_parameters(
+        &mut self,
+        location: Location,
+        tokens: &[String],
+    ) -> WorkerParameters {
         let mut parameters = WorkerParameters::default();
-        for word in words {
-            let Some((key, value)) = key_and_value(word) else {
-                self.note(location, &format!("unknown parameter: {word}"));
+        for token in tokens {
+            let Some((key, value)) = key_and_value(token) else {
+                self.note(location, &format!("unknown parameter: {token}"));
                 continue;
             };
             if key == "timeout" {
@@ -108,23 +112,23 @@
         parameters
     }
 
-    fn read_path_parameters(&mut self, location: Location, words: &[String]) {
-        for word in words {
-            match key_and_value(word) {
+    fn read_path_parameters(&mut self, location: Location, tokens: &[String]) {
+        for token in tokens {
+            match key_and_value(token) {
                 Some((key, value)) if key == "timeout" => self.add_deadline(location, value, 1000),
-                _ => self.note(location, &format!("unknown parameter: {word}")),
+                _ => self.note(location, &format!("unknown parameter: {token}")),
             }
         }
     }
 }
 
-fn key_and_value(word: &str) -> Option<(String, &str)> {
-    let (key, value) = word.split_once('=')?;
+fn key_and_value(token: &str) -> Option<(String, &str)> {
+    let (key, value) = token.split_once('=')?;
     Some((key.to_ascii_lowercase(), value))
 }
 
-fn is_balancer(word: &str) -> bool {
-    let url = word.trim_end_matches('>').to_ascii_lowercase();
+fn is_balancer(token: &str) -> bool {
+    let url = token.trim_end_matches('>').to_ascii_lowercase();
     url.starts_with("balancer://")
 }
 
@@ -137,18 +141,18 @@
 
 /// Words separated by white space, with or without quotes. A tag's closing bracket on its own is
 /// left out.
-fn split_words(line: &str) -> Vec<String> {
-    let mut words = Vec::new();
+fn tokenize(line: &str) -> Vec<String> {
+    let mut tokens = Vec::new();
     let mut rest = line.trim();
     while !rest.is_empty() {
-        let (word, remaining) = match rest.strip_prefix('"') {
+        let (token, remaining) = match rest.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
             None => rest.split_once(char::is_whitespace).unwrap_or((rest, "")),
         };
-        if word != ">" {
-            words.push(word.to_owned());
+        if token != ">" {
+            tokens.push(token.to_owned());
         }
         rest = remaining.trim_start();
     }
-    words
+    tokens
 }
--- a/crates/node/src/cli/import/mod_jk.rs
+++ b/crates/node/src/cli/import/mod_jk.rs
@@ -26,8 +26,8 @@
         let workers = self.gather_properties(file, text);
         let balancers = self.balancers_of_workers(file, &workers);
         for (name, properties) in &workers {
-            let of = balancers.get(name).map(Vec::as_slice);
-            self.read_worker(file, name, properties, of);
+            let balancers_of_worker = balancers.get(name).map(Vec::as_slice);
+            self.read_worker(file, name, properties, balancers_of_worker);
         }
     }
 
@@ -41,17 +41,17 @@
             let number = index + 1;
             let pair = line.split_once('=');
             let pair = pair.map(|(key, value)| (key.trim(), value.trim()));
-            let words = pair.map(|(key, value)| (key.splitn(3, '.').collect::<Vec<_>>(), value));
-            match words {
+            let parts = pair.map(|(key, value)| (key.splitn(3, '.').collect::<Vec<_>>(), value));
+            match parts {
                 // The workers are those that have properties of their own.
-                Some((words, _)) if words == ["worker", "list"] => {}
-                Some((words, value)) if words.len() == 3 && words[0] == "worker" => {
+                Some((parts, _)) if parts == ["worker", "list"] => {}
+                Some((parts, value)) if parts.len() == 3 && parts[0] == "worker" => {
                     let property = Property {
                         line: number,
                         value,
                     };
-                    let properties = workers.entry(words[1]).or_default();
-                    properties.insert(words[2], property);
+                    let properties = workers.entry(parts[1]).or_default();
+                    properties.insert(parts[2], property);
                 }
                 _ => self.note(
                     Location::new(file, number),
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -2,7 +2,7 @@
 
 use super::Import;
 use super::ImportedWorker;
-use crate::config::operator::Operator;
+use crate::config::operator::OperatorConfig;
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::net::SocketAddr;
 
@@ -66,17 +66,17 @@
 #[test]
 fn members_keep_what_is_said_of_them() {
     let at = |m: &str| Member::new(m.parse::<SocketAddr>().unwrap());
-    let usual = at("127.0.0.1:1");
+    let default = at("127.0.0.1:1");
     let cases = [
-        ("", usual.clone(), ""),
-        ("loadfactor=1", usual.clone(), ""),
+        ("", default.clone(), ""),
+        ("loadfactor=1", default.clone(), ""),
         (
             "loadfactor=2.5 lbset=1 max=8",
             Member {
                 weight: 2.5,
                 tier: 1,
                 max_runs: 8,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -84,7 +84,7 @@
             "status=+H",
             Member {
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -92,16 +92,16 @@
             "status=D",
             Member {
                 mode: MemberMode::Disabled,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
-        ("status=+D-D", usual.clone(), ""),
+        ("status=+D-D", default.clone(), ""),
         (
             "status=+S",
             Member {
                 mode: MemberMode::Disabled,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -110,49 +110,49 @@
             Member {
                 mode: MemberMode::Draining,
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
-        ("status=-H", usual.clone(), ""),
+        ("status=-H", default.clone(), ""),
         (
             "status=+RH",
             Member {
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "status=+RH: not carried over: R",
         ),
         (
             "status=+IE",
-            usual.clone(),
+            default.clone(),
             "status=+IE: not carried over: IE",
         ),
         (
             "loadfactor=0",
-            usual.clone(),
+            default.clone(),
             "no weight from 0.01 to 100: 0",
         ),
         (
             "loadfactor=many",
-            usual.clone(),
+            default.clone(),
             "no weight from 0.01 to 100: many",
         ),
-        ("lbset=-1", usual.clone(), "no lbset: -1"),
+        ("lbset=-1", default.clone(), "no lbset: -1"),
         (
             "max=0",
-            usual.clone(),
+            default.clone(),
             "no number of runs from 1 to 1024: 0",
         ),
         (
             "max=99999",
-            usual.clone(),
+            default.clone(),
             "no number of runs from 1 to 1024: 99999",
         ),
-        ("route=n1", usual.clone(), "unknown parameter: route=n1"),
-        ("retry", usual.clone(), "unknown parameter: retry"),
+        ("route=n1", default.clone(), "unknown parameter: route=n1"),
+        ("retry", default.clone(), "unknown parameter: retry"),
     ];
-    for (parameters, wanted, said) in cases {
+    for (parameters, expected, note) in cases {
         let mut import = Import::default();
         import.read(
             "a.conf",
@@ -162,7 +162,7 @@
             import.workers,
             [ImportedWorker {
                 balancer: "b".to_owned(),
-                member: wanted
+                member: expected
             }],
             "{parameters}"
         );
@@ -171,9 +171,9 @@
             .iter()
             .map(|n| n.trim_start_matches("a.conf:1: "))
             .collect();
-        assert_eq!(notes.concat(), said, "{parameters}");
+        assert_eq!(notes.concat(), note, "{parameters}");
         let text = import.file().unwrap();
-        let file = Operator::read(&text, &[])
+        let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
         assert_eq!(file.members(), [import.workers[0].member.clone()], "{text}");
@@ -209,11 +209,11 @@
             "worker a: unknown directive: redirect=b",
         ),
     ];
-    for (line, weight, tier, usage, said) in cases {
+    for (line, weight, tier, usage, note) in cases {
         let mut import = Import::default();
         let text = format!("worker.a.type=uwsgi\nworker.a.port=1\nworker.a.{line}\n");
         import.read("w.properties", &text);
-        let usual = Member::new("127.0.0.1:1".parse().unwrap());
+        let default = Member::new("127.0.0.1:1".parse().unwrap());
         assert_eq!(
             import.workers,
             [ImportedWorker {
@@ -222,7 +222,7 @@
                     weight,
                     tier,
                     mode: usage,
-                    ..usual
+                    ..default
                 }
             }],
             "{line}"
@@ -232,7 +232,7 @@
             .iter()
             .map(|n| n.trim_start_matches("w.properties:3: "))
             .collect();
-        assert_eq!(notes.concat(), said, "{line}");
+        assert_eq!(notes.concat(), note, "{line}");
     }
 }
 
@@ -274,7 +274,7 @@
         import.read(name, text);
         assert!(import.notes.is_empty(), "{:?}", import.notes);
         let text = import.file().unwrap();
-        let file = Operator::read(&text, &[])
+        let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
         let pools: Vec<_> = file
@@ -322,7 +322,7 @@
         "BalancerMember balancer://b uwsgi://127.0.0.1:1 timeout=1\nProxyPass /a\"b balancer://b",
     );
     let text = import.file().unwrap();
-    let file = Operator::read(&text, &[])
+    let file = OperatorConfig::read(&text, &[])
         .unwrap_or_else(|e| panic!("{e} in {text}"))
         .uwsgi;
     assert_eq!(
@@ -333,7 +333,7 @@
     let named = text
         .replace("class = \"\"", "class = \"c\"")
         .replace("\n# ", "\n");
-    let file = Operator::read(&named, &["c".into()])
+    let file = OperatorConfig::read(&named, &["c".into()])
         .unwrap_or_else(|e| panic!("{e} in {named}"))
         .uwsgi;
     assert_eq!(file.routes[0].path, "/a\"b");
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -65,7 +65,7 @@
         }
         Command::Import { files } => Ok(import_command::run(&files)?),
         Command::Pools => {
-            for line in pools::pools(&read(None)?.tuning.uwsgi) {
+            for line in pools::describe_pools(&read(None)?.request_settings.uwsgi) {
                 println!("{line}");
             }
             Ok(0)
@@ -88,9 +88,9 @@
         FleetCommand::Status { at, json, watch } => fleet::print_status(&at, json, watch),
         FleetCommand::Compare { at } => fleet::print_comparison(&at),
         FleetCommand::Publish { at, file, why } => fleet::publish(&at, &file, &why),
-        FleetCommand::Close { at, number } => fleet::post_version(&at, "close", number),
-        FleetCommand::AcceptFloor { at, number } => {
-            fleet::post_version(&at, "accept-floor", number)
+        FleetCommand::Retire { at, number } => fleet::post_version_command(&at, "close", number),
+        FleetCommand::SetMinimum { at, number } => {
+            fleet::post_version_command(&at, "accept-floor", number)
         }
         FleetCommand::Sessions { at, worker, json } => sessions::run(&at, worker.as_deref(), json),
     }
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// A line for each pool, each member, each thing that is odd.
-pub fn pools(uwsgi: &Uwsgi) -> Vec<String> {
+pub fn describe_pools(uwsgi: &Uwsgi) -> Vec<String> {
     let all = uwsgi.pools();
     let mut lines = Vec::new();
     for (i, pool) in all.iter().enumerate() {
@@ -31,8 +31,12 @@
             routes.join(",")
         ));
         lines.extend(members(&pool.members));
-        let odd = odd(pool, &routes, all.iter().any(|p| p.fallback == Some(i)));
-        lines.extend(odd.into_iter().map(|odd| format!("  odd: {odd}")));
+        let warnings = warnings(pool, &routes, all.iter().any(|p| p.fallback == Some(i)));
+        lines.extend(
+            warnings
+                .into_iter()
+                .map(|warning| format!("  odd: {warning}")),
+        );
     }
     lines
 }
@@ -45,16 +49,16 @@
     }
 }
 
-fn on(member: &&Member<SocketAddr>) -> bool {
+fn is_active(member: &&Member<SocketAddr>) -> bool {
     member.mode == MemberMode::Active
 }
 
 /// Members in the order in which they are used, each with its share of those that are used with it.
 fn members(all: &[Member<SocketAddr>]) -> Vec<String> {
-    let mut turns: BTreeMap<(bool, u32), Vec<&Member<SocketAddr>>> = BTreeMap::new();
+    let mut groups: BTreeMap<(bool, u32), Vec<&Member<SocketAddr>>> = BTreeMap::new();
     for member in all {
         // Spares are used together, whatever their tiers.
-        turns
+        groups
             .entry((
                 member.is_standby,
                 if member.is_standby { 0 } else { member.tier },
@@ -63,10 +67,15 @@
             .push(member);
     }
     let mut lines = Vec::new();
-    for ((spare, tier), members) in turns {
-        let sum: f64 = members.iter().copied().filter(on).map(|m| m.weight).sum();
+    for ((is_standby, tier), members) in groups {
+        let sum: f64 = members
+            .iter()
+            .copied()
+            .filter(is_active)
+            .map(|m| m.weight)
+            .sum();
         for member in members {
-            let turn = if spare {
+            let group = if is_standby {
                 "spare".to_owned()
             } else {
                 format!("tier {tier}")
@@ -77,7 +86,7 @@
                 MemberMode::Disabled => "nothing: disabled".into(),
             };
             lines.push(format!(
-                "  {turn}: {} gets {share}, {} at once",
+                "  {group}: {} gets {share}, {} at once",
                 member.address, member.max_runs
             ));
         }
@@ -86,45 +95,45 @@
 }
 
 /// What nobody is likely to want.
-fn odd(pool: &PoolSettings, routes: &[&str], takes_over: bool) -> Vec<String> {
-    let mut odd = Vec::new();
-    let main = pool
+fn warnings(pool: &PoolSettings, routes: &[&str], takes_over: bool) -> Vec<String> {
+    let mut warnings = Vec::new();
+    let primaries = pool
         .members
         .iter()
-        .filter(on)
+        .filter(is_active)
         .filter(|m| !m.is_standby)
         .count();
-    let spares = pool
+    let standbys = pool
         .members
         .iter()
-        .filter(on)
+        .filter(is_active)
         .filter(|m| m.is_standby)
         .count();
-    if main == 0 {
-        odd.push("no member is on: every run goes to its spares or its fall-back".into());
+    if primaries == 0 {
+        warnings.push("no member is on: every run goes to its spares or its fall-back".into());
     }
-    if main + spares == 1 && pool.fallback.is_none() {
-        odd.push("one member and no fall-back: nobody takes over for it".into());
+    if primaries + standbys == 1 && pool.fallback.is_none() {
+        warnings.push("one member and no fall-back: nobody takes over for it".into());
     }
     if routes.is_empty() && !takes_over {
-        odd.push("no route and no other pool leads here".into());
+        warnings.push("no route and no other pool leads here".into());
     }
     let heaviest = pool
         .members
         .iter()
-        .filter(on)
+        .filter(is_active)
         .map(|m| m.weight)
         .fold(0.0, f64::max);
     for member in pool
         .members
         .iter()
-        .filter(on)
+        .filter(is_active)
         .filter(|m| m.weight * 50.0 < heaviest)
     {
-        odd.push(format!(
+        warnings.push(format!(
             "{} has less than a fiftieth of another's weight",
             member.address
         ));
     }
-    odd
+    warnings
 }
--- a/crates/node/src/cli/pools/tests.rs
+++ b/crates/node/src/cli/pools/tests.rs
@@ -1,7 +1,7 @@
 //! What `pipitlever pools` prints.
 
 use super::*;
-use crate::config::operator::Operator;
+use crate::config::operator::OperatorConfig;
 
 #[test]
 fn shares_turns_and_oddities_are_told() {
@@ -11,9 +11,9 @@
                 [[uwsgi.worker]]\naddress = \"127.0.0.1:4\"\nuse = \"disabled\"\n\
                 [[uwsgi.route]]\npath = \"/a\"\nclass = \"c\"\nbackend = \"workers\"\n\
                 [[pool]]\nname = \"alone\"\n[[pool.member]]\naddress = \"127.0.0.1:5\"\nuse = \"draining\"\n";
-    let file = Operator::read(text, &["c".into()]).unwrap();
-    let told = pools(&file.uwsgi);
-    let wanted = [
+    let file = OperatorConfig::read(text, &["c".into()]).unwrap();
+    let lines = describe_pools(&file.uwsgi);
+    let expected = [
         "pool of [uwsgi]: fallback=none routes=/a",
         "  tier 0: 127.0.0.1:1 gets 25.0% of its runs, 1024 at once",
         "  tier 0: 127.0.0.1:2 gets 75.0% of its runs, 1024 at once",
@@ -24,5 +24,5 @@
         "  odd: no member is on: every run goes to its spares or its fall-back",
         "  odd: no route and no other pool leads here",
     ];
-    assert_eq!(told, wanted);
+    assert_eq!(lines, expected);
 }
--- a/crates/node/src/cli/store.rs
+++ b/crates/node/src/cli/store.rs
@@ -113,8 +113,8 @@
             "segments={segments} bytes={bytes} keys={keys} torn={torn} damage={}",
             damage.len()
         );
-        for place in damage {
-            println!("damage: {place}");
+        for location in damage {
+            println!("damage: {location}");
         }
     }
 }
--- a/crates/node/src/config/operator/capture.rs
+++ b/crates/node/src/config/operator/capture.rs
@@ -15,13 +15,13 @@
 
 /// The settings of a capture.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Capture {
+pub struct CaptureSettings {
     /// The folder; created if it does not exist.
     pub folder: PathBuf,
     /// A segment ends at this length, in bytes.
-    pub segment: u64,
+    pub segment_bytes: u64,
     /// Bytes that all segments of this node may take together.
-    pub keep: u64,
+    pub max_bytes: u64,
 }
 
 /// The section.
@@ -35,7 +35,7 @@
 
 impl CaptureSection {
     /// Checks the values.
-    pub fn read(self, text: &str) -> Result<Capture, FileError> {
+    pub fn read(self, text: &str) -> Result<CaptureSettings, FileError> {
         let folder = non_empty_folder(text, self.folder)?;
         let keep_offset = self.keep_mb.span().start;
         let segment_range = [0.01, MAX_SEGMENT_MB];
@@ -55,10 +55,10 @@
             return Err(FileError::at(text, keep_offset, message));
         }
         let bytes = |mb: f64| (mb * MEGABYTE) as u64;
-        Ok(Capture {
+        Ok(CaptureSettings {
             folder,
-            segment: bytes(segment_mb),
-            keep: bytes(keep_mb),
+            segment_bytes: bytes(segment_mb),
+            max_bytes: bytes(keep_mb),
         })
     }
 }
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -14,7 +14,7 @@
 use toml::Spanned;
 
 /// The most seeds: a few are enough, as each of them knows all others.
-const MOST_SEEDS: usize = 64;
+const MAX_SEEDS: usize = 64;
 /// Range of the time between two probes, in milliseconds.
 const PROBE_RANGE_MS: [u64; 2] = [50, 60_000];
 /// Range of the time for which a member that is down is retained, in seconds: up to a week.
@@ -91,7 +91,7 @@
     }
 
     fn check_seeds(&self, text: &str) -> Result<(), FileError> {
-        match self.seeds.get(MOST_SEEDS) {
+        match self.seeds.get(MAX_SEEDS) {
             Some(first_excess) => {
                 let message = "seeds: too many, some are enough";
                 Err(FileError::at(text, first_excess.span().start, message))
--- a/crates/node/src/config/operator/fleet/tests.rs
+++ b/crates/node/src/config/operator/fleet/tests.rs
@@ -1,6 +1,6 @@
 //! The section `[fleet]`: valid and invalid values.
 
-use crate::config::operator::Operator;
+use crate::config::operator::OperatorConfig;
 
 #[test]
 fn what_is_wrong_with_a_fleet_is_named_with_its_line() {
@@ -63,7 +63,7 @@
         ),
     ];
     for (text, expected) in cases {
-        match Operator::read(&text, &[]) {
+        match OperatorConfig::read(&text, &[]) {
             Ok(file) => assert!(expected.is_empty() && file.fleet.is_some(), "{text}"),
             Err(why) => assert!(
                 !expected.is_empty() && why.to_string().starts_with(expected),
@@ -72,8 +72,8 @@
         }
     }
     // Without the section there is no part in any fleet.
-    assert_eq!(Operator::read("", &[]).unwrap().fleet, None);
-    let read = Operator::read(&fleet("forget_s = 60"), &[])
+    assert_eq!(OperatorConfig::read("", &[]).unwrap().fleet, None);
+    let read = OperatorConfig::read(&fleet("forget_s = 60"), &[])
         .unwrap()
         .fleet
         .unwrap();
--- a/crates/node/src/config/operator/mod.rs
+++ b/crates/node/src/config/operator/mod.rs
@@ -11,28 +11,28 @@
 #[cfg(test)]
 mod tests;
 
-pub use capture::Capture;
-pub use store::{OnDamage, Store};
+pub use capture::CaptureSettings;
+pub use store::{OnDamage, StoreSettings};
 
 use crate::net::membership;
 use crate::net::worker_pools::routes::Uwsgi;
 use capture::CaptureSection;
 use error::FileError;
 use fleet::FleetSection;
-use pools::{pools, PoolSection};
+use pools::{read_pools, PoolSection};
 use serde::Deserialize;
 use store::StoreSection;
 use uwsgi::UwsgiSection;
 
 /// The settings of all sections.
 #[derive(Clone, Debug, Default)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// The uwsgi front end, the workers and the routes; off without the section.
     pub uwsgi: Uwsgi,
     /// The capture.
-    pub capture: Option<Capture>,
+    pub capture: Option<CaptureSettings>,
     /// The idempotency store.
-    pub store: Option<Store>,
+    pub store: Option<StoreSettings>,
     /// The node's membership in a fleet.
     pub fleet: Option<membership::Settings>,
 }
@@ -48,18 +48,18 @@
     pool: Vec<PoolSection>,
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Parses the file's text. Routes name the classes of the platform's settings.
-    pub fn read(text: &str, classes: &[String]) -> Result<Operator, FileError> {
+    pub fn read(text: &str, classes: &[String]) -> Result<OperatorConfig, FileError> {
         let file: File = toml::from_str(text).map_err(|e| {
             let offset = e.span().map_or(text.len(), |span| span.start);
             FileError::at(text, offset, e.message())
         })?;
-        let pools = pools(text, file.pool)?;
-        let of_a_fleet = pools
+        let pools = read_pools(text, file.pool)?;
+        let fleet_pool = pools
             .iter()
             .find(|p| p.shared.is_some() || p.sessions.is_some());
-        if let Some(pool) = of_a_fleet.filter(|_| file.fleet.is_none()) {
+        if let Some(pool) = fleet_pool.filter(|_| file.fleet.is_none()) {
             let key = match pool.shared {
                 Some(_) => "share = true",
                 None => "[pool.affinity]",
@@ -73,7 +73,7 @@
         let capture = file.capture.map(|section| section.read(text));
         let store = file.store.map(|section| section.read(text));
         let fleet = file.fleet.map(|section| section.read(text));
-        Ok(Operator {
+        Ok(OperatorConfig {
             uwsgi: uwsgi.transpose()?.unwrap_or_default(),
             capture: capture.transpose()?,
             store: store.transpose()?,
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -65,14 +65,14 @@
 }
 
 /// Default number of workers that each node uses of a shared pool.
-const SUBSET: usize = 20;
+const DEFAULT_SUBSET: usize = 20;
 
 /// Range of the number of workers that each node uses of a shared pool.
 const SUBSET_RANGE: [usize; 2] = [1, 1000];
 
 /// Reads all pools, in the order of the file. Positions count from 1: 0 is that of the workers
 /// without a pool.
-pub fn pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, FileError> {
+pub fn read_pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, FileError> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
     let offsets: Vec<usize> = sections.iter().map(|s| s.name.span().start).collect();
     let read = |section: PoolSection| section.read(text, &names);
@@ -135,8 +135,8 @@
             Some(_) => shared.map(|_| all_workers),
             None => shared,
         };
-        let labels = labels(text, &self.member)?;
-        let members = members(text, &[], self.member)?;
+        let labels = read_labels(text, &self.member)?;
+        let members = read_members(text, &[], self.member)?;
         Ok(PoolSettings {
             name,
             fallback: fallback?,
@@ -176,7 +176,13 @@
     subset: Option<&Spanned<usize>>,
 ) -> Result<Option<SubsetSettings>, FileError> {
     if is_shared {
-        let subset = within(text, "subset", subset.cloned(), SUBSET, SUBSET_RANGE)?;
+        let subset = within(
+            text,
+            "subset",
+            subset.cloned(),
+            DEFAULT_SUBSET,
+            SUBSET_RANGE,
+        )?;
         return Ok(Some(SubsetSettings { subset }));
     }
     match subset {
@@ -205,7 +211,7 @@
 
 /// What the members of a pool with a name are called, and where they stand. One that has no name
 /// goes by its address.
-fn labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<WorkerLabel>, FileError> {
+fn read_labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<WorkerLabel>, FileError> {
     let mut all: Vec<WorkerLabel> = Vec::new();
     for entry in entries {
         let text_of = |s: &Option<Spanned<String>>| s.as_ref().map(|s| s.get_ref().clone());
@@ -238,14 +244,14 @@
 
 /// Whether any of them has what only members of a pool with a name may have: the place of that, in
 /// bytes.
-pub fn find_label(entries: &[WorkerEntry]) -> Option<usize> {
+pub fn find_label_offset(entries: &[WorkerEntry]) -> Option<usize> {
     entries
         .iter()
         .find_map(|e| e.name.as_ref().or(e.zone.as_ref()).map(|s| s.span().start))
 }
 
 /// Reads members, none of which may be among those that are known.
-pub fn members(
+pub fn read_members(
     text: &str,
     known: &[SocketAddr],
     entries: Vec<WorkerEntry>,
@@ -260,9 +266,9 @@
                 format!("{address} is named twice"),
             ));
         }
-        let usual = Member::new(address);
+        let default = Member::new(address);
         all.push(Member {
-            weight: within(text, "weight", entry.weight, usual.weight, [0.01, 100.0])?,
+            weight: within(text, "weight", entry.weight, default.weight, [0.01, 100.0])?,
             tier: entry.tier,
             is_standby: entry.spare,
             mode: match entry.usage {
@@ -274,10 +280,10 @@
                 text,
                 "most_runs",
                 entry.most_runs,
-                usual.max_runs,
+                default.max_runs,
                 [1, 1024],
             )?,
-            ..usual
+            ..default
         });
     }
     Ok(all)
--- a/crates/node/src/config/operator/store.rs
+++ b/crates/node/src/config/operator/store.rs
@@ -56,15 +56,15 @@
 
 /// The settings of the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Store {
+pub struct StoreSettings {
     /// The folder; created if it does not exist.
     pub folder: PathBuf,
     /// Bytes that it may take.
-    pub most: u64,
+    pub capacity_bytes: u64,
     /// Whether each record is synced by itself.
-    pub each: bool,
+    pub sync_each_record: bool,
     /// Whether answers with a result wait until it is on the disk.
-    pub wait: bool,
+    pub answer_when_durable: bool,
     /// What happens at the start if it is damaged.
     pub on_damage: OnDamage,
 }
@@ -87,15 +87,15 @@
 
 impl StoreSection {
     /// Checks the values.
-    pub fn read(self, text: &str) -> Result<Store, FileError> {
+    pub fn read(self, text: &str) -> Result<StoreSettings, FileError> {
         let folder = non_empty_folder(text, self.folder)?;
         let range = [MIN_STORE_MB, MAX_STORE_MB];
         let max_mb = within(text, "max_mb", Some(self.max_mb), 0.0, range)?;
-        Ok(Store {
+        Ok(StoreSettings {
             folder,
-            most: (max_mb * MEGABYTE) as u64,
-            each: self.sync == Sync::Each,
-            wait: self.answers == Answers::Durable,
+            capacity_bytes: (max_mb * MEGABYTE) as u64,
+            sync_each_record: self.sync == Sync::Each,
+            answer_when_durable: self.answers == Answers::Durable,
             on_damage: self.on_damage,
         })
     }
--- a/crates/node/src/config/operator/tests.rs
+++ b/crates/node/src/config/operator/tests.rs
@@ -1,10 +1,10 @@
 //! The operator file: what is accepted, and which errors name which line.
 
-use super::Operator;
+use super::OperatorConfig;
 
-fn read(text: &str) -> Result<Operator, String> {
+fn read(text: &str) -> Result<OperatorConfig, String> {
     let classes = ["rota-view".into(), "swap-confirm".into()];
-    Operator::read(text, &classes).map_err(|error| error.to_string())
+    OperatorConfig::read(text, &classes).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -213,10 +213,10 @@
             "line 4: unknown variant `forget`",
         ),
     ];
-    for (text, wanted) in cases {
+    for (text, expected) in cases {
         let error = read(&text).err().unwrap_or_default();
         assert!(
-            error.starts_with(wanted) && error.is_empty() == wanted.is_empty(),
+            error.starts_with(expected) && error.is_empty() == expected.is_empty(),
             "{text}\n{error}"
         );
     }
@@ -225,7 +225,7 @@
 #[test]
 fn the_sample_file_under_deploy_is_valid() {
     let classes = ["rota-view", "cover-check", "swap-confirm"].map(str::to_owned);
-    let file = Operator::read(
+    let file = OperatorConfig::read(
         include_str!("../../../../../deploy/operator.toml"),
         &classes,
     )
@@ -236,12 +236,16 @@
     );
     assert!(file.uwsgi.route("/rota/swapped").is_none());
     assert_eq!(
-        file.capture.map(|c| (c.segment, c.keep)),
+        file.capture.map(|c| (c.segment_bytes, c.max_bytes)),
         Some((16 << 20, 512 << 20))
     );
     let store = file.store.unwrap();
     assert_eq!(
-        (store.most, store.each, store.wait),
+        (
+            store.capacity_bytes,
+            store.sync_each_record,
+            store.answer_when_durable
+        ),
         (64 << 20, false, false)
     );
 }
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -1,7 +1,7 @@
 //! `[uwsgi]`: the uwsgi front end, the workers without a pool, and the routes.
 
 use super::error::{within, FileError};
-use super::pools::{find_label, members, WorkerEntry};
+use super::pools::{find_label_offset, read_members, WorkerEntry};
 use crate::net::worker_pools::routes::{Backend, PoolSettings, Route, Uwsgi};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -62,11 +62,11 @@
         classes: &[String],
         pools: Vec<PoolSettings>,
     ) -> Result<Uwsgi, FileError> {
-        if let Some(offset) = find_label(&self.worker) {
+        if let Some(offset) = find_label_offset(&self.worker) {
             let message = "name and zone are for members of a [[pool]]";
             return Err(FileError::at(text, offset, message));
         }
-        let special = members(text, &self.workers, self.worker)?;
+        let special = read_members(text, &self.workers, self.worker)?;
         let context = RouteContext {
             text,
             classes,
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -1,7 +1,7 @@
 //! The node's configuration, read at the start, and for its parties' addresses on SIGHUP.
 
-use crate::config::operator::{Capture, Operator, Store};
-use crate::config::versions::Content;
+use crate::config::operator::{CaptureSettings, OperatorConfig, StoreSettings};
+use crate::config::versions::VersionContent;
 use crate::net::event_loop::{RequestSettings, Upstreams};
 use crate::net::membership;
 use crate::net::worker_pools::routes::{Backend, Uwsgi};
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 
 /// The longest time to leave in, in milliseconds: a day.
-const MOST_STOP_MS: u64 = 86_400_000;
+const MAX_STOP_MS: u64 = 86_400_000;
 
 #[derive(Deserialize)]
 struct File {
@@ -37,26 +37,26 @@
 
 #[derive(Deserialize)]
 struct Limits {
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
-    #[serde(default = "memory_mb")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            sockets: sockets(),
-            memory_mb: memory_mb(),
+            sockets: default_sockets(),
+            memory_mb: default_memory_mb(),
         }
     }
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn memory_mb() -> usize {
+fn default_memory_mb() -> usize {
     192
 }
 
@@ -69,7 +69,7 @@
     /// Where operators call, if they may.
     pub control: Option<SocketAddr>,
     /// Where the other parties are.
-    pub parties: Upstreams,
+    pub upstreams: Upstreams,
     /// For random numbers.
     pub seed: u64,
     /// From the notice to leave to the end of the process.
@@ -79,13 +79,13 @@
     /// Megabytes that the process may take.
     pub memory_mb: usize,
     /// What decides about requests.
-    pub tuning: RequestSettings,
+    pub request_settings: RequestSettings,
     /// The keys that the file has, for the next one to be held against.
-    pub shape: Value,
+    pub document: Value,
     /// The capture, if there is to be one.
-    pub capture: Option<Capture>,
+    pub capture: Option<CaptureSettings>,
     /// The store of keyed requests, if there is to be one.
-    pub store: Option<Store>,
+    pub store: Option<StoreSettings>,
     /// The node's part in a fleet, if it is in one.
     pub fleet: Option<membership::Settings>,
 }
@@ -93,18 +93,18 @@
 /// The first key that a file has and another lacks, with its path. A file that was cut and mended,
 /// or written by half, still reads; with what it leaves out taken for its default it would change
 /// what nobody meant to change.
-fn lacks(new: &Value, old: &Value) -> Option<String> {
+fn first_missing_key(new: &Value, old: &Value) -> Option<String> {
     match (new, old) {
         (Value::Object(new), Value::Object(old)) => {
             old.iter().find_map(|(key, old)| match new.get(key) {
                 None | Some(Value::Null) if !old.is_null() => Some(key.clone()),
-                new => lacks(new?, old).map(|below| format!("{key}.{below}")),
+                new => first_missing_key(new?, old).map(|path| format!("{key}.{path}")),
             })
         }
         // Classes come and go; each has what all of them had.
         (Value::Array(new), Value::Array(old)) => {
-            let had = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
-            let mut keys = old.first()?.as_object()?.keys().filter(had);
+            let is_in_all = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
+            let mut keys = old.first()?.as_object()?.keys().filter(is_in_all);
             keys.find_map(|key| {
                 let at = new
                     .iter()
@@ -121,8 +121,8 @@
 
 impl Config {
     /// Whether this configuration may take the place of one that is in force.
-    pub fn follows(&self, before: &Value) -> Result<(), String> {
-        match lacks(&self.shape, before) {
+    pub fn check_no_key_missing(&self, current: &Value) -> Result<(), String> {
+        match first_missing_key(&self.document, current) {
             Some(key) => Err(format!(
                 "configuration: no key {key}, which the one in force has"
             )),
@@ -131,19 +131,19 @@
     }
 
     /// Whether somebody does the work of every class: without a processor only workers can.
-    pub fn complete(&self) -> Result<(), String> {
-        let worked = |class: &&String| {
-            self.tuning
+    pub fn check_backends(&self) -> Result<(), String> {
+        let has_worker_route = |class: &&String| {
+            self.request_settings
                 .uwsgi
                 .routes
                 .iter()
                 .any(|r| r.class == **class && r.backend == Backend::Workers)
         };
         match self
-            .tuning
+            .request_settings
             .classes
             .iter()
-            .find(|c| self.parties.processor.is_none() && !worked(c))
+            .find(|c| self.upstreams.processor.is_none() && !has_worker_route(c))
         {
             Some(class) => Err(format!(
                 "no processor, and no route of class {class} to workers"
@@ -158,36 +158,43 @@
         operator: Option<&str>,
         version: Option<&[u8]>,
     ) -> Result<Config, String> {
-        let version = version.map(Content::read).transpose()?.unwrap_or_default();
+        let version = version
+            .map(VersionContent::read)
+            .transpose()?
+            .unwrap_or_default();
         let path = path.ok_or("no configuration: give --config FILE or set EDGE_CONFIG")?;
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        let mut config = Config::read(&version.over_configuration(&text)?, |name| {
+        let mut config = Config::read(&version.merge_into_configuration(&text)?, |name| {
             std::env::var(name).ok()
         })?;
         if let Some(path) = operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-            let file = Operator::read(&version.over_operator(&text)?, &config.tuning.classes)
-                .map_err(|e| format!("{path}: {e}"))?;
-            config.parties.pools = file.uwsgi.pools();
-            (config.tuning.uwsgi, config.capture, config.store) =
+            let file = OperatorConfig::read(
+                &version.merge_into_operator_file(&text)?,
+                &config.request_settings.classes,
+            )
+            .map_err(|e| format!("{path}: {e}"))?;
+            config.upstreams.pools = file.uwsgi.pools();
+            (config.request_settings.uwsgi, config.capture, config.store) =
                 (file.uwsgi, file.capture, file.store);
             config.fleet = file.fleet;
         }
-        config.complete()?;
+        config.check_backends()?;
         Ok(config)
     }
 
     /// Reads the configuration's text. The name and the address may come from the environment
     /// instead.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let shape: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
+        let document: Value =
+            serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         let file: File = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         file.settings
             .validate()
             .map_err(|e| format!("settings: {e}"))?;
-        if file.stop_ms == 0 || file.stop_ms > MOST_STOP_MS {
+        if file.stop_ms == 0 || file.stop_ms > MAX_STOP_MS {
             return Err(format!(
-                "stop_ms: {} is not from 1 to {MOST_STOP_MS}",
+                "stop_ms: {} is not from 1 to {MAX_STOP_MS}",
                 file.stop_ms
             ));
         }
@@ -215,7 +222,7 @@
                 .unwrap_or_else(|| "node".into()),
             listen,
             control,
-            parties: Upstreams {
+            upstreams: Upstreams {
                 processor: file.processor,
                 ledger: file.ledger,
                 members: file.members,
@@ -225,7 +232,7 @@
             stop_ms: file.stop_ms,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
-            tuning: RequestSettings {
+            request_settings: RequestSettings {
                 classes: file.settings.class_names(),
                 tenants: file.settings.tenant_names(),
                 gauges: file.settings.gauge_names().to_vec(),
@@ -237,7 +244,7 @@
                     .controller_settings()
                     .map_err(|e| format!("settings: {e}"))?,
             },
-            shape,
+            document,
             capture: None,
             store: None,
             fleet: None,
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -27,7 +27,7 @@
 /// What is done where too few electors are heard after a start.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum UnknownFloor {
+enum UnknownMinimumKey {
     Wait,
     Serve,
 }
@@ -37,10 +37,12 @@
 #[serde(deny_unknown_fields)]
 pub struct VersionsSection {
     folder: Spanned<PathBuf>,
-    electors: Spanned<Vec<String>>,
+    #[serde(rename = "electors")]
+    acceptors: Spanned<Vec<String>>,
     lease_ms: Option<Spanned<u64>>,
     without_lease: Option<WithoutLeaseKey>,
-    unknown_floor: Option<UnknownFloor>,
+    #[serde(rename = "unknown_floor")]
+    unknown_minimum: Option<UnknownMinimumKey>,
 }
 
 impl VersionsSection {
@@ -53,10 +55,10 @@
                 "folder: its name is empty",
             ));
         }
-        let at = self.electors.span().start;
-        check_acceptors(self.electors.get_ref())
+        let at = self.acceptors.span().start;
+        check_acceptors(self.acceptors.get_ref())
             .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
-        let mut rules = default_rules(self.electors.into_inner());
+        let mut rules = default_rules(self.acceptors.into_inner());
         let lease = within(
             text,
             "lease_ms",
@@ -69,9 +71,9 @@
             Some(WithoutLeaseKey::Refuse) => WithoutLease::Refuse,
             Some(WithoutLeaseKey::Serve) | None => WithoutLease::Serve,
         };
-        rules.unknown_minimum = match self.unknown_floor {
-            Some(UnknownFloor::Serve) => UnknownMinimum::Serve,
-            Some(UnknownFloor::Wait) | None => UnknownMinimum::Wait,
+        rules.unknown_minimum = match self.unknown_minimum {
+            Some(UnknownMinimumKey::Serve) => UnknownMinimum::Serve,
+            Some(UnknownMinimumKey::Wait) | None => UnknownMinimum::Wait,
         };
         Ok(Settings {
             folder: self.folder.into_inner(),
@@ -83,7 +85,7 @@
 /// The configuration that a node starts with: that of the version on its disk, where the fleet
 /// decides versions. What can't be read is as if it were not there, as a majority of electors says
 /// where to go on; not where the node would act without hearing one.
-pub fn begin(
+pub fn load_stored_version(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(Config, Option<StoredVersion>), String> {
@@ -120,7 +122,7 @@
 /// What a version holds: it takes the place of that part of each node's own files, and of no other.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Content {
+pub struct VersionContent {
     /// The platform's settings: classes, tenants, limits.
     settings: Option<Value>,
     /// Of the operator's file: `[uwsgi]` with its routes, and `[[pool]]`.
@@ -128,28 +130,28 @@
 }
 
 /// Sections of the operator's file that a version may hold. The others are of one machine.
-const SHARED: [&str; 2] = ["uwsgi", "pool"];
+const SHARED_SECTIONS: [&str; 2] = ["uwsgi", "pool"];
 
-impl Content {
+impl VersionContent {
     /// Reads one.
-    pub fn read(bytes: &[u8]) -> Result<Content, String> {
+    pub fn read(bytes: &[u8]) -> Result<VersionContent, String> {
         serde_json::from_slice(bytes).map_err(|e| format!("the version's content: {e}"))
     }
 
     /// A node's configuration with the version's settings in it.
-    pub fn over_configuration(&self, text: &str) -> Result<String, String> {
+    pub fn merge_into_configuration(&self, text: &str) -> Result<String, String> {
         let Some(settings) = &self.settings else {
             return Ok(text.to_owned());
         };
-        let mut own: Value =
+        let mut local: Value =
             serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-        let own_fields = own.as_object_mut().ok_or("configuration: no object")?;
-        own_fields.insert("settings".into(), settings.clone());
-        Ok(own.to_string())
+        let fields = local.as_object_mut().ok_or("configuration: no object")?;
+        fields.insert("settings".into(), settings.clone());
+        Ok(local.to_string())
     }
 
     /// A node's operator's file with the version's sections in it.
-    pub fn over_operator(&self, text: &str) -> Result<String, String> {
+    pub fn merge_into_operator_file(&self, text: &str) -> Result<String, String> {
         let Some(shared) = &self.operator else {
             return Ok(text.to_owned());
         };
@@ -158,14 +160,19 @@
                 .map_err(|e| format!("{what}: {}", e.message()))
         };
         let shared = table("the version's content: operator", shared)?;
-        if let Some(other) = shared.keys().find(|key| !SHARED.contains(&key.as_str())) {
+        if let Some(other) = shared
+            .keys()
+            .find(|key| !SHARED_SECTIONS.contains(&key.as_str()))
+        {
             return Err(format!(
                 "the version's content: operator: [{other}] is each node's own"
             ));
         }
-        let mut own = table("the operator's file", text)?;
-        SHARED.iter().for_each(|key| drop(own.remove(*key)));
-        own.extend(shared);
-        toml::to_string(&own).map_err(|e| format!("the version's content: {e}"))
+        let mut local = table("the operator's file", text)?;
+        SHARED_SECTIONS
+            .iter()
+            .for_each(|key| drop(local.remove(*key)));
+        local.extend(shared);
+        toml::to_string(&local).map_err(|e| format!("the version's content: {e}"))
     }
 }
--- a/crates/node/src/config/versions/tests.rs
+++ b/crates/node/src/config/versions/tests.rs
@@ -5,29 +5,31 @@
 #[test]
 fn a_version_takes_the_place_of_what_is_shared_and_of_nothing_else() {
     let content =
-        Content::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#).unwrap();
+        VersionContent::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#)
+            .unwrap();
     let text = content
-        .over_configuration(r#"{"name": "n1", "settings": {"b": 2}}"#)
+        .merge_into_configuration(r#"{"name": "n1", "settings": {"b": 2}}"#)
         .unwrap();
     assert_eq!(
         serde_json::from_str::<Value>(&text).unwrap()["settings"]["a"],
         1
     );
     assert!(text.contains("n1") && !text.contains("\"b\""), "{text}");
-    let text = content
-        .over_operator("[fleet]\nname = \"x\"\n[uwsgi]\nmost_body = 1\n[[pool]]\nname = \"old\"");
+    let text = content.merge_into_operator_file(
+        "[fleet]\nname = \"x\"\n[uwsgi]\nmost_body = 1\n[[pool]]\nname = \"old\"",
+    );
     let text = text.unwrap();
     assert!(
         text.contains("[fleet]") && !text.contains("most_body") && !text.contains("old"),
         "{text}"
     );
     // What is one machine's own can't be published to all.
-    let own = Content::read(br#"{"operator": "[store]\nfolder = \"x\""}"#).unwrap();
+    let own = VersionContent::read(br#"{"operator": "[store]\nfolder = \"x\""}"#).unwrap();
     assert!(own
-        .over_operator("")
+        .merge_into_operator_file("")
         .unwrap_err()
         .contains("[store] is each node's own"));
-    assert!(Content::read(br#"{"listen": "x"}"#)
+    assert!(VersionContent::read(br#"{"listen": "x"}"#)
         .unwrap_err()
         .contains("unknown field"));
 }
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -1,6 +1,6 @@
 //! Switches the capture on and off: at the start, on SIGHUP, at the end.
 
-use crate::config::operator::Capture;
+use crate::config::operator::CaptureSettings;
 use crate::log::log;
 use crate::net::event_loop::SharedState;
 use crate::supervision::{Subsystem, Supervisor};
@@ -12,48 +12,53 @@
 
 /// How long the end of the process waits for the last records. A disk that hangs costs them, not
 /// the end.
-const PATIENCE: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The capture as it runs now, if it does.
-pub struct Capturing {
+pub struct CaptureController {
     supervisor: Rc<Supervisor>,
     node: String,
     seed: u64,
     /// Bytes of the queue to the writer.
-    queue: usize,
-    now: Option<(Capture, WriterThread)>,
+    queue_bytes: usize,
+    active: Option<(CaptureSettings, WriterThread)>,
 }
 
 /// Bytes of the queue, for a process of so much memory: its writer takes as much again while it is
 /// behind.
-fn queue_bytes(memory: usize) -> usize {
-    DEFAULT_QUEUE_BYTES.min(memory / 64)
+fn queue_bytes(process_memory: usize) -> usize {
+    DEFAULT_QUEUE_BYTES.min(process_memory / 64)
 }
 
 /// What a capture takes of the process's memory at the most, beside one copy of the module's state.
-pub fn memory(memory: usize) -> usize {
-    3 * queue_bytes(memory)
+pub fn max_memory(process_memory: usize) -> usize {
+    3 * queue_bytes(process_memory)
 }
 
-impl Capturing {
+impl CaptureController {
     /// Nothing is captured yet.
-    pub fn new(supervisor: Rc<Supervisor>, node: &str, seed: u64, memory: usize) -> Capturing {
-        Capturing {
+    pub fn new(
+        supervisor: Rc<Supervisor>,
+        node: &str,
+        seed: u64,
+        process_memory: usize,
+    ) -> CaptureController {
+        CaptureController {
             supervisor,
             node: node.to_owned(),
             seed,
-            queue: queue_bytes(memory),
-            now: None,
+            queue_bytes: queue_bytes(process_memory),
+            active: None,
         }
     }
 
     /// Captures as this says from now on.
-    pub fn set(&mut self, state: &SharedState, wanted: Option<Capture>) {
-        if self.now.as_ref().map(|n| &n.0) == wanted.as_ref() {
+    pub fn configure(&mut self, state: &SharedState, settings: Option<CaptureSettings>) {
+        if self.active.as_ref().map(|n| &n.0) == settings.as_ref() {
             return;
         }
-        self.end(state);
-        let Some(wanted) = wanted else { return };
+        self.stop(state);
+        let Some(settings) = settings else { return };
         let mut state = state.borrow_mut();
         let run = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -66,12 +71,12 @@
             seed: self.seed,
             is_initial: state.core.is_starting(),
         };
-        let (recorder, receiver) = record_queue(run_info, self.queue);
+        let (recorder, receiver) = record_queue(run_info, self.queue_bytes);
         let limits = Limits {
-            segment_bytes: wanted.segment,
-            total_bytes: wanted.keep,
+            segment_bytes: settings.segment_bytes,
+            total_bytes: settings.max_bytes,
         };
-        let directory = CaptureDirectory::new(&wanted.folder);
+        let directory = CaptureDirectory::new(&settings.folder);
         let writer = CaptureWriter::new(directory, limits, &self.node);
         let sentinel = self.supervisor.thread_sentinel(Subsystem::Capture);
         let log_event = move |event: &WriterEvent| {
@@ -81,7 +86,7 @@
         match start_writer(writer, receiver, log_event) {
             Ok(thread) => {
                 state.core.set_capture(Some(recorder));
-                self.now = Some((wanted, thread));
+                self.active = Some((settings, thread));
             }
             Err(error) => log(&format!("capture: stopped: no thread: {error}")),
         }
@@ -89,19 +94,19 @@
 
     /// Captures nothing more, as the writer's thread has panicked. The next reload begins anew.
     pub fn handle_failure(&mut self, state: &SharedState) {
-        if self.now.take().is_some() {
+        if self.active.take().is_some() {
             state.borrow_mut().core.set_capture(None);
             log("capture: stopped: its thread has panicked; SIGHUP starts it again");
         }
     }
 
     /// Captures nothing more, and gives the writer a moment for the rest.
-    pub fn end(&mut self, state: &SharedState) {
-        let Some((_, thread)) = self.now.take() else {
+    pub fn stop(&mut self, state: &SharedState) {
+        let Some((_, thread)) = self.active.take() else {
             return;
         };
         state.borrow_mut().core.set_capture(None);
-        if !thread.wait(PATIENCE) {
+        if !thread.wait(FLUSH_TIMEOUT) {
             log("capture: stopped: the last records are not on the disk yet");
         }
     }
--- a/crates/node/src/lifecycle/limits.rs
+++ b/crates/node/src/lifecycle/limits.rs
@@ -33,10 +33,10 @@
     + FILES;
 
 /// The limits of a process with this configuration.
-pub fn of(config: &Config) -> ProcessLimits {
+pub fn for_config(config: &Config) -> ProcessLimits {
     let memory = config.memory_mb << 20;
     let capture_memory = match config.capture {
-        Some(_) => capture::memory(memory),
+        Some(_) => capture::max_memory(memory),
         None => 0,
     };
     // One descriptor for each waiting connection and one for each that is being answered.
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -1,8 +1,8 @@
 //! SIGHUP: another configuration takes over, as a whole or not at all.
 
-use crate::config::operator::Store;
+use crate::config::operator::StoreSettings;
 use crate::config::platform::Config;
-use crate::lifecycle::capture::Capturing;
+use crate::lifecycle::capture::CaptureController;
 use crate::log::log;
 use crate::net::config_versions::DecidedVersion;
 use crate::net::event_loop::SharedState;
@@ -10,7 +10,7 @@
 use serde_json::Value;
 
 /// Whether the fleet decides what this node acts on.
-fn versioned(state: &SharedState) -> bool {
+fn uses_config_versions(state: &SharedState) -> bool {
     state
         .borrow()
         .membership
@@ -20,43 +20,43 @@
 
 /// What of a configuration the next one is held against, and how it is read.
 pub struct Reload<R> {
-    read: R,
+    read_config: R,
     /// The keys of the file in force.
-    shape: Value,
+    document: Value,
     /// The store, which stays as it was at the start.
-    store: Option<Store>,
+    store: Option<StoreSettings>,
 }
 
 impl<R: Fn(Option<&[u8]>) -> Result<Config, String>> Reload<R> {
     /// Follows the configuration that the node starts with.
-    pub fn new(read: R, config: &Config) -> Reload<R> {
+    pub fn new(read_config: R, config: &Config) -> Reload<R> {
         Reload {
-            read,
-            shape: config.shape.clone(),
+            read_config,
+            document: config.document.clone(),
             store: config.store.clone(),
         }
     }
 
     /// Reads the files, and takes over settings, classes, addresses of the other parties and the
     /// capture. With files that can't be used the node goes on as it is, in every respect.
-    pub fn reload(&mut self, state: &SharedState, capturing: &mut Capturing) {
-        let taken = match versioned(state) {
+    pub fn reload(&mut self, state: &SharedState, capture: &mut CaptureController) {
+        let result = match uses_config_versions(state) {
             // Each node's own file may be any day's: what the fleet decided would be gone with it.
             true => Err(
                 "the fleet decides versions: pipitlever fleet publish FILE --why WHY --at DOOR"
                     .into(),
             ),
-            false => (self.read)(None).and_then(|new| self.take(new, state, capturing)),
+            false => (self.read_config)(None).and_then(|new| self.apply(new, state, capture)),
         };
-        match taken {
+        match result {
             Ok(()) => {
                 state.borrow_mut().config_files.accepted += 1;
                 log("reload: done");
             }
-            Err(trouble) => {
+            Err(error) => {
                 state.borrow_mut().config_files.rejected += 1;
                 log(&format!(
-                    "reload: not done, the old configuration stays: {trouble}"
+                    "reload: not done, the old configuration stays: {error}"
                 ));
             }
         }
@@ -65,10 +65,10 @@
     /// Acts on a version that the fleet has decided: as a whole, once it is on the disk that no
     /// process of this node goes back behind it. One that can't be taken is turned down before
     /// that, and the node goes on under the one before.
-    pub async fn act(
+    pub async fn activate(
         &mut self,
         state: &SharedState,
-        capturing: &mut Capturing,
+        capture: &mut CaptureController,
         version: DecidedVersion,
     ) {
         let DecidedVersion { number, content } = version;
@@ -80,43 +80,45 @@
         if !membership.is_member() {
             return;
         }
-        let fits = (self.read)(Some(&content)).and_then(|new| self.fits(&new, state).map(|()| new));
-        let taken = match fits {
+        let checked = (self.read_config)(Some(&content))
+            .and_then(|new| self.check_compatible(&new, state).map(|()| new));
+        let result = match checked {
             Ok(new) => match membership.write_active_version(number, &content).await {
                 Ok(()) if !membership.is_member() => return,
-                Ok(()) => self.take(new, state, capturing),
+                Ok(()) => self.apply(new, state, capture),
                 Err(why) => Err(format!("it can't be written down: {why}")),
             },
             Err(why) => Err(why),
         };
         if let Some(versions) = &membership.versions {
-            versions.activation_finished(number, taken);
+            versions.activation_finished(number, result);
         }
         membership.notify();
     }
 
     /// Whether another configuration can be taken.
-    fn fits(&self, new: &Config, state: &SharedState) -> Result<(), String> {
-        new.follows(&self.shape)?;
-        if new.parties.processor.is_some() != state.borrow().processor.address.is_some() {
+    fn check_compatible(&self, new: &Config, state: &SharedState) -> Result<(), String> {
+        new.check_no_key_missing(&self.document)?;
+        if new.upstreams.processor.is_some() != state.borrow().processor.address.is_some() {
             return Err("a processor can be neither added nor removed while the node runs".into());
         }
-        let same = |(new, old): (&PoolSettings, &String)| new.name == *old || new.was.contains(old);
+        let is_same =
+            |(new, old): (&PoolSettings, &String)| new.name == *old || new.was.contains(old);
         let names = state.borrow().pools.names();
-        if new.parties.pools.len() != names.len() || !new.parties.pools.iter().zip(&names).all(same)
+        if new.upstreams.pools.len() != names.len()
+            || !new.upstreams.pools.iter().zip(&names).all(is_same)
         {
             return Err(
                 "pools can be neither added nor removed while the node runs, their members can"
                     .into(),
             );
         }
-        let parts = |p: &PoolSettings| (p.shared.is_some(), p.sessions.is_some());
-        if new
-            .parties
+        let features = |p: &PoolSettings| (p.shared.is_some(), p.sessions.is_some());
+        if new.upstreams.pools.iter().map(features).ne(state
+            .borrow()
             .pools
-            .iter()
-            .map(parts)
-            .ne(state.borrow().pools.settings().map(parts))
+            .settings()
+            .map(features))
         {
             return Err(
                 "share = true and [pool.affinity] can be neither added nor removed while the node runs"
@@ -125,28 +127,28 @@
         }
         state
             .borrow()
-            .check_classes(&new.tuning)
+            .check_classes(&new.request_settings)
             .map_err(|error| error.to_string())
     }
 
-    fn take(
+    fn apply(
         &mut self,
         new: Config,
         state: &SharedState,
-        capturing: &mut Capturing,
+        capture: &mut CaptureController,
     ) -> Result<(), String> {
-        self.fits(&new, state)?;
+        self.check_compatible(&new, state)?;
         // The last that may fail, and nothing has changed before it.
         let changed = state
             .borrow_mut()
-            .reconfigure(new.tuning)
+            .reconfigure(new.request_settings)
             .map_err(|error| error.to_string())?;
-        state.borrow_mut().set_upstreams(new.parties);
+        state.borrow_mut().set_upstreams(new.upstreams);
         if changed {
             // A capture's settings are those it began with: another one begins.
-            capturing.end(state);
+            capture.stop(state);
         }
-        capturing.set(state, new.capture);
+        capture.configure(state, new.capture);
         match (&state.borrow().membership, &new.fleet) {
             (Some(membership), Some(settings)) => membership.set_settings(settings),
             (None, None) => {}
@@ -157,7 +159,7 @@
         if new.store != self.store {
             log("reload: [store] has changed: it stays as it was until the next start");
         }
-        self.shape = new.shape;
+        self.document = new.document;
         Ok(())
     }
 }
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -53,11 +53,12 @@
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(), ServeError> {
-    let (config, stored_version) = crate::config::versions::begin(config, &read)?;
+    let (config, stored_version) = crate::config::versions::load_stored_version(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     // Two processes cannot share a store, and a port that the system picks is used by no other one.
-    let meeting_place = hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
-    let opened = async { Some(OpenedSockets::open(&config, meeting_place.as_deref()).await) };
+    let restart_socket_path =
+        hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
+    let opened = async { Some(OpenedSockets::open(&config, restart_socket_path.as_deref()).await) };
     let interrupted = async {
         signals.wait_for_shutdown().await;
         None
@@ -77,7 +78,7 @@
     }
     shut_down(&supervisor, &services).await;
     log_counters(&services.state);
-    services.capturing.end(&services.state);
+    services.capture.stop(&services.state);
     match supervisor.status().failed_subsystem() {
         Some(subsystem) => Err(ServeError::Panicked(subsystem)),
         None => Ok(()),
@@ -91,13 +92,13 @@
         status.failed_subsystem() == Some(Subsystem::Core)
             || !services.state.borrow().is_core_consistent()
     };
-    let broken = async {
+    let core_failure = async {
         while !has_core_panicked() {
             supervisor.next_failure().await;
         }
         log("ending: the core panicked in an update, nothing is drained");
     };
-    future::or(broken, shutdown::shut_down(services)).await;
+    future::or(core_failure, shutdown::shut_down(services)).await;
 }
 
 /// Something that the event loop reacts to.
@@ -135,13 +136,13 @@
         };
         let failed = future::or(panic, failure);
         let event = future::or(failed, future::or(signal, version)).await?;
-        let (state, capturing) = (&services.state, &mut services.capturing);
+        let (state, capture) = (&services.state, &mut services.capture);
         match event {
-            LoopEvent::ApplyVersion(version) => reload.act(state, capturing, version).await,
+            LoopEvent::ApplyVersion(version) => reload.activate(state, capture, version).await,
             LoopEvent::Signal(Signal::LogCounters) => log_counters(state),
-            LoopEvent::Signal(Signal::Reload) => reload.reload(state, capturing),
+            LoopEvent::Signal(Signal::Reload) => reload.reload(state, capture),
             LoopEvent::Signal(Signal::Shutdown) => return Ok(LoopEnd::Signal),
-            LoopEvent::Panicked(Subsystem::Capture) => capturing.handle_failure(state),
+            LoopEvent::Panicked(Subsystem::Capture) => capture.handle_failure(state),
             LoopEvent::Panicked(subsystem) => return Ok(LoopEnd::Failed(subsystem)),
         }
     }
--- a/crates/node/src/lifecycle/shutdown.rs
+++ b/crates/node/src/lifecycle/shutdown.rs
@@ -47,8 +47,8 @@
         finish_replaced(&services.state).await;
         return;
     }
-    if let Some(offer) = &services.offer {
-        offer.close();
+    if let Some(listener) = &services.successor_listener {
+        listener.close();
     }
     if has_never_served(services) {
         return;
@@ -71,8 +71,8 @@
     let stop = after_ms(remaining_ms);
     let grace_ms = state.borrow().core.drain_grace() as u64 / 1000;
     let close = after_ms(grace_ms.saturating_sub(CLOSE_MARGIN_MS).min(stop_ms / 2));
-    let owed = state.borrow().core.unanswered();
-    log(&format!("draining: stop_ms={stop_ms} owed={owed}"));
+    let unanswered = state.borrow().core.unanswered();
+    log(&format!("draining: stop_ms={stop_ms} owed={unanswered}"));
     state.borrow_mut().begin_drain((remaining_ms * 1000) as i64);
     Timer::at(close).await;
     state.borrow_mut().send_goaway();
@@ -92,9 +92,9 @@
     let stop_ms = longest_deadline_ms.min(REPLACED_MAX_DEADLINE_MS) + REPLACED_KILL_MS;
     let remaining_ms = stop_ms - KILL_MARGIN_MS;
     let stop = after_ms(remaining_ms);
-    let owed = state.borrow().core.unanswered();
+    let unanswered = state.borrow().core.unanswered();
     log(&format!(
-        "leaving: stop_ms={stop_ms} owed={owed}, another process serves"
+        "leaving: stop_ms={stop_ms} owed={unanswered}, another process serves"
     ));
     state
         .borrow_mut()
@@ -113,8 +113,8 @@
     let is_finished = || state.borrow().connections.used() == 0 && state.borrow().is_settled();
     wait_until(stop, is_finished).await;
     if !state.borrow().is_settled() {
-        let owed = state.borrow().core.unanswered();
-        log(&format!("draining: stopped with owed={owed}"));
+        let unanswered = state.borrow().core.unanswered();
+        log(&format!("draining: stopped with owed={unanswered}"));
     }
 }
 
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -35,14 +35,15 @@
     /// does not pass on.
     pub async fn open(
         config: &Config,
-        meeting_place: Option<&Path>,
+        restart_socket_path: Option<&Path>,
     ) -> Result<OpenedSockets, String> {
-        let (predecessor, passed) = match claim_client_address(config, meeting_place).await? {
-            ClientAddress::PassedOn(mut predecessor) => {
+        let (predecessor, passed) = match claim_gateway_address(config, restart_socket_path).await?
+        {
+            GatewayAddress::PassedOn(mut predecessor) => {
                 let passed = std::mem::take(&mut predecessor.sockets);
                 (Some(*predecessor), passed)
             }
-            ClientAddress::Bound(listener) => {
+            GatewayAddress::Bound(listener) => {
                 let fronts = vec![(Front::Gateway, config.listen, listener)];
                 let passed = AdoptedSockets {
                     fronts,
@@ -63,7 +64,7 @@
 }
 
 /// How this process comes by the gateways' address.
-enum ClientAddress {
+enum GatewayAddress {
     /// The process that it replaces passes its sockets on.
     PassedOn(Box<PredecessorConnection>),
     /// It was free.
@@ -74,24 +75,24 @@
 ///
 /// Both can be impossible for a while: a process that shuts down keeps its address, and one whose
 /// successor has died opens its meeting place again only once it has noticed.
-async fn claim_client_address(
+async fn claim_gateway_address(
     config: &Config,
-    meeting_place: Option<&Path>,
-) -> Result<ClientAddress, String> {
+    restart_socket_path: Option<&Path>,
+) -> Result<GatewayAddress, String> {
     // No other process has a port that the system picks.
-    let meeting_place = meeting_place.filter(|_| config.listen.port() != 0);
+    let restart_socket_path = restart_socket_path.filter(|_| config.listen.port() != 0);
     let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     let mut has_logged = false;
     loop {
-        if let Some(place) = meeting_place {
+        if let Some(path) = restart_socket_path {
             let connected =
-                hot_restart::connect_to_predecessor(place, &config.name, config.listen).await;
+                hot_restart::connect_to_predecessor(path, &config.name, config.listen).await;
             if let Some(predecessor) = connected.map_err(|error| error.to_string())? {
-                return Ok(ClientAddress::PassedOn(Box::new(predecessor)));
+                return Ok(GatewayAddress::PassedOn(Box::new(predecessor)));
             }
         }
         match Async::<TcpListener>::bind(config.listen) {
-            Ok(listener) => return Ok(ClientAddress::Bound(listener)),
+            Ok(listener) => return Ok(GatewayAddress::Bound(listener)),
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {}
             Err(e) => return Err(format!("cannot listen on {}: {e}", config.listen)),
         }
@@ -110,12 +111,18 @@
     config: &Config,
     mut passed: Vec<FrontListener>,
 ) -> Result<Vec<FrontListener>, String> {
-    let mut wanted = vec![(Front::Gateway, config.listen)];
-    wanted.extend(config.tuning.uwsgi.listen.map(|at| (Front::Uwsgi, at)));
+    let mut configured = vec![(Front::Gateway, config.listen)];
+    configured.extend(
+        config
+            .request_settings
+            .uwsgi
+            .listen
+            .map(|at| (Front::Uwsgi, at)),
+    );
     let mut listeners = Vec::new();
-    for (front, address) in wanted {
-        let is_wanted = |(f, a, _): &FrontListener| (*f, *a) == (front, address);
-        if let Some(position) = passed.iter().position(is_wanted) {
+    for (front, address) in configured {
+        let is_match = |(f, a, _): &FrontListener| (*f, *a) == (front, address);
+        if let Some(position) = passed.iter().position(is_match) {
             let (_, _, listener) = passed.swap_remove(position);
             listeners.push((front, local_address(&listener)?, listener));
             continue;
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -1,7 +1,7 @@
 //! Starts the subsystems of a node in the order in which they depend on each other.
 
 use crate::config::platform::Config;
-use crate::lifecycle::capture::Capturing;
+use crate::lifecycle::capture::CaptureController;
 use crate::lifecycle::sockets::OpenedSockets;
 use crate::lifecycle::{limits, store};
 use crate::log::log;
@@ -32,9 +32,9 @@
     /// The front ends.
     pub fronts: Rc<Fronts>,
     /// The offer to be replaced by another process, if there is a place to meet it.
-    pub offer: Option<Rc<SuccessorListener>>,
+    pub successor_listener: Option<Rc<SuccessorListener>>,
     /// The capture.
-    pub capturing: Capturing,
+    pub capture: CaptureController,
     /// A failure of the hot restart, which ends this process.
     pub failure: FailureSignal,
     /// Decided config versions to apply.
@@ -50,7 +50,7 @@
     config: Config,
     stored_version: Option<StoredVersion>,
     sockets: OpenedSockets,
-    store: Option<store::Opened>,
+    store: Option<store::OpenedStore>,
 ) -> Result<Services, String> {
     let OpenedSockets {
         predecessor,
@@ -58,7 +58,7 @@
         membership: membership_sockets,
         control: control_listener,
     } = sockets;
-    let mut capturing = Capturing::new(
+    let mut capture = CaptureController::new(
         supervisor.clone(),
         &config.name,
         config.seed,
@@ -68,22 +68,22 @@
     state.borrow_mut().failures = supervisor.status();
     if let Some(store) = store {
         let max_result = state.borrow().core.max_result_bytes();
-        store.begin(&supervisor, &state, max_result)?;
+        store.start(&supervisor, &state, max_result)?;
     }
     // Before the controller's first step, so that the capture begins with it.
-    capturing.set(&state, config.capture.clone());
+    capture.configure(&state, config.capture.clone());
     start_drivers(&supervisor, &state, &config);
-    let meeting_place = meeting_place(&config, listeners[0].1);
+    let restart_socket_path = restart_socket_path(&config, listeners[0].1);
     log_listeners(&config.name, &listeners);
     let fronts = Fronts::new(supervisor.clone(), state.clone(), listeners);
-    let offer = meeting_place.map(|place| {
+    let successor_listener = restart_socket_path.map(|path| {
         let name = config.name.clone();
         SuccessorListener::new(
             supervisor.clone(),
             state.clone(),
             fronts.clone(),
             name,
-            place,
+            path,
         )
     });
     let (version_sender, versions) = async_channel::unbounded();
@@ -107,7 +107,7 @@
         predecessor,
         &failure,
         &fronts,
-        offer.as_ref(),
+        successor_listener.as_ref(),
         join,
     );
     if let Some((address, listener)) = control_listener {
@@ -120,8 +120,8 @@
     Ok(Services {
         state,
         fronts,
-        offer,
-        capturing,
+        successor_listener,
+        capture,
         failure,
         versions,
         stop_ms,
@@ -133,13 +133,13 @@
     config: &Config,
     predecessor: Option<&PredecessorConnection>,
 ) -> Result<SharedState, String> {
-    let limits = limits::of(config);
+    let limits = limits::for_config(config);
     let salt = match predecessor {
         Some(predecessor) => predecessor.salt,
         None => Salt::random().map_err(|e| format!("random numbers: {e}"))?,
     };
     let mut state = NodeState::new(
-        config.tuning.clone(),
+        config.request_settings.clone(),
         config.seed,
         salt,
         limits.memory_limits(false),
@@ -153,11 +153,11 @@
 
 /// Starts the drivers of the processor, the ledger, the registry and the workers.
 fn start_drivers(supervisor: &Rc<Supervisor>, state: &SharedState, config: &Config) {
-    state.borrow_mut().set_upstreams(config.parties.clone());
+    state.borrow_mut().set_upstreams(config.upstreams.clone());
     supervisor
         .spawn(Subsystem::Core, run_core_timer(state.clone()))
         .detach();
-    if config.parties.processor.is_some() {
+    if config.upstreams.processor.is_some() {
         supervisor
             .spawn(Subsystem::Processor, processor::run(state.clone()))
             .detach();
@@ -176,7 +176,7 @@
 
 /// Where another process of this node finds this one; none with a store, which only one process can
 /// use. `address` is the gateways' address, which the system may have picked.
-fn meeting_place(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
+fn restart_socket_path(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
     if config.store.is_some() {
         return None;
     }
@@ -234,16 +234,16 @@
     predecessor: Option<PredecessorConnection>,
     failure: &FailureSignal,
     fronts: &Rc<Fronts>,
-    offer: Option<&Rc<SuccessorListener>>,
+    successor_listener: Option<&Rc<SuccessorListener>>,
     join: JoinFleet,
 ) {
-    let (fronts, offer) = (fronts.clone(), offer.cloned());
+    let (fronts, successor_listener) = (fronts.clone(), successor_listener.cloned());
     // Serving may begin anew after a predecessor's end; the fleet is joined once.
     let join = RefCell::new(Some(join));
     let serve = move |passed: Option<Vec<u8>>| {
         // The meeting place first: a predecessor that has handed over cannot be found there.
-        if let Some(offer) = &offer {
-            offer.open();
+        if let Some(successor_listener) = &successor_listener {
+            successor_listener.open();
         }
         fronts.open();
         if let Some(join) = join.take() {
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -1,6 +1,6 @@
 //! Opens the store at the start, and has the core take over what it holds.
 
-use crate::config::operator::{OnDamage, Store};
+use crate::config::operator::{OnDamage, StoreSettings};
 use crate::config::platform::Config;
 use crate::log::log;
 use crate::net::event_loop::SharedState;
@@ -16,19 +16,19 @@
 use std::time::Instant;
 
 /// A store that was opened and read, and is not in use yet.
-pub struct Opened {
-    settings: Store,
+pub struct OpenedStore {
+    settings: StoreSettings,
     log: Log<StoreDirectory>,
-    found: OpenReport,
+    report: OpenReport,
     window: Micros,
 }
 
 /// Opens the store that a configuration names, if it names one.
-pub fn open_configured(config: &Config) -> Result<Option<Opened>, String> {
+pub fn open_configured(config: &Config) -> Result<Option<OpenedStore>, String> {
     let Some(settings) = config.store.clone() else {
         return Ok(None);
     };
-    let classes = &config.tuning.settings.classes;
+    let classes = &config.request_settings.settings.classes;
     let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
     // A retry that arrived within its window may be read as late as its caller waits.
     let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
@@ -37,56 +37,62 @@
 
 /// Opens it, for a node whose longest window is this, with the time in which its repeats are read.
 /// What it finds is told.
-fn open(settings: Store, window: Micros) -> Result<Opened, String> {
-    let place = settings.folder.display().to_string();
-    let start = Instant::now();
-    let disk =
-        StoreDirectory::open(&settings.folder).map_err(|e| format!("store: {place}: {e}"))?;
-    let (log, found) = Log::open(disk, Limits::for_capacity(settings.most), window)
-        .map_err(|e| format!("store: {place}: {e}"))?;
-    for damage in &found.damage {
-        self::log(&format!("store: damage: {place}/{damage}"));
+fn open(settings: StoreSettings, window: Micros) -> Result<OpenedStore, String> {
+    let folder = settings.folder.display().to_string();
+    let started = Instant::now();
+    let directory =
+        StoreDirectory::open(&settings.folder).map_err(|e| format!("store: {folder}: {e}"))?;
+    let (log, report) = Log::open(
+        directory,
+        Limits::for_capacity(settings.capacity_bytes),
+        window,
+    )
+    .map_err(|e| format!("store: {folder}: {e}"))?;
+    for damage in &report.damage {
+        self::log(&format!("store: damage: {folder}/{damage}"));
     }
-    if !found.damage.is_empty() && settings.on_damage == OnDamage::Stop {
-        return Err(format!("store: {place}: damaged, and on_damage = \"stop\""));
+    if !report.damage.is_empty() && settings.on_damage == OnDamage::Stop {
+        return Err(format!(
+            "store: {folder}: damaged, and on_damage = \"stop\""
+        ));
     }
-    let (keys, ms) = (found.keys.len(), start.elapsed().as_millis());
-    let ended = found.keys.iter().filter(|k| k.outcome.is_some()).count();
+    let (keys, ms) = (report.keys.len(), started.elapsed().as_millis());
+    let ended = report.keys.iter().filter(|k| k.outcome.is_some()).count();
     let used = log.used_bytes();
     self::log(&format!(
-        "store: open: folder={place} keys={keys} ended={ended} used={used} torn={} ms={ms}",
-        found.torn_bytes
+        "store: open: folder={folder} keys={keys} ended={ended} used={used} torn={} ms={ms}",
+        report.torn_bytes
     ));
-    Ok(Opened {
+    Ok(OpenedStore {
         settings,
         log,
-        found,
+        report,
         window,
     })
 }
 
-impl Opened {
+impl OpenedStore {
     /// The core takes over, before it is told anything else. Damage may hide any key: until the
     /// longest window has passed since the start, keyed requests are refused.
-    pub fn begin(
+    pub fn start(
         mut self,
         supervisor: &Rc<Supervisor>,
         state: &SharedState,
-        most_result: usize,
+        max_result: usize,
     ) -> Result<(), String> {
-        let machine = self.log.clocks();
+        let clocks = self.log.clocks();
         let salt = self.log.salt();
-        let limits = Limits::for_capacity(self.settings.most);
-        let rules = CommitQueueConfig {
-            capacity: self.settings.most,
+        let limits = Limits::for_capacity(self.settings.capacity_bytes);
+        let queue_config = CommitQueueConfig {
+            capacity: self.settings.capacity_bytes,
             // Cleaning writes what is left of one segment before it takes it away, and begins two.
             compaction_reserve: limits.segment_size,
-            max_result_bytes: most_result,
-            sync_each_record: self.settings.each,
+            max_result_bytes: max_result,
+            sync_each_record: self.settings.sync_each_record,
         };
         let used = self.log.used_bytes();
-        let Salt([first, _]) = Salt::random().map_err(|e| format!("store: {e}"))?;
-        let (sender, done) = async_channel::bounded(1);
+        let Salt([first_id, _]) = Salt::random().map_err(|e| format!("store: {e}"))?;
+        let (sender, results) = async_channel::bounded(1);
         let sentinel = supervisor.thread_sentinel(Subsystem::Store);
         let writer = BatchWriter::start(self.log, move |result| {
             sentinel.panic_point();
@@ -97,18 +103,23 @@
         {
             let mut state = state.borrow_mut();
             let now = state.clock.now();
-            let suspect = (!self.found.damage.is_empty())
-                .then(|| now + self.found.longest_window.max(self.window));
-            let gate = CommitQueue::new(rules, used, suspect, first);
-            let wait = self.settings.wait;
-            let durable = RunStore::new(gate, machine.since_boot - now, wait, suspect);
-            for key in &mut self.found.keys {
+            let damaged_until = (!self.report.damage.is_empty())
+                .then(|| now + self.report.longest_window.max(self.window));
+            let commit_queue = CommitQueue::new(queue_config, used, damaged_until, first_id);
+            let answer_when_durable = self.settings.answer_when_durable;
+            let run_store = RunStore::new(
+                commit_queue,
+                clocks.since_boot - now,
+                answer_when_durable,
+                damaged_until,
+            );
+            for key in &mut self.report.keys {
                 key.window_end = state.clock.unix_to_clock(key.window_end);
             }
-            state.attach_store(durable, self.found.keys, salt);
+            state.attach_store(run_store, self.report.keys, salt);
         }
-        let passing = idempotency_store::run(state.clone(), writer, done);
-        supervisor.spawn(Subsystem::Store, passing).detach();
+        let driver = idempotency_store::run(state.clone(), writer, results);
+        supervisor.spawn(Subsystem::Store, driver).detach();
         Ok(())
     }
 }
--- a/crates/node/src/supervision/mod.rs
+++ b/crates/node/src/supervision/mod.rs
@@ -169,7 +169,7 @@
         let this = self.project();
         let subsystem = this.reporter.subsystem;
         let poll = AssertUnwindSafe(|| {
-            panic_hook::enter(subsystem);
+            panic_hook::set_current(subsystem);
             panic_point(subsystem);
             this.task.poll(context)
         });
@@ -185,7 +185,7 @@
 pub async fn in_main<T>(task: impl Future<Output = T>) -> T {
     let mut task = Box::pin(task);
     poll_fn(|context| {
-        panic_hook::enter(Subsystem::Main);
+        panic_hook::set_current(Subsystem::Main);
         task.as_mut().poll(context)
     })
     .await
--- a/crates/node/src/supervision/panic_hook.rs
+++ b/crates/node/src/supervision/panic_hook.rs
@@ -11,12 +11,12 @@
 const MAX_MESSAGE_CHARS: usize = 300;
 
 thread_local! {
-    static PRESENT: Cell<Subsystem> = const { Cell::new(Subsystem::Main) };
+    static CURRENT: Cell<Subsystem> = const { Cell::new(Subsystem::Main) };
 }
 
 /// Sets the subsystem that the event loop works for until the next call.
-pub fn enter(subsystem: Subsystem) {
-    PRESENT.set(subsystem);
+pub fn set_current(subsystem: Subsystem) {
+    CURRENT.set(subsystem);
 }
 
 /// Replaces the standard library's hook.
@@ -35,7 +35,7 @@
 fn subsystem_name() -> String {
     let thread = std::thread::current();
     match thread.name() {
-        Some("main") | None => PRESENT.get().to_string(),
+        Some("main") | None => CURRENT.get().to_string(),
         Some(name) => name.to_owned(),
     }
 }
--- a/crates/node/src/supervision/panic_point.rs
+++ b/crates/node/src/supervision/panic_point.rs
@@ -8,13 +8,13 @@
 pub fn panic_point(subsystem: Subsystem) {
     use std::sync::OnceLock;
 
-    static WANTED: OnceLock<Option<(String, String)>> = OnceLock::new();
-    let wanted = WANTED.get_or_init(|| {
+    static TARGET: OnceLock<Option<(String, String)>> = OnceLock::new();
+    let target = TARGET.get_or_init(|| {
         let variable = std::env::var("PIPITLEVER_PANIC").ok()?;
         let (name, file) = variable.split_once(':')?;
         Some((name.to_owned(), file.to_owned()))
     });
-    let Some((name, file)) = wanted else { return };
+    let Some((name, file)) = target else { return };
     if name == subsystem.name() && std::fs::remove_file(file).is_ok() {
         panic!("a test asked for this");
     }
