--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The rota node: pipitlever's decisions on real sockets. A library only so that a program that
-//! counts can hold it.
+//! The rota node: connects the core's decisions to sockets and disks. A library so that the
+//! benchmark program can link it with a counting allocator.
 
 mod cli;
 mod config;
@@ -8,14 +8,14 @@
 mod net;
 mod supervision;
 
-/// Bytes that were copied on the way of requests.
+/// Bytes that were copied while requests were processed.
 #[cfg(feature = "count")]
 pub use pipitlever_wire::COPIED;
 
 /// The exit code after a panic: EX_SOFTWARE of sysexits.h.
 const EXIT_PANICKED: u8 = 70;
 
-/// Does what the command line says; the code to end with.
+/// Runs the command that the arguments name; returns the exit code.
 pub fn run() -> std::process::ExitCode {
     supervision::install_panic_hook();
     match std::panic::catch_unwind(cli::run) {
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -1,4 +1,4 @@
-//! Switches the capture on and off: at the start, on SIGHUP, at the end.
+//! Starts and stops the capture at startup, on SIGHUP and at shutdown.
 
 use crate::config::operator::CaptureSettings;
 use crate::log::log;
@@ -10,33 +10,34 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// How long the end of the process waits for the last records. A disk that hangs costs them, not
-/// the end.
+/// How long the shutdown waits for the last records to be written. If the disk hangs, these are
+/// lost and the process ends in time.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The capture as it runs now, if it does.
+/// The running capture, if there is one.
 pub struct CaptureController {
     supervisor: Rc<Supervisor>,
     node: String,
     seed: u64,
-    /// Bytes of the queue to the writer.
+    /// Size of the queue to the writer thread.
     queue_bytes: usize,
     active: Option<(CaptureSettings, WriterThread)>,
 }
 
-/// Bytes of the queue, for a process of so much memory: its writer takes as much again while it is
-/// behind.
+/// Size of the queue in a process with this memory limit, in bytes. The writer may hold as much
+/// again while it is behind.
 fn queue_bytes(process_memory: usize) -> usize {
     DEFAULT_QUEUE_BYTES.min(process_memory / 64)
 }
 
-/// What a capture takes of the process's memory at the most, beside one copy of the module's state.
+/// The most memory that a capture uses, in bytes, beside one copy of the admission controller's
+/// state.
 pub fn max_memory(process_memory: usize) -> usize {
     3 * queue_bytes(process_memory)
 }
 
 impl CaptureController {
-    /// Nothing is captured yet.
+    /// Creates a controller; no capture runs yet.
     pub fn new(
         supervisor: Rc<Supervisor>,
         node: &str,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Captures as this says from now on.
+    /// Stops the running capture and starts one with these settings, unless they are unchanged.
     pub fn configure(&mut self, state: &SharedState, settings: Option<CaptureSettings>) {
         if self.active.as_ref().map(|n| &n.0) == settings.as_ref() {
             return;
@@ -88,11 +89,13 @@
                 state.core.set_capture(Some(recorder));
                 self.active = Some((settings, thread));
             }
-            Err(error) => log(&format!("capture: stopped: no thread: {error}")),
+            Err(error) => log(&format!(
+                "capture: stopped: cannot start its thread: {error}"
+            )),
         }
     }
 
-    /// Captures nothing more, as the writer's thread has panicked. The next reload begins anew.
+    /// Stops capturing after a panic of the writer thread. The next reload starts it again.
     pub fn handle_failure(&mut self, state: &SharedState) {
         if self.active.take().is_some() {
             state.borrow_mut().core.set_capture(None);
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Captures nothing more, and gives the writer a moment for the rest.
+    /// Stops capturing, and waits up to `FLUSH_TIMEOUT` for the writer to finish.
     pub fn stop(&mut self, state: &SharedState) {
         let Some((_, thread)) = self.active.take() else {
             return;
--- a/crates/node/src/lifecycle/limits.rs
+++ b/crates/node/src/lifecycle/limits.rs
@@ -1,4 +1,4 @@
-//! How many descriptors and how much memory the front ends may use.
+//! The file descriptors and the memory that the front ends may use.
 
 use crate::config::platform::Config;
 use crate::lifecycle::capture;
@@ -19,9 +19,9 @@
 const LISTENERS: usize = 2 * 2;
 /// The hot restart's listener, connection and peer, and its passed sockets.
 const HOT_RESTART: usize = 4;
-/// Files that are read again on SIGHUP.
+/// Configuration files, which are read again on SIGHUP.
 const FILES: usize = 2;
-/// Descriptors that are reserved for the node's own needs on every node.
+/// Descriptors that every node reserves for its own use.
 const RESERVED: usize = STANDARD_STREAMS
     + REACTOR
     + SIGNALS
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: another configuration takes over, as a whole or not at all.
+//! Applies another configuration, as a whole or not at all: on SIGHUP, or a decided config version.
 
 use crate::config::operator::StoreSettings;
 use crate::config::platform::Config;
@@ -9,7 +9,7 @@
 use crate::net::worker_pools::routes::PoolSettings;
 use serde_json::Value;
 
-/// Whether the fleet decides what this node acts on.
+/// Whether the fleet decides this node's configuration.
 fn uses_config_versions(state: &SharedState) -> bool {
     state
         .borrow()
@@ -18,17 +18,17 @@
         .is_some_and(|membership| membership.versions.is_some())
 }
 
-/// What of a configuration the next one is held against, and how it is read.
+/// Reads configurations, and checks each against the one in force.
 pub struct Reload<R> {
     read_config: R,
-    /// The keys of the file in force.
+    /// The configuration file in force, as JSON: the next one may not lack any of its keys.
     document: Value,
-    /// The store, which stays as it was at the start.
+    /// The store's settings at the start, which stay in force until the process ends.
     store: Option<StoreSettings>,
 }
 
 impl<R: Fn(Option<&[u8]>) -> Result<Config, String>> Reload<R> {
-    /// Follows the configuration that the node starts with.
+    /// Starts from the configuration that the node starts with.
     pub fn new(read_config: R, config: &Config) -> Reload<R> {
         Reload {
             read_config,
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Reads the files, and takes over settings, classes, addresses of the other parties and the
-    /// capture. With files that can't be used the node goes on as it is, in every respect.
+    /// Reads the files, and applies settings, classes, upstream addresses and the capture. If the
+    /// files are invalid, nothing changes.
     pub fn reload(&mut self, state: &SharedState, capture: &mut CaptureController) {
         let result = match uses_config_versions(state) {
-            // Each node's own file may be any day's: what the fleet decided would be gone with it.
+            // The node's file may be older than the decided version, and would undo it.
             true => Err(
-                "the fleet decides versions: pipitlever fleet publish FILE --why WHY --at DOOR"
+                "the fleet decides versions: pipitlever fleet publish FILE --why WHY --at CONTROL"
                     .into(),
             ),
             false => (self.read_config)(None).and_then(|new| self.apply(new, state, capture)),
@@ -62,9 +62,9 @@
         }
     }
 
-    /// Acts on a version that the fleet has decided: as a whole, once it is on the disk that no
-    /// process of this node goes back behind it. One that can't be taken is turned down before
-    /// that, and the node goes on under the one before.
+    /// Activates a version that the fleet has decided, as a whole. The version is first written to
+    /// the disk, so that no later process of this node activates an older one. An incompatible
+    /// version is rejected before that, and the previous one stays active.
     pub async fn activate(
         &mut self,
         state: &SharedState,
@@ -75,8 +75,8 @@
         let Some(membership) = state.borrow().membership.clone() else {
             return;
         };
-        // Once another process of the node is the member, this one ends under the version that it
-        // has: what it wrote down meanwhile is that one's to act on.
+        // Once a successor is the member, this process ends under its present version. A version
+        // that it has just written to the disk is activated by the successor.
         if !membership.is_member() {
             return;
         }
@@ -86,7 +86,7 @@
             Ok(new) => match membership.write_active_version(number, &content).await {
                 Ok(()) if !membership.is_member() => return,
                 Ok(()) => self.apply(new, state, capture),
-                Err(why) => Err(format!("it can't be written down: {why}")),
+                Err(why) => Err(format!("cannot write the version to the disk: {why}")),
             },
             Err(why) => Err(why),
         };
@@ -96,7 +96,7 @@
         membership.notify();
     }
 
-    /// Whether another configuration can be taken.
+    /// Checks that a configuration can be applied without a restart.
     fn check_compatible(&self, new: &Config, state: &SharedState) -> Result<(), String> {
         new.check_no_key_missing(&self.document)?;
         if new.upstreams.processor.is_some() != state.borrow().processor.address.is_some() {
@@ -138,26 +138,24 @@
         capture: &mut CaptureController,
     ) -> Result<(), String> {
         self.check_compatible(&new, state)?;
-        // The last that may fail, and nothing has changed before it.
+        // The last step that may fail; nothing has changed before it.
         let changed = state
             .borrow_mut()
             .reconfigure(new.request_settings)
             .map_err(|error| error.to_string())?;
         state.borrow_mut().set_upstreams(new.upstreams);
         if changed {
-            // A capture's settings are those it began with: another one begins.
+            // A capture records the settings that it began with, so a new one has to begin.
             capture.stop(state);
         }
         capture.configure(state, new.capture);
         match (&state.borrow().membership, &new.fleet) {
             (Some(membership), Some(settings)) => membership.set_settings(settings),
             (None, None) => {}
-            _ => {
-                log("reload: [fleet] was added or removed: it stays as it was until the next start")
-            }
+            _ => log("reload: [fleet] was added or removed: this takes effect at the next start"),
         }
         if new.store != self.store {
-            log("reload: [store] has changed: it stays as it was until the next start");
+            log("reload: [store] has changed: this takes effect at the next start");
         }
         self.document = new.document;
         Ok(())
--- a/crates/node/src/lifecycle/report.rs
+++ b/crates/node/src/lifecycle/report.rs
@@ -1,4 +1,4 @@
-//! The counters and table sizes that are logged on SIGUSR1 and at the end.
+//! The counters and table sizes that are logged on SIGUSR1 and at shutdown.
 
 use crate::log::log;
 use crate::net::event_loop::SharedState;
@@ -21,7 +21,10 @@
          open={open}"
     ));
     if !state.core.is_balanced() {
-        log("accounting: requests are not what was answered, has gone and is open: report this with the counters");
+        log(
+            "accounting: requests != served + rejected + failed + abandoned + open: report this \
+             with the counters",
+        );
     }
     for line in state.pools.report(state.clock.now()) {
         log(&line);
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! One node from its start to its end.
+//! Runs one node from startup to shutdown.
 
 use crate::config::platform::Config;
 use crate::lifecycle::reload::Reload;
@@ -17,10 +17,10 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why a node ended otherwise than it was told to.
+/// Why a node ended other than by a signal.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// It could not start, or not take over.
+    /// The node could not start, or could not take over from its predecessor.
     #[error("{0}")]
     Failed(String),
     /// A subsystem panicked. The panic was logged when it happened.
@@ -34,8 +34,8 @@
     }
 }
 
-/// Runs one node until SIGTERM or SIGINT. `read` reads the configuration, with the content of a
-/// config version in place of the node's own if one is given.
+/// Runs one node until SIGTERM or SIGINT. `read` reads the configuration; the content of a config
+/// version, if given, replaces the parts of the node's own files that the fleet shares.
 pub fn serve(
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String> + 'static,
@@ -55,7 +55,7 @@
 ) -> Result<(), ServeError> {
     let (config, stored_version) = crate::config::versions::load_stored_version(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
-    // Two processes cannot share a store, and a port that the system picks is used by no other one.
+    // A node with a store is not hot restarted: two processes cannot share a store.
     let restart_socket_path =
         hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
     let opened = async { Some(OpenedSockets::open(&config, restart_socket_path.as_deref()).await) };
@@ -85,7 +85,8 @@
     }
 }
 
-/// Shuts down, unless the core has panicked: what its state would answer cannot be relied on.
+/// Shuts down gracefully, unless the core has panicked: its state is then inconsistent, and answers
+/// from it would be unreliable.
 async fn shut_down(supervisor: &Supervisor, services: &Services) {
     let status = supervisor.status();
     let has_core_panicked = || {
@@ -112,7 +113,7 @@
 
 /// Why the event loop ends.
 enum LoopEnd {
-    /// A signal asked for the shutdown.
+    /// A signal requested the shutdown.
     Signal,
     /// A subsystem that the process can't go on without panicked.
     Failed(Subsystem),
--- a/crates/node/src/lifecycle/shutdown.rs
+++ b/crates/node/src/lifecycle/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: nothing new is admitted, all that was read is answered, and the process ends
-//! before it would be killed.
+//! Graceful shutdown: requests that were read are answered, and the process ends before it would be
+//! killed.
 
 use crate::lifecycle::startup::Services;
 use crate::log::log;
@@ -24,8 +24,8 @@
 /// Time between two checks whether all requests are answered, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 10;
 
-/// Prepares the shutdown of a process in which a subsystem has panicked. The membership driver is
-/// not called any more if it is the one: the other members notice the process's end by their probes.
+/// Prepares the shutdown of a process in which a subsystem has panicked. If the membership driver
+/// is affected, it is not called any more: the other members detect the end by their probes.
 pub fn prepare_after_failure(services: &Services, subsystem: Subsystem) {
     log(&format!("ending: subsystem={subsystem} panicked"));
     let membership = services.state.borrow().membership.clone();
@@ -34,8 +34,7 @@
     }
 }
 
-/// Shuts down: as the node's end, or, if another process has taken over, as the end of this process
-/// alone.
+/// Shuts down the node or, if another process has taken over, this process alone.
 pub async fn shut_down(services: &Services) {
     let is_replaced = services
         .state
@@ -56,15 +55,15 @@
     drain(services).await;
 }
 
-/// Whether this process is a successor that has not taken over. The sooner it ends, the sooner its
-/// predecessor knows.
+/// Whether this process is a successor that has not taken over. It ends at once, so that its
+/// predecessor detects that as early as possible.
 fn has_never_served(services: &Services) -> bool {
     let state = services.state.borrow();
     !state.is_accepting && state.connections.used() == 0
 }
 
-/// Drains and ends. ControlConnections learn late of the shutdown and send their requests to this node until
-/// then, so requests are served as usual for the grace period.
+/// Drains and ends. Gateways are notified of the shutdown with a delay and send requests to this
+/// node until then, so requests are served as usual for the grace period.
 async fn drain(services: &Services) {
     let (state, stop_ms) = (&services.state, services.stop_ms);
     let remaining_ms = stop_ms.saturating_sub(KILL_MARGIN_MS);
@@ -85,8 +84,8 @@
     finish(state, stop).await;
 }
 
-/// Ends this process while the node goes on in another one: what it has read is answered, and the
-/// outcomes of its keys are passed on.
+/// Ends this process after a hot restart. Requests that it has read are answered, and the outcomes
+/// of its keys are sent to the successor.
 async fn finish_replaced(state: &SharedState) {
     let longest_deadline_ms = state.borrow().core.longest_deadline() as u64 / 1000;
     let stop_ms = longest_deadline_ms.min(REPLACED_MAX_DEADLINE_MS) + REPLACED_KILL_MS;
@@ -103,9 +102,9 @@
     finish(state, stop).await;
 }
 
-/// Waits until all that was read is answered and every connection is closed, or until `stop`. If the
-/// process ended with unread bytes on a connection, the system would reset it, and its peer could
-/// lose answers.
+/// Waits until all requests that were read are answered and all connections are closed, or until
+/// `stop`. If the process ended with unread bytes on a connection, the system would reset it, and
+/// the peer could lose answers.
 async fn finish(state: &SharedState, stop: Instant) {
     wait_until(stop, || state.borrow().is_settled()).await;
     state.borrow_mut().begin_close_all();
--- a/crates/node/src/lifecycle/signals.rs
+++ b/crates/node/src/lifecycle/signals.rs
@@ -7,18 +7,18 @@
 use std::io;
 use std::os::unix::net::UnixStream;
 
-/// A request made by a signal.
+/// An action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To shut down (SIGTERM, SIGINT).
+    /// Shut down (SIGTERM, SIGINT).
     Shutdown,
-    /// To read the configuration again (SIGHUP).
+    /// Read the configuration again (SIGHUP).
     Reload,
-    /// To log the counters (SIGUSR1).
+    /// Log the counters (SIGUSR1).
     LogCounters,
 }
 
-/// One socket for each request: the signal handler writes a byte to it.
+/// One socket for each action: the signal handler writes a byte to it.
 pub struct Signals([(Signal, Async<UnixStream>); 3]);
 
 impl Signals {
@@ -38,12 +38,12 @@
         ]))
     }
 
-    /// Waits for the request to shut down; other requests stay queued for [`Signals::next`].
+    /// Waits for a signal to shut down; other signals stay queued for [`Signals::next`].
     pub async fn wait_for_shutdown(&self) {
         wait(&self.0[0]).await;
     }
 
-    /// The next request. Several of one kind that arrived together count once.
+    /// Waits for the next action. Signals of one kind that arrive together count once.
     pub async fn next(&self) -> Signal {
         let [shutdown, reload, counters] = &self.0;
         future::or(wait(shutdown), future::or(wait(reload), wait(counters))).await
@@ -51,7 +51,7 @@
 }
 
 async fn wait((signal, stream): &(Signal, Async<UnixStream>)) -> Signal {
-    // The other end is held by the handler for as long as the process lives.
+    // The signal handler keeps the other end open until the process ends.
     match stream.read(&mut [0; 64]).await {
         Ok(1..) => *signal,
         _ => future::pending().await,
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -1,5 +1,5 @@
-//! The sockets that a process needs before it serves: passed on by the process that it replaces, or
-//! bound.
+//! The sockets that a process needs before it serves: received from the process that it replaces,
+//! or bound.
 
 use crate::config::platform::Config;
 use crate::log::log;
@@ -22,7 +22,7 @@
 pub struct OpenedSockets {
     /// The process that this one replaces, if there is one.
     pub predecessor: Option<PredecessorConnection>,
-    /// The front ends' listeners; the gateways' is the first one.
+    /// The front ends' listeners, with that of the gateways first.
     pub fronts: Vec<FrontListener>,
     /// The sockets of the membership protocol, if this node is in a fleet.
     pub membership: Option<membership::Sockets>,
@@ -31,8 +31,8 @@
 }
 
 impl OpenedSockets {
-    /// Connects to the process at the meeting place, if there is one, and binds the sockets that it
-    /// does not pass on.
+    /// Connects to the predecessor by the hot restart's socket, if there is one, and binds the
+    /// sockets that the predecessor does not pass on.
     pub async fn open(
         config: &Config,
         restart_socket_path: Option<&Path>,
@@ -63,23 +63,23 @@
     }
 }
 
-/// How this process comes by the gateways' address.
+/// How this process obtained the gateways' address.
 enum GatewayAddress {
-    /// The process that it replaces passes its sockets on.
+    /// The predecessor passes its sockets on.
     PassedOn(Box<PredecessorConnection>),
-    /// It was free.
+    /// The address was free and is bound.
     Bound(Async<TcpListener>),
 }
 
 /// Connects to the predecessor or binds the gateways' address, whichever is possible first.
 ///
-/// Both can be impossible for a while: a process that shuts down keeps its address, and one whose
-/// successor has died opens its meeting place again only once it has noticed.
+/// Both can be impossible for a while: a process that shuts down keeps its address, and a process
+/// whose successor has died opens its hot restart socket again only once it has detected that.
 async fn claim_gateway_address(
     config: &Config,
     restart_socket_path: Option<&Path>,
 ) -> Result<GatewayAddress, String> {
-    // No other process has a port that the system picks.
+    // With port 0 the system picks a port that no other process uses, so there is no predecessor.
     let restart_socket_path = restart_socket_path.filter(|_| config.listen.port() != 0);
     let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     let mut has_logged = false;
@@ -134,7 +134,7 @@
     Ok(listeners)
 }
 
-/// The membership sockets, passed on or bound. Passed ones of another address are of no use.
+/// The membership sockets, passed on or bound. Passed sockets of another address are not used.
 async fn open_membership(
     config: &Config,
     passed: Option<membership::Sockets>,
@@ -168,7 +168,7 @@
     address.map_err(|e| format!("listening socket: {e}"))
 }
 
-/// Binds an address, waiting for a process that shuts down to release it.
+/// Binds an address, and waits for a process that shuts down to release it.
 async fn bind_when_free<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     loop {
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -21,8 +21,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of the processor's memory that a process may use until it knows what the process that it
-/// replaces needs.
+/// Share of the processor's memory that a successor may use until its predecessor has reported how
+/// much it needs.
 const INITIAL_MEMORY_SHARE: f64 = 0.5;
 
 /// The running subsystems of a node, as its event loop and its shutdown need them.
@@ -31,11 +31,11 @@
     pub state: SharedState,
     /// The front ends.
     pub fronts: Rc<Fronts>,
-    /// The offer to be replaced by another process, if there is a place to meet it.
+    /// Listener for a successor's connection, if hot restart is possible.
     pub successor_listener: Option<Rc<SuccessorListener>>,
     /// The capture.
     pub capture: CaptureController,
-    /// A failure of the hot restart, which ends this process.
+    /// Reports a failure of the hot restart, which ends this process.
     pub failure: FailureSignal,
     /// Decided config versions to apply.
     pub versions: Receiver<DecidedVersion>,
@@ -43,8 +43,8 @@
     pub stop_ms: u64,
 }
 
-/// Starts all subsystems. Front ends accept at once, or as soon as the process that this one
-/// replaces has handed over.
+/// Starts all subsystems. Front ends accept connections at once, or as soon as the predecessor has
+/// completed the transfer.
 pub fn start(
     supervisor: Rc<Supervisor>,
     config: Config,
@@ -70,7 +70,7 @@
         let max_result = state.borrow().core.max_result_bytes();
         store.start(&supervisor, &state, max_result)?;
     }
-    // Before the controller's first step, so that the capture begins with it.
+    // Before the core's first event, so that the capture includes it.
     capture.configure(&state, config.capture.clone());
     start_drivers(&supervisor, &state, &config);
     let restart_socket_path = restart_socket_path(&config, listeners[0].1);
@@ -162,7 +162,7 @@
             .spawn(Subsystem::Processor, processor::run(state.clone()))
             .detach();
     } else {
-        // All work goes to workers, and the node is up at once.
+        // All requests go to workers, and the node is ready at once.
         let mut state = state.borrow_mut();
         state.with_core(|core, now| core.start_without_processor(now));
     }
@@ -174,8 +174,8 @@
     supervisor.spawn(Subsystem::Workers, workers).detach();
 }
 
-/// Where another process of this node finds this one; none with a store, which only one process can
-/// use. `address` is the gateways' address, which the system may have picked.
+/// The path of the hot restart's socket; none with a store, which only one process can use.
+/// `address` is the gateways' address, whose port the system may have picked.
 fn restart_socket_path(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
     if config.store.is_some() {
         return None;
@@ -192,8 +192,8 @@
     }
 }
 
-/// What it takes to join the fleet. A process joins once it serves: until then the process that it
-/// replaces is the member.
+/// The parameters for joining the fleet. A process joins once it serves: until then its predecessor
+/// is the member.
 struct JoinFleet {
     supervisor: Rc<Supervisor>,
     state: SharedState,
@@ -204,7 +204,7 @@
 }
 
 impl JoinFleet {
-    /// Joins, as the member that the predecessor was if it passed its state on.
+    /// Joins the fleet; resumes the predecessor's membership if it passed its state on.
     fn join(self, passed: Option<Vec<u8>>) {
         let Some((settings, sockets)) = self.settings else {
             return;
@@ -221,13 +221,13 @@
         });
         match started {
             Ok(driver) => self.state.borrow_mut().membership = Some(driver),
-            // Requests are served without the fleet, too.
+            // Requests are served without the fleet as well.
             Err(why) => log(&format!("fleet: off: {why}")),
         }
     }
 }
 
-/// Begins to accept, at once or when the predecessor has handed over.
+/// Begins to accept connections, at once or when the predecessor has completed the transfer.
 fn begin_serving(
     supervisor: &Rc<Supervisor>,
     state: &SharedState,
@@ -238,10 +238,10 @@
     join: JoinFleet,
 ) {
     let (fronts, successor_listener) = (fronts.clone(), successor_listener.cloned());
-    // Serving may begin anew after a predecessor's end; the fleet is joined once.
+    // `serve` may be called again after the predecessor's end; the fleet is joined once.
     let join = RefCell::new(Some(join));
     let serve = move |passed: Option<Vec<u8>>| {
-        // The meeting place first: a predecessor that has handed over cannot be found there.
+        // The hot restart's socket first: the predecessor no longer accepts connections on it.
         if let Some(successor_listener) = &successor_listener {
             successor_listener.open();
         }
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -1,4 +1,4 @@
-//! Opens the store at the start, and has the core take over what it holds.
+//! Opens the idempotency store at startup, and loads its keys into the core.
 
 use crate::config::operator::{OnDamage, StoreSettings};
 use crate::config::platform::Config;
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A store that was opened and read, and is not in use yet.
+/// A store that was opened and read, and whose writer is not started yet.
 pub struct OpenedStore {
     settings: StoreSettings,
     log: Log<StoreDirectory>,
@@ -23,20 +23,20 @@
     window: Micros,
 }
 
-/// Opens the store that a configuration names, if it names one.
+/// Opens the configured store, if there is one.
 pub fn open_configured(config: &Config) -> Result<Option<OpenedStore>, String> {
     let Some(settings) = config.store.clone() else {
         return Ok(None);
     };
     let classes = &config.request_settings.settings.classes;
     let longest = |time: fn(&Class) -> Micros| classes.iter().map(time).max().unwrap_or(0);
-    // A retry that arrived within its window may be read as late as its caller waits.
+    // A retry that arrives within its window may be read later, by up to its deadline.
     let window = longest(|c| c.idempotency_window) + longest(|c| c.deadline);
     open(settings, window).map(Some)
 }
 
-/// Opens it, for a node whose longest window is this, with the time in which its repeats are read.
-/// What it finds is told.
+/// Opens a store and logs its contents and damage. `window` is the longest idempotency window, plus
+/// the time within which retries are read.
 fn open(settings: StoreSettings, window: Micros) -> Result<OpenedStore, String> {
     let folder = settings.folder.display().to_string();
     let started = Instant::now();
@@ -53,7 +53,7 @@
     }
     if !report.damage.is_empty() && settings.on_damage == OnDamage::Stop {
         return Err(format!(
-            "store: {folder}: damaged, and on_damage = \"stop\""
+            "store: {folder}: the store is damaged, and on_damage = \"stop\""
         ));
     }
     let (keys, ms) = (report.keys.len(), started.elapsed().as_millis());
@@ -72,8 +72,8 @@
 }
 
 impl OpenedStore {
-    /// The core takes over, before it is told anything else. Damage may hide any key: until the
-    /// longest window has passed since the start, keyed requests are refused.
+    /// Starts the writer and loads the keys into the core, before its first event. Damage may hide
+    /// any key: keyed requests are rejected until the longest window has passed since the start.
     pub fn start(
         mut self,
         supervisor: &Rc<Supervisor>,
@@ -85,7 +85,8 @@
         let limits = Limits::for_capacity(self.settings.capacity_bytes);
         let queue_config = CommitQueueConfig {
             capacity: self.settings.capacity_bytes,
-            // Cleaning writes what is left of one segment before it takes it away, and begins two.
+            // Compaction begins two segments, and copies the live records of an old one before it
+            // removes that one.
             compaction_reserve: limits.segment_size,
             max_result_bytes: max_result,
             sync_each_record: self.settings.sync_each_record,
@@ -96,10 +97,10 @@
         let sentinel = supervisor.thread_sentinel(Subsystem::Store);
         let writer = BatchWriter::start(self.log, move |result| {
             sentinel.panic_point();
-            // The node ends by leaving this thread behind, with nobody to listen.
+            // Fails if the receiver is gone: the process may end without joining this thread.
             let _ = sender.send_blocking(result);
         })
-        .map_err(|e| format!("store: no thread: {e}"))?;
+        .map_err(|e| format!("store: cannot start its thread: {e}"))?;
         {
             let mut state = state.borrow_mut();
             let now = state.clock.now();
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -2,7 +2,8 @@
 
 use std::io::Write;
 
-/// Writes one line. A log that nobody reads any more must not end the node, as `eprintln!` would.
+/// Writes one line. Write errors are ignored: `eprintln!` would panic if the reader of standard
+/// error has closed it.
 pub fn log(line: &str) {
     let _ = writeln!(std::io::stderr(), "{line}");
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The rota node's program.
+//! The `pipitlever` program.
 
 fn main() -> std::process::ExitCode {
     pipitlever_node::run()
--- a/crates/node/src/supervision/mod.rs
+++ b/crates/node/src/supervision/mod.rs
@@ -20,8 +20,8 @@
 use std::sync::{Arc, OnceLock};
 use std::task::{Context, Poll};
 
-/// Failures that wait for the event loop. The first one decides; those that find no space here are
-/// counted like all others.
+/// Capacity of the queue of failures to the event loop. The first failure decides what follows;
+/// failures that do not fit are counted nevertheless.
 const MAX_PENDING_FAILURES: usize = 16;
 
 /// The failures of this process, shared with the threads.
@@ -46,18 +46,18 @@
         if !self.subsystem.is_optional() {
             self.record.first.get_or_init(|| self.subsystem);
         }
-        // The event loop is gone, or has others to handle.
+        // Fails if the event loop has ended, or the queue is full.
         let _ = self.failures.try_send(self.subsystem);
     }
 }
 
-/// Reports the subsystem of a thread if the thread panics: the thread's closure owns it, and drops
-/// it in unwinding.
+/// Reports a failure of the thread's subsystem if the thread panics: the thread's closure owns the
+/// sentinel, which is dropped during unwinding.
 #[derive(Debug)]
 pub struct ThreadSentinel(FailureReporter);
 
 impl ThreadSentinel {
-    /// The place at which tests make the thread panic.
+    /// Panics here if a test has requested it; see [`panic_point()`].
     pub fn panic_point(&self) {
         panic_point(self.0.subsystem);
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// What has failed so far, for health, readiness and metrics.
+/// The failures so far, for health, readiness and metrics.
 #[derive(Clone, Debug, Default)]
 pub struct FailureStatus(Arc<FailureRecord>);
 
@@ -89,8 +89,8 @@
 
 /// Spawns the tasks of a node on its event loop, and reports those that panic.
 ///
-/// The executor catches a panic of a task and passes it to whoever awaits the task. Most tasks are
-/// awaited by nobody, so that the panic would be lost.
+/// The executor catches a panic of a task and passes it to the code that awaits the task. Most
+/// tasks are detached, so their panics would be lost.
 pub struct Supervisor {
     executor: LocalExecutor<'static>,
     record: Arc<FailureRecord>,
@@ -127,7 +127,7 @@
         })
     }
 
-    /// A sentinel for the thread of a subsystem, which is named after it.
+    /// Creates a sentinel for the thread of a subsystem. The thread has the subsystem's name.
     pub fn thread_sentinel(&self, subsystem: Subsystem) -> ThreadSentinel {
         ThreadSentinel(self.reporter(subsystem))
     }
@@ -140,12 +140,12 @@
         }
     }
 
-    /// What has failed so far.
+    /// The failures so far.
     pub fn status(&self) -> FailureStatus {
         FailureStatus(self.record.clone())
     }
 
-    /// Waits for the next subsystem that fails.
+    /// Waits for the next failure, and returns its subsystem.
     pub async fn next_failure(&self) -> Subsystem {
         let received = self.failures.recv().await;
         received.expect("the channel's sender is owned by the same supervisor")
@@ -153,8 +153,8 @@
 }
 
 pin_project! {
-    /// A task that ends when it panics, and reports that. Adds nothing to the task's size but the
-    /// reporter: there is one for each connection.
+    /// Ends and reports the task if it panics. There is one task per connection, so only the
+    /// reporter is added to its size.
     struct SupervisedTask<F> {
         reporter: FailureReporter,
         #[pin]
--- a/crates/node/src/supervision/panic_hook.rs
+++ b/crates/node/src/supervision/panic_hook.rs
@@ -1,6 +1,6 @@
-//! Logs a panic in one line, with the subsystem that it is in.
+//! Logs a panic in one line, with the subsystem in which it occurred.
 //!
-//! No backtrace is written: resolving one takes up the event loop for a second.
+//! No backtrace is logged: resolving its symbols blocks the event loop for a second.
 
 use super::Subsystem;
 use crate::log::log;
@@ -19,7 +19,7 @@
     CURRENT.set(subsystem);
 }
 
-/// Replaces the standard library's hook.
+/// Replaces the standard library's panic hook.
 pub fn install() {
     set_hook(Box::new(|info| {
         log(&format!(
@@ -31,7 +31,7 @@
     }));
 }
 
-/// The present subsystem of the event loop, or the one that this thread is named after.
+/// The event loop's current subsystem, or on another thread the thread's name.
 fn subsystem_name() -> String {
     let thread = std::thread::current();
     match thread.name() {
--- a/crates/node/src/supervision/panic_point.rs
+++ b/crates/node/src/supervision/panic_point.rs
@@ -1,9 +1,9 @@
-//! Places at which tests make a subsystem panic.
+//! Fault injection: points at which tests make a subsystem panic.
 
 use super::Subsystem;
 
-/// Panics once if the environment variable `PIPITLEVER_PANIC` is `SUBSYSTEM:FILE` and the file
-/// exists, which is removed. Does nothing without the feature `points`.
+/// If the environment variable `PIPITLEVER_PANIC` is `SUBSYSTEM:FILE` and the file exists, removes
+/// the file and panics. Does nothing without the feature `points`.
 #[cfg(feature = "points")]
 pub fn panic_point(subsystem: Subsystem) {
     use std::sync::OnceLock;
@@ -16,7 +16,7 @@
     });
     let Some((name, file)) = target else { return };
     if name == subsystem.name() && std::fs::remove_file(file).is_ok() {
-        panic!("a test asked for this");
+        panic!("injected by PIPITLEVER_PANIC");
     }
 }
 
--- a/crates/node/src/supervision/subsystem.rs
+++ b/crates/node/src/supervision/subsystem.rs
@@ -1,4 +1,4 @@
-//! The parts of a node that fail one by one.
+//! The subsystems of a node, which are the units of failure.
 
 use std::fmt;
 
