--- a/crates/node/src/config/mod.rs
+++ b/crates/node/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! What a node is configured with: the platform's JSON object and the operator's TOML file.
+//! The configuration of a node: the platform's JSON file and the operator's TOML file.
 
 pub mod operator;
 pub mod platform;
--- a/crates/node/src/config/operator/capture.rs
+++ b/crates/node/src/config/operator/capture.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Longest segment, in MB: reading one takes as much memory.
+/// Longest segment, in MB: reading a segment takes as much memory.
 const MAX_SEGMENT_MB: f64 = 64.0;
 /// Most that may be retained, in MB.
 const MAX_RETAINED_MB: f64 = 1e6;
@@ -18,13 +18,13 @@
 pub struct CaptureSettings {
     /// The folder; created if it does not exist.
     pub folder: PathBuf,
-    /// A segment ends at this length, in bytes.
+    /// Length at which a segment ends, in bytes.
     pub segment_bytes: u64,
-    /// Bytes that all segments of this node may take together.
+    /// Maximum size of all segments of this node together, in bytes.
     pub max_bytes: u64,
 }
 
-/// The section.
+/// The section `[capture]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CaptureSection {
@@ -49,9 +49,9 @@
         let keep_range = [0.02, MAX_RETAINED_MB];
         let keep_mb = within(text, "keep_mb", Some(self.keep_mb), 0.0, keep_range)?;
         if keep_mb < 2.0 * segment_mb {
-            // The oldest segment is removed before the next one begins: with space for only one,
-            // nothing would be left.
-            let message = "keep_mb has to be twice segment_mb at least";
+            // The oldest segment is removed before the next one begins: with space for one segment,
+            // no records would remain.
+            let message = "keep_mb has to be at least twice segment_mb";
             return Err(FileError::at(text, keep_offset, message));
         }
         let bytes = |mb: f64| (mb * MEGABYTE) as u64;
--- a/crates/node/src/config/operator/error.rs
+++ b/crates/node/src/config/operator/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the operator file, with the line that they are about.
+//! Errors of the operator file, with their line.
 
 use std::fmt::Display;
 use toml::Spanned;
@@ -11,15 +11,15 @@
     Line {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong there.
+        /// Description of the error.
         message: String,
     },
-    /// Something about a pool as a whole.
+    /// An invalid pool, where no single line is wrong.
     #[error("pool {pool}: {message}")]
     Pool {
         /// The pool's name.
         pool: String,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
 }
@@ -50,6 +50,6 @@
     if (min..=max).contains(&given) {
         return Ok(given);
     }
-    let message = format!("{key} = {given}: it lies from {min} to {max}");
+    let message = format!("{key} = {given}: not from {min} to {max}");
     Err(FileError::at(text, value.span().start, message))
 }
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -1,4 +1,4 @@
-//! `[fleet]` of the operator's file.
+//! `[fleet]`: the node's membership in a fleet.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// The most seeds: a few are enough, as each of them knows all others.
+/// Most seeds: a few are enough, as each of them has the addresses of all members.
 const MAX_SEEDS: usize = 64;
 /// Range of the time between two probes, in milliseconds.
 const PROBE_RANGE_MS: [u64; 2] = [50, 60_000];
@@ -22,7 +22,7 @@
 /// Range of the number of members.
 const MEMBERS_RANGE: [usize; 2] = [2, 10_000];
 
-/// The section.
+/// The section `[fleet]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetSection {
@@ -41,7 +41,7 @@
     share_apart: Option<Spanned<ShareApart>>,
 }
 
-/// What a node keeps to of a shared pool while it may be cut off.
+/// The share of a pool that a node uses while it may be partitioned from the fleet.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ShareApart {
@@ -78,13 +78,14 @@
     fn advertised_address(&self, text: &str) -> Result<SocketAddr, FileError> {
         let Some(advertise) = &self.advertise else {
             if self.bind.get_ref().ip().is_unspecified() {
-                let message = "bind: all addresses; advertise has to say which one others use";
+                let message =
+                    "bind: all addresses; advertise has to name the one that other members use";
                 return Err(FileError::at(text, self.bind.span().start, message));
             }
             return Ok(*self.bind.get_ref());
         };
         if advertise.get_ref().ip().is_unspecified() {
-            let message = "advertise: nobody can be reached at that address";
+            let message = "advertise: members cannot connect to the unspecified address";
             return Err(FileError::at(text, advertise.span().start, message));
         }
         Ok(*advertise.get_ref())
@@ -93,7 +94,7 @@
     fn check_seeds(&self, text: &str) -> Result<(), FileError> {
         match self.seeds.get(MAX_SEEDS) {
             Some(first_excess) => {
-                let message = "seeds: too many, some are enough";
+                let message = "seeds: too many addresses; a few are enough";
                 Err(FileError::at(text, first_excess.span().start, message))
             }
             None => Ok(()),
@@ -113,8 +114,8 @@
         let Some(address) = remote.next() else {
             return Ok(());
         };
-        let message = "an address that is not loopback: say trusted_network = true if nobody but \
-                       the fleet reaches it";
+        let message = "an address that is not loopback: set trusted_network = true if only the \
+                       fleet can reach it";
         Err(FileError::at(text, address.span().start, message))
     }
 
@@ -124,7 +125,7 @@
         };
         match policy.get_ref() {
             ShareApart::Keep => Ok(PartitionPolicy::KeepShare),
-            // The lease tells whether, and since when, a node is cut off.
+            // The lease shows whether a node is partitioned, and since when.
             ShareApart::Least if self.versions.is_none() => {
                 let message = "share_apart = \"least\" needs [fleet.versions]";
                 Err(FileError::at(text, policy.span().start, message))
@@ -137,7 +138,7 @@
 fn non_empty_name(text: &str, key: &str, name: &Spanned<String>) -> Result<String, FileError> {
     let value = name.get_ref();
     if value.is_empty() || value.len() > MAX_NAME_BYTES {
-        let message = format!("{key}: it has 1 to {MAX_NAME_BYTES} bytes");
+        let message = format!("{key}: not 1 to {MAX_NAME_BYTES} bytes long");
         return Err(FileError::at(text, name.span().start, message));
     }
     Ok(value.clone())
--- a/crates/node/src/config/operator/fleet/tests.rs
+++ b/crates/node/src/config/operator/fleet/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::operator::OperatorConfig;
 
 #[test]
-fn what_is_wrong_with_a_fleet_is_named_with_its_line() {
+fn errors_in_the_fleet_section_name_their_line() {
     let fleet = |more: &str| format!("[fleet]\nname = \"rota\"\nbind = \"127.0.0.1:7946\"\n{more}");
     let cases = [
         (fleet(""), ""),
@@ -17,7 +17,7 @@
         ),
         (
             "[fleet]\nname = \"\"\nbind = \"127.0.0.1:1\"".to_owned(),
-            "line 2: name: it has 1 to 64 bytes",
+            "line 2: name: not 1 to 64 bytes long",
         ),
         (
             "[fleet]\nname = \"a\"\nbind = \"10.0.0.1:1\"".to_owned(),
@@ -37,24 +37,21 @@
         ),
         (
             "[fleet]\nname = \"a\"\nbind = \"0.0.0.0:1\"\ntrusted_network = true".to_owned(),
-            "line 3: bind: all addresses; advertise has to say",
+            "line 3: bind: all addresses; advertise has to name",
         ),
         (
             fleet("advertise = \"0.0.0.0:1\"\ntrusted_network = true"),
-            "line 4: advertise: nobody can be reached",
+            "line 4: advertise: members cannot connect",
         ),
         (
             fleet("probe_ms = 10"),
-            "line 4: probe_ms = 10: it lies from 50 to 60000",
+            "line 4: probe_ms = 10: not from 50 to 60000",
         ),
         (
             fleet("most_members = 1"),
-            "line 4: most_members = 1: it lies from 2",
-        ),
-        (
-            fleet("forget_s = 5"),
-            "line 4: forget_s = 5: it lies from 60",
+            "line 4: most_members = 1: not from 2",
         ),
+        (fleet("forget_s = 5"), "line 4: forget_s = 5: not from 60"),
         (fleet("gossip = true"), "line 4: unknown field `gossip`"),
         (fleet("share_apart = \"keep\""), ""),
         (
@@ -71,7 +68,7 @@
             ),
         }
     }
-    // Without the section there is no part in any fleet.
+    // Without the section the node is in no fleet.
     assert_eq!(OperatorConfig::read("", &[]).unwrap().fleet, None);
     let read = OperatorConfig::read(&fleet("forget_s = 60"), &[])
         .unwrap()
--- a/crates/node/src/config/operator/mod.rs
+++ b/crates/node/src/config/operator/mod.rs
@@ -66,7 +66,7 @@
             };
             return Err(FileError::Pool {
                 pool: pool.name.clone(),
-                message: format!("{key} is among the nodes of a [fleet], and there is none"),
+                message: format!("{key} needs a [fleet]"),
             });
         }
         let uwsgi = file.uwsgi.map(|section| section.read(text, classes, pools));
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -1,4 +1,4 @@
-//! `[[pool]]` of the operator's file, and the workers in it.
+//! `[[pool]]`: named pools of workers.
 
 use crate::config::operator::error::{within, FileError};
 use crate::net::worker_pools::routes::{
@@ -12,17 +12,18 @@
 use std::net::SocketAddr;
 use toml::Spanned;
 
-/// A pool with a name.
+/// One `[[pool]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSection {
     name: Spanned<String>,
     fallback: Option<Spanned<String>>,
-    /// The nodes of the fleet divide it among themselves, each with about so many of its workers.
+    /// Whether each node of the fleet uses a subset of the pool's workers.
     #[serde(default)]
     share: bool,
+    /// Approximate number of workers that each node uses.
     subset: Option<Spanned<usize>>,
-    /// What it was called before, the oldest first.
+    /// The pool's earlier names, the oldest first.
     #[serde(default)]
     was: Vec<String>,
     affinity: Option<Spanned<AffinitySection>>,
@@ -30,7 +31,7 @@
     member: Vec<WorkerEntry>,
 }
 
-/// `[pool.affinity]`: how sessions stay with their workers.
+/// `[pool.affinity]`: session affinity.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct AffinitySection {
@@ -46,7 +47,7 @@
             return Err(FileError::at(
                 text,
                 self.session.span().start,
-                "session: the variable that names it",
+                "session: the name of the variable is empty",
             ));
         }
         Ok(SessionSettings {
@@ -70,8 +71,8 @@
 /// Range of the number of workers that each node uses of a shared pool.
 const SUBSET_RANGE: [usize; 2] = [1, 1000];
 
-/// Reads all pools, in the order of the file. Positions count from 1: 0 is that of the workers
-/// without a pool.
+/// Reads all pools, in the order of the file. Their positions start at 1: position 0 is the unnamed
+/// pool.
 pub fn read_pools(text: &str, sections: Vec<PoolSection>) -> Result<Vec<PoolSettings>, FileError> {
     let names: Vec<String> = sections.iter().map(|s| s.name.get_ref().clone()).collect();
     let offsets: Vec<usize> = sections.iter().map(|s| s.name.span().start).collect();
@@ -85,7 +86,7 @@
     Ok(pools)
 }
 
-/// The nodes of a fleet can divide only so many pools: a node's load report has no space for more.
+/// Checks the number of shared pools, which the size of a node's load report limits.
 fn check_shared_count(
     text: &str,
     pools: &[PoolSettings],
@@ -98,7 +99,7 @@
     match shared.nth(MAX_POOLS) {
         Some((pool, offset)) => {
             let message = format!(
-                "pool {}: share = true is possible for {MAX_POOLS} pools at most",
+                "pool {}: share = true is possible for at most {MAX_POOLS} pools",
                 pool.name
             );
             Err(FileError::at(text, *offset, message))
@@ -126,7 +127,7 @@
         if shared.is_some() && sessions.is_some() && self.subset.is_some() {
             // A session may be assigned to any worker, whichever node its client reaches.
             let message = format!(
-                "pool {name}: its nodes use all workers, as sessions stay with theirs: no subset"
+                "pool {name}: subset is not possible with [pool.affinity], which needs all workers"
             );
             return Err(FileError::at(text, affinity_offset, message));
         }
@@ -168,7 +169,7 @@
     Ok(Some(position + 1))
 }
 
-/// How the nodes of the fleet divide the pool, if they do.
+/// The settings of subsetting, if the pool is shared.
 fn read_subset(
     text: &str,
     pool: &str,
@@ -194,7 +195,7 @@
     }
 }
 
-/// Every chain of fallbacks has an end.
+/// Checks that every chain of fallbacks ends.
 fn check_fallbacks(pools: &[PoolSettings]) -> Result<(), FileError> {
     for (start, pool) in pools.iter().enumerate() {
         let next = |position: &usize| pools[*position - 1].fallback;
@@ -202,15 +203,14 @@
         if chain.nth(pools.len()).is_some() {
             return Err(FileError::Pool {
                 pool: pool.name.clone(),
-                message: "its fall-backs go round in a circle".into(),
+                message: "its fallback pools form a cycle".into(),
             });
         }
     }
     Ok(())
 }
 
-/// What the members of a pool with a name are called, and where they stand. One that has no name
-/// goes by its address.
+/// Names and zones of a named pool's members. The default name of a member is its address.
 fn read_labels(text: &str, entries: &[WorkerEntry]) -> Result<Vec<WorkerLabel>, FileError> {
     let mut all: Vec<WorkerLabel> = Vec::new();
     for entry in entries {
@@ -224,14 +224,14 @@
             return Err(FileError::at(
                 text,
                 at,
-                format!("name: it has 1 to {MAX_NAME_BYTES} bytes"),
+                format!("name: not 1 to {MAX_NAME_BYTES} bytes long"),
             ));
         }
         if all.iter().any(|l| l.name == name) {
             return Err(FileError::at(
                 text,
                 at,
-                format!("the name {name} is given twice"),
+                format!("two members are named {name}"),
             ));
         }
         all.push(WorkerLabel {
@@ -242,15 +242,15 @@
     Ok(all)
 }
 
-/// Whether any of them has what only members of a pool with a name may have: the place of that, in
-/// bytes.
+/// The offset in the text of the first `name` or `zone`, which only members of a named pool may
+/// have.
 pub fn find_label_offset(entries: &[WorkerEntry]) -> Option<usize> {
     entries
         .iter()
         .find_map(|e| e.name.as_ref().or(e.zone.as_ref()).map(|s| s.span().start))
 }
 
-/// Reads members, none of which may be among those that are known.
+/// Reads members. Each address may occur once, and not among the `known` ones.
 pub fn read_members(
     text: &str,
     known: &[SocketAddr],
@@ -263,7 +263,7 @@
             return Err(FileError::at(
                 text,
                 entry.address.span().start,
-                format!("{address} is named twice"),
+                format!("{address} occurs twice"),
             ));
         }
         let default = Member::new(address);
@@ -289,12 +289,12 @@
     Ok(all)
 }
 
-/// A worker of which more is said than where it is.
+/// A worker with settings of its own: `[[uwsgi.worker]]` or `[[pool.member]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerEntry {
     address: Spanned<SocketAddr>,
-    /// What it is called, wherever it is; and where that is.
+    /// The worker's name, which stays when its address changes.
     name: Option<Spanned<String>>,
     zone: Option<Spanned<String>>,
     weight: Option<Spanned<f64>>,
@@ -307,7 +307,7 @@
     most_runs: Option<Spanned<usize>>,
 }
 
-/// Whether a worker gets runs.
+/// Whether a worker receives runs.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Usage {
--- a/crates/node/src/config/operator/store.rs
+++ b/crates/node/src/config/operator/store.rs
@@ -12,7 +12,7 @@
 /// Bytes in a MB.
 const MEGABYTE: f64 = 1_048_576.0;
 
-/// What happens at the start if the store is damaged.
+/// How the node starts if the store is damaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OnDamage {
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Sync {
-    /// All that are waiting (group commit).
+    /// All records that are waiting (group commit).
     #[default]
     Group,
     /// Each record by itself.
@@ -38,18 +38,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Answers {
-    /// When its run ends.
+    /// When the run ends.
     #[default]
     AtOnce,
-    /// When its outcome is on the disk.
+    /// When the outcome is on the disk.
     Durable,
 }
 
-/// What happens to a new key if the store is full.
+/// How a request with a new key is handled if the store is full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WhenFull {
-    /// Its request is rejected.
+    /// The request is rejected.
     #[default]
     Refuse,
 }
@@ -59,17 +59,17 @@
 pub struct StoreSettings {
     /// The folder; created if it does not exist.
     pub folder: PathBuf,
-    /// Bytes that it may take.
+    /// Maximum size, in bytes.
     pub capacity_bytes: u64,
     /// Whether each record is synced by itself.
     pub sync_each_record: bool,
-    /// Whether answers with a result wait until it is on the disk.
+    /// Whether answers with a result are delayed until the result is on the disk.
     pub answer_when_durable: bool,
-    /// What happens at the start if it is damaged.
+    /// How the node starts if the store is damaged.
     pub on_damage: OnDamage,
 }
 
-/// The section.
+/// The section `[store]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoreSection {
--- a/crates/node/src/config/operator/tests.rs
+++ b/crates/node/src/config/operator/tests.rs
@@ -1,4 +1,4 @@
-//! The operator file: what is accepted, and which errors name which line.
+//! The operator file: valid and invalid files, and the lines that errors name.
 
 use super::OperatorConfig;
 
@@ -16,7 +16,6 @@
     };
     let workers = "[uwsgi]\nworkers = [\"127.0.0.1:1\"]\n".to_owned();
     let capture = |more: &str| format!("[capture]\nfolder = \"x\"\n{more}");
-    // The text, and the start of its error; empty where it is valid.
     let pool = |name: &str, more: &str| {
         let member = "[[pool.member]]\naddress = \"127.0.0.1:1\"\n";
         format!("[[pool]]\nname = \"{name}\"\n{more}{member}")
@@ -32,6 +31,7 @@
     let fleet = "[fleet]\nname = \"rota\"\nbind = \"127.0.0.1:7946\"\n";
     let worker =
         |more: &str| format!("[uwsgi]\n[[uwsgi.worker]]\naddress = \"127.0.0.1:1\"\n{more}");
+    // The text, and the start of its error; empty if the text is valid.
     let cases = [
         (String::new(), ""),
         (workers.clone() + &route("rota-view", "workers"), ""),
@@ -64,7 +64,7 @@
         (pool("a", "fallback = \"b\"\n"), "line 3: no other pool b"),
         (
             pool("a", "fallback = \"b\"\n") + &pool("b", "fallback = \"a\"\n"),
-            "pool a: its fall-backs go round in a circle",
+            "pool a: its fallback pools form a cycle",
         ),
         (
             "[[pool]]\nname = \"a\"\n".into(),
@@ -88,11 +88,11 @@
         ),
         (
             worker("weight = 0\n"),
-            "line 4: weight = 0: it lies from 0.01 to 100",
+            "line 4: weight = 0: not from 0.01 to 100",
         ),
         (
             worker("most_runs = 0\n"),
-            "line 4: most_runs = 0: it lies from 1 to 1024",
+            "line 4: most_runs = 0: not from 1 to 1024",
         ),
         (worker("use = \"off\"\n"), "line 4: unknown variant `off`"),
         (worker("wieght = 1\n"), "line 4: unknown field `wieght`"),
@@ -102,27 +102,24 @@
         ),
         (
             pool("a", "share = true\n"),
-            "pool a: share = true is among the nodes of a [fleet]",
+            "pool a: share = true needs a [fleet]",
         ),
         (pool("a", "share = true\nsubset = 4\n") + fleet, ""),
         (shared_pools(8) + fleet, ""),
-        // The ninth had no share, and an ejection in it made the node panic.
+        // A ninth shared pool had no subset, and an ejection in it made the node panic.
         (
             shared_pools(9) + fleet,
-            "line 42: pool p8: share = true is possible for 8 pools at most",
+            "line 42: pool p8: share = true is possible for at most 8 pools",
         ),
         (
             pool("a", "share = true\nsubset = 0\n") + fleet,
-            "line 4: subset = 0: it lies from 1 to 1000",
+            "line 4: subset = 0: not from 1 to 1000",
         ),
         (
             pool("a", "subset = 4\n") + fleet,
             "line 3: pool a: subset is for a pool with share = true",
         ),
-        (
-            affinity(""),
-            "pool a: [pool.affinity] is among the nodes of a [fleet]",
-        ),
+        (affinity(""), "pool a: [pool.affinity] needs a [fleet]"),
         (affinity("") + fleet, ""),
         (
             affinity("idle_s = 90\npatience_ms = 0\nlinger_s = 0\n") + fleet,
@@ -130,37 +127,37 @@
         ),
         (
             affinity("idle_s = 1\n") + fleet,
-            "line 8: idle_s = 1: it lies from 60",
+            "line 8: idle_s = 1: not from 60",
         ),
         (
             affinity("").replace("HTTP_X", "") + fleet,
-            "line 7: session: the variable that names it",
+            "line 7: session: the name of the variable is empty",
         ),
         (
             affinity("").replacen("was", "subset = 3\nshare = true\nwas", 1) + fleet,
-            "line 8: pool a: its nodes use all",
+            "line 8: pool a: subset is not possible with [pool.affinity]",
         ),
         (pool("a", "") + "name = \"w\"\nzone = \"west\"\n", ""),
         (
             pool("a", "") + "name = \"\"\n",
-            "line 5: name: it has 1 to 64 bytes",
+            "line 5: name: not 1 to 64 bytes long",
         ),
         (
             pool("a", "")
                 + "name = \"w\"\n[[pool.member]]\naddress = \"127.0.0.1:2\"\nname = \"w\"\n",
-            "line 8: the name w is given twice",
+            "line 8: two members are named w",
         ),
         (
             worker("") + "[[uwsgi.worker]]\naddress = \"127.0.0.1:1\"\n",
-            "line 5: 127.0.0.1:1 is named twice",
+            "line 5: 127.0.0.1:1 occurs twice",
         ),
         (
             "\n[uwsgi]\nmost_body = 40000\n".into(),
-            "line 3: most_body = 40000: it lies from 0 to 32768",
+            "line 3: most_body = 40000: not from 0 to 32768",
         ),
         (
             "[uwsgi]\ndeadline_ms = 0\n".into(),
-            "line 2: deadline_ms = 0: it lies from 1 to 3600000",
+            "line 2: deadline_ms = 0: not from 1 to 3600000",
         ),
         ("[uwsgi]\nroom_kb = nan\n".into(), "line 2: room_kb = NaN"),
         (capture("segment_mb = 4\nkeep_mb = 8\n"), ""),
@@ -170,11 +167,11 @@
         ),
         (
             capture("segment_mb = 4\nkeep_mb = 7\n"),
-            "line 4: keep_mb has to be twice segment_mb",
+            "line 4: keep_mb has to be at least twice segment_mb",
         ),
         (
             capture("segment_mb = 0\nkeep_mb = 7\n"),
-            "line 3: segment_mb = 0: it lies from 0.01 to 64",
+            "line 3: segment_mb = 0: not from 0.01 to 64",
         ),
         (
             capture("segment_mb = \"4\"\nkeep_mb = 7\n"),
@@ -202,7 +199,7 @@
         ),
         (
             "[store]\nfolder = \"/x\"\nmax_mb = 0\n".into(),
-            "line 3: max_mb = 0: it lies from 0.25 to 4096",
+            "line 3: max_mb = 0: not from 0.25 to 4096",
         ),
         (
             "[store]\nfolder = \"/x\"\nmax_mb = 64\nsync = \"never\"\n".into(),
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -16,7 +16,7 @@
 /// Range of the memory reserved for a request, in KB.
 const MEMORY_RANGE_KB: [f64; 2] = [0.0, 2000.0];
 
-/// The section.
+/// The section `[uwsgi]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UwsgiSection {
@@ -46,7 +46,7 @@
     deadline_ms: Option<Spanned<u64>>,
 }
 
-/// What routes are checked against.
+/// The parts of the file that routes refer to.
 struct RouteContext<'a> {
     text: &'a str,
     classes: &'a [String],
@@ -125,9 +125,9 @@
         }
         if entry.path.get_ref().is_empty() {
             let offset = entry.path.span().start;
-            return Err(FileError::at(text, offset, "a route of no path"));
+            return Err(FileError::at(text, offset, "the path is empty"));
         }
-        // A key is counted once across both front ends, so all requests of a class have one backend.
+        // An idempotency key runs once across both front ends, so a class has one backend.
         let mut same_class = earlier.iter().filter(|route| route.class == *class);
         if same_class
             .clone()
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The node's configuration, read at the start, and for its parties' addresses on SIGHUP.
+//! The platform's configuration file, which is read at startup and on SIGHUP.
 
 use crate::config::operator::{CaptureSettings, OperatorConfig, StoreSettings};
 use crate::config::versions::VersionContent;
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The longest time to leave in, in milliseconds: a day.
+/// Longest time for the shutdown, in milliseconds: a day.
 const MAX_STOP_MS: u64 = 86_400_000;
 
 #[derive(Deserialize)]
@@ -60,39 +60,39 @@
     192
 }
 
-/// All that a node is told.
+/// The configuration of a node, from both files.
 pub struct Config {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Where gateways connect.
+    /// The address that gateways connect to.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// The control endpoint's address, if there is one.
     pub control: Option<SocketAddr>,
-    /// Where the other parties are.
+    /// Addresses of the processor, the ledger, the service registry and the pools of workers.
     pub upstreams: Upstreams,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// From the notice to leave to the end of the process.
+    /// Time from the shutdown signal until the process is killed, in milliseconds.
     pub stop_ms: u64,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may open.
     pub sockets: usize,
-    /// Megabytes that the process may take.
+    /// Memory that the process may use, in MB.
     pub memory_mb: usize,
-    /// What decides about requests.
+    /// Settings of the request processing.
     pub request_settings: RequestSettings,
-    /// The keys that the file has, for the next one to be held against.
+    /// The file as JSON: a file that replaces it has to have all of its keys.
     pub document: Value,
-    /// The capture, if there is to be one.
+    /// Settings of the capture, if it is configured.
     pub capture: Option<CaptureSettings>,
-    /// The store of keyed requests, if there is to be one.
+    /// Settings of the idempotency store, if it is configured.
     pub store: Option<StoreSettings>,
-    /// The node's part in a fleet, if it is in one.
+    /// Settings of the membership, if the node is in a fleet.
     pub fleet: Option<membership::Settings>,
 }
 
-/// The first key that a file has and another lacks, with its path. A file that was cut and mended,
-/// or written by half, still reads; with what it leaves out taken for its default it would change
-/// what nobody meant to change.
+/// The path of the first key that the old file has and the new one lacks. A truncated or
+/// half-written file may still be valid JSON; the missing keys would get their defaults and so
+/// change settings unintentionally.
 fn first_missing_key(new: &Value, old: &Value) -> Option<String> {
     match (new, old) {
         (Value::Object(new), Value::Object(old)) => {
@@ -101,7 +101,7 @@
                 new => first_missing_key(new?, old).map(|path| format!("{key}.{path}")),
             })
         }
-        // Classes come and go; each has what all of them had.
+        // Classes may be added and removed, but each needs the keys that all old ones have.
         (Value::Array(new), Value::Array(old)) => {
             let is_in_all = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
             let mut keys = old.first()?.as_object()?.keys().filter(is_in_all);
@@ -120,17 +120,17 @@
 }
 
 impl Config {
-    /// Whether this configuration may take the place of one that is in force.
+    /// Checks that this configuration lacks no key of the one in force.
     pub fn check_no_key_missing(&self, current: &Value) -> Result<(), String> {
         match first_missing_key(&self.document, current) {
             Some(key) => Err(format!(
-                "configuration: no key {key}, which the one in force has"
+                "configuration: key {key} is missing, which the configuration in force has"
             )),
             None => Ok(()),
         }
     }
 
-    /// Whether somebody does the work of every class: without a processor only workers can.
+    /// Checks that every class has a backend: without a processor each needs a route to workers.
     pub fn check_backends(&self) -> Result<(), String> {
         let has_worker_route = |class: &&String| {
             self.request_settings
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Reads both files, as they are named on the command line.
+    /// Reads both files. The content of a config version replaces the shared parts.
     pub fn load(
         path: Option<&str>,
         operator: Option<&str>,
@@ -183,7 +183,7 @@
         Ok(config)
     }
 
-    /// Reads the configuration's text. The name and the address may come from the environment
+    /// Parses the platform's configuration. Name and addresses may come from the environment
     /// instead.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let document: Value =
@@ -203,16 +203,15 @@
             (None, Some(text)) => text
                 .parse()
                 .map(Some)
-                .map_err(|_| format!("{name}: no address: {text}")),
+                .map_err(|_| format!("{name}: not an IP address and port: {text}")),
             (None, None) => Ok(None),
         };
         let listen = address(file.listen, "EDGE_LISTEN")?;
         let listen = listen.ok_or("no 'listen' in the configuration and no EDGE_LISTEN")?;
         let control = address(file.control, "EDGE_CONTROL")?;
         let seed = match &file.seed {
-            Some(hex) => {
-                u64::from_str_radix(hex, 16).map_err(|_| format!("seed: not hex: {hex}"))?
-            }
+            Some(hex) => u64::from_str_radix(hex, 16)
+                .map_err(|_| format!("seed: not a hexadecimal number of 64 bits: {hex}"))?,
             None => u64::from(std::process::id()),
         };
         Ok(Config {
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -1,4 +1,4 @@
-//! `[fleet.versions]` of the operator's file, and what a version holds.
+//! `[fleet.versions]` of the operator file, and the content of a config version.
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// What is done without a lease.
+/// Behaviour of a node without a lease.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WithoutLeaseKey {
@@ -24,7 +24,7 @@
     Refuse,
 }
 
-/// What is done where too few electors are heard after a start.
+/// Behaviour after startup until a quorum of acceptors has answered.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum UnknownMinimumKey {
@@ -32,7 +32,7 @@
     Serve,
 }
 
-/// The section.
+/// The section `[fleet.versions]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionsSection {
@@ -46,13 +46,13 @@
 }
 
 impl VersionsSection {
-    /// Holds it to what a register can be.
+    /// Checks the values.
     pub fn read(self, text: &str) -> Result<Settings, FileError> {
         if self.folder.get_ref().as_os_str().is_empty() {
             return Err(FileError::at(
                 text,
                 self.folder.span().start,
-                "folder: its name is empty",
+                "folder: the path is empty",
             ));
         }
         let at = self.acceptors.span().start;
@@ -82,9 +82,9 @@
     }
 }
 
-/// The configuration that a node starts with: that of the version on its disk, where the fleet
-/// decides versions. What can't be read is as if it were not there, as a majority of electors says
-/// where to go on; not where the node would act without hearing one.
+/// The configuration that a node starts with: where the fleet decides versions, that of the version
+/// on its disk. An unreadable version is ignored if the node waits for a quorum of acceptors, which
+/// confirms the minimum version; it is an error if the node would serve without one.
 pub fn load_stored_version(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
@@ -119,38 +119,40 @@
     }
 }
 
-/// What a version holds: it takes the place of that part of each node's own files, and of no other.
+/// The content of a version. It replaces these parts of each node's own files, and no others.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionContent {
     /// The platform's settings: classes, tenants, limits.
     settings: Option<Value>,
-    /// Of the operator's file: `[uwsgi]` with its routes, and `[[pool]]`.
+    /// Sections of the operator file, as TOML: `[uwsgi]` with its routes, and `[[pool]]`.
     operator: Option<String>,
 }
 
-/// Sections of the operator's file that a version may hold. The others are of one machine.
+/// Sections of the operator file that a version may contain. The others differ between machines.
 const SHARED_SECTIONS: [&str; 2] = ["uwsgi", "pool"];
 
 impl VersionContent {
-    /// Reads one.
+    /// Parses the content of a version.
     pub fn read(bytes: &[u8]) -> Result<VersionContent, String> {
         serde_json::from_slice(bytes).map_err(|e| format!("the version's content: {e}"))
     }
 
-    /// A node's configuration with the version's settings in it.
+    /// A node's configuration file, with the version's settings in place of its own.
     pub fn merge_into_configuration(&self, text: &str) -> Result<String, String> {
         let Some(settings) = &self.settings else {
             return Ok(text.to_owned());
         };
         let mut local: Value =
             serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-        let fields = local.as_object_mut().ok_or("configuration: no object")?;
+        let fields = local
+            .as_object_mut()
+            .ok_or("configuration: not a JSON object")?;
         fields.insert("settings".into(), settings.clone());
         Ok(local.to_string())
     }
 
-    /// A node's operator's file with the version's sections in it.
+    /// A node's operator file, with the version's sections in place of its own.
     pub fn merge_into_operator_file(&self, text: &str) -> Result<String, String> {
         let Some(shared) = &self.operator else {
             return Ok(text.to_owned());
@@ -165,10 +167,10 @@
             .find(|key| !SHARED_SECTIONS.contains(&key.as_str()))
         {
             return Err(format!(
-                "the version's content: operator: [{other}] is each node's own"
+                "the version's content: operator: [{other}] is not shared, but belongs to each node"
             ));
         }
-        let mut local = table("the operator's file", text)?;
+        let mut local = table("operator file", text)?;
         SHARED_SECTIONS
             .iter()
             .for_each(|key| drop(local.remove(*key)));
--- a/crates/node/src/config/versions/tests.rs
+++ b/crates/node/src/config/versions/tests.rs
@@ -1,9 +1,9 @@
-//! Contents of config versions.
+//! The content of config versions.
 
 use super::*;
 
 #[test]
-fn a_version_takes_the_place_of_what_is_shared_and_of_nothing_else() {
+fn a_version_replaces_shared_settings_and_no_others() {
     let content =
         VersionContent::read(br#"{"settings": {"a": 1}, "operator": "[uwsgi]\nworkers = []"}"#)
             .unwrap();
@@ -23,12 +23,12 @@
         text.contains("[fleet]") && !text.contains("most_body") && !text.contains("old"),
         "{text}"
     );
-    // What is one machine's own can't be published to all.
+    // A section that belongs to one machine cannot be published.
     let own = VersionContent::read(br#"{"operator": "[store]\nfolder = \"x\""}"#).unwrap();
     assert!(own
         .merge_into_operator_file("")
         .unwrap_err()
-        .contains("[store] is each node's own"));
+        .contains("[store] is not shared, but belongs to each node"));
     assert!(VersionContent::read(br#"{"listen": "x"}"#)
         .unwrap_err()
         .contains("unknown field"));
