--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -23,7 +23,7 @@
     Help,
 }
 
-/// A command about the fleet, with the control endpoints of the nodes that it asks.
+/// A `fleet` command, with the control endpoints (`at`) that it queries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetCommand {
     Status {
@@ -68,7 +68,7 @@
 /// Why the arguments are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ArgumentError {
-    /// An argument that is unknown, or not one of this command's.
+    /// An argument that is unknown, or not valid for this command.
     #[error("{0}; see 'pipitlever help'")]
     Unexpected(String),
     /// An option without its value, or a value that is not UTF-8.
@@ -77,35 +77,35 @@
     /// No command has this name.
     #[error("no command '{0}'; see 'pipitlever help'")]
     UnknownCommand(String),
-    /// An option of an earlier version.
-    #[error("--uwsgi is gone: put the file under [uwsgi] into one for --operator")]
+    /// An option that an earlier version had.
+    #[error("--uwsgi was removed: put its settings under [uwsgi] into a file for --operator")]
     UwsgiOption,
     /// `import` without a file.
     #[error("import: no file named")]
     NoImportFile,
-    /// `store` with other words than a task and a folder.
-    #[error("store: say check, list or compact, and a folder")]
+    /// `store` with operands other than a task and a folder.
+    #[error("store: expected check, list or compact, and a folder")]
     StoreUsage,
-    /// `fleet` with other words than one of its commands.
+    /// `fleet` with operands or `--at` options that none of its commands takes.
     #[error(
-        "fleet: say publish FILE --why WHY --at CONTROL, close N or accept-floor N, status or \
-         sessions and --at CONTROL, or compare and --at for two nodes or more"
+        "fleet: expected publish FILE --why WHY --at CONTROL; close N, accept-floor N, status or \
+         sessions with --at CONTROL; or compare with --at CONTROL for two nodes or more"
     )]
     FleetUsage,
     /// A config version that is not a number.
-    #[error("{command}: no number of a version: {word}")]
+    #[error("{command}: not a version number: {argument}")]
     VersionNumber {
         /// The command.
         command: String,
-        /// The word in its place.
-        word: String,
+        /// The invalid argument.
+        argument: String,
     },
-    /// `fleet publish` without its reason.
-    #[error("publish: say --why, in a sentence: it is written down with the version")]
+    /// `fleet publish` without `--why`.
+    #[error("publish: --why is missing: the reason, which is stored with the version")]
     NoReason,
 }
 
-/// The options and words, before the command gives them their meaning.
+/// The options and operands, before they are checked against the command.
 #[derive(Default)]
 struct Options {
     command: Option<String>,
@@ -144,9 +144,9 @@
                 Long("why") if is_fleet => options.why = Some(text_value(&mut parser)?),
                 Long("worker") if is_fleet => options.worker = Some(text_value(&mut parser)?),
                 Long("at") if is_fleet => options.at.push(text_value(&mut parser)?),
-                Value(word) if options.command.is_none() => options.command = Some(text(word)?),
-                Value(word) if matches!(command.as_str(), "import" | "store" | "fleet") => {
-                    options.operands.push(text(word)?);
+                Value(name) if options.command.is_none() => options.command = Some(text(name)?),
+                Value(operand) if matches!(command.as_str(), "import" | "store" | "fleet") => {
+                    options.operands.push(text(operand)?);
                 }
                 other => return Err(ArgumentError::Unexpected(other.unexpected().to_string())),
             }
@@ -175,7 +175,7 @@
             "fleet" => Command::Fleet(self.into_fleet()?),
             "version" => Command::Version,
             "help" => Command::Help,
-            word => return Err(ArgumentError::UnknownCommand(word.to_owned())),
+            name => return Err(ArgumentError::UnknownCommand(name.to_owned())),
         };
         Ok(command)
     }
@@ -224,10 +224,10 @@
     }
 }
 
-fn version_number(command: &str, word: &str) -> Result<u64, ArgumentError> {
-    word.parse().map_err(|_| ArgumentError::VersionNumber {
+fn version_number(command: &str, argument: &str) -> Result<u64, ArgumentError> {
+    argument.parse().map_err(|_| ArgumentError::VersionNumber {
         command: command.to_owned(),
-        word: word.to_owned(),
+        argument: argument.to_owned(),
     })
 }
 
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `pipitlever check`: what both configuration files say, one line a subsystem.
+//! `pipitlever check`: a summary of both configuration files, with one line for each subsystem.
 
 use crate::config::operator::{CaptureSettings, StoreSettings};
 use crate::config::platform::Config;
--- a/crates/node/src/cli/fleet/client.rs
+++ b/crates/node/src/cli/fleet/client.rs
@@ -5,9 +5,9 @@
 use std::net::{SocketAddr, TcpStream, ToSocketAddrs};
 use std::time::Duration;
 
-/// How long to wait for a response; an endpoint that works responds within a second.
+/// How long to wait for a response; a working endpoint responds within a second.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest response that is read, in bytes: 10,000 members take less.
+/// Longest response that is read, in bytes: a view of 10,000 members is shorter.
 const MAX_RESPONSE: u64 = 16 << 20;
 /// Most header fields of a response.
 const MAX_FIELDS: usize = 32;
@@ -21,7 +21,7 @@
 }
 
 impl Response {
-    /// The body as one text.
+    /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).trim_end().to_owned()
     }
@@ -31,7 +31,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The address cannot be resolved.
-    #[error("{endpoint}: no address: say HOST:PORT")]
+    #[error("{endpoint}: not an address: expected HOST:PORT")]
     Address {
         /// The endpoint.
         endpoint: String,
@@ -45,13 +45,13 @@
         source: std::io::Error,
     },
     /// The response is not HTTP.
-    #[error("{endpoint}: no control endpoint: it does not answer in HTTP")]
+    #[error("{endpoint}: not a control endpoint: the response is not HTTP")]
     NotHttp {
         /// The endpoint.
         endpoint: String,
     },
     /// The view cannot be parsed.
-    #[error("{endpoint}: not understood: {source}")]
+    #[error("{endpoint}: invalid response: {source}")]
     View {
         /// The endpoint.
         endpoint: String,
@@ -59,13 +59,13 @@
         source: serde_json::Error,
     },
     /// The node is in no fleet.
-    #[error("{endpoint}: this node is in no fleet: its operator's file has no [fleet]")]
+    #[error("{endpoint}: this node is in no fleet: its operator file has no [fleet]")]
     NoFleet {
         /// The endpoint.
         endpoint: String,
     },
     /// An unexpected status.
-    #[error("{endpoint}: answered {status}")]
+    #[error("{endpoint}: unexpected HTTP status {status}")]
     Status {
         /// The endpoint.
         endpoint: String,
@@ -74,7 +74,7 @@
     },
 }
 
-/// The view of the node at an endpoint.
+/// Gets the view of the node at an endpoint.
 pub fn get_view(endpoint: &str) -> Result<View, ClientError> {
     let response = request(endpoint, "GET", "/fleet", b"")?;
     let endpoint = endpoint.to_owned();
--- a/crates/node/src/cli/fleet/comparison.rs
+++ b/crates/node/src/cli/fleet/comparison.rs
@@ -3,7 +3,7 @@
 use super::view::{Member, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The differences, a line each; none if the views are equal.
+/// The differences, one line for each; none if the views are equal.
 pub fn differences(views: &[View]) -> Vec<String> {
     let mut lines = Vec::new();
     let mut fleets: Vec<&str> = views.iter().map(|view| view.fleet.as_str()).collect();
@@ -17,14 +17,15 @@
     lines.extend(names.into_iter().filter_map(|name| difference(views, name)));
     let digests: BTreeSet<&str> = views.iter().map(|view| view.digest.as_str()).collect();
     if lines.is_empty() && digests.len() > 1 {
-        lines.push("digests differ, what is shown of the members doesn't: ask again".into());
+        lines
+            .push("the digests differ, but the members shown do not: run the command again".into());
     }
     lines
 }
 
 /// How the views of one member differ, if they do.
 fn difference(views: &[View], name: &str) -> Option<String> {
-    // The nodes that report the same, by what they report.
+    // For each reported state, the nodes that report it.
     let mut reports: BTreeMap<String, Vec<&str>> = BTreeMap::new();
     for view in views {
         let member = view.members.iter().find(|member| member.name == name);
@@ -34,11 +35,11 @@
     if reports.len() < 2 {
         return None;
     }
-    let sides: Vec<String> = reports
+    let groups: Vec<String> = reports
         .iter()
         .map(|(report, nodes)| format!("{report} ({})", nodes.join(", ")))
         .collect();
-    Some(format!("{name}: {}", sides.join("; ")))
+    Some(format!("{name}: {}", groups.join("; ")))
 }
 
 fn describe(member: &Member) -> String {
--- a/crates/node/src/cli/fleet/mod.rs
+++ b/crates/node/src/cli/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `pipitlever fleet`: asks nodes' control endpoints about the fleet and its config versions.
+//! `pipitlever fleet`: queries control endpoints about the fleet and its config versions.
 
 pub mod client;
 mod comparison;
@@ -15,12 +15,12 @@
 
 /// How long to wait for the decision on a published version.
 const DECISION_TIMEOUT: Duration = Duration::from_secs(12);
-/// Time between two checks whether it was decided.
+/// Time between two checks whether the version was decided.
 const DECISION_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time between two looks at a watched view.
+/// Time between two requests for a watched view.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Prints a node's view; with `watch` again whenever it has changed.
+/// Prints a node's view; with `watch`, again after each change.
 pub fn print_status(endpoint: &str, json: bool, watch: bool) -> Result<u8, String> {
     let mut last: Option<View> = None;
     loop {
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Prints where views differ; the exit code is 1 if they do.
+/// Prints the differences between views; the exit code is 1 if there are any.
 pub fn print_comparison(endpoints: &[String]) -> Result<u8, String> {
     let views: Result<Vec<View>, _> = endpoints.iter().map(|at| get_view(at)).collect();
     let views = views.map_err(|e| e.to_string())?;
@@ -65,7 +65,7 @@
     Ok(u8::from(!differences.is_empty()))
 }
 
-/// Publishes the version in a file, on top of the newest one that the node knows, and waits for the
+/// Publishes the version in a file, based on the newest one that the node knows, and waits for the
 /// decision.
 pub fn publish(endpoint: &str, file: &str, why: &str) -> Result<u8, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
@@ -89,7 +89,8 @@
         }
         if Instant::now() > timeout {
             return Err(format!(
-                "{endpoint}: {answer}, and no majority of the electors was heard in time: ask again"
+                "{endpoint}: {answer}, but no quorum of acceptors answered in time: check the decided \
+                 version with fleet status --json"
             ));
         }
         std::thread::sleep(DECISION_POLL_INTERVAL);
@@ -117,5 +118,5 @@
 }
 
 fn no_versions(endpoint: &str) -> String {
-    format!("{endpoint}: its fleet decides no versions")
+    format!("{endpoint}: its fleet has no config versions")
 }
--- a/crates/node/src/cli/fleet/table.rs
+++ b/crates/node/src/cli/fleet/table.rs
@@ -1,9 +1,9 @@
-//! A view as a table for people.
+//! Renders a view as a table.
 
 use super::view::{Member, View};
 use std::fmt::Write as _;
 
-/// The columns' headings.
+/// The headings of the columns.
 const HEADINGS: [&str; 8] = [
     "MEMBER",
     "STATE",
@@ -17,7 +17,7 @@
 
 type Row = [String; HEADINGS.len()];
 
-/// The table, below a line about the node itself.
+/// Renders a summary line and the table of members.
 pub fn render(view: &View) -> String {
     let mut rows = vec![HEADINGS.map(str::to_owned)];
     rows.extend(view.members.iter().map(|member| row(view, member)));
@@ -77,7 +77,7 @@
     ]
 }
 
-/// A time in the largest unit that does not hide it.
+/// A time, rounded down to a unit that suits its size.
 fn short_time(ms: u64) -> String {
     match ms / 1000 {
         seconds @ 0..=119 => format!("{seconds}s"),
--- a/crates/node/src/cli/fleet/tests.rs
+++ b/crates/node/src/cli/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Tables and comparisons of views.
+//! Rendering and comparing views.
 
 use super::comparison::differences;
 use super::table::render;
@@ -48,11 +48,11 @@
         differences(&[one.clone(), other]),
         ["they are of different fleets: rota, x"]
     );
-    let unseen = View {
+    let different_digest = View {
         digest: "y".into(),
         ..one.clone()
     };
-    assert_eq!(differences(&[one, unseen]).len(), 1);
+    assert_eq!(differences(&[one, different_digest]).len(), 1);
 }
 
 #[test]
--- a/crates/node/src/cli/fleet/view.rs
+++ b/crates/node/src/cli/fleet/view.rs
@@ -14,16 +14,16 @@
     /// Whether the view has not changed for a while.
     #[serde(rename = "settled")]
     pub is_settled: bool,
-    /// Whether the node reaches less than half of the members that it knows.
+    /// Whether the node reaches less than half of the known members.
     #[serde(rename = "cut_off")]
     pub is_cut_off: bool,
     /// The Lifeguard local health multiplier: 0 when all is well.
     pub health: u32,
-    /// Equal on two nodes exactly if their views are.
+    /// Digest of the view: equal on two nodes if, and only if, their views are.
     pub digest: String,
     /// The members.
     pub members: Vec<Member>,
-    /// The node's config versions, if the fleet decides these.
+    /// The node's config versions, if the fleet decides them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub versions: Option<Versions>,
     /// The sessions that the node knows, if any pool has session affinity.
@@ -47,20 +47,20 @@
     pub is_minimum_known: bool,
     /// Whether the node admits and starts requests.
     pub may_act: bool,
-    /// Why it does not.
+    /// Why the node does not admit requests.
     pub why: String,
-    /// Remaining time of its lease, in milliseconds.
+    /// Remaining time of the node's lease, in milliseconds.
     pub lease_ms: Option<i64>,
-    /// A version that it cannot activate, and why.
+    /// A version that the node cannot activate, and why.
     pub unfit: Option<String>,
 }
 
 /// One member.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// The member's name.
     pub name: String,
-    /// Where it receives datagrams and connections of the fleet.
+    /// The address of its membership sockets.
     pub address: String,
     /// Its zone; may be empty.
     pub zone: String,
--- a/crates/node/src/cli/import/apache.rs
+++ b/crates/node/src/cli/import/apache.rs
@@ -13,12 +13,12 @@
 }
 
 impl Import {
-    /// Adds a file of this kind.
+    /// Reads a file of Apache's configuration.
     pub(super) fn read_apache(&mut self, file: &str, text: &str) {
         let mut section: Option<Section> = None;
         let mut lines = text.lines().enumerate();
         while let Some((index, line)) = lines.next() {
-            // A backslash at the end of a line joins the next one to it.
+            // A backslash at the end of a line continues the directive on the next line.
             let mut directive = line.trim().to_owned();
             while let Some(start) = directive.strip_suffix('\\') {
                 let next = lines.next().map_or("", |(_, line)| line.trim());
@@ -67,7 +67,7 @@
                 });
                 self.read_path_parameters(location, &arguments[2..]);
             }
-            // An excluded path needs nothing: here each path needs a route of its own.
+            // An excluded path needs no conversion: only paths with a route are served.
             "proxypass" if target.is_some_and(|token| token == "!") => {}
             _ => self.note(location, &format!("unknown directive: {text}")),
         }
@@ -139,8 +139,8 @@
     rest.split('/').next().unwrap_or_default().to_owned()
 }
 
-/// Words separated by white space, with or without quotes. A tag's closing bracket on its own is
-/// left out.
+/// Splits a line into tokens at white space; quotes enclose one token. A separate `>` that closes a
+/// tag is omitted.
 fn tokenize(line: &str) -> Vec<String> {
     let mut tokens = Vec::new();
     let mut rest = line.trim();
--- a/crates/node/src/cli/import/mod.rs
+++ b/crates/node/src/cli/import/mod.rs
@@ -59,29 +59,29 @@
     location: String,
 }
 
-/// A path that is sent to a balancer.
+/// A path whose requests are sent to a balancer.
 #[derive(Debug)]
 struct ProxiedPath {
     path: String,
     balancer: String,
 }
 
-/// The result of importing some files.
+/// The result of importing files.
 #[derive(Debug, Default)]
 pub struct Import {
     workers: Vec<ImportedWorker>,
     /// The first definition of each worker, by balancer and address.
     definitions: HashMap<(String, SocketAddr), Definition>,
-    /// The shortest timeout of all.
+    /// The shortest timeout in the files.
     deadline_ms: Option<u64>,
-    /// The paths. Operators have to name their classes.
+    /// The paths. Their classes are not in the imported files.
     paths: Vec<ProxiedPath>,
-    /// What could not be converted, each with file and line.
+    /// Lines that could not be converted, each with file and line number.
     pub notes: Vec<String>,
 }
 
 impl Import {
-    /// Adds a file. One whose name ends in `.properties` is mod_jk's, any other one Apache's.
+    /// Reads a file: one of mod_jk if the name ends in `.properties`, otherwise one of Apache.
     pub fn read(&mut self, name: &str, text: &str) {
         if name.ends_with(".properties") {
             self.read_mod_jk(name, text);
@@ -90,10 +90,11 @@
         }
     }
 
-    /// The operator file's sections. Routes are comments, since a path does not tell its class.
+    /// Renders the sections of the operator file. Routes are comments, as their classes are
+    /// unknown.
     pub fn file(&self) -> Result<String, String> {
         let balancers: BTreeSet<&str> = self.workers.iter().map(|w| w.balancer.as_str()).collect();
-        // The only balancer needs no pool with a name.
+        // A single balancer becomes the unnamed pool.
         let unnamed = match balancers.len() {
             1 => balancers.first().copied().unwrap_or_default(),
             _ => "",
@@ -144,7 +145,7 @@
         self.notes.push(format!("{location}: {message}"));
     }
 
-    /// Adds a worker. Of several definitions the first one is used.
+    /// Adds a worker. If there are several definitions of it, the first one is used.
     fn add_worker(
         &mut self,
         balancer: &str,
@@ -196,7 +197,7 @@
     }
 }
 
-/// A text as a TOML string.
+/// Converts text to a TOML string.
 fn quoted(text: &str) -> toml::Value {
     toml::Value::String(text.to_owned())
 }
--- a/crates/node/src/cli/import/mod_jk.rs
+++ b/crates/node/src/cli/import/mod_jk.rs
@@ -1,4 +1,4 @@
-//! mod_jk's `workers.properties`.
+//! The file `workers.properties` of mod_jk.
 
 use super::worker::WorkerParameters;
 use super::{Import, Location};
@@ -14,16 +14,16 @@
 /// The properties of each worker, by name.
 type Workers<'a> = BTreeMap<&'a str, BTreeMap<&'a str, Property<'a>>>;
 
-/// Properties that a worker's own conversion uses.
+/// Properties that are converted to parameters of the worker.
 const WORKER_PARAMETERS: [&str; 3] = ["lbfactor", "activation", "distance"];
 /// Properties that list a balancer's workers.
 const MEMBER_LISTS: [&str; 2] = ["balance_workers", "balanced_workers"];
 
 impl Import {
-    /// Adds a file of this kind.
+    /// Reads a `workers.properties` file.
     pub(super) fn read_mod_jk(&mut self, file: &str, text: &str) {
-        // A worker's type may follow its address, so all properties are gathered first.
-        let workers = self.gather_properties(file, text);
+        // A worker's type may follow its address, so all properties are collected first.
+        let workers = self.collect_properties(file, text);
         let balancers = self.balancers_of_workers(file, &workers);
         for (name, properties) in &workers {
             let balancers_of_worker = balancers.get(name).map(Vec::as_slice);
@@ -31,7 +31,7 @@
         }
     }
 
-    fn gather_properties<'a>(&mut self, file: &str, text: &'a str) -> Workers<'a> {
+    fn collect_properties<'a>(&mut self, file: &str, text: &'a str) -> Workers<'a> {
         let mut workers = Workers::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -43,7 +43,7 @@
             let pair = pair.map(|(key, value)| (key.trim(), value.trim()));
             let parts = pair.map(|(key, value)| (key.splitn(3, '.').collect::<Vec<_>>(), value));
             match parts {
-                // The workers are those that have properties of their own.
+                // Ignored: the workers are those that have properties.
                 Some((parts, _)) if parts == ["worker", "list"] => {}
                 Some((parts, value)) if parts.len() == 3 && parts[0] == "worker" => {
                     let property = Property {
@@ -78,7 +78,7 @@
                     balancers.entry(member).or_default().push(balancer);
                     let kind = workers.get(member).and_then(|m| m.get("type"));
                     if kind.is_some_and(|kind| kind.value == "lb") {
-                        // The operator file has no pools of pools.
+                        // A pool of the operator file cannot contain other pools.
                         let message = format!(
                             "worker {balancer}: {member} is a balancer itself: not carried over"
                         );
@@ -102,7 +102,7 @@
         balancers: Option<&[&str]>,
     ) {
         let first_line = properties.values().map(|p| p.line).min().unwrap_or(0);
-        // mod_jk's own default.
+        // mod_jk's default.
         let default_kind = Property {
             line: first_line,
             value: "ajp13",
@@ -114,7 +114,8 @@
             ("uwsgi", Some(port)) => {
                 let parameters = self.worker_parameters(file, worker, properties);
                 let location = Location::new(file, port.line);
-                // A worker of no balancer is a balancer of its own in mod_jk, and has no name here.
+                // A worker without a balancer is its own balancer in mod_jk; here it joins the
+                // unnamed pool.
                 for balancer in balancers.unwrap_or(&[""]) {
                     self.add_worker(balancer, location, host, port.value, parameters);
                 }
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn mod_jk_files_are_carried_over_as_far_as_they_go() {
+fn mod_jk_files_are_converted_and_unsupported_lines_are_noted() {
     let text = "# two nodes\nworker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=a,b,c\n\
                 worker.a.type=uwsgi\nworker.a.host=localhost\nworker.a.port = 3032\nworker.a.lbfactor=1\n\
                 worker.a.reply_timeout=4000\nworker.b.port=8009\nworker.b.host=127.0.0.2\n\
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn balancer_sections_are_carried_over_as_far_as_they_go() {
+fn apache_sections_are_converted_and_unsupported_lines_are_noted() {
     let text = "<Proxy \"balancer://rota\">\n  BalancerMember uwsgi://127.0.0.1:3032/ loadfactor=1 timeout=5\n\
                 \tBalancerMember \"uwsgi://[::1]\" \\\n    route=n2\n  BalancerMember ajp://127.0.0.1:8009\n\
                 ProxySet lbmethod=byrequests\n</Proxy>\nBalancerMember balancer://rota uwsgi://127.0.0.3:9\n\
@@ -62,9 +62,9 @@
     assert_eq!(notes, expected);
 }
 
-/// Each line of a balancer, what it becomes, and what is said of it.
+/// The parameters of each `BalancerMember`, the converted member, and the note if there is one.
 #[test]
-fn members_keep_what_is_said_of_them() {
+fn apache_member_parameters_are_converted_or_noted() {
     let at = |m: &str| Member::new(m.parse::<SocketAddr>().unwrap());
     let default = at("127.0.0.1:1");
     let cases = [
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn mod_jk_workers_keep_what_is_said_of_them() {
+fn mod_jk_worker_properties_are_converted_or_noted() {
     let cases = [
         ("lbfactor=3", 3.0, 0, MemberMode::Active, ""),
         ("activation=Disabled", 1.0, 0, MemberMode::Draining, ""),
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn contradictions_and_names_of_nobody_are_told() {
+fn contradictions_and_undefined_workers_are_noted() {
     let mut import = Import::default();
     import.read(
         "w.properties",
@@ -255,11 +255,11 @@
             "b.conf:1: 127.0.0.1:1 was said to be otherwise at a.conf:1, which holds",
         ]
     );
-    // Once in each balancer.
+    // The worker is in two balancers, once in each.
     assert_eq!(import.workers.len(), 2);
 }
 
-/// Several balancers become pools with their names, and paths name theirs.
+/// Several balancers become named pools, and each path names its pool.
 #[test]
 fn balancers_become_pools() {
     let apache = "<Proxy balancer://views>\nBalancerMember uwsgi://127.0.0.1:1 loadfactor=2\n\
@@ -301,7 +301,8 @@
     }
 }
 
-/// Ten megabytes of members: in time that grows with them, and no more.
+/// Guards against a quadratic search for duplicates: with 200,000 members (10 MB) the test would
+/// not end in reasonable time.
 #[test]
 fn a_large_file_is_read_in_time() {
     let mut text = String::new();
@@ -315,7 +316,7 @@
 }
 
 #[test]
-fn what_is_written_can_be_read_again() {
+fn the_output_is_a_valid_operator_file() {
     let mut import = Import::default();
     import.read(
         "a.conf",
@@ -329,7 +330,7 @@
         (file.members(), file.deadline_ms),
         (vec![import.workers[0].member.clone()], 1000)
     );
-    // A route becomes one by taking the marks away and naming its class.
+    // A route is enabled by removing the comment marks and naming its class.
     let named = text
         .replace("class = \"\"", "class = \"c\"")
         .replace("\n# ", "\n");
--- a/crates/node/src/cli/import/worker.rs
+++ b/crates/node/src/cli/import/worker.rs
@@ -1,4 +1,4 @@
-//! What the imported files say of one worker, and its table in the operator file.
+//! The parameters of an imported worker, and its table in the operator file.
 
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::net::SocketAddr;
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Sets one parameter, under its name in either kind of file. The error says what is wrong with
-    /// it, or what cannot be converted.
+    /// Sets one parameter by its name in either kind of file. Fails if the value is invalid or
+    /// cannot be converted.
     pub fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
         match key {
             "loadfactor" | "lbfactor" => {
@@ -43,8 +43,8 @@
                 let message = || format!("no weight from 0.01 to 100: {value}");
                 self.weight = Some(weight.ok_or_else(message)?);
             }
-            // Both programs prefer the lower number, and use the next one when no worker of it is
-            // usable.
+            // Both programs prefer the lowest number, and use the next one when no worker with it
+            // is usable.
             "lbset" | "distance" => {
                 let tier = value.parse().ok().filter(|tier| *tier <= MAX_TIER);
                 self.tier = Some(tier.ok_or_else(|| format!("no {key}: {value}"))?);
@@ -64,7 +64,7 @@
         Ok(())
     }
 
-    /// Apache's status flags. A sign holds for all flags up to the next one.
+    /// Applies Apache's status flags. A sign applies to all flags up to the next sign.
     fn set_status(&mut self, flags: &str) -> Result<(), String> {
         let mut is_set = true;
         let mut unsupported = String::new();
@@ -84,7 +84,7 @@
         Err(format!("status={flags}: not carried over: {unsupported}"))
     }
 
-    /// Sets a mode, or resets it if it is the present one.
+    /// Sets a mode, or resets it if it is the current one.
     fn set_mode(&mut self, mode: MemberMode, is_set: bool) {
         if is_set {
             self.mode = mode;
@@ -94,7 +94,7 @@
     }
 }
 
-/// mod_jk's activation. Its 'disabled' still serves the sessions that the worker has.
+/// Converts mod_jk's activation. Its 'disabled' still serves the worker's existing sessions.
 fn activation(value: &str) -> Result<MemberMode, String> {
     match value.to_ascii_lowercase().as_str() {
         "a" | "active" => Ok(MemberMode::Active),
@@ -104,7 +104,7 @@
     }
 }
 
-/// A worker's table in the operator file, with the keys that differ from their defaults.
+/// Renders a worker's table of the operator file, with the keys that differ from their defaults.
 pub fn worker_table(name: &str, member: &Member<SocketAddr>) -> String {
     let default = Member::new(member.address);
     let mut text = format!("\n[[{name}]]\naddress = \"{}\"\n", member.address);
--- a/crates/node/src/cli/import_command.rs
+++ b/crates/node/src/cli/import_command.rs
@@ -1,4 +1,5 @@
-//! `pipitlever import`: prints the operator file's sections for other programs' files.
+//! `pipitlever import`: converts configuration files of other programs, and prints the sections of
+//! the operator file.
 
 use crate::cli::import::Import;
 
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -1,4 +1,4 @@
-//! `pipitlever pools`: what each pool would do, said from the file alone.
+//! `pipitlever pools`: how each pool would be used, according to the configuration alone.
 
 #[cfg(test)]
 mod tests;
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A line for each pool, each member, each thing that is odd.
+/// One line for each pool, each member and each warning.
 pub fn describe_pools(uwsgi: &Uwsgi) -> Vec<String> {
     let all = uwsgi.pools();
     let mut lines = Vec::new();
     for (i, pool) in all.iter().enumerate() {
-        // The one without a name is there even if nobody uses it.
+        // The unnamed pool exists even if it has no members.
         if pool.members.is_empty() {
             continue;
         }
@@ -53,11 +53,11 @@
     member.mode == MemberMode::Active
 }
 
-/// Members in the order in which they are used, each with its share of those that are used with it.
+/// One line for each member, in the order of use, with its share of the runs of its group.
 fn members(all: &[Member<SocketAddr>]) -> Vec<String> {
     let mut groups: BTreeMap<(bool, u32), Vec<&Member<SocketAddr>>> = BTreeMap::new();
     for member in all {
-        // Spares are used together, whatever their tiers.
+        // Standby members are used together, whatever their tiers.
         groups
             .entry((
                 member.is_standby,
@@ -94,7 +94,7 @@
     lines
 }
 
-/// What nobody is likely to want.
+/// Settings that are probably mistakes.
 fn warnings(pool: &PoolSettings, routes: &[&str], takes_over: bool) -> Vec<String> {
     let mut warnings = Vec::new();
     let primaries = pool
--- a/crates/node/src/cli/pools/tests.rs
+++ b/crates/node/src/cli/pools/tests.rs
@@ -1,10 +1,10 @@
-//! What `pipitlever pools` prints.
+//! The output of `pipitlever pools`.
 
 use super::*;
 use crate::config::operator::OperatorConfig;
 
 #[test]
-fn shares_turns_and_oddities_are_told() {
+fn members_are_listed_with_shares_groups_and_warnings() {
     let text = "[uwsgi]\nworkers = [\"127.0.0.1:1\"]\n\
                 [[uwsgi.worker]]\naddress = \"127.0.0.1:2\"\nweight = 3\n\
                 [[uwsgi.worker]]\naddress = \"127.0.0.1:3\"\nspare = true\n\
--- a/crates/node/src/cli/sessions.rs
+++ b/crates/node/src/cli/sessions.rs
@@ -1,5 +1,5 @@
-//! `pipitlever fleet sessions`: which workers long-lived sessions are assigned to, as one node knows
-//! them.
+//! `pipitlever fleet sessions`: which workers long-lived sessions are assigned to, as one node
+//! knows them.
 
 #[cfg(test)]
 mod tests;
@@ -11,13 +11,13 @@
 /// The sessions that a node knows.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct Sessions {
-    /// Whether it has received the sessions that it replicates.
+    /// Whether the node has received the sessions that it replicates.
     #[serde(rename = "filled")]
     pub is_bootstrapped: bool,
-    /// Number of sessions.
+    /// Number of known sessions.
     #[serde(rename = "remembered")]
     pub known: u64,
-    /// Memory that they take, in bytes.
+    /// Memory that the sessions use, in bytes.
     pub bytes: u64,
     /// Sessions that were not stored for lack of memory.
     #[serde(rename = "turned_down")]
@@ -33,17 +33,17 @@
     pub pool: String,
     /// Number of known sessions, by worker.
     pub workers: BTreeMap<String, u64>,
-    /// Sessions that this node placed.
+    /// Sessions that this node assigned to a worker.
     pub placed: u64,
-    /// Sessions that it moved because their worker was removed, disabled or drained.
+    /// Sessions that this node moved because their worker was removed, disabled or drained.
     pub moved_removed: u64,
-    /// Sessions that it moved because their worker failed for longer than `patience_ms`.
+    /// Sessions that this node moved because their worker failed for longer than `patience_ms`.
     pub moved_failed: u64,
-    /// Sessions that it moved because their worker could not be reached.
+    /// Sessions that this node moved because their worker could not be reached.
     pub moved_unreachable: u64,
 }
 
-/// The table, or the lines of one worker.
+/// Renders the sessions as text, with all workers or only one.
 fn render(sessions: &Sessions, worker: Option<&str>) -> String {
     let bootstrapping = match sessions.is_bootstrapped {
         true => "",
@@ -72,7 +72,7 @@
 pub fn run(endpoint: &str, worker: Option<&str>, json: bool) -> Result<u8, String> {
     let view = get_view(endpoint).map_err(|e| e.to_string())?;
     let sessions = view.sessions.ok_or_else(|| {
-        format!("{endpoint}: no sessions stay here: no pool of its file has [pool.affinity]")
+        format!("{endpoint}: no session affinity: no pool of this node has [pool.affinity]")
     })?;
     let is_known = |name: &str| {
         let mut pools = sessions.pools.iter();
--- a/crates/node/src/cli/sessions/tests.rs
+++ b/crates/node/src/cli/sessions/tests.rs
@@ -1,4 +1,4 @@
-//! The table of sessions.
+//! The text output of `pipitlever fleet sessions`.
 
 use super::{render, PoolSessions, Sessions};
 
--- a/crates/node/src/cli/store.rs
+++ b/crates/node/src/cli/store.rs
@@ -8,14 +8,14 @@
 use std::fmt::Display;
 use std::path::Path;
 
-/// What to do with the folder.
+/// A task of `pipitlever store`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
     /// Check that all of it can be read.
     Check,
     /// List the keys that are within their windows.
     List,
-    /// Rewrite these and drop the rest.
+    /// Rewrite the store with these keys alone.
     Compact,
 }
 
@@ -35,9 +35,9 @@
 pub fn run(task: Task, folder: &str, json: bool) -> Result<(), String> {
     let error = |e: &dyn Display| format!("{folder}: {e}");
     if !Path::new(folder).is_dir() {
-        return Err(error(&"no such folder"));
+        return Err(error(&"not a folder"));
     }
-    // Locked for reading, too: what a node is writing would look like a torn tail.
+    // Locked even for reading: a record that a node is writing would look like a torn tail.
     let mut directory = StoreDirectory::open(Path::new(folder)).map_err(|e| error(&e))?;
     let contents = LogContents::read(&mut directory).map_err(|e| error(&e))?;
     let now = directory.clocks();
@@ -78,7 +78,7 @@
 struct Summary {
     segments: usize,
     bytes: u64,
-    /// Bytes behind the last complete frame.
+    /// Bytes after the last complete frame.
     torn: u64,
     damage: Vec<String>,
 }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Compacts the store; returns its size then, in bytes.
+/// Compacts the store; returns its new size, in bytes.
 fn compact(directory: StoreDirectory) -> Result<u64, String> {
     let limits = Limits::for_capacity(u64::MAX / 2);
     let (mut log, _) = Log::open(directory, limits, 0).map_err(|e| e.to_string())?;
