--- a/crates/node/src/cli/import/mod.rs
+++ b/crates/node/src/cli/import/mod.rs
@@ -92,7 +92,7 @@
 
     /// Renders the sections of the operator file. Routes are comments, as their classes are
     /// unknown.
-    pub fn file(&self) -> Result<String, String> {
+    pub fn render(&self) -> Result<String, String> {
         let balancers: BTreeSet<&str> = self.workers.iter().map(|w| w.balancer.as_str()).collect();
         // A single balancer becomes the unnamed pool.
         let unnamed = match balancers.len() {
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -172,7 +172,7 @@
             .map(|n| n.trim_start_matches("a.conf:1: "))
             .collect();
         assert_eq!(notes.concat(), note, "{parameters}");
-        let text = import.file().unwrap();
+        let text = import.render().unwrap();
         let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
@@ -273,7 +273,7 @@
         let mut import = Import::default();
         import.read(name, text);
         assert!(import.notes.is_empty(), "{:?}", import.notes);
-        let text = import.file().unwrap();
+        let text = import.render().unwrap();
         let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
@@ -322,7 +322,7 @@
         "a.conf",
         "BalancerMember balancer://b uwsgi://127.0.0.1:1 timeout=1\nProxyPass /a\"b balancer://b",
     );
-    let text = import.file().unwrap();
+    let text = import.render().unwrap();
     let file = OperatorConfig::read(&text, &[])
         .unwrap_or_else(|e| panic!("{e} in {text}"))
         .uwsgi;
--- a/crates/node/src/cli/import_command.rs
+++ b/crates/node/src/cli/import_command.rs
@@ -18,7 +18,7 @@
         })?;
         import.read(path, &text);
     }
-    print!("{}", import.file()?);
+    print!("{}", import.render()?);
     for note in &import.notes {
         eprintln!("{note}");
     }
--- a/crates/node/src/config/operator/fleet/tests.rs
+++ b/crates/node/src/config/operator/fleet/tests.rs
@@ -62,9 +62,9 @@
     for (text, expected) in cases {
         match OperatorConfig::read(&text, &[]) {
             Ok(file) => assert!(expected.is_empty() && file.fleet.is_some(), "{text}"),
-            Err(why) => assert!(
-                !expected.is_empty() && why.to_string().starts_with(expected),
-                "{text}: {why}"
+            Err(error) => assert!(
+                !expected.is_empty() && error.to_string().starts_with(expected),
+                "{text}: {error}"
             ),
         }
     }
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -294,7 +294,7 @@
 #[serde(deny_unknown_fields)]
 pub struct WorkerEntry {
     address: Spanned<SocketAddr>,
-    /// The worker's name, which stays when its address changes.
+    /// The worker's name, independent of its address.
     name: Option<Spanned<String>>,
     zone: Option<Spanned<String>>,
     weight: Option<Spanned<f64>>,
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -90,9 +90,9 @@
     pub fleet: Option<membership::Settings>,
 }
 
-/// The path of the first key that the old file has and the new one lacks. A truncated or
-/// half-written file may still be valid JSON; the missing keys would get their defaults and so
-/// change settings unintentionally.
+/// The path of the first key that the old file has and the new one lacks. A file that was truncated
+/// and repaired, or written in part, may still be valid JSON; the missing keys would get their
+/// defaults and so change settings unintentionally.
 fn first_missing_key(new: &Value, old: &Value) -> Option<String> {
     match (new, old) {
         (Value::Object(new), Value::Object(old)) => {
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -57,7 +57,7 @@
         }
         let at = self.acceptors.span().start;
         check_acceptors(self.acceptors.get_ref())
-            .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
+            .map_err(|error| FileError::at(text, at, format!("electors: {error}")))?;
         let mut rules = default_rules(self.acceptors.into_inner());
         let lease = within(
             text,
@@ -84,7 +84,7 @@
 
 /// The configuration that a node starts with: where the fleet decides versions, that of the version
 /// on its disk. An unreadable version is ignored if the node waits for a quorum of acceptors, which
-/// confirms the minimum version; it is an error if the node would serve without one.
+/// determines the version to continue with; it is an error if the node would serve without one.
 pub fn load_stored_version(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
@@ -93,8 +93,8 @@
         return Ok((config, None));
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTIVE_FILE) {
-        Err(why) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
-            log(&format!("versions: starting as on a new disk: {why}"));
+        Err(error) if versions.rules.unknown_minimum == UnknownMinimum::Wait => {
+            log(&format!("versions: starting as on a new disk: {error}"));
             None
         }
         saved => saved.map_err(|error| error.to_string())?,
@@ -104,9 +104,9 @@
     };
     match read(Some(&saved.content)) {
         Ok(config) => Ok((config, Some(saved))),
-        Err(why) => {
+        Err(error) => {
             log(&format!(
-                "versions: could not activate the version on the disk: {why}"
+                "versions: could not activate the version on the disk: {error}"
             ));
             Ok((
                 config,
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -86,9 +86,9 @@
             Ok(new) => match membership.write_active_version(number, &content).await {
                 Ok(()) if !membership.is_member() => return,
                 Ok(()) => self.apply(new, state, capture),
-                Err(why) => Err(format!("cannot write the version to the disk: {why}")),
+                Err(error) => Err(format!("cannot write the version to the disk: {error}")),
             },
-            Err(why) => Err(why),
+            Err(error) => Err(error),
         };
         if let Some(versions) = &membership.versions {
             versions.activation_finished(number, result);
--- a/crates/node/src/lifecycle/signals.rs
+++ b/crates/node/src/lifecycle/signals.rs
@@ -25,11 +25,11 @@
     /// Installs the signal handlers.
     pub fn new() -> io::Result<Signals> {
         let open = |signal: Signal, numbers: &[i32]| {
-            let (ours, handlers) = UnixStream::pair()?;
+            let (receiver, sender) = UnixStream::pair()?;
             for number in numbers {
-                pipe::register(*number, handlers.try_clone()?)?;
+                pipe::register(*number, sender.try_clone()?)?;
             }
-            io::Result::Ok((signal, Async::<UnixStream>::new(ours)?))
+            io::Result::Ok((signal, Async::<UnixStream>::new(receiver)?))
         };
         Ok(Signals([
             open(Signal::Shutdown, &[SIGTERM, SIGINT])?,
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -205,7 +205,7 @@
 
 impl JoinFleet {
     /// Joins the fleet; resumes the predecessor's membership if it passed its state on.
-    fn join(self, passed: Option<Vec<u8>>) {
+    fn join(self, passed_state: Option<Vec<u8>>) {
         let Some((settings, sockets)) = self.settings else {
             return;
         };
@@ -215,14 +215,14 @@
             node_name: self.name,
             settings,
             sockets,
-            resume_state: passed,
+            resume_state: passed_state,
             stored_version: self.stored_version,
             decided: Some(self.versions),
         });
         match started {
             Ok(driver) => self.state.borrow_mut().membership = Some(driver),
             // Requests are served without the fleet as well.
-            Err(why) => log(&format!("fleet: off: {why}")),
+            Err(error) => log(&format!("fleet: off: {error}")),
         }
     }
 }
@@ -240,14 +240,14 @@
     let (fronts, successor_listener) = (fronts.clone(), successor_listener.cloned());
     // `serve` may be called again after the predecessor's end; the fleet is joined once.
     let join = RefCell::new(Some(join));
-    let serve = move |passed: Option<Vec<u8>>| {
+    let serve = move |passed_state: Option<Vec<u8>>| {
         // The hot restart's socket first: the predecessor no longer accepts connections on it.
         if let Some(successor_listener) = &successor_listener {
             successor_listener.open();
         }
         fronts.open();
         if let Some(join) = join.take() {
-            join.join(passed);
+            join.join(passed_state);
         }
     };
     let Some(predecessor) = predecessor else {
