--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -2,7 +2,7 @@
 
 use super::Import;
 use super::ImportedWorker;
-use crate::config::operator::Operator;
+use crate::config::operator::OperatorConfig;
 use pipitlever_load_balancing::pool::{Member, MemberMode};
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn mod_jk_files_are_carried_over_as_far_as_they_go() {
+fn mod_jk_files_are_converted_and_unsupported_lines_are_noted() {
     let text = "# two nodes\nworker.list=lb\nworker.lb.type=lb\nworker.lb.balance_workers=a,b,c\n\
                 worker.a.type=uwsgi\nworker.a.host=localhost\nworker.a.port = 3032\nworker.a.lbfactor=1\n\
                 worker.a.reply_timeout=4000\nworker.b.port=8009\nworker.b.host=127.0.0.2\n\
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn balancer_sections_are_carried_over_as_far_as_they_go() {
+fn apache_sections_are_converted_and_unsupported_lines_are_noted() {
     let text = "<Proxy \"balancer://rota\">\n  BalancerMember uwsgi://127.0.0.1:3032/ loadfactor=1 timeout=5\n\
                 \tBalancerMember \"uwsgi://[::1]\" \\\n    route=n2\n  BalancerMember ajp://127.0.0.1:8009\n\
                 ProxySet lbmethod=byrequests\n</Proxy>\nBalancerMember balancer://rota uwsgi://127.0.0.3:9\n\
@@ -62,21 +62,21 @@
     assert_eq!(notes, expected);
 }
 
-/// Each line of a balancer, what it becomes, and what is said of it.
+/// The parameters of each `BalancerMember`, the converted member, and the note if there is one.
 #[test]
-fn members_keep_what_is_said_of_them() {
+fn apache_member_parameters_are_converted_or_noted() {
     let at = |m: &str| Member::new(m.parse::<SocketAddr>().unwrap());
-    let usual = at("127.0.0.1:1");
+    let default = at("127.0.0.1:1");
     let cases = [
-        ("", usual.clone(), ""),
-        ("loadfactor=1", usual.clone(), ""),
+        ("", default.clone(), ""),
+        ("loadfactor=1", default.clone(), ""),
         (
             "loadfactor=2.5 lbset=1 max=8",
             Member {
                 weight: 2.5,
                 tier: 1,
                 max_runs: 8,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -84,7 +84,7 @@
             "status=+H",
             Member {
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -92,16 +92,16 @@
             "status=D",
             Member {
                 mode: MemberMode::Disabled,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
-        ("status=+D-D", usual.clone(), ""),
+        ("status=+D-D", default.clone(), ""),
         (
             "status=+S",
             Member {
                 mode: MemberMode::Disabled,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
@@ -110,49 +110,49 @@
             Member {
                 mode: MemberMode::Draining,
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "",
         ),
-        ("status=-H", usual.clone(), ""),
+        ("status=-H", default.clone(), ""),
         (
             "status=+RH",
             Member {
                 is_standby: true,
-                ..usual.clone()
+                ..default.clone()
             },
             "status=+RH: not carried over: R",
         ),
         (
             "status=+IE",
-            usual.clone(),
+            default.clone(),
             "status=+IE: not carried over: IE",
         ),
         (
             "loadfactor=0",
-            usual.clone(),
+            default.clone(),
             "no weight from 0.01 to 100: 0",
         ),
         (
             "loadfactor=many",
-            usual.clone(),
+            default.clone(),
             "no weight from 0.01 to 100: many",
         ),
-        ("lbset=-1", usual.clone(), "no lbset: -1"),
+        ("lbset=-1", default.clone(), "no lbset: -1"),
         (
             "max=0",
-            usual.clone(),
+            default.clone(),
             "no number of runs from 1 to 1024: 0",
         ),
         (
             "max=99999",
-            usual.clone(),
+            default.clone(),
             "no number of runs from 1 to 1024: 99999",
         ),
-        ("route=n1", usual.clone(), "unknown parameter: route=n1"),
-        ("retry", usual.clone(), "unknown parameter: retry"),
+        ("route=n1", default.clone(), "unknown parameter: route=n1"),
+        ("retry", default.clone(), "unknown parameter: retry"),
     ];
-    for (parameters, wanted, said) in cases {
+    for (parameters, expected, note) in cases {
         let mut import = Import::default();
         import.read(
             "a.conf",
@@ -162,7 +162,7 @@
             import.workers,
             [ImportedWorker {
                 balancer: "b".to_owned(),
-                member: wanted
+                member: expected
             }],
             "{parameters}"
         );
@@ -171,9 +171,9 @@
             .iter()
             .map(|n| n.trim_start_matches("a.conf:1: "))
             .collect();
-        assert_eq!(notes.concat(), said, "{parameters}");
-        let text = import.file().unwrap();
-        let file = Operator::read(&text, &[])
+        assert_eq!(notes.concat(), note, "{parameters}");
+        let text = import.render().unwrap();
+        let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
         assert_eq!(file.members(), [import.workers[0].member.clone()], "{text}");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn mod_jk_workers_keep_what_is_said_of_them() {
+fn mod_jk_worker_properties_are_converted_or_noted() {
     let cases = [
         ("lbfactor=3", 3.0, 0, MemberMode::Active, ""),
         ("activation=Disabled", 1.0, 0, MemberMode::Draining, ""),
@@ -209,11 +209,11 @@
             "worker a: unknown directive: redirect=b",
         ),
     ];
-    for (line, weight, tier, usage, said) in cases {
+    for (line, weight, tier, usage, note) in cases {
         let mut import = Import::default();
         let text = format!("worker.a.type=uwsgi\nworker.a.port=1\nworker.a.{line}\n");
         import.read("w.properties", &text);
-        let usual = Member::new("127.0.0.1:1".parse().unwrap());
+        let default = Member::new("127.0.0.1:1".parse().unwrap());
         assert_eq!(
             import.workers,
             [ImportedWorker {
@@ -222,7 +222,7 @@
                     weight,
                     tier,
                     mode: usage,
-                    ..usual
+                    ..default
                 }
             }],
             "{line}"
@@ -232,12 +232,12 @@
             .iter()
             .map(|n| n.trim_start_matches("w.properties:3: "))
             .collect();
-        assert_eq!(notes.concat(), said, "{line}");
+        assert_eq!(notes.concat(), note, "{line}");
     }
 }
 
 #[test]
-fn contradictions_and_names_of_nobody_are_told() {
+fn contradictions_and_undefined_workers_are_noted() {
     let mut import = Import::default();
     import.read(
         "w.properties",
@@ -255,11 +255,11 @@
             "b.conf:1: 127.0.0.1:1 was said to be otherwise at a.conf:1, which holds",
         ]
     );
-    // Once in each balancer.
+    // The worker is in two balancers, once in each.
     assert_eq!(import.workers.len(), 2);
 }
 
-/// Several balancers become pools with their names, and paths name theirs.
+/// Several balancers become named pools, and each path names its pool.
 #[test]
 fn balancers_become_pools() {
     let apache = "<Proxy balancer://views>\nBalancerMember uwsgi://127.0.0.1:1 loadfactor=2\n\
@@ -273,8 +273,8 @@
         let mut import = Import::default();
         import.read(name, text);
         assert!(import.notes.is_empty(), "{:?}", import.notes);
-        let text = import.file().unwrap();
-        let file = Operator::read(&text, &[])
+        let text = import.render().unwrap();
+        let file = OperatorConfig::read(&text, &[])
             .unwrap_or_else(|e| panic!("{e} in {text}"))
             .uwsgi;
         let pools: Vec<_> = file
@@ -301,7 +301,8 @@
     }
 }
 
-/// Ten megabytes of members: in time that grows with them, and no more.
+/// Guards against a quadratic search for duplicates: with 200,000 members (10 MB) the test would
+/// not end in reasonable time.
 #[test]
 fn a_large_file_is_read_in_time() {
     let mut text = String::new();
@@ -315,25 +316,25 @@
 }
 
 #[test]
-fn what_is_written_can_be_read_again() {
+fn the_output_is_a_valid_operator_file() {
     let mut import = Import::default();
     import.read(
         "a.conf",
         "BalancerMember balancer://b uwsgi://127.0.0.1:1 timeout=1\nProxyPass /a\"b balancer://b",
     );
-    let text = import.file().unwrap();
-    let file = Operator::read(&text, &[])
+    let text = import.render().unwrap();
+    let file = OperatorConfig::read(&text, &[])
         .unwrap_or_else(|e| panic!("{e} in {text}"))
         .uwsgi;
     assert_eq!(
         (file.members(), file.deadline_ms),
         (vec![import.workers[0].member.clone()], 1000)
     );
-    // A route becomes one by taking the marks away and naming its class.
+    // A route is enabled by removing the comment marks and naming its class.
     let named = text
         .replace("class = \"\"", "class = \"c\"")
         .replace("\n# ", "\n");
-    let file = Operator::read(&named, &["c".into()])
+    let file = OperatorConfig::read(&named, &["c".into()])
         .unwrap_or_else(|e| panic!("{e} in {named}"))
         .uwsgi;
     assert_eq!(file.routes[0].path, "/a\"b");
--- a/crates/node/src/cli/import_command.rs
+++ b/crates/node/src/cli/import_command.rs
@@ -1,4 +1,5 @@
-//! `pipitlever import`: prints the operator file's sections for other programs' files.
+//! `pipitlever import`: converts configuration files of other programs, and prints the sections of
+//! the operator file.
 
 use crate::cli::import::Import;
 
@@ -17,7 +18,7 @@
         })?;
         import.read(path, &text);
     }
-    print!("{}", import.file()?);
+    print!("{}", import.render()?);
     for note in &import.notes {
         eprintln!("{note}");
     }
--- a/crates/node/src/config/operator/capture.rs
+++ b/crates/node/src/config/operator/capture.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// Longest segment, in MB: reading one takes as much memory.
+/// Longest segment, in MB: reading a segment takes as much memory.
 const MAX_SEGMENT_MB: f64 = 64.0;
 /// Most that may be retained, in MB.
 const MAX_RETAINED_MB: f64 = 1e6;
@@ -15,16 +15,16 @@
 
 /// The settings of a capture.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Capture {
+pub struct CaptureSettings {
     /// The folder; created if it does not exist.
     pub folder: PathBuf,
-    /// A segment ends at this length, in bytes.
-    pub segment: u64,
-    /// Bytes that all segments of this node may take together.
-    pub keep: u64,
+    /// Length at which a segment ends, in bytes.
+    pub segment_bytes: u64,
+    /// Maximum size of all segments of this node together, in bytes.
+    pub max_bytes: u64,
 }
 
-/// The section.
+/// The section `[capture]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CaptureSection {
@@ -35,7 +35,7 @@
 
 impl CaptureSection {
     /// Checks the values.
-    pub fn read(self, text: &str) -> Result<Capture, FileError> {
+    pub fn read(self, text: &str) -> Result<CaptureSettings, FileError> {
         let folder = non_empty_folder(text, self.folder)?;
         let keep_offset = self.keep_mb.span().start;
         let segment_range = [0.01, MAX_SEGMENT_MB];
@@ -49,16 +49,16 @@
         let keep_range = [0.02, MAX_RETAINED_MB];
         let keep_mb = within(text, "keep_mb", Some(self.keep_mb), 0.0, keep_range)?;
         if keep_mb < 2.0 * segment_mb {
-            // The oldest segment is removed before the next one begins: with space for only one,
-            // nothing would be left.
-            let message = "keep_mb has to be twice segment_mb at least";
+            // The oldest segment is removed before the next one begins: with space for one segment,
+            // no records would remain.
+            let message = "keep_mb has to be at least twice segment_mb";
             return Err(FileError::at(text, keep_offset, message));
         }
         let bytes = |mb: f64| (mb * MEGABYTE) as u64;
-        Ok(Capture {
+        Ok(CaptureSettings {
             folder,
-            segment: bytes(segment_mb),
-            keep: bytes(keep_mb),
+            segment_bytes: bytes(segment_mb),
+            max_bytes: bytes(keep_mb),
         })
     }
 }
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -1,7 +1,7 @@
-//! The node's configuration, read at the start, and for its parties' addresses on SIGHUP.
+//! The platform's configuration file, which is read at startup and on SIGHUP.
 
-use crate::config::operator::{Capture, Operator, Store};
-use crate::config::versions::Content;
+use crate::config::operator::{CaptureSettings, OperatorConfig, StoreSettings};
+use crate::config::versions::VersionContent;
 use crate::net::event_loop::{RequestSettings, Upstreams};
 use crate::net::membership;
 use crate::net::worker_pools::routes::{Backend, UwsgiSettings};
@@ -10,8 +10,8 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The longest time to leave in, in milliseconds: a day.
-const MOST_STOP_MS: u64 = 86_400_000;
+/// Longest time for the shutdown, in milliseconds: a day.
+const MAX_STOP_MS: u64 = 86_400_000;
 
 #[derive(Deserialize)]
 struct File {
@@ -37,74 +37,74 @@
 
 #[derive(Deserialize)]
 struct Limits {
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
-    #[serde(default = "memory_mb")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            sockets: sockets(),
-            memory_mb: memory_mb(),
+            sockets: default_sockets(),
+            memory_mb: default_memory_mb(),
         }
     }
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn memory_mb() -> usize {
+fn default_memory_mb() -> usize {
     192
 }
 
-/// All that a node is told.
+/// The configuration of a node, from both files.
 pub struct Config {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Where gateways connect.
+    /// The address that gateways connect to.
     pub listen: SocketAddr,
-    /// Where operators call, if they may.
+    /// The control endpoint's address, if there is one.
     pub control: Option<SocketAddr>,
-    /// Where the other parties are.
-    pub parties: Upstreams,
-    /// For random numbers.
+    /// Addresses of the processor, the ledger, the service registry and the pools of workers.
+    pub upstreams: Upstreams,
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// From the notice to leave to the end of the process.
+    /// Time from the shutdown signal until the process is killed, in milliseconds.
     pub stop_ms: u64,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may open.
     pub sockets: usize,
-    /// Megabytes that the process may take.
+    /// Memory that the process may use, in MB.
     pub memory_mb: usize,
-    /// What decides about requests.
-    pub tuning: RequestSettings,
-    /// The keys that the file has, for the next one to be held against.
-    pub shape: Value,
-    /// The capture, if there is to be one.
-    pub capture: Option<Capture>,
-    /// The store of keyed requests, if there is to be one.
-    pub store: Option<Store>,
-    /// The node's part in a fleet, if it is in one.
+    /// Settings of the request processing.
+    pub request_settings: RequestSettings,
+    /// The file as JSON: a file that replaces it has to have all of its keys.
+    pub document: Value,
+    /// Settings of the capture, if it is configured.
+    pub capture: Option<CaptureSettings>,
+    /// Settings of the idempotency store, if it is configured.
+    pub store: Option<StoreSettings>,
+    /// Settings of the membership, if the node is in a fleet.
     pub fleet: Option<membership::Settings>,
 }
 
-/// The first key that a file has and another lacks, with its path. A file that was cut and mended,
-/// or written by half, still reads; with what it leaves out taken for its default it would change
-/// what nobody meant to change.
-fn lacks(new: &Value, old: &Value) -> Option<String> {
+/// The path of the first key that the old file has and the new one lacks. A file that was truncated
+/// and repaired, or written in part, may still be valid JSON; the missing keys would get their
+/// defaults and so change settings unintentionally.
+fn first_missing_key(new: &Value, old: &Value) -> Option<String> {
     match (new, old) {
         (Value::Object(new), Value::Object(old)) => {
             old.iter().find_map(|(key, old)| match new.get(key) {
                 None | Some(Value::Null) if !old.is_null() => Some(key.clone()),
-                new => lacks(new?, old).map(|below| format!("{key}.{below}")),
+                new => first_missing_key(new?, old).map(|path| format!("{key}.{path}")),
             })
         }
-        // Classes come and go; each has what all of them had.
+        // Classes may be added and removed, but each needs the keys that all old ones have.
         (Value::Array(new), Value::Array(old)) => {
-            let had = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
-            let mut keys = old.first()?.as_object()?.keys().filter(had);
+            let is_in_all = |key: &&String| old.iter().all(|o| o.get(key.as_str()).is_some());
+            let mut keys = old.first()?.as_object()?.keys().filter(is_in_all);
             keys.find_map(|key| {
                 let at = new
                     .iter()
@@ -120,30 +120,30 @@
 }
 
 impl Config {
-    /// Whether this configuration may take the place of one that is in force.
-    pub fn follows(&self, before: &Value) -> Result<(), String> {
-        match lacks(&self.shape, before) {
+    /// Checks that this configuration lacks no key of the one in force.
+    pub fn check_no_key_missing(&self, current: &Value) -> Result<(), String> {
+        match first_missing_key(&self.document, current) {
             Some(key) => Err(format!(
-                "configuration: no key {key}, which the one in force has"
+                "configuration: key {key} is missing, which the configuration in force has"
             )),
             None => Ok(()),
         }
     }
 
-    /// Whether somebody does the work of every class: without a processor only workers can.
-    pub fn complete(&self) -> Result<(), String> {
-        let worked = |class: &&String| {
-            self.tuning
+    /// Checks that every class has a backend: without a processor each needs a route to workers.
+    pub fn check_backends(&self) -> Result<(), String> {
+        let has_worker_route = |class: &&String| {
+            self.request_settings
                 .uwsgi
                 .routes
                 .iter()
                 .any(|r| r.class == **class && r.backend == Backend::Workers)
         };
         match self
-            .tuning
+            .request_settings
             .classes
             .iter()
-            .find(|c| self.parties.processor.is_none() && !worked(c))
+            .find(|c| self.upstreams.processor.is_none() && !has_worker_route(c))
         {
             Some(class) => Err(format!(
                 "no processor, and no route of class {class} to workers"
@@ -152,42 +152,49 @@
         }
     }
 
-    /// Reads both files, as they are named on the command line.
+    /// Reads both files. The content of a config version replaces the shared parts.
     pub fn load(
         path: Option<&str>,
         operator: Option<&str>,
         version: Option<&[u8]>,
     ) -> Result<Config, String> {
-        let version = version.map(Content::read).transpose()?.unwrap_or_default();
+        let version = version
+            .map(VersionContent::read)
+            .transpose()?
+            .unwrap_or_default();
         let path = path.ok_or("no configuration: give --config FILE or set EDGE_CONFIG")?;
         let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        let mut config = Config::read(&version.over_configuration(&text)?, |name| {
+        let mut config = Config::read(&version.merge_into_configuration(&text)?, |name| {
             std::env::var(name).ok()
         })?;
         if let Some(path) = operator {
             let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-            let file = Operator::read(&version.over_operator(&text)?, &config.tuning.classes)
-                .map_err(|e| format!("{path}: {e}"))?;
-            config.parties.pools = file.uwsgi.pools();
-            (config.tuning.uwsgi, config.capture, config.store) =
+            let file = OperatorConfig::read(
+                &version.merge_into_operator_file(&text)?,
+                &config.request_settings.classes,
+            )
+            .map_err(|e| format!("{path}: {e}"))?;
+            config.upstreams.pools = file.uwsgi.pools();
+            (config.request_settings.uwsgi, config.capture, config.store) =
                 (file.uwsgi, file.capture, file.store);
             config.fleet = file.fleet;
         }
-        config.complete()?;
+        config.check_backends()?;
         Ok(config)
     }
 
-    /// Reads the configuration's text. The name and the address may come from the environment
+    /// Parses the platform's configuration. Name and addresses may come from the environment
     /// instead.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-        let shape: Value = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
+        let document: Value =
+            serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         let file: File = serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
         file.settings
             .validate()
             .map_err(|e| format!("settings: {e}"))?;
-        if file.stop_ms == 0 || file.stop_ms > MOST_STOP_MS {
+        if file.stop_ms == 0 || file.stop_ms > MAX_STOP_MS {
             return Err(format!(
-                "stop_ms: {} is not from 1 to {MOST_STOP_MS}",
+                "stop_ms: {} is not from 1 to {MAX_STOP_MS}",
                 file.stop_ms
             ));
         }
@@ -196,16 +203,15 @@
             (None, Some(text)) => text
                 .parse()
                 .map(Some)
-                .map_err(|_| format!("{name}: no address: {text}")),
+                .map_err(|_| format!("{name}: not an IP address and port: {text}")),
             (None, None) => Ok(None),
         };
         let listen = address(file.listen, "EDGE_LISTEN")?;
         let listen = listen.ok_or("no 'listen' in the configuration and no EDGE_LISTEN")?;
         let control = address(file.control, "EDGE_CONTROL")?;
         let seed = match &file.seed {
-            Some(hex) => {
-                u64::from_str_radix(hex, 16).map_err(|_| format!("seed: not hex: {hex}"))?
-            }
+            Some(hex) => u64::from_str_radix(hex, 16)
+                .map_err(|_| format!("seed: not a hexadecimal number of 64 bits: {hex}"))?,
             None => u64::from(std::process::id()),
         };
         Ok(Config {
@@ -215,7 +221,7 @@
                 .unwrap_or_else(|| "node".into()),
             listen,
             control,
-            parties: Upstreams {
+            upstreams: Upstreams {
                 processor: file.processor,
                 ledger: file.ledger,
                 registry: file.members,
@@ -225,7 +231,7 @@
             stop_ms: file.stop_ms,
             sockets: file.limits.sockets,
             memory_mb: file.limits.memory_mb,
-            tuning: RequestSettings {
+            request_settings: RequestSettings {
                 classes: file.settings.class_names(),
                 tenants: file.settings.tenant_names(),
                 gauges: file.settings.gauge_names().to_vec(),
@@ -237,7 +243,7 @@
                     .controller_settings()
                     .map_err(|e| format!("settings: {e}"))?,
             },
-            shape,
+            document,
             capture: None,
             store: None,
             fleet: None,
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -1,4 +1,4 @@
-//! `[fleet.versions]` of the operator's file, and what a version holds.
+//! `[fleet.versions]` of the operator file, and the content of a config version.
 
 #[cfg(test)]
 mod tests;
@@ -16,7 +16,7 @@
 use std::path::PathBuf;
 use toml::Spanned;
 
-/// What is done without a lease.
+/// Behaviour of a node without a lease.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum WithoutLeaseKey {
@@ -24,39 +24,41 @@
     Refuse,
 }
 
-/// What is done where too few electors are heard after a start.
+/// Behaviour after startup until a quorum of acceptors has answered.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum UnknownFloor {
+enum UnknownMinimumKey {
     Wait,
     Serve,
 }
 
-/// The section.
+/// The section `[fleet.versions]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionsSection {
     folder: Spanned<PathBuf>,
-    electors: Spanned<Vec<String>>,
+    #[serde(rename = "electors")]
+    acceptors: Spanned<Vec<String>>,
     lease_ms: Option<Spanned<u64>>,
     without_lease: Option<WithoutLeaseKey>,
-    unknown_floor: Option<UnknownFloor>,
+    #[serde(rename = "unknown_floor")]
+    unknown_minimum: Option<UnknownMinimumKey>,
 }
 
 impl VersionsSection {
-    /// Holds it to what a register can be.
+    /// Checks the values.
     pub fn read(self, text: &str) -> Result<Settings, FileError> {
         if self.folder.get_ref().as_os_str().is_empty() {
             return Err(FileError::at(
                 text,
                 self.folder.span().start,
-                "folder: its name is empty",
+                "folder: the path is empty",
             ));
         }
-        let at = self.electors.span().start;
-        check_acceptors(self.electors.get_ref())
-            .map_err(|why| FileError::at(text, at, format!("electors: {why}")))?;
-        let mut rules = default_protocol(self.electors.into_inner());
+        let at = self.acceptors.span().start;
+        check_acceptors(self.acceptors.get_ref())
+            .map_err(|error| FileError::at(text, at, format!("electors: {error}")))?;
+        let mut rules = default_protocol(self.acceptors.into_inner());
         let lease = within(
             text,
             "lease_ms",
@@ -69,9 +71,9 @@
             Some(WithoutLeaseKey::Refuse) => WithoutLease::Refuse,
             Some(WithoutLeaseKey::Serve) | None => WithoutLease::Serve,
         };
-        rules.unknown_minimum = match self.unknown_floor {
-            Some(UnknownFloor::Serve) => UnknownMinimum::Serve,
-            Some(UnknownFloor::Wait) | None => UnknownMinimum::Wait,
+        rules.unknown_minimum = match self.unknown_minimum {
+            Some(UnknownMinimumKey::Serve) => UnknownMinimum::Serve,
+            Some(UnknownMinimumKey::Wait) | None => UnknownMinimum::Wait,
         };
         Ok(Settings {
             folder: self.folder.into_inner(),
@@ -80,10 +82,10 @@
     }
 }
 
-/// The configuration that a node starts with: that of the version on its disk, where the fleet
-/// decides versions. What can't be read is as if it were not there, as a majority of electors says
-/// where to go on; not where the node would act without hearing one.
-pub fn begin(
+/// The configuration that a node starts with: where the fleet decides versions, that of the version
+/// on its disk. An unreadable version is ignored if the node waits for a quorum of acceptors, which
+/// determines the version to continue with; it is an error if the node would serve without one.
+pub fn load_stored_version(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(Config, Option<StoredVersion>), String> {
@@ -91,8 +93,8 @@
         return Ok((config, None));
     };
     let saved = match load::<StoredVersion>(&versions.folder, ACTIVE_FILE) {
-        Err(why) if versions.protocol.unknown_minimum == UnknownMinimum::Wait => {
-            log(&format!("versions: starting as on a new disk: {why}"));
+        Err(error) if versions.protocol.unknown_minimum == UnknownMinimum::Wait => {
+            log(&format!("versions: starting as on a new disk: {error}"));
             None
         }
         saved => saved.map_err(|error| error.to_string())?,
@@ -102,9 +104,9 @@
     };
     match read(Some(&saved.content)) {
         Ok(config) => Ok((config, Some(saved))),
-        Err(why) => {
+        Err(error) => {
             log(&format!(
-                "versions: could not activate the version on the disk: {why}"
+                "versions: could not activate the version on the disk: {error}"
             ));
             Ok((
                 config,
@@ -117,39 +119,41 @@
     }
 }
 
-/// What a version holds: it takes the place of that part of each node's own files, and of no other.
+/// The content of a version. It replaces these parts of each node's own files, and no others.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Content {
+pub struct VersionContent {
     /// The platform's settings: classes, tenants, limits.
     settings: Option<Value>,
-    /// Of the operator's file: `[uwsgi]` with its routes, and `[[pool]]`.
+    /// Sections of the operator file, as TOML: `[uwsgi]` with its routes, and `[[pool]]`.
     operator: Option<String>,
 }
 
-/// Sections of the operator's file that a version may hold. The others are of one machine.
-const SHARED: [&str; 2] = ["uwsgi", "pool"];
+/// Sections of the operator file that a version may contain. The others differ between machines.
+const SHARED_SECTIONS: [&str; 2] = ["uwsgi", "pool"];
 
-impl Content {
-    /// Reads one.
-    pub fn read(bytes: &[u8]) -> Result<Content, String> {
+impl VersionContent {
+    /// Parses the content of a version.
+    pub fn read(bytes: &[u8]) -> Result<VersionContent, String> {
         serde_json::from_slice(bytes).map_err(|e| format!("the version's content: {e}"))
     }
 
-    /// A node's configuration with the version's settings in it.
-    pub fn over_configuration(&self, text: &str) -> Result<String, String> {
+    /// A node's configuration file, with the version's settings in place of its own.
+    pub fn merge_into_configuration(&self, text: &str) -> Result<String, String> {
         let Some(settings) = &self.settings else {
             return Ok(text.to_owned());
         };
-        let mut own: Value =
+        let mut local: Value =
             serde_json::from_str(text).map_err(|e| format!("configuration: {e}"))?;
-        let own_fields = own.as_object_mut().ok_or("configuration: no object")?;
-        own_fields.insert("settings".into(), settings.clone());
-        Ok(own.to_string())
+        let fields = local
+            .as_object_mut()
+            .ok_or("configuration: not a JSON object")?;
+        fields.insert("settings".into(), settings.clone());
+        Ok(local.to_string())
     }
 
-    /// A node's operator's file with the version's sections in it.
-    pub fn over_operator(&self, text: &str) -> Result<String, String> {
+    /// A node's operator file, with the version's sections in place of its own.
+    pub fn merge_into_operator_file(&self, text: &str) -> Result<String, String> {
         let Some(shared) = &self.operator else {
             return Ok(text.to_owned());
         };
@@ -158,14 +162,19 @@
                 .map_err(|e| format!("{what}: {}", e.message()))
         };
         let shared = table("the version's content: operator", shared)?;
-        if let Some(other) = shared.keys().find(|key| !SHARED.contains(&key.as_str())) {
+        if let Some(other) = shared
+            .keys()
+            .find(|key| !SHARED_SECTIONS.contains(&key.as_str()))
+        {
             return Err(format!(
-                "the version's content: operator: [{other}] is each node's own"
+                "the version's content: operator: [{other}] is not shared, but belongs to each node"
             ));
         }
-        let mut own = table("the operator's file", text)?;
-        SHARED.iter().for_each(|key| drop(own.remove(*key)));
-        own.extend(shared);
-        toml::to_string(&own).map_err(|e| format!("the version's content: {e}"))
+        let mut local = table("operator file", text)?;
+        SHARED_SECTIONS
+            .iter()
+            .for_each(|key| drop(local.remove(*key)));
+        local.extend(shared);
+        toml::to_string(&local).map_err(|e| format!("the version's content: {e}"))
     }
 }
--- a/crates/node/src/lifecycle/limits.rs
+++ b/crates/node/src/lifecycle/limits.rs
@@ -1,4 +1,4 @@
-//! How many descriptors and how much memory the front ends may use.
+//! The file descriptors and the memory that the front ends may use.
 
 use crate::config::platform::Config;
 use crate::lifecycle::capture;
@@ -19,9 +19,9 @@
 const LISTENERS: usize = 2 * 2;
 /// The hot restart's listener, connection and peer, and its passed sockets.
 const HOT_RESTART: usize = 4;
-/// Files that are read again on SIGHUP.
+/// Configuration files, which are read again on SIGHUP.
 const FILES: usize = 2;
-/// Descriptors that are reserved for the node's own needs on every node.
+/// Descriptors that every node reserves for its own use.
 const RESERVED: usize = STANDARD_STREAMS
     + REACTOR
     + SIGNALS
@@ -33,10 +33,10 @@
     + FILES;
 
 /// The limits of a process with this configuration.
-pub fn of(config: &Config) -> ProcessLimits {
+pub fn for_config(config: &Config) -> ProcessLimits {
     let memory = config.memory_mb << 20;
     let capture_memory = match config.capture {
-        Some(_) => capture::memory(memory),
+        Some(_) => capture::max_memory(memory),
         None => 0,
     };
     // One descriptor for each waiting connection and one for each that is being answered.
--- a/crates/node/src/lifecycle/serve.rs
+++ b/crates/node/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! One node from its start to its end.
+//! Runs one node from startup to shutdown.
 
 use crate::config::platform::Config;
 use crate::lifecycle::reload::Reload;
@@ -17,10 +17,10 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// Why a node ended otherwise than it was told to.
+/// Why a node ended other than by a signal.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// It could not start, or not take over.
+    /// The node could not start, or could not take over from its predecessor.
     #[error("{0}")]
     Failed(String),
     /// A subsystem panicked. The panic was logged when it happened.
@@ -34,8 +34,8 @@
     }
 }
 
-/// Runs one node until SIGTERM or SIGINT. `read` reads the configuration, with the content of a
-/// config version in place of the node's own if one is given.
+/// Runs one node until SIGTERM or SIGINT. `read` reads the configuration; the content of a config
+/// version, if given, replaces the parts of the node's own files that the fleet shares.
 pub fn serve(
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String> + 'static,
@@ -53,11 +53,12 @@
     config: Config,
     read: impl Fn(Option<&[u8]>) -> Result<Config, String>,
 ) -> Result<(), ServeError> {
-    let (config, stored_version) = crate::config::versions::begin(config, &read)?;
+    let (config, stored_version) = crate::config::versions::load_stored_version(config, &read)?;
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
-    // Two processes cannot share a store, and a port that the system picks is used by no other one.
-    let meeting_place = hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
-    let opened = async { Some(OpenedSockets::open(&config, meeting_place.as_deref()).await) };
+    // A node with a store is not hot restarted: two processes cannot share a store.
+    let restart_socket_path =
+        hot_restart::socket_path(config.listen).filter(|_| config.store.is_none());
+    let opened = async { Some(OpenedSockets::open(&config, restart_socket_path.as_deref()).await) };
     let interrupted = async {
         signals.wait_for_shutdown().await;
         None
@@ -77,27 +78,28 @@
     }
     shut_down(&supervisor, &services).await;
     log_counters(&services.state);
-    services.capturing.end(&services.state);
+    services.capture.stop(&services.state);
     match supervisor.status().failed_subsystem() {
         Some(subsystem) => Err(ServeError::Panicked(subsystem)),
         None => Ok(()),
     }
 }
 
-/// Shuts down, unless the core has panicked: what its state would answer cannot be relied on.
+/// Shuts down gracefully, unless the core has panicked: its state is then inconsistent, and answers
+/// from it would be unreliable.
 async fn shut_down(supervisor: &Supervisor, services: &Services) {
     let status = supervisor.status();
     let has_core_panicked = || {
         status.failed_subsystem() == Some(Subsystem::Core)
             || !services.state.borrow().is_core_consistent()
     };
-    let broken = async {
+    let core_failure = async {
         while !has_core_panicked() {
             supervisor.next_failure().await;
         }
         log("ending: the core panicked in an update, nothing is drained");
     };
-    future::or(broken, shutdown::shut_down(services)).await;
+    future::or(core_failure, shutdown::shut_down(services)).await;
 }
 
 /// Something that the event loop reacts to.
@@ -111,7 +113,7 @@
 
 /// Why the event loop ends.
 enum LoopEnd {
-    /// A signal asked for the shutdown.
+    /// A signal requested the shutdown.
     Signal,
     /// A subsystem that the process can't go on without panicked.
     Failed(Subsystem),
@@ -135,13 +137,13 @@
         };
         let failed = future::or(panic, failure);
         let event = future::or(failed, future::or(signal, version)).await?;
-        let (state, capturing) = (&services.state, &mut services.capturing);
+        let (state, capture) = (&services.state, &mut services.capture);
         match event {
-            LoopEvent::ApplyVersion(version) => reload.act(state, capturing, version).await,
+            LoopEvent::ApplyVersion(version) => reload.activate(state, capture, version).await,
             LoopEvent::Signal(Signal::LogCounters) => log_counters(state),
-            LoopEvent::Signal(Signal::Reload) => reload.reload(state, capturing),
+            LoopEvent::Signal(Signal::Reload) => reload.reload(state, capture),
             LoopEvent::Signal(Signal::Shutdown) => return Ok(LoopEnd::Signal),
-            LoopEvent::Panicked(Subsystem::Capture) => capturing.handle_failure(state),
+            LoopEvent::Panicked(Subsystem::Capture) => capture.handle_failure(state),
             LoopEvent::Panicked(subsystem) => return Ok(LoopEnd::Failed(subsystem)),
         }
     }
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -1,5 +1,5 @@
-//! The sockets that a process needs before it serves: passed on by the process that it replaces, or
-//! bound.
+//! The sockets that a process needs before it serves: received from the process that it replaces,
+//! or bound.
 
 use crate::config::platform::Config;
 use crate::log::log;
@@ -22,7 +22,7 @@
 pub struct OpenedSockets {
     /// The process that this one replaces, if there is one.
     pub predecessor: Option<PredecessorConnection>,
-    /// The front ends' listeners; the gateways' is the first one.
+    /// The front ends' listeners, with that of the gateways first.
     pub fronts: Vec<FrontListener>,
     /// The sockets of the membership protocol, if this node is in a fleet.
     pub membership: Option<membership::Sockets>,
@@ -31,18 +31,19 @@
 }
 
 impl OpenedSockets {
-    /// Connects to the process at the meeting place, if there is one, and binds the sockets that it
-    /// does not pass on.
+    /// Connects to the predecessor by the hot restart's socket, if there is one, and binds the
+    /// sockets that the predecessor does not pass on.
     pub async fn open(
         config: &Config,
-        meeting_place: Option<&Path>,
+        restart_socket_path: Option<&Path>,
     ) -> Result<OpenedSockets, String> {
-        let (predecessor, passed) = match claim_client_address(config, meeting_place).await? {
-            ClientAddress::PassedOn(mut predecessor) => {
+        let (predecessor, passed) = match claim_gateway_address(config, restart_socket_path).await?
+        {
+            GatewayAddress::PassedOn(mut predecessor) => {
                 let passed = std::mem::take(&mut predecessor.sockets);
                 (Some(*predecessor), passed)
             }
-            ClientAddress::Bound(listener) => {
+            GatewayAddress::Bound(listener) => {
                 let fronts = vec![(Front::Gateway, config.listen, listener)];
                 let passed = AdoptedSockets {
                     fronts,
@@ -62,36 +63,36 @@
     }
 }
 
-/// How this process comes by the gateways' address.
-enum ClientAddress {
-    /// The process that it replaces passes its sockets on.
+/// How this process obtained the gateways' address.
+enum GatewayAddress {
+    /// The predecessor passes its sockets on.
     PassedOn(Box<PredecessorConnection>),
-    /// It was free.
+    /// The address was free and is bound.
     Bound(Async<TcpListener>),
 }
 
 /// Connects to the predecessor or binds the gateways' address, whichever is possible first.
 ///
-/// Both can be impossible for a while: a process that shuts down keeps its address, and one whose
-/// successor has died opens its meeting place again only once it has noticed.
-async fn claim_client_address(
+/// Both can be impossible for a while: a process that shuts down keeps its address, and a process
+/// whose successor has died opens its hot restart socket again only once it has detected that.
+async fn claim_gateway_address(
     config: &Config,
-    meeting_place: Option<&Path>,
-) -> Result<ClientAddress, String> {
-    // No other process has a port that the system picks.
-    let meeting_place = meeting_place.filter(|_| config.listen.port() != 0);
+    restart_socket_path: Option<&Path>,
+) -> Result<GatewayAddress, String> {
+    // With port 0 the system picks a port that no other process uses, so there is no predecessor.
+    let restart_socket_path = restart_socket_path.filter(|_| config.listen.port() != 0);
     let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     let mut has_logged = false;
     loop {
-        if let Some(place) = meeting_place {
+        if let Some(path) = restart_socket_path {
             let connected =
-                hot_restart::connect_to_predecessor(place, &config.name, config.listen).await;
+                hot_restart::connect_to_predecessor(path, &config.name, config.listen).await;
             if let Some(predecessor) = connected.map_err(|error| error.to_string())? {
-                return Ok(ClientAddress::PassedOn(Box::new(predecessor)));
+                return Ok(GatewayAddress::PassedOn(Box::new(predecessor)));
             }
         }
         match Async::<TcpListener>::bind(config.listen) {
-            Ok(listener) => return Ok(ClientAddress::Bound(listener)),
+            Ok(listener) => return Ok(GatewayAddress::Bound(listener)),
             Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {}
             Err(e) => return Err(format!("cannot listen on {}: {e}", config.listen)),
         }
@@ -110,12 +111,18 @@
     config: &Config,
     mut passed: Vec<FrontListener>,
 ) -> Result<Vec<FrontListener>, String> {
-    let mut wanted = vec![(Front::Gateway, config.listen)];
-    wanted.extend(config.tuning.uwsgi.listen.map(|at| (Front::Uwsgi, at)));
+    let mut configured = vec![(Front::Gateway, config.listen)];
+    configured.extend(
+        config
+            .request_settings
+            .uwsgi
+            .listen
+            .map(|at| (Front::Uwsgi, at)),
+    );
     let mut listeners = Vec::new();
-    for (front, address) in wanted {
-        let is_wanted = |(f, a, _): &FrontListener| (*f, *a) == (front, address);
-        if let Some(position) = passed.iter().position(is_wanted) {
+    for (front, address) in configured {
+        let is_match = |(f, a, _): &FrontListener| (*f, *a) == (front, address);
+        if let Some(position) = passed.iter().position(is_match) {
             let (_, _, listener) = passed.swap_remove(position);
             listeners.push((front, local_address(&listener)?, listener));
             continue;
@@ -127,7 +134,7 @@
     Ok(listeners)
 }
 
-/// The membership sockets, passed on or bound. Passed ones of another address are of no use.
+/// The membership sockets, passed on or bound. Passed sockets of another address are not used.
 async fn open_membership(
     config: &Config,
     passed: Option<membership::Sockets>,
@@ -161,7 +168,7 @@
     address.map_err(|e| format!("listening socket: {e}"))
 }
 
-/// Binds an address, waiting for a process that shuts down to release it.
+/// Binds an address, and waits for a process that shuts down to release it.
 async fn bind_when_free<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
     let timeout = after_ms(ADDRESS_TIMEOUT_MS);
     loop {
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -1,7 +1,7 @@
 //! Starts the subsystems of a node in the order in which they depend on each other.
 
 use crate::config::platform::Config;
-use crate::lifecycle::capture::Capturing;
+use crate::lifecycle::capture::CaptureController;
 use crate::lifecycle::sockets::OpenedSockets;
 use crate::lifecycle::{limits, store};
 use crate::log::log;
@@ -21,8 +21,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Share of the processor's memory that a process may use until it knows what the process that it
-/// replaces needs.
+/// Share of the processor's memory that a successor may use until its predecessor has reported how
+/// much it needs.
 const INITIAL_MEMORY_SHARE: f64 = 0.5;
 
 /// The running subsystems of a node, as its event loop and its shutdown need them.
@@ -31,11 +31,11 @@
     pub state: SharedState,
     /// The front ends.
     pub fronts: Rc<Fronts>,
-    /// The offer to be replaced by another process, if there is a place to meet it.
-    pub offer: Option<Rc<SuccessorListener>>,
+    /// Listener for a successor's connection, if hot restart is possible.
+    pub successor_listener: Option<Rc<SuccessorListener>>,
     /// The capture.
-    pub capturing: Capturing,
-    /// A failure of the hot restart, which ends this process.
+    pub capture: CaptureController,
+    /// Reports a failure of the hot restart, which ends this process.
     pub failure: FailureSignal,
     /// Decided config versions to apply.
     pub versions: Receiver<DecidedVersion>,
@@ -43,14 +43,14 @@
     pub stop_ms: u64,
 }
 
-/// Starts all subsystems. Front ends accept at once, or as soon as the process that this one
-/// replaces has handed over.
+/// Starts all subsystems. Front ends accept connections at once, or as soon as the predecessor has
+/// completed the transfer.
 pub fn start(
     supervisor: Rc<Supervisor>,
     config: Config,
     stored_version: Option<StoredVersion>,
     sockets: OpenedSockets,
-    store: Option<store::Opened>,
+    store: Option<store::OpenedStore>,
 ) -> Result<Services, String> {
     let OpenedSockets {
         predecessor,
@@ -58,7 +58,7 @@
         membership: membership_sockets,
         control: control_listener,
     } = sockets;
-    let mut capturing = Capturing::new(
+    let mut capture = CaptureController::new(
         supervisor.clone(),
         &config.name,
         config.seed,
@@ -68,22 +68,22 @@
     state.borrow_mut().failures = supervisor.status();
     if let Some(store) = store {
         let max_result = state.borrow().core.max_result_bytes();
-        store.begin(&supervisor, &state, max_result)?;
+        store.start(&supervisor, &state, max_result)?;
     }
-    // Before the controller's first step, so that the capture begins with it.
-    capturing.set(&state, config.capture.clone());
+    // Before the core's first event, so that the capture includes it.
+    capture.configure(&state, config.capture.clone());
     start_drivers(&supervisor, &state, &config);
-    let meeting_place = meeting_place(&config, listeners[0].1);
+    let restart_socket_path = restart_socket_path(&config, listeners[0].1);
     log_listeners(&config.name, &listeners);
     let fronts = Fronts::new(supervisor.clone(), state.clone(), listeners);
-    let offer = meeting_place.map(|place| {
+    let successor_listener = restart_socket_path.map(|path| {
         let name = config.name.clone();
         SuccessorListener::new(
             supervisor.clone(),
             state.clone(),
             fronts.clone(),
             name,
-            place,
+            path,
         )
     });
     let (version_sender, versions) = async_channel::unbounded();
@@ -107,7 +107,7 @@
         predecessor,
         &failure,
         &fronts,
-        offer.as_ref(),
+        successor_listener.as_ref(),
         join,
     );
     if let Some((address, listener)) = control_listener {
@@ -120,8 +120,8 @@
     Ok(Services {
         state,
         fronts,
-        offer,
-        capturing,
+        successor_listener,
+        capture,
         failure,
         versions,
         stop_ms,
@@ -133,13 +133,13 @@
     config: &Config,
     predecessor: Option<&PredecessorConnection>,
 ) -> Result<SharedState, String> {
-    let limits = limits::of(config);
+    let limits = limits::for_config(config);
     let salt = match predecessor {
         Some(predecessor) => predecessor.salt,
         None => Salt::random().map_err(|e| format!("random numbers: {e}"))?,
     };
     let mut state = NodeState::new(
-        config.tuning.clone(),
+        config.request_settings.clone(),
         config.seed,
         salt,
         limits.memory_limits(false),
@@ -153,16 +153,16 @@
 
 /// Starts the drivers of the processor, the ledger, the registry and the workers.
 fn start_drivers(supervisor: &Rc<Supervisor>, state: &SharedState, config: &Config) {
-    state.borrow_mut().set_upstreams(config.parties.clone());
+    state.borrow_mut().set_upstreams(config.upstreams.clone());
     supervisor
         .spawn(Subsystem::Core, run_core_timer(state.clone()))
         .detach();
-    if config.parties.processor.is_some() {
+    if config.upstreams.processor.is_some() {
         supervisor
             .spawn(Subsystem::Processor, processor::run(state.clone()))
             .detach();
     } else {
-        // All work goes to workers, and the node is up at once.
+        // All requests go to workers, and the node is ready at once.
         let mut state = state.borrow_mut();
         state.with_core(|core, now| core.start_without_processor(now));
     }
@@ -174,9 +174,9 @@
     supervisor.spawn(Subsystem::Workers, workers).detach();
 }
 
-/// Where another process of this node finds this one; none with a store, which only one process can
-/// use. `address` is the gateways' address, which the system may have picked.
-fn meeting_place(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
+/// The path of the hot restart's socket; none with a store, which only one process can use.
+/// `address` is the gateways' address, whose port the system may have picked.
+fn restart_socket_path(config: &Config, address: SocketAddr) -> Option<std::path::PathBuf> {
     if config.store.is_some() {
         return None;
     }
@@ -192,8 +192,8 @@
     }
 }
 
-/// What it takes to join the fleet. A process joins once it serves: until then the process that it
-/// replaces is the member.
+/// The parameters for joining the fleet. A process joins once it serves: until then its predecessor
+/// is the member.
 struct JoinFleet {
     supervisor: Rc<Supervisor>,
     state: SharedState,
@@ -204,8 +204,8 @@
 }
 
 impl JoinFleet {
-    /// Joins, as the member that the predecessor was if it passed its state on.
-    fn join(self, passed: Option<Vec<u8>>) {
+    /// Joins the fleet; resumes the predecessor's membership if it passed its state on.
+    fn join(self, passed_state: Option<Vec<u8>>) {
         let Some((settings, sockets)) = self.settings else {
             return;
         };
@@ -215,39 +215,39 @@
             node_name: self.name,
             settings,
             sockets,
-            resume_state: passed,
+            resume_state: passed_state,
             stored_version: self.stored_version,
             decided: Some(self.versions),
         });
         match started {
             Ok(driver) => self.state.borrow_mut().membership = Some(driver),
-            // Requests are served without the fleet, too.
-            Err(why) => log(&format!("fleet: off: {why}")),
+            // Requests are served without the fleet as well.
+            Err(error) => log(&format!("fleet: off: {error}")),
         }
     }
 }
 
-/// Begins to accept, at once or when the predecessor has handed over.
+/// Begins to accept connections, at once or when the predecessor has completed the transfer.
 fn begin_serving(
     supervisor: &Rc<Supervisor>,
     state: &SharedState,
     predecessor: Option<PredecessorConnection>,
     failure: &FailureSignal,
     fronts: &Rc<Fronts>,
-    offer: Option<&Rc<SuccessorListener>>,
+    successor_listener: Option<&Rc<SuccessorListener>>,
     join: JoinFleet,
 ) {
-    let (fronts, offer) = (fronts.clone(), offer.cloned());
-    // Serving may begin anew after a predecessor's end; the fleet is joined once.
+    let (fronts, successor_listener) = (fronts.clone(), successor_listener.cloned());
+    // `serve` may be called again after the predecessor's end; the fleet is joined once.
     let join = RefCell::new(Some(join));
-    let serve = move |passed: Option<Vec<u8>>| {
-        // The meeting place first: a predecessor that has handed over cannot be found there.
-        if let Some(offer) = &offer {
-            offer.open();
+    let serve = move |passed_state: Option<Vec<u8>>| {
+        // The hot restart's socket first: the predecessor no longer accepts connections on it.
+        if let Some(successor_listener) = &successor_listener {
+            successor_listener.open();
         }
         fronts.open();
         if let Some(join) = join.take() {
-            join.join(passed);
+            join.join(passed_state);
         }
     };
     let Some(predecessor) = predecessor else {
--- a/crates/node/src/supervision/panic_hook.rs
+++ b/crates/node/src/supervision/panic_hook.rs
@@ -1,6 +1,6 @@
-//! Logs a panic in one line, with the subsystem that it is in.
+//! Logs a panic in one line, with the subsystem in which it occurred.
 //!
-//! No backtrace is written: resolving one takes up the event loop for a second.
+//! No backtrace is logged: resolving its symbols blocks the event loop for a second.
 
 use super::Subsystem;
 use crate::log::log;
@@ -11,15 +11,15 @@
 const MAX_MESSAGE_CHARS: usize = 300;
 
 thread_local! {
-    static PRESENT: Cell<Subsystem> = const { Cell::new(Subsystem::Main) };
+    static CURRENT: Cell<Subsystem> = const { Cell::new(Subsystem::Main) };
 }
 
 /// Sets the subsystem that the event loop works for until the next call.
-pub fn enter(subsystem: Subsystem) {
-    PRESENT.set(subsystem);
+pub fn set_current(subsystem: Subsystem) {
+    CURRENT.set(subsystem);
 }
 
-/// Replaces the standard library's hook.
+/// Replaces the standard library's panic hook.
 pub fn install() {
     set_hook(Box::new(|info| {
         log(&format!(
@@ -31,11 +31,11 @@
     }));
 }
 
-/// The present subsystem of the event loop, or the one that this thread is named after.
+/// The event loop's current subsystem, or on another thread the thread's name.
 fn subsystem_name() -> String {
     let thread = std::thread::current();
     match thread.name() {
-        Some("main") | None => PRESENT.get().to_string(),
+        Some("main") | None => CURRENT.get().to_string(),
         Some(name) => name.to_owned(),
     }
 }
