--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -8,8 +8,8 @@
 /// Why a member entered a state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// A probe of this node failed: neither a ping nor the indirect probes through these members
-    /// were acknowledged.
+    /// A probe sent by this node failed: neither the ping nor the indirect probes through these
+    /// members were acknowledged.
     ProbeFailed(Vec<String>),
     /// The suspicion reported by these members timed out without a refutation.
     SuspicionExpired(Vec<String>),
@@ -98,7 +98,7 @@
         /// Whether it was evicted from a full table rather than expired.
         evicted: bool,
     },
-    /// This node lost (`true`) or regained (`false`) contact to a majority of the known members.
+    /// This node lost (`true`) or regained (`false`) contact with a majority of the known members.
     Partitioned(bool),
 }
 
@@ -148,10 +148,10 @@
                 write!(f, "removed: member={name} reason={reason}")
             }
             Event::Partitioned(true) => {
-                f.write_str("partitioned: no contact to a majority of the known members")
+                f.write_str("partitioned: no contact with a majority of the known members")
             }
             Event::Partitioned(false) => {
-                f.write_str("partition healed: contact to a majority of the known members")
+                f.write_str("partition healed: contact with a majority of the known members")
             }
         }
     }
--- a/crates/membership/src/local_member.rs
+++ b/crates/membership/src/local_member.rs
@@ -266,7 +266,7 @@
             .retain(|contact| named.iter().any(|rival| rival.token == contact.token));
     }
 
-    /// Records contact to a rival whose record is higher than this process's record. Only the
+    /// Records contact with a rival whose record is higher than this process's record. Only the
     /// rival itself raises its incarnation, so such a record proves that the rival is alive.
     fn record_contact_from_update(&mut self, received: &Record, now: Micros) {
         if received.state.is_active()
--- a/crates/membership/src/members.rs
+++ b/crates/membership/src/members.rs
@@ -17,7 +17,7 @@
     pub state_since: Micros,
     /// Name of the member that reported the state.
     pub reported_by: String,
-    /// When the member last acknowledged a probe of this node; `None` if it never did. Unsolicited
+    /// When the member last acknowledged a probe by this node; `None` if it never did. Unsolicited
     /// messages do not count, since any process can use a name.
     pub last_ack: Option<Micros>,
     /// When the load reading arrived.
@@ -193,7 +193,7 @@
     /// Returns the member to evict for a new one when the table is full: a tombstone, or the
     /// member that has been inactive for longest. A member that announces itself
     /// (`is_self_announced`) may also replace the newest active member that never acknowledged a
-    /// probe of this node. Forged names therefore never evict a member that acknowledged one.
+    /// probe by this node. Forged names therefore never evict a member that acknowledged one.
     pub fn eviction_candidate(&self, local_name: &str, is_self_announced: bool) -> Option<String> {
         let others = || {
             self.by_name
--- a/crates/membership/src/membership/application.rs
+++ b/crates/membership/src/membership/application.rs
@@ -29,8 +29,8 @@
     pub content: ApplicationMessage,
 }
 
-/// Outgoing piggyback and received messages. Without a piggyback no layer is attached, and
-/// received messages are dropped.
+/// Outgoing piggyback and received messages. Received messages are dropped until
+/// [`Membership::set_piggyback`] attaches a layer.
 #[derive(Default)]
 pub(super) struct ApplicationChannel {
     piggyback: Option<Vec<u8>>,
@@ -38,7 +38,7 @@
 }
 
 impl ApplicationChannel {
-    /// Returns the data to attach to a datagram; empty without a layer.
+    /// Returns the data to attach to a datagram; empty if no layer is attached.
     pub(super) fn piggyback(&self) -> Vec<u8> {
         self.piggyback.clone().unwrap_or_default()
     }
--- a/crates/membership/src/membership/delay.rs
+++ b/crates/membership/src/membership/delay.rs
@@ -18,7 +18,7 @@
     }
 
     /// Records the wakeup time that was returned to the caller.
-    pub(super) fn expect(&mut self, wakeup: Micros) {
+    pub(super) fn set_expected_run(&mut self, wakeup: Micros) {
         self.expected_at = Some(wakeup.max(self.last_run_at));
     }
 
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -178,7 +178,8 @@
     }
 
     /// Returns whether the view has converged: no member is suspected, and the digests last
-    /// received from other members equal the digest of this view.
+    /// received from other members equal the digest of this view. A node with a seed other than
+    /// itself must also have discovered a member: without any, there is no digest to compare.
     pub fn is_converged(&self) -> bool {
         let others = self.members.active_count().saturating_sub(1);
         let is_only_seed = || {
@@ -193,7 +194,7 @@
             && self.convergence.has_agreement(others)
     }
 
-    /// Returns whether this node has no contact to a majority of the known members.
+    /// Returns whether this node has no contact with a majority of the known members.
     pub fn is_partitioned(&self) -> bool {
         let known = self.members.known_count();
         known > 1 && 2 * self.members.active_count() <= known
@@ -288,7 +289,7 @@
         Some(member.record.details.address)
     }
 
-    /// Emits an event when contact to a majority is lost or regained.
+    /// Emits an event when contact with a majority is lost or regained.
     fn report_partition_change(&mut self) {
         let is_partitioned = self.is_partitioned();
         if std::mem::replace(&mut self.reported_partitioned, is_partitioned) != is_partitioned {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Failure detection: probes of this node, and indirect probes that it relays for others.
+//! Failure detection: probes that this node sends, and indirect probes that it relays for others.
 
 use crate::config::MembershipConfig;
 use crate::event::Cause;
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -14,7 +14,7 @@
     /// the delay detector compares the last returned time with the time of the next run.
     pub fn next_wakeup(&mut self) -> Micros {
         let wakeup = self.earliest_timer();
-        self.delay_detector.expect(wakeup);
+        self.delay_detector.set_expected_run(wakeup);
         wakeup
     }
 
--- a/crates/membership/src/membership/transition.rs
+++ b/crates/membership/src/membership/transition.rs
@@ -15,7 +15,7 @@
     pub(super) reported_by: String,
     /// Why the state changes.
     pub(super) cause: Cause,
-    /// Member whose probe failed, for a new suspicion.
+    /// Member whose probe of the suspect failed, for a new suspicion.
     pub(super) suspected_by: Option<String>,
     /// For how long the member has been in the state, in microseconds.
     pub(super) state_age: Micros,
--- a/crates/membership/src/membership/updates.rs
+++ b/crates/membership/src/membership/updates.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Handles a suspicion, received or from a failed probe of this node.
+    /// Handles a suspicion, received or from a failed probe by this node.
     pub(super) fn handle_suspicion(&mut self, now: Micros, update: &Update, cause: Cause) {
         let Some(member) = self.members.get(&update.name) else {
             return;
--- a/crates/membership/src/message/mod.rs
+++ b/crates/membership/src/message/mod.rs
@@ -23,7 +23,7 @@
     pub name: String,
     /// Its record.
     pub record: Record,
-    /// Member whose probe failed, if the record is that of a suspect.
+    /// Member whose probe of the suspect failed, if the record is that of a suspect.
     pub suspected_by: Option<String>,
     /// Time since the member went down or left, in seconds. A duration needs no common clock.
     pub state_age_seconds: u32,
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -46,7 +46,7 @@
     Failed,
 }
 
-/// A probe of this node.
+/// A probe that this node sends.
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// Name of the probed member.
--- a/crates/membership/tests/compatibility.rs
+++ b/crates/membership/tests/compatibility.rs
@@ -9,6 +9,7 @@
 };
 
 const FLEET: &str = "fleet-one";
+/// The encoded samples, under the names that the earlier build gave them.
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
 fn record(state: State, service_state: ServiceState) -> Record {
