--- a/crates/subsetting/examples/compare.rs
+++ b/crates/subsetting/examples/compare.rs
@@ -36,7 +36,7 @@
         fits_weights: false,
     },
     Algorithm {
-        name: "this one",
+        name: "rendezvous",
         assign: bounded_rendezvous,
         fits_weights: true,
     },
--- a/crates/subsetting/src/apportionment.rs
+++ b/crates/subsetting/src/apportionment.rs
@@ -83,7 +83,8 @@
     units
 }
 
-/// Rounds a share down to whole units, except for a rounding error below the next unit.
+/// Rounds a share down to whole units. A share that is below a whole number only by a rounding error
+/// counts as that number.
 pub fn whole_units(share: f64) -> usize {
     (share + ROUNDING_ERROR) as usize
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -33,7 +33,7 @@
 /// A reading of a monotonic clock, or a duration, in microseconds.
 pub type Micros = i64;
 
-/// The fixed key of the hash: "pipitlev" and "ersshar1" in ASCII.
+/// The fixed key of the hash: "pipitlev" and "ershare1" in ASCII.
 const HASH_KEY: [u64; 2] = [0x7069_7069_746c_6576, 0x6572_7368_6172_6531];
 /// Terminates each name in the hashed bytes. It does not occur in UTF-8.
 const NAME_END: u8 = 0xff;
--- a/crates/subsetting/src/load.rs
+++ b/crates/subsetting/src/load.rs
@@ -1,6 +1,7 @@
 //! Measures a node's load, and limits how often it is reported.
 //!
-//! A load is the demand in runs per second, on a logarithmic scale of half doublings.
+//! A load is the demand in runs per second, on a logarithmic scale of half doublings. A run is the
+//! execution of a request on a worker.
 
 use crate::Micros;
 
--- a/crates/subsetting/src/node/mod.rs
+++ b/crates/subsetting/src/node/mod.rs
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Reports loads that have changed if the report limits allow it. Returns whether it did.
+    /// Reports loads that have changed if the report limits allow it. Returns whether the report
+    /// has changed.
     fn report_loads(&mut self, now: Micros) -> bool {
         // At most one report within the propagation time: other nodes could miss the earlier one.
         let earliest = self
--- a/crates/subsetting/src/share_lease.rs
+++ b/crates/subsetting/src/share_lease.rs
@@ -93,8 +93,8 @@
         self.conservative_share(node, limit)
     }
 
-    /// Returns the share by the lowest own load, 0 while the node was not in the view, and by the
-    /// highest load of each other node, including those that have left.
+    /// Returns the share that follows from the lowest load of this node, 0 while it was not in the
+    /// view, and the highest load of each other node, including those that have left.
     fn conservative_share(&self, node: &str, limit: usize) -> usize {
         let mut loads: BTreeMap<&str, f64> = BTreeMap::new();
         for known in &self.entries {
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -56,7 +56,7 @@
         let peers = peers(&node_names, &[""], subset_size);
         let workers = workers(&worker_names, &[""], equal_weights);
         let before = assign_subsets(&peers[..nodes], &workers[..count]);
-        // The pairs of a joining node have to come from others, no more.
+        // Only the pairs that the joining node takes over from others have to move.
         let node_joined = assign_subsets(&peers, &workers[..count]);
         let moved = moved_pairs(&before, &node_joined);
         assert!(
