--- a/crates/config-versions/src/lib.rs
+++ b/crates/config-versions/src/lib.rs
@@ -1,4 +1,5 @@
-//! Versions of a fleet's settings, agreed on by a quorum and protected by leases.
+//! Versions of a fleet's settings, agreed on by a quorum and protected by leases. A node acts on a
+//! version while it serves requests under the settings of that version.
 //!
 //! - [`version`]: the metadata of one version, and the rules for sets of acceptors.
 //! - [`proposer`] and [`acceptor`]: a single-decree Paxos register per version number (Lamport,
--- a/crates/config-versions/src/minimum_version.rs
+++ b/crates/config-versions/src/minimum_version.rs
@@ -5,7 +5,7 @@
 //! A new process therefore queries the acceptors for the highest version that each has accepted or
 //! knows to be decided, and acts on no version until a quorum has answered.
 //!
-//! That is sufficient: a version is acted on only after it is decided, so a quorum has accepted it
+//! The answers of a quorum are sufficient: a version is acted on only after it is decided, so a quorum has accepted it
 //! durably, and any quorum that answers contains one of these acceptors. Responses echo a random
 //! nonce, which excludes responses to an earlier process, and an acceptor whose disk is not
 //! verified does not answer.
@@ -64,7 +64,8 @@
         self.number
     }
 
-    /// Returns whether no process under this node's name has acted on a higher version.
+    /// Returns whether the minimum is known: no process under this node's name has acted on a higher
+    /// version.
     pub fn is_known(&self) -> bool {
         self.is_known
     }
--- a/crates/config-versions/src/node/activation.rs
+++ b/crates/config-versions/src/node/activation.rs
@@ -29,7 +29,8 @@
 pub enum Permission {
     /// The node may act on the active version.
     Granted {
-        /// When the permission ends unless it is renewed.
+        /// When the permission ends unless it is renewed; the time of the check if the node serves
+        /// without a lease.
         until: Micros,
     },
     /// The active version is retired.
--- a/crates/config-versions/src/node/error.rs
+++ b/crates/config-versions/src/node/error.rs
@@ -19,7 +19,10 @@
     #[error("this acceptor has not written its incarnation or verified its disk yet")]
     NotReady,
     /// The proposal does not build on the newest version, which is this one.
-    #[error("the newest version is {}, proposed by {}: {}", .0.number, .0.proposer, .0.reason)]
+    #[error(
+        "the proposal does not build on the newest version, {}, proposed by {}: {}",
+        .0.number, .0.proposer, .0.reason
+    )]
     StaleBase(Box<Version>),
     /// Another proposal is in progress here.
     #[error("another proposal is in progress at this node")]
@@ -57,7 +60,7 @@
         acceptors: Vec<String>,
     },
     /// A retirement with a higher minimum was started here.
-    #[error("all versions below {minimum_version} are being retired")]
+    #[error("a retirement with a higher minimum version, {minimum_version}, was started before")]
     HigherMinimum {
         /// The minimum of that retirement.
         minimum_version: u64,
--- a/crates/config-versions/tests/common/mod.rs
+++ b/crates/config-versions/tests/common/mod.rs
@@ -16,7 +16,7 @@
 pub const STEP: i64 = 20 * MILLISECOND;
 /// The mean interval between gossip exchanges of a node.
 const GOSSIP_INTERVAL: i64 = 500 * MILLISECOND;
-/// The number of acceptors: the first nodes.
+/// The number of acceptors, which are the first nodes.
 const ACCEPTORS: usize = 3;
 
 /// One simulated machine.
--- a/crates/config-versions/tests/compatibility.rs
+++ b/crates/config-versions/tests/compatibility.rs
@@ -12,6 +12,7 @@
 use pipitlever_config_versions::version::{Digest, Version};
 use std::collections::BTreeMap;
 
+/// The encoded samples, under the names that the earlier build gave them.
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
 
 fn version(number: u64) -> Version {
--- a/crates/config-versions/tests/consensus_system/mod.rs
+++ b/crates/config-versions/tests/consensus_system/mod.rs
@@ -14,12 +14,12 @@
 /// The node that proposes once faults have stopped.
 pub const RECOVERY_PROPOSER: &str = "c";
 
-/// Returns the first names.
+/// Returns the first `count` names.
 pub fn acceptors(count: usize) -> Vec<String> {
     NAMES[..count].iter().map(ToString::to_string).collect()
 }
 
-/// Returns a version of a proposer that builds on another.
+/// Returns a version that the proposer proposes on top of `base`.
 pub fn version(base: &Version, proposer: &str, acceptors: Vec<String>) -> Version {
     let number = base.number + 1;
     let acceptors_since = if acceptors == base.acceptors {
--- a/crates/config-versions/tests/lease_model.rs
+++ b/crates/config-versions/tests/lease_model.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-const NEVER_AFTER: &str = "no node acts after the retirement";
+const NO_ACTION_AFTER_RETIREMENT: &str = "no node acts after the retirement";
 const TIME_LIMIT: Duration = Duration::from_secs(60);
 const LEASE: i64 = 2;
 const END: i64 = 6;
@@ -221,7 +221,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_AFTER, |_, system: &System| {
+            Property::always(NO_ACTION_AFTER_RETIREMENT, |_, system: &System| {
                 !(system.may_act() && system.is_complete())
             }),
             Property::sometimes("a node acts during the retirement", |_, system: &System| {
@@ -248,7 +248,7 @@
         .timeout(TIME_LIMIT)
         .spawn_bfs()
         .join();
-    let is_violated = checker.discovery(NEVER_AFTER).is_some();
+    let is_violated = checker.discovery(NO_ACTION_AFTER_RETIREMENT).is_some();
     assert!(
         is_violated || start.elapsed() < TIME_LIMIT,
         "not all states were reached in time"
--- a/crates/config-versions/tests/minimum_version_model.rs
+++ b/crates/config-versions/tests/minimum_version_model.rs
@@ -15,7 +15,7 @@
 /// How often the disk is copied, restored or lost.
 const MAX_DISK_FAULTS: u8 = 2;
 const TIME_LIMIT: Duration = Duration::from_secs(120);
-const NEVER_BELOW: &str = "no process acts below the minimum version";
+const NO_ACTION_BELOW_MINIMUM: &str = "no process acts below the minimum version";
 
 fn acceptors() -> Vec<String> {
     ACCEPTORS.iter().map(ToString::to_string).collect()
@@ -79,7 +79,7 @@
 enum Fault {
     #[default]
     None,
-    /// A process trusts its disk.
+    /// A process acts on the version on its disk before a quorum has answered.
     TrustsDisk,
     /// One acceptor is a quorum.
     SingleAcceptor,
@@ -264,9 +264,10 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(NEVER_BELOW, |_, system: &System| {
-            !system.has_violation
-        })]
+        vec![Property::always(
+            NO_ACTION_BELOW_MINIMUM,
+            |_, system: &System| !system.has_violation,
+        )]
     }
 }
 
@@ -279,7 +280,7 @@
         .timeout(TIME_LIMIT)
         .spawn_bfs()
         .join();
-    let is_violated = checker.discovery(NEVER_BELOW).is_some();
+    let is_violated = checker.discovery(NO_ACTION_BELOW_MINIMUM).is_some();
     assert!(
         is_violated || start.elapsed() < TIME_LIMIT,
         "not all states were reached in time"
@@ -306,6 +307,6 @@
     ] {
         assert!(has_violation(fault));
     }
-    // The acceptors alone are sufficient: the disk only saves time.
+    // The answers of the acceptors alone are sufficient for the property.
     assert!(!has_violation(Fault::Unwritten));
 }
--- a/crates/config-versions/tests/persistence.rs
+++ b/crates/config-versions/tests/persistence.rs
@@ -34,7 +34,8 @@
 }
 
 impl Network {
-    /// Starts acceptors with empty disks: those present, of a set.
+    /// Starts the acceptors named in `present` with empty disks. `acceptors` names the whole set;
+    /// each character is a name.
     fn new(acceptors: &str, present: &str) -> Network {
         let mut network = Network::default();
         for name in present.chars() {
@@ -286,7 +287,7 @@
 }
 
 #[test]
-fn a_new_quorum_has_retired_what_an_old_quorum_has() {
+fn a_quorum_of_changed_acceptors_has_retired_what_the_previous_quorum_retired() {
     let mut network = Network::new("abc", "abcd");
     let base = Version::genesis(&names("abc"));
     let first = next(&base, "abc");
