--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -5,6 +5,9 @@
 //! that it can be replayed without the segments before it. `docs/capture.md` describes the format
 //! and the alternatives that were measured.
 //!
+//! The segments of one recorder form a run of the capture. A node begins a new run whenever it
+//! starts to capture. The run of a request is its execution by the processor.
+//!
 //! | module | contents | I/O |
 //! | --- | --- | --- |
 //! | [`frame`] | frames with checksums, and the file's magic number | none |
--- a/crates/capture/src/record.rs
+++ b/crates/capture/src/record.rs
@@ -1,7 +1,7 @@
 //! Records of a capture and their encoding.
 //!
-//! Records are encoded in postcard, without field names, so that recording needs little processor
-//! time and disk space. Segment headers are encoded in MessagePack with field names, so that a
+//! Records are encoded in postcard, without field names, so that recording needs little CPU time
+//! and disk space. Segment headers are encoded in MessagePack with field names, so that a
 //! build with additional fields can read them. The `serde(rename)` attributes retain the names that
 //! earlier builds wrote.
 
--- a/crates/capture/src/recorder.rs
+++ b/crates/capture/src/recorder.rs
@@ -45,9 +45,9 @@
 /// The state that recorder and receiver share, in addition to the queue.
 #[derive(Debug)]
 struct Shared {
-    /// The number of the checkpoint that the writer requests; the first one is 1. With a flag, the
-    /// recorder would queue two checkpoints if it queued one after the writer had decided to
-    /// request it, and before the request.
+    /// The number of the checkpoint that the writer requests; the first one is 1. A number and not
+    /// a flag: the recorder may queue a checkpoint after the writer has decided to request one and
+    /// before the writer stores the request. A flag would then cause a second checkpoint.
     requested_checkpoint: AtomicU64,
     /// The checkpoint of the `CHECKPOINT_TAG` in the queue.
     checkpoints: ArrayQueue<Box<Checkpoint>>,
--- a/crates/capture/src/writer.rs
+++ b/crates/capture/src/writer.rs
@@ -91,7 +91,8 @@
     lost: LostRecords,
     retry: RetryTimer,
     last_file_check: Micros,
-    /// Whether the last event reported was `Writing`; `None` before the first one.
+    /// True if [`WriterEvent::Writing`] was reported last, false if [`WriterEvent::Stopped`] was,
+    /// and `None` before either.
     reported_writing: Option<bool>,
     events: Vec<WriterEvent>,
 }
--- a/crates/capture/tests/replay.rs
+++ b/crates/capture/tests/replay.rs
@@ -305,7 +305,7 @@
     }
 }
 
-/// Corrects the checksums, so that the content is read.
+/// Corrects the payload checksums, so that changed payloads are decoded.
 fn fix_checksums(bytes: &mut [u8]) {
     let mut at = 16;
     while at + 16 <= bytes.len() {
@@ -334,7 +334,8 @@
 
 #[test]
 fn invalid_content_is_an_error_and_never_a_panic() {
-    // The inputs of the fuzz target, from a fixed seed.
+    // The same entry points as in the fuzz target, with inputs from a fixed seed: segments with
+    // changed bytes and valid checksums, then arbitrary bytes as a record.
     let bytes = run_of_600_steps(UNLIMITED).finish().remove(0);
     let mut random = 0x9e37_79b9_7f4a_7c15_u64;
     let mut next = move || {
--- a/crates/hot-restart/src/predecessor.rs
+++ b/crates/hot-restart/src/predecessor.rs
@@ -9,8 +9,8 @@
     Standalone,
     /// A successor has the sockets and prepares its own connections.
     Connect,
-    /// The successor has requested the keys, and all keys are sent. This process starts no run of
-    /// an unknown key.
+    /// The successor has requested the keys, and all keys are being sent. This process starts no
+    /// run of an unknown key.
     Freeze,
     /// The successor serves and has the authority over keys. Changes of keys that are in progress
     /// in this process are sent to the successor.
--- a/crates/idempotency-store/src/commit_queue/mod.rs
+++ b/crates/idempotency-store/src/commit_queue/mod.rs
@@ -67,7 +67,7 @@
     /// Until this time damage may hide keys.
     damaged_until: Option<Micros>,
     /// When expired open intents were last removed.
-    expired_at: Micros,
+    last_expiry_at: Micros,
     /// Rejection reason that was last reported by [`CommitQueue::status_change`].
     reported: Option<RejectionReason>,
 }
@@ -95,7 +95,7 @@
             space: Space::new(config, used_bytes),
             writer: WriterStatus::default(),
             damaged_until,
-            expired_at: Micros::MIN / 2,
+            last_expiry_at: Micros::MIN / 2,
             reported: None,
         }
     }
@@ -150,7 +150,8 @@
         self.queue.push_back(record);
     }
 
-    /// Whether the reference has an intent without an outcome. No other attempt may use it.
+    /// Whether the reference has an intent without an outcome, so that no other attempt may use the
+    /// reference.
     pub fn has_open_intent(&self, reference: u64) -> bool {
         self.open_intents.contains_key(&reference)
     }
@@ -309,8 +310,8 @@
     /// Abandons all intents that are not durable once the batch in flight has taken
     /// [`SYNC_TIMEOUT`], and removes open intents that have expired by the time `since_boot`.
     pub fn tick(&mut self, now: Micros, since_boot: Micros, events: &mut Vec<CommitEvent>) {
-        if now >= self.expired_at + EXPIRY_INTERVAL {
-            self.expired_at = now;
+        if now >= self.last_expiry_at + EXPIRY_INTERVAL {
+            self.last_expiry_at = now;
             self.remove_expired_intents(since_boot);
         }
         let Some(batch) = &self.in_flight else {
--- a/crates/idempotency-store/src/log/segment.rs
+++ b/crates/idempotency-store/src/log/segment.rs
@@ -87,7 +87,7 @@
                 let header = header.map_err(|error| invalid(error.to_string()))?;
                 if header.number != self.number {
                     return Err(invalid(format!(
-                        "the header is of segment {}",
+                        "the header has segment number {}, unlike the file name",
                         header.number
                     )));
                 }
--- a/crates/idempotency-store/src/record.rs
+++ b/crates/idempotency-store/src/record.rs
@@ -12,7 +12,7 @@
 pub const FORMAT: Format = Format {
     magic: *b"PLSTORE\0",
     version: 1,
-    description: "store of keyed requests",
+    description: "segment of an idempotency store",
 };
 /// Upper bound of an idempotency key, in bytes. The protocol fronts reject longer keys.
 pub const MAX_KEY_BYTES: usize = 256;
--- a/crates/reactor/src/reactor.rs
+++ b/crates/reactor/src/reactor.rs
@@ -119,7 +119,7 @@
 
 thread_local! {
     pub(crate) static REACTOR: Reactor =
-        Reactor::new().expect("creates an epoll instance, a timerfd and an eventfd");
+        Reactor::new().expect("the reactor needs an epoll instance, a timerfd and an eventfd");
 }
 
 impl Reactor {
@@ -147,8 +147,8 @@
         })
     }
 
-    /// Registers a descriptor for both directions and returns its key. It counts as writable from
-    /// the start if `is_writable`.
+    /// Registers a descriptor for both directions and returns its key. With `is_writable` the
+    /// descriptor counts as writable from the start.
     pub(crate) fn register(&self, descriptor: impl AsFd, is_writable: bool) -> io::Result<usize> {
         let mut source = Source::default();
         source.write.is_ready = is_writable;
--- a/crates/reactor/src/socket.rs
+++ b/crates/reactor/src/socket.rs
@@ -28,8 +28,8 @@
 }
 
 impl<T: AsFd> Async<T> {
-    /// Registers a non-blocking socket. With `is_writable` it counts as writable until a write
-    /// would block.
+    /// Registers a non-blocking socket. With `is_writable` the socket counts as writable until a
+    /// write would block.
     fn register(io: T, is_writable: bool) -> io::Result<Async<T>> {
         let key = REACTOR.with(|reactor| reactor.register(&io, is_writable))?;
         Ok(Async {
--- a/crates/session-affinity/examples/cost.rs
+++ b/crates/session-affinity/examples/cost.rs
@@ -9,7 +9,7 @@
 
 const WORKERS: usize = 12;
 const RESOLUTIONS: u64 = 1_000_000;
-/// Stride through the sessions that defeats the processor's caches.
+/// Stride through the sessions that defeats the CPU's caches.
 const STRIDE: u64 = 7_919;
 
 /// Durations of the operations, for one number of sessions and nodes.
--- a/crates/session-affinity/src/directory/inbound.rs
+++ b/crates/session-affinity/src/directory/inbound.rs
@@ -125,7 +125,7 @@
                     self.announce(now, session, placement);
                 }
             }
-            // The sender is a replica that lacks the entry.
+            // The sender lacks the entry; a replica stores it, and other nodes ignore the update.
             None => self.send_entry(now, sender, requested_entry(session, known.placement)),
         }
     }
--- a/crates/session-affinity/src/directory/pools.rs
+++ b/crates/session-affinity/src/directory/pools.rs
@@ -1,5 +1,6 @@
 //! State of a pool with session affinity: its workers, and the times since which workers have been
-//! draining, ejected, or awaited with a later version.
+//! draining, ejected, or awaited. An awaited worker is one of a later configuration version, which
+//! this node has not received.
 
 use crate::worker_selection::Worker;
 use crate::{mix, Micros, WorkerId};
--- a/crates/session-affinity/src/directory/resolution.rs
+++ b/crates/session-affinity/src/directory/resolution.rs
@@ -164,8 +164,9 @@
     }
 
     /// Resolves a session by the local table alone, without messages or new placements: for a
-    /// process that handed over to its successor at a hot restart. Sessions without an
-    /// entry are unavailable; the client's next attempt reaches the successor.
+    /// process that its successor has replaced at a hot restart. Sessions without an entry are
+    /// unavailable, and the client's next attempt reaches the successor. Idempotency keys without
+    /// an entry resolve to the worker that is given with the key.
     pub fn resolve_locally(&self, now: Micros, pool: usize, key: SessionKey) -> Resolution {
         let Some(state) = self.pools.get(pool) else {
             return Resolution::Unavailable;
--- a/crates/session-affinity/src/table.rs
+++ b/crates/session-affinity/src/table.rs
@@ -83,6 +83,7 @@
     fn finish(&self) -> u64 {
         self.0
     }
+    /// Does nothing: a [`TableKey`] is hashed by `write_u32` alone, once for each half.
     fn write(&mut self, _: &[u8]) {}
     fn write_u32(&mut self, half: u32) {
         self.0 = self.0.rotate_left(32) ^ u64::from(half);
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Merges an entry of another node.
+    /// Merges an entry, which this or another node has created.
     pub fn merge(&mut self, now: Micros, received: DirectoryEntry) -> MergeOutcome {
         let DirectoryEntry {
             session,
--- a/crates/session-affinity/src/timestamp.rs
+++ b/crates/session-affinity/src/timestamp.rs
@@ -27,7 +27,7 @@
 }
 
 impl HybridClock {
-    /// Creates a clock that starts at `seconds`, usually the machine's date.
+    /// Creates a clock that starts at `seconds`, usually the machine's Unix time.
     pub fn new(seconds: u32, now: Micros) -> HybridClock {
         HybridClock {
             base_seconds: seconds.min(MAX_ACCEPTED_SECONDS),
--- a/crates/session-affinity/tests/compatibility.rs
+++ b/crates/session-affinity/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! Messages and choices of session affinity, compared with fixtures written by the build of commit
-//! 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test
+//! Messages, worker selections and replicas of session affinity, compared with fixtures written by
+//! the build of commit 5f02f56 (`PIPITLEVER_WRITE_FIXTURES=1 cargo test -p pipitlever-session-affinity --test
 //! compatibility`): nodes of both builds have to place each session alike.
 
 use pipitlever_session_affinity::message::{DirectoryEntry, Message};
