--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -24,7 +24,7 @@
         let routes = uwsgi
             .routes
             .iter()
-            .filter(|r| r.backend == Backend::Workers && uwsgi.pool(r) == i);
+            .filter(|r| r.backend == Backend::Workers && uwsgi.pool_index(r) == i);
         let routes: Vec<&str> = routes.map(|r| r.path.as_str()).collect();
         lines.push(format!(
             "pool {name}: fallback={fallback} routes={}",
--- a/crates/node/src/net/event_loop/classes.rs
+++ b/crates/node/src/net/event_loop/classes.rs
@@ -112,7 +112,7 @@
         is_keyed: class.idempotency == Idempotency::Keyed,
         worker_route: route.map(|route| WorkerRoute {
             path: route.path.clone(),
-            pool: uwsgi.pool(route),
+            pool: uwsgi.pool_index(route),
             is_sticky: route.sticky,
         }),
         default_priority: (lower + 0.5) / all.len() as f64,
--- a/crates/node/src/net/event_loop/front_connections.rs
+++ b/crates/node/src/net/event_loop/front_connections.rs
@@ -7,8 +7,8 @@
 use pipitlever_wire::jsonrpc;
 
 impl NodeState {
-    /// Registers an accepted connection, until [`NodeState::disconnected`].
-    pub fn connected(&mut self, front: Front) -> ConnectionHandle {
+    /// Registers an accepted connection, until [`NodeState::remove_connection`].
+    pub fn add_connection(&mut self, front: Front) -> ConnectionHandle {
         self.core.counters.connections_accepted += 1;
         let handle = self.connections.add(self.clock.now(), front);
         if (self.shutdown.is_closing() || !self.is_accepting) && front == Front::Gateway {
@@ -18,7 +18,7 @@
     }
 
     /// Removes a connection that ended and abandons its open requests.
-    pub fn disconnected(&mut self, id: u64) {
+    pub fn remove_connection(&mut self, id: u64) {
         for reference in self.connections.remove(id) {
             self.with_core(|core, now| core.handle_abandoned(now, reference));
         }
--- a/crates/node/src/net/event_loop/processor_notices.rs
+++ b/crates/node/src/net/event_loop/processor_notices.rs
@@ -12,7 +12,7 @@
 
 impl NodeState {
     /// Counts a new connection to the processor.
-    pub fn processor_connected(&mut self) {
+    pub fn count_processor_connection(&mut self) {
         self.core.counters.processor_connections += 1;
     }
 
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -43,7 +43,7 @@
         future::or(stop.wait(), self.accept_all()).await;
         // Otherwise another process of the node accepts on this socket, the backlog included.
         if self.state.borrow().is_draining() {
-            self.accept_queued();
+            self.accept_backlog();
         }
     }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    fn accept_queued(&self) {
+    fn accept_backlog(&self) {
         loop {
             match self.listener.get_ref().accept() {
                 Ok((stream, _)) => self.spawn_connection(stream),
@@ -95,7 +95,7 @@
         };
         // Responses are small and need low latency. Without the option the connection still works.
         let _ = stream.get_ref().set_nodelay(true);
-        let handle = self.state.borrow_mut().connected(self.front);
+        let handle = self.state.borrow_mut().add_connection(self.front);
         let driver = drive(self.state.clone(), self.front, stream, handle);
         self.supervisor.spawn(Subsystem::Front, driver).detach();
     }
@@ -143,7 +143,7 @@
         let lingering = state.borrow_mut().connections.begin_linger(id)?;
         Some((lingering, linger_ms))
     });
-    state.borrow_mut().disconnected(id);
+    state.borrow_mut().remove_connection(id);
     if let Some((lingering, linger_ms)) = lingering {
         graceful_close::linger(&stream, linger_ms).await;
         drop(stream);
--- a/crates/node/src/net/hot_restart/predecessor_connection.rs
+++ b/crates/node/src/net/hot_restart/predecessor_connection.rs
@@ -83,7 +83,9 @@
         let receiving = receive_welcome(&stream);
         match timeout_at(after_ms(MESSAGE_TIMEOUT_MS), receiving).await {
             Some(Ok(Some(received))) => {
-                return received.connect(stream, peer, node_name, listen).map(Some);
+                return received
+                    .into_connection(stream, peer, node_name, listen)
+                    .map(Some);
             }
             // The process is shutting down, has exited, or has another successor.
             Some(Ok(None)) if Instant::now() < deadline => {
@@ -105,7 +107,7 @@
 }
 
 impl ReceivedWelcome {
-    fn connect(
+    fn into_connection(
         self,
         stream: Async<UnixStream>,
         peer: PeerProcess,
--- a/crates/node/src/net/processor.rs
+++ b/crates/node/src/net/processor.rs
@@ -70,7 +70,7 @@
 async fn drive(state: &SharedState, reader: &mut NoticeReader, stream: Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
     let address_changed = state.borrow().processor.address_changed.clone();
-    state.borrow_mut().processor_connected();
+    state.borrow_mut().count_processor_connection();
     let hello = reader.hello();
     let exchange = future::or(read(state, reader, &stream), write(state, hello, &stream));
     let close_timeout = async {
--- a/crates/node/src/net/subsetting.rs
+++ b/crates/node/src/net/subsetting.rs
@@ -162,9 +162,9 @@
                 pool.set_probe_deferred(&divided.workers[worker].address, is_deferred);
             }
         }
-        for position in node.take_recovered() {
-            let divided = &pools[position.pool];
-            let address = &divided.workers[position.worker].address;
+        for recovered in node.take_recovered() {
+            let divided = &pools[recovered.pool];
+            let address = &divided.workers[recovered.worker].address;
             state
                 .pools
                 .pool(divided.index)
--- a/crates/node/src/net/worker_pools/routes.rs
+++ b/crates/node/src/net/worker_pools/routes.rs
@@ -153,7 +153,7 @@
     }
 
     /// The index of a route's pool.
-    pub fn pool(&self, route: &Route) -> usize {
+    pub fn pool_index(&self, route: &Route) -> usize {
         let name = route.pool.as_deref().unwrap_or_default();
         self.pools()
             .iter()
