--- a/crates/node/src/net/config_versions/mod.rs
+++ b/crates/node/src/net/config_versions/mod.rs
@@ -58,7 +58,7 @@
     writes: Sender<DiskWrite>,
     folder: PathBuf,
     is_acceptor: bool,
-    /// Receives versions to activate.
+    /// Channel on which decided versions are sent to be activated.
     decided: Option<Sender<DecidedVersion>>,
     /// The newest version that was sent through `decided`.
     last_decided: Cell<u64>,
@@ -83,7 +83,7 @@
     pub settings: &'a Settings,
     /// The active version on the disk.
     pub stored: Option<StoredVersion>,
-    /// Receives versions to activate.
+    /// Channel on which decided versions are sent to be activated.
     pub decided: Option<Sender<DecidedVersion>>,
     /// Seed of randomized timeouts.
     pub seed: u64,
--- a/crates/node/src/net/connections/connection.rs
+++ b/crates/node/src/net/connections/connection.rs
@@ -24,8 +24,8 @@
 /// about to use it again.
 const RECENT_USE: Micros = 100_000;
 /// An unidentified connection is not evicted for this time after its last activity, in
-/// microseconds: its first request may be in transit. Longer than [`RECENT_USE`], so that
-/// identified connections can be evicted before it.
+/// microseconds: its first request may be in transit. Longer than [`RECENT_USE`], so that an
+/// identified connection can be evicted while unidentified ones are still protected.
 const RECENT_ARRIVAL: Micros = 250_000;
 
 /// A request that has no answer yet.
--- a/crates/node/src/net/connections/mod.rs
+++ b/crates/node/src/net/connections/mod.rs
@@ -56,7 +56,7 @@
     PartialMessage,
 }
 
-/// A connection as its driver needs it.
+/// Handle to a connection in the table, for the connection's driver.
 #[derive(Debug)]
 pub struct ConnectionHandle {
     /// The connection's number.
@@ -320,8 +320,8 @@
         let Some(connection) = next.filter(|c| !(c.is_identified && is_flooded)) else {
             return false;
         };
-        // Marked here and not by its driver, which may run only after the next connection is
-        // accepted: another connection is then evicted for that one.
+        // Marked here and not by the connection's driver: the driver may run only after the next
+        // connection is accepted, for which another connection has to be evicted.
         connection.is_evicted = true;
         connection.close_requested.notify();
         true
--- a/crates/node/src/net/control_connections.rs
+++ b/crates/node/src/net/control_connections.rs
@@ -19,7 +19,7 @@
     evicted: Notify,
 }
 
-/// A connection as its driver needs it.
+/// Handle to a connection in the table, for the connection's driver.
 #[derive(Debug)]
 pub struct ControlHandle {
     /// The connection's number.
--- a/crates/node/src/net/event_loop/connection_limits.rs
+++ b/crates/node/src/net/event_loop/connection_limits.rs
@@ -10,7 +10,7 @@
 /// needed because closing an idle connection takes time.
 const SPARE_DIVISOR: usize = 8;
 
-/// Resources that the node's processes may use together.
+/// Limits on the node's resources. During a hot restart its two processes divide them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessLimits {
     /// Limit on memory, in bytes.
@@ -84,7 +84,7 @@
         connections > self.max_connections
     }
 
-    /// How many of this number of connections have to close to free the spare ones.
+    /// How many connections have to close for the spare ones to be free, if this number is open.
     pub fn excess(&self, connections: usize) -> usize {
         let spare = MAX_SPARE_CONNECTIONS.min(self.max_connections / SPARE_DIVISOR);
         (connections + spare).saturating_sub(self.max_connections)
--- a/crates/node/src/net/event_loop/effects.rs
+++ b/crates/node/src/net/event_loop/effects.rs
@@ -71,8 +71,8 @@
             self.ledger.enqueue(call);
             return;
         }
-        // Not `Unreachable`: it means that the call never ran, and the admission controller would
-        // retry without end.
+        // Not `Outcome::Unreachable`, which means that the call never ran: the admission controller
+        // would retry without end.
         self.core.handle_call_finished(
             self.clock.now(),
             call.reference,
--- a/crates/node/src/net/event_loop/gateway_requests.rs
+++ b/crates/node/src/net/event_loop/gateway_requests.rs
@@ -94,7 +94,8 @@
             return Err(ErrorCode::InvalidParams);
         }
         let sent_at = self.clock.unix_to_clock(micros(work.arrived_at_ms));
-        // If the client's clock is ahead, the window of its key must not become longer.
+        // If the client's clock is ahead, `sent_at` is in the future and would extend the window of
+        // the idempotency key.
         let arrived_at = sent_at.min(self.clock.now());
         let key = work.idempotency_key.clone().filter(|_| is_keyed);
         let payload_digest = self.payload_digest(class, &work.body);
--- a/crates/node/src/net/event_loop/shutdown.rs
+++ b/crates/node/src/net/event_loop/shutdown.rs
@@ -65,8 +65,7 @@
     }
 
     /// Begins to retire this process after its successor has replaced it. Gateways have been sent
-    /// `goaway` already. `remaining` is the time until the process ends, in
-    /// microseconds.
+    /// `goaway` already. `remaining` is the time until the process ends, in microseconds.
     pub fn begin_retirement(&mut self, remaining: Micros) {
         self.shutdown.phase = ShutdownPhase::Draining;
         self.shutdown.is_replaced = true;
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -41,7 +41,8 @@
     /// connections in the listen backlog, as each may carry a request.
     async fn run(self, stop: Notify) {
         future::or(stop.wait(), self.accept_all()).await;
-        // Otherwise another process of the node accepts on this socket, the backlog included.
+        // A process that is not shutting down was stopped because another process of the node
+        // accepts on this socket. That process also accepts the connections in the backlog.
         if self.state.borrow().is_draining() {
             self.accept_backlog();
         }
@@ -71,6 +72,7 @@
         }
     }
 
+    /// Accepts the connections that wait in the listen backlog.
     fn accept_backlog(&self) {
         loop {
             match self.listener.get_ref().accept() {
@@ -86,9 +88,9 @@
         }
     }
 
-    /// Registers a connection and spawns its driver. Registered only by its driver, a connection
-    /// would not count towards the limit yet, and a burst would be accepted whole before the first
-    /// driver runs.
+    /// Registers a connection and spawns its driver. If the driver registered the connection, a
+    /// whole burst would be accepted before the first driver runs, as none of its connections would
+    /// count towards the limit yet.
     fn spawn_connection(&self, stream: TcpStream) {
         let Ok(stream) = Async::<TcpStream>::new(stream) else {
             return;
--- a/crates/node/src/net/graceful_close.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -72,7 +72,8 @@
             PendingWork::OpenRequests | PendingWork::PartialMessage => is_stalled,
         };
         if may_half_close {
-            // Directly after the check, so that few bytes can arrive in between.
+            // The half-close follows directly after the check for unread bytes, so that few bytes
+            // can arrive in between.
             state.borrow_mut().connections.finish(id);
             let _ = stream.get_ref().shutdown(Shutdown::Write);
             return ConnectionEnd::HalfClosed;
--- a/crates/node/src/net/hot_restart/error.rs
+++ b/crates/node/src/net/hot_restart/error.rs
@@ -93,7 +93,7 @@
     #[error("no greeting arrived in time")]
     GreetingTimeout,
     /// The successor sent a message that is not valid in the current phase.
-    #[error("an unexpected message arrived")]
+    #[error("the successor sent an unexpected message")]
     UnexpectedMessage,
     /// The successor uses another protocol or version.
     #[error("a message could not be decoded: {0}")]
@@ -105,7 +105,7 @@
     #[error("a message could not be sent: {0}")]
     Write(#[from] io::Error),
     /// The successor did not read a message in time.
-    #[error("a message was not read in time")]
+    #[error("the successor did not read a message in time")]
     WriteTimeout,
     /// The successor closed the connection.
     #[error("the successor closed the connection")]
--- a/crates/node/src/net/hot_restart/mod.rs
+++ b/crates/node/src/net/hot_restart/mod.rs
@@ -22,8 +22,9 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Timeout of writing a message, and of waiting for one that is due, in milliseconds. Control
-/// requests are answered within a second, and a successor has to serve within six.
+/// Timeout of writing a message, and of waiting for one that is due, in milliseconds. Longer than
+/// the second within which a process answers control requests, and short enough for a successor to
+/// serve within six seconds.
 const MESSAGE_TIMEOUT_MS: u64 = 2000;
 /// Names of the membership sockets in [`pipitlever_hot_restart::message::Welcome`].
 const MEMBERSHIP_UDP: &str = "fleet-udp";
--- a/crates/node/src/net/membership/mod.rs
+++ b/crates/node/src/net/membership/mod.rs
@@ -83,8 +83,10 @@
     bind: SocketAddr,
     /// Notified when the next wakeup is earlier than before, or there is something to send.
     wakeup_changed: Notify,
+    /// Notified when the membership has selected a member for a sync.
     sync_requested: Notify,
     next_wakeup: Cell<i64>,
+    /// Number of open incoming sync connections.
     open_syncs: Cell<usize>,
     /// Running tasks; empty while another process of the node is the member.
     tasks: RefCell<Vec<Task<()>>>,
--- a/crates/node/src/net/membership/start.rs
+++ b/crates/node/src/net/membership/start.rs
@@ -49,7 +49,7 @@
     pub resume_state: Option<Vec<u8>>,
     /// The active config version on the disk.
     pub stored_version: Option<StoredVersion>,
-    /// Receives config versions to activate.
+    /// Channel on which decided config versions are sent to be activated.
     pub decided: Option<Sender<DecidedVersion>>,
 }
 
--- a/crates/node/src/net/membership/tasks.rs
+++ b/crates/node/src/net/membership/tasks.rs
@@ -1,5 +1,5 @@
-//! Tasks of the membership driver: datagrams, timer and sync connections. The tasks run while this
-//! process is the member.
+//! Tasks of the membership driver: datagrams, timer and sync connections, on which two members
+//! exchange the differences of their views. The tasks run while this process is the member.
 
 use super::settings::STATE_CHECK_MS;
 use super::{MembershipDriver, MAX_SYNCS};
@@ -27,7 +27,7 @@
 /// Size of the buffer that a sync reads into, in bytes.
 const SYNC_BUFFER_BYTES: usize = 16 << 10;
 
-/// Reads datagrams.
+/// Reads datagrams and passes them to the membership.
 pub(super) async fn read_datagrams(driver: Rc<MembershipDriver>) {
     let mut bytes = vec![0; DATAGRAM_BUFFER_BYTES];
     loop {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Connects to members for syncs.
+/// Connects to the members that the membership selects for syncs, one at a time.
 pub(super) async fn initiate_syncs(driver: Rc<MembershipDriver>) {
     loop {
         driver.sync_requested.wait().await;
--- a/crates/node/src/net/processor_connection.rs
+++ b/crates/node/src/net/processor_connection.rs
@@ -215,8 +215,9 @@
     }
 
     /// Handles the processor's hello on a new connection. A query is written before any command:
-    /// its reply follows all notices that the old connection left unread. A reply to an older query
-    /// confirms nothing on this connection.
+    /// its reply follows all notices that the old connection left unread. An unanswered query of
+    /// the old connection is no longer waited for: the processor repeats only numbered notices, and
+    /// gauge replies have no number.
     pub fn handle_hello(&mut self) {
         self.is_up = true;
         self.is_query_due = true;
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -80,7 +80,8 @@
 }
 
 impl SessionAffinityDriver {
-    /// Starts the driver; none if no pool has session affinity.
+    /// Starts the driver; none if no pool has session affinity. `token` is a random number that
+    /// identifies this start of the process in state transfers.
     pub fn start(
         state: &SharedState,
         node_name: &str,
--- a/crates/node/src/net/worker_pools/mod.rs
+++ b/crates/node/src/net/worker_pools/mod.rs
@@ -78,7 +78,8 @@
 pub struct PoolShare {
     /// The share of each worker, by name.
     pub workers: HashMap<String, WorkerShare>,
-    /// Fraction of the pool's load-dependent limits.
+    /// This node's fraction of the pool's load, which is also its fraction of the pool's retry
+    /// budget.
     pub load_fraction: f64,
     /// When the share expires. From then on other nodes may have the share, and this node may run
     /// one run at a time on each worker.
@@ -177,8 +178,7 @@
         attempted: &[AttemptedWorker],
     ) -> Option<AssignedRun> {
         let mut next = Some(run.pool);
-        // Bounded, so that a cycle of fallbacks could not loop forever; settings with one are
-        // rejected.
+        // Bounded as a safeguard against a cycle of fallbacks. Settings with a cycle are rejected.
         for _ in 0..self.entries.len() {
             let index = next?;
             let entry = &mut self.entries[index];
--- a/crates/node/src/net/worker_pools/pool_entry.rs
+++ b/crates/node/src/net/worker_pools/pool_entry.rs
@@ -16,7 +16,7 @@
     pub settings: PoolSettings,
     /// This node's share, if the nodes of the fleet divide the pool.
     pub share: PoolShare,
-    /// Number of runs that requested a worker since it was last read and reset.
+    /// Number of runs that requested a worker since the last call of `WorkerPools::take_demand`.
     pub demand: u64,
     /// Load-balancing state of the pool.
     pub pool: Pool<SocketAddr>,
