--- a/crates/node/src/net/connections/mod.rs
+++ b/crates/node/src/net/connections/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Closes a connection's outbox, so that the connection ends once the queued bytes are written.
-    pub fn finish(&mut self, id: u64) {
+    pub fn close_outbox(&mut self, id: u64) {
         if let Some(connection) = self.connections.get(&id) {
             connection.outbox.close();
         }
--- a/crates/node/src/net/event_loop/responses.rs
+++ b/crates/node/src/net/event_loop/responses.rs
@@ -26,7 +26,7 @@
         });
         self.core.counters.undelivered += u64::from(!sent);
         if front == Front::Uwsgi {
-            self.connections.finish(connection);
+            self.connections.close_outbox(connection);
         }
     }
 }
--- a/crates/node/src/net/event_loop/uwsgi_requests.rs
+++ b/crates/node/src/net/event_loop/uwsgi_requests.rs
@@ -21,7 +21,7 @@
                 self.connections.send(connection, |out| {
                     uwsgi::write_response(out, status, None, b"");
                 });
-                self.connections.finish(connection);
+                self.connections.close_outbox(connection);
             }
         }
     }
--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -186,7 +186,7 @@
             let Some(message) = message else { break };
             state.borrow_mut().handle_gateway_message(id, message);
             if reader.is_broken() {
-                state.borrow_mut().connections.finish(id);
+                state.borrow_mut().connections.close_outbox(id);
             }
         }
         if outbox.is_closed() {
--- a/crates/node/src/net/graceful_close.rs
+++ b/crates/node/src/net/graceful_close.rs
@@ -74,7 +74,7 @@
         if may_half_close {
             // The half-close follows directly after the check for unread bytes, so that few bytes
             // can arrive in between.
-            state.borrow_mut().connections.finish(id);
+            state.borrow_mut().connections.close_outbox(id);
             let _ = stream.get_ref().shutdown(Shutdown::Write);
             return ConnectionEnd::HalfClosed;
         }
