--- a/crates/node/src/net/front.rs
+++ b/crates/node/src/net/front.rs
@@ -41,9 +41,10 @@
     /// connections in the listen backlog, as each may carry a request.
     async fn run(self, stop: Notify) {
         future::or(stop.wait(), self.accept_all()).await;
-        // Otherwise another process of the node accepts on this socket, the backlog included.
+        // A process that is not shutting down was stopped because another process of the node
+        // accepts on this socket. That process also accepts the connections in the backlog.
         if self.state.borrow().is_draining() {
-            self.accept_queued();
+            self.accept_backlog();
         }
     }
 
@@ -71,7 +72,8 @@
         }
     }
 
-    fn accept_queued(&self) {
+    /// Accepts the connections that wait in the listen backlog.
+    fn accept_backlog(&self) {
         loop {
             match self.listener.get_ref().accept() {
                 Ok((stream, _)) => self.spawn_connection(stream),
@@ -86,16 +88,16 @@
         }
     }
 
-    /// Registers a connection and spawns its driver. Registered only by its driver, a connection
-    /// would not count towards the limit yet, and a burst would be accepted whole before the first
-    /// driver runs.
+    /// Registers a connection and spawns its driver. If the driver registered the connection, a
+    /// whole burst would be accepted before the first driver runs, as none of its connections would
+    /// count towards the limit yet.
     fn spawn_connection(&self, stream: TcpStream) {
         let Ok(stream) = Async::<TcpStream>::new(stream) else {
             return;
         };
         // Responses are small and need low latency. Without the option the connection still works.
         let _ = stream.get_ref().set_nodelay(true);
-        let handle = self.state.borrow_mut().connected(self.front);
+        let handle = self.state.borrow_mut().add_connection(self.front);
         let driver = drive(self.state.clone(), self.front, stream, handle);
         self.supervisor.spawn(Subsystem::Front, driver).detach();
     }
@@ -143,7 +145,7 @@
         let lingering = state.borrow_mut().connections.begin_linger(id)?;
         Some((lingering, linger_ms))
     });
-    state.borrow_mut().disconnected(id);
+    state.borrow_mut().remove_connection(id);
     if let Some((lingering, linger_ms)) = lingering {
         graceful_close::linger(&stream, linger_ms).await;
         drop(stream);
@@ -184,7 +186,7 @@
             let Some(message) = message else { break };
             state.borrow_mut().handle_gateway_message(id, message);
             if reader.is_broken() {
-                state.borrow_mut().connections.finish(id);
+                state.borrow_mut().connections.close_outbox(id);
             }
         }
         if outbox.is_closed() {
