--- a/crates/benchmarks/src/main.rs
+++ b/crates/benchmarks/src/main.rs
@@ -1,6 +1,6 @@
-//! The node with a counting allocator. For each line on standard input it writes to standard error
-//! the number of allocations so far, the bytes allocated and still in use, and the bytes copied while
-//! requests were processed.
+//! The node with a counting allocator. For each line on standard input, a line on standard error
+//! reports the number of allocations so far, the bytes allocated in total and still in use, and the
+//! bytes copied while requests were processed.
 
 use stats_alloc::{StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
--- a/crates/benchmarks/tests/speed.rs
+++ b/crates/benchmarks/tests/speed.rs
@@ -1,11 +1,12 @@
-//! How fast the node is: run by hand, in a release build, with the cores to itself.
+//! Measures a node's CPU time, latency and throughput. Run manually, in a release build, on an
+//! otherwise idle machine.
 //!
 //! `cargo test --release -p pipitlever-benchmarks --test speed -- --ignored --nocapture`
 //!
-//! `PIPITLEVER_PROGRAM=FILE[,FILE...]` names the builds that are measured, in turn, so that what
-//! the machine does meanwhile befalls all of them; `target/release/pipitlever` is the present one.
-//! Latency counts from the moment that a request was to be sent, and a generator that falls behind
-//! its own schedule says so.
+//! `PIPITLEVER_PROGRAM=FILE[,FILE...]` names the builds to measure; the current one is
+//! `target/release/pipitlever`. They are measured alternately, so that other load on the machine
+//! affects all of them. Latency is counted from the scheduled send time of a request, and the
+//! greatest delay of the load generator behind its schedule is reported.
 #![cfg(target_os = "linux")]
 
 #[path = "../../node/tests/common/mod.rs"]
@@ -14,7 +15,7 @@
 
 use common::Node;
 use serde_json::json;
-use standin::{answered, Gateway};
+use standin::{parse_response, Gateway};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
@@ -23,125 +24,135 @@
 
 const ROUNDS: usize = 7;
 
-/// A node on a core of its own, and with it CPU in hundredths of a second so far.
-fn node(program: &Path) -> Node {
+/// Starts a node that is pinned to core 0.
+fn start_pinned_node(program: &Path) -> Node {
     let mut settings = common::configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
-    let parties =
-        json!({"processor": standin::processor(Some(200)).to_string(), "settings": settings});
-    let node = Node::start_program(program, parties, None);
+    let config_entries = json!({
+        "processor": standin::start_processor(Some(200)).to_string(),
+        "settings": settings,
+    });
+    let node = Node::start_program(program, config_entries, None);
     node.ready();
     let pid = node.pid().to_string();
     let pinned = std::process::Command::new("taskset")
         .args(["-a", "-p", "-c", "0", &pid])
         .output();
-    assert!(pinned.expect("taskset, of util-linux").status.success());
+    assert!(pinned
+        .expect("taskset of util-linux is installed")
+        .status
+        .success());
     node
 }
 
-fn ticks(node: &Node) -> f64 {
+/// CPU time of the node so far, in clock ticks of 10 ms.
+fn cpu_ticks(node: &Node) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).unwrap();
-    let words: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
-    words[12].parse::<f64>().unwrap() + words[13].parse::<f64>().unwrap()
+    let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
+    fields[12].parse::<f64>().unwrap() + fields[13].parse::<f64>().unwrap()
 }
 
-/// CPU in microseconds a request, of so many requests with so many at a time.
-fn cpu(program: &Path, requests: usize, at_once: usize) -> f64 {
-    let node = node(program);
+/// CPU time per request in microseconds. Requests are sent in batches of `batch_size`, and a batch
+/// is answered before the next one is sent.
+fn measure_cpu_time(program: &Path, requests: usize, batch_size: usize) -> f64 {
+    let node = start_pinned_node(program);
     let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = common::base64(&[7; 200]);
     let (mut out, mut line) = (Vec::new(), String::new());
-    let before = ticks(&node);
-    for _ in 0..requests / at_once {
+    let before = cpu_ticks(&node);
+    for _ in 0..requests / batch_size {
         out.clear();
-        (0..at_once).for_each(|_| {
-            gateway.request(&mut out, "rota-view", None, &doc);
+        (0..batch_size).for_each(|_| {
+            gateway.append_request(&mut out, "rota-view", None, &doc);
         });
-        gateway.say(&out);
-        for _ in 0..at_once {
-            gateway.line(&mut line);
-            assert!(answered(&line).1, "{line}");
+        gateway.send(&out);
+        for _ in 0..batch_size {
+            gateway.read_line(&mut line);
+            assert!(parse_response(&line).1, "{line}");
         }
     }
-    (ticks(&node) - before) * 10_000.0 / requests as f64
+    (cpu_ticks(&node) - before) * 10_000.0 / requests as f64
 }
 
-/// Latencies at so many requests a second, sent at their times whatever comes back: p50, p99, p99.9
-/// in microseconds, and by how much the generator was late at the most.
-fn open_loop(program: &Path, rate: u64, length: Duration) -> [f64; 4] {
-    let node = node(program);
+/// Latencies at `rate` requests per second in an open loop: requests are sent on schedule, whether
+/// or not earlier ones are answered. Returns p50, p99 and p99.9 in microseconds, and the greatest
+/// delay of the load generator behind its schedule.
+fn measure_open_loop(program: &Path, rate: u64, duration: Duration) -> [f64; 4] {
+    let node = start_pinned_node(program);
     let mut gateway = Gateway::new(node.gateway_address, 1);
-    let (mut to, mut from) = gateway.split();
+    let (mut writer, mut reader) = gateway.split();
     let doc = common::base64(&[7; 200]);
-    let count = (rate as f64 * length.as_secs_f64()) as u64;
+    let count = (rate as f64 * duration.as_secs_f64()) as u64;
     let start = Instant::now() + Duration::from_millis(50);
-    let due = move |n: u64| start + Duration::from_nanos(1_000_000_000 / rate * n);
+    let send_time = move |n: u64| start + Duration::from_nanos(1_000_000_000 / rate * n);
     let sender = std::thread::spawn(move || {
-        let (mut out, mut behind, mut sent) = (Vec::new(), Duration::ZERO, 0);
+        let (mut out, mut max_delay, mut sent) = (Vec::new(), Duration::ZERO, 0);
         while sent < count {
             let now = Instant::now();
-            if now < due(sent) {
-                std::thread::sleep(due(sent) - now);
+            if now < send_time(sent) {
+                std::thread::sleep(send_time(sent) - now);
             }
             out.clear();
-            while sent < count && due(sent) <= Instant::now() {
-                behind = behind.max(due(sent).elapsed());
-                gateway.request(&mut out, "rota-view", None, &doc);
+            while sent < count && send_time(sent) <= Instant::now() {
+                max_delay = max_delay.max(send_time(sent).elapsed());
+                gateway.append_request(&mut out, "rota-view", None, &doc);
                 sent += 1;
             }
-            to.write_all(&out).unwrap();
+            writer.write_all(&out).unwrap();
         }
-        behind
+        max_delay
     });
-    let (mut line, mut took) = (String::new(), Vec::with_capacity(count as usize));
+    let (mut line, mut latencies) = (String::new(), Vec::with_capacity(count as usize));
     for _ in 0..count {
         line.clear();
-        from.read_line(&mut line).unwrap();
-        let (id, served) = answered(&line);
+        reader.read_line(&mut line).unwrap();
+        let (id, served) = parse_response(&line);
         assert!(served, "{line}");
-        took.push(due(id - 1).elapsed().as_secs_f64() * 1e6);
+        latencies.push(send_time(id - 1).elapsed().as_secs_f64() * 1e6);
     }
-    took.sort_by(f64::total_cmp);
-    let at = |share: f64| took[((took.len() - 1) as f64 * share) as usize];
+    latencies.sort_by(f64::total_cmp);
+    let quantile = |q: f64| latencies[((latencies.len() - 1) as f64 * q) as usize];
     [
-        at(0.5),
-        at(0.99),
-        at(0.999),
+        quantile(0.5),
+        quantile(0.99),
+        quantile(0.999),
         sender.join().unwrap().as_secs_f64() * 1e6,
     ]
 }
 
-/// Requests a second with the node's core full: each of these gateways has 32 open all the time.
-fn full(program: &Path, gateways: u64, length: Duration) -> f64 {
-    let node = node(program);
+/// Answered requests per second with the node's core saturated: each gateway sends a batch of
+/// requests, 32 or with more than 32 gateways 4, and the next one once all are answered.
+fn measure_saturated(program: &Path, gateways: u64, duration: Duration) -> f64 {
+    let node = start_pinned_node(program);
     let doc = common::base64(&[7; 200]);
-    // The time counts once all are connected: a burst of connections may wait for a second try of
-    // theirs.
+    // The time is counted after all gateways have connected: in a burst of connections some may
+    // succeed only in a second attempt.
     let connected = Arc::new(Barrier::new(5));
-    // Few threads for many gateways: the generator is not to be what is measured.
+    // Few threads serve many gateways, so that the load generator does not become the bottleneck.
     let threads: Vec<_> = (0..4)
         .map(|thread| {
-            let (at, doc, connected) = (node.gateway_address, doc.clone(), connected.clone());
-            let mine = (0..gateways).filter(move |n| n % 4 == thread);
+            let (address, doc, connected) = (node.gateway_address, doc.clone(), connected.clone());
+            let numbers = (0..gateways).filter(move |n| n % 4 == thread);
             std::thread::spawn(move || {
-                let open = if gateways > 32 { 4 } else { 32 };
-                let mut gateways: Vec<Gateway> = mine.map(|n| Gateway::new(at, 1 + n)).collect();
+                let batch_size = if gateways > 32 { 4 } else { 32 };
+                let mut gateways: Vec<Gateway> =
+                    numbers.map(|n| Gateway::new(address, 1 + n)).collect();
                 let (mut out, mut line, mut done) = (Vec::new(), String::new(), 0);
                 connected.wait();
                 let start = Instant::now();
-                while start.elapsed() < length {
+                while start.elapsed() < duration {
                     for gateway in &mut gateways {
                         out.clear();
-                        (0..open).for_each(|_| {
-                            gateway.request(&mut out, "rota-view", None, &doc);
+                        (0..batch_size).for_each(|_| {
+                            gateway.append_request(&mut out, "rota-view", None, &doc);
                         });
-                        gateway.say(&out);
+                        gateway.send(&out);
                     }
                     for gateway in &mut gateways {
-                        for _ in 0..open {
-                            gateway.line(&mut line);
-                            done += u64::from(answered(&line).0 > 0);
+                        for _ in 0..batch_size {
+                            gateway.read_line(&mut line);
+                            done += u64::from(parse_response(&line).0 > 0);
                         }
                     }
                 }
@@ -162,19 +173,19 @@
 
 #[test]
 #[ignore = "a measurement, not a check of every build"]
-fn builds_in_turn() {
-    // Without a word the one that counts its allocations, which costs it a little.
-    let named = std::env::var("PIPITLEVER_PROGRAM").unwrap_or_else(|_| common::PROGRAM.into());
-    let programs: Vec<PathBuf> = named.split(',').map(PathBuf::from).collect();
+fn measure_builds_alternately() {
+    // The default is the build that counts its allocations, which is slightly slower.
+    let files = std::env::var("PIPITLEVER_PROGRAM").unwrap_or_else(|_| common::PROGRAM.into());
+    let programs: Vec<PathBuf> = files.split(',').map(PathBuf::from).collect();
     let mut all: BTreeMap<(&str, usize), Vec<f64>> = BTreeMap::new();
     for round in 0..ROUNDS {
         for i in 0..programs.len() {
-            // Each is first in turn.
+            // Each build is the first one in some rounds.
             let i = (i + round) % programs.len();
             let program = &programs[i];
-            let mut note = |what, value| all.entry((what, i)).or_default().push(value);
-            note("cpu-lone-us", cpu(program, 20_000, 1));
-            note("cpu-32-us", cpu(program, 96_000, 32));
+            let mut record = |name, value| all.entry((name, i)).or_default().push(value);
+            record("cpu-lone-us", measure_cpu_time(program, 20_000, 1));
+            record("cpu-32-us", measure_cpu_time(program, 96_000, 32));
             for (rate, names) in [
                 (
                     2_000,
@@ -195,27 +206,27 @@
                     ],
                 ),
             ] {
-                let figures = open_loop(program, rate, Duration::from_secs(1));
+                let values = measure_open_loop(program, rate, Duration::from_secs(1));
                 names
                     .into_iter()
-                    .zip(figures)
-                    .for_each(|(name, figure)| note(name, figure));
+                    .zip(values)
+                    .for_each(|(name, value)| record(name, value));
             }
-            note(
+            record(
                 "full-8-gateways-rps",
-                full(program, 8, Duration::from_secs(1)),
+                measure_saturated(program, 8, Duration::from_secs(1)),
             );
-            note(
+            record(
                 "full-200-gateways-rps",
-                full(program, 200, Duration::from_secs(1)),
+                measure_saturated(program, 200, Duration::from_secs(1)),
             );
         }
     }
-    for ((what, i), values) in &mut all {
+    for ((name, i), values) in &mut all {
         let median = median(values);
-        let (least, most) = (values[0], values[values.len() - 1]);
+        let (min, max) = (values[0], values[values.len() - 1]);
         println!(
-            "{what:<24} {:<40} {median:>10.1} ({least:.1} to {most:.1})",
+            "{name:<24} {:<40} {median:>10.1} ({min:.1} to {max:.1})",
             programs[*i].display()
         );
     }
--- a/crates/benchmarks/tests/standin/mod.rs
+++ b/crates/benchmarks/tests/standin/mod.rs
@@ -1,102 +1,115 @@
-//! Stand-ins that are fast enough to measure a node, and write the same bytes in the same pieces in
-//! each run.
+//! Stand-ins with little overhead of their own, for measurements of a node. Their writes have the
+//! same contents and boundaries in each run.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The longest time that any wait takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper limit of every wait.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a processor that answers all commands of a read in one write. Each run has a result of
-/// `result` bytes; with `None` no run ends.
-pub fn processor(result: Option<usize>) -> SocketAddr {
+/// Starts a processor that answers all commands of a read in one write, and returns its address.
+/// Each run ends with a result of `result_size` bytes; with `None` no run ends.
+pub fn start_processor(result_size: Option<usize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         while let Ok((stream, _)) = listener.accept() {
-            let _ = serve(stream, result);
+            let _ = serve(stream, result_size);
         }
     });
-    at
+    address
 }
 
-fn serve(mut stream: TcpStream, result: Option<usize>) -> std::io::Result<()> {
+fn serve(mut stream: TcpStream, result_size: Option<usize>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut input, mut out) = (Vec::new(), Vec::new());
     let (mut chunk, mut notices) = (vec![0; 1 << 16], 0);
-    let body = vec![b'r'; result.unwrap_or(0)];
+    let body = vec![b'r'; result_size.unwrap_or(0)];
     loop {
         let n = stream.read(&mut chunk)?;
         if n == 0 {
             return Ok(());
         }
         input.extend_from_slice(&chunk[..n]);
-        let mut used = 0;
-        while let Some(end) = input[used..]
+        let mut consumed = 0;
+        while let Some(end) = input[consumed..]
             .iter()
             .position(|&b| b == b'\n')
-            .map(|at| used + at)
+            .map(|offset| consumed + offset)
         {
-            let line = std::str::from_utf8(&input[used..end - 1])
-                .expect("words")
+            let line = std::str::from_utf8(&input[consumed..end - 1])
+                .expect("a command in UTF-8")
                 .to_owned();
-            let words: Vec<&str> = line.split(' ').collect();
-            match words[0] {
+            let fields: Vec<&str> = line.split(' ').collect();
+            match fields[0] {
                 "hello" => out.extend_from_slice(b"hi running 60000\r\n"),
-                "usage" => write!(out, "used {} 0.5 1 0.1 2\r\n", words[1])?,
+                "usage" => write!(out, "used {} 0.5 1 0.1 2\r\n", fields[1])?,
                 "begin" => {
-                    let length: usize = words[3].parse().expect("a length");
+                    let length: usize = fields[3]
+                        .parse()
+                        .expect("begin ends with the length of its body");
                     if input.len() < end + 1 + length + 2 {
                         break;
                     }
-                    used = end + 1 + length + 2;
-                    if let Some(length) = result {
+                    consumed = end + 1 + length + 2;
+                    if let Some(length) = result_size {
                         notices += 1;
-                        write!(out, "complete {notices} {} fine 1.5 {length}\r\n", words[1])?;
+                        write!(
+                            out,
+                            "complete {notices} {} fine 1.5 {length}\r\n",
+                            fields[1]
+                        )?;
                         out.extend_from_slice(&body);
                         out.extend_from_slice(b"\r\n");
                     }
                     continue;
                 }
-                word => panic!("a command {word}"),
+                command => panic!("unexpected command {command}"),
             }
-            used = end + 1;
+            consumed = end + 1;
         }
-        input.drain(..used);
+        input.drain(..consumed);
         stream.write_all(&out)?;
         out.clear();
     }
 }
 
-/// A gateway that has its requests written for it.
+/// A gateway connection. Requests are appended to a buffer, which can be sent in one write.
 pub struct Gateway {
     stream: TcpStream,
     lines: BufReader<TcpStream>,
-    number: u64,
-    name: u64,
+    last_id: u64,
+    last_reference: u64,
 }
 
 impl Gateway {
-    /// The gateway of this number.
+    /// Connects to a node. Gateways with different numbers use different request references.
     pub fn new(node: SocketAddr, number: u64) -> Gateway {
         let stream = TcpStream::connect(node).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let lines = BufReader::with_capacity(1 << 16, stream.try_clone().unwrap());
         Gateway {
             stream,
             lines,
-            number: 0,
-            name: number << 40,
+            last_id: 0,
+            last_reference: number << 40,
         }
     }
 
-    /// Appends a request of this class, with a key if there is one, and a body in base64.
-    pub fn request(&mut self, out: &mut Vec<u8>, class: &str, key: Option<&str>, doc: &str) -> u64 {
-        self.number += 1;
-        self.name += 1;
+    /// Appends a request of this class to `out`, with an idempotency key if one is given and a body
+    /// in base64. Returns its id.
+    pub fn append_request(
+        &mut self,
+        out: &mut Vec<u8>,
+        class: &str,
+        key: Option<&str>,
+        doc: &str,
+    ) -> u64 {
+        self.last_id += 1;
+        self.last_reference += 1;
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap()
@@ -104,42 +117,45 @@
         let key = key.map_or(String::new(), |k| format!(",\"replay\":\"{k}\""));
         writeln!(
             out,
-            "{{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"{class}\",\"params\":{{\"ref\":\"{:016x}\",\
-             \"since\":{since},\"sender\":4,\"allow\":5000,\"effort\":12.50,\"room\":0.5,\
-             \"class_rank\":0.6250{key},\"doc\":\"{doc}\"}}}}",
-            self.number, self.name
+            "{{\"jsonrpc\":\"2.0\",\"id\":{},\"method\":\"{class}\",\"params\":{{\
+             \"ref\":\"{:016x}\",\"since\":{since},\"sender\":4,\"allow\":5000,\
+             \"effort\":12.50,\"room\":0.5,\"class_rank\":0.6250{key},\"doc\":\"{doc}\"}}}}",
+            self.last_id, self.last_reference
         )
         .unwrap();
-        self.number
+        self.last_id
     }
 
-    /// Says these bytes in one write.
-    pub fn say(&mut self, bytes: &[u8]) {
+    /// Sends these bytes in one write.
+    pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// The next line.
-    pub fn line(&mut self, line: &mut String) {
+    /// Replaces `line` by the next line that the node sends.
+    pub fn read_line(&mut self, line: &mut String) {
         line.clear();
         assert!(
-            self.lines.read_line(line).expect("an answer") > 0,
-            "the node has closed"
+            self.lines.read_line(line).expect("a response line") > 0,
+            "the node closed the connection"
         );
     }
 
-    /// Both halves, for two threads.
+    /// The connection's writing and reading halves, for two threads.
     pub fn split(&self) -> (TcpStream, BufReader<TcpStream>) {
         let reader = BufReader::with_capacity(1 << 16, self.stream.try_clone().unwrap());
         (self.stream.try_clone().unwrap(), reader)
     }
 }
 
-/// The number of the request that a line answers, and whether it was served.
-pub fn answered(line: &str) -> (u64, bool) {
-    let id = line.split("\"id\":").nth(1).expect("an id");
-    let digits = id.find(|c: char| !c.is_ascii_digit()).expect("more");
+/// The id of the request that a line answers, and whether the request was served.
+pub fn parse_response(line: &str) -> (u64, bool) {
+    let id = line
+        .split("\"id\":")
+        .nth(1)
+        .expect("the response has an id");
+    let digits = id.find(|c: char| !c.is_ascii_digit()).expect("the id ends");
     (
-        id[..digits].parse().expect("a number"),
+        id[..digits].parse().expect("the id is a number"),
         line.contains("\"result\""),
     )
 }
