--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -1,5 +1,5 @@
-//! Kills a node at each point of the lifecycle of a request with an idempotency key, and restarts it,
-//! hundreds of times. The processor counts the runs of each key.
+//! Kills a node with SIGKILL at each crash point in the lifecycle of a request with an idempotency
+//! key, and restarts it, hundreds of times. The processor counts the runs of each key.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -14,31 +14,32 @@
 use std::time::Instant;
 
 /// The retention of an idempotency key, in microseconds.
-const WINDOW: u64 = 8_000_000;
+const KEY_RETENTION: u64 = 8_000_000;
 
 /// The behaviour of the processor's runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Runs {
-    /// Runs end at once.
-    End,
-    /// Runs do not end, and are lost with the node.
+enum RunBehaviour {
+    /// Runs complete at once.
+    Complete,
+    /// Runs do not complete, and are lost with the node.
     Lost,
     /// Runs outlive the node, and the next process is notified of their results.
     Outlive,
 }
 
-/// The number of runs by body, and the runs whose results are still to be sent.
+/// The number of runs by body, and the runs whose results are still to be sent, as id and body.
 struct State {
-    writes: HashMap<Vec<u8>, u64>,
-    runs: Runs,
-    outlived: Vec<(String, Vec<u8>)>,
+    run_counts: HashMap<Vec<u8>, u64>,
+    behaviour: RunBehaviour,
+    pending_results: Vec<(String, Vec<u8>)>,
 }
 
 /// A processor that outlives the node's processes.
 struct Processor {
-    at: SocketAddr,
+    address: SocketAddr,
     state: Arc<Mutex<State>>,
-    begun: Receiver<Vec<u8>>,
+    /// The body of each run that has started.
+    started_runs: Receiver<Vec<u8>>,
 }
 
 fn result(body: &[u8]) -> Vec<u8> {
@@ -48,14 +49,14 @@
 impl Processor {
     fn start() -> Processor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
+        let address = listener.local_addr().unwrap();
         let state = State {
-            writes: HashMap::new(),
-            runs: Runs::End,
-            outlived: Vec::new(),
+            run_counts: HashMap::new(),
+            behaviour: RunBehaviour::Complete,
+            pending_results: Vec::new(),
         };
         let state = Arc::new(Mutex::new(state));
-        let (sender, begun) = channel();
+        let (sender, started_runs) = channel();
         let shared = state.clone();
         std::thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
@@ -63,11 +64,19 @@
                 std::thread::spawn(move || serve(stream, &shared, &sender));
             }
         });
-        Processor { at, state, begun }
+        Processor {
+            address,
+            state,
+            started_runs,
+        }
     }
 }
 
-fn serve(mut stream: TcpStream, state: &Mutex<State>, begun: &Sender<Vec<u8>>) -> Option<()> {
+fn serve(
+    mut stream: TcpStream,
+    state: &Mutex<State>,
+    started_runs: &Sender<Vec<u8>>,
+) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut lines = BufReader::new(stream.try_clone().ok()?);
     let mut notices = 0;
@@ -84,65 +93,69 @@
         if lines.read_line(&mut line).ok()? == 0 {
             return None;
         }
-        let words: Vec<&str> = line.trim_end().split(' ').collect();
-        match words[0] {
+        let fields: Vec<&str> = line.trim_end().split(' ').collect();
+        match fields[0] {
             "hello" => {
                 stream.write_all(b"hi running 60000\r\n").ok()?;
-                let outlived = std::mem::take(&mut state.lock().unwrap().outlived);
-                for (id, body) in outlived {
+                let pending_results = std::mem::take(&mut state.lock().unwrap().pending_results);
+                for (id, body) in pending_results {
                     complete(&mut stream, &id, &body)?;
                 }
             }
             "usage" => stream
-                .write_all(format!("used {} 0.5 1 0.1 2\r\n", words[1]).as_bytes())
+                .write_all(format!("used {} 0.5 1 0.1 2\r\n", fields[1]).as_bytes())
                 .ok()?,
             "begin" => {
-                let mut body = vec![0; words[3].parse::<usize>().unwrap() + 2];
+                let mut body = vec![0; fields[3].parse::<usize>().unwrap() + 2];
                 lines.read_exact(&mut body).ok()?;
                 body.truncate(body.len() - 2);
-                let runs = {
+                let behaviour = {
                     let mut state = state.lock().unwrap();
-                    *state.writes.entry(body.clone()).or_default() += 1;
-                    if state.runs == Runs::Outlive {
-                        state.outlived.push((words[1].to_owned(), body.clone()));
+                    *state.run_counts.entry(body.clone()).or_default() += 1;
+                    if state.behaviour == RunBehaviour::Outlive {
+                        state
+                            .pending_results
+                            .push((fields[1].to_owned(), body.clone()));
                     }
-                    state.runs
+                    state.behaviour
                 };
-                let _ = begun.send(body.clone());
-                if runs == Runs::End {
-                    complete(&mut stream, words[1], &body)?;
+                let _ = started_runs.send(body.clone());
+                if behaviour == RunBehaviour::Complete {
+                    complete(&mut stream, fields[1], &body)?;
                 }
             }
-            word => panic!("a command {word}"),
+            command => panic!("unexpected command {command}"),
         }
     }
 }
 
-fn operator(folder: &ScratchDirectory, more: &str) -> String {
+/// The operator file: a uwsgi route for keyed requests, and a store with these additional settings.
+fn operator_file_text(folder: &ScratchDirectory, store_settings: &str) -> String {
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n\
          [[uwsgi.route]]\npath = \"/swap\"\nclass = \"swap-confirm\"\nbackend = \"processor\"\n\
-         [store]\nfolder = \"{}\"\nmax_mb = 8\n{more}",
+         [store]\nfolder = \"{}\"\nmax_mb = 8\n{store_settings}",
         folder.0.display()
     )
 }
 
-/// What a client hears of a keyed request.
+/// The outcome of a keyed request for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Heard {
+enum Outcome {
     Served(Vec<u8>),
-    Refused,
+    Rejected,
     Failed,
-    /// The connection ended.
-    Nothing,
+    /// The connection ended without a response.
+    Disconnected,
 }
 
-/// Sends a request on either protocol and waits for the outcome.
-fn ask(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Heard {
-    ask_at(
+/// Sends a request by uwsgi or JSON-RPC and waits for the outcome.
+fn request(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Outcome {
+    request_at(
         (
             node.gateway_address,
-            node.uwsgi_address.expect("the front is on"),
+            node.uwsgi_address
+                .expect("the uwsgi listener is configured"),
         ),
         uwsgi,
         key,
@@ -150,20 +163,21 @@
     )
 }
 
-/// As a client does: refused promises that it never ran, and a disk that takes its time over one
-/// sync has keys refused for that long.
-fn ask_again(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Heard {
+/// Retries a rejected request, as clients do: a rejection guarantees that the request did not run,
+/// and keyed requests are rejected for as long as a slow sync of the disk takes.
+fn request_until_admitted(node: &Node, uwsgi: bool, key: &str, body: &[u8]) -> Outcome {
     let start = Instant::now();
     loop {
-        match ask(node, uwsgi, key, body) {
-            Heard::Refused if start.elapsed() < TEST_TIMEOUT => {}
-            heard => return heard,
+        match request(node, uwsgi, key, body) {
+            Outcome::Rejected if start.elapsed() < TEST_TIMEOUT => {}
+            outcome => return outcome,
         }
     }
 }
 
-/// What is told at once is on the disk a moment later: once nothing waits for it.
-fn settled(node: &Node) {
+/// Waits until all records are on the disk. By default an answer is sent before its record is
+/// synced.
+fn wait_until_synced(node: &Node) {
     loop {
         node.signal("-USR1");
         if Node::counter(&node.wait_for_line("store: used="), "waiting") == 0 {
@@ -172,20 +186,20 @@
     }
 }
 
-/// Waits for the node to say this of its store: it may say before that its disk is slow.
-fn said(node: &Node, what: &str) {
-    while !node.wait_for_line("store: keyed").contains(what) {}
+/// Waits until the node logs this state of its store. Earlier lines may report a slow disk.
+fn wait_for_store_state(node: &Node, state: &str) {
+    while !node.wait_for_line("store: keyed").contains(state) {}
 }
 
-fn ask_at(
-    (gateways, front): (SocketAddr, SocketAddr),
+fn request_at(
+    (gateway_address, uwsgi_address): (SocketAddr, SocketAddr),
     uwsgi: bool,
     key: &str,
     body: &[u8],
-) -> Heard {
+) -> Outcome {
     if uwsgi {
-        let Ok(mut stream) = TcpStream::connect(front) else {
-            return Heard::Nothing;
+        let Ok(mut stream) = TcpStream::connect(uwsgi_address) else {
+            return Outcome::Disconnected;
         };
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         let mut bytes = Vec::new();
@@ -193,21 +207,21 @@
         let read = sent.and_then(|()| stream.read_to_end(&mut bytes));
         let text = String::from_utf8_lossy(&bytes);
         return match text.get(9..12) {
-            _ if read.is_err() => Heard::Nothing,
+            _ if read.is_err() => Outcome::Disconnected,
             Some("200") => {
                 let at = bytes
                     .windows(4)
                     .position(|w| w == b"\r\n\r\n")
-                    .expect("a head");
-                Heard::Served(bytes[at + 4..].to_vec())
+                    .expect("the response head ends");
+                Outcome::Served(bytes[at + 4..].to_vec())
             }
-            Some("503") => Heard::Refused,
-            Some(_) => Heard::Failed,
-            None => Heard::Nothing,
+            Some("503") => Outcome::Rejected,
+            Some(_) => Outcome::Failed,
+            None => Outcome::Disconnected,
         };
     }
-    let Ok(stream) = TcpStream::connect(gateways) else {
-        return Heard::Nothing;
+    let Ok(stream) = TcpStream::connect(gateway_address) else {
+        return Outcome::Disconnected;
     };
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let params = request_params(5000, Some(key), body);
@@ -216,224 +230,282 @@
         .write_all(format!("{message}\n").as_bytes())
         .is_err()
     {
-        return Heard::Nothing;
+        return Outcome::Disconnected;
     }
     let mut line = String::new();
     if BufReader::new(&stream).read_line(&mut line).unwrap_or(0) == 0 {
-        return Heard::Nothing;
+        return Outcome::Disconnected;
     }
     let answer: Value = serde_json::from_str(&line).unwrap();
     match answer["error"]["code"].as_i64() {
         None => {
             use ::base64::Engine;
-            let doc = answer["result"]["doc"].as_str().expect("a result");
-            Heard::Served(
+            let doc = answer["result"]["doc"]
+                .as_str()
+                .expect("an answer without an error has a result");
+            Outcome::Served(
                 ::base64::engine::general_purpose::STANDARD
                     .decode(doc)
                     .unwrap(),
             )
         }
-        Some(-32000) => Heard::Refused,
-        Some(_) => Heard::Failed,
+        Some(-32000) => Outcome::Rejected,
+        Some(_) => Outcome::Failed,
     }
 }
 
-fn start(processor: &Processor, operator: &str, point: Option<&str>) -> Node {
+/// Starts a node. If a crash point `NAME:N` is given, the process is killed when it reaches it for
+/// the N-th time.
+fn start_node(processor: &Processor, operator_file: &str, crash_point: Option<&str>) -> Node {
     let mut settings = common::configuration(&json!({}))["settings"].clone();
-    // Long enough for a restart and its repeats on a slow machine, short enough to be waited for.
-    settings["categories"][1]["memorySpan"] = json!(WINDOW);
-    let parties = json!({"processor": processor.at.to_string(), "settings": settings});
-    let env: Vec<_> = point.map(|p| ("PIPITLEVER_POINT", p)).into_iter().collect();
-    let node = Node::start_with_environment(PROGRAM.as_ref(), parties, Some(operator), &env);
+    // The retention covers a restart and the retries after it on a slow machine, and is short
+    // enough for the test to wait for its end.
+    settings["categories"][1]["memorySpan"] = json!(KEY_RETENTION);
+    let config_entries = json!({"processor": processor.address.to_string(), "settings": settings});
+    let env: Vec<_> = crash_point
+        .map(|p| ("PIPITLEVER_POINT", p))
+        .into_iter()
+        .collect();
+    let node =
+        Node::start_with_environment(PROGRAM.as_ref(), config_entries, Some(operator_file), &env);
     node.ready();
     node
 }
 
-/// Where the process is killed, what its runs do, and what the repeat after the restart gets: the
-/// result, a run of its own, or a failure.
+/// The expected outcome of a duplicate after the restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Then {
+enum Expected {
+    /// The duplicate runs.
     Runs,
+    /// The duplicate fails, since the key may have run.
     Fails,
+    /// The duplicate gets the result of the run before the kill.
     SameResult,
-    Learns,
+    /// The duplicate gets the result once the processor has reported it to the new process, and
+    /// fails until then.
+    ResultOnceReported,
 }
 
-const POINTS: [(&str, Runs, Then); 9] = [
-    // Nothing of it is on the disk.
-    ("before-append:1", Runs::End, Then::Runs),
-    // The process dies, the system goes on and writes what it was given: it looks like a run.
-    ("before-sync:1", Runs::End, Then::Fails),
-    ("after-sync:1", Runs::End, Then::Fails),
-    ("during the run", Runs::Lost, Then::Fails),
-    ("during the run", Runs::Outlive, Then::Learns),
-    // The run has ended, and its outcome is not on the disk.
-    ("before-append:2", Runs::End, Then::Fails),
-    ("before-sync:2", Runs::End, Then::SameResult),
-    ("after-sync:2", Runs::End, Then::SameResult),
-    ("at rest", Runs::End, Then::SameResult),
+/// Where the process is killed, the behaviour of the runs, and the outcome after the restart.
+const KILL_POINTS: [(&str, RunBehaviour, Expected); 9] = [
+    // Nothing about the key is on the disk.
+    ("before-append:1", RunBehaviour::Complete, Expected::Runs),
+    // Only the process is killed: the kernel still writes the appended record, which shows that the
+    // key may have run.
+    ("before-sync:1", RunBehaviour::Complete, Expected::Fails),
+    ("after-sync:1", RunBehaviour::Complete, Expected::Fails),
+    ("during the run", RunBehaviour::Lost, Expected::Fails),
+    (
+        "during the run",
+        RunBehaviour::Outlive,
+        Expected::ResultOnceReported,
+    ),
+    // The run has completed, and its outcome is not on the disk.
+    ("before-append:2", RunBehaviour::Complete, Expected::Fails),
+    (
+        "before-sync:2",
+        RunBehaviour::Complete,
+        Expected::SameResult,
+    ),
+    ("after-sync:2", RunBehaviour::Complete, Expected::SameResult),
+    ("idle", RunBehaviour::Complete, Expected::SameResult),
 ];
 
-/// So many cycles of a request, a kill, a restart and repeats. How many writes there were for each
-/// key, by point.
-fn cycles(count: usize, more: &str) -> BTreeMap<(&'static str, Then, u64), u64> {
-    let scratch = ScratchDirectory::new(if more.is_empty() {
+/// Repeats the cycle of a request, a kill, a restart and duplicates `count` times. Returns the
+/// number of cycles by kill point, expected outcome and number of runs of the key.
+fn run_cycles(count: usize, store_settings: &str) -> BTreeMap<(&'static str, Expected, u64), u64> {
+    let scratch = ScratchDirectory::new(if store_settings.is_empty() {
         "kills"
     } else {
         "kills-durable"
     });
-    let operator = operator(&scratch, more);
+    let operator_file = operator_file_text(&scratch, store_settings);
     let processor = Processor::start();
-    let mut seen = BTreeMap::new();
-    let mut unwritten = Vec::new();
+    let mut cycles_by_outcome = BTreeMap::new();
+    let mut keys_without_run = Vec::new();
     let mut seed = 20_260u64;
     for cycle in 0..count {
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        let [first_front, second_front] = [seed >> 40 & 1 == 1, seed >> 41 & 1 == 1];
-        let (point, runs, then) = POINTS[cycle % POINTS.len()];
+        let [first_by_uwsgi, second_by_uwsgi] = [seed >> 40 & 1 == 1, seed >> 41 & 1 == 1];
+        let (kill_point, behaviour, expected) = KILL_POINTS[cycle % KILL_POINTS.len()];
         let (key, body) = (
             format!("key-{cycle}"),
             format!("swap of {cycle}").into_bytes(),
         );
-        processor.state.lock().unwrap().runs = runs;
-        let named = Some(point).filter(|p| p.contains(':'));
-        let mut node = start(&processor, &operator, named);
-        let heard = match point {
+        processor.state.lock().unwrap().behaviour = behaviour;
+        let crash_point = Some(kill_point).filter(|p| p.contains(':'));
+        let mut node = start_node(&processor, &operator_file, crash_point);
+        let outcome = match kill_point {
             "during the run" => {
-                let at = (
+                let addresses = (
                     node.gateway_address,
-                    node.uwsgi_address.expect("the front is on"),
+                    node.uwsgi_address
+                        .expect("the uwsgi listener is configured"),
                 );
                 let (key, body) = (key.clone(), body.clone());
                 let sent = body.clone();
-                let asked = std::thread::spawn(move || ask_at(at, first_front, &key, &sent));
+                let client =
+                    std::thread::spawn(move || request_at(addresses, first_by_uwsgi, &key, &sent));
                 assert_eq!(
                     processor
-                        .begun
+                        .started_runs
                         .recv_timeout(TEST_TIMEOUT)
-                        .expect("it begins"),
+                        .expect("a run starts"),
                     body
                 );
                 node.signal("-KILL");
-                asked.join().unwrap()
+                client.join().unwrap()
             }
-            "at rest" => {
-                let heard = ask_again(&node, first_front, &key, &body);
-                assert_eq!(heard, Heard::Served(result(&body)));
-                settled(&node);
+            "idle" => {
+                let outcome = request_until_admitted(&node, first_by_uwsgi, &key, &body);
+                assert_eq!(outcome, Outcome::Served(result(&body)));
+                wait_until_synced(&node);
                 node.signal("-KILL");
-                heard
+                outcome
             }
-            _ => ask_again(&node, first_front, &key, &body),
+            _ => request_until_admitted(&node, first_by_uwsgi, &key, &body),
         };
         node.wait();
         drop(node);
-        let durable = more.contains("durable");
-        match (point, heard) {
-            ("at rest", _) => {}
-            // With answers that wait nobody hears of what is not on the disk.
-            ("before-append:2" | "before-sync:2" | "after-sync:2", Heard::Served(served)) => {
-                assert!(!durable && served == result(&body), "{cycle} {point}");
+        let durable = store_settings.contains("durable");
+        match (kill_point, outcome) {
+            ("idle", _) => {}
+            // With `answers = "durable"` a result that is not on the disk is not sent.
+            ("before-append:2" | "before-sync:2" | "after-sync:2", Outcome::Served(served)) => {
+                assert!(
+                    !durable && served == result(&body),
+                    "cycle {cycle}, {kill_point}"
+                );
+            }
+            (_, outcome) => {
+                assert_eq!(
+                    outcome,
+                    Outcome::Disconnected,
+                    "cycle {cycle}, {kill_point}"
+                )
             }
-            (_, heard) => assert_eq!(heard, Heard::Nothing, "{cycle} {point}"),
         }
-        processor.state.lock().unwrap().runs = Runs::End;
-        let node = start(&processor, &operator, None);
-        let asked = Instant::now();
+        processor.state.lock().unwrap().behaviour = RunBehaviour::Complete;
+        let node = start_node(&processor, &operator_file, None);
+        let restarted = Instant::now();
         loop {
-            let again = ask_again(&node, second_front, &key, &body);
-            match then {
-                Then::Runs | Then::SameResult => {
-                    assert_eq!(again, Heard::Served(result(&body)), "{cycle} {point}")
+            let outcome = request_until_admitted(&node, second_by_uwsgi, &key, &body);
+            match expected {
+                Expected::Runs | Expected::SameResult => {
+                    assert_eq!(
+                        outcome,
+                        Outcome::Served(result(&body)),
+                        "cycle {cycle}, {kill_point}"
+                    )
                 }
-                Then::Fails => assert_eq!(again, Heard::Failed, "{cycle} {point}"),
-                // Until the processor has told of it.
-                Then::Learns if again == Heard::Failed && asked.elapsed() < TEST_TIMEOUT => {
+                Expected::Fails => {
+                    assert_eq!(outcome, Outcome::Failed, "cycle {cycle}, {kill_point}")
+                }
+                // The processor has not reported the result yet.
+                Expected::ResultOnceReported
+                    if outcome == Outcome::Failed && restarted.elapsed() < TEST_TIMEOUT =>
+                {
                     continue
                 }
-                Then::Learns => assert_eq!(again, Heard::Served(result(&body)), "{cycle} {point}"),
+                Expected::ResultOnceReported => assert_eq!(
+                    outcome,
+                    Outcome::Served(result(&body)),
+                    "cycle {cycle}, {kill_point}"
+                ),
             }
             break;
         }
-        // Another body under the same key is its client's error, over the restart, too.
-        assert_eq!(ask(&node, second_front, &key, b"another"), Heard::Failed);
-        while processor.begun.try_recv().is_ok() {}
-        let writes = processor
+        // The same key with another body is a client error, also after the restart.
+        assert_eq!(
+            request(&node, second_by_uwsgi, &key, b"another"),
+            Outcome::Failed
+        );
+        while processor.started_runs.try_recv().is_ok() {}
+        let runs = processor
             .state
             .lock()
             .unwrap()
-            .writes
+            .run_counts
             .get(&body)
             .copied()
             .unwrap_or(0);
-        let wanted =
-            u64::from(then != Then::Fails || runs == Runs::Lost || point == "before-append:2");
-        assert_eq!(writes, wanted, "{cycle} {point}");
-        if writes == 0 {
-            unwritten.push((key, body));
+        let expected_runs = u64::from(
+            expected != Expected::Fails
+                || behaviour == RunBehaviour::Lost
+                || kill_point == "before-append:2",
+        );
+        assert_eq!(runs, expected_runs, "cycle {cycle}, {kill_point}");
+        if runs == 0 {
+            keys_without_run.push((key, body));
         }
-        *seen.entry((point, then, writes)).or_default() += 1;
+        *cycles_by_outcome
+            .entry((kill_point, expected, runs))
+            .or_default() += 1;
     }
-    // Whose run never began: its client comes back once the window is over, and it is written then,
-    // once.
-    let node = start(&processor, &operator, None);
-    let came = Instant::now();
-    while !unwritten.is_empty() {
+    // Requests whose run never started fail until the retention of their keys has ended, and then
+    // run once.
+    let node = start_node(&processor, &operator_file, None);
+    let retries_started = Instant::now();
+    while !keys_without_run.is_empty() {
         assert!(
-            came.elapsed() < 2 * TEST_TIMEOUT,
-            "{} keys are never written",
-            unwritten.len()
+            retries_started.elapsed() < 2 * TEST_TIMEOUT,
+            "the requests of {} keys do not run after the retention has ended",
+            keys_without_run.len()
         );
-        unwritten.retain(|(key, body)| match ask_again(&node, false, key, body) {
-            Heard::Failed => true,
-            heard => {
-                assert_eq!(heard, Heard::Served(result(body)));
-                false
+        keys_without_run.retain(|(key, body)| {
+            match request_until_admitted(&node, false, key, body) {
+                Outcome::Failed => true,
+                outcome => {
+                    assert_eq!(outcome, Outcome::Served(result(body)));
+                    false
+                }
             }
         });
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
-    let writes = processor.state.lock().unwrap().writes.clone();
+    let run_counts = processor.state.lock().unwrap().run_counts.clone();
     assert!(
-        writes.values().all(|&w| w == 1) && writes.len() == count,
-        "{} keys",
-        writes.len()
+        run_counts.values().all(|&runs| runs == 1) && run_counts.len() == count,
+        "not exactly one run for each of {count} keys; {} keys ran",
+        run_counts.len()
     );
-    seen
+    cycles_by_outcome
 }
 
 #[test]
-fn killed_at_every_point_no_key_is_written_twice() {
-    let seen = cycles(225, "");
-    seen.iter().for_each(|((point, then, writes), cycles)| {
-        println!("{point:<18} {then:?}: {writes} writes a key, {cycles} cycles");
-    });
-    assert_eq!(seen.len(), POINTS.len());
+fn no_key_runs_twice_after_a_kill_at_any_point() {
+    let cycles_by_outcome = run_cycles(225, "");
+    cycles_by_outcome
+        .iter()
+        .for_each(|((kill_point, expected, runs), cycles)| {
+            println!("{kill_point:<18} {expected:?}: {runs} runs per key, {cycles} cycles");
+        });
+    assert_eq!(cycles_by_outcome.len(), KILL_POINTS.len());
 }
 
 #[test]
-fn answers_that_wait_for_the_disk_are_never_taken_back() {
+fn durable_answers_remain_valid_after_a_kill_at_any_point() {
     assert_eq!(
-        cycles(90, "answers = \"durable\"\nsync = \"each\"\n").len(),
-        POINTS.len()
+        run_cycles(90, "answers = \"durable\"\nsync = \"each\"\n").len(),
+        KILL_POINTS.len()
     );
 }
 
 #[test]
-fn a_folder_in_use_is_an_error_and_a_damaged_one_refuses() {
+fn a_store_directory_in_use_prevents_the_start_and_a_damaged_one_rejects_keyed_requests() {
     let scratch = ScratchDirectory::new("store-start");
-    let text = operator(&scratch, "");
+    let text = operator_file_text(&scratch, "");
     let processor = Processor::start();
-    let mut node = start(&processor, &text, None);
+    let mut node = start_node(&processor, &text, None);
     assert_eq!(
-        ask_again(&node, false, "k", b"one"),
-        Heard::Served(result(b"one"))
+        request_until_admitted(&node, false, "k", b"one"),
+        Outcome::Served(result(b"one"))
     );
-    // A second node on the same folder does not start.
+    // A second node with the same store directory does not start.
     let file = scratch.0.with_extension("json");
-    let config = common::configuration(&json!({"processor": processor.at.to_string()}));
+    let config = common::configuration(&json!({"processor": processor.address.to_string()}));
     std::fs::write(&file, config.to_string()).unwrap();
     let operator_file = scratch.0.with_extension("toml");
     std::fs::write(&operator_file, &text).unwrap();
@@ -450,30 +522,31 @@
         "--operator",
         operator_file.to_str().unwrap(),
     ]);
-    let said = String::from_utf8_lossy(&second.stderr).into_owned();
+    let log = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(
-        !second.status.success() && said.contains("another process uses this directory"),
-        "{said}"
+        !second.status.success() && log.contains("another process uses this directory"),
+        "{log}"
     );
     node.signal("-TERM");
     assert!(node.wait().success());
     drop(node);
     let folder = scratch.0.to_str().unwrap();
     let check = run(&["store", "check", folder, "--json"]);
-    let said: Value = serde_json::from_slice(&check.stdout).unwrap();
+    let report: Value = serde_json::from_slice(&check.stdout).unwrap();
     assert!(
-        check.status.success() && said["keys"] == 1 && said["damage"] == json!([]),
-        "{said}"
+        check.status.success() && report["keys"] == 1 && report["damage"] == json!([]),
+        "{report}"
     );
     let list = run(&["store", "list", folder, "--json"]);
-    let said: Value = serde_json::from_slice(&list.stdout).unwrap();
+    let entry: Value = serde_json::from_slice(&list.stdout).unwrap();
     assert_eq!(
-        (&said["key"], &said["outcome"], &said["bytes"]),
+        (&entry["key"], &entry["outcome"], &entry["bytes"]),
         (&json!("k"), &json!("served"), &json!(9))
     );
     assert!(run(&["store", "compact", folder]).status.success());
     assert!(!run(&["store", "empty", folder]).status.success());
-    // A flipped bit: the key it held may have run, and so may any other.
+    // After a bit flip the key of the damaged record may have run, and so may any other key, since
+    // it is unknown which one the record contained.
     let segment = std::fs::read_dir(&scratch.0)
         .unwrap()
         .map(|e| e.unwrap().path());
@@ -482,77 +555,83 @@
         .min()
         .unwrap();
     let mut bytes = std::fs::read(&segment).unwrap();
-    let at = bytes
+    let offset = bytes
         .windows(9)
         .position(|w| w == result(b"one"))
-        .expect("its result");
-    bytes[at] ^= 1;
+        .expect("the segment contains the result");
+    bytes[offset] ^= 1;
     std::fs::write(&segment, &bytes).unwrap();
     let check = run(&["store", "check", folder]);
-    let said = String::from_utf8_lossy(&check.stdout).into_owned();
+    let report = String::from_utf8_lossy(&check.stdout).into_owned();
     assert!(
-        !check.status.success() && said.contains("offset "),
-        "{said}"
+        !check.status.success() && report.contains("offset "),
+        "{report}"
     );
-    let node = start(&processor, &text, None);
-    assert_eq!(ask(&node, false, "k", b"one"), Heard::Refused);
-    assert_eq!(ask(&node, true, "another", b"two"), Heard::Refused);
-    // Reads go on.
+    let node = start_node(&processor, &text, None);
+    assert_eq!(request(&node, false, "k", b"one"), Outcome::Rejected);
+    assert_eq!(request(&node, true, "another", b"two"), Outcome::Rejected);
+    // Reads are still served.
     let mut gateway = node.gateway();
     gateway.send("rota-view", request_params(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
     drop(node);
-    let stop = text.replace("max_mb = 8", "max_mb = 8\non_damage = \"stop\"");
-    std::fs::write(&operator_file, stop).unwrap();
-    let stopped = run(&[
+    let stop_on_damage = text.replace("max_mb = 8", "max_mb = 8\non_damage = \"stop\"");
+    std::fs::write(&operator_file, stop_on_damage).unwrap();
+    let third = run(&[
         "serve",
         "--config",
         file.to_str().unwrap(),
         "--operator",
         operator_file.to_str().unwrap(),
     ]);
-    assert!(!stopped.status.success());
+    assert!(!third.status.success());
     let _ = (
         std::fs::remove_file(&file),
         std::fs::remove_file(&operator_file),
     );
 }
 
-/// The folder is taken away under the node: keyed requests are refused, reads go on, and it heals
-/// by itself.
+/// The store directory is renamed while the node runs: keyed requests are rejected and reads are
+/// served. Once the directory is back, keyed requests are accepted again without a restart.
 #[test]
-fn a_folder_that_vanishes_refuses_keys_until_it_is_back() {
+fn a_missing_store_directory_rejects_keyed_requests_until_it_is_restored() {
     let scratch = ScratchDirectory::new("store-gone");
-    let text = operator(&scratch, "");
+    let text = operator_file_text(&scratch, "");
     let processor = Processor::start();
-    let node = start(&processor, &text, None);
+    let node = start_node(&processor, &text, None);
     assert_eq!(
-        ask_again(&node, false, "k", b"one"),
-        Heard::Served(result(b"one"))
+        request_until_admitted(&node, false, "k", b"one"),
+        Outcome::Served(result(b"one"))
     );
-    // A slow sync is over by then, and the next line is of the folder.
-    settled(&node);
-    let away = scratch.0.with_extension("away");
-    std::fs::rename(&scratch.0, &away).unwrap();
-    // The first one to find out was let in, and never ran.
+    // No slow sync is in progress after this, so that the next state logged is about the directory.
+    wait_until_synced(&node);
+    let moved = scratch.0.with_extension("moved");
+    std::fs::rename(&scratch.0, &moved).unwrap();
+    // The first request is admitted before the failure is detected, and is rejected without a run.
     for (uwsgi, key) in [(true, "gone-1"), (false, "gone-2"), (true, "gone-3")] {
-        assert_eq!(ask(&node, uwsgi, key, key.as_bytes()), Heard::Refused);
+        assert_eq!(
+            request(&node, uwsgi, key, key.as_bytes()),
+            Outcome::Rejected
+        );
     }
-    said(&node, "keyed requests rejected reason=failing");
+    wait_for_store_state(&node, "keyed requests rejected reason=failing");
     let mut gateway = node.gateway();
     gateway.send("rota-view", request_params(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
-    // What is known is still told.
-    assert_eq!(ask(&node, true, "k", b"one"), Heard::Served(result(b"one")));
-    std::fs::rename(&away, &scratch.0).unwrap();
-    said(&node, "keyed requests accepted");
+    // Cached outcomes are still returned.
+    assert_eq!(
+        request(&node, true, "k", b"one"),
+        Outcome::Served(result(b"one"))
+    );
+    std::fs::rename(&moved, &scratch.0).unwrap();
+    wait_for_store_state(&node, "keyed requests accepted");
     assert_eq!(
-        ask_again(&node, false, "k2", b"two"),
-        Heard::Served(result(b"two"))
+        request_until_admitted(&node, false, "k2", b"two"),
+        Outcome::Served(result(b"two"))
     );
-    let writes = processor.state.lock().unwrap().writes.clone();
+    let run_counts = processor.state.lock().unwrap().run_counts.clone();
     assert!(
-        writes.values().all(|&w| w == 1) && writes.len() == 3,
-        "{writes:?}"
+        run_counts.values().all(|&runs| runs == 1) && run_counts.len() == 3,
+        "{run_counts:?}"
     );
 }
