--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -7,7 +7,7 @@
 
 use common::{base64, configuration, Node, TEST_TIMEOUT};
 use serde_json::json;
-use standin::{answered, Gateway};
+use standin::{parse_response, Gateway};
 use std::io::Read;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
-    let processor = standin::processor(Some(result_size));
+    let processor = standin::start_processor(Some(result_size));
     let node = Node::start(
         json!({"processor": processor.to_string(), "settings": settings}),
         None,
@@ -29,7 +29,7 @@
 fn requests(gateway: &mut Gateway, count: usize, doc: &str) -> Vec<u8> {
     let mut out = Vec::new();
     for _ in 0..count {
-        gateway.request(&mut out, "rota-view", None, doc);
+        gateway.append_request(&mut out, "rota-view", None, doc);
     }
     out
 }
@@ -43,12 +43,12 @@
     // Some pieces hold the end of one request and the beginning of the next.
     for length in [1, 2, 7, 100, 331, 4096] {
         let text = requests(&mut gateway, 6, &doc);
-        text.chunks(length).for_each(|piece| gateway.say(piece));
+        text.chunks(length).for_each(|piece| gateway.send(piece));
         let mut served: Vec<u64> = (0..6)
             .map(|_| {
-                gateway.line(&mut line);
-                assert!(answered(&line).1, "{line}");
-                answered(&line).0
+                gateway.read_line(&mut line);
+                assert!(parse_response(&line).1, "{line}");
+                parse_response(&line).0
             })
             .collect();
         served.sort_unstable();
@@ -74,10 +74,10 @@
         rounds += 1;
         let request = requests(&mut good, 1, &doc);
         let sent = Instant::now();
-        good.say(&request);
-        good.line(&mut line);
+        good.send(&request);
+        good.read_line(&mut line);
         assert!(
-            answered(&line).1 && sent.elapsed() < Duration::from_secs(1),
+            parse_response(&line).1 && sent.elapsed() < Duration::from_secs(1),
             "{line}"
         );
         assert!(
@@ -121,10 +121,10 @@
         .map(|_| {
             let request = requests(&mut light, 1, &doc);
             let sent = Instant::now();
-            light.say(&request);
+            light.send(&request);
             let mut line = String::new();
-            light.line(&mut line);
-            assert!(answered(&line).1, "{line}");
+            light.read_line(&mut line);
+            assert!(parse_response(&line).1, "{line}");
             sent.elapsed()
         })
         .collect();
@@ -144,7 +144,7 @@
 #[test]
 fn every_rejected_request_of_a_flood_is_answered() {
     let node = Node::start(
-        json!({"processor": standin::processor(None).to_string()}),
+        json!({"processor": standin::start_processor(None).to_string()}),
         None,
     );
     node.ready();
@@ -154,20 +154,20 @@
         .collect();
     // These fill the cores, then the queue: later requests are rejected.
     let first = requests(&mut gateways[0], 30, &doc);
-    gateways[0].say(&first);
+    gateways[0].send(&first);
     let mut line = String::new();
-    gateways[0].line(&mut line);
+    gateways[0].read_line(&mut line);
     assert!(line.contains("-32000"), "{line}");
     let start = Instant::now();
     let (mut rejected, mut timed_out) = (0, 0);
     while rejected < 8_000 && start.elapsed() < Duration::from_secs(1) {
         for gateway in &mut gateways[1..] {
             let text = requests(gateway, 32, &doc);
-            gateway.say(&text);
+            gateway.send(&text);
         }
         for gateway in &mut gateways[1..] {
             for _ in 0..32 {
-                gateway.line(&mut line);
+                gateway.read_line(&mut line);
                 match line.contains("-32000") {
                     true => rejected += 1,
                     false => timed_out += 1,
@@ -205,11 +205,11 @@
         gateways
             .iter_mut()
             .zip(&texts)
-            .for_each(|(gateway, text)| gateway.say(text));
+            .for_each(|(gateway, text)| gateway.send(text));
         for gateway in &mut gateways {
             for _ in 0..8 {
-                gateway.line(&mut line);
-                assert!(answered(&line).1, "{}", &line[..line.len().min(300)]);
+                gateway.read_line(&mut line);
+                assert!(parse_response(&line).1, "{}", &line[..line.len().min(300)]);
             }
         }
         resident_kb(&node)
--- a/crates/node/tests/store_cost.rs
+++ b/crates/node/tests/store_cost.rs
@@ -9,7 +9,7 @@
 
 use common::{base64, configuration, Node};
 use serde_json::json;
-use standin::{answered, Gateway};
+use standin::{parse_response, Gateway};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     settings["familyInfo"]["cpus"] = json!(256);
     settings["familyInfo"]["heapKb"] = json!(1e7);
     let entries =
-        json!({"processor": standin::processor(Some(200)).to_string(), "settings": settings});
+        json!({"processor": standin::start_processor(Some(200)).to_string(), "settings": settings});
     let text = store.map(|options| {
         format!(
             "[store]\nfolder = \"{}\"\nmax_mb = 512\n{options}",
@@ -44,12 +44,12 @@
         for _ in 0..at_once {
             keys += 1;
             let key = format!("{run:08}{keys:024}");
-            gateway.request(&mut out, "swap-confirm", Some(&key), &doc);
+            gateway.append_request(&mut out, "swap-confirm", Some(&key), &doc);
         }
-        gateway.say(&out);
+        gateway.send(&out);
         for _ in 0..at_once {
-            gateway.line(&mut line);
-            assert!(answered(&line).1, "{line}");
+            gateway.read_line(&mut line);
+            assert!(parse_response(&line).1, "{line}");
             latencies.push(sent.elapsed().as_secs_f64() * 1e6);
         }
     }
