--- a/crates/node/src/cli/arguments.rs
+++ b/crates/node/src/cli/arguments.rs
@@ -23,7 +23,7 @@
     Help,
 }
 
-/// A `fleet` command, with the control endpoints (`at`) that it queries.
+/// A `fleet` command. `at` has the addresses of the control endpoints that it sends requests to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FleetCommand {
     Status {
--- a/crates/node/src/cli/check.rs
+++ b/crates/node/src/cli/check.rs
@@ -23,23 +23,32 @@
         or_off(uwsgi.listen),
         uwsgi.routes.len()
     );
-    println!("capture={}", or_off(config.capture.as_ref().map(capture)));
-    println!("store={}", or_off(config.store.as_ref().map(store)));
-    println!("fleet={}", or_off(config.fleet.as_ref().map(fleet)));
+    println!(
+        "capture={}",
+        or_off(config.capture.as_ref().map(describe_capture))
+    );
+    println!(
+        "store={}",
+        or_off(config.store.as_ref().map(describe_store))
+    );
+    println!(
+        "fleet={}",
+        or_off(config.fleet.as_ref().map(describe_fleet))
+    );
 }
 
 fn or_off(value: Option<impl ToString>) -> String {
     value.map_or("off".to_owned(), |value| value.to_string())
 }
 
-fn capture(capture: &CaptureSettings) -> String {
+fn describe_capture(capture: &CaptureSettings) -> String {
     let folder = capture.folder.display();
     let segment_mb = capture.segment_bytes as f64 / MEGABYTE;
     let keep_mb = capture.max_bytes as f64 / MEGABYTE;
     format!("{folder} segment_mb={segment_mb} keep_mb={keep_mb}")
 }
 
-fn store(store: &StoreSettings) -> String {
+fn describe_store(store: &StoreSettings) -> String {
     let folder = store.folder.display();
     let max_mb = store.capacity_bytes as f64 / MEGABYTE;
     format!(
@@ -48,7 +57,7 @@
     )
 }
 
-fn fleet(fleet: &membership::Settings) -> String {
+fn describe_fleet(fleet: &membership::Settings) -> String {
     let mut addresses = [fleet.bind, fleet.advertise]
         .into_iter()
         .chain(fleet.seeds.clone());
--- a/crates/node/src/cli/fleet/comparison.rs
+++ b/crates/node/src/cli/fleet/comparison.rs
@@ -10,7 +10,7 @@
     fleets.dedup();
     if fleets.len() > 1 {
         let fleets = fleets.join(", ");
-        lines.push(format!("they are of different fleets: {fleets}"));
+        lines.push(format!("the nodes are in different fleets: {fleets}"));
     }
     let members = views.iter().flat_map(|view| &view.members);
     let names: BTreeSet<&str> = members.map(|member| member.name.as_str()).collect();
--- a/crates/node/src/cli/fleet/mod.rs
+++ b/crates/node/src/cli/fleet/mod.rs
@@ -65,8 +65,8 @@
     Ok(u8::from(!differences.is_empty()))
 }
 
-/// Publishes the version in a file, based on the newest one that the node knows, and waits for the
-/// decision.
+/// Publishes the version in a file as the successor of the newest one that the node knows, and
+/// waits for the decision.
 pub fn publish(endpoint: &str, file: &str, why: &str) -> Result<u8, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{file}: {e}"))?;
     let content: serde_json::Value =
@@ -80,14 +80,14 @@
     if response.status != 200 {
         return Err(format!("{endpoint}: {answer}"));
     }
-    let timeout = Instant::now() + DECISION_TIMEOUT;
+    let deadline = Instant::now() + DECISION_TIMEOUT;
     loop {
         let decided = get_versions(endpoint)?.decided;
         if decided > base {
             println!("decided: {decided}");
             return Ok(0);
         }
-        if Instant::now() > timeout {
+        if Instant::now() > deadline {
             return Err(format!(
                 "{endpoint}: {answer}, but no quorum of acceptors answered in time: check the decided \
                  version with fleet status --json"
--- a/crates/node/src/cli/fleet/table.rs
+++ b/crates/node/src/cli/fleet/table.rs
@@ -46,7 +46,7 @@
     };
     let cut_off = if view.is_cut_off { ", CUT OFF" } else { "" };
     format!(
-        "fleet {} as {} sees it: {settled}{cut_off}, digest {}, health {}\n",
+        "fleet {} in the view of {}: {settled}{cut_off}, digest {}, health {}\n",
         view.fleet, view.node, view.digest, view.health
     )
 }
--- a/crates/node/src/cli/fleet/tests.rs
+++ b/crates/node/src/cli/fleet/tests.rs
@@ -46,7 +46,7 @@
     };
     assert_eq!(
         differences(&[one.clone(), other]),
-        ["they are of different fleets: rota, x"]
+        ["the nodes are in different fleets: rota, x"]
     );
     let different_digest = View {
         digest: "y".into(),
--- a/crates/node/src/cli/import/apache.rs
+++ b/crates/node/src/cli/import/apache.rs
@@ -75,7 +75,7 @@
 
     fn read_member(&mut self, balancer: &str, location: Location, tokens: &[String]) {
         let Some((url, parameters)) = tokens.split_first() else {
-            return self.note(location, "a BalancerMember of no address");
+            return self.note(location, "a BalancerMember without an address");
         };
         let parameters = self.read_member_parameters(location, parameters);
         match url.split_once("://") {
@@ -86,9 +86,9 @@
                 self.add_worker(balancer, location, host, port, parameters);
             }
             Some((scheme, _)) => {
-                self.note(location, &format!("{url}: {scheme} is not spoken here"));
+                self.note(location, &format!("{url}: unsupported protocol {scheme}"));
             }
-            None => self.note(location, &format!("no address: {url}")),
+            None => self.note(location, &format!("not a URL: {url}")),
         }
     }
 
--- a/crates/node/src/cli/import/mod.rs
+++ b/crates/node/src/cli/import/mod.rs
@@ -160,7 +160,10 @@
         };
         let ip = host.trim_matches(['[', ']']).parse::<IpAddr>();
         let (Ok(ip), Ok(port @ 1..)) = (ip, port.parse::<u16>()) else {
-            return self.note(location, &format!("no address of numbers: {host}:{port}"));
+            return self.note(
+                location,
+                &format!("not an IP address and port: {host}:{port}"),
+            );
         };
         let member = parameters.member(SocketAddr::new(ip, port));
         let key = (balancer.to_owned(), member.address);
@@ -178,7 +181,7 @@
         };
         if self.workers[definition.position].member != member {
             let message = format!(
-                "{} was said to be otherwise at {}, which holds",
+                "{} has other parameters at {}, which take precedence",
                 member.address, definition.location
             );
             self.note(location, &message);
@@ -192,7 +195,7 @@
             Some(ms @ 1..=MAX_DEADLINE_MS) => {
                 self.deadline_ms = Some(self.deadline_ms.map_or(ms, |d| d.min(ms)));
             }
-            _ => self.note(location, &format!("no time from 1 ms to an hour: {text}")),
+            _ => self.note(location, &format!("not a time from 1 ms to 1 h: {text}")),
         }
     }
 }
--- a/crates/node/src/cli/import/mod_jk.rs
+++ b/crates/node/src/cli/import/mod_jk.rs
@@ -80,7 +80,7 @@
                     if kind.is_some_and(|kind| kind.value == "lb") {
                         // A pool of the operator file cannot contain other pools.
                         let message = format!(
-                            "worker {balancer}: {member} is a balancer itself: not carried over"
+                            "worker {balancer}: {member} is a balancer itself: not converted"
                         );
                         self.note(location, &message);
                     }
@@ -127,7 +127,7 @@
             (other, port) => {
                 let port = port.map_or("?", |p| p.value);
                 let message =
-                    format!("worker {worker} at {host}:{port}: {other} is not spoken here");
+                    format!("worker {worker} at {host}:{port}: unsupported protocol {other}");
                 self.note(Location::new(file, kind.line), &message);
             }
         }
--- a/crates/node/src/cli/import/tests.rs
+++ b/crates/node/src/cli/import/tests.rs
@@ -37,8 +37,8 @@
     let expected = [
         "workers.properties:16: unknown directive: worker.maintain=60",
         "workers.properties:17: unknown directive: nonsense",
-        "workers.properties:10: worker b at 127.0.0.2:8009: ajp13 is not spoken here",
-        "workers.properties:14: no address of numbers: node.example:1",
+        "workers.properties:10: worker b at 127.0.0.2:8009: unsupported protocol ajp13",
+        "workers.properties:14: not an IP address and port: node.example:1",
         "workers.properties:15: worker lb: unknown directive: sticky_session=1",
     ];
     assert_eq!(notes, expected);
@@ -55,7 +55,7 @@
     assert_eq!((deadline, paths), (Some(3000), vec!["/rota".into()]));
     let expected = [
         "site.conf:3: unknown parameter: route=n2",
-        "site.conf:5: ajp://127.0.0.1:8009: ajp is not spoken here",
+        "site.conf:5: ajp://127.0.0.1:8009: unsupported protocol ajp",
         "site.conf:6: unknown directive: ProxySet lbmethod=byrequests",
         "site.conf:10: unknown directive: ProxyPass /x http://127.0.0.1/",
     ];
@@ -121,33 +121,33 @@
                 is_standby: true,
                 ..default.clone()
             },
-            "status=+RH: not carried over: R",
+            "status=+RH: not converted: R",
         ),
         (
             "status=+IE",
             default.clone(),
-            "status=+IE: not carried over: IE",
+            "status=+IE: not converted: IE",
         ),
         (
             "loadfactor=0",
             default.clone(),
-            "no weight from 0.01 to 100: 0",
+            "not a weight from 0.01 to 100: 0",
         ),
         (
             "loadfactor=many",
             default.clone(),
-            "no weight from 0.01 to 100: many",
+            "not a weight from 0.01 to 100: many",
         ),
-        ("lbset=-1", default.clone(), "no lbset: -1"),
+        ("lbset=-1", default.clone(), "invalid lbset: -1"),
         (
             "max=0",
             default.clone(),
-            "no number of runs from 1 to 1024: 0",
+            "not a number of runs from 1 to 1024: 0",
         ),
         (
             "max=99999",
             default.clone(),
-            "no number of runs from 1 to 1024: 99999",
+            "not a number of runs from 1 to 1024: 99999",
         ),
         ("route=n1", default.clone(), "unknown parameter: route=n1"),
         ("retry", default.clone(), "unknown parameter: retry"),
@@ -199,7 +199,7 @@
             1.0,
             0,
             MemberMode::Active,
-            "worker a: no weight from 0.01 to 100: ",
+            "worker a: not a weight from 0.01 to 100: ",
         ),
         (
             "redirect=b",
@@ -252,7 +252,7 @@
         import.notes,
         [
             "w.properties:2: worker lb: ghost is not defined",
-            "b.conf:1: 127.0.0.1:1 was said to be otherwise at a.conf:1, which holds",
+            "b.conf:1: 127.0.0.1:1 has other parameters at a.conf:1, which take precedence",
         ]
     );
     // The worker is in two balancers, once in each.
--- a/crates/node/src/cli/import/worker.rs
+++ b/crates/node/src/cli/import/worker.rs
@@ -40,21 +40,21 @@
         match key {
             "loadfactor" | "lbfactor" => {
                 let weight = value.parse().ok().filter(|w| WEIGHT_RANGE.contains(w));
-                let message = || format!("no weight from 0.01 to 100: {value}");
+                let message = || format!("not a weight from 0.01 to 100: {value}");
                 self.weight = Some(weight.ok_or_else(message)?);
             }
             // Both programs prefer the lowest number, and use the next one when no worker with it
             // is usable.
             "lbset" | "distance" => {
                 let tier = value.parse().ok().filter(|tier| *tier <= MAX_TIER);
-                self.tier = Some(tier.ok_or_else(|| format!("no {key}: {value}"))?);
+                self.tier = Some(tier.ok_or_else(|| format!("invalid {key}: {value}"))?);
             }
             "max" => {
                 let runs = value
                     .parse()
                     .ok()
                     .filter(|runs| (1..=MAX_RUNS).contains(runs));
-                let message = || format!("no number of runs from 1 to {MAX_RUNS}: {value}");
+                let message = || format!("not a number of runs from 1 to {MAX_RUNS}: {value}");
                 self.max_runs = Some(runs.ok_or_else(message)?);
             }
             "activation" => self.mode = activation(value)?,
@@ -81,7 +81,7 @@
         if unsupported.is_empty() {
             return Ok(());
         }
-        Err(format!("status={flags}: not carried over: {unsupported}"))
+        Err(format!("status={flags}: not converted: {unsupported}"))
     }
 
     /// Sets a mode, or resets it if it is the current one.
--- a/crates/node/src/cli/import_command.rs
+++ b/crates/node/src/cli/import_command.rs
@@ -14,7 +14,7 @@
         let text = String::from_utf8(bytes).map_err(|e| {
             let valid = &e.as_bytes()[..e.utf8_error().valid_up_to()];
             let line = valid.iter().filter(|byte| **byte == b'\n').count() + 1;
-            format!("{path}:{line}: no UTF-8")
+            format!("{path}:{line}: not UTF-8")
         })?;
         import.read(path, &text);
     }
--- a/crates/node/src/cli/mod.rs
+++ b/crates/node/src/cli/mod.rs
@@ -26,7 +26,7 @@
     /// The message of a command.
     #[error("{0}")]
     Message(String),
-    /// The node ended.
+    /// The node could not start, or ended after a failure.
     #[error(transparent)]
     Serve(#[from] ServeError),
 }
--- a/crates/node/src/cli/pools.rs
+++ b/crates/node/src/cli/pools.rs
@@ -17,10 +17,10 @@
         if pool.members.is_empty() {
             continue;
         }
-        let name = name(pool);
+        let name = pool_name(pool);
         let fallback = pool
             .fallback
-            .map_or("none".to_owned(), |i| self::name(&all[i]));
+            .map_or("none".to_owned(), |i| pool_name(&all[i]));
         let routes = uwsgi
             .routes
             .iter()
@@ -30,18 +30,18 @@
             "pool {name}: fallback={fallback} routes={}",
             routes.join(",")
         ));
-        lines.extend(members(&pool.members));
-        let warnings = warnings(pool, &routes, all.iter().any(|p| p.fallback == Some(i)));
+        lines.extend(describe_members(&pool.members));
+        let warnings = find_warnings(pool, &routes, all.iter().any(|p| p.fallback == Some(i)));
         lines.extend(
             warnings
                 .into_iter()
-                .map(|warning| format!("  odd: {warning}")),
+                .map(|warning| format!("  warning: {warning}")),
         );
     }
     lines
 }
 
-fn name(pool: &PoolSettings) -> String {
+fn pool_name(pool: &PoolSettings) -> String {
     if pool.name.is_empty() {
         "of [uwsgi]".into()
     } else {
@@ -53,8 +53,9 @@
     member.mode == MemberMode::Active
 }
 
-/// One line for each member, in the order of use, with its share of the runs of its group.
-fn members(all: &[Member<SocketAddr>]) -> Vec<String> {
+/// One line for each member, with its share of the runs of its group. Groups are the tiers, lowest
+/// first, and then the standby members.
+fn describe_members(all: &[Member<SocketAddr>]) -> Vec<String> {
     let mut groups: BTreeMap<(bool, u32), Vec<&Member<SocketAddr>>> = BTreeMap::new();
     for member in all {
         // Standby members are used together, whatever their tiers.
@@ -81,12 +82,12 @@
                 format!("tier {tier}")
             };
             let share = match member.mode {
-                MemberMode::Active => format!("{:.1}% of its runs", member.weight / sum * 100.0),
-                MemberMode::Draining => "nothing new: draining".into(),
-                MemberMode::Disabled => "nothing: disabled".into(),
+                MemberMode::Active => format!("{:.1}% of the runs", member.weight / sum * 100.0),
+                MemberMode::Draining => "no new runs: draining".into(),
+                MemberMode::Disabled => "no runs: disabled".into(),
             };
             lines.push(format!(
-                "  {group}: {} gets {share}, {} at once",
+                "  {group}: {} gets {share}, at most {} at once",
                 member.address, member.max_runs
             ));
         }
@@ -95,7 +96,7 @@
 }
 
 /// Settings that are probably mistakes.
-fn warnings(pool: &PoolSettings, routes: &[&str], takes_over: bool) -> Vec<String> {
+fn find_warnings(pool: &PoolSettings, routes: &[&str], is_fallback: bool) -> Vec<String> {
     let mut warnings = Vec::new();
     let primaries = pool
         .members
@@ -110,13 +111,14 @@
         .filter(|m| m.is_standby)
         .count();
     if primaries == 0 {
-        warnings.push("no member is on: every run goes to its spares or its fall-back".into());
+        warnings
+            .push("no active member: every run goes to the spares or to the fallback pool".into());
     }
     if primaries + standbys == 1 && pool.fallback.is_none() {
-        warnings.push("one member and no fall-back: nobody takes over for it".into());
+        warnings.push("one active member and no fallback pool: no other worker if it fails".into());
     }
-    if routes.is_empty() && !takes_over {
-        warnings.push("no route and no other pool leads here".into());
+    if routes.is_empty() && !is_fallback {
+        warnings.push("unused: no route to this pool, and no pool has it as its fallback".into());
     }
     let heaviest = pool
         .members
@@ -131,7 +133,7 @@
         .filter(|m| m.weight * 50.0 < heaviest)
     {
         warnings.push(format!(
-            "{} has less than a fiftieth of another's weight",
+            "{} has less than a fiftieth of the highest weight",
             member.address
         ));
     }
--- a/crates/node/src/cli/pools/tests.rs
+++ b/crates/node/src/cli/pools/tests.rs
@@ -15,14 +15,14 @@
     let lines = describe_pools(&file.uwsgi);
     let expected = [
         "pool of [uwsgi]: fallback=none routes=/a",
-        "  tier 0: 127.0.0.1:1 gets 25.0% of its runs, 1024 at once",
-        "  tier 0: 127.0.0.1:2 gets 75.0% of its runs, 1024 at once",
-        "  tier 0: 127.0.0.1:4 gets nothing: disabled, 1024 at once",
-        "  spare: 127.0.0.1:3 gets 100.0% of its runs, 1024 at once",
+        "  tier 0: 127.0.0.1:1 gets 25.0% of the runs, at most 1024 at once",
+        "  tier 0: 127.0.0.1:2 gets 75.0% of the runs, at most 1024 at once",
+        "  tier 0: 127.0.0.1:4 gets no runs: disabled, at most 1024 at once",
+        "  spare: 127.0.0.1:3 gets 100.0% of the runs, at most 1024 at once",
         "pool alone: fallback=none routes=",
-        "  tier 0: 127.0.0.1:5 gets nothing new: draining, 1024 at once",
-        "  odd: no member is on: every run goes to its spares or its fall-back",
-        "  odd: no route and no other pool leads here",
+        "  tier 0: 127.0.0.1:5 gets no new runs: draining, at most 1024 at once",
+        "  warning: no active member: every run goes to the spares or to the fallback pool",
+        "  warning: unused: no route to this pool, and no pool has it as its fallback",
     ];
     assert_eq!(lines, expected);
 }
--- a/crates/node/src/cli/sessions.rs
+++ b/crates/node/src/cli/sessions.rs
@@ -1,5 +1,5 @@
-//! `pipitlever fleet sessions`: which workers long-lived sessions are assigned to, as one node
-//! knows them.
+//! `pipitlever fleet sessions`: how many long-lived sessions are assigned to each worker, according
+//! to one node.
 
 #[cfg(test)]
 mod tests;
@@ -47,16 +47,18 @@
 fn render(sessions: &Sessions, worker: Option<&str>) -> String {
     let bootstrapping = match sessions.is_bootstrapped {
         true => "",
-        false => ", still hearing from the others",
+        false => ", still receiving sessions from other nodes",
     };
     let (known, kilobytes) = (sessions.known, sessions.bytes / 1024);
     let rejected = sessions.rejected;
     let mut text = format!(
-        "remembers {known} sessions in {kilobytes} kB, {rejected} found no room{bootstrapping}\n"
+        "{known} sessions known in {kilobytes} kB, {rejected} not stored for lack of memory\
+         {bootstrapping}\n"
     );
     for pool in &sessions.pools {
         text += &format!(
-            "pool {}: placed here {}, moved here: removed {}, failed {}, unreachable {}\n",
+            "pool {}: assigned by this node {}, moved by this node: worker removed {}, failed {}, \
+             unreachable {}\n",
             pool.pool, pool.placed, pool.moved_removed, pool.moved_failed, pool.moved_unreachable
         );
         for (name, count) in &pool.workers {
--- a/crates/node/src/cli/sessions/tests.rs
+++ b/crates/node/src/cli/sessions/tests.rs
@@ -22,7 +22,7 @@
     };
     let all = render(&sessions, None);
     assert!(
-        all.contains("remembers 7 sessions in 2 kB")
+        all.contains("7 sessions known in 2 kB, 0 not stored")
             && all.contains("w0  3")
             && all.contains("w1  4"),
         "{all}"
--- a/crates/node/src/cli/store.rs
+++ b/crates/node/src/cli/store.rs
@@ -13,9 +13,9 @@
 pub enum Task {
     /// Check that all of it can be read.
     Check,
-    /// List the keys that are within their windows.
+    /// List the keys that are within their idempotency windows.
     List,
-    /// Rewrite the store with these keys alone.
+    /// Rewrite the store with the keys that are within their idempotency windows.
     Compact,
 }
 
@@ -144,6 +144,7 @@
 
 /// Compacts the store; returns its new size, in bytes.
 fn compact(directory: StoreDirectory) -> Result<u64, String> {
+    // This command does not read the configured capacity: no limit applies.
     let limits = Limits::for_capacity(u64::MAX / 2);
     let (mut log, _) = Log::open(directory, limits, 0).map_err(|e| e.to_string())?;
     log.compact().map_err(|e| e.to_string())?;
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -55,21 +55,22 @@
         let advertise = self.advertised_address(text)?;
         self.check_seeds(text)?;
         self.check_network(text)?;
-        let apart = self.partition_policy(text)?;
+        let policy = self.partition_policy(text)?;
         let name = non_empty_name(text, "name", &self.name)?;
         let zone = self.zone.as_ref();
         let zone = zone.map(|zone| non_empty_name(text, "zone", zone));
         let zone = zone.transpose()?.unwrap_or_default();
-        let rules = membership_config(text, self.probe_ms, self.forget_s, self.most_members)?;
+        let protocol_config =
+            membership_config(text, self.probe_ms, self.forget_s, self.most_members)?;
         let versions = self.versions.map(|section| section.read(text));
         Ok(Settings {
-            partition_policy: apart,
+            partition_policy: policy,
             name,
             bind: self.bind.into_inner(),
             advertise,
             seeds: self.seeds.into_iter().map(Spanned::into_inner).collect(),
             zone,
-            protocol: rules,
+            protocol: protocol_config,
             versions: versions.transpose()?,
         })
     }
--- a/crates/node/src/config/operator/pools.rs
+++ b/crates/node/src/config/operator/pools.rs
@@ -114,7 +114,7 @@
     fn read(self, text: &str, names: &[String]) -> Result<PoolSettings, FileError> {
         let (name, offset) = (self.name.get_ref().clone(), self.name.span().start);
         if name.is_empty() || names.iter().filter(|n| **n == name).count() > 1 {
-            let message = format!("a pool needs a name of its own: {name:?}");
+            let message = format!("pool name is empty or used twice: {name:?}");
             return Err(FileError::at(text, offset, message));
         }
         if self.member.is_empty() {
--- a/crates/node/src/config/operator/tests.rs
+++ b/crates/node/src/config/operator/tests.rs
@@ -59,7 +59,7 @@
         (pool("a", "") + &pool("b", "fallback = \"a\"\n"), ""),
         (
             pool("a", "") + &pool("a", ""),
-            "line 2: a pool needs a name of its own: \"a\"",
+            "line 2: pool name is empty or used twice: \"a\"",
         ),
         (pool("a", "fallback = \"b\"\n"), "line 3: no other pool b"),
         (
@@ -79,7 +79,7 @@
         ),
         (
             pool("a", "") + "[uwsgi]\n" + &route("rota-view", "workers") + "pool = \"b\"\n",
-            "line 10: no pool b for this backend",
+            "line 10: pool b: there is no such pool, or the backend is not \"workers\"",
         ),
         ("[uwsgi]\nlisten = \"nowhere\"\n".into(), "line 2: "),
         (
--- a/crates/node/src/config/operator/uwsgi.rs
+++ b/crates/node/src/config/operator/uwsgi.rs
@@ -66,12 +66,12 @@
             let message = "name and zone are for members of a [[pool]]";
             return Err(FileError::at(text, offset, message));
         }
-        let special = read_members(text, &self.workers, self.worker)?;
+        let workers_with_settings = read_members(text, &self.workers, self.worker)?;
         let context = RouteContext {
             text,
             classes,
             pools: &pools,
-            has_unnamed_workers: !self.workers.is_empty() || !special.is_empty(),
+            has_unnamed_workers: !self.workers.is_empty() || !workers_with_settings.is_empty(),
         };
         let mut routes = Vec::new();
         for entry in self.route {
@@ -86,7 +86,7 @@
         Ok(UwsgiSettings {
             listen: self.listen,
             workers: self.workers,
-            configured_workers: special,
+            configured_workers: workers_with_settings,
             deadline_ms: within(
                 text,
                 "deadline_ms",
@@ -139,7 +139,7 @@
         self.check_pool(&entry)?;
         let pool = entry.pool.map(Spanned::into_inner);
         if same_class.any(|route| (&route.pool, route.sticky) != (&pool, entry.sticky)) {
-            let message = format!("class {class}: its routes name two pools");
+            let message = format!("class {class}: its routes differ in pool or sticky");
             return Err(FileError::at(text, class_offset, message));
         }
         let deadline_ms = entry
@@ -165,7 +165,10 @@
                 if uses_workers && exists {
                     return Ok(());
                 }
-                let message = format!("no pool {} for this backend", pool.get_ref());
+                let message = format!(
+                    "pool {}: there is no such pool, or the backend is not \"workers\"",
+                    pool.get_ref()
+                );
                 Err(FileError::at(self.text, pool.span().start, message))
             }
             None if uses_workers && !self.has_unnamed_workers => {
--- a/crates/node/src/config/platform.rs
+++ b/crates/node/src/config/platform.rs
@@ -70,7 +70,7 @@
     pub control: Option<SocketAddr>,
     /// Addresses of the processor, the ledger, the service registry and the pools of workers.
     pub upstreams: Upstreams,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator; by default the process's id.
     pub seed: u64,
     /// Time from the shutdown signal until the process is killed, in milliseconds.
     pub stop_ms: u64,
@@ -80,7 +80,7 @@
     pub memory_mb: usize,
     /// Settings of the request processing.
     pub request_settings: RequestSettings,
-    /// The file as JSON: a file that replaces it has to have all of its keys.
+    /// The configuration file as JSON. On a reload, the new file has to have all of its keys.
     pub document: Value,
     /// Settings of the capture, if it is configured.
     pub capture: Option<CaptureSettings>,
@@ -112,6 +112,7 @@
                 Some(format!("{at}.{key}"))
             })
         }
+        // The old value and the new one are of different types.
         (Value::Object(_) | Value::Array(_), _) | (_, Value::Object(_) | Value::Array(_)) => {
             Some("...".into())
         }
--- a/crates/node/src/config/versions.rs
+++ b/crates/node/src/config/versions.rs
@@ -58,33 +58,34 @@
         let at = self.acceptors.span().start;
         check_acceptors(self.acceptors.get_ref())
             .map_err(|error| FileError::at(text, at, format!("electors: {error}")))?;
-        let mut rules = default_protocol(self.acceptors.into_inner());
+        let mut protocol_config = default_protocol(self.acceptors.into_inner());
         let lease = within(
             text,
             "lease_ms",
             self.lease_ms,
-            rules.lease as u64 / 1000,
+            protocol_config.lease as u64 / 1000,
             [1000, 600_000],
         )?;
-        rules.lease = lease as i64 * 1000;
-        rules.without_lease = match self.without_lease {
+        protocol_config.lease = lease as i64 * 1000;
+        protocol_config.without_lease = match self.without_lease {
             Some(WithoutLeaseKey::Refuse) => WithoutLease::Refuse,
             Some(WithoutLeaseKey::Serve) | None => WithoutLease::Serve,
         };
-        rules.unknown_minimum = match self.unknown_minimum {
+        protocol_config.unknown_minimum = match self.unknown_minimum {
             Some(UnknownMinimumKey::Serve) => UnknownMinimum::Serve,
             Some(UnknownMinimumKey::Wait) | None => UnknownMinimum::Wait,
         };
         Ok(Settings {
             folder: self.folder.into_inner(),
-            protocol: rules,
+            protocol: protocol_config,
         })
     }
 }
 
-/// The configuration that a node starts with: where the fleet decides versions, that of the version
-/// on its disk. An unreadable version is ignored if the node waits for a quorum of acceptors, which
-/// determines the version to continue with; it is an error if the node would serve without one.
+/// Returns the configuration that a node starts with, and the stored version that it includes. If
+/// the fleet decides config versions, the version on the node's disk replaces the shared parts of
+/// `config`. An unreadable version is ignored if the node waits for a quorum of acceptors, which
+/// determines the version to continue with; it is an error if the node would serve without waiting.
 pub fn load_stored_version(
     config: Config,
     read: &impl Fn(Option<&[u8]>) -> Result<Config, String>,
@@ -108,6 +109,7 @@
             log(&format!(
                 "versions: could not activate the version on the disk: {error}"
             ));
+            // The minimum version stays in force.
             Ok((
                 config,
                 Some(StoredVersion {
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -55,7 +55,7 @@
 
     /// Stops the running capture and starts one with these settings, unless they are unchanged.
     pub fn configure(&mut self, state: &SharedState, settings: Option<CaptureSettings>) {
-        if self.active.as_ref().map(|n| &n.0) == settings.as_ref() {
+        if self.active.as_ref().map(|active| &active.0) == settings.as_ref() {
             return;
         }
         self.stop(state);
--- a/crates/node/src/lifecycle/reload.rs
+++ b/crates/node/src/lifecycle/reload.rs
@@ -75,8 +75,8 @@
         let Some(membership) = state.borrow().membership.clone() else {
             return;
         };
-        // Once a successor is the member, this process ends under its present version. A version
-        // that it has just written to the disk is activated by the successor.
+        // Once a successor is the member, this process keeps its active version until it ends. A
+        // version that it has just written to the disk is activated by the successor.
         if !membership.is_member() {
             return;
         }
--- a/crates/node/src/lifecycle/shutdown.rs
+++ b/crates/node/src/lifecycle/shutdown.rs
@@ -13,13 +13,13 @@
 const KILL_MARGIN_MS: u64 = 150;
 /// How long after `goaway` to wait for requests that were already on their way, in milliseconds.
 const IN_TRANSIT_MS: u64 = 500;
-/// The front ends close this long before arriving requests may no longer run, in milliseconds: the
-/// signal may have been handled late.
+/// The front ends close this long before the grace period ends, in milliseconds. Requests that
+/// arrive after the grace period are not run, and the signal may have been handled late.
 const CLOSE_MARGIN_MS: u64 = 100;
-/// A replaced process is killed this long after SIGTERM, in addition to the longest deadline, in
-/// milliseconds.
+/// Time from SIGTERM until a replaced process is killed, in addition to the longest deadline of the
+/// classes, in milliseconds.
 const REPLACED_KILL_MS: u64 = 700;
-/// The most that the longest deadline counts for that, in milliseconds.
+/// Upper limit of the longest deadline in that sum, in milliseconds.
 const REPLACED_MAX_DEADLINE_MS: u64 = 3000;
 /// Time between two checks whether all requests are answered, in milliseconds.
 const CHECK_INTERVAL_MS: u64 = 10;
--- a/crates/node/src/lifecycle/sockets.rs
+++ b/crates/node/src/lifecycle/sockets.rs
@@ -81,7 +81,7 @@
 ) -> Result<GatewayAddress, String> {
     // With port 0 the system picks a port that no other process uses, so there is no predecessor.
     let restart_socket_path = restart_socket_path.filter(|_| config.listen.port() != 0);
-    let timeout = after_ms(ADDRESS_TIMEOUT_MS);
+    let deadline = after_ms(ADDRESS_TIMEOUT_MS);
     let mut has_logged = false;
     loop {
         if let Some(path) = restart_socket_path {
@@ -93,7 +93,7 @@
         }
         match Async::<TcpListener>::bind(config.listen) {
             Ok(listener) => return Ok(GatewayAddress::Bound(listener)),
-            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {}
+            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {}
             Err(e) => return Err(format!("cannot listen on {}: {e}", config.listen)),
         }
         if !std::mem::replace(&mut has_logged, true) {
@@ -134,7 +134,8 @@
     Ok(listeners)
 }
 
-/// The membership sockets, passed on or bound. Passed sockets of another address are not used.
+/// The membership sockets, passed on or bound. Passed sockets that are bound to another address are
+/// not used.
 async fn open_membership(
     config: &Config,
     passed: Option<membership::Sockets>,
@@ -170,10 +171,10 @@
 
 /// Binds an address, and waits for a process that shuts down to release it.
 async fn bind_when_free<T>(mut bind: impl FnMut() -> std::io::Result<T>) -> std::io::Result<T> {
-    let timeout = after_ms(ADDRESS_TIMEOUT_MS);
+    let deadline = after_ms(ADDRESS_TIMEOUT_MS);
     loop {
         match bind() {
-            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < timeout => {
+            Err(e) if e.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
                 Timer::at(after_ms(BIND_RETRY_MS)).await;
             }
             result => return result,
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -204,7 +204,7 @@
 }
 
 impl JoinFleet {
-    /// Joins the fleet; resumes the predecessor's membership if it passed its state on.
+    /// Joins the fleet. With the predecessor's state, this process resumes its membership.
     fn join(self, passed_state: Option<Vec<u8>>) {
         let Some((settings, sockets)) = self.settings else {
             return;
--- a/crates/node/src/lifecycle/store.rs
+++ b/crates/node/src/lifecycle/store.rs
@@ -35,8 +35,8 @@
     open(settings, window).map(Some)
 }
 
-/// Opens a store and logs its contents and damage. `window` is the longest idempotency window, plus
-/// the time within which retries are read.
+/// Opens a store and logs its contents and damage. `window` is the longest idempotency window plus
+/// the longest deadline.
 fn open(settings: StoreSettings, window: Micros) -> Result<OpenedStore, String> {
     let folder = settings.folder.display().to_string();
     let started = Instant::now();
@@ -92,6 +92,7 @@
             sync_each_record: self.settings.sync_each_record,
         };
         let used = self.log.used_bytes();
+        // A random number, so that the ids differ from those of earlier processes.
         let Salt([first_id, _]) = Salt::random().map_err(|e| format!("store: {e}"))?;
         let (sender, results) = async_channel::bounded(1);
         let sentinel = supervisor.thread_sentinel(Subsystem::Store);
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -97,7 +97,7 @@
     );
     assert_eq!(
         errors,
-        format!("{name}:3: worker b at localhost:8009: ajp13 is not spoken here\n")
+        format!("{name}:3: worker b at localhost:8009: unsupported protocol ajp13\n")
     );
     std::fs::write(
         &path,
@@ -113,6 +113,6 @@
     std::fs::write(&path, b"worker.a.type=uwsgi\nworker.a.port=\xff\n").unwrap();
     let (code, output, errors) = run(&["import", name]);
     assert_eq!((code, output.as_str()), (Some(1), ""));
-    assert_eq!(errors, format!("pipitlever: {name}:2: no UTF-8\n"));
+    assert_eq!(errors, format!("pipitlever: {name}:2: not UTF-8\n"));
     std::fs::remove_file(&path).unwrap();
 }
