--- a/crates/node/src/cli/fleet/mod.rs
+++ b/crates/node/src/cli/fleet/mod.rs
@@ -26,8 +26,9 @@
     loop {
         let next = Instant::now() + WATCH_INTERVAL;
         let view = get_view(endpoint).map_err(|e| e.to_string())?;
-        let displayed = |view: &View| (view.digest.clone(), view.is_settled, view.is_cut_off);
-        if last.as_ref().map(displayed) != Some(displayed(&view)) {
+        // Times and counters are not compared: they would change the view at every request.
+        let compared = |view: &View| (view.digest.clone(), view.is_settled, view.is_cut_off);
+        if last.as_ref().map(compared) != Some(compared(&view)) {
             print_view(&view, json)?;
         }
         if !watch {
--- a/crates/node/src/config/operator/fleet.rs
+++ b/crates/node/src/config/operator/fleet.rs
@@ -45,7 +45,9 @@
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ShareApart {
+    /// The share that the node had before.
     Keep,
+    /// The minimum share.
     Least,
 }
 
--- a/crates/node/src/config/operator/store.rs
+++ b/crates/node/src/config/operator/store.rs
@@ -79,6 +79,7 @@
     sync: Sync,
     #[serde(default)]
     answers: Answers,
+    /// Read only to reject other values: there is one so far.
     #[serde(default, rename = "when_full")]
     _when_full: WhenFull,
     #[serde(default)]
--- a/crates/node/src/lifecycle/capture.rs
+++ b/crates/node/src/lifecycle/capture.rs
@@ -24,8 +24,8 @@
     active: Option<(CaptureSettings, WriterThread)>,
 }
 
-/// Size of the queue in a process with this memory limit, in bytes. The writer may hold as much
-/// again while it is behind.
+/// Size of the queue in a process with this memory limit, in bytes. The writer drains the queue
+/// into a buffer, which may become as large.
 fn queue_bytes(process_memory: usize) -> usize {
     DEFAULT_QUEUE_BYTES.min(process_memory / 64)
 }
--- a/crates/node/src/lifecycle/startup.rs
+++ b/crates/node/src/lifecycle/startup.rs
@@ -88,7 +88,8 @@
     });
     let (version_sender, versions) = async_channel::unbounded();
     if config.fleet.as_ref().is_some_and(|f| f.versions.is_some()) {
-        // Nothing is served until a quorum has confirmed that the stored version is not outdated.
+        // No request is admitted until the fleet's driver permits the stored version: by default
+        // once a quorum of acceptors has confirmed that it is not outdated.
         state.borrow_mut().core.set_configuration_expiry(None);
     }
     let (name, stop_ms) = (config.name.clone(), config.stop_ms);
@@ -221,7 +222,7 @@
         });
         match started {
             Ok(driver) => self.state.borrow_mut().membership = Some(driver),
-            // Requests are served without the fleet as well.
+            // Requests are served without the fleet, unless it decides config versions.
             Err(error) => log(&format!("fleet: off: {error}")),
         }
     }
