--- a/crates/node/tests/capture_cost.rs
+++ b/crates/node/tests/capture_cost.rs
@@ -101,15 +101,15 @@
 fn the_cost_of_a_capture() {
     let mut cpu = [Vec::new(), Vec::new()];
     for round in 0..ROUNDS {
-        // Both variants in each round; which one is first alternates.
+        // Each round measures both variants, in alternating order.
         for capture in [round % 2 == 0, round % 2 == 1] {
-            let f = measure(capture, 2 * round + usize::from(capture));
+            let measured = measure(capture, 2 * round + usize::from(capture));
             println!(
                 "capture={capture:5} cpu={:.1} us a request, p50={:?} p99={:?} peak={} KB, {:.0} bytes a request",
-                f.cpu_us, f.p50, f.p99, f.peak_kb, f.bytes
+                measured.cpu_us, measured.p50, measured.p99, measured.peak_kb, measured.bytes
             );
-            assert!(f.peak_kb < 32 << 10, "{} KB", f.peak_kb);
-            cpu[usize::from(capture)].push(f.cpu_us);
+            assert!(measured.peak_kb < 32 << 10, "{} KB", measured.peak_kb);
+            cpu[usize::from(capture)].push(measured.cpu_us);
         }
     }
     // The machine's speed varies between rounds by far more than a capture costs, so the two runs
--- a/crates/node/tests/captures.rs
+++ b/crates/node/tests/captures.rs
@@ -1,8 +1,8 @@
 //! Captures written by a node process, in past failures and difficult cases: each capture has to
 //! replay to the same decisions.
 //!
-//! With PIPITLEVER_RECORD=FOLDER each test copies its capture there; lab/tests/captures holds those
-//! of the last intended change of the admission controller's decisions.
+//! With PIPITLEVER_RECORD=FOLDER each test copies its capture there; lab/tests/captures holds the
+//! captures recorded at the last intended change of the admission controller's decisions.
 
 mod common;
 
@@ -48,7 +48,7 @@
         while !self
             .files()
             .first()
-            .is_some_and(|f| read(f).is_some_and(|p| condition(&p)))
+            .is_some_and(|f| read(f).is_some_and(|capture| condition(&capture)))
         {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
@@ -179,8 +179,8 @@
     assert!(node.wait().success());
 }
 
-/// Sends this many reads, more than can run at once: the ids of the runs that begin, the others are
-/// queued.
+/// Sends this many reads, more than can run at once. Returns the ids of the runs that begin; the
+/// other reads are queued.
 fn start_and_queue_reads(
     gateway: &mut Gateway,
     processor: &mut Processor,
@@ -195,7 +195,7 @@
 
 #[test]
 fn identities_and_answers_are_recorded_beside_the_steps() {
-    let (folder, node, mut processor, mut gateway) = start_capturing("names", json!({}));
+    let (folder, node, mut processor, mut gateway) = start_capturing("identities", json!({}));
     let mut params = request_params(5000, Some("a secret key"), b"a secret body");
     params["sender"] = json!(4);
     let reference = u64::from_str_radix(params["ref"].as_str().unwrap(), 16).unwrap();
@@ -254,7 +254,7 @@
 #[test]
 fn a_capture_truncated_during_a_drain() {
     let (folder, mut node, mut processor, mut gateway) =
-        start_capturing("cut", json!({"stop_ms": 5000}));
+        start_capturing("truncated", json!({"stop_ms": 5000}));
     start_and_queue_reads(&mut gateway, &mut processor, 9);
     node.signal("-TERM");
     // No run ends: queued requests are removed from the queue before the grace period is over.
@@ -275,7 +275,7 @@
 
 #[test]
 fn a_duplicate_while_the_first_attempt_runs() {
-    let (folder, node, mut processor, mut gateway) = start_capturing("repeat", json!({}));
+    let (folder, node, mut processor, mut gateway) = start_capturing("duplicate", json!({}));
     gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     let (id, _) = processor.begin();
     for _ in 0..3 {
@@ -305,7 +305,7 @@
 /// that it has no record of.
 #[test]
 fn a_start_with_recovered_keys() {
-    let (store, folder) = (Folder::new("store"), Folder::new("brought-over"));
+    let (store, folder) = (Folder::new("store"), Folder::new("recovered-keys"));
     let section = format!(
         "[store]\nfolder = {:?}\nmax_mb = 4\n",
         store.0 .0.to_str().unwrap()
@@ -352,7 +352,8 @@
 
 #[test]
 fn a_lost_processor_connection_leaves_starts_uncertain() {
-    let (folder, node, mut processor, mut gateway) = start_capturing("link", json!({}));
+    let (folder, node, mut processor, mut gateway) =
+        start_capturing("processor-connection", json!({}));
     gateway.send("rota-view", request_params(5000, None, b"read"));
     let read = processor.begin();
     processor.disconnect();
@@ -380,7 +381,7 @@
 fn an_overloaded_ledger() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let entries = json!({"ledger": ledger.local_addr().unwrap().to_string()});
-    let (folder, node, mut processor, mut gateway) = start_capturing("jam", entries);
+    let (folder, node, mut processor, mut gateway) = start_capturing("overloaded-ledger", entries);
     gateway.send("rota-view", request_params(600, None, b"read"));
     gateway.send("swap-confirm", request_params(5000, Some("k"), b"write"));
     for _ in 0..2 {
@@ -393,7 +394,7 @@
     );
     let (first, _) = overloaded.post();
     let (second, _) = failing.post();
-    // One call is rejected until its time is up; the other one, which failed, may have had its
+    // The first call is rejected until its deadline; the second one failed and may have had its
     // effect.
     failing.reply(&format!("{second} error\r\n"));
     overloaded.reply(&format!("{first} queue_full\r\n"));
@@ -496,7 +497,7 @@
 
 #[test]
 fn a_capture_switched_on_and_off_while_the_node_runs() {
-    let folder = Folder::new("later");
+    let folder = Folder::new("switched-on");
     let mut processor = Processor::new();
     let node = Node::start(
         json!({"processor": processor.address().to_string()}),
@@ -528,8 +529,8 @@
 }
 
 #[test]
-fn a_removed_or_impossible_folder_costs_no_answers() {
-    let folder = Folder::new("vanishes");
+fn a_removed_or_unusable_capture_folder_loses_no_answers() {
+    let folder = Folder::new("removed");
     // The path of the capture folder is that of a file.
     std::fs::write(&folder.0 .0, b"").unwrap();
     let mut processor = Processor::new();
--- a/crates/node/tests/closing.rs
+++ b/crates/node/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Closing of connections and shutdown of the node: no request and no answer may be lost meanwhile.
+//! Closing of connections and shutdown of the node: neither loses a request or an answer.
 
 mod common;
 
@@ -8,21 +8,21 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Config entries with an idle timeout of connections of this many milliseconds.
-fn idle_after(ms: u64) -> Value {
+/// Config entries that set the idle timeout of connections, in milliseconds.
+fn idle_timeout(ms: u64) -> Value {
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["familyInfo"]["keepaliveMax"] = json!(ms * 1000);
     json!({ "settings": settings })
 }
 
 /// Starts a node with these config entries, connects its processor and a gateway.
-fn pair(more: Value) -> (Node, Processor, Gateway) {
+fn start_node(entries: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
     let mut config_entries = json!({"processor": processor.address()});
     config_entries
         .as_object_mut()
         .unwrap()
-        .extend(more.as_object().unwrap().clone());
+        .extend(entries.as_object().unwrap().clone());
     let node = Node::start(config_entries, None);
     processor.accept_running();
     let gateway = node.ready();
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_request_sent_during_the_close_of_an_idle_connection_is_answered() {
-    let (node, mut processor, _gateway) = pair(idle_after(500));
+    let (node, mut processor, _gateway) = start_node(idle_timeout(500));
     let mut stream = connect_and_check_health(&node);
     // A gateway may send further requests before it reads this message.
     read_goaway(&mut stream);
@@ -95,7 +95,7 @@
 
 #[test]
 fn an_incomplete_line_on_an_idle_connection_can_be_completed() {
-    let (node, mut processor, _gateway) = pair(idle_after(500));
+    let (node, mut processor, _gateway) = start_node(idle_timeout(500));
     let mut stream = connect_and_check_health(&node);
     let text = request_line(2, &request_params(5000, None, b"in halves"));
     let (first, second) = text.as_bytes().split_at(40);
@@ -110,7 +110,7 @@
 
 #[test]
 fn bytes_after_an_idle_close_are_dropped_and_do_not_reset_it() {
-    let (node, _processor, _gateway) = pair(idle_after(300));
+    let (node, _processor, _gateway) = start_node(idle_timeout(300));
     let mut stream = connect_and_check_health(&node);
     read_goaway(&mut stream);
     assert_eq!(
@@ -127,11 +127,11 @@
     assert_eq!(stream.read(&mut [0; 64]).unwrap(), 0);
 }
 
-/// Guards against a request that runs without an answer because it was read in the same turn as the
-/// last error, which closes the connection.
+/// Guards against a request that runs without an answer because it was read together with the last
+/// error, which closes the connection.
 #[test]
 fn no_request_after_the_last_error_runs() {
-    let (mut node, mut processor, mut gateway) = pair(json!({}));
+    let (mut node, mut processor, mut gateway) = start_node(json!({}));
     let mut bad = TcpStream::connect(node.gateway_address).unwrap();
     bad.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let request = request_line(1, &request_params(5000, None, b"after the close"));
@@ -153,7 +153,7 @@
 /// bytes.
 #[test]
 fn clients_that_never_stop_sending_are_answered_and_not_reset_by_the_end_of_a_drain() {
-    let (mut node, mut processor, _gateway) = pair(json!({"stop_ms": 3000}));
+    let (mut node, mut processor, _gateway) = start_node(json!({"stop_ms": 3000}));
     let node_at = node.gateway_address;
     let client = move || -> (u64, usize) {
         let mut stream = TcpStream::connect(node_at).unwrap();
@@ -204,8 +204,8 @@
 #[test]
 fn a_drain_answers_queued_running_waiting_and_unread_requests() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
-    let more = json!({"ledger": ledger.local_addr().unwrap(), "stop_ms": 4000});
-    let (mut node, mut processor, mut gateway) = pair(more);
+    let entries = json!({"ledger": ledger.local_addr().unwrap(), "stop_ms": 4000});
+    let (mut node, mut processor, mut gateway) = start_node(entries);
     let calling = gateway.send("rota-view", request_params(3000, None, b"calls"));
     let (call_id, _) = processor.begin();
     processor.notice("ask", &call_id, b"body");
@@ -286,14 +286,14 @@
     let mut settings = configuration(&json!({}))["settings"].clone();
     settings["safety"]["drainGrace"] = json!(300_000);
     let (mut node, mut processor, mut gateway) =
-        pair(json!({"settings": settings, "stop_ms": 4000}));
+        start_node(json!({"settings": settings, "stop_ms": 4000}));
     gateway.send("rota-view", request_params(3500, None, b"delays the end"));
     let (id, _) = processor.begin();
     node.signal("-TERM");
     node.wait_for_line("draining: ");
     assert_eq!(gateway.receive()["method"], "goaway");
-    // The front ends end the grace period slightly early; requests after this wait are certain to
-    // be late.
+    // The front ends close, and send `goaway`, slightly before the end of the grace period; requests
+    // after this wait are certain to be late.
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(200) {
         std::thread::sleep(Duration::from_millis(10));
@@ -359,13 +359,13 @@
     while processor.command().0[0] != "answer" {}
     processor.complete(&id, "fine", b"served");
     assert_eq!(new_connection.receive()["result"]["doc"], base64(b"served"));
-    // Reports continue: earlier ones are read first.
+    // Heartbeats to the service registry continue: those sent earlier are read first.
     members.set_nonblocking(true).unwrap();
     while members.recv(&mut [0; 64]).is_ok() {}
     members.set_nonblocking(false).unwrap();
-    let mut report = [0; 64];
-    let length = members.recv(&mut report).unwrap();
-    assert_eq!(&report[..length], b"HB n1 UP");
+    let mut heartbeat = [0; 64];
+    let length = members.recv(&mut heartbeat).unwrap();
+    assert_eq!(&heartbeat[..length], b"HB n1 UP");
     processor.complete(&open_id, "fine", b"still open");
     assert_eq!(open.receive()["result"]["doc"], base64(b"still open"));
     // The connections that have been idle longest get `goaway` first.
@@ -385,12 +385,12 @@
     }
 }
 
-/// Guards against several connections that are accepted in one turn and for which the same idle
-/// connection is closed, because its driver has not run yet.
+/// Guards against several connections that are accepted in one iteration of the event loop and for
+/// which the same idle connection is closed, because its driver has not run yet.
 #[test]
-fn new_connections_in_one_turn_close_one_idle_connection_each() {
+fn connections_accepted_together_close_one_idle_connection_each() {
     // 74 descriptors are reserved, so there are 16 connection slots, two of which are kept free.
-    let (node, _processor, _gateway) = pair(json!({"limits": {"sockets": 90}}));
+    let (node, _processor, _gateway) = start_node(json!({"limits": {"sockets": 90}}));
     let mut idle_connections: Vec<TcpStream> =
         (0..16).map(|_| connect_and_check_health(&node)).collect();
     // Connections that were used within the last 0.1 s are not closed.
@@ -400,15 +400,16 @@
         .map(|_| TcpStream::connect(node.gateway_address).unwrap())
         .collect();
     node.signal("-CONT");
-    // This health check is answered in a later turn than that which accepted the new connections.
+    // This health check is answered in a later iteration of the event loop than the one that
+    // accepted the new connections.
     connect_and_check_health(&node);
     node.signal("-USR1");
     let counters = node.wait_for_line("counters: ");
-    let chosen = Node::counter(&counters, "crowded_out");
-    assert!(chosen >= 3, "{counters}");
-    // The first of the closed connections is the gateway of `pair`.
-    for stream in idle_connections.iter_mut().take(chosen as usize - 1) {
-        // Idle ones are closed after 15 s in any case.
+    let closed = Node::counter(&counters, "crowded_out");
+    assert!(closed >= 3, "{counters}");
+    // The first of the closed connections is the gateway of `start_node`.
+    for stream in idle_connections.iter_mut().take(closed as usize - 1) {
+        // Well before the idle timeout of 15 s, which closes idle connections in any case.
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
--- a/crates/node/tests/command.rs
+++ b/crates/node/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The commands of `pipitlever`: their output, error messages and exit codes.
 
 mod common;
 
--- a/crates/node/tests/common/mod.rs
+++ b/crates/node/tests/common/mod.rs
@@ -509,8 +509,8 @@
     params
 }
 
-/// A stand-in for the processor: returns each command that it reads, and sends the notices that a
-/// test asks for.
+/// A stand-in for the processor: a test reads the node's commands and sends the processor's
+/// notices.
 pub struct Processor {
     pub listener: TcpListener,
     connection: Option<(TcpStream, BufReader<TcpStream>)>,
@@ -604,7 +604,7 @@
         }
     }
 
-    /// The next command other than `usage`, with its body. Commands `usage` are answered.
+    /// The next command other than `usage`, with its body. `usage` commands are answered.
     pub fn command(&mut self) -> (Vec<String>, Vec<u8>) {
         let start = Instant::now();
         loop {
@@ -638,7 +638,7 @@
         }
     }
 
-    /// Reads a command, which has to be `begin`: the run's id and the body.
+    /// Reads a command, which has to be `begin`; returns the run's id and the body.
     pub fn begin(&mut self) -> (String, Vec<u8>) {
         let (fields, body) = self.command();
         assert_eq!(fields[0], "begin", "{fields:?}");
--- a/crates/node/tests/control.rs
+++ b/crates/node/tests/control.rs
@@ -101,14 +101,19 @@
     gateway.send("rota-view", request_params(0, None, b"three"));
     gateway.receive();
     let metrics = ["fulfilled", "faulted", "throttled", "relayed"];
-    let values =
-        |class: &str| metrics.map(|f| control.metric(&format!("operations.{class}.{f}")).unwrap());
+    let values = |class: &str| {
+        metrics.map(|name| {
+            control
+                .metric(&format!("operations.{class}.{name}"))
+                .unwrap()
+        })
+    };
     assert_eq!(
         (values("rota-view"), values("swap-confirm")),
         ([1, 1, 1, 2], [0; 4])
     );
     assert_eq!(
-        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|f| control.metric(f)),
+        ["open_requests", "cfg_accepted", "cfg_invalid"].map(|name| control.metric(name)),
         [Some(0); 3]
     );
 }
--- a/crates/node/tests/deployments.rs
+++ b/crates/node/tests/deployments.rs
@@ -19,7 +19,7 @@
 }
 
 /// Guards against a run that goes on after its request was answered, although the deployment's runs
-/// can be interrupted: its cores were missing for queued requests.
+/// can be interrupted: queued requests could not use its cores.
 #[test]
 fn a_cancelled_run_is_interrupted() {
     for mode in ["abort", "suspend"] {
@@ -47,8 +47,8 @@
     }
 }
 
-/// The `interrupt` command crosses the end of the run. The processor answers it with a rejection or
-/// not at all.
+/// The run ends while the `interrupt` command is on its way. The processor answers the command with
+/// a rejection or not at all.
 #[test]
 fn an_interrupt_after_the_end_of_a_run_has_no_effect() {
     let mut processor = Processor::new();
@@ -58,19 +58,19 @@
     );
     processor.accept_running();
     let mut gateway = node.ready();
-    let (gone, continued) = (
-        request_params(5000, None, b"gone"),
-        request_params(5000, None, b"kept"),
+    let (cancelled, continued) = (
+        request_params(5000, None, b"cancelled"),
+        request_params(5000, None, b"continued"),
     );
-    let id = gateway.send("rota-view", gone.clone());
+    let id = gateway.send("rota-view", cancelled.clone());
     processor.begin();
     gateway.send("rota-view", continued.clone());
     processor.begin();
     gateway.notify("cancelRequest", json!({"id": id}));
     assert_eq!(processor.command().0[0], "interrupt");
-    processor.complete(&reference(&gone), "fine", b"late");
+    processor.complete(&reference(&cancelled), "fine", b"late");
     // One rejection for a run that has ended and one for a run in flight: neither ends a request.
-    for request in [&gone, &continued] {
+    for request in [&cancelled, &continued] {
         processor.send(format!("reject interrupt {}\r\n", reference(request)).as_bytes());
     }
     processor.complete(&reference(&continued), "fine", b"served");
@@ -186,7 +186,7 @@
         gateway.send("swap-confirm", params.clone());
         processor.begin();
     }
-    let hung = std::thread::spawn(move || {
+    let hung_processor = std::thread::spawn(move || {
         // The processor still answers usage queries, and ends no run.
         processor.answer_usage_for(Duration::from_secs(3));
         for params in &runs {
@@ -210,5 +210,5 @@
     // The check is healthy again once the first run ends.
     while !check(json!({"inner": true})) {}
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"done"));
-    drop(hung.join().unwrap());
+    drop(hung_processor.join().unwrap());
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -257,8 +257,8 @@
 }
 
 #[test]
-fn a_replacement_is_one_member_also_during_a_partition() {
-    let folder = ScratchDirectory::new("fleet-replaced");
+fn a_hot_restart_leaves_one_member_also_during_a_partition() {
+    let folder = ScratchDirectory::new("fleet-hot-restart");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let clients: Vec<Client> = (0..4).map(|i| cluster.start_client(i)).collect();
     let before = cluster.member(0, "n2").unwrap();
@@ -338,12 +338,12 @@
 
 #[test]
 fn a_crash_at_any_step_of_a_hot_restart_leaves_one_live_member() {
-    let folder = ScratchDirectory::new("fleet-deaths");
+    let folder = ScratchDirectory::new("fleet-crashes");
     let mut cluster = Cluster::start_converged(spec(&folder), 3);
     let clients: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
     let first = cluster.member(0, "n2").unwrap();
-    // After which log line of either process a process is killed, whether that is the successor,
-    // and the delay in milliseconds.
+    // The log line of either process after which a process is killed, whether the successor is the
+    // one that is killed, and the delay in milliseconds.
     let (connected, took_over, yielded) = (
         "a successor connected",
         "took over, this process serves",
@@ -359,7 +359,7 @@
         (took_over, false, 0),
         (yielded, false, 50),
     ];
-    for (log_text, successor_dies, ms) in steps {
+    for (log_text, kills_successor, ms) in steps {
         let line_count = cluster.history.lines().len();
         let old = cluster.nodes[2].process.as_ref().unwrap().number;
         let listen = cluster.nodes[2].process.as_ref().unwrap().client_address;
@@ -373,7 +373,7 @@
             cluster.tail(2)
         );
         std::thread::sleep(Duration::from_millis(ms));
-        if successor_dies {
+        if kills_successor {
             launched.signal("-KILL");
             drop(launched);
         } else {
@@ -384,13 +384,13 @@
             cluster.nodes[2].process = Some(cluster.wait_ready(launched));
         }
         cluster.wait_converged(&format!(
-            "{log_text}, {successor_dies}, {ms}: the surviving process"
+            "killed {ms} ms after {log_text:?}, successor={kills_successor}: the surviving process"
         ));
         let at = cluster.member(0, "n2").unwrap();
         assert_eq!(
             (&at["state"], &at["address"], &at["conflict"]),
             (&json!("alive"), &first["address"], &json!([])),
-            "{log_text}, {successor_dies}, {ms}: {:#?}",
+            "killed {ms} ms after {log_text:?}, successor={kills_successor}: {:#?}",
             cluster.tail(2)
         );
         let lines = cluster.history.lines().split_off(line_count);
@@ -399,7 +399,7 @@
             .find(|l| l.node < 2 && l.text.contains("member=n2 ") && l.text.contains("-> left"));
         assert!(
             ended.is_none(),
-            "{log_text}, {successor_dies}, {ms}: {ended:?}"
+            "killed {ms} ms after {log_text:?}, successor={kills_successor}: {ended:?}"
         );
     }
     stop_and_verify(clients, &cluster, Duration::from_secs(5));
@@ -414,12 +414,12 @@
     let old = cluster.nodes[1].process.as_ref().unwrap();
     let (old, listen) = (old.number, old.client_address);
     let yielded = |l: &LogLine| l.process == old && l.text.contains("the successor serves");
-    let dying = cluster.launch(1, "n1", Some(listen));
+    let killed_successor = cluster.launch(1, "n1", Some(listen));
     assert!(cluster.history.wait(0, yielded).is_some());
     // Stopped, the predecessor can't detect the exit before the next process has looked for it.
     cluster.signal(1, "-STOP");
-    dying.signal("-KILL");
-    drop(dying);
+    killed_successor.signal("-KILL");
+    drop(killed_successor);
     let line_count = cluster.history.lines().len();
     let next = cluster.launch(1, "n1", Some(listen));
     let number = next.number;
@@ -481,8 +481,8 @@
     let folder = ScratchDirectory::new("fleet-descriptors");
     let mut cluster = Cluster::start_converged(spec(&folder), 4);
     let id = cluster.nodes[2].process.as_ref().unwrap().id().to_string();
-    let limit = |most: &str| {
-        let arguments = ["--pid", &id, &format!("--nofile={most}")];
+    let set_descriptor_limits = |soft_and_hard: &str| {
+        let arguments = ["--pid", &id, &format!("--nofile={soft_and_hard}")];
         assert!(std::process::Command::new("prlimit")
             .args(arguments)
             .status()
@@ -492,7 +492,7 @@
     let line_count = cluster.history.lines().len();
     // The node can open no further descriptor beyond its three standard streams; the descriptors
     // that are open stay open.
-    limit("3:1024");
+    set_descriptor_limits("3:1024");
     let mut stream =
         std::net::TcpStream::connect(cluster.nodes[2].process.as_ref().unwrap().control_address)
             .unwrap();
@@ -506,10 +506,10 @@
     );
     cluster.kill(3);
     cluster.wait("n3 is down", |c| all_see_state(c, &[0, 1], "n3", "down"));
-    let noticed = cluster.history.wait(line_count, |l| {
+    let detected = cluster.history.wait(line_count, |l| {
         l.node == 2 && l.text.contains("member=n3 suspect -> down")
     });
-    assert!(noticed.is_some(), "{:#?}", cluster.tail(2));
+    assert!(detected.is_some(), "{:#?}", cluster.tail(2));
     // A member that restarts is discovered by datagrams. Connections are not accepted, and no other
     // member is declared down for that.
     cluster.start(3);
@@ -517,7 +517,7 @@
         all_see_state(c, &[0, 1, 3], "n3", "alive") && all_see_state(c, &[0, 1, 3], "n2", "alive")
     });
     assert!(wrongly_down(&cluster, line_count, &["n3"]).is_empty());
-    limit("1024:1024");
+    set_descriptor_limits("1024:1024");
     cluster.wait_converged("the descriptor limit is raised again");
 }
 
@@ -547,11 +547,11 @@
     cluster.wait("all nodes report both addresses", |c| {
         (0..4).all(|i| addresses(c, i).as_ref() == Some(&both))
     });
-    let number = |c: &Cluster| c.member(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
-    let first = number(&cluster);
+    let incarnation = |c: &Cluster| c.member(0, "n1").unwrap()["incarnation"].as_u64().unwrap();
+    let first_incarnation = incarnation(&cluster);
     std::thread::sleep(Duration::from_secs(3));
     assert!(
-        number(&cluster) <= first + 1 && addresses(&cluster, 2) == Some(both),
+        incarnation(&cluster) <= first_incarnation + 1 && addresses(&cluster, 2) == Some(both),
         "the two processes raise their incarnations against each other"
     );
     for node in [1, 3] {
--- a/crates/node/tests/handover.rs
+++ b/crates/node/tests/handover.rs
@@ -342,7 +342,9 @@
                 return;
             }
         }
-        let read = stream.read(&mut bytes).expect("more");
+        let read = stream
+            .read(&mut bytes)
+            .expect("the peer sends further messages");
         assert!(read > 0, "the connection ended");
         reader.feed(&bytes[..read]);
     }
@@ -375,8 +377,8 @@
     receive_until(&mut stream, &mut reader, |m| {
         matches!(m, Message::Yielded { .. })
     });
-    // The successor, this test's process, still runs. Each call gives the node a turn to handle the
-    // end of the connection.
+    // The successor, this test's process, still runs. The event loop handles the end of the
+    // connection between these calls.
     drop(stream);
     for _ in 0..20 {
         assert_eq!(control.call("GET /status").0, 503);
--- a/crates/node/tests/import.rs
+++ b/crates/node/tests/import.rs
@@ -1,5 +1,5 @@
 //! Configuration files of mod_jk and Apache, each with the operator's file that `pipitlever import`
-//! makes of it and the messages that it prints.
+//! generates from it and the messages that the command prints.
 //!
 //! `node/tests/import/NAME` is the input, `NAME.toml` the output, `NAME.said` the exit code (first
 //! line) and standard error. `PIPITLEVER_RECORD=1 cargo test -p pipitlever-node --test import`
--- a/crates/node/tests/load.rs
+++ b/crates/node/tests/load.rs
@@ -40,10 +40,10 @@
     let mut gateway = Gateway::new(node.gateway_address, 1);
     let doc = base64(&[7; 60]);
     let mut line = String::new();
-    // Some pieces hold the end of one request and the beginning of the next.
+    // Some chunks contain the end of one request and the beginning of the next.
     for length in [1, 2, 7, 100, 331, 4096] {
         let text = requests(&mut gateway, 6, &doc);
-        text.chunks(length).for_each(|piece| gateway.say(piece));
+        text.chunks(length).for_each(|chunk| gateway.say(chunk));
         let mut served: Vec<u64> = (0..6)
             .map(|_| {
                 gateway.line(&mut line);
@@ -224,6 +224,6 @@
     );
     assert!(
         later < first + (first - at_rest) / 2,
-        "{at_rest} KB, {first} KB, {later} KB"
+        "{at_rest} KB at rest, {first} KB after two bursts, {later} KB after eight"
     );
 }
--- a/crates/node/tests/packages.rs
+++ b/crates/node/tests/packages.rs
@@ -1,5 +1,6 @@
-//! The permitted dependencies between packages: the core does not depend on the wire formats, these
-//! do not depend on any package of the workspace, and none of them depends on sockets.
+//! The permitted dependencies between packages: the core does not depend on the wire formats, the
+//! wire formats do not depend on any package of the workspace, and no package that makes decisions
+//! depends on sockets.
 
 use std::collections::BTreeSet;
 use std::process::Command;
--- a/crates/node/tests/readiness.rs
+++ b/crates/node/tests/readiness.rs
@@ -15,10 +15,10 @@
 #[test]
 fn twenty_nodes_started_at_once_are_ready_in_time() {
     let start = Instant::now();
-    let one = |_| {
+    let start_node = |_| {
         std::thread::spawn(move || {
             let mut processor = Processor::new();
-            // Neither the ledger nor the membership service is there.
+            // Nothing listens at the addresses of the ledger and the service registry.
             let config_entries = json!({"processor": processor.address(),
                 "ledger": unused_address(), "members": unused_address()});
             let node = Node::start(config_entries, None);
@@ -32,7 +32,7 @@
             ready
         })
     };
-    let nodes: Vec<_> = (0..20).map(one).collect();
+    let nodes: Vec<_> = (0..20).map(start_node).collect();
     let ready: Vec<Duration> = nodes.into_iter().map(|node| node.join().unwrap()).collect();
     let in_time = ready.iter().filter(|ready| **ready <= READY).count();
     assert!(in_time >= 18, "{ready:?}");
--- a/crates/node/tests/repeats.rs
+++ b/crates/node/tests/repeats.rs
@@ -1,5 +1,5 @@
-//! Duplicates at the limits of a key's window and of its run, and messages that are truncated at
-//! every byte.
+//! Duplicates that arrive near the end of a key's window or of its run, and messages that are
+//! truncated at every byte.
 
 mod common;
 
--- a/crates/node/tests/retune.rs
+++ b/crates/node/tests/retune.rs
@@ -5,6 +5,8 @@
 use common::*;
 use serde_json::{json, Value};
 
+/// Starts a node with a control endpoint, a running processor and a gateway. The last value is the
+/// node's configuration.
 fn start_node() -> (Node, Processor, Gateway, ControlEndpoint, Value) {
     let mut processor = Processor::new();
     let entries = json!({"processor": processor.address().to_string(), "control": "127.0.0.1:0",
--- a/crates/node/tests/rules.rs
+++ b/crates/node/tests/rules.rs
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 
 /// Starts a node with these config entries, connects its processor and a gateway.
-fn pair(more: Value) -> (Node, Processor, Gateway) {
+fn start_node(entries: Value) -> (Node, Processor, Gateway) {
     let mut processor = Processor::new();
     let mut config_entries = json!({"processor": processor.address().to_string()});
     config_entries
         .as_object_mut()
         .unwrap()
-        .extend(more.as_object().unwrap().clone());
+        .extend(entries.as_object().unwrap().clone());
     let node = Node::start(config_entries, None);
     processor.accept_running();
     let gateway = node.ready();
@@ -32,13 +32,13 @@
 fn bodies_results_and_replies_pass_unchanged() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) =
-        pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
-    let every: Vec<u8> = (0..2048).map(|i| i as u8).collect();
-    let number = gateway.send("rota-view", request_params(5000, None, &every));
+        start_node(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
+    let all_byte_values: Vec<u8> = (0..2048).map(|i| i as u8).collect();
+    let number = gateway.send("rota-view", request_params(5000, None, &all_byte_values));
     let (command, body) = processor.command();
     assert_eq!(
         (&*command[0], &*command[2], &body),
-        ("begin", "rota-view", &every)
+        ("begin", "rota-view", &all_byte_values)
     );
     processor.notice("ask", &command[1], b"call\r\n\0");
     let mut call = LedgerConnection::accept(&ledger);
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_running_request_is_answered_by_its_deadline() {
-    let (_node, mut processor, mut gateway) = pair(json!({}));
+    let (_node, mut processor, mut gateway) = start_node(json!({}));
     let start = Instant::now();
     gateway.send("rota-view", request_params(300, None, b""));
     processor.begin();
@@ -105,8 +105,8 @@
 
 #[test]
 fn a_key_runs_once_and_its_duplicates_share_the_outcome() {
-    let (_node, mut processor, mut gateway) = pair(json!({}));
-    let mut other = _node.gateway();
+    let (node, mut processor, mut gateway) = start_node(json!({}));
+    let mut other = node.gateway();
     let first = gateway.send("swap-confirm", request_params(5000, Some("key"), b"x"));
     let (id, _) = processor.begin();
     // A duplicate joins the run; a duplicate that is cancelled does not.
@@ -149,7 +149,7 @@
 fn a_new_processor_connection_resumes_where_the_old_one_broke() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_node, mut processor, mut gateway) =
-        pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
+        start_node(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
     gateway.send(
         "rota-view",
         request_params(10000, None, b"waits for its call"),
@@ -205,7 +205,7 @@
 /// key is not a duplicate.
 #[test]
 fn a_rejected_command_ends_its_request_at_once() {
-    let (_node, mut processor, mut gateway) = pair(json!({}));
+    let (_node, mut processor, mut gateway) = start_node(json!({}));
     gateway.send(
         "swap-confirm",
         request_params(10000, Some("key"), b"unknown"),
@@ -223,7 +223,7 @@
 #[test]
 fn a_call_is_retried_only_if_it_cannot_have_run_or_may_run_twice() {
     let unused = unused_address();
-    let (_node, mut processor, mut gateway) = pair(json!({"ledger": unused.to_string()}));
+    let (_node, mut processor, mut gateway) = start_node(json!({"ledger": unused.to_string()}));
     gateway.send("swap-confirm", request_params(10000, Some("key"), b""));
     let (write, _) = processor.begin();
     processor.notice("ask", &write, b"call");
@@ -250,10 +250,11 @@
     assert_eq!(processor.command().1, b"x");
 }
 
+/// The service registry removes a node after three seconds without a heartbeat.
 #[test]
-fn reports_are_sent_well_within_three_seconds() {
+fn heartbeats_are_sent_well_within_three_seconds() {
     let members = udp_socket();
-    let (node, ..) = pair(json!({"members": members.local_addr().unwrap().to_string()}));
+    let (node, ..) = start_node(json!({"members": members.local_addr().unwrap().to_string()}));
     let mut datagram = [0; 64];
     let mut next = || {
         let n = members.recv(&mut datagram).unwrap();
@@ -318,14 +319,14 @@
     new.notice("ask", &read, b"next");
     let mut next = LedgerConnection::accept(&new_ledger);
     assert_eq!(next.post(), (read, b"next".to_vec()));
-    // Keys stay known, and reports continue to the new address.
+    // The keys are retained, and heartbeats are sent to the new address.
     new.complete(&write, "fine", b"once");
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
     gateway.send("swap-confirm", request_params(9000, Some("key"), b"write"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(b"once"));
-    let mut report = [0; 64];
-    let n = new_members.recv(&mut report).unwrap();
-    assert_eq!(&report[..n], b"HB n1 UP");
+    let mut heartbeat = [0; 64];
+    let n = new_members.recv(&mut heartbeat).unwrap();
+    assert_eq!(&heartbeat[..n], b"HB n1 UP");
 }
 
 /// Guards against a malformed reply that fails the calls of other requests, as when one connection
@@ -334,7 +335,7 @@
 fn a_malformed_reply_fails_only_its_own_call() {
     let ledger = TcpListener::bind("127.0.0.1:0").unwrap();
     let (node, mut processor, mut gateway) =
-        pair(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
+        start_node(json!({"ledger": ledger.local_addr().unwrap().to_string()}));
     // Starts a run that waits for its call; returns its id and the connection of the call.
     let mut keys = 0;
     let mut start_waiting_run = |gateway: &mut Gateway| {
@@ -348,12 +349,12 @@
         (id, LedgerConnection::accept(&ledger))
     };
     let (good, mut call) = start_waiting_run(&mut gateway);
-    let noise = "\u{1}".repeat(2000);
+    let garbage = "\u{1}".repeat(2000);
     for malformed in [
-        "noise without an end",
+        "garbage without a line end",
         "ID posted 3000000000\r\nxxx",
         "ID posted 9\r\nx\r\n",
-        &noise,
+        &garbage,
         "",
     ] {
         let (id, mut call) = start_waiting_run(&mut gateway);
@@ -386,8 +387,8 @@
 }
 
 #[test]
-fn a_drain_answers_what_was_read_and_ends_in_time() {
-    let (mut node, mut processor, mut gateway) = pair(json!({}));
+fn a_drain_answers_requests_in_flight_and_ends_in_time() {
+    let (mut node, mut processor, mut gateway) = start_node(json!({}));
     gateway.send("swap-confirm", request_params(10000, Some("key"), b""));
     let (id, _) = processor.begin();
     let mut idle = node.gateway();
@@ -421,7 +422,7 @@
 #[test]
 fn a_request_that_arrives_in_pieces_is_served_among_many_connections() {
     let (node, mut processor, _gateway) =
-        pair(json!({"limits": {"sockets": 160, "memory_mb": 24}}));
+        start_node(json!({"limits": {"sockets": 160, "memory_mb": 24}}));
     let params = request_params(6000, None, b"in pieces");
     let text = format!(
         "{}\n",
@@ -450,7 +451,7 @@
 /// node's whole traffic was rejected for seconds.
 #[test]
 fn a_drain_serves_requests_within_its_grace_period() {
-    let (node, mut processor, _gateway) = pair(json!({}));
+    let (node, mut processor, _gateway) = start_node(json!({}));
     node.signal("-TERM");
     node.wait_for_line("draining: ");
     let mut late = node.gateway();
@@ -469,8 +470,8 @@
 }
 
 #[test]
-fn a_drain_fails_what_runs_too_long_before_the_kill() {
-    let (mut node, mut processor, mut gateway) = pair(json!({"stop_ms": 1000}));
+fn a_drain_fails_long_runs_before_the_process_would_be_killed() {
+    let (mut node, mut processor, mut gateway) = start_node(json!({"stop_ms": 1000}));
     gateway.send("rota-view", request_params(10000, None, b""));
     processor.begin();
     let start = Instant::now();
@@ -487,7 +488,7 @@
 
 #[test]
 fn bad_input_gets_its_error_and_affects_no_other_request() {
-    let (node, mut processor, mut good) = pair(json!({}));
+    let (node, mut processor, mut good) = start_node(json!({}));
     let change = |field: &str, value: Value| {
         let mut params = request_params(5000, Some("bad"), b"");
         params[field] = value;
@@ -549,7 +550,7 @@
 #[test]
 fn silent_connections_do_not_keep_out_clients_with_requests() {
     // 74 descriptors are reserved, so 8 connections are accepted.
-    let (node, mut processor, mut gateway) = pair(json!({"limits": {"sockets": 82}}));
+    let (node, mut processor, mut gateway) = start_node(json!({"limits": {"sockets": 82}}));
     gateway.send("rota-view", request_params(15000, None, b""));
     let (id, _) = processor.begin();
     let start = Instant::now();
@@ -559,8 +560,8 @@
     let mut last = node.gateway();
     last.send("alive", json!({}));
     assert_eq!(last.receive()["result"]["healthy"], true);
-    // Each of them is closed within 3 s, at the limit or below; the connection with an open request
-    // stays.
+    // Each silent connection is closed within 3 s, whether or not the limit is reached; the
+    // connection with an open request stays open.
     for connection in &mut silent_connections {
         connection.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         assert_eq!(connection.read(&mut [0; 64]).unwrap_or(0), 0);
@@ -586,7 +587,7 @@
 /// without a client.
 #[test]
 fn a_new_connection_among_idle_ones_is_served() {
-    let (node, mut processor, first) = pair(json!({"limits": {"sockets": 82}}));
+    let (node, mut processor, first) = start_node(json!({"limits": {"sockets": 82}}));
     let idle = |_| {
         let mut gateway = node.gateway();
         gateway.send("alive", json!({}));
@@ -609,7 +610,7 @@
 /// and a malformed notification got no answer at all.
 #[test]
 fn repeated_errors_close_the_connection() {
-    let (node, mut processor, mut good) = pair(json!({}));
+    let (node, mut processor, mut good) = start_node(json!({}));
     for line in ["{", r#"{"jsonrpc":"2.0","method":"rota-view"}"#] {
         let mut bad = node.gateway();
         bad.send_bytes(format!("{line}\n").repeat(100).as_bytes());
@@ -633,8 +634,8 @@
 }
 
 #[test]
-fn a_connection_has_32_open_requests_and_its_end_abandons_them() {
-    let (mut node, mut processor, mut gateway) = pair(json!({}));
+fn a_connection_has_at_most_32_open_requests_and_its_end_abandons_them() {
+    let (mut node, mut processor, mut gateway) = start_node(json!({}));
     // Duplicates of one key: one runs, the others wait for it, and none can be served early.
     let numbers: Vec<u64> = (0..33)
         .map(|_| gateway.send("swap-confirm", request_params(9000, Some("k"), b"")))
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -19,7 +19,7 @@
 const NODES: usize = 5;
 const SESSION_WAIT_MS: u64 = 1_500;
 /// Default limit of concurrent runs of a worker, over all nodes.
-const MOST_RUNS: u64 = 1_024;
+const RUN_LIMIT: u64 = 1_024;
 /// Enough cores for all requests of the clients.
 const CORES: usize = 40;
 
@@ -67,9 +67,9 @@
 
 /// The operator's part of a config version.
 fn operator(pool: &str, was: &str, workers: &PoolMembers) -> String {
-    let member = |(name, at, weight, more): &(String, SocketAddr, f64, &str)| {
+    let member = |(name, at, weight, settings): &(String, SocketAddr, f64, &str)| {
         format!(
-            "[[pool.member]]\naddress = \"{at}\"\nname = \"{name}\"\nweight = {weight:?}\n{more}"
+            "[[pool.member]]\naddress = \"{at}\"\nname = \"{name}\"\nweight = {weight:?}\n{settings}"
         )
     };
     let members: String = workers.iter().map(member).collect();
@@ -85,7 +85,7 @@
     cluster: Cluster,
     folder: ScratchDirectory,
     /// The uwsgi listening address of each node; `None` while its process is down.
-    fronts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
+    uwsgi_addresses: Arc<Mutex<Vec<Option<SocketAddr>>>>,
 }
 
 impl TestCluster {
@@ -105,9 +105,9 @@
         let test_cluster = TestCluster {
             cluster,
             folder,
-            fronts: Arc::new(Mutex::new(vec![None; NODES])),
+            uwsgi_addresses: Arc::new(Mutex::new(vec![None; NODES])),
         };
-        (0..NODES).for_each(|i| test_cluster.record_front(i));
+        (0..NODES).for_each(|i| test_cluster.record_uwsgi_address(i));
         test_cluster.cluster.wait(
             "all nodes have completed the bootstrap of their sessions",
             |c| (0..NODES).all(|i| is_bootstrapped(c, i)),
@@ -116,7 +116,7 @@
     }
 
     /// Records the uwsgi listening address of a node's current process.
-    fn record_front(&self, node: usize) {
+    fn record_uwsgi_address(&self, node: usize) {
         let number = self.cluster.nodes[node].process.as_ref().unwrap().number;
         let line = self.cluster.history.wait(0, |l| {
             l.process == number && l.text.contains("protocol=uwsgi")
@@ -125,17 +125,17 @@
         let at = text
             .split(' ')
             .find_map(|w| w.strip_prefix("listen=").or(w.strip_prefix("address=")));
-        self.fronts.lock().unwrap()[node] = Some(at.unwrap().parse().unwrap());
+        self.uwsgi_addresses.lock().unwrap()[node] = Some(at.unwrap().parse().unwrap());
     }
 
     fn kill(&mut self, node: usize) {
-        self.fronts.lock().unwrap()[node] = None;
+        self.uwsgi_addresses.lock().unwrap()[node] = None;
         self.cluster.kill(node);
     }
 
     fn start(&mut self, node: usize) {
         self.cluster.start(node);
-        self.record_front(node);
+        self.record_uwsgi_address(node);
     }
 
     fn publish(&self, node: usize, why: &str, operator: &str) {
@@ -183,9 +183,9 @@
 
 /// Sends one request of a session to a node. Returns the worker that answered, or the error: an
 /// I/O error or the status line of the response.
-fn request(front: SocketAddr, session: usize) -> Result<String, String> {
+fn request(uwsgi_address: SocketAddr, session: usize) -> Result<String, String> {
     let to_message = |e: std::io::Error| e.to_string();
-    let mut stream = TcpStream::connect(front).map_err(to_message)?;
+    let mut stream = TcpStream::connect(uwsgi_address).map_err(to_message)?;
     stream
         .set_read_timeout(Some(Duration::from_secs(8)))
         .map_err(to_message)?;
@@ -226,25 +226,28 @@
             errors: Arc::default(),
             start: Instant::now(),
         };
-        for part in 0..4 {
+        for thread in 0..4 {
             let (stop, answers, errors) = (
                 clients.stop.clone(),
                 clients.answers.clone(),
                 clients.errors.clone(),
             );
-            let (fronts, start, sessions) =
-                (test_cluster.fronts.clone(), clients.start, sessions.clone());
+            let (uwsgi_addresses, start, sessions) = (
+                test_cluster.uwsgi_addresses.clone(),
+                clients.start,
+                sessions.clone(),
+            );
             clients.threads.push(std::thread::spawn(move || {
-                let mut rng = fastrand::Rng::with_seed(part);
+                let mut rng = fastrand::Rng::with_seed(thread);
                 while !stop.load(SeqCst) {
                     let (session, node) = (rng.usize(sessions.clone()), rng.usize(0..NODES));
                     // All requests of a session are sent by one thread, so that its answers are
                     // recorded in the order of its requests.
-                    let session = session - session % 4 + part as usize;
-                    let Some(front) = fronts.lock().unwrap()[node] else {
+                    let session = session - session % 4 + thread as usize;
+                    let Some(uwsgi_address) = uwsgi_addresses.lock().unwrap()[node] else {
                         continue;
                     };
-                    match request(front, session) {
+                    match request(uwsgi_address, session) {
                         Ok(worker) => {
                             answers
                                 .lock()
@@ -289,7 +292,8 @@
     moves
 }
 
-fn last(answers: &[RequestOutcome]) -> BTreeMap<usize, String> {
+/// The worker of each session's last answer.
+fn last_workers(answers: &[RequestOutcome]) -> BTreeMap<usize, String> {
     answers
         .iter()
         .map(|(_, session, _, worker)| (*session, worker.clone()))
@@ -336,10 +340,10 @@
         let sum_at = |nodes: &[Vec<u64>], worker: usize| -> u64 {
             nodes.iter().filter_map(|runs| runs.get(worker)).sum()
         };
-        of_nodes.is_some_and(|nodes| (0..all.len()).all(|w| sum_at(&nodes, w) == MOST_RUNS))
+        of_nodes.is_some_and(|nodes| (0..all.len()).all(|w| sum_at(&nodes, w) == RUN_LIMIT))
     };
     let shares_are_known = |c: &Cluster| {
-        let more_than_one = |runs: Vec<u64>| runs.iter().all(|most| *most > 1);
+        let more_than_one = |runs: Vec<u64>| runs.iter().all(|limit| *limit > 1);
         (0..NODES).all(|i| runs_at_workers(c, i).is_some_and(more_than_one))
     };
     test_cluster
@@ -394,21 +398,21 @@
         .concat()
     };
     assert!(moved.is_empty(), "{moved:?}: {:#?}", log_lines());
-    assert!(last(&answers).len() > 190 && answers.len() > 1_000);
+    assert!(last_workers(&answers).len() > 190 && answers.len() > 1_000);
     // w2 gets the former address of w1: sessions follow the names, and nothing that is recorded of
     // an address applies to the new worker there.
-    let placements = last(&answers);
+    let placements = last_workers(&answers);
     let index_of = |name: &str| all.iter().position(|d| d.0 == name).unwrap();
-    let (one, two) = (index_of("w1"), index_of("w2"));
+    let (w1, w2) = (index_of("w1"), index_of("w2"));
     *stand_ins[1].name.lock().unwrap() = "w2".into();
-    (all[one].1, all[two].1) = (start_worker("w1", Duration::ZERO).at, stand_ins[1].at);
+    (all[w1].1, all[w2].1) = (start_worker("w1", Duration::ZERO).at, stand_ins[1].at);
     test_cluster.publish(
         0,
         "w2 gets the machine of w1",
         &operator("counters", "\"desks\"", &all),
     );
     test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 4);
-    let fronts = test_cluster.fronts.lock().unwrap().clone();
+    let uwsgi_addresses = test_cluster.uwsgi_addresses.lock().unwrap().clone();
     let affected_sessions: Vec<(usize, String)> = placements
         .iter()
         .filter(|(_, w)| *w == "w1" || *w == "w2")
@@ -416,13 +420,13 @@
         .collect();
     for (session, worker) in &affected_sessions {
         assert_eq!(
-            request(fronts[session % NODES].unwrap(), *session).as_ref(),
+            request(uwsgi_addresses[session % NODES].unwrap(), *session).as_ref(),
             Ok(worker)
         );
     }
     // Sessions that began after the new workers were added are placed on them as well.
     let new: Vec<String> = (1_000..1_060)
-        .map(|s| request(fronts[s % NODES].unwrap(), s).unwrap())
+        .map(|s| request(uwsgi_addresses[s % NODES].unwrap(), s).unwrap())
         .collect();
     assert!(
         ["w5", "w6"].iter().all(|w| new.iter().any(|n| n == w)),
@@ -431,22 +435,22 @@
 }
 
 /// Guards against sessions that move to another worker and back because the nodes that hold their
-/// placements took longer than a lookup to reply: a node without a record placed them again.
+/// placements took longer to reply than a lookup waits: a node without a record placed them again.
 #[test]
-fn a_session_is_not_placed_again_while_the_nodes_that_hold_it_are_silent() {
+fn a_session_is_not_placed_again_while_the_nodes_with_its_placement_do_not_reply() {
     const SESSIONS: usize = 40;
     const QUERIED_NODE: usize = NODES - 1;
     let (mut all, _stand_ins) = start_workers(0..4, Duration::ZERO);
-    let test_cluster = TestCluster::new("sessions-silent", &all, CORES);
-    let fronts: Vec<SocketAddr> = test_cluster
-        .fronts
+    let test_cluster = TestCluster::new("sessions-no-reply", &all, CORES);
+    let uwsgi_addresses: Vec<SocketAddr> = test_cluster
+        .uwsgi_addresses
         .lock()
         .unwrap()
         .iter()
         .flatten()
         .copied()
         .collect();
-    let request_at = |node: usize, session: usize| request(fronts[node], session);
+    let request_at = |node: usize, session: usize| request(uwsgi_addresses[node], session);
     // A node that has just started, or whose information on the other nodes' loads changes, rejects
     // some requests.
     let admitted = |node: usize, session: usize| {
@@ -495,10 +499,10 @@
 fn a_hot_restart_moves_no_session_and_answers_all_requests() {
     let delay = Duration::from_millis(100);
     let (mut all, _) = start_workers(0..4, delay);
-    let mut test_cluster = TestCluster::new("sessions-replaced", &all, 1);
-    let fronts = |test_cluster: &TestCluster| -> Vec<SocketAddr> {
+    let mut test_cluster = TestCluster::new("sessions-hot-restart", &all, 1);
+    let uwsgi_addresses = |test_cluster: &TestCluster| -> Vec<SocketAddr> {
         test_cluster
-            .fronts
+            .uwsgi_addresses
             .lock()
             .unwrap()
             .iter()
@@ -507,16 +511,17 @@
             .collect()
     };
     // Sends one request of each session, to the node `at` or to a different node for each.
-    let request_all = |fronts: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
-        let requests = (0..40).map(|s| (fronts[at.unwrap_or(s % NODES)], s));
-        let threads: Vec<_> = requests
-            .map(|(f, s)| std::thread::spawn(move || request(f, s)))
-            .collect();
-        threads.into_iter().map(|t| t.join().unwrap()).collect()
-    };
+    let request_all =
+        |uwsgi_addresses: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
+            let requests = (0..40).map(|s| (uwsgi_addresses[at.unwrap_or(s % NODES)], s));
+            let threads: Vec<_> = requests
+                .map(|(f, s)| std::thread::spawn(move || request(f, s)))
+                .collect();
+            threads.into_iter().map(|t| t.join().unwrap()).collect()
+        };
     let mut placements: BTreeMap<usize, String> = BTreeMap::new();
     while placements.len() < 40 {
-        let answers = request_all(&fronts(&test_cluster), None);
+        let answers = request_all(&uwsgi_addresses(&test_cluster), None);
         placements.extend(
             answers
                 .into_iter()
@@ -540,10 +545,10 @@
             .client_address;
         // The node runs a few of these requests at a time, and most of them after the successor has
         // replaced it as the member.
-        let front_addresses = fronts(&test_cluster);
+        let addresses = uwsgi_addresses(&test_cluster);
         let (send_all, start) = (request_all, Instant::now());
         let in_flight =
-            std::thread::spawn(move || (send_all(&front_addresses, Some(node)), start.elapsed()));
+            std::thread::spawn(move || (send_all(&addresses, Some(node)), start.elapsed()));
         let launched = test_cluster
             .cluster
             .launch(node, &format!("n{node}"), Some(listen));
@@ -561,7 +566,7 @@
                 Err(error) => assert!(error.contains("503"), "{session}: {error}"),
             }
         }
-        test_cluster.record_front(node);
+        test_cluster.record_uwsgi_address(node);
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0));
     }
@@ -569,7 +574,7 @@
         "all nodes have completed the bootstrap of their sessions",
         |c| (0..NODES).all(|i| is_bootstrapped(c, i)),
     );
-    for answer in request_all(&fronts(&test_cluster), None)
+    for answer in request_all(&uwsgi_addresses(&test_cluster), None)
         .into_iter()
         .enumerate()
     {
@@ -604,7 +609,7 @@
     test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
     test_cluster.cluster.wait_converged("the heal");
     // During the partition sessions of w0 may alternate between workers; no other session moves.
-    let so_far = clients.answers.lock().unwrap().len();
+    let answers_before = clients.answers.lock().unwrap().len();
     let answers = clients.answers.lock().unwrap().clone();
     let moved = moves(&answers, 0);
     assert!(!moved.is_empty(), "no session moved away from w0");
@@ -620,7 +625,7 @@
     );
     std::thread::sleep(Duration::from_millis(2_500));
     let answers = clients.answers.lock().unwrap().clone();
-    let after = moves(&answers, so_far);
+    let after = moves(&answers, answers_before);
     // Within a second of the heal all nodes have the same placements.
     assert!(
         after
@@ -644,26 +649,27 @@
     let _ = TcpStream::connect(all[0].1);
     std::thread::sleep(Duration::from_millis(2_500));
     let answers = clients.end();
-    let before = last(&answers[..settled]);
+    let before = last_workers(&answers[..settled]);
     let moved = moves(&answers, settled);
     assert!(moved.iter().all(|m| m.1 == "w1"), "{moved:?}");
-    let of: Vec<usize> = before
+    let sessions_of_w1: Vec<usize> = before
         .iter()
         .filter(|(_, w)| *w == "w1")
         .map(|(s, _)| *s)
         .collect();
     assert!(
-        of.iter()
+        sessions_of_w1
+            .iter()
             .all(|s| moved.iter().filter(|m| m.0 == *s).count() == 1),
-        "{of:?} {moved:?}"
+        "{sessions_of_w1:?} {moved:?}"
     );
     // All nodes send a session to the same worker.
-    let now = last(&answers);
-    let fronts = test_cluster.fronts.lock().unwrap().clone();
+    let now = last_workers(&answers);
+    let uwsgi_addresses = test_cluster.uwsgi_addresses.lock().unwrap().clone();
     for (session, worker) in &now {
-        for front in fronts.iter().flatten() {
+        for uwsgi_address in uwsgi_addresses.iter().flatten() {
             assert_eq!(
-                request(*front, *session).as_deref(),
+                request(*uwsgi_address, *session).as_deref(),
                 Ok(worker.as_str()),
                 "{session}"
             );
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -68,7 +68,7 @@
     folder: &ScratchDirectory,
     nodes: usize,
     workers: &[WorkerStandIn],
-    more: &str,
+    pool_settings: &str,
 ) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
     let member = |(i, worker_stand_in): (usize, &WorkerStandIn)| {
@@ -81,13 +81,13 @@
     // Enough cores for all runs of the workers, so that only the limits of the workers apply.
     config["settings"]["familyInfo"]["cpus"] = json!(40);
     let members: String = workers.iter().enumerate().map(member).collect();
-    let more = format!(
+    let operator_file = format!(
             "share_apart = \"least\"\n\
              [fleet.versions]\nfolder = \"FOLDER/versions\"\nelectors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 1000\n\
-             [[pool]]\nname = \"desks\"\nshare = true\n{more}{members}\
+             [[pool]]\nname = \"desks\"\nshare = true\n{pool_settings}{members}\
              [[uwsgi.route]]\npath = \"/view\"\nclass = \"rota-view\"\nbackend = \"workers\"\npool = \"desks\"\n"
         );
-    let spec = ClusterConfig::new(PROGRAM, config, folder.0.clone(), more);
+    let spec = ClusterConfig::new(PROGRAM, config, folder.0.clone(), operator_file);
     Cluster::start_converged(spec, nodes)
 }
 
@@ -145,7 +145,8 @@
     Some(())
 }
 
-/// A node's share of each worker: whether the node uses the worker, and its limit of runs there.
+/// A node's share of each worker: whether the node uses the worker, and its limit of concurrent
+/// runs there.
 fn shares(cluster: &Cluster, node: usize) -> Option<Vec<(bool, usize)>> {
     let view = cluster.view(node)?;
     let workers = view["share"][0]["workers"].as_array()?.clone();
@@ -176,18 +177,19 @@
     stopped: &[usize],
     seen_lines: &mut usize,
 ) -> bool {
-    let seen = peaks(workers);
+    let peaks = take_peaks(workers);
     let is_delay = |l: &pipitlever_cluster_testing::process_control::LogLine| {
         l.text.contains("this node was not there") && !stopped.contains(&l.node)
     };
     let lines = cluster.history.lines();
     let delays = lines[*seen_lines..].iter().filter(|l| is_delay(l)).count();
     *seen_lines = lines.len();
-    println!("concurrent runs: {seen:?}, limit {limit}; local delays logged: {delays}");
-    seen.iter().all(|s| *s <= limit) || delays > 0
+    println!("concurrent runs: {peaks:?}, limit {limit}; local delays logged: {delays}");
+    peaks.iter().all(|s| *s <= limit) || delays > 0
 }
 
-fn peaks(workers: &[WorkerStandIn]) -> Vec<usize> {
+/// The highest number of concurrent runs of each worker since the last call.
+fn take_peaks(workers: &[WorkerStandIn]) -> Vec<usize> {
     workers.iter().map(|d| d.peak.swap(0, SeqCst)).collect()
 }
 
@@ -204,11 +206,11 @@
     // Far more clients than the workers may have runs.
     let mut loads: Vec<Load> = all.iter().map(|i| Load::start(&cluster, *i, 12)).collect();
     std::thread::sleep(Duration::from_secs(3));
-    let seen = peaks(&workers);
-    assert!(seen.iter().all(|peak| *peak <= RUN_LIMIT), "{seen:?}");
+    let peaks = take_peaks(&workers);
+    assert!(peaks.iter().all(|peak| *peak <= RUN_LIMIT), "{peaks:?}");
     assert!(
-        seen.iter().sum::<usize>() >= 2 * RUN_LIMIT,
-        "the workers are under-used: {seen:?}"
+        peaks.iter().sum::<usize>() >= 2 * RUN_LIMIT,
+        "the workers are under-used: {peaks:?}"
     );
 
     // The share of a crashed node stays unused until the crash is certain, then the other nodes
@@ -259,7 +261,7 @@
         adds_up(c, &all)
     });
     std::thread::sleep(2 * RUN_DURATION);
-    peaks(&workers);
+    take_peaks(&workers);
 
     // A stopped node, with its clients' requests in its sockets, has lost its share when it
     // resumes.
@@ -309,11 +311,12 @@
         start.elapsed()
     );
     std::thread::sleep(Duration::from_secs(1));
-    let seen = peaks(&workers);
+    let peaks = take_peaks(&workers);
     assert!(
-        seen.iter()
+        peaks
+            .iter()
             .all(|peak| (RUN_LIMIT / 2..=RUN_LIMIT).contains(peak)),
-        "{seen:?}"
+        "{peaks:?}"
     );
 }
 
--- a/crates/node/tests/soak.rs
+++ b/crates/node/tests/soak.rs
@@ -23,9 +23,9 @@
 const NODES: usize = 3;
 const CLIENTS_PER_NODE: usize = 2;
 const STEPS: usize = 8;
-/// Time from SIGTERM to the kill (`stop_ms` of the platform configuration). The process has to end
-/// before.
-const STOP: Duration = Duration::from_millis(2_000);
+/// Time after SIGTERM at which the platform kills the process (`stop_ms` of the platform
+/// configuration). The process has to end before.
+const STOP_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Clients wait 4 s, and an answer may be late by `answerSlack`, 0.1 s.
 const DEADLINE: Duration = Duration::from_millis(4_100);
 /// A killed process's connections end at once; a client detects that at its next read.
@@ -39,7 +39,7 @@
 /// One step of the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Two reloads, the second one within the first.
+    /// Two reloads, the second one signalled shortly after the first.
     TwoReloads,
     /// SIGTERM right after SIGHUP, then a new start.
     ReloadAndTerminate,
@@ -80,7 +80,7 @@
     Step::CutLinks,
 ];
 
-/// A process that was killed: its clients may lose what was in flight.
+/// A process that was killed: its clients may lose their requests in flight.
 struct KilledProcess {
     node: usize,
     at: Instant,
@@ -100,7 +100,7 @@
     fn start(seed: u64) -> Soak {
         let folder = ScratchDirectory::new(&format!("soak-{seed}"));
         std::fs::create_dir_all(&folder.0).unwrap();
-        let config = configuration(&json!({"stop_ms": STOP.as_millis() as u64}));
+        let config = configuration(&json!({"stop_ms": STOP_TIMEOUT.as_millis() as u64}));
         let versions = "[fleet.versions]\nfolder = \"FOLDER/versions\"\n\
                         electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
         let config = ClusterConfig::new(PROGRAM, config, folder.0.clone(), versions.into());
@@ -122,9 +122,9 @@
         process.expect("the node runs").client_address
     }
 
-    /// Sleeps for a random time of at most `most_ms`.
-    fn pause(&mut self, most_ms: u64) {
-        std::thread::sleep(Duration::from_millis(self.rng.u64(0..=most_ms)));
+    /// Sleeps for a random time of at most `max_ms`.
+    fn pause(&mut self, max_ms: u64) {
+        std::thread::sleep(Duration::from_millis(self.rng.u64(0..=max_ms)));
     }
 
     fn run(&mut self, step: Step) {
@@ -173,9 +173,16 @@
     /// Waits for a process that was sent SIGTERM to end with success before it would be killed.
     fn expect_successful_end(&mut self, node: usize, signalled_at: Instant) {
         let mut process = self.cluster.nodes[node].process.take().unwrap();
-        assert_eq!(process.wait().code(), Some(0), "n{node} was sent SIGTERM");
+        assert_eq!(
+            process.wait().code(),
+            Some(0),
+            "n{node} failed after SIGTERM"
+        );
         let took = signalled_at.elapsed();
-        assert!(took < STOP, "n{node} would have been killed: {took:?}");
+        assert!(
+            took < STOP_TIMEOUT,
+            "n{node} took {took:?} to exit, longer than {STOP_TIMEOUT:?}"
+        );
     }
 
     fn replace(&mut self, node: usize) {
@@ -192,7 +199,11 @@
         // The earliest moment at which the predecessor may be stopped.
         let mut old = self.cluster.nodes[node].process.replace(successor).unwrap();
         old.signal("-TERM");
-        assert_eq!(old.wait().code(), Some(0), "n{node}'s predecessor");
+        assert_eq!(
+            old.wait().code(),
+            Some(0),
+            "the predecessor of n{node} failed after SIGTERM"
+        );
     }
 
     /// Starts a successor and ends it in whatever phase it is; the predecessor continues to serve.
@@ -215,7 +226,11 @@
         self.pause(30);
         self.signal(node, "-TERM");
         let mut old = self.cluster.nodes[node].process.take().unwrap();
-        assert_eq!(old.wait().code(), Some(0), "n{node}'s predecessor");
+        assert_eq!(
+            old.wait().code(),
+            Some(0),
+            "the predecessor of n{node} failed after SIGTERM"
+        );
         // The successor may have been rejected, as its predecessor shuts down.
         launched.signal("-TERM");
         launched.wait();
@@ -262,7 +277,10 @@
             .output()
             .unwrap()
             .status;
-        assert!(status.code().is_some(), "the command does not crash");
+        assert!(
+            status.code().is_some(),
+            "`fleet publish` was ended by a signal"
+        );
     }
 
     fn cut_links(&mut self) {
--- a/crates/node/tests/store.rs
+++ b/crates/node/tests/store.rs
@@ -148,7 +148,7 @@
 /// run would be taken for the other's.
 #[test]
 fn a_reference_in_use_is_rejected_after_the_restart() {
-    let scratch = ScratchDirectory::new("names");
+    let scratch = ScratchDirectory::new("references");
     let mut processor = Processor::new();
     let entries = json!({"processor": processor.address().to_string()});
     let mut node = Node::start(entries.clone(), Some(&scratch.section()));
--- a/crates/node/tests/versions.rs
+++ b/crates/node/tests/versions.rs
@@ -13,12 +13,18 @@
 use std::process::Command;
 use std::time::Duration;
 
-fn cluster(folder: &ScratchDirectory, nodes: usize, more: &str) -> Cluster {
+fn cluster(folder: &ScratchDirectory, nodes: usize, settings: &str) -> Cluster {
     std::fs::create_dir_all(&folder.0).unwrap();
     let electors = "electors = [\"n0\", \"n1\", \"n2\"]\nlease_ms = 3000\n";
-    let more = format!("[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{more}");
+    let operator_sections =
+        format!("[fleet.versions]\nfolder = \"FOLDER/versions\"\n{electors}{settings}");
     Cluster::start_converged(
-        ClusterConfig::new(PROGRAM, configuration(&json!({})), folder.0.clone(), more),
+        ClusterConfig::new(
+            PROGRAM,
+            configuration(&json!({})),
+            folder.0.clone(),
+            operator_sections,
+        ),
         nodes,
     )
 }
@@ -106,7 +112,8 @@
 const UNKNOWN_CLASS: i64 = -32601;
 const REJECTED: i64 = -32000;
 
-fn disk(cluster: &Cluster, folder: &ScratchDirectory, node: usize) -> PathBuf {
+/// The folder in which a node stores its config versions.
+fn versions_folder(cluster: &Cluster, folder: &ScratchDirectory, node: usize) -> PathBuf {
     folder.0.join(&cluster.nodes[node].name).join("versions")
 }
 
@@ -140,7 +147,7 @@
 /// its disk, or with an empty one, while the fleet has activated a newer version.
 #[test]
 fn a_node_with_an_old_disk_serves_no_stale_version() {
-    let folder = ScratchDirectory::new("versions-put-back");
+    let folder = ScratchDirectory::new("versions-old-disk");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all nodes may act on their own files", |c| {
@@ -157,8 +164,8 @@
     assert!(accepted && text.contains("decided: 1"), "{text}");
     cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
     assert!(all.iter().all(|i| request(&cluster, *i, "monday") == 0));
-    let yesterday = folder.0.join("yesterday");
-    copy_directory(&disk(&cluster, &folder, 3), &yesterday);
+    let old_disk = folder.0.join("old-disk");
+    copy_directory(&versions_folder(&cluster, &folder, 3), &old_disk);
     // A reload does not apply the node's own file, which may be of any age: settings come from the
     // fleet's decisions alone.
     cluster.signal(3, "-HUP");
@@ -179,8 +186,8 @@
     for new_disk in [false, true] {
         cluster.kill(3);
         match new_disk {
-            true => std::fs::remove_dir_all(disk(&cluster, &folder, 3)).unwrap(),
-            false => copy_directory(&yesterday, &disk(&cluster, &folder, 3)),
+            true => std::fs::remove_dir_all(versions_folder(&cluster, &folder, 3)).unwrap(),
+            false => copy_directory(&old_disk, &versions_folder(&cluster, &folder, 3)),
         }
         cluster.start(3);
         // During the start nothing is served, neither under the old version nor without one.
@@ -224,7 +231,7 @@
 /// reason, until a quorum answers or an operator accepts its minimum version.
 #[test]
 fn a_node_with_an_old_disk_waits_for_a_quorum() {
-    let folder = ScratchDirectory::new("versions-alone");
+    let folder = ScratchDirectory::new("versions-no-quorum");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all nodes may act on their own files", |c| {
@@ -232,12 +239,12 @@
     });
     publish(&cluster, &folder, 0, "monday");
     cluster.wait("all act on 1", |c| all_act_on(c, &all, 1));
-    let yesterday = folder.0.join("yesterday");
-    copy_directory(&disk(&cluster, &folder, 3), &yesterday);
+    let old_disk = folder.0.join("old-disk");
+    copy_directory(&versions_folder(&cluster, &folder, 3), &old_disk);
     publish(&cluster, &folder, 0, "tuesday");
     cluster.wait("all act on 2", |c| all_act_on(c, &all, 2));
     all.iter().for_each(|i| cluster.kill(*i));
-    copy_directory(&yesterday, &disk(&cluster, &folder, 3));
+    copy_directory(&old_disk, &versions_folder(&cluster, &folder, 3));
     cluster.start(3);
     cluster.wait("n3 runs and rejects requests", |c| {
         request(c, 3, "rota-view") == REJECTED && request(c, 3, "monday") == REJECTED
@@ -276,7 +283,7 @@
     // When the acceptors are lost permanently, an operator can accept the minimum version on the
     // node's behalf.
     [0, 1, 3].iter().for_each(|i| cluster.kill(*i));
-    copy_directory(&yesterday, &disk(&cluster, &folder, 3));
+    copy_directory(&old_disk, &versions_folder(&cluster, &folder, 3));
     cluster.start(3);
     cluster.wait("n3 runs and rejects requests", |c| {
         request(c, 3, "monday") == REJECTED
@@ -333,11 +340,11 @@
     cluster.kill(3);
     cluster.wait("the other nodes act on 2", |c| all_act_on(c, &[0, 1, 2], 2));
     assert!(run_fleet_command(&cluster, 0, &["close", "2"]).0);
-    let closed = cluster.history.wait(0, |l| {
+    let retired = cluster.history.wait(0, |l| {
         l.text
             .contains("retired all versions below minimum_version=2")
     });
-    assert!(closed.is_some());
+    assert!(retired.is_some());
     let runs = cluster.nodes[4].processor.started_run_count();
     cluster.signal(4, "-CONT");
     let mut line = String::new();
@@ -377,8 +384,8 @@
 /// the hot restart. When the successor crashes, the predecessor resumes from the state that the
 /// successor has written to disk.
 #[test]
-fn a_replacement_neither_goes_back_nor_stops_serving() {
-    let folder = ScratchDirectory::new("versions-replaced");
+fn a_hot_restart_neither_returns_to_an_older_version_nor_stops_serving() {
+    let folder = ScratchDirectory::new("versions-hot-restart");
     let mut cluster = cluster(&folder, 4, "");
     let all = [0, 1, 2, 3];
     cluster.wait("all nodes may act on their own files", |c| {
