--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -169,7 +169,7 @@
         is_cut: true,
         ..LinkFaults::default()
     };
-    let bad = LinkFaults {
+    let degraded = LinkFaults {
         loss: 0.1,
         duplication: 0.2,
         corruption: 0.1,
@@ -179,7 +179,7 @@
     cluster.links.set(1, 0, cut);
     cluster.links.set(2, 3, cut);
     cluster.links.set(3, 2, cut);
-    all.iter().for_each(|i| cluster.links.set(4, *i, bad));
+    all.iter().for_each(|i| cluster.links.set(4, *i, degraded));
     std::thread::sleep(Duration::from_secs(4));
     assert_eq!(
         wrongly_down(&cluster, line_count, &[]).len(),
@@ -328,9 +328,9 @@
     cluster.kill(2);
     cluster.nodes[2].process = Some(successor);
     cluster.wait_converged("the successor is the member");
-    let at = cluster.member(0, "n2").unwrap();
+    let member = cluster.member(0, "n2").unwrap();
     assert_eq!(
-        (&at["address"], &at["conflict"]),
+        (&member["address"], &member["conflict"]),
         (&before["address"], &json!([]))
     );
     stop_and_verify(clients, &cluster, Duration::from_secs(5));
@@ -341,7 +341,7 @@
     let folder = ScratchDirectory::new("fleet-crashes");
     let mut cluster = Cluster::start_converged(spec(&folder), 3);
     let clients: Vec<Client> = (0..3).map(|i| cluster.start_client(i)).collect();
-    let first = cluster.member(0, "n2").unwrap();
+    let initial = cluster.member(0, "n2").unwrap();
     // The log line of either process after which a process is killed, whether the successor is the
     // one that is killed, and the delay in milliseconds.
     let (connected, took_over, yielded) = (
@@ -386,10 +386,10 @@
         cluster.wait_converged(&format!(
             "killed {ms} ms after {log_text:?}, successor={kills_successor}: the surviving process"
         ));
-        let at = cluster.member(0, "n2").unwrap();
+        let member = cluster.member(0, "n2").unwrap();
         assert_eq!(
-            (&at["state"], &at["address"], &at["conflict"]),
-            (&json!("alive"), &first["address"], &json!([])),
+            (&member["state"], &member["address"], &member["conflict"]),
+            (&json!("alive"), &initial["address"], &json!([])),
             "killed {ms} ms after {log_text:?}, successor={kills_successor}: {:#?}",
             cluster.tail(2)
         );
@@ -462,11 +462,11 @@
         .find(|l| l.node == 1)
         .unwrap()
         .text;
-    let at = line
+    let bind_address = line
         .split(' ')
         .find_map(|w| w.strip_prefix("bind="))
         .unwrap();
-    cluster.edit_operator_file(0, &unused.to_string(), at);
+    cluster.edit_operator_file(0, &unused.to_string(), bind_address);
     cluster.wait_converged("the nodes have discovered each other");
     let status = call_control(
         cluster.nodes[0].process.as_ref().unwrap().control_address,
@@ -599,29 +599,29 @@
         let mut stopped = Vec::new();
         for _ in 0..rng.usize(2..8) {
             faults += 1;
-            let one = rng.usize(..count);
-            let running = cluster.nodes[one].process.is_some() && !stopped.contains(&one);
+            let node = rng.usize(..count);
+            let running = cluster.nodes[node].process.is_some() && !stopped.contains(&node);
             match rng.u32(..8) {
-                0 | 1 if running => cluster.kill(one),
-                0 | 1 if !stopped.contains(&one) => cluster.start(one),
+                0 | 1 if running => cluster.kill(node),
+                0 | 1 if !stopped.contains(&node) => cluster.start(node),
                 2 if running => {
-                    cluster.signal(one, "-STOP");
-                    stopped.push(one);
+                    cluster.signal(node, "-STOP");
+                    stopped.push(node);
                 }
                 3 if running => {
-                    cluster.signal(one, "-TERM");
+                    cluster.signal(node, "-TERM");
                     assert_eq!(
-                        cluster.nodes[one].process.as_mut().unwrap().wait().code(),
+                        cluster.nodes[node].process.as_mut().unwrap().wait().code(),
                         Some(0)
                     );
-                    cluster.nodes[one].process = None;
+                    cluster.nodes[node].process = None;
                 }
                 4 => {
                     let cut = LinkFaults {
                         is_cut: true,
                         ..LinkFaults::default()
                     };
-                    cluster.links.set(one, rng.usize(..count), cut);
+                    cluster.links.set(node, rng.usize(..count), cut);
                 }
                 5 => {
                     let parts = rng.usize(2..4);
@@ -630,14 +630,14 @@
                 }
                 6 => {
                     let delay = Duration::from_millis(rng.u64(..100));
-                    let bad = LinkFaults {
+                    let degraded = LinkFaults {
                         loss: 0.2,
                         duplication: 0.1,
                         corruption: 0.05,
                         delay,
                         is_cut: false,
                     };
-                    (0..count).for_each(|i| cluster.links.set(one, i, bad));
+                    (0..count).for_each(|i| cluster.links.set(node, i, degraded));
                 }
                 _ => std::thread::sleep(Duration::from_millis(rng.u64(..4000))),
             }
--- a/crates/node/tests/sessions.rs
+++ b/crates/node/tests/sessions.rs
@@ -324,7 +324,7 @@
     all.reverse();
     all.iter_mut()
         .enumerate()
-        .for_each(|(i, d)| d.2 = 0.5 + i as f64);
+        .for_each(|(i, member)| member.2 = 0.5 + i as f64);
     test_cluster.publish(0, "more workers", &operator("desks", "", &all));
     test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
     // A node's share of a worker's limit is one run until all other nodes know its share of the new
@@ -402,7 +402,7 @@
     // w2 gets the former address of w1: sessions follow the names, and nothing that is recorded of
     // an address applies to the new worker there.
     let placements = last_workers(&answers);
-    let index_of = |name: &str| all.iter().position(|d| d.0 == name).unwrap();
+    let index_of = |name: &str| all.iter().position(|member| member.0 == name).unwrap();
     let (w1, w2) = (index_of("w1"), index_of("w2"));
     *stand_ins[1].name.lock().unwrap() = "w2".into();
     (all[w1].1, all[w2].1) = (start_worker("w1", Duration::ZERO).at, stand_ins[1].at);
@@ -515,7 +515,7 @@
         |uwsgi_addresses: &[SocketAddr], at: Option<usize>| -> Vec<Result<String, String>> {
             let requests = (0..40).map(|s| (uwsgi_addresses[at.unwrap_or(s % NODES)], s));
             let threads: Vec<_> = requests
-                .map(|(f, s)| std::thread::spawn(move || request(f, s)))
+                .map(|(address, session)| std::thread::spawn(move || request(address, session)))
                 .collect();
             threads.into_iter().map(|t| t.join().unwrap()).collect()
         };
@@ -526,13 +526,13 @@
             answers
                 .into_iter()
                 .enumerate()
-                .filter_map(|(s, h)| Some((s, h.ok()?))),
+                .filter_map(|(session, answer)| Some((session, answer.ok()?))),
         );
     }
     // The new weights apply to new placements; the placed sessions stay.
     all.iter_mut()
         .enumerate()
-        .for_each(|(i, d)| d.2 = 0.2 + 2.0 * i as f64);
+        .for_each(|(i, member)| member.2 = 0.2 + 2.0 * i as f64);
     test_cluster.publish(0, "other weights", &operator("desks", "", &all));
     test_cluster.wait_for_version(&[0, 1, 2, 3, 4], 1);
     // By now every node has a record of each session, and none was used within the last second.
--- a/crates/node/tests/share.rs
+++ b/crates/node/tests/share.rs
@@ -168,8 +168,8 @@
 }
 
 /// Whether no worker had more than `limit` concurrent runs since the last call. The limit is not
-/// guaranteed for a node that was starved of CPU for as long as an update takes to arrive, as on a
-/// busy machine; such a node logs that.
+/// guaranteed while a node is starved of CPU for as long as an update takes to arrive, as on a busy
+/// machine; such a node logs the delay.
 fn stays_within(
     cluster: &Cluster,
     workers: &[WorkerStandIn],
