--- a/crates/repository-checks/src/architecture.rs
+++ b/crates/repository-checks/src/architecture.rs
@@ -16,14 +16,14 @@
 }
 
 /// All references of a page, in order.
-pub fn references(page: &str) -> Vec<Reference> {
+pub fn parse_references(page: &str) -> Vec<Reference> {
     // Code spans are the odd parts between backticks.
     let spans = page.split('`').skip(1).step_by(2);
-    let sources = spans.filter(|span| span.starts_with("crates/"));
-    sources.map(parse).collect()
+    let source_spans = spans.filter(|span| span.starts_with("crates/"));
+    source_spans.map(parse_reference).collect()
 }
 
-fn parse(span: &str) -> Reference {
+fn parse_reference(span: &str) -> Reference {
     match span.split_once("::") {
         Some((path, function)) => Reference {
             path: path.to_owned(),
@@ -37,7 +37,7 @@
 }
 
 /// What is missing of a reference below `root`; nothing if all of it exists.
-pub fn missing(root: &Path, reference: &Reference) -> Option<String> {
+pub fn missing_target(root: &Path, reference: &Reference) -> Option<String> {
     let path = root.join(&reference.path);
     let Some(function) = &reference.function else {
         return (!path.exists()).then(|| format!("{}: no such file", reference.path));
@@ -45,7 +45,9 @@
     let Ok(text) = fs::read_to_string(&path) else {
         return Some(format!("{}: no such file", reference.path));
     };
-    let defined = ["(", "<"].map(|end| format!("fn {function}{end}"));
-    let found = defined.iter().any(|definition| text.contains(definition));
+    let definitions = ["(", "<"].map(|end| format!("fn {function}{end}"));
+    let found = definitions
+        .iter()
+        .any(|definition| text.contains(definition));
     (!found).then(|| format!("{}: no function {function}", reference.path))
 }
--- a/crates/repository-checks/src/test_names.rs
+++ b/crates/repository-checks/src/test_names.rs
@@ -12,32 +12,32 @@
 /// # Errors
 ///
 /// Fails if a folder or a source file cannot be read.
-pub fn find(crates: &Path) -> io::Result<TestNames> {
+pub fn find_tests(crates: &Path) -> io::Result<TestNames> {
     let mut names = TestNames::new();
     for entry in fs::read_dir(crates)? {
         let entry = entry?;
         let package = entry.file_name().to_string_lossy().into_owned();
         let mut tests = BTreeSet::new();
-        collect(&entry.path(), &mut tests)?;
+        collect_tests(&entry.path(), &mut tests)?;
         names.insert(package, tests);
     }
     Ok(names)
 }
 
-fn collect(folder: &Path, tests: &mut BTreeSet<String>) -> io::Result<()> {
+fn collect_tests(folder: &Path, tests: &mut BTreeSet<String>) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let path = entry?.path();
         if path.is_dir() {
-            collect(&path, tests)?;
+            collect_tests(&path, tests)?;
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            tests.extend(marked(&fs::read_to_string(&path)?));
+            tests.extend(test_functions(&fs::read_to_string(&path)?));
         }
     }
     Ok(())
 }
 
 /// The functions of one source text that are marked `#[test]`.
-pub fn marked(source: &str) -> Vec<String> {
+pub fn test_functions(source: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut is_marked = false;
     for line in source.lines().map(str::trim) {
@@ -53,15 +53,15 @@
 }
 
 /// Reads lines of two words each; other lines are ignored.
-pub fn pairs(text: &str) -> Vec<(String, String)> {
-    let line = |line: &str| {
-        let mut words = line.split_whitespace();
-        match (words.next(), words.next(), words.next()) {
+pub fn parse_pairs(text: &str) -> Vec<(String, String)> {
+    let parse_line = |line: &str| {
+        let mut fields = line.split_whitespace();
+        match (fields.next(), fields.next(), fields.next()) {
             (Some(first), Some(second), None) => Some((first.to_owned(), second.to_owned())),
             _ => None,
         }
     };
-    text.lines().filter_map(line).collect()
+    text.lines().filter_map(parse_line).collect()
 }
 
 /// The tests of an earlier commit that no package has under their old or new name, and new names
@@ -69,23 +69,23 @@
 ///
 /// `renamed` maps, for each package, an old name to a new one. A test may have moved to another
 /// package.
-pub fn lost(
-    before: &[(String, String)],
+pub fn missing_tests(
+    earlier: &[(String, String)],
     renamed: &BTreeMap<String, Vec<(String, String)>>,
-    now: &TestNames,
+    current: &TestNames,
 ) -> Vec<String> {
-    let all: BTreeSet<&String> = now.values().flatten().collect();
+    let all: BTreeSet<&String> = current.values().flatten().collect();
     let mut used = BTreeSet::new();
-    let mut lost = Vec::new();
-    for (package, old) in before {
+    let mut missing = Vec::new();
+    for (package, old) in earlier {
         let list = renamed.get(package).map_or(&[][..], Vec::as_slice);
         let new = list.iter().find(|(from, _)| from == old);
         let name = new.map_or(old, |(_, to)| to);
         if !all.contains(name) {
-            lost.push(format!("{package}: {old}: no test is called {name}"));
+            missing.push(format!("{package}: {old}: no test is called {name}"));
         } else if !used.insert((package, name)) {
-            lost.push(format!("{package}: {old}: another test became {name}, too"));
+            missing.push(format!("{package}: {old}: another test became {name}, too"));
         }
     }
-    lost
+    missing
 }
--- a/crates/repository-checks/tests/architecture.rs
+++ b/crates/repository-checks/tests/architecture.rs
@@ -1,12 +1,12 @@
 //! `docs/architecture.md` names only files and functions that exist.
 
-use pipitlever_repository_checks::architecture::{missing, references, Reference};
+use pipitlever_repository_checks::architecture::{missing_target, parse_references, Reference};
 use pipitlever_repository_checks::root;
 
 #[test]
 fn every_reference_of_the_architecture_page_exists() {
     let page = std::fs::read_to_string(root().join("docs/architecture.md")).unwrap();
-    let references = references(&page);
+    let references = parse_references(&page);
     assert!(
         references.len() > 20,
         "the page names the code it describes"
@@ -14,7 +14,7 @@
     assert!(references.iter().any(|r| r.function.is_some()));
     let missing: Vec<String> = references
         .iter()
-        .filter_map(|r| missing(&root(), r))
+        .filter_map(|r| missing_target(&root(), r))
         .collect();
     assert!(missing.is_empty(), "{missing:#?}");
 }
@@ -23,7 +23,7 @@
 fn missing_files_and_functions_are_reported() {
     let page = "`crates/none`, `other/file.rs`, `crates/repository-checks/src/lib.rs::root`, \
                 `crates/repository-checks/src/lib.rs::roots`";
-    let found = references(page);
+    let found = parse_references(page);
     let reference = |path: &str, function: Option<&str>| Reference {
         path: path.into(),
         function: function.map(str::to_owned),
@@ -35,7 +35,7 @@
         reference(file, Some("roots")),
     ];
     assert_eq!(found, expected);
-    let results: Vec<_> = found.iter().map(|r| missing(&root(), r)).collect();
+    let results: Vec<_> = found.iter().map(|r| missing_target(&root(), r)).collect();
     assert_eq!(results[0].as_deref(), Some("crates/none: no such file"));
     assert_eq!(results[1], None);
     assert!(results[2].as_ref().unwrap().ends_with("no function roots"));
--- a/crates/repository-checks/tests/known_red.rs
+++ b/crates/repository-checks/tests/known_red.rs
@@ -8,7 +8,7 @@
 
 /// The stand-in for cargo. A file that a test writes itself could still be open in a process that another
 /// test has just forked, and could not be executed then ("Text file busy").
-const CARGO: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/stand-in/cargo");
+const CARGO_STUB: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/stand-in/cargo");
 
 /// A folder with the stand-in and a list.
 struct ScriptRun {
@@ -17,25 +17,24 @@
 }
 
 impl ScriptRun {
-    fn new(test: &str, list: Option<&str>, rest_fails: bool) -> ScriptRun {
+    fn new(test: &str, list: Option<&str>, unlisted_tests_fail: bool) -> ScriptRun {
         let folder = std::env::temp_dir().join(format!(
             "pipitlever-known-red-{}-{test}",
             std::process::id()
         ));
         fs::create_dir_all(&folder).unwrap();
         let cargo = folder.join("cargo");
-        symlink(CARGO, &cargo).unwrap();
+        symlink(CARGO_STUB, &cargo).unwrap();
         let file = folder.join("KNOWN-RED.txt");
         if let Some(list) = list {
             fs::write(&file, list).unwrap();
         }
         let script = concat!(env!("CARGO_MANIFEST_DIR"), "/../../.ci/known-red");
         let mut command = Command::new("bash");
-        command
-            .arg(script)
-            .arg(file)
-            .env("CARGO", &cargo)
-            .env("REST", if rest_fails { "101" } else { "0" });
+        command.arg(script).arg(file).env("CARGO", &cargo).env(
+            "UNLISTED_EXIT_STATUS",
+            if unlisted_tests_fail { "101" } else { "0" },
+        );
         let output = command.output().unwrap();
         ScriptRun { folder, output }
     }
@@ -112,7 +111,8 @@
 
 #[test]
 fn a_malformed_list_fails_before_any_test_runs() {
-    let four = "red | x | a | 1\ngreen | x | b | 2\nmod::red | x | c | 3\nother | x | d | 4\n";
+    let four_entries =
+        "red | x | a | 1\ngreen | x | b | 2\nmod::red | x | c | 3\nother | x | d | 4\n";
     let cases = [
         ("fields", "red | cause\n", "not of the form"),
         ("command", "red | cause | 1\n", "not of the form"),
@@ -127,7 +127,7 @@
             "red | cargo test | cause | 1\n\n",
             "not of the form",
         ),
-        ("fourth", four, "4 entries"),
+        ("fourth", four_entries, "4 entries"),
         (
             "unknown",
             "re | cargo test | cause | 1\n",
@@ -144,10 +144,10 @@
             "listed twice",
         ),
     ];
-    for (name, list, why) in cases {
+    for (name, list, expected_message) in cases {
         let run = ScriptRun::new(name, Some(list), false);
         assert!(
-            !run.succeeded() && run.output_text().contains(why),
+            !run.succeeded() && run.output_text().contains(expected_message),
             "{name}: {}",
             run.output_text()
         );
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -1,7 +1,7 @@
 //! The simulator's input: batches of items, and their conversion to the controller's events.
 
 use crate::error::AdapterError;
-use crate::names::{RequestNumbers, SettingsNames};
+use crate::names::{RequestIds, SettingsNames};
 use pipitlever_admission::{Event, Micros, Outcome, Request, RequestId};
 use pipitlever_settings::PlatformSettings;
 use serde::de::Visitor;
@@ -181,23 +181,23 @@
     pub fn into_event(
         self,
         names: &SettingsNames,
-        numbers: &mut RequestNumbers,
+        request_ids: &mut RequestIds,
     ) -> Result<Event, AdapterError> {
         Ok(match self.kind {
             ItemKind::NewInstance | ItemKind::Stop => {
                 return Err(AdapterError::NotAnEvent(self.kind))
             }
-            ItemKind::WorkItem => Event::Arrived(self.into_request(names, numbers)?),
+            ItemKind::WorkItem => Event::Arrived(self.into_request(names, request_ids)?),
             ItemKind::Leaving => {
                 Event::ShutdownNotice(self.required(self.expires_in, "expiresIn")?)
             }
             ItemKind::Finished => Event::Finished {
-                id: self.request_id(numbers)?,
+                id: self.request_id(request_ids)?,
                 elapsed: self.elapsed()?,
                 outcome: self.outcome()?,
             },
-            ItemKind::Lapsed => Event::Abandoned(self.request_id(numbers)?),
-            ItemKind::StalledOnCall => Event::NeedsCall(self.request_id(numbers)?),
+            ItemKind::Lapsed => Event::Abandoned(self.request_id(request_ids)?),
+            ItemKind::StalledOnCall => Event::NeedsCall(self.request_id(request_ids)?),
             ItemKind::Wakeup => Event::Timer {
                 tag: self.required(self.timer_tag, "ref")?,
                 cpu_utilization: self.gauges.cpu_utilization,
@@ -206,7 +206,7 @@
                 connections: self.gauges.connections,
             },
             ItemKind::CallDone => Event::CallEnded {
-                id: self.request_id(numbers)?,
+                id: self.request_id(request_ids)?,
                 elapsed: self.elapsed()?,
                 outcome: self.outcome()?,
             },
@@ -216,7 +216,7 @@
     fn into_request(
         self,
         names: &SettingsNames,
-        numbers: &mut RequestNumbers,
+        request_ids: &mut RequestIds,
     ) -> Result<Request, AdapterError> {
         let class_name = self.required(self.class.as_deref(), "service")?;
         let class = *names
@@ -226,9 +226,9 @@
         let tenant = self.tenant.0.as_deref();
         let memory_kb = self.required(self.memory_kb, "memKb")?;
         let original = self.duplicate_of.0.as_deref();
-        let duplicate_of = original.map(|name| numbers.find(name));
+        let duplicate_of = original.map(|name| request_ids.find_or_allocate(name));
         Ok(Request {
-            id: numbers.assign(self.request_name()?),
+            id: request_ids.assign(self.request_name()?),
             class,
             tenant: tenant.and_then(|name| names.tenants.get(name).copied()),
             has_key: self.key.is_some(),
@@ -252,8 +252,8 @@
         self.required(self.request.as_deref(), "opId")
     }
 
-    fn request_id(&self, numbers: &mut RequestNumbers) -> Result<RequestId, AdapterError> {
-        Ok(numbers.find(self.request_name()?))
+    fn request_id(&self, request_ids: &mut RequestIds) -> Result<RequestId, AdapterError> {
+        Ok(request_ids.find_or_allocate(self.request_name()?))
     }
 
     fn elapsed(&self) -> Result<Micros, AdapterError> {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use crate::error::AdapterError;
 use crate::input::{Item, ItemKind};
-use crate::names::{RequestNumbers, SettingsNames};
+use crate::names::{RequestIds, SettingsNames};
 use crate::output::Step;
 use pipitlever_admission::{Action, Controller, Event, Micros, RequestId};
 use std::any::Any;
@@ -12,7 +12,7 @@
 struct Instance {
     controller: Controller,
     names: SettingsNames,
-    numbers: RequestNumbers,
+    request_ids: RequestIds,
 }
 
 /// A server, which consecutive instances run.
@@ -28,7 +28,7 @@
     /// The message of a panic in the present batch.
     panic_message: Option<String>,
     /// The position among the servers of the present batch.
-    pub batch_position: Option<usize>,
+    pub batch_index: Option<usize>,
     /// Requests that ended in the present batch. Their names are needed until the reply is written.
     ended: Vec<RequestId>,
 }
@@ -46,13 +46,13 @@
     pub fn clear_batch(&mut self) {
         if let Some(instance) = &mut self.instance {
             for id in self.ended.drain(..) {
-                instance.numbers.release(id);
+                instance.request_ids.release(id);
             }
         }
         self.events.clear();
         self.actions.clear();
         self.panic_message = None;
-        self.batch_position = None;
+        self.batch_index = None;
     }
 
     /// Starts an instance. Events of an earlier one in the same batch are dropped.
@@ -67,7 +67,7 @@
         self.instance = Some(Instance {
             controller: Controller::new(settings.controller_settings()?, seed),
             names: SettingsNames::new(&settings),
-            numbers: RequestNumbers::default(),
+            request_ids: RequestIds::default(),
         });
         Ok(())
     }
@@ -86,7 +86,7 @@
         let Some(instance) = &mut self.instance else {
             return Err(AdapterError::UnknownInstance(self.name.clone()));
         };
-        let event = item.into_event(&instance.names, &mut instance.numbers)?;
+        let event = item.into_event(&instance.names, &mut instance.request_ids)?;
         self.events.push(event);
         Ok(())
     }
@@ -122,7 +122,7 @@
             .iter()
             .filter(|_| self.panic_message.is_none());
         let actions = instance.flat_map(|instance| {
-            let step = |action| Step::action(&self.name, action, &instance.numbers);
+            let step = |action| Step::action(&self.name, action, &instance.request_ids);
             self.actions.iter().map(step)
         });
         panic.chain(actions)
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -22,7 +22,7 @@
     let mut output = BufWriter::new(io::stdout().lock());
     let mut line = String::new();
     for line_number in 1.. {
-        match answer_line(&mut host, &mut input, &mut line, &mut output) {
+        match process_line(&mut host, &mut input, &mut line, &mut output) {
             Ok(true) => {}
             Ok(false) => break,
             Err(error) => {
@@ -36,7 +36,7 @@
 }
 
 /// Reads a batch and writes the reply. Returns whether there was a batch.
-fn answer_line(
+fn process_line(
     host: &mut Host,
     input: &mut impl BufRead,
     line: &mut String,
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -19,30 +19,30 @@
     /// The names that these settings define.
     pub fn new(settings: &PlatformSettings) -> SettingsNames {
         SettingsNames {
-            classes: positions(settings.class_names()),
-            tenants: positions(settings.tenant_names()),
+            classes: indexes_by_name(settings.class_names()),
+            tenants: indexes_by_name(settings.tenant_names()),
             passes_deadline: settings.passes_deadline(),
         }
     }
 }
 
-fn positions(names: Vec<String>) -> HashMap<String, usize> {
+fn indexes_by_name(names: Vec<String>) -> HashMap<String, usize> {
     let indexed = names.into_iter().enumerate();
     indexed.map(|(index, name)| (name, index)).collect()
 }
 
 /// The numbers of the requests that the controller still tracks.
 #[derive(Default)]
-pub struct RequestNumbers {
+pub struct RequestIds {
     ids_by_name: HashMap<String, RequestId>,
     names_by_id: HashMap<RequestId, String>,
     last_id: RequestId,
 }
 
-impl RequestNumbers {
+impl RequestIds {
     /// Assigns a number to a request that was just read.
     pub fn assign(&mut self, name: &str) -> RequestId {
-        let id = self.unused();
+        let id = self.allocate();
         self.ids_by_name.insert(name.to_owned(), id);
         self.names_by_id.insert(id, name.to_owned());
         id
@@ -50,9 +50,9 @@
 
     /// The number of a request that was read before. A request that ended and was released gets a
     /// new number, which the controller does not track.
-    pub fn find(&mut self, name: &str) -> RequestId {
-        let known = self.ids_by_name.get(name).copied();
-        known.unwrap_or_else(|| self.unused())
+    pub fn find_or_allocate(&mut self, name: &str) -> RequestId {
+        let existing = self.ids_by_name.get(name).copied();
+        existing.unwrap_or_else(|| self.allocate())
     }
 
     /// The name of a request; empty after it was released.
@@ -67,7 +67,7 @@
         }
     }
 
-    fn unused(&mut self) -> RequestId {
+    fn allocate(&mut self) -> RequestId {
         self.last_id += 1;
         self.last_id
     }
--- a/crates/simulator-adapter/src/output.rs
+++ b/crates/simulator-adapter/src/output.rs
@@ -1,6 +1,6 @@
 //! The simulator's output: the actions of all instances of a batch.
 
-use crate::names::RequestNumbers;
+use crate::names::RequestIds;
 use pipitlever_admission::{Action, Micros};
 use serde::Serialize;
 
@@ -112,42 +112,42 @@
 
 impl<'a> Step<'a> {
     /// An action of an instance.
-    pub fn action(instance: &'a str, action: &Action, numbers: &'a RequestNumbers) -> Self {
+    pub fn action(instance: &'a str, action: &Action, request_ids: &'a RequestIds) -> Self {
         let command = match *action {
             Action::Run(id) => Command::Run {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::ReuseOutcome(id) => Command::ReuseOutcome {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Reject {
                 id,
                 retry_after,
                 no_retry,
             } => Command::Reject {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 retry_after,
                 no_retry,
             },
             Action::Fail(id) => Command::Fail {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::RetainKey(id, lifetime) => Command::RetainKey {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 lifetime,
             },
             Action::ReleaseKey(id) => Command::ReleaseKey {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::PlaceCall(id, timeout) => Command::PlaceCall {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 timeout,
             },
             Action::SkipCall(id) => Command::SkipCall {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Cancel(id) => Command::Cancel {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Backpressure(level) => Command::Backpressure { level },
             Action::Health(is_healthy) => Command::Health {
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -30,7 +30,7 @@
 }
 
 /// Runs the adapter with valid input and returns its replies.
-fn replies(lines: &[String]) -> Vec<String> {
+fn run_valid(lines: &[String]) -> Vec<String> {
     let output = run_adapter(lines);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
@@ -39,7 +39,7 @@
 }
 
 /// Runs the adapter with invalid input and returns its error message.
-fn error(lines: &[String]) -> String {
+fn error_message(lines: &[String]) -> String {
     let output = run_adapter(lines);
     assert!(!output.status.success());
     String::from_utf8(output.stderr).expect("text")
@@ -63,7 +63,7 @@
 
 #[test]
 fn each_batch_gets_one_reply_line() {
-    let replies = replies(&[
+    let replies = run_valid(&[
         batch(1, &[]),
         batch(2, &[new_instance("server-1")]),
         batch(3, &[work_item("server-1", "a"), work_item("server-1", "b")]),
@@ -82,7 +82,7 @@
 fn a_restart_within_a_batch_drops_the_earlier_instance() {
     let stop = r#"{"type":"stop","who":"server-1"}"#.to_string();
     let wakeup = r#"{"type":"wakeup","who":"server-1","ref":0,"load":{"core_use":1}}"#.to_string();
-    let replies = replies(&[
+    let replies = run_valid(&[
         batch(2, &[new_instance("server-1"), work_item("server-1", "a")]),
         batch(
             3,
@@ -122,7 +122,7 @@
     let items: Vec<String> = (0..20_000)
         .map(|i| work_item("server-1", &format!("r{i}")))
         .collect();
-    let replies = replies(&[batch(1, &[new_instance("server-1")]), batch(2, &items)]);
+    let replies = run_valid(&[batch(1, &[new_instance("server-1")]), batch(2, &items)]);
     assert_eq!(replies.len(), 2);
 }
 
@@ -132,7 +132,7 @@
         r#"{"type":"finished","who":"server-1","opId":"a","costTime":5,"result":"done"}"#;
     let lapsed = r#"{"type":"lapsed","who":"server-1","opId":"a"}"#;
     let duplicate = work_item("server-1", "b").replace("\"memKb\"", "\"sameAs\":\"a\",\"memKb\"");
-    let replies = replies(&[
+    let replies = run_valid(&[
         batch(1, &[new_instance("server-1"), work_item("server-1", "a")]),
         batch(6, &[finished.to_string()]),
         batch(7, &[lapsed.to_string(), finished.to_string()]),
@@ -149,7 +149,7 @@
 #[test]
 fn a_missing_field_is_named() {
     let item = r#"{"type":"finished","who":"server-1","opId":"a","result":"done"}"#;
-    let error = error(&[
+    let error = error_message(&[
         batch(1, &[new_instance("server-1")]),
         batch(2, &[item.to_string()]),
     ]);
