--- a/crates/repository-checks/src/architecture.rs
+++ b/crates/repository-checks/src/architecture.rs
@@ -1,23 +1,23 @@
-//! References from a page of documentation to source code.
+//! References from a page of the documentation to source code.
 //!
-//! A reference is a code span that begins with `crates/`: a file or folder, or a file and a function
-//! in it, written `crates/core/src/lib.rs::function`.
+//! A reference is a code span that begins with `crates/`: a file or folder, or a file and a
+//! function in it, written `crates/core/src/lib.rs::function`.
 
 use std::fs;
 use std::path::Path;
 
-/// A file, and possibly a function in it, that a page names.
+/// A reference to a file or folder, and possibly to a function in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reference {
     /// The path below the repository's root.
     pub path: String,
-    /// The function's name without its type.
+    /// The function's name, without the type that defines it.
     pub function: Option<String>,
 }
 
-/// All references of a page, in order.
+/// Returns all references of a page, in order.
 pub fn parse_references(page: &str) -> Vec<Reference> {
-    // Code spans are the odd parts between backticks.
+    // Split at the backticks, every second part is a code span.
     let spans = page.split('`').skip(1).step_by(2);
     let source_spans = spans.filter(|span| span.starts_with("crates/"));
     source_spans.map(parse_reference).collect()
@@ -36,7 +36,8 @@
     }
 }
 
-/// What is missing of a reference below `root`; nothing if all of it exists.
+/// Describes the file or function of a reference that does not exist below `root`; `None` if both
+/// exist.
 pub fn missing_target(root: &Path, reference: &Reference) -> Option<String> {
     let path = root.join(&reference.path);
     let Some(function) = &reference.function else {
--- a/crates/repository-checks/src/lib.rs
+++ b/crates/repository-checks/src/lib.rs
@@ -1,7 +1,7 @@
 //! Checks of the repository itself, used by this package's tests.
 //!
 //! - [`architecture`]: the files and functions that `docs/architecture.md` names exist.
-//! - [`test_names`]: every test of an earlier commit is still there, under its old or its new name.
+//! - [`test_names`]: every test of an earlier commit exists, under its old or its new name.
 
 pub mod architecture;
 pub mod test_names;
--- a/crates/repository-checks/src/test_names.rs
+++ b/crates/repository-checks/src/test_names.rs
@@ -1,4 +1,4 @@
-//! The names of the workspace's tests, by package, and what became of those of an earlier commit.
+//! Lists the workspace's tests by package and compares them with those of an earlier commit.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// The functions of one source text that are marked `#[test]`.
+/// The names of the functions in a source text that are marked `#[test]`.
 pub fn test_functions(source: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut is_marked = false;
@@ -52,7 +52,7 @@
     names
 }
 
-/// Reads lines of two words each; other lines are ignored.
+/// Parses lines of two fields separated by white space; other lines are ignored.
 pub fn parse_pairs(text: &str) -> Vec<(String, String)> {
     let parse_line = |line: &str| {
         let mut fields = line.split_whitespace();
@@ -64,10 +64,10 @@
     text.lines().filter_map(parse_line).collect()
 }
 
-/// The tests of an earlier commit that no package has under their old or new name, and new names
-/// that two old tests share.
+/// Describes each test of an earlier commit that no package has under its old or new name, and each
+/// new name that two old tests of a package share.
 ///
-/// `renamed` maps, for each package, an old name to a new one. A test may have moved to another
+/// `renamed` has pairs of old and new name for each package. A test may have moved to another
 /// package.
 pub fn missing_tests(
     earlier: &[(String, String)],
--- a/crates/repository-checks/tests/architecture.rs
+++ b/crates/repository-checks/tests/architecture.rs
@@ -9,7 +9,8 @@
     let references = parse_references(&page);
     assert!(
         references.len() > 20,
-        "the page names the code it describes"
+        "the page has only {} references to source code",
+        references.len()
     );
     assert!(references.iter().any(|r| r.function.is_some()));
     let missing: Vec<String> = references
--- a/crates/repository-checks/tests/known_red.rs
+++ b/crates/repository-checks/tests/known_red.rs
@@ -1,16 +1,17 @@
-//! The script that lets CI pass over tests listed as failing for a known fault, with a stand-in for
-//! cargo.
+//! Runs `.ci/known-red` with a stub of cargo. The script excludes tests that are listed as failing
+//! for a known fault from the result of CI.
 
 use std::fs;
 use std::os::unix::fs::symlink;
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// The stand-in for cargo. A file that a test writes itself could still be open in a process that another
-/// test has just forked, and could not be executed then ("Text file busy").
+/// The stub of cargo, a file of the repository. An executable that a test writes itself may still
+/// be open for writing in a process that another test has just forked, and its execution then
+/// fails with "Text file busy".
 const CARGO_STUB: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/stand-in/cargo");
 
-/// A folder with the stand-in and a list.
+/// A run of the script, and its folder with the stub of cargo and the list.
 struct ScriptRun {
     folder: PathBuf,
     output: Output,
--- a/crates/repository-checks/tests/test_names.rs
+++ b/crates/repository-checks/tests/test_names.rs
@@ -1,4 +1,5 @@
-//! No test of commit 5f02f56 was dropped when code and tests were renamed for readability.
+//! Every test of commit 5f02f56 exists: none was dropped when code and tests were renamed for
+//! readability.
 
 use pipitlever_repository_checks::root;
 use pipitlever_repository_checks::test_names::{
@@ -7,14 +8,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 
-/// The tests of commit 5f02f56, a line each: package and function.
+/// The file with the tests of commit 5f02f56, one `PACKAGE FUNCTION` per line.
 const EARLIER_TESTS: &str = "5f02f56.txt";
 
 #[test]
 fn every_test_of_the_earlier_commit_exists() {
     let folder = root().join("docs/renamed-tests");
     let earlier = parse_pairs(&fs::read_to_string(folder.join(EARLIER_TESTS)).unwrap());
-    assert!(earlier.len() > 480, "the list is whole");
+    assert!(
+        earlier.len() > 480,
+        "{EARLIER_TESTS} is truncated: {} tests",
+        earlier.len()
+    );
     let mut renamed = BTreeMap::new();
     for entry in fs::read_dir(&folder).unwrap() {
         let path = entry.unwrap().path();
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! All servers of a simulation, and the processing of a batch.
+//! The servers of a simulation, and the processing of batches.
 
 use crate::error::AdapterError;
 use crate::input::{Batch, Item, ItemKind};
@@ -10,15 +10,16 @@
 #[derive(Default)]
 pub struct Host {
     servers: Vec<Server>,
-    /// The positions of the servers by name.
+    /// Indexes into `servers` by name.
     by_name: HashMap<String, usize>,
-    /// The positions of the servers of the present batch, in order of their first item. An entry is
-    /// cleared when the server's process ends.
+    /// Indexes into `servers` of the servers with items in the current batch, in order of their
+    /// first item. An entry is cleared when the server's process ends.
     batch_servers: Vec<Option<usize>>,
 }
 
 impl Host {
-    /// Processes a line of input.
+    /// Parses a line of input as a batch, steps the controllers that it concerns and returns their
+    /// actions.
     pub fn process(&mut self, line: &str) -> Result<Reply<'_>, AdapterError> {
         for index in self.batch_servers.drain(..).flatten() {
             self.servers[index].clear_batch();
@@ -61,14 +62,14 @@
         Ok(())
     }
 
-    /// The index of an item's server, which a first instance creates.
+    /// The index of an item's server. The first instance of a server adds the server.
     fn server_index(&mut self, item: &Item) -> Result<usize, AdapterError> {
-        let name = &*item.instance;
+        let name = &*item.server;
         if let Some(&index) = self.by_name.get(name) {
             return Ok(index);
         }
         if item.kind != ItemKind::NewInstance {
-            return Err(AdapterError::UnknownInstance(name.to_owned()));
+            return Err(AdapterError::NoRunningInstance(name.to_owned()));
         }
         let index = self.servers.len();
         self.by_name.insert(name.to_owned(), index);
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -12,7 +12,7 @@
 /// A line of input. Text is borrowed from the line where possible.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The simulator's clock.
+    /// The time on the simulator's clock.
     #[serde(rename = "t")]
     pub now: Micros,
     /// The items, in order of occurrence.
@@ -30,11 +30,11 @@
     WorkItem,
     /// The instance received its shutdown notice.
     Leaving,
-    /// A run ended.
+    /// The run of a request ended.
     Finished,
-    /// The caller of a request no longer waits.
+    /// The caller of a request no longer waits for the answer.
     Lapsed,
-    /// A run needs a downstream call.
+    /// A running request needs a downstream call in order to continue.
     StalledOnCall,
     /// A timer expired.
     Wakeup,
@@ -44,17 +44,17 @@
     CallDone,
 }
 
-/// An item: the fields of all kinds, so that a line is parsed in one pass. The fields have the
-/// simulator's names.
+/// An item. One type has the fields of all kinds, so that a line is parsed in one pass. The
+/// serialized names are those of the simulator's protocol.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Item<'a> {
     /// The kind, which determines the other fields that are present.
     #[serde(rename = "type")]
     pub kind: ItemKind,
-    /// The name of the instance.
+    /// The name of the server.
     #[serde(borrow, rename = "who")]
-    pub instance: Cow<'a, str>,
+    pub server: Cow<'a, str>,
     /// The seed of a new instance.
     #[serde(rename = "prng")]
     pub seed: Option<u64>,
@@ -94,7 +94,7 @@
     gauges: Gauges,
 }
 
-/// A name, for which the simulator writes a number or null if there is none.
+/// An optional name. The simulator writes a number or null in place of a missing name.
 #[derive(Default)]
 struct OptionalName<'a>(Option<Cow<'a, str>>);
 
@@ -147,7 +147,7 @@
     connections: Option<f64>,
 }
 
-/// The simulator's code for how a run or a call ended.
+/// The simulator's code for the outcome of a run or a downstream call.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ResultCode {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated server: its present instance, and the work of the present batch.
+//! A simulated server: its running instance, and the events and actions of the current batch.
 
 use crate::error::AdapterError;
 use crate::input::{Item, ItemKind};
@@ -8,28 +8,29 @@
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A process of a server: its controller and the simulator's names.
+/// A process of a server: its controller, and the simulator's names for its classes, tenants and
+/// requests.
 struct Instance {
     controller: Controller,
     names: SettingsNames,
     request_ids: RequestIds,
 }
 
-/// A server, which consecutive instances run.
+/// A server, run by one instance after another.
 #[derive(Default)]
 pub struct Server {
     name: String,
-    /// The running instance; none after its process ended.
+    /// The running instance, or `None` after its process ended.
     instance: Option<Instance>,
-    /// The events of the present batch.
+    /// The events of the current batch.
     events: Vec<Event>,
-    /// The actions of the present batch.
+    /// The actions of the current batch.
     actions: Vec<Action>,
-    /// The message of a panic in the present batch.
+    /// The message of a panic in the current batch.
     panic_message: Option<String>,
-    /// The position among the servers of the present batch.
+    /// The index among the servers of the current batch, if it has items for this server.
     pub batch_index: Option<usize>,
-    /// Requests that ended in the present batch. Their names are needed until the reply is written.
+    /// Requests that ended in the current batch. Their names are needed until the reply is written.
     ended: Vec<RequestId>,
 }
 
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Prepares for the next batch.
+    /// Discards the events and actions of the last batch, and releases the requests that ended in
+    /// it.
     pub fn clear_batch(&mut self) {
         if let Some(instance) = &mut self.instance {
             for id in self.ended.drain(..) {
@@ -55,7 +57,7 @@
         self.batch_index = None;
     }
 
-    /// Starts an instance. Events of an earlier one in the same batch are dropped.
+    /// Starts an instance. Events of an earlier instance in the same batch are dropped.
     pub fn start(&mut self, item: Item) -> Result<(), AdapterError> {
         let missing = |field| AdapterError::MissingField {
             kind: ItemKind::NewInstance,
@@ -75,23 +77,24 @@
     /// Ends the instance and drops its events.
     pub fn stop(&mut self) -> Result<(), AdapterError> {
         if self.instance.take().is_none() {
-            return Err(AdapterError::UnknownInstance(self.name.clone()));
+            return Err(AdapterError::NoRunningInstance(self.name.clone()));
         }
         self.events.clear();
         Ok(())
     }
 
-    /// Adds an event to the present batch.
+    /// Adds an event to the current batch.
     pub fn add_event(&mut self, item: Item) -> Result<(), AdapterError> {
         let Some(instance) = &mut self.instance else {
-            return Err(AdapterError::UnknownInstance(self.name.clone()));
+            return Err(AdapterError::NoRunningInstance(self.name.clone()));
         };
         let event = item.into_event(&instance.names, &mut instance.request_ids)?;
         self.events.push(event);
         Ok(())
     }
 
-    /// Passes the events of the batch to the controller. A panic is caught and reported.
+    /// Passes the events of the batch to the controller. A panic of the controller is caught and
+    /// becomes the output of the batch.
     pub fn step(&mut self, now: Micros) {
         let Some(instance) = &mut self.instance else {
             return;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -35,7 +35,7 @@
     ExitCode::SUCCESS
 }
 
-/// Reads a batch and writes the reply. Returns whether there was a batch.
+/// Reads a line with a batch and writes the reply. Returns false at the end of the input.
 fn process_line(
     host: &mut Host,
     input: &mut impl BufRead,
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,17 +1,17 @@
-//! The simulator's names of classes, tenants and requests, and the numbers that the controller uses
-//! for them.
+//! Maps the simulator's names of classes, tenants and requests to the indexes and ids that the
+//! controller uses.
 
 use pipitlever_admission::RequestId;
 use pipitlever_settings::PlatformSettings;
 use std::collections::HashMap;
 
-/// The positions of classes and tenants by name.
+/// The indexes of classes and tenants in the settings, by name.
 pub struct SettingsNames {
     /// The classes.
     pub classes: HashMap<String, usize>,
     /// The tenants.
     pub tenants: HashMap<String, usize>,
-    /// Whether requests carry the time that their caller still waits.
+    /// Whether requests carry the remaining time until their caller's deadline.
     pub passes_deadline: bool,
 }
 
@@ -31,7 +31,7 @@
     indexed.map(|(index, name)| (name, index)).collect()
 }
 
-/// The numbers of the requests that the controller still tracks.
+/// The ids of the requests that the controller still tracks.
 #[derive(Default)]
 pub struct RequestIds {
     ids_by_name: HashMap<String, RequestId>,
@@ -40,7 +40,7 @@
 }
 
 impl RequestIds {
-    /// Assigns a number to a request that was just read.
+    /// Assigns an id to a request that was just read.
     pub fn assign(&mut self, name: &str) -> RequestId {
         let id = self.allocate();
         self.ids_by_name.insert(name.to_owned(), id);
@@ -48,8 +48,8 @@
         id
     }
 
-    /// The number of a request that was read before. A request that ended and was released gets a
-    /// new number, which the controller does not track.
+    /// The id of a request that was read before. A request that ended and was released gets a new
+    /// id, which the controller does not track.
     pub fn find_or_allocate(&mut self, name: &str) -> RequestId {
         let existing = self.ids_by_name.get(name).copied();
         existing.unwrap_or_else(|| self.allocate())
@@ -60,7 +60,7 @@
         self.names_by_id.get(&id).map_or("", String::as_str)
     }
 
-    /// Releases the number of a request that has ended.
+    /// Releases the id of a request that has ended.
     pub fn release(&mut self, id: RequestId) {
         if let Some(name) = self.names_by_id.remove(&id) {
             self.ids_by_name.remove(&name);
--- a/crates/simulator-adapter/src/output.rs
+++ b/crates/simulator-adapter/src/output.rs
@@ -1,4 +1,4 @@
-//! The simulator's output: the actions of all instances of a batch.
+//! The simulator's output: the actions of all servers of a batch.
 
 use crate::names::RequestIds;
 use pipitlever_admission::{Action, Micros};
@@ -11,16 +11,16 @@
     pub steps: Vec<Step<'a>>,
 }
 
-/// An action of an instance.
+/// An action of a server's instance.
 #[derive(Serialize)]
 pub struct Step<'a> {
     #[serde(rename = "who")]
-    instance: &'a str,
+    server: &'a str,
     #[serde(flatten)]
     command: Command<'a>,
 }
 
-/// An action under the simulator's name.
+/// An action with its name in the simulator's protocol.
 #[derive(Serialize)]
 #[serde(
     tag = "type",
@@ -111,8 +111,8 @@
 }
 
 impl<'a> Step<'a> {
-    /// An action of an instance.
-    pub fn action(instance: &'a str, action: &Action, request_ids: &'a RequestIds) -> Self {
+    /// Translates an action of the controller, with the simulator's name of its request.
+    pub fn action(server: &'a str, action: &Action, request_ids: &'a RequestIds) -> Self {
         let command = match *action {
             Action::Run(id) => Command::Run {
                 request: request_ids.name(id),
@@ -157,13 +157,13 @@
             Action::CloseIdle(timeout) => Command::CloseIdle { timeout },
             Action::Timer(from_now, tag) => Command::Timer { from_now, tag },
         };
-        Step { instance, command }
+        Step { server, command }
     }
 
-    /// The report that the controller of an instance panicked.
-    pub fn panic(instance: &'a str, message: &'a str) -> Self {
+    /// Reports that the controller of a server's instance panicked.
+    pub fn panic(server: &'a str, message: &'a str) -> Self {
         Step {
-            instance,
+            server,
             command: Command::Panic { message },
         }
     }
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,9 +1,9 @@
-//! Runs the program with valid and invalid input, and with restarts of instances.
+//! Runs the adapter with valid and invalid input, and with restarts of instances.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Settings with fields that the adapter does not know.
+/// Settings that include unknown fields, which the adapter has to ignore.
 const SETTINGS: &str = r#"{"categories":[{"name":"read","target":1000000,"deadline":4000000,
 "idempotency":"free","worth":1,"lateWorth":0,"memorySpan":0,"unknownNumber":3}],"familyInfo":{"below":"silent",
 "blowup":4,"cpus":2,"heapKb":10000,"keyKb":1,"say":"silent","stopMode":"abort","passesDeadline":true},
@@ -19,14 +19,16 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    let mut input = child.stdin.take().expect("piped");
+        .expect("the adapter starts");
+    let mut input = child.stdin.take().expect("standard input is piped");
     for line in lines {
         // The adapter may have exited on an earlier line; the tests examine its output.
         let _ = writeln!(input, "{}", line.replace('\n', ""));
     }
     drop(input);
-    child.wait_with_output().expect("ends")
+    child
+        .wait_with_output()
+        .expect("the output can be collected")
 }
 
 /// Runs the adapter with valid input and returns its replies.
@@ -34,7 +36,7 @@
     let output = run_adapter(lines);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("the output is UTF-8");
     text.lines().map(str::to_owned).collect()
 }
 
@@ -42,14 +44,14 @@
 fn error_message(lines: &[String]) -> String {
     let output = run_adapter(lines);
     assert!(!output.status.success());
-    String::from_utf8(output.stderr).expect("text")
+    String::from_utf8(output.stderr).expect("the output is UTF-8")
 }
 
 fn new_instance(server: &str) -> String {
     format!(r#"{{"type":"newInstance","who":"{server}","prng":7,"config":{SETTINGS}}}"#)
 }
 
-/// A request, with a field that the adapter does not know.
+/// A request that includes an unknown field, which the adapter has to ignore.
 fn work_item(server: &str, request: &str) -> String {
     format!(
         r#"{{"type":"workItem","who":"{server}","opId":"{request}","service":"read","memKb":10,"precedence":0.5,
@@ -97,8 +99,8 @@
 
 #[test]
 fn invalid_input_is_reported_in_one_line_and_ends_the_adapter() {
-    let unknown_kind = r#"{"type":"novelty","who":"server-1"}"#.to_string();
-    let unknown_keyword = new_instance("server-1").replace("\"free\"", "\"whim\"");
+    let unknown_kind = r#"{"type":"unknown","who":"server-1"}"#.to_string();
+    let unknown_keyword = new_instance("server-1").replace("\"free\"", "\"unknown\"");
     let invalid = [
         "{\"t\":1,\"items\":[".to_string(),
         batch(1, &[unknown_kind]),
@@ -109,9 +111,9 @@
     for line in invalid {
         let output = run_adapter(&[batch(1, &[]), line.clone()]);
         assert!(!output.status.success(), "{line}");
-        let replies = String::from_utf8(output.stdout).expect("text");
+        let replies = String::from_utf8(output.stdout).expect("the output is UTF-8");
         assert_eq!(replies, format!("{NO_STEPS}\n"), "no partial reply");
-        let error = String::from_utf8(output.stderr).expect("text");
+        let error = String::from_utf8(output.stderr).expect("the output is UTF-8");
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.starts_with("pipitlever-adapter: line 2: "), "{error}");
     }
--- a/crates/test-fixtures/src/lib.rs
+++ b/crates/test-fixtures/src/lib.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Environment variable that switches from comparing to writing.
+/// The environment variable that makes the functions write fixture files instead of comparing them.
 const WRITE_VARIABLE: &str = "PIPITLEVER_WRITE_FIXTURES";
 
 /// Compares the samples with the fixture file at `path`, in order.
@@ -49,7 +49,7 @@
     assert_eq!(
         text.lines().count(),
         expected.lines().count(),
-        "{}: number of lines",
+        "{}: number of lines differs",
         path.display()
     );
 }
--- a/fuzz/fuzz_targets/messages.rs
+++ b/fuzz/fuzz_targets/messages.rs
@@ -1,5 +1,6 @@
 //! Arbitrary bytes as messages of other members and as files: load reports, messages about
-//! configuration versions, and the files of an acceptor and of the minimum version.
+//! configuration versions, and the files with an acceptor's state and the minimum version. Decoding
+//! does not panic, and a decoded report or envelope survives another round trip unchanged.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/sessions.rs
+++ b/fuzz/fuzz_targets/sessions.rs
@@ -1,5 +1,6 @@
-//! Arbitrary messages about sessions, in any order. A node neither panics nor exceeds its bound on
-//! sessions, still resolves a session, and sends no message that exceeds a datagram.
+//! Arbitrary messages to the session directory, in any order. The directory does not panic or
+//! exceed its limit of sessions, resolves a session afterwards, and sends no message that is too
+//! large for a datagram.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/store.rs
+++ b/fuzz/fuzz_targets/store.rs
@@ -1,5 +1,5 @@
-//! The idempotency store's reader on arbitrary bytes: no panic, and no more memory than the bytes
-//! account for.
+//! Arbitrary bytes as segments of the idempotency store: the reader does not panic, and allocates
+//! no more memory than the size of the input justifies.
 //!
 //! The first byte of the input splits the rest into two segments, so that the header of one can
 //! refer to the other.
@@ -52,8 +52,8 @@
     }
 }
 
-/// A segment of these payloads, with valid checksums.
-fn framed(payloads: &[&[u8]]) -> Vec<u8> {
+/// A segment with these payloads in frames with valid checksums.
+fn framed_segment(payloads: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
     FORMAT.write_header(&mut bytes);
     for (number, payload) in payloads.iter().enumerate() {
@@ -82,11 +82,12 @@
         return;
     };
     let (first, second) = rest.split_at(usize::from(split) * rest.len() / 256);
-    // As they are; and past the checksums, after a valid segment header.
+    // The raw bytes, then the bytes in frames with valid checksums after a valid segment header;
+    // otherwise no input passes the checksums.
     let header = valid_header();
     read(first.to_vec(), second.to_vec());
-    read(framed(&[&header, first]), framed(&[second]));
-    read(framed(&[&header, first, second]), Vec::new());
+    read(framed_segment(&[&header, first]), framed_segment(&[second]));
+    read(framed_segment(&[&header, first, second]), Vec::new());
 });
 
 fn read(first: Vec<u8>, second: Vec<u8>) {
