--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -8,10 +8,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input could not be read.
-    #[error("cannot read standard input: {0}")]
+    #[error("reading standard input: {0}")]
     Read(io::Error),
     /// Standard output could not be written.
-    #[error("cannot write standard output: {0}")]
+    #[error("writing standard output: {0}")]
     Write(io::Error),
     /// The line is not a valid batch.
     #[error(transparent)]
