--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -1,7 +1,7 @@
 //! The simulator's input: batches of items, and their conversion to the controller's events.
 
 use crate::error::AdapterError;
-use crate::names::{RequestNumbers, SettingsNames};
+use crate::names::{RequestIds, SettingsNames};
 use pipitlever_admission::{Event, Micros, Outcome, Request, RequestId};
 use pipitlever_settings::PlatformSettings;
 use serde::de::Visitor;
@@ -12,7 +12,7 @@
 /// A line of input. Text is borrowed from the line where possible.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The simulator's clock.
+    /// The time on the simulator's clock.
     #[serde(rename = "t")]
     pub now: Micros,
     /// The items, in order of occurrence.
@@ -30,11 +30,11 @@
     WorkItem,
     /// The instance received its shutdown notice.
     Leaving,
-    /// A run ended.
+    /// The run of a request ended.
     Finished,
-    /// The caller of a request no longer waits.
+    /// The caller of a request no longer waits for the answer.
     Lapsed,
-    /// A run needs a downstream call.
+    /// A running request needs a downstream call in order to continue.
     StalledOnCall,
     /// A timer expired.
     Wakeup,
@@ -44,17 +44,17 @@
     CallDone,
 }
 
-/// An item: the fields of all kinds, so that a line is parsed in one pass. The fields have the
-/// simulator's names.
+/// An item. One type has the fields of all kinds, so that a line is parsed in one pass. The
+/// serialized names are those of the simulator's protocol.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Item<'a> {
     /// The kind, which determines the other fields that are present.
     #[serde(rename = "type")]
     pub kind: ItemKind,
-    /// The name of the instance.
+    /// The name of the server.
     #[serde(borrow, rename = "who")]
-    pub instance: Cow<'a, str>,
+    pub server: Cow<'a, str>,
     /// The seed of a new instance.
     #[serde(rename = "prng")]
     pub seed: Option<u64>,
@@ -94,7 +94,7 @@
     gauges: Gauges,
 }
 
-/// A name, for which the simulator writes a number or null if there is none.
+/// An optional name. The simulator writes a number or null in place of a missing name.
 #[derive(Default)]
 struct OptionalName<'a>(Option<Cow<'a, str>>);
 
@@ -147,7 +147,7 @@
     connections: Option<f64>,
 }
 
-/// The simulator's code for how a run or a call ended.
+/// The simulator's code for the outcome of a run or a downstream call.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum ResultCode {
@@ -181,23 +181,23 @@
     pub fn into_event(
         self,
         names: &SettingsNames,
-        numbers: &mut RequestNumbers,
+        request_ids: &mut RequestIds,
     ) -> Result<Event, AdapterError> {
         Ok(match self.kind {
             ItemKind::NewInstance | ItemKind::Stop => {
                 return Err(AdapterError::NotAnEvent(self.kind))
             }
-            ItemKind::WorkItem => Event::Arrived(self.into_request(names, numbers)?),
+            ItemKind::WorkItem => Event::Arrived(self.into_request(names, request_ids)?),
             ItemKind::Leaving => {
                 Event::ShutdownNotice(self.required(self.expires_in, "expiresIn")?)
             }
             ItemKind::Finished => Event::Finished {
-                id: self.request_id(numbers)?,
+                id: self.request_id(request_ids)?,
                 elapsed: self.elapsed()?,
                 outcome: self.outcome()?,
             },
-            ItemKind::Lapsed => Event::Abandoned(self.request_id(numbers)?),
-            ItemKind::StalledOnCall => Event::NeedsCall(self.request_id(numbers)?),
+            ItemKind::Lapsed => Event::Abandoned(self.request_id(request_ids)?),
+            ItemKind::StalledOnCall => Event::NeedsCall(self.request_id(request_ids)?),
             ItemKind::Wakeup => Event::Timer {
                 tag: self.required(self.timer_tag, "ref")?,
                 cpu_utilization: self.gauges.cpu_utilization,
@@ -206,7 +206,7 @@
                 connections: self.gauges.connections,
             },
             ItemKind::CallDone => Event::CallEnded {
-                id: self.request_id(numbers)?,
+                id: self.request_id(request_ids)?,
                 elapsed: self.elapsed()?,
                 outcome: self.outcome()?,
             },
@@ -216,7 +216,7 @@
     fn into_request(
         self,
         names: &SettingsNames,
-        numbers: &mut RequestNumbers,
+        request_ids: &mut RequestIds,
     ) -> Result<Request, AdapterError> {
         let class_name = self.required(self.class.as_deref(), "service")?;
         let class = *names
@@ -226,9 +226,9 @@
         let tenant = self.tenant.0.as_deref();
         let memory_kb = self.required(self.memory_kb, "memKb")?;
         let original = self.duplicate_of.0.as_deref();
-        let duplicate_of = original.map(|name| numbers.find(name));
+        let duplicate_of = original.map(|name| request_ids.find_or_allocate(name));
         Ok(Request {
-            id: numbers.assign(self.request_name()?),
+            id: request_ids.assign(self.request_name()?),
             class,
             tenant: tenant.and_then(|name| names.tenants.get(name).copied()),
             has_key: self.key.is_some(),
@@ -252,8 +252,8 @@
         self.required(self.request.as_deref(), "opId")
     }
 
-    fn request_id(&self, numbers: &mut RequestNumbers) -> Result<RequestId, AdapterError> {
-        Ok(numbers.find(self.request_name()?))
+    fn request_id(&self, request_ids: &mut RequestIds) -> Result<RequestId, AdapterError> {
+        Ok(request_ids.find_or_allocate(self.request_name()?))
     }
 
     fn elapsed(&self) -> Result<Micros, AdapterError> {
--- a/crates/simulator-adapter/src/output.rs
+++ b/crates/simulator-adapter/src/output.rs
@@ -1,6 +1,6 @@
-//! The simulator's output: the actions of all instances of a batch.
+//! The simulator's output: the actions of all servers of a batch.
 
-use crate::names::RequestNumbers;
+use crate::names::RequestIds;
 use pipitlever_admission::{Action, Micros};
 use serde::Serialize;
 
@@ -11,16 +11,16 @@
     pub steps: Vec<Step<'a>>,
 }
 
-/// An action of an instance.
+/// An action of a server's instance.
 #[derive(Serialize)]
 pub struct Step<'a> {
     #[serde(rename = "who")]
-    instance: &'a str,
+    server: &'a str,
     #[serde(flatten)]
     command: Command<'a>,
 }
 
-/// An action under the simulator's name.
+/// An action with its name in the simulator's protocol.
 #[derive(Serialize)]
 #[serde(
     tag = "type",
@@ -111,43 +111,43 @@
 }
 
 impl<'a> Step<'a> {
-    /// An action of an instance.
-    pub fn action(instance: &'a str, action: &Action, numbers: &'a RequestNumbers) -> Self {
+    /// Translates an action of the controller, with the simulator's name of its request.
+    pub fn action(server: &'a str, action: &Action, request_ids: &'a RequestIds) -> Self {
         let command = match *action {
             Action::Run(id) => Command::Run {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::ReuseOutcome(id) => Command::ReuseOutcome {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Reject {
                 id,
                 retry_after,
                 no_retry,
             } => Command::Reject {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 retry_after,
                 no_retry,
             },
             Action::Fail(id) => Command::Fail {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::RetainKey(id, lifetime) => Command::RetainKey {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 lifetime,
             },
             Action::ReleaseKey(id) => Command::ReleaseKey {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::PlaceCall(id, timeout) => Command::PlaceCall {
-                request: numbers.name(id),
+                request: request_ids.name(id),
                 timeout,
             },
             Action::SkipCall(id) => Command::SkipCall {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Cancel(id) => Command::Cancel {
-                request: numbers.name(id),
+                request: request_ids.name(id),
             },
             Action::Backpressure(level) => Command::Backpressure { level },
             Action::Health(is_healthy) => Command::Health {
@@ -157,13 +157,13 @@
             Action::CloseIdle(timeout) => Command::CloseIdle { timeout },
             Action::Timer(from_now, tag) => Command::Timer { from_now, tag },
         };
-        Step { instance, command }
+        Step { server, command }
     }
 
-    /// The report that the controller of an instance panicked.
-    pub fn panic(instance: &'a str, message: &'a str) -> Self {
+    /// Reports that the controller of a server's instance panicked.
+    pub fn panic(server: &'a str, message: &'a str) -> Self {
         Step {
-            instance,
+            server,
             command: Command::Panic { message },
         }
     }
