--- a/crates/benchmarks/tests/cost.rs
+++ b/crates/benchmarks/tests/cost.rs
@@ -28,45 +28,47 @@
     ["allocations", "bytes", "copied"].map(|name| Node::counter(&line, name))
 }
 
-/// The minimum of the allocations and allocated bytes of many requests, and the median of the
-/// copied bytes, without the cost of counting. Timers and growing tables add allocations to some
-/// requests and remove none, so that the minimum is what each request needs.
+/// The allocations and allocated bytes of the request with the fewest allocations among many, and
+/// the median of the copied bytes. The cost of reading the counters is subtracted. Timers and
+/// growing tables add allocations to some requests and remove none, so that the minimum is what
+/// each request needs.
 fn cost(node: &mut Node, mut operation: impl FnMut()) -> [u64; 3] {
     let counts_since = |node: &mut Node, last: [u64; 3]| {
         let now = counts(node);
         ([0, 1, 2].map(|i| now[i] - last[i]), now)
     };
     let mut last = counts(node);
-    let idle = (0..REPETITIONS).map(|_| {
+    let reading_costs = (0..REPETITIONS).map(|_| {
         let difference;
         (difference, last) = counts_since(node, last);
         difference
     });
-    let idle = idle.min().expect("REPETITIONS is not zero");
-    let mut all = Vec::new();
+    let reading_cost = reading_costs.min().expect("REPETITIONS is not zero");
+    let mut request_costs = Vec::new();
     for _ in 0..REPETITIONS {
         let first = counts(node);
         operation();
-        // Work after the response is included: it has ended once only the cost of counting is left.
-        let mut counted = 0;
+        // Work after the response is included. It has ended once two successive readings of the
+        // counters differ only by the cost of a reading.
+        let mut readings = 0;
         let mut last = first;
         loop {
             let difference;
             (difference, last) = counts_since(node, last);
-            counted += 1;
-            if difference == idle {
+            readings += 1;
+            if difference == reading_cost {
                 break;
             }
         }
-        all.push([0, 1, 2].map(|i| last[i] - first[i] - counted * idle[i]));
+        request_costs.push([0, 1, 2].map(|i| last[i] - first[i] - readings * reading_cost[i]));
     }
-    let minimum = *all.iter().min().expect("REPETITIONS is not zero");
-    let mut copied: Vec<u64> = all.iter().map(|counts| counts[2]).collect();
+    let minimum = *request_costs.iter().min().expect("REPETITIONS is not zero");
+    let mut copied: Vec<u64> = request_costs.iter().map(|cost| cost[2]).collect();
     copied.sort_unstable();
     [minimum[0], minimum[1], copied[REPETITIONS / 2]]
 }
 
-/// A node and its gateway, with a processor that ends each run with a result of `result_size`
+/// A node and its gateway, with a processor that completes each run with a result of `result_size`
 /// bytes.
 fn start_node_and_gateway(result_size: usize) -> (Node, common::Gateway) {
     let mut processor = Processor::new();
@@ -255,10 +257,10 @@
     let now = measure_all();
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/baseline.toml");
     if std::env::var_os("PIPITLEVER_BASELINE").is_some() {
-        let line = |(case, [count, bytes, copied]): (&&str, &[u64; 3])| {
+        let section = |(case, [count, bytes, copied]): (&&str, &[u64; 3])| {
             format!("[{case}]\nallocations = {count}\nbytes = {bytes}\ncopied = {copied}\n")
         };
-        let text: Vec<String> = now.iter().map(line).collect();
+        let text: Vec<String> = now.iter().map(section).collect();
         std::fs::write(path, text.join("\n")).unwrap();
         return;
     }
--- a/crates/benchmarks/tests/kills.rs
+++ b/crates/benchmarks/tests/kills.rs
@@ -27,17 +27,19 @@
     Outlive,
 }
 
-/// The number of runs by body, and the runs whose results are still to be sent, as id and body.
-struct State {
+/// The part of a processor's state that all its connections share.
+struct ProcessorState {
+    /// The number of runs by body.
     run_counts: HashMap<Vec<u8>, u64>,
     behaviour: RunBehaviour,
+    /// The id and body of each run whose result is sent when the node connects again.
     pending_results: Vec<(String, Vec<u8>)>,
 }
 
 /// A processor that outlives the node's processes.
 struct Processor {
     address: SocketAddr,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<ProcessorState>>,
     /// The body of each run that has started.
     started_runs: Receiver<Vec<u8>>,
 }
@@ -50,7 +52,7 @@
     fn start() -> Processor {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let state = State {
+        let state = ProcessorState {
             run_counts: HashMap::new(),
             behaviour: RunBehaviour::Complete,
             pending_results: Vec::new(),
@@ -74,7 +76,7 @@
 
 fn serve(
     mut stream: TcpStream,
-    state: &Mutex<State>,
+    state: &Mutex<ProcessorState>,
     started_runs: &Sender<Vec<u8>>,
 ) -> Option<()> {
     stream.set_nodelay(true).ok()?;
@@ -129,7 +131,7 @@
     }
 }
 
-/// The operator file: a uwsgi route for keyed requests, and a store with these additional settings.
+/// The operator file: a uwsgi route for keyed requests, and a store with `store_settings` added.
 fn operator_file_text(folder: &ScratchDirectory, store_settings: &str) -> String {
     format!(
         "[uwsgi]\nlisten = \"127.0.0.1:0\"\ndeadline_ms = 5000\n\
@@ -209,11 +211,11 @@
         return match text.get(9..12) {
             _ if read.is_err() => Outcome::Disconnected,
             Some("200") => {
-                let at = bytes
+                let head_end = bytes
                     .windows(4)
                     .position(|w| w == b"\r\n\r\n")
                     .expect("the response head ends");
-                Outcome::Served(bytes[at + 4..].to_vec())
+                Outcome::Served(bytes[head_end + 4..].to_vec())
             }
             Some("503") => Outcome::Rejected,
             Some(_) => Outcome::Failed,
@@ -254,8 +256,8 @@
     }
 }
 
-/// Starts a node. If a crash point `NAME:N` is given, the process is killed when it reaches it for
-/// the N-th time.
+/// Starts a node. With a crash point `NAME:N`, the process kills itself when it reaches the point
+/// NAME for the N-th time.
 fn start_node(processor: &Processor, operator_file: &str, crash_point: Option<&str>) -> Node {
     let mut settings = common::configuration(&json!({}))["settings"].clone();
     // The retention covers a restart and the retries after it on a slow machine, and is short
@@ -286,7 +288,10 @@
     ResultOnceReported,
 }
 
-/// Where the process is killed, the behaviour of the runs, and the outcome after the restart.
+/// Where the process is killed, the behaviour of the runs, and the outcome after the restart. At a
+/// crash point `NAME:N` the process kills itself: with N = 1 while it stores the record of the key,
+/// before the run starts, and with N = 2 while it stores the outcome. At the other points the test
+/// kills it.
 const KILL_POINTS: [(&str, RunBehaviour, Expected); 9] = [
     // Nothing about the key is on the disk.
     ("before-append:1", RunBehaviour::Complete, Expected::Runs),
@@ -328,7 +333,7 @@
         seed = seed
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        let [first_by_uwsgi, second_by_uwsgi] = [seed >> 40 & 1 == 1, seed >> 41 & 1 == 1];
+        let [first_by_uwsgi, duplicates_by_uwsgi] = [seed >> 40 & 1 == 1, seed >> 41 & 1 == 1];
         let (kill_point, behaviour, expected) = KILL_POINTS[cycle % KILL_POINTS.len()];
         let (key, body) = (
             format!("key-{cycle}"),
@@ -391,7 +396,7 @@
         let node = start_node(&processor, &operator_file, None);
         let restarted = Instant::now();
         loop {
-            let outcome = request_until_admitted(&node, second_by_uwsgi, &key, &body);
+            let outcome = request_until_admitted(&node, duplicates_by_uwsgi, &key, &body);
             match expected {
                 Expected::Runs | Expected::SameResult => {
                     assert_eq!(
@@ -419,7 +424,7 @@
         }
         // The same key with another body is a client error, also after the restart.
         assert_eq!(
-            request(&node, second_by_uwsgi, &key, b"another"),
+            request(&node, duplicates_by_uwsgi, &key, b"another"),
             Outcome::Failed
         );
         while processor.started_runs.try_recv().is_ok() {}
@@ -431,6 +436,8 @@
             .get(&body)
             .copied()
             .unwrap_or(0);
+        // A key that fails after the restart has run only if the process was killed during the run
+        // or before the append of its outcome.
         let expected_runs = u64::from(
             expected != Expected::Fails
                 || behaviour == RunBehaviour::Lost
@@ -575,6 +582,7 @@
     gateway.send("rota-view", request_params(5000, None, b"view"));
     assert_eq!(gateway.receive()["result"]["doc"], base64(&result(b"view")));
     drop(node);
+    // With `on_damage = "stop"` the node does not start.
     let stop_on_damage = text.replace("max_mb = 8", "max_mb = 8\non_damage = \"stop\"");
     std::fs::write(&operator_file, stop_on_damage).unwrap();
     let third = run(&[
@@ -603,7 +611,8 @@
         request_until_admitted(&node, false, "k", b"one"),
         Outcome::Served(result(b"one"))
     );
-    // No slow sync is in progress after this, so that the next state logged is about the directory.
+    // Once all records are synced, the next state that the node logs is due to the missing directory
+    // and not to a slow sync.
     wait_until_synced(&node);
     let moved = scratch.0.with_extension("moved");
     std::fs::rename(&scratch.0, &moved).unwrap();
--- a/crates/benchmarks/tests/panics.rs
+++ b/crates/benchmarks/tests/panics.rs
@@ -1,6 +1,6 @@
-//! Makes each subsystem of a node panic. The node has to log which subsystem it was, fail its
-//! health check and its status, answer the requests that it has read, and exit with the code for
-//! panics.
+//! Makes each subsystem of a node panic. The node has to log which subsystem panicked, fail
+//! its health check and its status, answer the requests that it has read, and exit with the code
+//! for panics.
 
 #[path = "../../node/tests/common/mod.rs"]
 mod common;
@@ -35,7 +35,7 @@
 }
 
 impl Fixture {
-    /// Starts a node with these additional sections in the operator file.
+    /// Starts a node with `sections` added to its operator file.
     fn start(subsystem: &'static str, sections: &str) -> Fixture {
         Fixture::start_with(subsystem, sections, |_| ())
     }
@@ -165,8 +165,8 @@
     fixture.node.uwsgi_client(&packet(path, &variables, b"x"))
 }
 
-/// Only the connection in which the panic occurs is lost, which may be any; requests on the others
-/// are answered.
+/// The panic can occur in any of the client connections. Only that one is lost; requests on the
+/// others are answered.
 #[test]
 fn a_panic_of_a_client_connection_drains_and_ends_the_node() {
     let mut fixture = Fixture::start("front", "");
@@ -296,7 +296,7 @@
     }
 }
 
-/// Guards against a node that goes on with a membership view that is no longer updated.
+/// Guards against a node that continues to run with a membership view that is no longer updated.
 #[test]
 fn a_panic_of_the_membership_drains_and_ends_the_node_and_is_detected_by_its_peer() {
     let mut fixture = Fixture::start("fleet", FLEET);
@@ -339,8 +339,8 @@
     assert!(next_answer(&mut other)["error"]["code"].is_i64());
 }
 
-/// The acceptor's first write is at the start, before any request is admitted, so that nothing is
-/// drained.
+/// The panic occurs in the acceptor's first write, which is made at the start, before any request is
+/// admitted, so that nothing is drained.
 #[test]
 fn a_panic_of_the_versions_thread_ends_the_node() {
     let folder = ScratchDirectory::new("panics-versions");
--- a/crates/benchmarks/tests/speed.rs
+++ b/crates/benchmarks/tests/speed.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo test --release -p pipitlever-benchmarks --test speed -- --ignored --nocapture`
 //!
-//! `PIPITLEVER_PROGRAM=FILE[,FILE...]` names the builds to measure; the current one is
+//! `PIPITLEVER_PROGRAM=FILE[,FILE...]` names the builds to measure; that of the current source is
 //! `target/release/pipitlever`. They are measured alternately, so that other load on the machine
 //! affects all of them. Latency is counted from the scheduled send time of a request, and the
 //! greatest delay of the load generator behind its schedule is reported.
@@ -49,6 +49,8 @@
 /// CPU time of the node so far, in clock ticks of 10 ms.
 fn cpu_ticks(node: &Node) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.pid())).unwrap();
+    // `utime` and `stime` are fields 14 and 15 of proc_pid_stat(5). Fields are counted from the end
+    // of field 2, the program's name in parentheses, since it may contain spaces.
     let fields: Vec<&str> = stat.rsplit_once(')').unwrap().1.split(' ').collect();
     fields[12].parse::<f64>().unwrap() + fields[13].parse::<f64>().unwrap()
 }
@@ -121,15 +123,15 @@
     ]
 }
 
-/// Answered requests per second with the node's core saturated: each gateway sends a batch of
-/// requests, 32 or with more than 32 gateways 4, and the next one once all are answered.
+/// Answered requests per second with the node's core saturated. Each gateway sends its next batch
+/// once the last one is answered; a batch has 32 requests, or 4 with more than 32 gateways.
 fn measure_saturated(program: &Path, gateways: u64, duration: Duration) -> f64 {
     let node = start_pinned_node(program);
     let doc = common::base64(&[7; 200]);
-    // The time is counted after all gateways have connected: in a burst of connections some may
-    // succeed only in a second attempt.
+    // The four threads below and this one wait here until all gateways have connected, and the
+    // measurement starts then: in a burst of connections some may succeed only in a second attempt.
     let connected = Arc::new(Barrier::new(5));
-    // Few threads serve many gateways, so that the load generator does not become the bottleneck.
+    // Four threads serve all gateways, so that the load generator does not become the bottleneck.
     let threads: Vec<_> = (0..4)
         .map(|thread| {
             let (address, doc, connected) = (node.gateway_address, doc.clone(), connected.clone());
--- a/crates/benchmarks/tests/standin/mod.rs
+++ b/crates/benchmarks/tests/standin/mod.rs
@@ -9,8 +9,9 @@
 /// Upper limit of every wait.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Starts a processor that answers all commands of a read in one write, and returns its address.
-/// Each run ends with a result of `result_size` bytes; with `None` no run ends.
+/// Starts a processor and returns its address. The commands that one read from the connection
+/// returns are answered in one write. Each run completes with a result of `result_size` bytes; with
+/// `None` no run completes.
 pub fn start_processor(result_size: Option<usize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/benchmarks/tests/syscalls.rs
+++ b/crates/benchmarks/tests/syscalls.rs
@@ -54,13 +54,16 @@
             .args(["-f", "-s", "16", "-o", log.to_str().unwrap(), "-p", &pid])
             .stderr(Stdio::piped())
             .spawn()
-            .expect("strace is installed: .ci/run does it");
+            .expect("strace is installed (.ci/run installs it)");
         let mut lines = BufReader::new(strace.stderr.take().unwrap()).lines();
         let line = lines
             .next()
             .expect("strace reports that it attached")
             .unwrap();
-        assert!(line.contains("attached"), "strace can't trace here: {line}");
+        assert!(
+            line.contains("attached"),
+            "strace did not attach to the node: {line}"
+        );
         std::thread::spawn(move || lines.for_each(drop));
         Traced { node, strace, log }
     }
