--- a/crates/capture-tools/src/diff/divergent_replay.rs
+++ b/crates/capture-tools/src/diff/divergent_replay.rs
@@ -122,14 +122,14 @@
     }
 
     /// Has a duplicate wait for the request that retains its key, if that is still open.
-    fn join(&mut self, id: RequestId, now: Micros) {
+    fn await_original(&mut self, id: RequestId, now: Micros) {
         let holder = self.keys.replayed_holder(id);
         let original = holder.filter(|holder| self.stage(*holder).is_some());
-        self.simulated.join(id, original, now);
+        self.simulated.await_original(id, original, now);
     }
 
     /// Simulates the run of a request from its first difference on.
-    fn diverge(&mut self, id: RequestId, now: Micros) {
+    fn simulate_request(&mut self, id: RequestId, now: Micros) {
         let Some(request) = self.comparison.request(id) else {
             return;
         };
@@ -140,7 +140,7 @@
         match self.stage(id) {
             Some(Stage::Running) => self.simulated.schedule_work(id, now),
             Some(Stage::InCall) => self.simulated.schedule_reply(id, now),
-            Some(Stage::AwaitingOriginal) => self.join(id, now),
+            Some(Stage::AwaitingOriginal) => self.await_original(id, now),
             _ => {}
         }
     }
@@ -190,7 +190,7 @@
             if self.simulated.contains(id) {
                 on_request.for_each(|action| self.simulate_action(id, action, now));
             } else if on_request.ne(recorded.iter().filter(of_request)) {
-                self.diverge(id, now);
+                self.simulate_request(id, now);
             }
         }
     }
@@ -199,7 +199,7 @@
         match action {
             Action::Run(_) => self.simulated.start(id, now),
             Action::PlaceCall(..) => self.simulated.schedule_reply(id, now),
-            Action::ReuseOutcome(_) => self.join(id, now),
+            Action::ReuseOutcome(_) => self.await_original(id, now),
             _ => {}
         }
     }
--- a/crates/capture-tools/src/diff/simulated_runs.rs
+++ b/crates/capture-tools/src/diff/simulated_runs.rs
@@ -52,7 +52,10 @@
 
     /// Removes the next event that is due, with its time.
     pub fn next_due(&mut self, now: Micros) -> Option<(Micros, Event)> {
-        let due = self.events.first_entry().filter(|e| e.key().0 <= now)?;
+        let due = self
+            .events
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         let ((at, _), event) = due.remove_entry();
         Some((at, event))
     }
@@ -126,7 +129,7 @@
     }
 
     /// Has a duplicate wait for the original request; without one, it is answered at once.
-    pub fn join(&mut self, id: RequestId, original: Option<RequestId>, now: Micros) {
+    pub fn await_original(&mut self, id: RequestId, original: Option<RequestId>, now: Micros) {
         match original {
             Some(original) => self.duplicates.entry(original).or_default().push(id),
             None => self.schedule_outcome(id, Outcome::Success, now),
--- a/crates/capture-tools/src/explain.rs
+++ b/crates/capture-tools/src/explain.rs
@@ -80,14 +80,14 @@
         TimelineEvent::Arrived(event, status) => format!(
             "{}\n        the node went by: {}",
             rendering::event(event, classes),
-            rendering::view(status)
+            rendering::controller_status(status)
         ),
         TimelineEvent::Event(event) => rendering::event(event, classes),
         TimelineEvent::Action(action) => format!("decided: {}", rendering::action(action)),
         TimelineEvent::Cause(cause, status) => format!(
             "because {}\n        the node went by: {}",
             rendering::cause(cause, status),
-            rendering::view(status)
+            rendering::controller_status(status)
         ),
         TimelineEvent::Answer(answer, source) => {
             format!("answer: {}", rendering::answer(answer, *source))
--- a/crates/capture-tools/src/export/requests.rs
+++ b/crates/capture-tools/src/export/requests.rs
@@ -82,7 +82,7 @@
         hex(request.key_digest),
         text(
             Some(&request.class.name)
-                .filter(|c| !c.is_empty())
+                .filter(|name| !name.is_empty())
                 .map(String::as_str),
         ),
         Value::Integer(request.arrived),
--- a/crates/capture-tools/src/rendering.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -69,14 +69,14 @@
                 "the line to start"
             };
             let [low, high, discard] = queue.thresholds;
-            let figures = format!(
+            let details = format!(
                 "{} waiting, L {low:.0} H {high:.0} R {discard:.0}",
                 queue.length
             );
             match queue_mode {
-                Mode::Discard => format!("{queue_name} was in discard and takes none ({figures})"),
+                Mode::Discard => format!("{queue_name} was in discard and takes none ({details})"),
                 _ => format!(
-                    "{queue_name} was in {} and takes a worth of {cutoff:.3} and more; its own is {priority:.3} ({figures})",
+                    "{queue_name} was in {} and takes a worth of {cutoff:.3} and more; its own is {priority:.3} ({details})",
                     mode(*queue_mode)
                 ),
             }
@@ -144,49 +144,56 @@
 }
 
 /// The controller's status.
-pub fn view(view: &ControllerStatus) -> String {
-    let [start, calls] = &view.queues;
-    let line = |l: &pipitlever_admission::QueueStatus| {
-        let [low, high, most] = l.thresholds;
-        let count = l.length;
+pub fn controller_status(status: &ControllerStatus) -> String {
+    let [start, calls] = &status.queues;
+    let queue_text = |queue: &pipitlever_admission::QueueStatus| {
+        let [low, high, discard] = queue.thresholds;
+        let length = queue.length;
         format!(
-            "{} with {count:.0} (L {low:.0} H {high:.0} R {most:.0}, cut {:.3})",
-            mode(l.mode),
-            l.priority_cutoff
+            "{} with {length:.0} (L {low:.0} H {high:.0} R {discard:.0}, cut {:.3})",
+            mode(queue.mode),
+            queue.priority_cutoff
         )
     };
     format!(
         "line to start {}; line for calls {}; {} running of {:.1} allowed, {:.1} being read, {} at calls, {:.1} calls \
          out of {:.1}; {:.0} KB{}",
-        line(start),
-        line(calls),
-        view.running,
-        view.concurrency_limit,
-        view.reading.max(0.0),
-        view.waiting_for_call,
-        view.calls_in_flight,
-        view.call_limit,
-        view.memory_kb,
-        if view.is_shutting_down { "; leaving" } else { "" }
+        queue_text(start),
+        queue_text(calls),
+        status.running,
+        status.concurrency_limit,
+        status.reading.max(0.0),
+        status.waiting_for_call,
+        status.calls_in_flight,
+        status.call_limit,
+        status.memory_kb,
+        if status.is_shutting_down { "; leaving" } else { "" }
     )
 }
 
 /// An event, with the name of its class.
 pub fn event(event: &Event, classes: &[String]) -> String {
-    let some = |value: Option<f64>| value.map_or("?".to_owned(), |v| format!("{v:.2}"));
+    let gauge = |value: Option<f64>| value.map_or("?".to_owned(), |value| format!("{value:.2}"));
     match event {
-        Event::Arrived(r) => {
-            let class = classes.get(r.class).map_or("?", String::as_str);
-            let mut text = format!("arrived #{} {class}, rank {:.3}", r.id, r.priority);
-            text += &r
+        Event::Arrived(request) => {
+            let class = classes.get(request.class).map_or("?", String::as_str);
+            let mut text = format!(
+                "arrived #{} {class}, rank {:.3}",
+                request.id, request.priority
+            );
+            text += &request
                 .timeout
-                .map_or(String::new(), |p| format!(", {} left", ms(p)));
-            text += &r.cost.map_or(String::new(), |c| {
-                format!(", cost hint {}", ms(c as Micros))
+                .map_or(String::new(), |timeout| format!(", {} left", ms(timeout)));
+            text += &request.cost.map_or(String::new(), |cost| {
+                format!(", cost hint {}", ms(cost as Micros))
             });
-            text += &format!(", {:.1} KB, unread for {}", r.memory_kb, ms(r.queue_time));
-            text += if r.is_retry { ", a retry" } else { "" };
-            text + &r
+            text += &format!(
+                ", {:.1} KB, unread for {}",
+                request.memory_kb,
+                ms(request.queue_time)
+            );
+            text += if request.is_retry { ", a retry" } else { "" };
+            text + &request
                 .duplicate_of
                 .map_or(String::new(), |id| format!(", repeats #{id}"))
         }
@@ -207,22 +214,23 @@
         Event::CallEnded {
             id,
             elapsed,
-            outcome: run_outcome,
+            outcome: call_outcome,
         } => {
             format!(
                 "call of #{id} ended {} after {}",
-                outcome(*run_outcome),
+                outcome(*call_outcome),
                 ms(*elapsed)
             )
         }
         Event::Timer {
-            cpu_utilization: core_use,
-            runnable: on_cores,
+            cpu_utilization,
+            runnable,
             connections,
             ..
         } => {
-            let (core, on, open) = (some(*core_use), some(*on_cores), some(*connections));
-            format!("timer: core use {core}, {on} on the cores, {open} connections")
+            let [cpu, runnable, connections] =
+                [cpu_utilization, runnable, connections].map(|value| gauge(*value));
+            format!("timer: core use {cpu}, {runnable} on the cores, {connections} connections")
         }
     }
 }
@@ -248,43 +256,45 @@
             )
         }
         Action::Fail(id) => format!("fail #{id}"),
-        Action::RetainKey(id, span) => format!("keep #{id}'s key for {}", ms(*span)),
+        Action::RetainKey(id, lifetime) => format!("keep #{id}'s key for {}", ms(*lifetime)),
         Action::ReleaseKey(id) => format!("forget #{id}'s key"),
-        Action::PlaceCall(id, within) => match *within {
+        Action::PlaceCall(id, timeout) => match *timeout {
             Micros::MAX => format!("place #{id}'s call"),
-            within => format!("place #{id}'s call, {} at most", ms(within)),
+            timeout => format!("place #{id}'s call, {} at most", ms(timeout)),
         },
         Action::SkipCall(id) => format!("#{id} goes on without its call"),
         Action::Cancel(id) => format!("halt #{id}"),
         Action::Backpressure(level) => format!("level {level:.4}"),
-        Action::Health(good) => format!("health checks hear {good}"),
-        Action::CloseIdle(span) => format!("close connections idle for {}", ms(*span)),
-        Action::Timer(after, tag) => format!("timer {tag} after {}", ms(*after)),
+        Action::Health(is_healthy) => format!("health checks hear {is_healthy}"),
+        Action::CloseIdle(idle_time) => {
+            format!("close connections idle for {}", ms(*idle_time))
+        }
+        Action::Timer(delay, tag) => format!("timer {tag} after {}", ms(*delay)),
     }
 }
 
 /// A final answer and what decided it, separated by `; `.
 pub fn answer(answer: &RecordedAnswer, source: AnswerSource) -> String {
-    let what = match answer {
+    let answer_text = match answer {
         RecordedAnswer::Served(bytes) => format!("served, {bytes} bytes"),
         RecordedAnswer::Rejected {
-            retry_after: cooldown,
-            no_retry: nowhere,
+            retry_after,
+            no_retry,
         } => {
-            let delay = if *cooldown > 0 {
-                format!(", keep away {}", ms(*cooldown))
+            let delay = if *retry_after > 0 {
+                format!(", keep away {}", ms(*retry_after))
             } else {
                 String::new()
             };
             format!(
                 "refused{delay}{}",
-                if *nowhere { ", try nowhere" } else { "" }
+                if *no_retry { ", try nowhere" } else { "" }
             )
         }
         RecordedAnswer::Failed { timed_out: true } => "failed: out of time".into(),
         RecordedAnswer::Failed { timed_out: false } => "failed".into(),
     };
-    let who = match source {
+    let source_text = match source {
         AnswerSource::AdmissionController => "the module's decision",
         AnswerSource::Run => "its run's end",
         AnswerSource::Duplicate => "the outcome of the try that it repeats",
@@ -307,7 +317,7 @@
         AnswerSource::StoreFull => "the node's own: its store of keys had no room",
         AnswerSource::OtherProcess => "the node's own: another process of it may have run the key",
     };
-    format!("{what}; {who}")
+    format!("{answer_text}; {source_text}")
 }
 
 /// The label of an answer in tables.
--- a/crates/capture-tools/src/replay.rs
+++ b/crates/capture-tools/src/replay.rs
@@ -200,7 +200,7 @@
         let cause = rendering::cause(cause, status);
         println!("  its reason:    #{id}: {cause}");
     }
-    println!("  it went by:    {}", rendering::view(status));
+    println!("  it went by:    {}", rendering::controller_status(status));
     for step in recent.before_last() {
         println!("  before that:   {step}");
     }
--- a/crates/capture-tools/src/request_records.rs
+++ b/crates/capture-tools/src/request_records.rs
@@ -196,7 +196,7 @@
         answer: FinalAnswer,
     ) {
         let Some(&id) = self.by_reference.get(&reference) else {
-            return self.add_answer_of_node(replayed, reference, class, answer);
+            return self.add_node_answer(replayed, reference, class, answer);
         };
         if let Some(request) = self.open.get_mut(&id) {
             request.answer = Some(answer);
@@ -209,7 +209,7 @@
     }
 
     /// Passes on the record of a request that the node answered without the controller.
-    fn add_answer_of_node(
+    fn add_node_answer(
         &mut self,
         replayed: &ReplayedRecord,
         reference: u64,
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -8,12 +8,12 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-fn folder() -> PathBuf {
+fn captures_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/captures")
 }
 
-fn capture(name: &str) -> PathBuf {
-    folder().join(format!("{name}.plc"))
+fn capture_path(name: &str) -> PathBuf {
+    captures_directory().join(format!("{name}.plc"))
 }
 
 /// The exit code and the outputs of a command.
@@ -41,18 +41,18 @@
     }
 }
 
-fn json(args: &[&str]) -> Value {
+fn run_tool_json(args: &[&str]) -> Value {
     let ToolOutput {
         code,
-        stdout: out,
-        stderr: err,
+        stdout,
+        stderr,
     } = run_tool(&[args, &["--json"]].concat());
-    assert!(code < 2, "{args:?}: {code} {out} {err}");
-    serde_json::from_str(&out).unwrap_or_else(|e| panic!("{e}: {out}"))
+    assert!(code < 2, "{args:?}: {code} {stdout} {stderr}");
+    serde_json::from_str(&stdout).unwrap_or_else(|error| panic!("{error}: {stdout}"))
 }
 
 /// Writes a file to the temporary directory.
-fn temporary(name: &str, bytes: &[u8]) -> PathBuf {
+fn write_temporary_file(name: &str, bytes: &[u8]) -> PathBuf {
     let path =
         std::env::temp_dir().join(format!("pipitlever-capture-{}-{name}", std::process::id()));
     std::fs::write(&path, bytes).unwrap();
@@ -91,32 +91,32 @@
             "in memory when this part of the capture begins",
         ),
     ];
-    let all = std::fs::read_dir(folder()).unwrap().count();
-    assert_eq!(all, cases.len(), "each capture has its line here");
+    let count = std::fs::read_dir(captures_directory()).unwrap().count();
+    assert_eq!(count, cases.len(), "each capture has its line here");
     for (name, is_truncated, expected) in cases {
-        let path = capture(name);
+        let path = capture_path(name);
         assert!(path.metadata().unwrap().len() < 300 << 10, "{name}");
         let path = path.to_str().unwrap();
         for _ in 0..2 {
             let ToolOutput {
                 code,
-                stdout: out,
-                stderr: err,
+                stdout,
+                stderr,
             } = run_tool(&["replay", path]);
             assert!(
-                code == 0 && out.contains("identical"),
-                "{name}: {code} {out} {err}"
+                code == 0 && stdout.contains("identical"),
+                "{name}: {code} {stdout} {stderr}"
             );
-            assert_eq!(out.contains("cut: "), is_truncated, "{name}: {out}");
+            assert_eq!(stdout.contains("cut: "), is_truncated, "{name}: {stdout}");
         }
         let ToolOutput {
             code,
-            stdout: out,
-            stderr: err,
+            stdout,
+            stderr,
         } = run_tool(&["replay", "--diff", path]);
         assert!(
-            code == 0 && out.contains("identical"),
-            "{name}: {code} {out} {err}"
+            code == 0 && stdout.contains("identical"),
+            "{name}: {code} {stdout} {stderr}"
         );
         let timelines = all_timelines(path);
         assert!(timelines.contains(expected), "{name}: {timelines}");
@@ -136,7 +136,7 @@
         .collect();
     while let Some(RecordAt { record, .. }) = reader.next_record().unwrap() {
         match record {
-            Record::Identity(name) => references.push(name.reference),
+            Record::Identity(identity) => references.push(identity.reference),
             Record::Answer { reference, .. } => references.push(reference),
             Record::Step { .. } => {}
         }
@@ -156,21 +156,21 @@
 
 #[test]
 fn every_rejection_and_failure_has_a_reason() {
-    for file in std::fs::read_dir(folder()).unwrap() {
+    for file in std::fs::read_dir(captures_directory()).unwrap() {
         let path = file.unwrap().path();
         let path = path.to_str().unwrap();
-        let output = json(&["explain", path, "--refused", "--failed", "--most", "10000"]);
+        let output = run_tool_json(&["explain", path, "--refused", "--failed", "--most", "10000"]);
         for request in output["requests"].as_array().unwrap() {
             let reason = request["reason"]
                 .as_str()
                 .unwrap_or_else(|| panic!("{path}: {request}"));
             assert!(reason.len() > 10, "{path}: {reason}");
         }
-        let stats = json(&["stats", path]);
+        let stats = run_tool_json(&["stats", path]);
         let count = |outcome: &str| -> u64 {
             let classes = stats["classes"].as_object().unwrap().values();
             classes
-                .filter_map(|c| c["outcomes"][outcome].as_u64())
+                .filter_map(|class| class["outcomes"][outcome].as_u64())
                 .sum()
         };
         assert_eq!(
@@ -180,19 +180,19 @@
         );
         let seconds = stats["seconds"].as_array().unwrap().iter();
         let by_second: u64 = seconds
-            .filter_map(|s| s["outcomes"]["refused"].as_u64())
+            .filter_map(|second| second["outcomes"]["refused"].as_u64())
             .sum();
         assert_eq!(by_second, count("refused"), "{path}");
     }
 }
 
 /// A copy of a capture with other records or another start.
-fn rewritten(
+fn rewrite_capture(
     name: &str,
     start: impl FnOnce(&SegmentHeader, Controller) -> (SegmentHeader, Controller),
     mut change: impl FnMut(u64, &mut Record),
 ) -> Vec<u8> {
-    let bytes = std::fs::read(capture(name)).unwrap();
+    let bytes = std::fs::read(capture_path(name)).unwrap();
     let mut reader = SegmentReader::open(&bytes).unwrap();
     let (header, controller) = start(reader.header().unwrap(), reader.controller().unwrap());
     let mut out = Vec::new();
@@ -209,38 +209,36 @@
     out
 }
 
-fn unchanged(header: &SegmentHeader, controller: Controller) -> (SegmentHeader, Controller) {
+fn unchanged_start(header: &SegmentHeader, controller: Controller) -> (SegmentHeader, Controller) {
     (header.clone(), controller)
 }
 
 #[test]
 fn the_first_difference_is_printed_with_the_steps_before_it() {
-    let bytes = rewritten("burst-into-discard", unchanged, |step, record| {
+    let bytes = rewrite_capture("burst-into-discard", unchanged_start, |step, record| {
         if let (30, Record::Step { actions, .. }) = (step, record) {
             actions.to_mut().push(Action::Backpressure(0.25));
         }
     });
-    let path = temporary("different.plc", &bytes);
+    let path = write_temporary_file("different.plc", &bytes);
     let path = path.to_str().unwrap();
-    let ToolOutput {
-        code, stdout: out, ..
-    } = run_tool(&["replay", path]);
-    assert_eq!(code, 1, "{out}");
-    for part in [
+    let ToolOutput { code, stdout, .. } = run_tool(&["replay", path]);
+    assert_eq!(code, 1, "{stdout}");
+    for expected in [
         "different: step 30 ",
         "capture says:  level 0.2500",
         "this build:    nothing more",
         "before that:   step 29",
     ] {
-        assert!(out.contains(part), "{part}: {out}");
+        assert!(stdout.contains(expected), "{expected}: {stdout}");
     }
-    let output = json(&["replay", path]);
+    let output = run_tool_json(&["replay", path]);
     assert_eq!(
         (&output["verdict"], &output["difference"]["step"]),
         (&"different".into(), &30.into())
     );
-    let all = json(&["replay", "--diff", path]);
-    assert_eq!(all["different_steps"], 1, "{all}");
+    let comparison = run_tool_json(&["replay", "--diff", path]);
+    assert_eq!(comparison["different_steps"], 1, "{comparison}");
 }
 
 #[test]
@@ -252,42 +250,41 @@
         let controller = Controller::new(header.settings.clone(), header.seed);
         (header, controller)
     };
-    let bytes = rewritten("burst-into-discard", fewer_cores, |_, _| {});
-    let path = temporary("fewer.plc", &bytes);
+    let bytes = rewrite_capture("burst-into-discard", fewer_cores, |_, _| {});
+    let path = write_temporary_file("fewer.plc", &bytes);
     let path = path.to_str().unwrap();
     assert_eq!(run_tool(&["replay", path]).code, 1);
-    let ToolOutput {
-        code, stdout: out, ..
-    } = run_tool(&["replay", "--diff", path]);
-    assert_eq!(code, 1, "{out}");
-    assert!(out.contains("this build"), "{out}");
-    let all = json(&["replay", "--diff", path]);
-    let views = &all["classes"]["rota-view"];
-    let count = |side: &str, what: &str| views[side][what].as_u64().unwrap();
+    let ToolOutput { code, stdout, .. } = run_tool(&["replay", "--diff", path]);
+    assert_eq!(code, 1, "{stdout}");
+    assert!(stdout.contains("this build"), "{stdout}");
+    let comparison = run_tool_json(&["replay", "--diff", path]);
+    let class = &comparison["classes"]["rota-view"];
+    let count = |side: &str, decision: &str| class[side][decision].as_u64().unwrap();
     // It starts fewer requests, and every request has one decision on both sides.
     for side in ["capture", "this_build"] {
-        let decisions = ["open", "ran", "refused", "failed", "joined"].map(|f| count(side, f));
+        let decisions =
+            ["open", "ran", "refused", "failed", "joined"].map(|decision| count(side, decision));
         assert_eq!(
             decisions.iter().sum::<u64>(),
-            views["requests"].as_u64().unwrap(),
-            "{side}: {views}"
+            class["requests"].as_u64().unwrap(),
+            "{side}: {class}"
         );
     }
     assert!(
         count("this_build", "ran") < count("capture", "ran"),
-        "{views}"
+        "{class}"
     );
     assert!(
         count("this_build", "refused") > count("capture", "refused"),
-        "{views}"
+        "{class}"
     );
 }
 
 #[test]
 fn unreadable_captures_are_reported_with_file_and_offset() {
-    let bytes = std::fs::read(capture("drain-with-held")).unwrap();
+    let bytes = std::fs::read(capture_path("drain-with-held")).unwrap();
     let end = bytes.len();
-    let flipped = |at: usize| {
+    let with_flipped_bit = |at: usize| {
         let mut bytes = bytes.clone();
         bytes[at] ^= 4;
         bytes
@@ -299,88 +296,89 @@
         (bytes[..40].to_vec(), 0, "at offset 16"),
         (bytes[..5].to_vec(), 0, "at offset 0"),
         (Vec::new(), 0, "at offset 0"),
-        (flipped(3), 2, "offset 0: this is no capture"),
-        (flipped(9), 2, "offset 8: damaged"),
-        (flipped(40), 2, "offset 16: damaged"),
-        (flipped(end - 30), 2, ": damaged"),
-        (flipped(end - 1), 2, ": damaged"),
+        (with_flipped_bit(3), 2, "offset 0: this is no capture"),
+        (with_flipped_bit(9), 2, "offset 8: damaged"),
+        (with_flipped_bit(40), 2, "offset 16: damaged"),
+        (with_flipped_bit(end - 30), 2, ": damaged"),
+        (with_flipped_bit(end - 1), 2, ": damaged"),
         (b"{\"name\":\"n1\"}".to_vec(), 2, "this is no capture"),
     ];
     for (index, (bytes, expected_code, expected)) in cases.into_iter().enumerate() {
-        let path = temporary(&format!("unreadable-{index}.plc"), &bytes);
+        let path = write_temporary_file(&format!("unreadable-{index}.plc"), &bytes);
         let ToolOutput {
             code,
-            stdout: out,
-            stderr: err,
+            stdout,
+            stderr,
         } = run_tool(&["replay", path.to_str().unwrap()]);
-        assert_eq!(code, expected_code, "{index}: {out} {err}");
-        let message = if code == 2 { err } else { out };
+        assert_eq!(code, expected_code, "{index}: {stdout} {stderr}");
+        let message = if code == 2 { stderr } else { stdout };
         assert!(
             message.contains(expected) && message.contains(path.to_str().unwrap()),
             "{index}: {message}"
         );
     }
     // Damage anywhere in a longer capture.
-    let long = std::fs::read(capture("burst-into-discard")).unwrap();
-    for at in (16..long.len()).step_by(997) {
-        let mut damaged = long.clone();
+    let long_capture = std::fs::read(capture_path("burst-into-discard")).unwrap();
+    for at in (16..long_capture.len()).step_by(997) {
+        let mut damaged = long_capture.clone();
         damaged[at] ^= 1;
-        let path = temporary("flipped.plc", &damaged);
+        let path = write_temporary_file("flipped.plc", &damaged);
         let ToolOutput {
             code,
-            stdout: out,
-            stderr: err,
+            stdout,
+            stderr,
         } = run_tool(&["replay", path.to_str().unwrap()]);
         assert!(
-            code == 2 && err.contains("offset "),
-            "{at}: {code} {out} {err}"
+            code == 2 && stderr.contains("offset "),
+            "{at}: {code} {stdout} {stderr}"
         );
     }
 }
 
 #[test]
 fn a_folder_is_replayed_run_by_run() {
-    let played = json(&["replay", folder().to_str().unwrap()]);
-    let count = std::fs::read_dir(folder()).unwrap().count();
+    let output = run_tool_json(&["replay", captures_directory().to_str().unwrap()]);
+    let count = std::fs::read_dir(captures_directory()).unwrap().count();
     assert_eq!(
-        (&played["verdict"], &played["segments"]),
+        (&output["verdict"], &output["segments"]),
         (&"identical".into(), &count.into())
     );
-    assert_eq!(played["cut"].as_array().map(Vec::len), Some(1));
+    assert_eq!(output["cut"].as_array().map(Vec::len), Some(1));
 }
 
 #[test]
 fn requests_and_steps_are_exported_as_tables() {
-    let path = capture("burst-into-discard");
-    let to = std::env::temp_dir().join(format!(
+    let path = capture_path("burst-into-discard");
+    let output_path = std::env::temp_dir().join(format!(
         "pipitlever-capture-{}-burst.parquet",
         std::process::id()
     ));
-    let output = json(&[
+    let output = run_tool_json(&[
         "export",
         path.to_str().unwrap(),
         "--parquet",
-        to.to_str().unwrap(),
+        output_path.to_str().unwrap(),
     ]);
-    let steps = to.with_file_name(format!(
+    let steps = output_path.with_file_name(format!(
         "pipitlever-capture-{}-burst-steps.parquet",
         std::process::id()
     ));
-    let stats = json(&["stats", path.to_str().unwrap()]);
-    let refused = stats["classes"]["rota-view"]["outcomes"]["refused"]
+    let stats = run_tool_json(&["stats", path.to_str().unwrap()]);
+    let rejected = stats["classes"]["rota-view"]["outcomes"]["refused"]
         .as_u64()
         .unwrap();
-    let requests = SerializedFileReader::new(std::fs::File::open(&to).unwrap()).unwrap();
+    let requests = SerializedFileReader::new(std::fs::File::open(&output_path).unwrap()).unwrap();
     let rows: Vec<String> = requests
         .get_row_iter(None)
         .unwrap()
-        .map(|r| r.unwrap().to_string())
+        .map(|row| row.unwrap().to_string())
         .collect();
     assert_eq!(output["request_rows"].as_u64(), Some(rows.len() as u64));
-    let of = |what: &str| rows.iter().filter(|r| r.contains(what)).count() as u64;
-    assert_eq!(of("outcome: \"refused\""), refused, "{}", rows[0]);
+    let count_rows = |column: &str| rows.iter().filter(|row| row.contains(column)).count() as u64;
+    assert_eq!(count_rows("outcome: \"refused\""), rejected, "{}", rows[0]);
     assert!(
-        of("cause: \"line-discard\"") > 0 && of("answered_by: \"module\"") >= refused,
+        count_rows("cause: \"line-discard\"") > 0
+            && count_rows("answered_by: \"module\"") >= rejected,
         "{}",
         rows[0]
     );
@@ -394,7 +392,7 @@
 
 #[test]
 fn errors_of_the_command_line_are_reported() {
-    let path = capture("one-swap");
+    let path = capture_path("one-swap");
     let path = path.to_str().unwrap();
     let key = "9c9cc252d58b4571";
     // The arguments, the exit code, and parts of the output and of the errors.
@@ -438,12 +436,12 @@
             "/no/such/folder/x.parquet: ",
         ),
     ];
-    for (args, code, output, errors) in cases {
-        let ran = run_tool(args);
-        assert_eq!(ran.code, code, "{args:?}: {ran:?}");
+    for (args, code, expected_stdout, expected_stderr) in cases {
+        let output = run_tool(args);
+        assert_eq!(output.code, code, "{args:?}: {output:?}");
         assert!(
-            ran.stdout.contains(output) && ran.stderr.contains(errors),
-            "{args:?}: {ran:?}"
+            output.stdout.contains(expected_stdout) && output.stderr.contains(expected_stderr),
+            "{args:?}: {output:?}"
         );
     }
 }
--- a/crates/capture-tools/tests/compatibility.rs
+++ b/crates/capture-tools/tests/compatibility.rs
@@ -14,14 +14,14 @@
     "drain-with-held",
 ];
 
-fn folder(name: &str) -> PathBuf {
+fn test_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests")
         .join(name)
 }
 
 /// Standard output of one command, a line for each JSON value.
-fn json(arguments: &[&str]) -> String {
+fn run_tool_json(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_pipitlever-capture"))
         .args(arguments)
         .output()
@@ -30,24 +30,24 @@
     let mut lines = String::new();
     for value in serde_json::Deserializer::from_str(&text).into_iter::<Value>() {
         let mut value = value.unwrap_or_else(|error| panic!("{arguments:?}: {error}: {text}"));
-        without_measurements(&mut value);
+        clear_measurements(&mut value);
         lines.push_str(&format!("{value}\n"));
     }
     lines
 }
 
 /// Blanks times and paths, which differ from run to run and from checkout to checkout.
-fn without_measurements(value: &mut Value) {
+fn clear_measurements(value: &mut Value) {
     match value {
         Value::Object(members) => {
             for (key, member) in members {
                 match key.as_str() {
                     "seconds" | "steps_per_second" | "path" | "file" => *member = Value::Null,
-                    _ => without_measurements(member),
+                    _ => clear_measurements(member),
                 }
             }
         }
-        Value::Array(members) => members.iter_mut().for_each(without_measurements),
+        Value::Array(members) => members.iter_mut().for_each(clear_measurements),
         _ => {}
     }
 }
@@ -56,7 +56,7 @@
 fn json_outputs_have_the_keys_and_values_of_the_earlier_build() {
     let mut text = String::new();
     for name in CAPTURES {
-        let path = folder("captures").join(format!("{name}.plc"));
+        let path = test_path("captures").join(format!("{name}.plc"));
         let path = path.to_str().unwrap();
         let commands: [&[&str]; 5] = [
             &["replay", path, "--json"],
@@ -66,14 +66,18 @@
             &["explain", path, "--sender", "1", "--most", "3", "--json"],
         ];
         for command in commands {
-            let verb: Vec<&str> = command
+            let arguments: Vec<&str> = command
                 .iter()
                 .copied()
-                .filter(|word| *word != path)
+                .filter(|argument| *argument != path)
                 .collect();
-            text.push_str(&format!("# {name}: {}\n{}", verb.join(" "), json(command)));
+            text.push_str(&format!(
+                "# {name}: {}\n{}",
+                arguments.join(" "),
+                run_tool_json(command)
+            ));
         }
     }
-    text.push_str(&json(&["digest", "k", "--json"]));
-    pipitlever_test_fixtures::assert_text(folder("fixtures/json.txt"), &text);
+    text.push_str(&run_tool_json(&["digest", "k", "--json"]));
+    pipitlever_test_fixtures::assert_text(test_path("fixtures/json.txt"), &text);
 }
