--- a/crates/capture-tools/examples/formats.rs
+++ b/crates/capture-tools/examples/formats.rs
@@ -34,8 +34,8 @@
     Action = 7,
 }
 
-/// A Parquet file as the node could write it: a row for each record, event and action. Fields of
-/// one type share columns.
+/// The rows of a Parquet file as a node could write it: one for each record, event and action.
+/// Fields of the same type share columns.
 struct ParquetRows {
     kind: UInt8Builder,
     clock_delta: Int64Builder,
@@ -199,7 +199,7 @@
     rows.finish(compression)
 }
 
-/// Encodes one record after the other into a buffer that is reused, as the node does.
+/// Encodes the records one by one into a buffer that is reused, as the node does.
 fn encode_each(records: &[Record], encode: fn(&Record, &mut Vec<u8>)) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut buffer = Vec::new();
@@ -211,7 +211,7 @@
     bytes
 }
 
-/// Encodes all records with a function for one record.
+/// A named encoding of records.
 struct Encoding {
     name: &'static str,
     encode: fn(&[Record]) -> Vec<u8>,
@@ -286,7 +286,7 @@
         }
         let microseconds = start.elapsed().as_secs_f64() * 1e6 / f64::from(REPETITIONS);
         println!(
-            "{name:<22} {:>8.1} bytes {:>8.3} us a request",
+            "{name:<22} {:>8.1} bytes {:>8.3} us per request",
             bytes as f64 / requests,
             microseconds / requests
         );
--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Parses the command line and runs the commands.
 
 use crate::explain::{explain, RequestFilter};
 use crate::source::ToolError;
@@ -8,24 +8,28 @@
 use std::path::{Path, PathBuf};
 
 const HELP: &str = "\
-pipitlever-capture: tools for what a node has captured
+pipitlever-capture: replays, explains and exports the captures of nodes
 
-  pipitlever-capture replay PATH            feed a capture to this build's module; is every action the same?
-  pipitlever-capture replay --diff PATH     go on past differences: what would this build have done otherwise?
-  pipitlever-capture explain PATH WHICH...  the story of requests: --ref REF, --key KEY, --key-digest DIGEST,
-                                        --sender N, --refused, --failed; --most N of them (20)
-  pipitlever-capture stats PATH             outcomes and times by class and second
+  pipitlever-capture replay PATH         check whether this build decides as recorded, up to the
+                                         first difference
+  pipitlever-capture replay --diff PATH  replay past differences and compare all decisions
+  pipitlever-capture explain PATH FILTER...
+                                         print the timelines of requests, selected by --ref REF,
+                                         --key KEY, --key-digest DIGEST, --sender N, --refused or
+                                         --failed; at most --most N of them (default 20)
+  pipitlever-capture stats PATH          print outcomes and durations by class and second
   pipitlever-capture export PATH --parquet FILE
-                                        a row a request into FILE, a row a step into FILE's name with -steps
-  pipitlever-capture digest KEY             what captures call a key
-  pipitlever-capture version, help          as they say
+                                         write a row for each request to FILE, and a row for each
+                                         step to a second file, named after FILE with -steps
+  pipitlever-capture digest KEY          print the digest that captures contain for a key
+  pipitlever-capture version, help       print the version, print this text
 
-PATH is a capture's file, or a folder with the segments of any number of nodes. --json prints JSON.
+PATH is a capture file, or a folder with the segments of any number of nodes. --json prints JSON.
 
-It ends with 0 when all is well (identical; found; written), 1 when it isn't (different; no such request), 2 when
-a capture can't be read, 3 when the command line is wrong or a file can't be written.
+Exit codes: 0 success (identical, found or written); 1 different, or no such request; 2 a capture
+can't be read; 3 the command line is wrong, or a file can't be written.
 ";
-/// Requests that `explain` prints unless `--most` is given.
+/// The number of requests that `explain` prints unless `--most` is given.
 const DEFAULT_LIMIT: usize = 20;
 
 /// The exit code of the program.
@@ -50,12 +54,12 @@
     with_diff: bool,
     parquet: Option<PathBuf>,
     filter: RequestFilter,
-    /// A criterion of the filter was given.
+    /// Whether the command line has a criterion of the filter.
     has_filter: bool,
 }
 
 fn parse_hex(text: &str) -> Result<u64, String> {
-    u64::from_str_radix(text, 16).map_err(|_| format!("{text} is not hex"))
+    u64::from_str_radix(text, 16).map_err(|_| format!("'{text}' is not a hexadecimal number"))
 }
 
 fn parse(mut parser: Parser) -> Result<Arguments, lexopt::Error> {
@@ -92,8 +96,8 @@
     Ok(arguments)
 }
 
-/// Hides the panic messages of the admission controller. Captures that no node wrote can make it
-/// panic; the replay catches the panic and reports damage.
+/// Hides the panic messages of the admission controller. A capture that no node wrote can make the
+/// controller panic; the replay catches the panic and reports damage.
 fn hide_controller_panics() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -135,9 +139,9 @@
             run_on_capture(command, path.as_ref(), arguments)
         }
         ("replay" | "explain" | "stats" | "export", _) => {
-            usage_error(&format!("{command}: one PATH"))
+            usage_error(&format!("{command}: exactly one PATH is required"))
         }
-        _ => usage_error(&format!("no command '{command}'")),
+        _ => usage_error(&format!("no command '{command}', or wrong operands for it")),
     }
 }
 
@@ -157,12 +161,13 @@
         "replay" => replay::replay(path, as_json),
         "stats" => stats::stats(path, as_json).map(|()| true),
         "explain" if arguments.has_filter => explain(path, &arguments.filter, as_json),
-        "explain" => {
-            return usage_error("explain: which request? --ref, --key, --sender, --refused")
-        }
+        "explain" => return usage_error(
+            "explain: a filter is required: --ref, --key, --key-digest, --sender, --refused or \
+                 --failed",
+        ),
         _ => match &arguments.parquet {
             Some(file) => export::export(path, file, as_json).map(|()| true),
-            None => return usage_error("export: where to? --parquet FILE"),
+            None => return usage_error("export: an output file is required: --parquet FILE"),
         },
     };
     match result {
--- a/crates/capture-tools/src/cursor.rs
+++ b/crates/capture-tools/src/cursor.rs
@@ -13,9 +13,9 @@
 /// Steps between two updates of the progress bar.
 const PROGRESS_STEPS: u64 = 1024;
 
-/// Receives the contents of captures. By default it ignores them.
+/// Receives the contents of captures. The default implementations ignore them.
 pub trait Visitor {
-    /// A segment begins. `is_restart` if its state does not continue the previous segment's.
+    /// A segment begins. `is_restart` is set if its state does not continue the previous segment's.
     fn segment(&mut self, _header: &SegmentHeader, _controller: &Controller, _is_restart: bool) {}
     /// A record was replayed.
     fn record(&mut self, _replayed: &ReplayedRecord) {}
@@ -40,26 +40,26 @@
 pub struct Truncation {
     /// The segment's file.
     pub file: PathBuf,
-    /// The data before this offset in bytes is intact.
+    /// The offset in bytes up to which the data is intact.
     pub offset: u64,
 }
 
 /// Records missing before or after a segment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Gap {
-    /// The records are missing after the segment, at the end of the run.
+    /// Whether the records are missing after the segment, at the end of the run.
     #[serde(rename = "behind")]
     pub is_after: bool,
-    /// The segment that states the gap, or does not continue the previous one.
+    /// The segment that reports the gap, or that does not continue the previous one.
     pub file: PathBuf,
-    /// The records that the segment states as lost; `None` if segments were removed.
+    /// The records that the segment reports as lost; `None` if segments were removed.
     pub lost: Option<LostRecords>,
 }
 
 /// How this build's decisions differ from the recorded ones.
 #[derive(Clone, Debug)]
 pub enum Divergence {
-    /// A step has other actions.
+    /// This build takes other actions in a step than recorded.
     Step(Box<Difference>),
     /// The state at the start of a segment differs.
     State {
@@ -105,7 +105,7 @@
     pub gaps: Vec<Gap>,
     /// The first difference.
     pub first_divergence: Option<LocatedDivergence>,
-    /// The number of steps with other actions, and of segments with another state.
+    /// The number of steps whose actions differ, plus that of segments whose state differs.
     pub divergences: u64,
     /// The duration of the replay.
     pub elapsed: Duration,
@@ -146,16 +146,17 @@
 /// The replay at the end of a segment.
 struct Continuation {
     replay: Replay,
-    /// The number of the segment that continues it.
+    /// The number of the segment that continues the replay.
     next_segment: u32,
 }
 
 /// The replay at the start of a segment.
 struct SegmentStart {
     replay: Replay,
-    /// The replay does not continue that of the previous segment.
+    /// Whether the replay is a new one rather than that of the previous segment.
     is_restart: bool,
-    /// The state was computed rather than read from the segment, and can be compared with it.
+    /// Whether the state was computed rather than read from the segment, so that both can be
+    /// compared.
     is_computed: bool,
 }
 
@@ -167,7 +168,7 @@
 }
 
 impl<V: Visitor> Cursor<'_, V> {
-    /// Whether the replay ends at the difference that was found.
+    /// Whether a difference was found at which the replay ends.
     fn is_done(&self) -> bool {
         self.totals.first_divergence.is_some() && self.extent == Extent::FirstDifference
     }
@@ -255,8 +256,8 @@
         })
     }
 
-    /// Compares the state with the recorded one, and continues with the recorded one if they
-    /// differ. Returns `None` if the replay ends there.
+    /// Compares the replayed state with the recorded one, and continues with the recorded one if
+    /// they differ. Returns `None` if the replay ends at this difference.
     fn enter_segment(
         &mut self,
         segment: &Segment,
@@ -273,7 +274,7 @@
             if self.is_done() {
                 return None;
             }
-            let recorded = recorded.expect("differs from the replayed state");
+            let recorded = recorded.expect("only a recorded state can differ");
             replay = Replay::new(recorded, header);
         }
         self.visitor
--- a/crates/capture-tools/src/diff/comparison.rs
+++ b/crates/capture-tools/src/diff/comparison.rs
@@ -18,7 +18,7 @@
 }
 
 impl Side {
-    /// Both sides, in the order of printing.
+    /// Both sides, in the order in which they are printed.
     pub const BOTH: [Side; 2] = [Side::Recorded, Side::Replayed];
 }
 
@@ -47,13 +47,13 @@
     }
 }
 
-/// What a controller decided on a request.
+/// The decision of a controller on a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Decision {
     /// Not decided before the end of the run.
     #[default]
     Open,
-    /// Started. It may have failed later.
+    /// Started; the request may have failed later.
     Started,
     /// Rejected.
     Rejected,
@@ -73,7 +73,7 @@
         Decision::Deduplicated,
     ];
 
-    /// The word for the decision in outputs.
+    /// The label of the decision in outputs.
     pub fn label(self) -> &'static str {
         match self {
             Decision::Open => "open",
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
     pub at: Micros,
-    /// Its position among all starts of the side, from 1.
+    /// The position of this start among all starts of the side, from 1.
     pub order: u64,
 }
 
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestDecisions {
     decision: Decision,
-    /// The decision was made in the step of the arrival.
+    /// Whether the decision was made in the step of the arrival.
     is_immediate: bool,
     pub start: Option<Start>,
 }
@@ -192,7 +192,7 @@
     requests: BTreeMap<RequestId, ComparedRequest>,
     /// The number of starts so far.
     starts: PerSide<u64>,
-    /// By class index.
+    /// The totals by class index.
     pub classes: BTreeMap<usize, ClassComparison>,
     /// The number of pairs of requests that the sides started in opposite orders.
     inversions: u64,
@@ -247,8 +247,8 @@
     }
 }
 
-/// Counts the pairs in descending order while it sorts the values (merge sort), as a day has
-/// millions of starts.
+/// Counts the pairs of values in descending order, and sorts the values. Uses a merge sort, as a
+/// capture of one day contains millions of starts.
 fn count_inversions(values: &mut [u64]) -> u64 {
     if values.len() < 2 {
         return 0;
--- a/crates/capture-tools/src/diff/divergent_replay.rs
+++ b/crates/capture-tools/src/diff/divergent_replay.rs
@@ -1,4 +1,4 @@
-//! Replays a capture to its end past differences.
+//! Replays a capture to its end, past differences.
 
 use super::comparison::{Comparison, PerSide, Side};
 use super::profile::RunProfiles;
@@ -20,7 +20,7 @@
 struct KeyTables {
     /// The digests of the requests' keys.
     digests: HashMap<RequestId, u64>,
-    /// By digest.
+    /// The requests that retain keys, by digest.
     holders: PerSide<HashMap<u64, KeyHolder>>,
 }
 
@@ -45,15 +45,15 @@
         }
     }
 
-    /// The request that this build retains the key of a request for.
+    /// The request for which this build retains the key of the given request.
     fn replayed_holder(&self, id: RequestId) -> Option<RequestId> {
         let digest = self.digests.get(&id)?;
         let holder = self.holders.replayed.get(digest)?;
         Some(holder.id)
     }
 
-    /// The original request as this build's key table has it, where that differs from the recorded
-    /// table.
+    /// The original request of a duplicate: the one in this build's key table if the recorded key
+    /// table yields the recorded original, otherwise the recorded original.
     fn resolve_duplicate(&self, request: &Request, now: Micros) -> Option<RequestId> {
         let Some(digest) = self.digests.get(&request.id) else {
             return request.duplicate_of;
@@ -72,8 +72,8 @@
     }
 }
 
-/// Feeds this build's controller the recorded events, and simulates the runs of the requests that
-/// it decided on otherwise.
+/// Feeds the recorded events to this build's controller, and simulates the runs of the requests on
+/// which its decisions differ from the recorded ones.
 pub struct DivergentReplay<'a> {
     profiles: &'a RunProfiles,
     /// The index of the node's run in the capture.
@@ -85,12 +85,12 @@
     /// The names of the classes, by index.
     pub classes: Vec<String>,
     pub comparison: Comparison,
-    /// The number of steps with other actions.
+    /// The number of steps whose actions differ.
     pub different_steps: u64,
 }
 
 impl<'a> DivergentReplay<'a> {
-    /// A replay of the capture with these profiles.
+    /// Creates a replay of the capture with these profiles.
     pub fn new(profiles: &'a RunProfiles) -> DivergentReplay<'a> {
         DivergentReplay {
             profiles,
@@ -110,7 +110,7 @@
         Some(status.stage)
     }
 
-    /// Takes a step for each event of simulated runs that is due.
+    /// Runs a step of the controller for each due event of simulated runs.
     fn replay_simulated(&mut self, now: Micros) {
         while let Some((at, event)) = self.simulated.next_due(now) {
             let at = at.max(self.now);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Has a duplicate wait for the request that retains its key, if that is still open.
+    /// Makes a duplicate wait for the request that retains its key, if that request is still open.
     fn await_original(&mut self, id: RequestId, now: Micros) {
         let holder = self.keys.replayed_holder(id);
         let original = holder.filter(|holder| self.stage(*holder).is_some());
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Has this build's controller take a step, and compares its actions with the recorded ones.
+    /// Runs a step of this build's controller, and compares its actions with the recorded ones.
     fn step(&mut self, now: Micros, events: &[Event], recorded: &[Action]) {
         self.now = now;
         let Some(controller) = &mut self.controller else {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Carries out this build's actions on simulated runs, and begins to simulate those of requests
-    /// that the sides decided on differently.
+    /// Applies this build's actions to simulated runs, and starts the simulation of requests whose
+    /// actions differ between the sides.
     fn simulate_actions(&mut self, now: Micros, recorded: &[Action], replayed: &[Action]) {
         let actions = recorded.iter().chain(replayed);
         let mut requests: Vec<RequestId> = actions.filter_map(Action::request).collect();
@@ -204,8 +204,8 @@
         }
     }
 
-    /// The event as this build's controller receives it; `None` if the event belongs to a recorded
-    /// run that is simulated here.
+    /// Returns the event as this build's controller receives it; `None` if the event belongs to a
+    /// recorded run that is simulated instead.
     fn translate(&mut self, event: &Event, now: Micros) -> Option<Event> {
         let is_simulated = event
             .request()
--- a/crates/capture-tools/src/diff/mod.rs
+++ b/crates/capture-tools/src/diff/mod.rs
@@ -1,11 +1,12 @@
-//! `replay --diff`: how this build would have decided over a whole capture.
+//! `replay --diff`: compares the decisions of this build and of the node over a whole capture.
 //!
-//! After the first difference the recorded events no longer fit: the capture has the end of a run
-//! that this build did not start, or none for one that it did. From a request's first difference on
-//! its run and its calls are therefore simulated with their recorded durations, or with those of
-//! the nearest run of its class if the capture has none. Arrivals, abandonments, gauges and the
-//! shutdown notice are replayed as recorded: neither the retries of gateways nor the effect of the
-//! number of runs on their durations is simulated.
+//! After the first difference the recorded events no longer match this build's decisions: the
+//! capture contains the end of a run that this build did not start, or lacks the end of a run that
+//! this build started. From a request's first difference on, its run and its calls are therefore
+//! simulated with their recorded durations, or with those of the nearest run of its class if the
+//! capture has none. Arrivals, abandonments, gauges and the shutdown notice are replayed as
+//! recorded: neither the retries of gateways nor the effect of the number of runs on their
+//! durations is simulated.
 
 mod comparison;
 mod divergent_replay;
@@ -19,8 +20,8 @@
 use profile::RunProfiles;
 use std::path::Path;
 
-/// Replays a capture to its end and prints how this build's decisions differ. Returns whether they
-/// are identical.
+/// Replays a capture to its end and prints how this build's decisions differ from the recorded
+/// ones. Returns whether they are identical.
 ///
 /// # Errors
 ///
--- a/crates/capture-tools/src/diff/profile.rs
+++ b/crates/capture-tools/src/diff/profile.rs
@@ -5,14 +5,14 @@
 use pipitlever_capture::record::Record;
 use std::collections::{BTreeMap, HashMap};
 
-/// The durations of one run: work, a call, work, a call, and so on to the last work.
+/// The durations of one run, in which work and calls alternate. Work comes first and last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunProfile {
-    /// Work before each call and after the last one, in microseconds.
+    /// The durations of the work before each call and after the last one, in microseconds.
     pub work: Vec<Micros>,
-    /// Calls, in microseconds.
+    /// The durations of the calls, in microseconds.
     pub calls: Vec<Micros>,
-    /// How the run ended; `None` while it has not.
+    /// How the run ended; `None` while it is running.
     pub outcome: Option<Outcome>,
 }
 
@@ -28,7 +28,7 @@
 /// A run that has not ended.
 struct OpenRun {
     class: usize,
-    /// When its current work began.
+    /// When the current work began.
     work_since: Micros,
     profile: RunProfile,
 }
@@ -44,8 +44,8 @@
 }
 
 impl RunProfiles {
-    /// The profile of a request, or else of the nearest request of its class that arrived before
-    /// it, or else after it. Without any, the run takes no time.
+    /// The profile of a request; or else of the nearest request of its class that arrived before
+    /// the request, or else after. If there is none, the profile of a run that takes no time.
     pub fn nearest(&self, run: usize, class: usize, id: RequestId) -> RunProfile {
         let key = |id| ProfileKey { run, class, id };
         let before = self.profiles.range(key(0)..=key(id)).next_back();
--- a/crates/capture-tools/src/diff/report.rs
+++ b/crates/capture-tools/src/diff/report.rs
@@ -69,13 +69,16 @@
         0 => println!("identical: all {} steps", totals.steps),
         steps => println!("different: {steps} steps"),
     }
-    println!("class            side        requests     ran refused  failed  joined    open at once  held p50   p99 ms");
+    println!(
+        "class            side        requests     ran refused  failed  joined    open at once  \
+         held p50   p99 ms"
+    );
     let comparison = &replay.comparison;
     for (class, compared) in &comparison.classes {
         print_class(&class_name(replay, *class), compared);
     }
     println!(
-        "order: {} requests started by both, {:.2}% of their pairs the other way round",
+        "order: {} requests started by both, {:.2}% of their pairs in the opposite order",
         comparison.started_by_both,
         100.0 * comparison.inversion_ratio()
     );
--- a/crates/capture-tools/src/diff/simulated_runs.rs
+++ b/crates/capture-tools/src/diff/simulated_runs.rs
@@ -1,4 +1,4 @@
-//! Requests whose runs are simulated, as this build decided on them otherwise than the capture.
+//! Simulates the runs of requests on which this build's decisions differ from the recorded ones.
 
 use super::profile::RunProfile;
 use pipitlever_admission::{Event, Micros, Outcome, RequestId, Stage};
@@ -15,11 +15,11 @@
     started: Micros,
 }
 
-/// Simulated runs, and the events that they will cause.
+/// Simulated runs and their scheduled events.
 #[derive(Default)]
 pub struct SimulatedRuns {
     runs: BTreeMap<RequestId, SimulatedRun>,
-    /// By time, then in the order of scheduling.
+    /// Scheduled events, by time and then in the order of scheduling.
     events: BTreeMap<(Micros, u64), Event>,
     scheduled: u64,
     /// Duplicates that wait for the outcome of the original request.
@@ -32,7 +32,7 @@
         self.runs.contains_key(&id)
     }
 
-    /// Simulates the run of a request from now on.
+    /// Starts the simulation of the run of a request.
     pub fn insert(&mut self, id: RequestId, profile: RunProfile, started: Micros) {
         let run = SimulatedRun {
             profile,
@@ -50,7 +50,7 @@
         self.duplicates.clear();
     }
 
-    /// Removes the next event that is due, with its time.
+    /// Removes the next due event and returns it with its time.
     pub fn next_due(&mut self, now: Micros) -> Option<(Micros, Event)> {
         let due = self
             .events
@@ -128,7 +128,8 @@
         self.schedule(now + elapsed, event);
     }
 
-    /// Has a duplicate wait for the original request; without one, it is answered at once.
+    /// Makes a duplicate wait for the original request. Without an original, the duplicate is
+    /// answered immediately.
     pub fn await_original(&mut self, id: RequestId, original: Option<RequestId>, now: Micros) {
         match original {
             Some(original) => self.duplicates.entry(original).or_default().push(id),
--- a/crates/capture-tools/src/explain.rs
+++ b/crates/capture-tools/src/explain.rs
@@ -11,17 +11,17 @@
 /// Selects requests: those that match all criteria that are set.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFilter {
-    /// The `ref`.
+    /// The `ref` of the request.
     pub reference: Option<u64>,
     /// The digest of the idempotency key.
     pub key_digest: Option<u64>,
-    /// The gateway.
+    /// The identifier of the gateway that sent the request.
     pub sender: Option<u64>,
-    /// Rejected requests; with `is_failed`, both.
+    /// Selects rejected requests; together with `is_failed`, rejected and failed ones.
     pub is_rejected: bool,
-    /// Failed requests.
+    /// Selects failed requests.
     pub is_failed: bool,
-    /// The most requests to print.
+    /// The maximum number of requests to print.
     pub limit: usize,
 }
 
@@ -204,7 +204,7 @@
     let totals = replay_capture(path, Extent::End, &mut records)?;
     drop(records);
     let classes = class_names(&requests);
-    // The causes come from the replay: they are the node's only if this build decides as recorded.
+    // The causes come from the replay and are the node's only if this build decides as recorded.
     let is_identical = totals.first_divergence.is_none();
     if as_json {
         let requests: Vec<Value> = requests
@@ -217,7 +217,8 @@
     }
     if !is_identical {
         println!(
-            "this build decides otherwise than the capture says; causes may not be the node's: see replay"
+            "this build decides otherwise than recorded: causes may differ from the node's; \
+             see 'pipitlever-capture replay'"
         );
     }
     for request in &requests {
@@ -225,7 +226,7 @@
     }
     let omitted = found - requests.len() as u64;
     if omitted > 0 {
-        println!("{omitted} more; --most N tells more of them");
+        println!("{omitted} more requests match; --most N sets how many are printed");
     }
     if found == 0 {
         println!("no such request");
--- a/crates/capture-tools/src/export/mod.rs
+++ b/crates/capture-tools/src/export/mod.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// The file of the table of steps: that of the table of requests with `-steps`.
+/// The file of the table of steps: the name of the file of requests with `-steps`.
 fn steps_path(requests: &Path) -> PathBuf {
     let stem = requests.file_stem().map_or_else(
         || "steps".into(),
@@ -48,7 +48,7 @@
     requests.with_file_name(format!("{stem}-steps.parquet"))
 }
 
-/// Writes both tables of a capture.
+/// Writes the tables of requests and of steps of a capture.
 ///
 /// # Errors
 ///
--- a/crates/capture-tools/src/export/requests.rs
+++ b/crates/capture-tools/src/export/requests.rs
@@ -49,8 +49,8 @@
     Value::Text(value.map(|value| format!("{value:016x}")))
 }
 
-/// The advice of a rejection: the shortest delay before a retry in microseconds, and whether there
-/// should be none.
+/// The retry advice of a rejection: the shortest delay before a retry in microseconds, and whether
+/// the client should not retry at all.
 fn rejection(answer: Option<RecordedAnswer>) -> (Option<i64>, Option<bool>) {
     match answer {
         Some(RecordedAnswer::Rejected {
--- a/crates/capture-tools/src/export/table.rs
+++ b/crates/capture-tools/src/export/table.rs
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The number of rows that are written together.
+/// The number of rows that are buffered before they are written.
 const BATCH_ROWS: usize = 16 << 10;
 
 /// The type of a column.
@@ -62,7 +62,7 @@
     Boolean(Option<bool>),
 }
 
-/// The values of a column that are not written yet.
+/// Buffers the values of a column that are not written yet.
 enum ColumnBuilder {
     Text(StringBuilder),
     Integer(Int64Builder),
@@ -95,7 +95,7 @@
             (ColumnBuilder::Boolean(builder), Value::Boolean(value)) => {
                 builder.append_option(value);
             }
-            _ => panic!("a value's type is that of its column"),
+            _ => panic!("the type of a value differs from that of its column"),
         }
     }
 
@@ -115,7 +115,7 @@
     path: PathBuf,
     schema: Arc<Schema>,
     builders: Vec<ColumnBuilder>,
-    /// Rows in the builders.
+    /// The number of rows in the builders.
     pending_rows: usize,
     total_rows: u64,
     writer: ArrowWriter<File>,
@@ -162,7 +162,7 @@
         assert_eq!(
             values.len(),
             self.builders.len(),
-            "a row has a value for each column"
+            "the number of values in a row differs from the number of columns"
         );
         for (builder, value) in self.builders.iter_mut().zip(values) {
             builder.append(value);
--- a/crates/capture-tools/src/progress.rs
+++ b/crates/capture-tools/src/progress.rs
@@ -4,7 +4,7 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// A command shows no progress bar if it ends within this time.
+/// The delay before the progress bar appears. Commands that end earlier show none.
 const DELAY: Duration = Duration::from_secs(1);
 
 /// A progress bar, shown on standard error if that is a terminal.
@@ -16,7 +16,7 @@
 }
 
 impl Progress {
-    /// The progress through this many bytes.
+    /// Creates the progress bar of a command that processes this many bytes.
     pub fn new(total_bytes: u64) -> Progress {
         Progress {
             start: Instant::now(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sets the number of bytes that are done.
+    /// Sets the number of bytes that have been processed.
     pub fn set(&mut self, bytes: u64) {
         if !self.is_terminal || self.start.elapsed() < DELAY {
             return;
--- a/crates/capture-tools/src/rendering.rs
+++ b/crates/capture-tools/src/rendering.rs
@@ -1,5 +1,5 @@
-//! Events, actions, causes and statuses of the admission controller as text. Operators read these
-//! sentences and scripts compare them: the wording is part of the tools' output.
+//! Renders events, actions, causes and statuses of the admission controller as text. Operators read
+//! these sentences and scripts compare them: the wording is part of the tools' output format.
 
 use pipitlever_admission::{Action, Cause, ControllerStatus, Event, Micros, Mode, Outcome, Stage};
 use pipitlever_capture::record::{AnswerSource, RecordedAnswer};
@@ -52,7 +52,7 @@
     }
 }
 
-/// Why a request was rejected or failed, with the controller's figures.
+/// Why a request was rejected or failed, with the controller's status values.
 pub fn cause(cause: &Cause, status: &ControllerStatus) -> String {
     match cause {
         Cause::AfterGrace => "it arrived too long after the notice to leave to be run".into(),
@@ -76,13 +76,16 @@
             match queue_mode {
                 Mode::Discard => format!("{queue_name} was in discard and takes none ({details})"),
                 _ => format!(
-                    "{queue_name} was in {} and takes a worth of {cutoff:.3} and more; its own is {priority:.3} ({details})",
+                    "{queue_name} was in {} and takes a worth of {cutoff:.3} and more; \
+                     its own is {priority:.3} ({details})",
                     mode(*queue_mode)
                 ),
             }
         }
         Cause::OutOfMemory { used, requested } => {
-            format!("memory: {used:.0} KB in use and {requested:.0} KB wanted; a tenth has to stay free")
+            format!(
+                "memory: {used:.0} KB in use and {requested:.0} KB wanted; a tenth has to stay free"
+            )
         }
         Cause::ObjectiveMissed(at_stage) => {
             format!(
@@ -143,7 +146,7 @@
     }
 }
 
-/// The controller's status.
+/// The queues, counts and limits of the controller.
 pub fn controller_status(status: &ControllerStatus) -> String {
     let [start, calls] = &status.queues;
     let queue_text = |queue: &pipitlever_admission::QueueStatus| {
@@ -156,8 +159,8 @@
         )
     };
     format!(
-        "line to start {}; line for calls {}; {} running of {:.1} allowed, {:.1} being read, {} at calls, {:.1} calls \
-         out of {:.1}; {:.0} KB{}",
+        "line to start {}; line for calls {}; {} running of {:.1} allowed, {:.1} being read, \
+         {} at calls, {:.1} calls out of {:.1}; {:.0} KB{}",
         queue_text(start),
         queue_text(calls),
         status.running,
@@ -167,7 +170,11 @@
         status.calls_in_flight,
         status.call_limit,
         status.memory_kb,
-        if status.is_shutting_down { "; leaving" } else { "" }
+        if status.is_shutting_down {
+            "; leaving"
+        } else {
+            ""
+        }
     )
 }
 
@@ -187,11 +194,8 @@
             text += &request.cost.map_or(String::new(), |cost| {
                 format!(", cost hint {}", ms(cost as Micros))
             });
-            text += &format!(
-                ", {:.1} KB, unread for {}",
-                request.memory_kb,
-                ms(request.queue_time)
-            );
+            let queue_time = ms(request.queue_time);
+            text += &format!(", {:.1} KB, unread for {queue_time}", request.memory_kb);
             text += if request.is_retry { ", a retry" } else { "" };
             text + &request
                 .duplicate_of
@@ -223,13 +227,12 @@
             )
         }
         Event::Timer {
-            cpu_utilization,
+            cpu_utilization: cpu,
             runnable,
             connections,
             ..
         } => {
-            let [cpu, runnable, connections] =
-                [cpu_utilization, runnable, connections].map(|value| gauge(*value));
+            let (cpu, runnable, connections) = (gauge(*cpu), gauge(*runnable), gauge(*connections));
             format!("timer: core use {cpu}, {runnable} on the cores, {connections} connections")
         }
     }
--- a/crates/capture-tools/src/replay.rs
+++ b/crates/capture-tools/src/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: whether this build decides as recorded.
+//! `replay`: checks whether this build decides as recorded.
 
 use crate::cursor::{
     replay_capture, Divergence, Extent, Gap, LocatedDivergence, ReplayTotals, ReplayedRecord,
@@ -13,9 +13,9 @@
 use std::collections::VecDeque;
 use std::path::Path;
 
-/// The number of steps printed before a difference.
+/// The number of steps before a difference that are printed with the difference.
 const CONTEXT_STEPS: usize = 8;
-/// The shortest duration in seconds that rates are computed with.
+/// The shortest duration in seconds for the computation of rates. Prevents divisions by zero.
 const MIN_SECONDS: f64 = 1e-9;
 
 /// A step that was replayed.
@@ -49,7 +49,7 @@
 struct RecentSteps {
     /// The names of the classes, by index.
     classes: Vec<String>,
-    /// One more than [`CONTEXT_STEPS`], as the last one may be the difference.
+    /// The last [`CONTEXT_STEPS`] steps and one more, as the last step may be the difference.
     steps: VecDeque<RecentStep>,
     /// The steps of the last run that has ended, as text.
     rendered: Vec<String>,
@@ -112,7 +112,8 @@
 pub fn print_summary(totals: &ReplayTotals) {
     let seconds = totals.elapsed.as_secs_f64();
     println!(
-        "{} runs, {} segments, {} steps, {} requests, {} bytes in {seconds:.2} s ({:.0} steps a second)",
+        "{} runs, {} segments, {} steps, {} requests, {} bytes in {seconds:.2} s \
+         ({:.0} steps per second)",
         totals.runs,
         totals.segments,
         totals.steps,
@@ -133,13 +134,16 @@
 fn print_gap(gap: &Gap) {
     let file = gap.file.display();
     let Some(lost) = &gap.lost else {
-        println!("gap: what was before {file} is not there");
+        println!("gap: records before {file} are missing");
         return;
     };
-    let position = if gap.is_after { "behind" } else { "before" };
+    let position = if gap.is_after { "after" } else { "before" };
     let cause = lost.disk_error.as_deref();
     let cause = cause.unwrap_or("the queue to the writer was full");
-    println!("gap: {} records {position} {file}: {cause}", lost.records);
+    println!(
+        "gap: {} records lost {position} {file}: {cause}",
+        lost.records
+    );
 }
 
 fn divergence_json(located: &LocatedDivergence, recent: &RecentSteps) -> Value {
@@ -170,9 +174,7 @@
     let file = located.file.display();
     match &located.divergence {
         Divergence::State { steps } => {
-            println!(
-                "different: the state after step {steps}, where {file} begins, is another one"
-            );
+            println!("different: state after step {steps}, at the start of {file}");
         }
         Divergence::Step(difference) => {
             println!(
@@ -188,21 +190,21 @@
 fn print_difference(difference: &Difference, recent: &RecentSteps) {
     for event in &difference.events {
         let event = rendering::event(event, &recent.classes);
-        println!("  told:          {event}");
+        println!("  event:         {event}");
     }
     let render =
-        |action: Option<&Action>| action.map_or("nothing more".to_owned(), rendering::action);
+        |action: Option<&Action>| action.map_or("no further action".to_owned(), rendering::action);
     let ActionMismatch { recorded, replayed } = difference.first_mismatch();
-    println!("  capture says:  {}", render(recorded));
+    println!("  recorded:      {}", render(recorded));
     println!("  this build:    {}", render(replayed));
     let status = &difference.status_before;
     for (id, cause) in &difference.causes {
         let cause = rendering::cause(cause, status);
-        println!("  its reason:    #{id}: {cause}");
+        println!("  cause:         #{id}: {cause}");
     }
-    println!("  it went by:    {}", rendering::controller_status(status));
+    println!("  status before: {}", rendering::controller_status(status));
     for step in recent.before_last() {
-        println!("  before that:   {step}");
+        println!("  earlier:       {step}");
     }
 }
 
--- a/crates/capture-tools/src/request_record.rs
+++ b/crates/capture-tools/src/request_record.rs
@@ -1,4 +1,4 @@
-//! What a capture contains about one request.
+//! The data of one request in a capture.
 
 use crate::rendering;
 use pipitlever_admission::{
@@ -9,17 +9,18 @@
 /// Something that happened to a request.
 #[derive(Clone, Debug)]
 pub enum TimelineEvent {
-    /// It arrived. Contains the controller's status before.
+    /// The request arrived. Contains the controller's status before the arrival.
     Arrived(Event, ControllerStatus),
     /// An event reached the controller.
     Event(Event),
     /// The controller decided on an action.
     Action(Action),
-    /// Why the controller rejected or failed it. Contains the controller's status before.
+    /// Why the controller rejected or failed the request. Contains the controller's status before
+    /// the decision.
     Cause(Cause, ControllerStatus),
-    /// Its final answer was sent.
+    /// The final answer was sent.
     Answer(RecordedAnswer, AnswerSource),
-    /// It was in memory when the capture, or a part of it after a gap, began.
+    /// The request was in memory when the capture began, or when the part after a gap began.
     InMemory,
 }
 
@@ -37,9 +38,9 @@
 /// The class of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestClass {
-    /// Its index; `None` for a request that arrived before the capture.
+    /// The index of the class; `None` for a request that arrived before the capture.
     pub index: Option<usize>,
-    /// Its name; empty if it is unknown.
+    /// The name of the class; empty if unknown.
     pub name: String,
 }
 
@@ -57,88 +58,88 @@
 /// The end of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunEnd {
-    /// When it ended, in Unix microseconds.
+    /// When the run ended, in Unix microseconds.
     pub at: Micros,
-    /// Its duration, in microseconds.
+    /// The duration of the run, in microseconds.
     pub elapsed: Micros,
-    /// How it ended.
+    /// How the run ended.
     pub outcome: Outcome,
 }
 
 /// A rejection or failure by the controller.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerDecision {
-    /// When it was decided, in Unix microseconds.
+    /// When the controller decided, in Unix microseconds.
     pub at: Micros,
-    /// Why.
+    /// The reason of the decision.
     pub cause: Cause,
 }
 
 /// A final answer.
 #[derive(Clone, Copy, Debug)]
 pub struct FinalAnswer {
-    /// When it was sent, in Unix microseconds.
+    /// When the answer was sent, in Unix microseconds.
     pub at: Micros,
     /// The answer.
     pub answer: RecordedAnswer,
-    /// What decided it.
+    /// The component or event that decided the answer.
     pub source: AnswerSource,
 }
 
 /// One request. Times are in Unix microseconds, durations in microseconds.
 #[derive(Clone, Debug, Default)]
 pub struct RequestRecord {
-    /// Its node.
+    /// The name of the node.
     pub node: String,
-    /// The start of its run, in Unix milliseconds.
+    /// The start of the node's run, in Unix milliseconds.
     pub run: u64,
     /// The controller's identifier; `None` if the request never reached the controller.
     pub id: Option<RequestId>,
-    /// Its `ref`.
+    /// The `ref` of the request.
     pub reference: Option<u64>,
-    /// Its gateway.
+    /// The identifier of the gateway.
     pub sender: Option<u64>,
-    /// The digest of its idempotency key.
+    /// The digest of the idempotency key.
     pub key_digest: Option<u64>,
-    /// Its class.
+    /// The class.
     pub class: RequestClass,
-    /// When it reached the controller; `None` if that was before the capture.
+    /// When the request reached the controller; `None` if that was before the capture.
     pub arrived: Option<Micros>,
-    /// How long it was unread before.
+    /// The time that the request had waited unread before its arrival at the controller.
     pub queue_time: Option<Micros>,
-    /// How long its client still waits.
+    /// How long the client still waits after the arrival.
     pub timeout: Option<Micros>,
     /// The cost hint, in microseconds.
     pub cost: Option<f64>,
-    /// The memory that it uses, in KB.
+    /// The memory that the request uses, in KB.
     pub memory_kb: Option<f64>,
-    /// Its priority.
+    /// The priority.
     pub priority: Option<f64>,
-    /// It is a retry.
+    /// Whether the request is a retry.
     pub is_retry: bool,
-    /// The original request, if it is a duplicate.
+    /// The original request, if this one is a duplicate.
     pub duplicate_of: Option<RequestId>,
-    /// The queue when it arrived.
+    /// The state of the queue at the arrival.
     pub queue_at_arrival: Option<QueueAtArrival>,
-    /// When it started.
+    /// When the run started.
     pub started: Option<Micros>,
-    /// The number of calls placed for it.
+    /// The number of calls placed for the request.
     pub calls: u32,
-    /// The end of its run.
+    /// The end of the run.
     pub run_end: Option<RunEnd>,
     /// The controller's rejection or failure.
     pub decision: Option<ControllerDecision>,
-    /// When its client was known to have abandoned it.
+    /// When the controller was notified that the client had abandoned the request.
     pub abandoned: Option<Micros>,
-    /// Its final answer.
+    /// The final answer.
     pub answer: Option<FinalAnswer>,
-    /// What happened to it, if timelines are collected.
+    /// The events of the request in order, if timelines are collected.
     pub timeline: Vec<TimelineEntry>,
 }
 
 impl RequestRecord {
-    /// The word for how the request ended in outputs: `served`, `refused`, `failed`, `gone` (its
-    /// client abandoned it) or `open`.
+    /// The label of the outcome in outputs: `served`, `refused` (rejected), `failed`, `gone` (the
+    /// client abandoned the request) or `open`.
     pub fn outcome(&self) -> &'static str {
         match &self.answer {
             Some(answer) => rendering::answer_label(&answer.answer),
--- a/crates/capture-tools/src/request_records.rs
+++ b/crates/capture-tools/src/request_records.rs
@@ -17,7 +17,7 @@
     /// Identities of requests that have not arrived yet.
     identities: BTreeMap<RequestId, RequestIdentity>,
     by_reference: HashMap<u64, RequestId>,
-    /// The requests that the current step concerns.
+    /// The requests that the events and actions of the current step refer to.
     touched: Vec<RequestId>,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Passes on all open records as they are.
+    /// Passes on all open records, although they may be incomplete.
     fn flush(&mut self) {
         for (_, request) in std::mem::take(&mut self.open) {
             (self.on_complete)(request);
@@ -252,7 +252,7 @@
         }
         let in_memory: Vec<RequestId> = self.identities.keys().copied().collect();
         for id in in_memory {
-            // An identity does not contain the class.
+            // The class is unknown, as an identity does not contain one.
             let with_timelines = self.with_timelines;
             let request = self.record_of(header, id, None);
             if with_timelines {
@@ -268,8 +268,8 @@
     fn record(&mut self, replayed: &ReplayedRecord) {
         match replayed.record {
             Record::Identity(identity) => {
-                // An attempt that is offered again gets a new identifier: its old record is
-                // complete.
+                // An attempt that is offered to the controller again gets a new identifier, so
+                // the record with the previous identifier is complete.
                 if let Some(&previous) = self.by_reference.get(&identity.reference) {
                     self.close(previous);
                 }
--- a/crates/capture-tools/src/source.rs
+++ b/crates/capture-tools/src/source.rs
@@ -1,4 +1,4 @@
-//! Finds captures: a file, or all segments in a folder, by node and run.
+//! Finds the segments at a path (one file, or all segments in a folder) and groups them by run.
 
 use pipitlever_capture::directory::FILE_SUFFIX;
 use pipitlever_capture::frame::ReadError;
@@ -14,13 +14,14 @@
     /// A file or folder can't be opened or read.
     #[error("{}: {}", .0.display(), .1)]
     File(PathBuf, #[source] io::Error),
-    /// A file is damaged, or no capture.
+    /// A file is damaged, or is not a capture.
     #[error("{}: {}", .0.display(), .1)]
     Unreadable(PathBuf, #[source] ReadError),
     /// This build can't read the controller's state in a segment.
     #[error("{}: {}", .0.display(), .1)]
     State(PathBuf, #[source] RestoreError),
-    /// The controller can't take a recorded step.
+    /// This build's controller panicked in a recorded step. No capture written by a node causes
+    /// this.
     #[error("{}: offset {offset}: damaged: {error}", .path.display())]
     Step {
         /// The segment's file.
@@ -31,21 +32,21 @@
         error: ReplayError,
     },
     /// A folder has no segments.
-    #[error("{}: no capture there", .0.display())]
+    #[error("{}: the folder contains no capture", .0.display())]
     NoCapture(PathBuf),
     /// An output file can't be written. Contains the error of the system or of a library.
     #[error("{}: {}", .0.display(), .1)]
     Output(PathBuf, String),
 }
 
-/// The file of a segment.
+/// A segment and its file.
 #[derive(Clone, Debug)]
 pub struct Segment {
-    /// Its path.
+    /// The path of the file.
     pub path: PathBuf,
-    /// Its number in the run; 0 if the file is truncated inside the header.
+    /// The number of the segment in the run; 0 if the file is truncated inside the header.
     pub number: u32,
-    /// Its size in bytes.
+    /// The size of the file in bytes.
     pub bytes: u64,
 }
 
@@ -110,7 +111,7 @@
     Ok(files)
 }
 
-/// Reads the header of a segment. A file that is truncated inside it belongs to a run of its own.
+/// Reads the header of a segment. All files that are truncated inside the header form one run.
 fn read_segment(path: PathBuf) -> Result<(RunKey, Segment), ToolError> {
     let bytes = read_file(&path)?;
     let reader =
--- a/crates/capture-tools/src/stats.rs
+++ b/crates/capture-tools/src/stats.rs
@@ -1,4 +1,4 @@
-//! `stats`: outcomes and times by class and second.
+//! `stats`: outcomes and durations by class and second.
 
 use crate::cursor::{replay_capture, Extent, ReplayTotals};
 use crate::rendering;
@@ -12,11 +12,11 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Significant decimal digits of the times of a class.
+/// Significant decimal digits of the durations of a class.
 const CLASS_DIGITS: u8 = 3;
-/// Significant decimal digits of the times of a class in one second.
+/// Significant decimal digits of the durations of a class in one second.
 const SECOND_DIGITS: u8 = 2;
-/// The number of latest seconds with a histogram for each class. Requests end within their
+/// The number of most recent seconds with a histogram for each class. Requests end within their
 /// deadlines; a histogram for each second of a day would take gigabytes.
 const OPEN_SECONDS: usize = 120;
 
@@ -37,7 +37,7 @@
     outcomes.get(outcome).copied().unwrap_or(0)
 }
 
-/// A quantile of times, in milliseconds.
+/// A quantile of durations, in milliseconds.
 fn quantile_ms(histogram: &Histogram<u64>, quantile: f64) -> f64 {
     histogram.value_at_quantile(quantile) as f64 / 1e3
 }
@@ -100,7 +100,8 @@
         let count = |outcome| count(&self.outcomes, outcome);
         let requests: u64 = self.outcomes.values().sum();
         println!(
-            "{class:<16} {requests:>8} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>9.1} {:>8.1} {:>13.1} {:>8.1}",
+            "{class:<16} {requests:>8} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>7} {:>9.1} {:>8.1} \
+             {:>13.1} {:>8.1}",
             self.retries,
             self.runs,
             count("served"),
@@ -165,13 +166,13 @@
     }
 }
 
-/// By class name.
+/// The statistics of one second by class name.
 type ClassSeconds = BTreeMap<String, SecondStats>;
 
-/// Figures by second, in Unix time.
+/// Statistics by second, in Unix time.
 #[derive(Default)]
 struct Seconds {
-    /// The latest seconds, which have histograms.
+    /// The most recent seconds, which have histograms.
     open: BTreeMap<i64, ClassSeconds>,
     closed: BTreeMap<i64, ClassSeconds>,
 }
@@ -217,7 +218,7 @@
     }
 }
 
-/// Prints the figures of a capture.
+/// Prints the statistics of a capture.
 ///
 /// # Errors
 ///
@@ -276,7 +277,10 @@
     classes: &BTreeMap<String, ClassStats>,
     seconds: &BTreeMap<i64, ClassSeconds>,
 ) {
-    println!("class            requests retries    runs  served refused  failed    gone    open  held p50   p99 ms  answered p50   p99 ms");
+    println!(
+        "class            requests retries    runs  served refused  failed    gone    open  \
+         held p50   p99 ms  answered p50   p99 ms"
+    );
     for (class, stats) in classes {
         stats.print(class);
     }
--- a/crates/capture-tools/tests/captures.rs
+++ b/crates/capture-tools/tests/captures.rs
@@ -1,4 +1,4 @@
-//! The commands on captures of past failures and hard cases, run as processes.
+//! Runs the commands as processes on captures of past failures and edge cases.
 
 use parquet::file::reader::{FileReader, SerializedFileReader};
 use pipitlever_admission::{Action, Controller};
@@ -92,7 +92,7 @@
         ),
     ];
     let count = std::fs::read_dir(captures_directory()).unwrap().count();
-    assert_eq!(count, cases.len(), "each capture has its line here");
+    assert_eq!(count, cases.len(), "every capture needs a case");
     for (name, is_truncated, expected) in cases {
         let path = capture_path(name);
         assert!(path.metadata().unwrap().len() < 300 << 10, "{name}");
@@ -123,7 +123,7 @@
     }
 }
 
-/// The timelines of the first and the last requests, each selected by its `ref`.
+/// The timelines of the first six and the last six requests, each selected by its `ref`.
 fn all_timelines(path: &str) -> String {
     let bytes = std::fs::read(path).unwrap();
     let mut reader = SegmentReader::open(&bytes).unwrap();
@@ -186,7 +186,7 @@
     }
 }
 
-/// A copy of a capture with other records or another start.
+/// Returns a copy of a capture whose start and records are modified.
 fn rewrite_capture(
     name: &str,
     start: impl FnOnce(&SegmentHeader, Controller) -> (SegmentHeader, Controller),
@@ -226,9 +226,9 @@
     assert_eq!(code, 1, "{stdout}");
     for expected in [
         "different: step 30 ",
-        "capture says:  level 0.2500",
-        "this build:    nothing more",
-        "before that:   step 29",
+        "recorded:      level 0.2500",
+        "this build:    no further action",
+        "earlier:       step 29",
     ] {
         assert!(stdout.contains(expected), "{expected}: {stdout}");
     }
@@ -243,7 +243,7 @@
 
 #[test]
 fn a_changed_controller_is_compared_over_the_whole_capture() {
-    // A controller with half the cores stands for a changed one.
+    // Settings with half the cores simulate a build whose controller decides differently.
     let fewer_cores = |header: &SegmentHeader, _| {
         let mut header = header.clone();
         header.settings.cores = 3.0;
@@ -260,7 +260,7 @@
     let comparison = run_tool_json(&["replay", "--diff", path]);
     let class = &comparison["classes"]["rota-view"];
     let count = |side: &str, decision: &str| class[side][decision].as_u64().unwrap();
-    // It starts fewer requests, and every request has one decision on both sides.
+    // The changed controller starts fewer requests. Every request has one decision on each side.
     for side in ["capture", "this_build"] {
         let decisions =
             ["open", "ran", "refused", "failed", "joined"].map(|decision| count(side, decision));
@@ -317,7 +317,7 @@
             "{index}: {message}"
         );
     }
-    // Damage anywhere in a longer capture.
+    // Damage at many offsets of a longer capture.
     let long_capture = std::fs::read(capture_path("burst-into-discard")).unwrap();
     for at in (16..long_capture.len()).step_by(997) {
         let mut damaged = long_capture.clone();
@@ -359,7 +359,7 @@
         "--parquet",
         output_path.to_str().unwrap(),
     ]);
-    let steps = output_path.with_file_name(format!(
+    let steps_path = output_path.with_file_name(format!(
         "pipitlever-capture-{}-burst-steps.parquet",
         std::process::id()
     ));
@@ -382,7 +382,7 @@
         "{}",
         rows[0]
     );
-    let steps = SerializedFileReader::new(std::fs::File::open(steps).unwrap()).unwrap();
+    let steps = SerializedFileReader::new(std::fs::File::open(steps_path).unwrap()).unwrap();
     let count = steps.metadata().file_metadata().num_rows() as u64;
     assert_eq!(
         (output["step_rows"].as_u64(), output["steps"].as_u64()),
@@ -405,17 +405,22 @@
             "",
         ),
         (&["digest", "k"], 0, key, ""),
-        (&["replay"], 3, "", "replay: one PATH"),
+        (&["replay"], 3, "", "replay: exactly one PATH is required"),
         (&["replay", "/no/such/file"], 2, "", "/no/such/file: "),
         (
             &["replay", env!("CARGO_MANIFEST_DIR")],
             2,
             "",
-            "no capture there",
+            "the folder contains no capture",
         ),
         (&["leap", "x"], 3, "", "no command 'leap'"),
-        (&["explain", path], 3, "", "which request?"),
-        (&["explain", path, "--ref", "xyz"], 3, "", "xyz is not hex"),
+        (&["explain", path], 3, "", "explain: a filter is required"),
+        (
+            &["explain", path, "--ref", "xyz"],
+            3,
+            "",
+            "'xyz' is not a hexadecimal number",
+        ),
         (
             &["explain", path, "--key", "another"],
             1,
--- a/crates/capture-tools/tests/compatibility.rs
+++ b/crates/capture-tools/tests/compatibility.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Captures whose requests end in every way there is.
+/// Captures whose requests together end in every possible way.
 const CAPTURES: [&str; 4] = [
     "one-swap",
     "key-repeated-while-it-runs",
@@ -20,7 +20,7 @@
         .join(name)
 }
 
-/// Standard output of one command, a line for each JSON value.
+/// The standard output of a command, with one line for each JSON value.
 fn run_tool_json(arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_pipitlever-capture"))
         .args(arguments)
@@ -36,7 +36,7 @@
     lines
 }
 
-/// Blanks times and paths, which differ from run to run and from checkout to checkout.
+/// Sets measured durations and file paths to null, as they differ between runs and checkouts.
 fn clear_measurements(value: &mut Value) {
     match value {
         Value::Object(members) => {
