--- a/crates/capture-tools/src/export/requests.rs
+++ b/crates/capture-tools/src/export/requests.rs
@@ -49,8 +49,8 @@
     Value::Text(value.map(|value| format!("{value:016x}")))
 }
 
-/// The advice of a rejection: the shortest delay before a retry in microseconds, and whether there
-/// should be none.
+/// The retry advice of a rejection: the shortest delay before a retry in microseconds, and whether
+/// the client should not retry at all.
 fn rejection(answer: Option<RecordedAnswer>) -> (Option<i64>, Option<bool>) {
     match answer {
         Some(RecordedAnswer::Rejected {
@@ -82,7 +82,7 @@
         hex(request.key_digest),
         text(
             Some(&request.class.name)
-                .filter(|c| !c.is_empty())
+                .filter(|name| !name.is_empty())
                 .map(String::as_str),
         ),
         Value::Integer(request.arrived),
