--- a/crates/capture-tools/src/command.rs
+++ b/crates/capture-tools/src/command.rs
@@ -96,8 +96,9 @@
     Ok(arguments)
 }
 
-/// Hides the panic messages of the admission controller. A capture that no node wrote can make the
-/// controller panic; the replay catches the panic and reports damage.
+/// Hides the panic messages of the admission controller, recognized by its source folder
+/// `src/policy/`. A capture that no node wrote can make the controller panic; the replay catches
+/// the panic and reports damage.
 fn hide_controller_panics() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
--- a/crates/capture-tools/src/cursor.rs
+++ b/crates/capture-tools/src/cursor.rs
@@ -19,7 +19,7 @@
     fn segment(&mut self, _header: &SegmentHeader, _controller: &Controller, _is_restart: bool) {}
     /// A record was replayed.
     fn record(&mut self, _replayed: &ReplayedRecord) {}
-    /// A run has ended.
+    /// The replay of a node's run has ended.
     fn run_ended(&mut self) {}
 }
 
@@ -47,7 +47,7 @@
 /// Records missing before or after a segment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Gap {
-    /// Whether the records are missing after the segment, at the end of the run.
+    /// Whether the records are missing after the segment, at the end of the node's run.
     #[serde(rename = "behind")]
     pub is_after: bool,
     /// The segment that reports the gap, or that does not continue the previous one.
--- a/crates/capture-tools/src/diff/comparison.rs
+++ b/crates/capture-tools/src/diff/comparison.rs
@@ -50,7 +50,7 @@
 /// The decision of a controller on a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Decision {
-    /// Not decided before the end of the run.
+    /// Not decided before the end of the node's run.
     #[default]
     Open,
     /// Started; the request may have failed later.
@@ -85,11 +85,11 @@
     }
 }
 
-/// The start of a run.
+/// The start of a request on one side.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
     pub at: Micros,
-    /// The position of this start among all starts of the side, from 1.
+    /// The position among all starts of the side, from 1.
     pub order: u64,
 }
 
@@ -188,7 +188,7 @@
 /// The comparison of both sides over a whole capture.
 #[derive(Default)]
 pub struct Comparison {
-    /// The requests of the current run.
+    /// The requests of the node's current run.
     requests: BTreeMap<RequestId, ComparedRequest>,
     /// The number of starts so far.
     starts: PerSide<u64>,
@@ -211,7 +211,7 @@
         self.requests.insert(id, request);
     }
 
-    /// A request of the current run.
+    /// A request of the node's current run.
     pub fn request(&self, id: RequestId) -> Option<&ComparedRequest> {
         self.requests.get(&id)
     }
@@ -224,7 +224,7 @@
         decisions.apply(action, now, request.arrived, self.starts.get_mut(side));
     }
 
-    /// Ends a run: adds its requests to the totals.
+    /// Adds the requests of the node's run to the totals, at the end of that run.
     pub fn finish_run(&mut self) {
         let mut orders = Vec::new();
         for request in take(&mut self.requests).into_values() {
--- a/crates/capture-tools/src/diff/divergent_replay.rs
+++ b/crates/capture-tools/src/diff/divergent_replay.rs
@@ -8,19 +8,19 @@
 use pipitlever_capture::record::{Record, SegmentHeader};
 use std::collections::HashMap;
 
-/// A request that retains an idempotency key.
+/// The request whose idempotency key is retained, and the end of the retention.
 #[derive(Clone, Copy)]
 struct KeyHolder {
     id: RequestId,
     expires: Micros,
 }
 
-/// The idempotency keys of a run.
+/// The idempotency keys that each side retains during a node's run.
 #[derive(Default)]
 struct KeyTables {
     /// The digests of the requests' keys.
     digests: HashMap<RequestId, u64>,
-    /// The requests that retain keys, by digest.
+    /// The requests whose keys are retained, by digest.
     holders: PerSide<HashMap<u64, KeyHolder>>,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The request for which this build retains the key of the given request.
+    /// The request whose key this build retains, with the same digest as the given request's key.
     fn replayed_holder(&self, id: RequestId) -> Option<RequestId> {
         let digest = self.digests.get(&id)?;
         let holder = self.holders.replayed.get(digest)?;
@@ -76,8 +76,9 @@
 /// which its decisions differ from the recorded ones.
 pub struct DivergentReplay<'a> {
     profiles: &'a RunProfiles,
-    /// The index of the node's run in the capture.
+    /// The index of the node's current run in the capture.
     run: usize,
+    /// This build's controller; `None` before the first segment.
     controller: Option<Controller>,
     now: Micros,
     simulated: SimulatedRuns,
@@ -85,7 +86,8 @@
     /// The names of the classes, by index.
     pub classes: Vec<String>,
     pub comparison: Comparison,
-    /// The number of steps whose actions differ.
+    /// The number of steps whose actions differ. A step for a simulated event has no recorded
+    /// actions and counts if this build's controller takes any.
     pub different_steps: u64,
 }
 
@@ -121,7 +123,8 @@
         }
     }
 
-    /// Makes a duplicate wait for the request that retains its key, if that request is still open.
+    /// Makes a duplicate wait for the request whose key is retained, if that request is still open.
+    /// Otherwise the duplicate is answered immediately.
     fn await_original(&mut self, id: RequestId, now: Micros) {
         let holder = self.keys.replayed_holder(id);
         let original = holder.filter(|holder| self.stage(*holder).is_some());
--- a/crates/capture-tools/src/diff/mod.rs
+++ b/crates/capture-tools/src/diff/mod.rs
@@ -1,12 +1,12 @@
 //! `replay --diff`: compares the decisions of this build and of the node over a whole capture.
 //!
 //! After the first difference the recorded events no longer match this build's decisions: the
-//! capture contains the end of a run that this build did not start, or lacks the end of a run that
-//! this build started. From a request's first difference on, its run and its calls are therefore
-//! simulated with their recorded durations, or with those of the nearest run of its class if the
-//! capture has none. Arrivals, abandonments, gauges and the shutdown notice are replayed as
-//! recorded: neither the retries of gateways nor the effect of the number of runs on their
-//! durations is simulated.
+//! capture contains the end of a request that this build did not start, or lacks the end of a
+//! request that this build started. From a request's first difference on, its run and its calls are
+//! therefore simulated with their recorded durations, or with those of the nearest run of its class
+//! if the capture has none. Arrivals, abandonments, gauges and the shutdown notice are replayed as
+//! recorded: neither the retries of gateways nor the effect of concurrency on the durations of runs
+//! is simulated.
 
 mod comparison;
 mod divergent_replay;
--- a/crates/capture-tools/src/diff/profile.rs
+++ b/crates/capture-tools/src/diff/profile.rs
@@ -1,11 +1,12 @@
-//! The durations of recorded runs and their calls.
+//! The recorded durations of the runs of requests, and of their calls.
 
 use crate::cursor::{ReplayedRecord, Visitor};
 use pipitlever_admission::{Action, Event, Micros, Outcome, RequestId};
 use pipitlever_capture::record::Record;
 use std::collections::{BTreeMap, HashMap};
 
-/// The durations of one run, in which work and calls alternate. Work comes first and last.
+/// The durations of one request's run, in which work and calls alternate. Work comes first and
+/// last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunProfile {
     /// The durations of the work before each call and after the last one, in microseconds.
@@ -25,7 +26,7 @@
     id: RequestId,
 }
 
-/// A run that has not ended.
+/// A request's run that has not ended.
 struct OpenRun {
     class: usize,
     /// When the current work began.
@@ -33,9 +34,10 @@
     profile: RunProfile,
 }
 
-/// The profiles of all runs of a capture.
+/// The profiles of the runs of all requests in a capture.
 #[derive(Default)]
 pub struct RunProfiles {
+    /// The index of the node's current run in the capture.
     run: usize,
     profiles: BTreeMap<ProfileKey, RunProfile>,
     open: HashMap<RequestId, OpenRun>,
--- a/crates/capture-tools/src/diff/simulated_runs.rs
+++ b/crates/capture-tools/src/diff/simulated_runs.rs
@@ -4,7 +4,7 @@
 use pipitlever_admission::{Event, Micros, Outcome, RequestId, Stage};
 use std::collections::BTreeMap;
 
-/// A run that is simulated with recorded durations.
+/// A request's run that is simulated with recorded durations.
 #[derive(Debug)]
 struct SimulatedRun {
     profile: RunProfile,
@@ -21,6 +21,7 @@
     runs: BTreeMap<RequestId, SimulatedRun>,
     /// Scheduled events, by time and then in the order of scheduling.
     events: BTreeMap<(Micros, u64), Event>,
+    /// The number of events scheduled so far.
     scheduled: u64,
     /// Duplicates that wait for the outcome of the original request.
     duplicates: BTreeMap<RequestId, Vec<RequestId>>,
--- a/crates/capture-tools/src/replay.rs
+++ b/crates/capture-tools/src/replay.rs
@@ -51,7 +51,7 @@
     classes: Vec<String>,
     /// The last [`CONTEXT_STEPS`] steps and one more, as the last step may be the difference.
     steps: VecDeque<RecentStep>,
-    /// The steps of the last run that has ended, as text.
+    /// The last steps of the node's run that was replayed last, as text.
     rendered: Vec<String>,
 }
 
--- a/crates/capture-tools/src/request_record.rs
+++ b/crates/capture-tools/src/request_record.rs
@@ -29,7 +29,7 @@
 pub struct TimelineEntry {
     /// The clock, in Unix microseconds.
     pub now: Micros,
-    /// The number of the last step of the run.
+    /// The number of the controller's most recent step, counted from the start of the node's run.
     pub step: u64,
     /// The event.
     pub event: TimelineEvent,
@@ -55,7 +55,7 @@
     pub priority_cutoff: f64,
 }
 
-/// The end of a run.
+/// The end of a request's run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunEnd {
     /// When the run ended, in Unix microseconds.
--- a/fuzz/fuzz_targets/membership.rs
+++ b/fuzz/fuzz_targets/membership.rs
@@ -1,5 +1,5 @@
-//! Arbitrary bytes and well-formed messages as input of the membership protocol. It does not panic,
-//! exceed its limit of members or remove the local member from its table.
+//! Arbitrary bytes and well-formed messages as input of the membership protocol. The protocol does
+//! not panic, exceed its limit of members or remove the local member from its table.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
