--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -37,7 +37,7 @@
             .flatten()
             .map(|&index| &self.servers[index]);
         Ok(Reply {
-            steps: stepped.flat_map(Server::output).collect(),
+            actions: stepped.flat_map(Server::output).collect(),
         })
     }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -3,7 +3,7 @@
 use crate::error::AdapterError;
 use crate::input::{Item, ItemKind};
 use crate::names::{RequestIds, SettingsNames};
-use crate::output::Step;
+use crate::output::ServerAction;
 use pipitlever_admission::{Action, Controller, Event, Micros, RequestId};
 use std::any::Any;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -115,18 +115,19 @@
     }
 
     /// The output of the batch: the actions, or the report of a panic.
-    pub fn output(&self) -> impl Iterator<Item = Step<'_>> {
+    pub fn output(&self) -> impl Iterator<Item = ServerAction<'_>> {
         let panic = self
             .panic_message
             .iter()
-            .map(|message| Step::panic(&self.name, message));
+            .map(|message| ServerAction::panic(&self.name, message));
         let instance = self
             .instance
             .iter()
             .filter(|_| self.panic_message.is_none());
         let actions = instance.flat_map(|instance| {
-            let step = |action| Step::action(&self.name, action, &instance.request_ids);
-            self.actions.iter().map(step)
+            let translate =
+                |action| ServerAction::action(&self.name, action, &instance.request_ids);
+            self.actions.iter().map(translate)
         });
         panic.chain(actions)
     }
--- a/crates/simulator-adapter/src/output.rs
+++ b/crates/simulator-adapter/src/output.rs
@@ -8,12 +8,13 @@
 #[derive(Serialize)]
 pub struct Reply<'a> {
     /// The actions, in the order in which they have to be carried out.
-    pub steps: Vec<Step<'a>>,
+    #[serde(rename = "steps")]
+    pub actions: Vec<ServerAction<'a>>,
 }
 
-/// An action of a server's instance.
+/// An action of a server's instance, or the report that its controller panicked.
 #[derive(Serialize)]
-pub struct Step<'a> {
+pub struct ServerAction<'a> {
     #[serde(rename = "who")]
     server: &'a str,
     #[serde(flatten)]
@@ -110,7 +111,7 @@
     },
 }
 
-impl<'a> Step<'a> {
+impl<'a> ServerAction<'a> {
     /// Translates an action of the controller, with the simulator's name of its request.
     pub fn action(server: &'a str, action: &Action, request_ids: &'a RequestIds) -> Self {
         let command = match *action {
@@ -157,12 +158,12 @@
             Action::CloseIdle(timeout) => Command::CloseIdle { timeout },
             Action::Timer(from_now, tag) => Command::Timer { from_now, tag },
         };
-        Step { server, command }
+        ServerAction { server, command }
     }
 
     /// Reports that the controller of a server's instance panicked.
     pub fn panic(server: &'a str, message: &'a str) -> Self {
-        Step {
+        ServerAction {
             server,
             command: Command::Panic { message },
         }
