--- a/crates/admission/src/policy/admission.rs
+++ b/crates/admission/src/policy/admission.rs
@@ -64,7 +64,8 @@
     }
 
     /// Answers a duplicate from the outcome of its original. Running the duplicate could take
-    /// effect a second time, and rejecting it would claim that the original had no effect.
+    /// effect a second time, and rejecting it would claim that the original had no effect. If the
+    /// memory is exhausted, the duplicate fails in the same step.
     fn admit_duplicate(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let entry = self.requests.get_mut(&id).expect("registered");
         entry.stage = Stage::AwaitingOriginal;
@@ -90,7 +91,7 @@
         if self.stall.is_stalled {
             return Some(Cause::Stalled);
         }
-        shed.or_else(|| self.lacks_memory_for_key(request))
+        shed.or_else(|| self.out_of_memory_cause(request))
     }
 
     fn record_at_queues(&mut self, request: &Request) -> Option<Cause> {
@@ -115,7 +116,9 @@
         cause
     }
 
-    fn lacks_memory_for_key(&self, request: &Request) -> Option<Cause> {
+    /// The cause if no memory can be reserved for a request: for the key of a keyed request, or,
+    /// without a key, because the budget is already exceeded.
+    fn out_of_memory_cause(&self, request: &Request) -> Option<Cause> {
         let requested = match self.class(request.class).idempotency {
             Idempotency::Keyed => self.settings.key_kb,
             Idempotency::Idempotent | Idempotency::NonIdempotent => 0.0,
@@ -129,8 +132,9 @@
         })
     }
 
-    /// Retains the key of a keyed request, or of a read whose answer other reads may share. The key
-    /// is retained before the request is queued, so that duplicates are recognized from the start.
+    /// Retains the idempotency key of a keyed request, or the object key of a read whose answer
+    /// other reads of the object may share. The key is retained before the request is queued, so
+    /// that duplicates are recognized from the start.
     fn retain_key(&mut self, request: &Request, actions: &mut Vec<Action>) {
         let Some(lifetime) = self.key_lifetime(request) else {
             return;
@@ -141,13 +145,14 @@
         actions.push(Action::RetainKey(request.id, lifetime));
     }
 
-    /// How long the key of a request has to be retained; `None` if it need not be.
+    /// How long the idempotency key of a keyed request, or the object key of a cacheable read, has
+    /// to be retained; `None` if the request has neither.
     fn key_lifetime(&self, request: &Request) -> Option<Micros> {
         let class = self.class(request.class);
         let is_cacheable_read =
             self.settings.read_cache_ttl > 0 && request.has_key && !request.is_write;
         match class.idempotency {
-            // The key has to outlive the time that the request itself can be queued.
+            // The idempotency key has to outlive the time that the request itself can be queued.
             Idempotency::Keyed => {
                 let remaining = self.requests[&request.id].deadline - self.now;
                 Some(class.idempotency_window.max(remaining))
@@ -178,18 +183,22 @@
     }
 
     /// Whether the caller of a rejected request should not retry elsewhere: a later answer has no
-    /// weight, or the whole fleet is overloaded, so that another attempt would only add the cost of
-    /// reading it. A stalled server allows the retry even in an overloaded fleet.
+    /// weight; or the request is itself a retry or the whole fleet is overloaded, so that another
+    /// attempt would only add the cost of reading it. Only the first reason applies while the
+    /// server is stalled.
     fn discourages_retry(&self, id: RequestId) -> bool {
         let entry = &self.requests[&id];
         let late_weight = self.class(entry.class).late_weight;
         let is_useless = self.now >= entry.objective_at && late_weight == 0.0;
-        let is_fleet_overloaded = entry.is_retry || self.priorities.is_fleet_overloaded();
-        is_useless || !self.stall.is_stalled && is_fleet_overloaded
+        let adds_to_fleet_overload = entry.is_retry || self.priorities.is_fleet_overloaded();
+        is_useless || !self.stall.is_stalled && adds_to_fleet_overload
     }
 
-    /// The time after which a rejected caller should retry: the time that the excess of the start
-    /// queue takes to be served, with random jitter.
+    /// The time after which a rejected caller should retry. In overload and discard mode, it is the
+    /// time that the excess of the start queue takes to be served, with random jitter; in normal
+    /// mode, it is 0.
+    /// During a stall, it is random between half the maximum and the maximum; during a shutdown, it
+    /// is the maximum without jitter.
     fn retry_after(&mut self) -> Micros {
         let max = self.settings.max_retry_after;
         let retry_after = if self.shutdown.is_some() {
--- a/crates/admission/src/policy/control_loop.rs
+++ b/crates/admission/src/policy/control_loop.rs
@@ -9,16 +9,17 @@
 use crate::interface::{Action, BackpressureKind, Micros};
 
 /// The interval of the loop as a share of the shortest latency objective.
-const CONTROL_INTERVAL: f64 = 0.1;
-/// Runs are considered to progress if one ended within this multiple of the mean interval.
+const CONTROL_INTERVAL_SHARE: f64 = 0.1;
+/// Runs are considered to progress if one made progress within this multiple of the mean interval
+/// between ends of runs.
 const PROGRESS_INTERVALS: f64 = 3.0;
 /// Smaller changes of the backpressure level are not advertised.
-const LEVEL_CHANGE: f64 = 0.02;
+const MIN_LEVEL_CHANGE: f64 = 0.02;
 
 /// An idle connection is useful if its caller sends the next request within this share of the
 /// latency objective.
 const USEFUL_IDLE: f64 = 0.5;
-/// The number of open connections per core that do no harm.
+/// The number of open connections per core that are accepted in addition to the useful ones.
 const HARMLESS_CONNECTIONS: f64 = 4.0;
 /// The factors by which the idle timeout changes per control interval.
 const IDLE_SHRINK: f64 = 0.8;
@@ -30,7 +31,7 @@
         if self.now < self.next_control {
             return;
         }
-        self.next_control = self.now + (CONTROL_INTERVAL * self.objective) as Micros;
+        self.next_control = self.now + (CONTROL_INTERVAL_SHARE * self.objective) as Micros;
         self.adjust_concurrency();
         self.adjust_queues();
         self.adjust_idle_timeout(actions);
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Limits idle connections, which use CPU time and fill the connection table until new callers
+    /// Limits idle connections, which use CPU time and occupy connection slots until new callers
     /// cannot connect. The timeout shrinks while more connections are open than can be reused soon
     /// ([`USEFUL_IDLE`]) plus the number that is harmless ([`HARMLESS_CONNECTIONS`]).
     fn adjust_idle_timeout(&mut self, actions: &mut Vec<Action>) {
         let arrival_rate = self.queue_control(Queue::Start).arrival_rate;
-        let useful = USEFUL_IDLE * arrival_rate * self.objective / MICROS_PER_SECOND
+        let acceptable = USEFUL_IDLE * arrival_rate * self.objective / MICROS_PER_SECOND
             + HARMLESS_CONNECTIONS * self.settings.cores;
-        let timeout = if self.connections > useful {
+        let timeout = if self.connections > acceptable {
             IDLE_SHRINK * self.idle_timeout
         } else {
             IDLE_GROWTH * self.idle_timeout
@@ -102,7 +103,7 @@
         let Some(level) = self.backpressure_level() else {
             return;
         };
-        if self.shutdown.is_none() && (level - self.advertised_level).abs() > LEVEL_CHANGE {
+        if self.shutdown.is_none() && (level - self.advertised_level).abs() > MIN_LEVEL_CHANGE {
             self.advertised_level = level;
             actions.push(Action::Backpressure(level));
         }
--- a/crates/admission/src/policy/controller.rs
+++ b/crates/admission/src/policy/controller.rs
@@ -65,7 +65,8 @@
     #[serde(rename = "kept")]
     pub(crate) has_retained_key: bool,
     /// The time that the run waited for calls, less the total duration of all stalls before its
-    /// start. The total at its end is added, which leaves the stalls during the run.
+    /// start; can be negative. The total at its end is added, which leaves the stalls during the
+    /// run.
     #[serde(rename = "off_cores")]
     pub(crate) off_core_time: Micros,
     /// The time at which the run last needed a call.
@@ -76,7 +77,7 @@
 /// The state of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Shutdown {
-    /// Requests that arrived later must not run.
+    /// The latest arrival time of a request that may run; the end of the drain grace.
     pub(crate) last_arrival: Micros,
     /// All requests are answered by this time.
     #[serde(rename = "stop")]
@@ -111,7 +112,7 @@
     /// The backpressure level that was last advertised.
     #[serde(rename = "told")]
     pub(crate) advertised_level: f64,
-    /// The smoothed time that requests waited before they were read, in microseconds.
+    /// The moving average of the time that requests waited before they were read, in microseconds.
     #[serde(rename = "unread")]
     pub(crate) read_delay: f64,
     #[serde(rename = "seen")]
--- a/crates/admission/src/policy/hysteresis.rs
+++ b/crates/admission/src/policy/hysteresis.rs
@@ -6,13 +6,14 @@
 //! | mode | admits | ends at length |
 //! | --- | --- | --- |
 //! | normal | all requests | H, the onset threshold: overload |
-//! | overload | priorities from the cutoff (type 1) | L-1: normal; R: discard |
+//! | overload | priorities from the cutoff on | L-1: normal; R: discard |
 //! | discard | none | H: overload |
 //!
 //! L is the abatement threshold and R the discard threshold, with 0 < L < H < R.
 //!
-//! The mode is evaluated at every change of the length (policy P1). The paper's thresholds and its
-//! types of customers are fixed; here both follow the measured completion rate.
+//! The mode is evaluated at every change of the length, as in the paper's policy P1. The paper's
+//! thresholds are fixed, and so is the type of a customer, of which overload admits only type 1;
+//! here the thresholds and the priority cutoff follow the measured completion rate.
 
 use super::latency::{MICROS_PER_SECOND, MIN_RATE};
 use crate::interface::{Micros, Mode};
@@ -42,7 +43,7 @@
 pub(crate) const OBSERVATION_OBJECTIVES: f64 = 2.0;
 
 /// The mode and its thresholds. `abatement`, `onset` and `discard` are the paper's L, H and R, with
-/// 0 < L < H < R.
+/// 0 < L < H < R. The `rename` attributes here and below are the names in captures.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Hysteresis {
     pub(crate) mode: Mode,
@@ -86,7 +87,8 @@
     pub(crate) completion_rate: f64,
     /// The length that determines the mode.
     pub(crate) length: f64,
-    /// The part of the length that lowers the admitted rate: unread requests do not count.
+    /// The part of the length that lowers the admitted rate. For the start queue, these are the
+    /// queued requests; requests that have not been read do not count.
     pub(crate) waiting: f64,
     /// The time since the controller's first step.
     pub(crate) uptime: Micros,
--- a/crates/admission/src/policy/lifecycle.rs
+++ b/crates/admission/src/policy/lifecycle.rs
@@ -33,6 +33,8 @@
     }
 
     fn record_run(&mut self, entry: &RequestEntry, elapsed: Micros, outcome: Outcome) {
+        // `off_core_time` contains minus the total duration of the stalls before the start, so this
+        // subtracts the waits for calls and the stalls during the run.
         let core_time = elapsed - entry.off_core_time - self.stall.total_stalled;
         let core_time = core_time.max(1) as f64;
         let run = &mut self.concurrency;
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Removes a request that never started, and releases its key.
+    /// Removes a request that never started, and releases the key that it retained. A duplicate
+    /// that awaits its original retains no key of its own.
     pub(super) fn remove_unstarted(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.remove(&id) else {
             return;
@@ -141,7 +144,8 @@
         }
     }
 
-    /// Answers a request with an error, where it or its original may have run.
+    /// Answers a request with an error. A queued request has not run; in the other stages, the
+    /// request or its original may have run.
     pub(super) fn fail(&mut self, id: RequestId, cause: Cause, actions: &mut Vec<Action>) {
         let Some(entry) = self.requests.get_mut(&id) else {
             return;
--- a/crates/core/src/idempotency_table.rs
+++ b/crates/core/src/idempotency_table.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Memory of an entry without its result, over all tables, in bytes.
+/// Memory of an entry without its result, in bytes, over all collections of the table.
 const ENTRY_BYTES: usize = 512;
 
 /// The outcome of a keyed run, cached for the lifetime of its entry.
@@ -63,10 +63,12 @@
     max_bytes: usize,
     /// Limit on a result, in bytes. An entry without an outcome is accounted with this size.
     max_result_bytes: usize,
-    /// The longest time between the arrival of a duplicate at the machine and its being read.
+    /// The longest time between the arrival of a duplicate at the machine and its being read. The
+    /// controller's `read_delay` is the average instead.
     read_delay: Micros,
-    /// Keys whose state has not been sent to the successor yet: all keys at first, then each key
-    /// that changes. `None` while no successor receives keys.
+    /// Keys whose state has not been sent yet to the successor, the process that takes over in a
+    /// hot restart: all keys at first, then each key that is retained, extended or removed, or
+    /// whose outcome is cached. `None` while no successor receives keys.
     updates: Option<VecDeque<Rc<str>>>,
 }
 
@@ -192,7 +194,8 @@
         self.record_update(key);
     }
 
-    /// Inserts a transferred or recovered key, even beyond the limit.
+    /// Inserts a transferred or recovered key, even beyond the limit. An update is recorded only if
+    /// this replaces an entry.
     pub(crate) fn restore(&mut self, restored: RestoredKey) {
         let RestoredKey {
             key,
@@ -225,7 +228,7 @@
         debug_assert_eq!(previous, None, "a run ends once");
     }
 
-    /// Replaces the outcome of a key and returns the previous one.
+    /// Replaces the outcome of a key and returns the previous one. Records no update.
     pub(crate) fn replace_outcome(
         &mut self,
         key: &str,
@@ -241,7 +244,7 @@
     }
 
     /// Raises the longest time between the arrival of a duplicate and its being read. Existing
-    /// entries keep their expiry.
+    /// entries keep their expiry until their window is extended.
     pub(crate) fn raise_read_delay(&mut self, read_delay: Micros) {
         self.read_delay = self.read_delay.max(read_delay);
     }
