--- a/crates/capture-tools/examples/formats.rs
+++ b/crates/capture-tools/examples/formats.rs
@@ -34,8 +34,10 @@
     Action = 7,
 }
 
-/// The rows of a Parquet file as a node could write it: one for each record, event and action.
-/// Fields of the same type share columns.
+/// The rows of a Parquet file with one row for each record, event and action. Fields of the same
+/// type share columns. The rows leave out some data, such as key digests, the contents of answers,
+/// load levels, `no_retry` and the kinds of actions, while the other encodings are lossless. The
+/// sizes for Parquet therefore don't cover all the data that the other sizes cover.
 struct ParquetRows {
     kind: UInt8Builder,
     clock_delta: Int64Builder,
@@ -174,6 +176,7 @@
     fn finish(mut self, compression: Compression) -> Vec<u8> {
         let mut arrays: Vec<(String, ArrayRef)> = vec![
             ("kind".into(), Arc::new(self.kind.finish())),
+            // The clock delta: the time since the previous record.
             ("after".into(), Arc::new(self.clock_delta.finish())),
         ];
         for (index, builder) in self.integers.iter_mut().enumerate() {
--- a/crates/capture-tools/src/diff/profile.rs
+++ b/crates/capture-tools/src/diff/profile.rs
@@ -1,17 +1,24 @@
-//! The recorded durations of the runs of requests, and of their calls.
+//! The recorded durations of the runs of requests, and of their successful calls. Calls with other
+//! outcomes are not recorded in a profile: see [`RunProfile`].
 
 use crate::cursor::{ReplayedRecord, Visitor};
 use pipitlever_admission::{Action, Event, Micros, Outcome, RequestId};
 use pipitlever_capture::record::Record;
 use std::collections::{BTreeMap, HashMap};
 
-/// The durations of one request's run, in which work and calls alternate. Work comes first and
-/// last.
+/// The durations of one request's run: the work before each call, and the calls that succeeded. If
+/// all calls succeeded, work and calls alternate, and work comes first and last.
+///
+/// Only the successful attempt of a call counts: unsuccessful attempts and the waits between them
+/// are left out. If the controller skipped a failed call, the call has no duration, the work after
+/// it is measured from the end of the last successful call or else from the start of the run (and
+/// so includes the earlier work and the skipped call), and the work after the last call is missing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RunProfile {
-    /// The durations of the work before each call and after the last one, in microseconds.
+    /// The durations of the work before each call and, unless a call was skipped or the run ended
+    /// during a call, after the last one. In microseconds.
     pub work: Vec<Micros>,
-    /// The durations of the calls, in microseconds.
+    /// The durations of the successful calls, in microseconds.
     pub calls: Vec<Micros>,
     /// How the run ended; `None` while it is running.
     pub outcome: Option<Outcome>,
@@ -20,8 +27,8 @@
 /// Identifies a run of a request. Sorts the requests of a class in the order of arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ProfileKey {
-    /// The index of the node's run in the capture.
-    run: usize,
+    /// The index of the run of the node in the capture.
+    node_run: usize,
     class: usize,
     id: RequestId,
 }
@@ -29,7 +36,7 @@
 /// A request's run that has not ended.
 struct OpenRun {
     class: usize,
-    /// When the current work began.
+    /// When the last successful call ended, or else when the run started.
     work_since: Micros,
     profile: RunProfile,
 }
@@ -37,8 +44,8 @@
 /// The profiles of the runs of all requests in a capture.
 #[derive(Default)]
 pub struct RunProfiles {
-    /// The index of the node's current run in the capture.
-    run: usize,
+    /// The index of the current run of the node in the capture.
+    node_run: usize,
     profiles: BTreeMap<ProfileKey, RunProfile>,
     open: HashMap<RequestId, OpenRun>,
     /// The classes of requests that have not started.
@@ -46,10 +53,16 @@
 }
 
 impl RunProfiles {
-    /// The profile of a request; or else of the nearest request of its class that arrived before
-    /// the request, or else after. If there is none, the profile of a run that takes no time.
-    pub fn nearest(&self, run: usize, class: usize, id: RequestId) -> RunProfile {
-        let key = |id| ProfileKey { run, class, id };
+    /// The profile of a request in the run of the node with the index `node_run`; or else of the
+    /// nearest request of its class in that run of the node that arrived before the request, or
+    /// else after. If there is none, the profile of a successful request without calls whose run
+    /// takes no time.
+    pub fn nearest(&self, node_run: usize, class: usize, id: RequestId) -> RunProfile {
+        let key = |id| ProfileKey {
+            node_run,
+            class,
+            id,
+        };
         let before = self.profiles.range(key(0)..=key(id)).next_back();
         let nearest = before.or_else(|| self.profiles.range(key(id)..=key(RequestId::MAX)).next());
         nearest.map_or_else(
@@ -92,14 +105,21 @@
             return;
         };
         let (class, mut profile) = (open.class, open.profile);
-        // A run that ended during a call has no work after it.
+        // There are more durations of work than of calls if the run ended during a call, after
+        // which there is no work, or if a call was skipped. After a skipped call, the last work is
+        // lost.
         if profile.work.len() == profile.calls.len() {
             profile.work.push(now - open.work_since);
         }
         profile.outcome = Some(outcome);
         if outcome != Outcome::NotStarted {
-            let run = self.run;
-            self.profiles.insert(ProfileKey { run, class, id }, profile);
+            let node_run = self.node_run;
+            let key = ProfileKey {
+                node_run,
+                class,
+                id,
+            };
+            self.profiles.insert(key, profile);
         }
     }
 
@@ -135,7 +155,7 @@
     }
 
     fn run_ended(&mut self) {
-        self.run += 1;
+        self.node_run += 1;
         self.open.clear();
         self.classes.clear();
     }
--- a/crates/capture-tools/src/diff/report.rs
+++ b/crates/capture-tools/src/diff/report.rs
@@ -1,4 +1,8 @@
 //! The output of `replay --diff`.
+//!
+//! The names of members and columns are part of the output format, and some differ from the names
+//! in the code: `refused` is [`Decision::Rejected`], `joined` is [`Decision::Deduplicated`], `ran`
+//! is [`Decision::Started`], and `fates` counts the requests by the decisions of both sides.
 
 use super::comparison::{ClassComparison, Decision, Side};
 use super::divergent_replay::DivergentReplay;
@@ -7,7 +11,9 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Prints the comparison as JSON.
+/// Prints the comparison as JSON. `started_by_both` is a number of requests;
+/// `started_in_another_order` is the share of their pairs that the sides started in opposite
+/// orders, from 0 to 1.
 pub fn print_json(totals: &ReplayTotals, replay: &DivergentReplay) {
     let comparison = &replay.comparison;
     let classes: BTreeMap<String, Value> = comparison
@@ -29,6 +35,7 @@
     replay.classes.get(class).cloned().unwrap_or_default()
 }
 
+/// The totals of a class. `fates` contains the number of requests for each pair of decisions.
 fn class_json(class: &ClassComparison) -> Value {
     let decisions: Vec<Value> = class
         .decisions
@@ -49,6 +56,10 @@
     })
 }
 
+/// The totals of a class on one side. `held` counts the requests that were not decided in the step
+/// of their arrival, including those still open at the end of the node's run. `held_p50_us` and
+/// `held_p99_us` cover other requests: they are quantiles of the time from arrival to start over
+/// all started requests, including those started on arrival.
 fn side_json(class: &ClassComparison, side: Side) -> Value {
     let immediate = *class.immediate.get(side);
     let mut output = json!({
@@ -63,7 +74,8 @@
     output
 }
 
-/// Prints the comparison as text.
+/// Prints the comparison as text. The columns `held p50` and `p99 ms` are quantiles of the time
+/// from arrival to start over all started requests, in milliseconds.
 pub fn print_text(totals: &ReplayTotals, replay: &DivergentReplay) {
     match replay.different_steps {
         0 => println!("identical: all {} steps", totals.steps),
--- a/crates/node/src/net/session_affinity/mod.rs
+++ b/crates/node/src/net/session_affinity/mod.rs
@@ -27,9 +27,10 @@
 const MAX_SESSIONS: usize = 1 << 20;
 /// Offset of the flags in a member's payload, in bytes: they follow the active config version.
 const FLAGS_OFFSET: usize = 8;
-/// Flag in the payload of a member that has a directory replica.
+/// Flag in the payload of a member with session affinity, which stores a replica of entries of the
+/// session directory.
 const HAS_REPLICA: u8 = 1;
-/// Flag in the payload of a member whose replica is bootstrapped.
+/// Flag in the payload of a member that has received all entries of which it is a replica.
 const IS_BOOTSTRAPPED: u8 = 2;
 
 /// A pool with session affinity, and its index among the node's pools.
@@ -57,7 +58,8 @@
 
 /// A lookup whose resolution is pending.
 pub struct PendingLookup {
-    pool: usize,
+    /// Index among the pools with session affinity.
+    affinity_index: usize,
     key: SessionKey,
     resolution: Receiver<Resolution>,
 }
@@ -74,14 +76,15 @@
     /// Number of the last request to the directory.
     last_request: Cell<u64>,
     logged_moves: RefCell<LoggedMoves>,
-    /// Whether a successor is the member, so that no messages can be sent or received.
+    /// Whether the successor process of a hot restart is the fleet member in place of this process,
+    /// so that this process can neither send nor receive messages.
     is_paused: Cell<bool>,
     state: SharedState,
 }
 
 impl SessionAffinityDriver {
     /// Starts the driver; none if no pool has session affinity. `token` is a random number that
-    /// identifies this start of the process in state transfers.
+    /// identifies this start of the process in state transfers, and `now` is in microseconds.
     pub fn start(
         state: &SharedState,
         node_name: &str,
@@ -123,7 +126,8 @@
         })
     }
 
-    /// Handles a member's message. Returns false if it is not a message of session affinity.
+    /// Handles a member's message. Returns false if it is not a message of session affinity. `now`
+    /// is in microseconds.
     pub fn handle_message(&self, now: i64, sender: &str, bytes: &[u8]) -> bool {
         let Some(message) = Message::decode(bytes) else {
             return false;
@@ -148,7 +152,8 @@
     }
 
     /// Passes the membership view and the time to the directory, sends the directory's messages,
-    /// and completes pending lookups.
+    /// and completes pending lookups. `now` is in microseconds, and `version` is the active config
+    /// version.
     pub fn update(&self, fleet: &mut Membership, now: i64, version: u64) {
         let mut directory = self.directory.borrow_mut();
         self.update_pools(&mut directory, now, version);
@@ -173,17 +178,17 @@
     }
 
     /// Passes the workers that this node observes as failing to the directory. Workers that are
-    /// merely slow keep their sessions.
+    /// merely slow keep their sessions. `now` is in microseconds.
     pub fn update_ejected_workers(&self, now: i64) {
         let Ok(mut state) = self.state.try_borrow_mut() else {
             return;
         };
         let mut directory = self.directory.borrow_mut();
         for (i, pool) in self.pools.borrow().iter().enumerate() {
-            let placement = &directory.pools()[i];
+            let pool_state = &directory.pools()[i];
             let members = &pool.settings.members;
             let worker_id = |address: &SocketAddr| {
-                placement.worker_id_at(members.iter().position(|m| m.address == *address)?)
+                pool_state.worker_id_at(members.iter().position(|m| m.address == *address)?)
             };
             let ejected: Vec<WorkerId> = state
                 .pools
@@ -195,7 +200,7 @@
         }
     }
 
-    /// When the next update is due.
+    /// When the next update is due, in microseconds.
     pub fn next_wakeup(&self) -> i64 {
         self.directory.borrow().next_wakeup()
     }
@@ -209,70 +214,79 @@
         }
     }
 
-    /// The position of a pool among those with session affinity.
-    fn position(&self, pool: usize) -> Option<usize> {
+    /// The index among the pools with session affinity of the pool that has the index `pool_index`
+    /// among the node's pools.
+    fn affinity_index(&self, pool_index: usize) -> Option<usize> {
         let pools = self.pools.borrow();
-        pools.iter().position(|affinity| affinity.index == pool)
+        pools.iter().position(|pool| pool.index == pool_index)
     }
 
-    /// Resolves a session's worker: at once, or as a pending lookup.
+    /// Resolves a session's worker. `Ok` is the result if it is known at once, and `Err` is the
+    /// pending lookup to pass to [`SessionAffinityDriver::wait_for_resolution`]; it is no failure.
+    ///
+    /// `Ok(None)` means that the session has no worker now: the pool has no session affinity, the
+    /// worker given with an idempotency key is not in the pool, no worker accepts the session, or
+    /// the driver is paused and the local replica has no entry of the session.
+    ///
+    /// `version` is the active config version, `now` is in microseconds, and `pool_index` is the
+    /// index among the node's pools.
     pub fn resolve(
         &self,
         now: i64,
         version: u64,
-        pool: usize,
+        pool_index: usize,
         lookup: SessionLookup,
     ) -> Result<Option<SocketAddr>, PendingLookup> {
         let mut directory = self.directory.borrow_mut();
         self.update_pools(&mut directory, now, version);
-        let Some(pool) = self.position(pool) else {
+        let Some(affinity_index) = self.affinity_index(pool_index) else {
             return Ok(None);
         };
-        let Some(key) = self.session_key(&directory, pool, lookup) else {
+        let Some(key) = self.session_key(&directory, affinity_index, lookup) else {
             return Ok(None);
         };
         if self.is_paused.get() {
-            let resolution = directory.resolve_locally(now, pool, key);
-            return Ok(self.worker_address(&directory, pool, resolution));
+            let resolution = directory.resolve_locally(now, affinity_index, key);
+            return Ok(self.worker_address(&directory, affinity_index, resolution));
         }
         let request = self.last_request.get() + 1;
         self.last_request.set(request);
-        match directory.resolve(now, pool, key, request) {
+        match directory.resolve(now, affinity_index, key, request) {
             Resolution::Pending => {
                 let (sender, resolution) = async_channel::bounded(1);
                 self.pending.borrow_mut().insert(request, sender);
                 Err(PendingLookup {
-                    pool,
+                    affinity_index,
                     key,
                     resolution,
                 })
             }
-            resolution => Ok(self.worker_address(&directory, pool, resolution)),
+            resolution => Ok(self.worker_address(&directory, affinity_index, resolution)),
         }
     }
 
     fn worker_id(
         &self,
         directory: &SessionDirectory,
-        pool: usize,
+        affinity_index: usize,
         address: SocketAddr,
     ) -> Option<WorkerId> {
         let pools = self.pools.borrow();
-        let mut members = pools[pool].settings.members.iter();
+        let mut members = pools[affinity_index].settings.members.iter();
         let position = members.position(|member| member.address == address)?;
-        directory.pools()[pool].worker_id_at(position)
+        directory.pools()[affinity_index].worker_id_at(position)
     }
 
     fn session_key(
         &self,
         directory: &SessionDirectory,
-        pool: usize,
+        affinity_index: usize,
         lookup: SessionLookup,
     ) -> Option<SessionKey> {
         match lookup {
             SessionLookup::Session(digest) => Some(SessionKey::Session(digest)),
             SessionLookup::Key(digest, worker) => {
-                let worker = self.worker_id(directory, pool, worker)?;
+                let worker = self.worker_id(directory, affinity_index, worker)?;
                 Some(SessionKey::IdempotencyKey(digest, worker))
             }
         }
@@ -281,15 +295,15 @@
     fn worker_address(
         &self,
         directory: &SessionDirectory,
-        pool: usize,
+        affinity_index: usize,
         resolution: Resolution,
     ) -> Option<SocketAddr> {
         let Resolution::Worker(worker) = resolution else {
             return None;
         };
-        let position = directory.pools()[pool].worker_index(worker)?;
+        let position = directory.pools()[affinity_index].worker_index(worker)?;
         let pools = self.pools.borrow();
-        let member = pools[pool].settings.members.get(position)?;
+        let member = pools[affinity_index].settings.members.get(position)?;
         Some(member.address)
     }
 
@@ -301,36 +315,40 @@
         lookup: PendingLookup,
     ) -> Option<SocketAddr> {
         let PendingLookup {
-            pool,
+            affinity_index,
             key,
             resolution,
         } = lookup;
         let received = resolution.recv().await;
         let directory = self.directory.borrow();
-        let resolution = received.unwrap_or_else(|_| directory.resolve_locally(now(), pool, key));
-        self.worker_address(&directory, pool, resolution)
+        let resolution =
+            received.unwrap_or_else(|_| directory.resolve_locally(now(), affinity_index, key));
+        self.worker_address(&directory, affinity_index, resolution)
     }
 
-    /// Sets whether a successor is the member, and drops pending lookups.
+    /// Sets whether the driver is paused, and drops pending lookups, which the local replica then
+    /// resolves. The driver is paused while the successor process of a hot restart is the fleet
+    /// member in place of this process.
     pub fn set_paused(&self, is_paused: bool) {
         self.is_paused.set(is_paused);
         self.pending.borrow_mut().clear();
     }
 
     /// Moves a session away from a worker that could not be reached. Returns its new worker.
+    /// `pool_index` is the index among the node's pools, and `now` is in microseconds.
     pub fn handle_unreachable_worker(
         &self,
         now: i64,
-        pool: usize,
+        pool_index: usize,
         lookup: SessionLookup,
         worker: SocketAddr,
     ) -> Option<SocketAddr> {
         let mut directory = self.directory.borrow_mut();
-        let pool = self.position(pool)?;
-        let worker = self.worker_id(&directory, pool, worker)?;
-        let key = self.session_key(&directory, pool, lookup)?;
-        let next = directory.handle_unreachable(now, pool, key, worker)?;
-        self.worker_address(&directory, pool, Resolution::Worker(next))
+        let affinity_index = self.affinity_index(pool_index)?;
+        let worker = self.worker_id(&directory, affinity_index, worker)?;
+        let key = self.session_key(&directory, affinity_index, lookup)?;
+        let next = directory.handle_unreachable(now, affinity_index, key, worker)?;
+        self.worker_address(&directory, affinity_index, Resolution::Worker(next))
     }
 }
 
@@ -356,7 +374,8 @@
         .collect()
 }
 
-/// Converts a pool for the directory. Standby members accept no sessions.
+/// Converts a pool for the directory. Standby members, which are used only if no other member is
+/// usable, accept no sessions.
 fn directory_pool(settings: &PoolSettings) -> Option<Pool> {
     let sessions = settings.sessions.as_ref()?;
     let workers = settings
@@ -379,7 +398,8 @@
     })
 }
 
-/// The other members with a directory replica. Suspected members are included.
+/// The other members with a directory replica. Suspected members are included: they are still
+/// probed and receive gossip.
 fn peers(fleet: &Membership) -> Vec<Peer> {
     let local = fleet.local_name();
     let others = fleet
